--- a/cli/src/main/java/lemondock/cli/CatalogueCommand.java
+++ b/cli/src/main/java/lemondock/cli/CatalogueCommand.java
@@ -11,28 +11,42 @@
 import picocli.CommandLine.Option;
 
 /** Runs a stand-in for a service catalogue. */
-@Command(name = "catalogue", mixinStandardHelpOptions = true,
-        description = "Runs a stand-in for the part of Consul's API that lists services.")
+@Command(
+    name = "catalogue",
+    mixinStandardHelpOptions = true,
+    description = "Runs a stand-in for the part of Consul's API that lists services.")
 final class CatalogueCommand implements Callable<Integer> {
-    @Option(names = "--config", required = true, paramLabel = "FILE",
-            description = "Settings (JSON): {\"listen\": \"HOST:PORT\"}.")
-    private Path config;
+  @Option(
+      names = "--config",
+      required = true,
+      paramLabel = "FILE",
+      description = "Settings (JSON): {\"listen\": \"HOST:PORT\"}.")
+  private Path config;
 
-    /** The settings. */
-    record Settings(String listen) { }
+  /** The settings. */
+  record Settings(String listen) {}
 
-    @Override
-    public Integer call() throws Exception {
-        Logs.set("text", "info");
-        JsonNode root = SettingsFile.read(config);
-        Settings settings = SettingsFile.bind(config.toString(), root, "catalogue.schema.json", CatalogueCommand.class,
-                Settings.class);
-        Node node = new Node("catalogue", 1);
-        Catalogue catalogue = node.ask(() -> new Catalogue(node.loop(), Tap.NONE));
-        catalogue.start(node.network(), SettingsFile.address(settings.listen()));
-        System.out.println("ready http://" + catalogue.address().getHostString() + ":" + catalogue.address().getPort());
-        Stops.onSignal(() -> { });
-        Stops.await(Long.MAX_VALUE);
-        return 0;
-    }
+  @Override
+  public Integer call() throws Exception {
+    Logs.set("text", "info");
+    JsonNode root = SettingsFile.read(config);
+    Settings settings =
+        SettingsFile.bind(
+            config.toString(),
+            root,
+            "catalogue.schema.json",
+            CatalogueCommand.class,
+            Settings.class);
+    Node node = new Node("catalogue", 1);
+    Catalogue catalogue = node.ask(() -> new Catalogue(node.loop(), Tap.NONE));
+    catalogue.start(node.network(), SettingsFile.address(settings.listen()));
+    System.out.println(
+        "ready http://"
+            + catalogue.address().getHostString()
+            + ":"
+            + catalogue.address().getPort());
+    Stops.onSignal(() -> {});
+    Stops.await(Long.MAX_VALUE);
+    return 0;
+  }
 }
--- a/cli/src/main/java/lemondock/cli/CollectorCommand.java
+++ b/cli/src/main/java/lemondock/cli/CollectorCommand.java
@@ -9,44 +9,66 @@
 import picocli.CommandLine.Option;
 
 /** Stand-ins for carbon and collectd. */
-@Command(name = "collector", mixinStandardHelpOptions = true,
-        description = "Runs stand-ins for carbon (plaintext) and collectd on loopback that print the newest worth they are told.")
+@Command(
+    name = "collector",
+    mixinStandardHelpOptions = true,
+    description =
+        "Runs stand-ins for carbon (plaintext) and collectd on loopback that print the newest worth"
+            + " they are told.")
 final class CollectorCommand implements Callable<Integer> {
-    @Option(names = "--graphite", description = "Port for Graphite's plaintext protocol.", defaultValue = "2003")
-    private int graphite;
+  @Option(
+      names = "--graphite",
+      description = "Port for Graphite's plaintext protocol.",
+      defaultValue = "2003")
+  private int graphite;
 
-    @Option(names = "--collectd", description = "Port for collectd's network protocol.", defaultValue = "25826")
-    private int collectd;
+  @Option(
+      names = "--collectd",
+      description = "Port for collectd's network protocol.",
+      defaultValue = "25826")
+  private int collectd;
 
-    @Option(names = "--seconds", defaultValue = "0", description = "Ends by itself after so long; 0: by a signal.")
-    private long seconds;
+  @Option(
+      names = "--seconds",
+      defaultValue = "0",
+      description = "Ends by itself after so long; 0: by a signal.")
+  private long seconds;
 
-    @Override
-    public Integer call() throws Exception {
-        try (GraphiteListener plain = new GraphiteListener(graphite, false, GraphiteListener.Fault.NONE);
-                CollectdListener binary = new CollectdListener(collectd, Map.of(), 1)) {
-            System.out.println("ready graphite " + plain.port() + " collectd " + binary.port());
-            long until = seconds == 0 ? Long.MAX_VALUE : System.nanoTime() + seconds * 1_000_000_000L;
-            while (System.nanoTime() < until) {
-                Thread.sleep(1_000);
-                System.out.println("graphite: " + plain.received().values() + " values, newest worth "
-                        + worth(plain.received()) + "; collectd: " + binary.received().values() + " values in "
-                        + binary.packets() + " packets, notices " + binary.notices().size());
-            }
-        }
-        return 0;
+  @Override
+  public Integer call() throws Exception {
+    try (GraphiteListener plain =
+            new GraphiteListener(graphite, false, GraphiteListener.Fault.NONE);
+        CollectdListener binary = new CollectdListener(collectd, Map.of(), 1)) {
+      System.out.println("ready graphite " + plain.port() + " collectd " + binary.port());
+      long until = seconds == 0 ? Long.MAX_VALUE : System.nanoTime() + seconds * 1_000_000_000L;
+      while (System.nanoTime() < until) {
+        Thread.sleep(1_000);
+        System.out.println(
+            "graphite: "
+                + plain.received().values()
+                + " values, newest worth "
+                + worth(plain.received())
+                + "; collectd: "
+                + binary.received().values()
+                + " values in "
+                + binary.packets()
+                + " packets, notices "
+                + binary.notices().size());
+      }
     }
+    return 0;
+  }
 
-    private static String worth(Received received) {
-        double asked = 0;
-        double inTime = 0;
-        for (Map.Entry<String, Received.Entry> e : received.newest().entrySet()) {
-            if (e.getKey().contains(".worth.")) {
-                double value = e.getValue().values().get(0).doubleValue();
-                asked += e.getKey().endsWith(".asked") ? value : 0;
-                inTime += e.getKey().endsWith(".in_time") ? value : 0;
-            }
-        }
-        return inTime + " in time of " + asked;
+  private static String worth(Received received) {
+    double asked = 0;
+    double inTime = 0;
+    for (Map.Entry<String, Received.Entry> e : received.newest().entrySet()) {
+      if (e.getKey().contains(".worth.")) {
+        double value = e.getValue().values().get(0).doubleValue();
+        asked += e.getKey().endsWith(".asked") ? value : 0;
+        inTime += e.getKey().endsWith(".in_time") ? value : 0;
+      }
     }
+    return inTime + " in time of " + asked;
+  }
 }
--- a/cli/src/main/java/lemondock/cli/ConfigCommand.java
+++ b/cli/src/main/java/lemondock/cli/ConfigCommand.java
@@ -9,33 +9,47 @@
 import picocli.CommandLine.Parameters;
 
 /** Works on settings. */
-@Command(name = "config", mixinStandardHelpOptions = true, description = "Checks settings.",
-        subcommands = ConfigCommand.Check.class)
+@Command(
+    name = "config",
+    mixinStandardHelpOptions = true,
+    description = "Checks settings.",
+    subcommands = ConfigCommand.Check.class)
 final class ConfigCommand implements Callable<Integer> {
+  @Override
+  public Integer call() {
+    picocli.CommandLine.usage(this, System.err);
+    return 2;
+  }
+
+  /** Checks a gateway's settings. */
+  @Command(
+      name = "check",
+      mixinStandardHelpOptions = true,
+      description =
+          "Checks a gateway's settings; each problem is a line with file, pointer, expected and"
+              + " found.")
+  static final class Check implements Callable<Integer> {
+    @Parameters(paramLabel = "FILE")
+    private Path file;
+
     @Override
     public Integer call() {
-        picocli.CommandLine.usage(this, System.err);
+      try {
+        GatewaySettings settings = SettingsFile.gateway(file);
+        System.out.println(
+            file
+                + ": good; gateway "
+                + settings.name()
+                + ", "
+                + settings.classes().size()
+                + " classes, "
+                + settings.kinds().size()
+                + " kinds of servers");
+        return 0;
+      } catch (SettingsException e) {
+        e.problems().forEach(System.err::println);
         return 2;
+      }
     }
-
-    /** Checks a gateway's settings. */
-    @Command(name = "check", mixinStandardHelpOptions = true,
-            description = "Checks a gateway's settings; each problem is a line with file, pointer, expected and found.")
-    static final class Check implements Callable<Integer> {
-        @Parameters(paramLabel = "FILE")
-        private Path file;
-
-        @Override
-        public Integer call() {
-            try {
-                GatewaySettings settings = SettingsFile.gateway(file);
-                System.out.println(file + ": good; gateway " + settings.name() + ", " + settings.classes().size()
-                        + " classes, " + settings.kinds().size() + " kinds of servers");
-                return 0;
-            } catch (SettingsException e) {
-                e.problems().forEach(System.err::println);
-                return 2;
-            }
-        }
-    }
+  }
 }
--- a/cli/src/main/java/lemondock/cli/DemoCommand.java
+++ b/cli/src/main/java/lemondock/cli/DemoCommand.java
@@ -12,77 +12,119 @@
 import picocli.CommandLine.Option;
 
 /** A whole service on loopback. */
-@Command(name = "demo", mixinStandardHelpOptions = true,
-        description = "Runs two gateways, a catalogue and stand-in engines in two zones on loopback.")
+@Command(
+    name = "demo",
+    mixinStandardHelpOptions = true,
+    description = "Runs two gateways, a catalogue and stand-in engines in two zones on loopback.")
 final class DemoCommand implements Callable<Integer> {
-    private static final String[] ZONES = {"north", "south"};
+  private static final String[] ZONES = {"north", "south"};
 
-    @Option(names = "--port", defaultValue = "0", description = "The first gateway's port; 0 takes a free one.")
-    private int port;
+  @Option(
+      names = "--port",
+      defaultValue = "0",
+      description = "The first gateway's port; 0 takes a free one.")
+  private int port;
 
-    @Option(names = "--seconds", defaultValue = "0", description = "Ends by itself after so long; 0: by a signal.")
-    private long seconds;
+  @Option(
+      names = "--seconds",
+      defaultValue = "0",
+      description = "Ends by itself after so long; 0: by a signal.")
+  private long seconds;
 
-    @Option(names = "--report", arity = "0..1", fallbackValue = "127.0.0.1", paramLabel = "HOST",
-            description = "Reports to Graphite (plaintext, port 2003) and collectd (network plugin, port 25826) of a host.")
-    private String report;
+  @Option(
+      names = "--report",
+      arity = "0..1",
+      fallbackValue = "127.0.0.1",
+      paramLabel = "HOST",
+      description =
+          "Reports to Graphite (plaintext, port 2003) and collectd (network plugin, port 25826) of"
+              + " a host.")
+  private String report;
 
-    @Option(names = "--graphite-port", defaultValue = "2003", hidden = true)
-    private int graphitePort;
+  @Option(names = "--graphite-port", defaultValue = "2003", hidden = true)
+  private int graphitePort;
 
-    @Option(names = "--collectd-port", defaultValue = "25826", hidden = true)
-    private int collectdPort;
+  @Option(names = "--collectd-port", defaultValue = "25826", hidden = true)
+  private int collectdPort;
 
-    @Option(names = "--log", defaultValue = "warn", description = "error, warn, info or debug.")
-    private String level;
+  @Option(names = "--log", defaultValue = "warn", description = "error, warn, info or debug.")
+  private String level;
 
-    @Override
-    public Integer call() throws Exception {
-        Logs.set("text", level);
-        List<GatewaySettings.RequestClass> classes =
-                Presets.gateway("model", 0, 1, "north", 1, "127.0.0.1:1", s -> { }).classes();
-        Fleet fleet = new Fleet(classes, 1);
-        for (String zone : ZONES) {
-            fleet.addEngine(EngineSettings.quick(zone + "-reader-1", "reader", zone, "r1").paced(5, 5, 20));
-            fleet.addEngine(EngineSettings.quick(zone + "-reader-2", "reader", zone, "r2").paced(5, 5, 20));
-            fleet.addEngine(EngineSettings.quick(zone + "-writer-1", "writer", zone, "r1").paced(5, 5, 20));
-            fleet.addEngine(EngineSettings.quick(zone + "-writer-2", "writer", zone, "r2").paced(5, 5, 20));
-        }
-        fleet.addEngine(EngineSettings.quick("north-mixed-1", "mixed", "north", "r1").paced(5, 5, 20));
-        int first = port == 0 ? Presets.freePort() : port;
-        int second = Presets.freePort();
-        for (int i = 0; i < ZONES.length; i++) {
-            fleet.addGateway(Presets.gateway("gw-" + ZONES[i], i, ZONES.length, ZONES[i], i == 0 ? first : second,
-                    fleet.catalogueAddress(), this::reporting), Gateway.MODULE);
-        }
-        for (String gateway : fleet.gateways()) {
-            if (!fleet.awaitServers(gateway, fleet.engines().size(), 10_000)) {
-                throw new IllegalStateException(gateway + " does not see its servers");
-            }
-        }
-        System.out.println("ready http://127.0.0.1:" + first + "/mcp");
-        for (String gateway : fleet.gateways()) {
-            System.err.println("status of " + gateway + ": bin/lemondock status 127.0.0.1:"
-                    + fleet.reporting(gateway).statusAddress().getPort());
-        }
-        System.err.println("the second gateway is at http://127.0.0.1:" + second + "/mcp");
-        Stops.onSignal(() -> {
-            for (String gateway : fleet.gateways()) {
-                fleet.stopGateway(gateway);
-            }
-        });
-        Stops.await(seconds > 0 ? seconds : Long.MAX_VALUE);
-        return 0;
+  @Override
+  public Integer call() throws Exception {
+    Logs.set("text", level);
+    List<GatewaySettings.RequestClass> classes =
+        Presets.gateway("model", 0, 1, "north", 1, "127.0.0.1:1", s -> {}).classes();
+    Fleet fleet = new Fleet(classes, 1);
+    for (String zone : ZONES) {
+      fleet.addEngine(
+          EngineSettings.quick(zone + "-reader-1", "reader", zone, "r1").paced(5, 5, 20));
+      fleet.addEngine(
+          EngineSettings.quick(zone + "-reader-2", "reader", zone, "r2").paced(5, 5, 20));
+      fleet.addEngine(
+          EngineSettings.quick(zone + "-writer-1", "writer", zone, "r1").paced(5, 5, 20));
+      fleet.addEngine(
+          EngineSettings.quick(zone + "-writer-2", "writer", zone, "r2").paced(5, 5, 20));
+    }
+    fleet.addEngine(EngineSettings.quick("north-mixed-1", "mixed", "north", "r1").paced(5, 5, 20));
+    int first = port == 0 ? Presets.freePort() : port;
+    int second = Presets.freePort();
+    for (int i = 0; i < ZONES.length; i++) {
+      fleet.addGateway(
+          Presets.gateway(
+              "gw-" + ZONES[i],
+              i,
+              ZONES.length,
+              ZONES[i],
+              i == 0 ? first : second,
+              fleet.catalogueAddress(),
+              this::reporting),
+          Gateway.MODULE);
+    }
+    for (String gateway : fleet.gateways()) {
+      if (!fleet.awaitServers(gateway, fleet.engines().size(), 10_000)) {
+        throw new IllegalStateException(gateway + " does not see its servers");
+      }
     }
+    System.out.println("ready http://127.0.0.1:" + first + "/mcp");
+    for (String gateway : fleet.gateways()) {
+      System.err.println(
+          "status of "
+              + gateway
+              + ": bin/lemondock status 127.0.0.1:"
+              + fleet.reporting(gateway).statusAddress().getPort());
+    }
+    System.err.println("the second gateway is at http://127.0.0.1:" + second + "/mcp");
+    Stops.onSignal(
+        () -> {
+          for (String gateway : fleet.gateways()) {
+            fleet.stopGateway(gateway);
+          }
+        });
+    Stops.await(seconds > 0 ? seconds : Long.MAX_VALUE);
+    return 0;
+  }
 
-    private void reporting(ObjectNode settings) {
-        ObjectNode reporting = settings.putObject("reporting").put("listen", "127.0.0.1:" + Presets.freePort())
-                .put("intervalMs", 1000);
-        if (report != null) {
-            reporting.putArray("destinations").addObject().put("name", "graphite").put("kind", "graphite")
-                    .put("address", report + ":" + graphitePort);
-            reporting.withArray("destinations").addObject().put("name", "collectd").put("kind", "collectd")
-                    .put("address", report + ":" + collectdPort).put("maxBackoffMs", 2000);
-        }
+  private void reporting(ObjectNode settings) {
+    ObjectNode reporting =
+        settings
+            .putObject("reporting")
+            .put("listen", "127.0.0.1:" + Presets.freePort())
+            .put("intervalMs", 1000);
+    if (report != null) {
+      reporting
+          .putArray("destinations")
+          .addObject()
+          .put("name", "graphite")
+          .put("kind", "graphite")
+          .put("address", report + ":" + graphitePort);
+      reporting
+          .withArray("destinations")
+          .addObject()
+          .put("name", "collectd")
+          .put("kind", "collectd")
+          .put("address", report + ":" + collectdPort)
+          .put("maxBackoffMs", 2000);
     }
+  }
 }
--- a/cli/src/main/java/lemondock/cli/GatewayCommand.java
+++ b/cli/src/main/java/lemondock/cli/GatewayCommand.java
@@ -25,43 +25,73 @@
 /** Runs a gateway until a signal stops it; calls under way may end first. */
 @Command(name = "gateway", mixinStandardHelpOptions = true, description = "Runs a gateway.")
 final class GatewayCommand implements Callable<Integer> {
-    private static final int DISK_QUEUE = 64;
-    private static final long GRACE_MS = 2_000;
+  private static final int DISK_QUEUE = 64;
+  private static final long GRACE_MS = 2_000;
 
-    @Option(names = "--config", required = true, paramLabel = "FILE", description = "Settings (JSON).")
-    private Path config;
+  @Option(
+      names = "--config",
+      required = true,
+      paramLabel = "FILE",
+      description = "Settings (JSON).")
+  private Path config;
 
-    @Override
-    public Integer call() throws Exception {
-        GatewaySettings settings = SettingsFile.gateway(config);
-        Logs.set(settings.log().format(), settings.log().level());
-        ThreadLoop loop = new ThreadLoop("lemondock-loop",
-                e -> LoggerFactory.getLogger(Gateway.class).error("a task of the loop failed", e));
-        AsyncNetwork network = new AsyncNetwork(loop, settings.ioThreads());
-        Host machine = new Host(loop, network, Workers.of(1, DISK_QUEUE, "lemondock-disk"),
-                Workers.of(settings.overload().heavyThreads(), settings.overload().heavyQueue(), "lemondock-worker"),
-                new ThisProcess(), settings.durable() == null ? null : new DiskFolder(Path.of(settings.durable().path())));
-        Gateway gateway = new Gateway(machine, settings, new PromptReader(settings.classes()), Gateway.MODULE);
-        ReportHost host = new ReportHost("lemondock-reports");
-        Reporting reporting = new Reporting(settings, gateway.tally(), host.environment(), ProcessMeters.registry());
-        gateway.start();
-        reporting.start(gateway.address());
-        Stops.onSignal(() -> {
-            try {
-                gateway.stop().get((long) (settings.limits().stopNoticeMs() + settings.limits().stopWithinMs()) + GRACE_MS,
-                        TimeUnit.MILLISECONDS);
-                reporting.finish().get((long) settings.reporting().finishMs() + GRACE_MS, TimeUnit.MILLISECONDS);
-            } catch (ExecutionException | TimeoutException e) {
-                LoggerFactory.getLogger(Gateway.class).warn("the stop was not clean", e);
-            }
+  @Override
+  public Integer call() throws Exception {
+    GatewaySettings settings = SettingsFile.gateway(config);
+    Logs.set(settings.log().format(), settings.log().level());
+    ThreadLoop loop =
+        new ThreadLoop(
+            "lemondock-loop",
+            e -> LoggerFactory.getLogger(Gateway.class).error("a task of the loop failed", e));
+    AsyncNetwork network = new AsyncNetwork(loop, settings.ioThreads());
+    Host machine =
+        new Host(
+            loop,
+            network,
+            Workers.of(1, DISK_QUEUE, "lemondock-disk"),
+            Workers.of(
+                settings.overload().heavyThreads(),
+                settings.overload().heavyQueue(),
+                "lemondock-worker"),
+            new ThisProcess(),
+            settings.durable() == null ? null : new DiskFolder(Path.of(settings.durable().path())));
+    Gateway gateway =
+        new Gateway(machine, settings, new PromptReader(settings.classes()), Gateway.MODULE);
+    ReportHost host = new ReportHost("lemondock-reports");
+    Reporting reporting =
+        new Reporting(settings, gateway.tally(), host.environment(), ProcessMeters.registry());
+    gateway.start();
+    reporting.start(gateway.address());
+    Stops.onSignal(
+        () -> {
+          try {
+            gateway
+                .stop()
+                .get(
+                    (long) (settings.limits().stopNoticeMs() + settings.limits().stopWithinMs())
+                        + GRACE_MS,
+                    TimeUnit.MILLISECONDS);
+            reporting
+                .finish()
+                .get((long) settings.reporting().finishMs() + GRACE_MS, TimeUnit.MILLISECONDS);
+          } catch (ExecutionException | TimeoutException e) {
+            LoggerFactory.getLogger(Gateway.class).warn("the stop was not clean", e);
+          }
         });
-        System.out.println("ready http://" + gateway.address().getHostString() + ":" + gateway.address().getPort()
-                + "/mcp");
-        if (reporting.statusAddress() != null) {
-            System.out.println("status http://" + reporting.statusAddress().getHostString() + ":"
-                    + reporting.statusAddress().getPort());
-        }
-        Stops.await(Long.MAX_VALUE);
-        return 0;
+    System.out.println(
+        "ready http://"
+            + gateway.address().getHostString()
+            + ":"
+            + gateway.address().getPort()
+            + "/mcp");
+    if (reporting.statusAddress() != null) {
+      System.out.println(
+          "status http://"
+              + reporting.statusAddress().getHostString()
+              + ":"
+              + reporting.statusAddress().getPort());
     }
+    Stops.await(Long.MAX_VALUE);
+    return 0;
+  }
 }
--- a/cli/src/main/java/lemondock/cli/JsonLines.java
+++ b/cli/src/main/java/lemondock/cli/JsonLines.java
@@ -11,30 +11,34 @@
 
 /** A line of JSON for each event: the finished message and the named fields beside it. */
 final class JsonLines extends EncoderBase<ILoggingEvent> {
-    @Override
-    public byte[] headerBytes() {
-        return new byte[0];
-    }
+  @Override
+  public byte[] headerBytes() {
+    return new byte[0];
+  }
 
-    @Override
-    public byte[] encode(ILoggingEvent event) {
-        ObjectNode line = JsonNodeFactory.instance.objectNode()
-                .put("time", Instant.ofEpochMilli(event.getTimeStamp()).toString()).put("level", event.getLevel().toString())
-                .put("logger", event.getLoggerName()).put("thread", event.getThreadName())
-                .put("message", event.getFormattedMessage());
-        if (event.getKeyValuePairs() != null) {
-            for (KeyValuePair pair : event.getKeyValuePairs()) {
-                line.put(pair.key, String.valueOf(pair.value));
-            }
-        }
-        if (event.getThrowableProxy() != null) {
-            line.put("error", ThrowableProxyUtil.asString(event.getThrowableProxy()));
-        }
-        return (line + "\n").getBytes(StandardCharsets.UTF_8);
+  @Override
+  public byte[] encode(ILoggingEvent event) {
+    ObjectNode line =
+        JsonNodeFactory.instance
+            .objectNode()
+            .put("time", Instant.ofEpochMilli(event.getTimeStamp()).toString())
+            .put("level", event.getLevel().toString())
+            .put("logger", event.getLoggerName())
+            .put("thread", event.getThreadName())
+            .put("message", event.getFormattedMessage());
+    if (event.getKeyValuePairs() != null) {
+      for (KeyValuePair pair : event.getKeyValuePairs()) {
+        line.put(pair.key, String.valueOf(pair.value));
+      }
     }
-
-    @Override
-    public byte[] footerBytes() {
-        return new byte[0];
+    if (event.getThrowableProxy() != null) {
+      line.put("error", ThrowableProxyUtil.asString(event.getThrowableProxy()));
     }
+    return (line + "\n").getBytes(StandardCharsets.UTF_8);
+  }
+
+  @Override
+  public byte[] footerBytes() {
+    return new byte[0];
+  }
 }
--- a/cli/src/main/java/lemondock/cli/Logs.java
+++ b/cli/src/main/java/lemondock/cli/Logs.java
@@ -11,28 +11,28 @@
 
 /** Sets up the log on standard error: JSON lines or plain text. */
 final class Logs {
-    private Logs() { }
+  private Logs() {}
 
-    static void set(String format, String level) {
-        LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
-        Encoder<ILoggingEvent> encoder;
-        if (format.equals("json")) {
-            encoder = new JsonLines();
-        } else {
-            PatternLayoutEncoder text = new PatternLayoutEncoder();
-            text.setPattern("%d{HH:mm:ss.SSS} %-5level [%thread] %logger{0}: %msg %kvp%n");
-            encoder = text;
-        }
-        encoder.setContext(context);
-        encoder.start();
-        ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
-        appender.setContext(context);
-        appender.setTarget("System.err");
-        appender.setEncoder(encoder);
-        appender.start();
-        Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
-        root.detachAndStopAllAppenders();
-        root.addAppender(appender);
-        root.setLevel(Level.toLevel(level));
+  static void set(String format, String level) {
+    LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
+    Encoder<ILoggingEvent> encoder;
+    if (format.equals("json")) {
+      encoder = new JsonLines();
+    } else {
+      PatternLayoutEncoder text = new PatternLayoutEncoder();
+      text.setPattern("%d{HH:mm:ss.SSS} %-5level [%thread] %logger{0}: %msg %kvp%n");
+      encoder = text;
     }
+    encoder.setContext(context);
+    encoder.start();
+    ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
+    appender.setContext(context);
+    appender.setTarget("System.err");
+    appender.setEncoder(encoder);
+    appender.start();
+    Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
+    root.detachAndStopAllAppenders();
+    root.addAppender(appender);
+    root.setLevel(Level.toLevel(level));
+  }
 }
--- a/cli/src/main/java/lemondock/cli/MetricsCommand.java
+++ b/cli/src/main/java/lemondock/cli/MetricsCommand.java
@@ -6,17 +6,24 @@
 import picocli.CommandLine.Option;
 
 /** Prints what a gateway reports. */
-@Command(name = "metrics", mixinStandardHelpOptions = true, description = "Lists all metrics (docs/METRICS.md is this page).")
+@Command(
+    name = "metrics",
+    mixinStandardHelpOptions = true,
+    description = "Lists all metrics (docs/METRICS.md is this page).")
 final class MetricsCommand implements Callable<Integer> {
-    @Option(names = "--types-db", description = "Prints collectd's data sets instead, for its TypesDB.")
-    private boolean typesDb;
+  @Option(
+      names = "--types-db",
+      description = "Prints collectd's data sets instead, for its TypesDB.")
+  private boolean typesDb;
 
-    @Option(names = "--counter", description = "With --types-db: counters as COUNTER, for destinations with that setting.")
-    private boolean counter;
+  @Option(
+      names = "--counter",
+      description = "With --types-db: counters as COUNTER, for destinations with that setting.")
+  private boolean counter;
 
-    @Override
-    public Integer call() {
-        System.out.print(typesDb ? Catalogue.typesDb(!counter) : Catalogue.page());
-        return 0;
-    }
+  @Override
+  public Integer call() {
+    System.out.print(typesDb ? Catalogue.typesDb(!counter) : Catalogue.page());
+    return 0;
+  }
 }
--- a/cli/src/main/java/lemondock/cli/PutvalCommand.java
+++ b/cli/src/main/java/lemondock/cli/PutvalCommand.java
@@ -21,65 +21,93 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** For collectd's exec plugin: asks a gateway every interval and prints its values as PUTVAL lines. */
-@Command(name = "putval", mixinStandardHelpOptions = true,
-        description = "Prints a gateway's values as PUTVAL lines, for collectd's exec plugin.")
+/**
+ * For collectd's exec plugin: asks a gateway every interval and prints its values as PUTVAL lines.
+ */
+@Command(
+    name = "putval",
+    mixinStandardHelpOptions = true,
+    description = "Prints a gateway's values as PUTVAL lines, for collectd's exec plugin.")
 final class PutvalCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "HOST:PORT", description = "reporting.listen of the gateway.")
-    private String gateway;
+  @Parameters(paramLabel = "HOST:PORT", description = "reporting.listen of the gateway.")
+  private String gateway;
 
-    @Option(names = "--interval", description = "Seconds; the exec plugin's COLLECTD_INTERVAL if not given.",
-            defaultValue = "${env:COLLECTD_INTERVAL:-10}")
-    private double interval;
+  @Option(
+      names = "--interval",
+      description = "Seconds; the exec plugin's COLLECTD_INTERVAL if not given.",
+      defaultValue = "${env:COLLECTD_INTERVAL:-10}")
+  private double interval;
 
-    @Option(names = "--host", description = "The exec plugin's COLLECTD_HOSTNAME if not given.",
-            defaultValue = "${env:COLLECTD_HOSTNAME:-localhost}")
-    private String host;
+  @Option(
+      names = "--host",
+      description = "The exec plugin's COLLECTD_HOSTNAME if not given.",
+      defaultValue = "${env:COLLECTD_HOSTNAME:-localhost}")
+  private String host;
 
-    @Option(names = "--times", description = "Ends after so many; 0: never.", defaultValue = "0")
-    private int times;
+  @Option(names = "--times", description = "Ends after so many; 0: never.", defaultValue = "0")
+  private int times;
 
-    @Override
-    public Integer call() throws InterruptedException {
-        long millis = Math.round(interval * 1_000);
-        for (int i = 0; times == 0 || i < times; i++) {
-            if (i > 0) {
-                TimeUnit.MILLISECONDS.sleep(millis);
-            }
-            try {
-                print(Asks.get(gateway, "/tally"), millis);
-            } catch (IOException e) {
-                System.err.println("lemondock: " + e.getMessage()); // collectd logs it; the next time may work
-            }
-            if (System.out.checkError()) {
-                return 0; // collectd has closed the pipe
-            }
-        }
-        return 0;
+  @Override
+  public Integer call() throws InterruptedException {
+    long millis = Math.round(interval * 1_000);
+    for (int i = 0; times == 0 || i < times; i++) {
+      if (i > 0) {
+        TimeUnit.MILLISECONDS.sleep(millis);
+      }
+      try {
+        print(Asks.get(gateway, "/tally"), millis);
+      } catch (IOException e) {
+        System.err.println(
+            "lemondock: " + e.getMessage()); // collectd logs it; the next time may work
+      }
+      if (System.out.checkError()) {
+        return 0; // collectd has closed the pipe
+      }
     }
+    return 0;
+  }
 
-    private void print(JsonNode answer, long millis) {
-        List<Series> series = new ArrayList<>();
-        List<Long> values = new ArrayList<>();
-        Map<String, Family> families = new HashMap<>();
-        Metrics.ALL.forEach(f -> families.put(f.name(), f));
-        answer.get("tally").properties().forEach(e -> {
-            Family family = families.get(e.getKey());
-            for (JsonNode row : family == null ? List.<JsonNode>of() : e.getValue()) {
-                series.add(new Series(series.size(), family, family.dimensions().stream().map(d -> row.path(d).asText())
-                        .toList(), values.size()));
+  private void print(JsonNode answer, long millis) {
+    List<Series> series = new ArrayList<>();
+    List<Long> values = new ArrayList<>();
+    Map<String, Family> families = new HashMap<>();
+    Metrics.ALL.forEach(f -> families.put(f.name(), f));
+    answer
+        .get("tally")
+        .properties()
+        .forEach(
+            e -> {
+              Family family = families.get(e.getKey());
+              for (JsonNode row : family == null ? List.<JsonNode>of() : e.getValue()) {
+                series.add(
+                    new Series(
+                        series.size(),
+                        family,
+                        family.dimensions().stream().map(d -> row.path(d).asText()).toList(),
+                        values.size()));
                 for (Field field : family.fields()) {
-                    values.add(row.has(field.name())
-                            ? row.get(field.name()).decimalValue().movePointRight(field.decimals()).longValue()
-                            : Snapshot.ABSENT);
+                  values.add(
+                      row.has(field.name())
+                          ? row.get(field.name())
+                              .decimalValue()
+                              .movePointRight(field.decimals())
+                              .longValue()
+                          : Snapshot.ABSENT);
                 }
-            }
-        });
-        ByteArrayOutputStream text = new ByteArrayOutputStream();
-        new PutVal(new Identity(host, answer.path("instance").asText()), millis).encode(new SnapshotRing.View(0,
-                answer.path("stampMs").asLong(), series, values.stream().mapToLong(v -> v).toArray()), 0, Integer.MAX_VALUE,
-                text);
-        System.out.writeBytes(text.toByteArray());
-        System.out.flush();
-    }
+              }
+            });
+    ByteArrayOutputStream text = new ByteArrayOutputStream();
+    new PutVal(new Identity(host, answer.path("instance").asText()), millis)
+        .encode(
+            new SnapshotRing.View(
+                0,
+                answer.path("stampMs").asLong(),
+                series,
+                values.stream().mapToLong(v -> v).toArray()),
+            0,
+            Integer.MAX_VALUE,
+            text);
+    System.out.writeBytes(text.toByteArray());
+    System.out.flush();
+  }
 }
--- a/cli/src/main/java/lemondock/cli/TallyCommand.java
+++ b/cli/src/main/java/lemondock/cli/TallyCommand.java
@@ -12,25 +12,38 @@
 import picocli.CommandLine.Parameters;
 
 /** Prints a gateway's own count. */
-@Command(name = "tally", mixinStandardHelpOptions = true,
-        description = "Prints a gateway's own count as JSON: of a running one, or the final one from its reporting.tallyFile.")
+@Command(
+    name = "tally",
+    mixinStandardHelpOptions = true,
+    description =
+        "Prints a gateway's own count as JSON: of a running one, or the final one from its"
+            + " reporting.tallyFile.")
 final class TallyCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "HOST:PORT", arity = "0..1", description = "reporting.listen of a running gateway.")
-    private String gateway;
+  @Parameters(
+      paramLabel = "HOST:PORT",
+      arity = "0..1",
+      description = "reporting.listen of a running gateway.")
+  private String gateway;
 
-    @Option(names = "--file", paramLabel = "FILE", description = "The final tally that a stopped gateway wrote.")
-    private Path file;
+  @Option(
+      names = "--file",
+      paramLabel = "FILE",
+      description = "The final tally that a stopped gateway wrote.")
+  private Path file;
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+  @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-    @Override
-    public Integer call() throws IOException, InterruptedException {
-        if (gateway == null == (file == null)) {
-            throw new CommandLine.ParameterException(spec.commandLine(), "expected either HOST:PORT or --file FILE");
-        }
-        JsonNode tally = file == null ? Asks.get(gateway, "/tally") : new ObjectMapper().readTree(Files.readAllBytes(file));
-        System.out.println(tally.toPrettyString());
-        return 0;
+  @Override
+  public Integer call() throws IOException, InterruptedException {
+    if (gateway == null == (file == null)) {
+      throw new CommandLine.ParameterException(
+          spec.commandLine(), "expected either HOST:PORT or --file FILE");
     }
+    JsonNode tally =
+        file == null
+            ? Asks.get(gateway, "/tally")
+            : new ObjectMapper().readTree(Files.readAllBytes(file));
+    System.out.println(tally.toPrettyString());
+    return 0;
+  }
 }
--- a/cli/src/test/java/lemondock/cli/ProgramTest.java
+++ b/cli/src/test/java/lemondock/cli/ProgramTest.java
@@ -35,266 +35,385 @@
 
 /** The program as processes of its own. */
 class ProgramTest {
-    private static final HttpClient HTTP = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    /** What a gateway says that turns away for its own sake, not for its engines'. */
-    private static final String AT_ITS_LIMIT = "the gateway is at its limit";
-    private static final long POLL_MILLIS = 20;
+  private static final HttpClient HTTP =
+      HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-    @TempDir
-    private Path folder;
+  /** What a gateway says that turns away for its own sake, not for its engines'. */
+  private static final String AT_ITS_LIMIT = "the gateway is at its limit";
 
-    private static Process start(String before, String... args) throws IOException {
-        List<String> command = new ArrayList<>(List.of("sh", "-c", before + "exec \"$0\" \"$@\"",
-                ProcessHandle.current().info().command().orElse("java"), "-cp", System.getProperty("java.class.path"),
+  private static final long POLL_MILLIS = 20;
+
+  @TempDir private Path folder;
+
+  private static Process start(String before, String... args) throws IOException {
+    List<String> command =
+        new ArrayList<>(
+            List.of(
+                "sh",
+                "-c",
+                before + "exec \"$0\" \"$@\"",
+                ProcessHandle.current().info().command().orElse("java"),
+                "-cp",
+                System.getProperty("java.class.path"),
                 "lemondock.cli.Lemondock"));
-        command.addAll(List.of(args));
-        return new ProcessBuilder(command).redirectErrorStream(true).start();
-    }
+    command.addAll(List.of(args));
+    return new ProcessBuilder(command).redirectErrorStream(true).start();
+  }
 
-    private static String run(int code, String... args) throws IOException, InterruptedException {
-        Process process = start("", args);
-        process.getOutputStream().close();
-        String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertTrue(process.waitFor(60, TimeUnit.SECONDS));
-        assertEquals(code, process.exitValue(), out);
-        return out;
-    }
+  private static String run(int code, String... args) throws IOException, InterruptedException {
+    Process process = start("", args);
+    process.getOutputStream().close();
+    String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    assertTrue(process.waitFor(60, TimeUnit.SECONDS));
+    assertEquals(code, process.exitValue(), out);
+    return out;
+  }
 
-    /** Reads lines until one begins so; the rest is read on in the background. */
-    private static String awaitLine(Process process, String begin) throws IOException {
-        BufferedReader lines = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-        StringBuilder seen = new StringBuilder();
-        for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-            if (line.startsWith(begin)) {
-                Thread drain = new Thread(() -> {
-                    try {
-                        while (lines.readLine() != null) {
-                            Thread.onSpinWait();
-                        }
-                    } catch (IOException e) {
-                        // the process ended
+  /** Reads lines until one begins so; the rest is read on in the background. */
+  private static String awaitLine(Process process, String begin) throws IOException {
+    BufferedReader lines =
+        new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+    StringBuilder seen = new StringBuilder();
+    for (String line = lines.readLine(); line != null; line = lines.readLine()) {
+      if (line.startsWith(begin)) {
+        Thread drain =
+            new Thread(
+                () -> {
+                  try {
+                    while (lines.readLine() != null) {
+                      Thread.onSpinWait();
                     }
+                  } catch (IOException e) {
+                    // the process ended
+                  }
                 });
-                drain.setDaemon(true);
-                drain.start();
-                return line;
-            }
-            seen.append(line).append('\n');
-        }
-        throw new AssertionError("never printed " + begin + ", but\n" + seen);
+        drain.setDaemon(true);
+        drain.start();
+        return line;
+      }
+      seen.append(line).append('\n');
     }
+    throw new AssertionError("never printed " + begin + ", but\n" + seen);
+  }
 
-    private static HttpResponse<String> post(String url, String session, String body) throws IOException, InterruptedException {
-        HttpRequest.Builder request = HttpRequest.newBuilder(URI.create(url)).header("Content-Type", "application/json")
-                .header("Accept", "application/json, text/event-stream").POST(HttpRequest.BodyPublishers.ofString(body));
-        if (session != null) {
-            request.header("Mcp-Session-Id", session);
-        }
-        return HTTP.send(request.build(), HttpResponse.BodyHandlers.ofString());
+  private static HttpResponse<String> post(String url, String session, String body)
+      throws IOException, InterruptedException {
+    HttpRequest.Builder request =
+        HttpRequest.newBuilder(URI.create(url))
+            .header("Content-Type", "application/json")
+            .header("Accept", "application/json, text/event-stream")
+            .POST(HttpRequest.BodyPublishers.ofString(body));
+    if (session != null) {
+      request.header("Mcp-Session-Id", session);
     }
+    return HTTP.send(request.build(), HttpResponse.BodyHandlers.ofString());
+  }
 
-    /**
-     * Opens a session. A gateway that is at its own limit, as it may be for a while after its handles were used up, refuses with 503 and says
-     * when to come back; then this client does, as the protocol asks. Any other answer fails the test with what it says.
-     */
-    private static String openSession(String url) throws IOException, InterruptedException {
-        HttpResponse<String> response = initialize(url);
-        for (long until = deadline(); response.statusCode() == 503 && System.nanoTime() < until; response = initialize(url)) {
-            String refusal = response.body();
-            assertTrue(refusal.contains(AT_ITS_LIMIT), refusal);
-            String seconds = response.headers().firstValue("retry-after").orElseThrow(() -> new AssertionError("no time to come back: " + refusal));
-            Thread.sleep(TimeUnit.SECONDS.toMillis(Long.parseLong(seconds)));
-        }
-        assertEquals(200, response.statusCode(), response.body());
-        return response.headers().firstValue("mcp-session-id").orElseThrow();
+  /**
+   * Opens a session. A gateway that is at its own limit, as it may be for a while after its handles
+   * were used up, refuses with 503 and says when to come back; then this client does, as the
+   * protocol asks. Any other answer fails the test with what it says.
+   */
+  private static String openSession(String url) throws IOException, InterruptedException {
+    HttpResponse<String> response = initialize(url);
+    for (long until = deadline();
+        response.statusCode() == 503 && System.nanoTime() < until;
+        response = initialize(url)) {
+      String refusal = response.body();
+      assertTrue(refusal.contains(AT_ITS_LIMIT), refusal);
+      String seconds =
+          response
+              .headers()
+              .firstValue("retry-after")
+              .orElseThrow(() -> new AssertionError("no time to come back: " + refusal));
+      Thread.sleep(TimeUnit.SECONDS.toMillis(Long.parseLong(seconds)));
     }
+    assertEquals(200, response.statusCode(), response.body());
+    return response.headers().firstValue("mcp-session-id").orElseThrow();
+  }
 
-    private static HttpResponse<String> initialize(String url) throws IOException, InterruptedException {
-        return post(url, null, "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"initialize\",\"params\":"
-                + "{\"protocolVersion\":\"2025-06-18\"}}");
-    }
+  private static HttpResponse<String> initialize(String url)
+      throws IOException, InterruptedException {
+    return post(
+        url,
+        null,
+        "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"initialize\",\"params\":"
+            + "{\"protocolVersion\":\"2025-06-18\"}}");
+  }
 
-    private static long deadline() {
-        return System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-    }
+  private static long deadline() {
+    return System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+  }
 
-    private static String call(String url, String prompt) throws IOException, InterruptedException {
-        String session = openSession(url);
-        return post(url, session, "{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\","
-                + "\"arguments\":{\"prompt\":\"" + prompt + "\"}}}").body();
-    }
+  private static String call(String url, String prompt) throws IOException, InterruptedException {
+    String session = openSession(url);
+    return post(
+            url,
+            session,
+            "{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\","
+                + "\"arguments\":{\"prompt\":\""
+                + prompt
+                + "\"}}}")
+        .body();
+  }
 
-    @Test
-    void versionHelpAndWrongUse() throws IOException, InterruptedException {
-        assertTrue(run(0, "--version").startsWith("lemondock "));
-        assertTrue(run(0, "--help").contains("bad-day"));
-        assertTrue(run(2, "nonsense").contains("nonsense"));
-        assertTrue(run(2, "gateway", "--config", folder.resolve("none").toString()).contains("expected a file"));
-    }
+  @Test
+  void versionHelpAndWrongUse() throws IOException, InterruptedException {
+    assertTrue(run(0, "--version").startsWith("lemondock "));
+    assertTrue(run(0, "--help").contains("bad-day"));
+    assertTrue(run(2, "nonsense").contains("nonsense"));
+    assertTrue(
+        run(2, "gateway", "--config", folder.resolve("none").toString())
+            .contains("expected a file"));
+  }
 
-    @Test
-    void settingsAreChecked() throws IOException, InterruptedException {
-        assertTrue(run(0, "config", "check", "../conf/gateway.json").contains("good"));
-        Path bad = folder.resolve("bad.json");
-        Files.writeString(bad, Files.readString(Path.of("../conf/gateway.json")).replace("\"reader\"", "\"painter\""));
-        assertTrue(run(2, "config", "check", bad.toString()).contains("/kinds/0/role"));
-    }
+  @Test
+  void settingsAreChecked() throws IOException, InterruptedException {
+    assertTrue(run(0, "config", "check", "../conf/gateway.json").contains("good"));
+    Path bad = folder.resolve("bad.json");
+    Files.writeString(
+        bad,
+        Files.readString(Path.of("../conf/gateway.json")).replace("\"reader\"", "\"painter\""));
+    assertTrue(run(2, "config", "check", bad.toString()).contains("/kinds/0/role"));
+  }
 
-    @Test
-    void theAdapterStartsThroughTheProgram() throws IOException, InterruptedException {
-        assertEquals("", run(0, "wirehost"));
-    }
+  @Test
+  void theAdapterStartsThroughTheProgram() throws IOException, InterruptedException {
+    assertEquals("", run(0, "wirehost"));
+  }
 
-    @Test
-    void theDemoServesAndEnds() throws Exception {
-        Process demo = start("", "demo", "--seconds", "60");
-        try {
-            String url = awaitLine(demo, "ready ").substring("ready ".length());
-            assertTrue(call(url, "answer in 3 words").contains(" a0 a1 a2"));
-            assertEquals(" a0 a1 a2 a3[the stock] b0 b1 b2 b3[the price] c0 c1 c2", sdkCallsWithTools(url));
-        } finally {
-            demo.destroy();
-            assertTrue(demo.waitFor(20, TimeUnit.SECONDS));
-        }
+  @Test
+  void theDemoServesAndEnds() throws Exception {
+    Process demo = start("", "demo", "--seconds", "60");
+    try {
+      String url = awaitLine(demo, "ready ").substring("ready ".length());
+      assertTrue(call(url, "answer in 3 words").contains(" a0 a1 a2"));
+      assertEquals(
+          " a0 a1 a2 a3[the stock] b0 b1 b2 b3[the price] c0 c1 c2", sdkCallsWithTools(url));
+    } finally {
+      demo.destroy();
+      assertTrue(demo.waitFor(20, TimeUnit.SECONDS));
     }
+  }
 
-    @Test
-    void theDemoReportsToGraphiteAndCollectdWithOneFlag() throws Exception {
-        try (GraphiteListener graphite = new GraphiteListener(0, false, GraphiteListener.Fault.NONE);
-                CollectdListener collectd = new CollectdListener(0, Map.of(), 1)) {
-            Process demo = start("", "demo", "--seconds", "60", "--report", "--graphite-port",
-                    Integer.toString(graphite.port()), "--collectd-port", Integer.toString(collectd.port()));
-            try {
-                String url = awaitLine(demo, "ready ").substring("ready ".length());
-                assertTrue(call(url, "answer in 3 words").contains(" a0 a1 a2"));
-                long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-                while ((served(graphite.received()) != 1 || collectd.received().newest().keySet().stream()
-                        .noneMatch(n -> n.contains("/lemondock_worth-"))) && System.nanoTime() < until) {
-                    Thread.sleep(10);
-                }
-                assertEquals(1, served(graphite.received()));
-                assertTrue(collectd.received().newest().keySet().stream().anyMatch(n -> n.contains("/lemondock_worth-")));
-            } finally {
-                demo.destroy();
-                assertTrue(demo.waitFor(20, TimeUnit.SECONDS));
-            }
+  @Test
+  void theDemoReportsToGraphiteAndCollectdWithOneFlag() throws Exception {
+    try (GraphiteListener graphite = new GraphiteListener(0, false, GraphiteListener.Fault.NONE);
+        CollectdListener collectd = new CollectdListener(0, Map.of(), 1)) {
+      Process demo =
+          start(
+              "",
+              "demo",
+              "--seconds",
+              "60",
+              "--report",
+              "--graphite-port",
+              Integer.toString(graphite.port()),
+              "--collectd-port",
+              Integer.toString(collectd.port()));
+      try {
+        String url = awaitLine(demo, "ready ").substring("ready ".length());
+        assertTrue(call(url, "answer in 3 words").contains(" a0 a1 a2"));
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while ((served(graphite.received()) != 1
+                || collectd.received().newest().keySet().stream()
+                    .noneMatch(n -> n.contains("/lemondock_worth-")))
+            && System.nanoTime() < until) {
+          Thread.sleep(10);
         }
+        assertEquals(1, served(graphite.received()));
+        assertTrue(
+            collectd.received().newest().keySet().stream()
+                .anyMatch(n -> n.contains("/lemondock_worth-")));
+      } finally {
+        demo.destroy();
+        assertTrue(demo.waitFor(20, TimeUnit.SECONDS));
+      }
     }
+  }
 
-    private static long served(Received received) {
-        return received.newest().entrySet().stream().filter(e -> e.getKey().endsWith(".served"))
-                .mapToLong(e -> e.getValue().values().get(0).longValue()).sum();
-    }
+  private static long served(Received received) {
+    return received.newest().entrySet().stream()
+        .filter(e -> e.getKey().endsWith(".served"))
+        .mapToLong(e -> e.getValue().values().get(0).longValue())
+        .sum();
+  }
 
-    /** The official Java SDK as the client: a call with two tool calls in the middle of its answer. */
-    private static String sdkCallsWithTools(String url) {
-        McpClientSession.RequestHandler<Map<String, Object>> tool = params -> Mono.just(Map.of("content", List.of(
-                Map.of("type", "text", "text", "the " + ((Map<?, ?>) params).get("name")))));
-        McpClientSession session = new McpClientSession(Duration.ofSeconds(10), HttpClientStreamableHttpTransport
-                .builder(url.substring(0, url.length() - "/mcp".length())).endpoint("/mcp").build(),
-                Map.of("tools/call", tool), Map.of("notifications/progress", params -> Mono.empty()), UnaryOperator.identity());
-        TypeRef<Map<String, Object>> type = new TypeRef<>() { };
-        session.sendRequest("initialize", Map.of("protocolVersion", "2025-06-18", "capabilities", Map.of(), "clientInfo",
-                Map.of("name", "sdk", "version", "1")), type).block();
-        session.sendNotification("notifications/initialized", null).block();
-        Map<String, Object> result = session.sendRequest("tools/call", Map.of("name", "day-close", "arguments", Map.of(
-                "prompt", "call the tool stock and then call the tool price answer in 3 words",
-                "tools", List.of(Map.of("name", "stock"), Map.of("name", "price")))), type).block();
-        session.close();
-        return String.valueOf(((Map<?, ?>) ((List<?>) result.get("content")).get(0)).get("text"));
-    }
+  /**
+   * The official Java SDK as the client: a call with two tool calls in the middle of its answer.
+   */
+  private static String sdkCallsWithTools(String url) {
+    McpClientSession.RequestHandler<Map<String, Object>> tool =
+        params ->
+            Mono.just(
+                Map.of(
+                    "content",
+                    List.of(
+                        Map.of(
+                            "type", "text", "text", "the " + ((Map<?, ?>) params).get("name")))));
+    McpClientSession session =
+        new McpClientSession(
+            Duration.ofSeconds(10),
+            HttpClientStreamableHttpTransport.builder(
+                    url.substring(0, url.length() - "/mcp".length()))
+                .endpoint("/mcp")
+                .build(),
+            Map.of("tools/call", tool),
+            Map.of("notifications/progress", params -> Mono.empty()),
+            UnaryOperator.identity());
+    TypeRef<Map<String, Object>> type = new TypeRef<>() {};
+    session
+        .sendRequest(
+            "initialize",
+            Map.of(
+                "protocolVersion",
+                "2025-06-18",
+                "capabilities",
+                Map.of(),
+                "clientInfo",
+                Map.of("name", "sdk", "version", "1")),
+            type)
+        .block();
+    session.sendNotification("notifications/initialized", null).block();
+    Map<String, Object> result =
+        session
+            .sendRequest(
+                "tools/call",
+                Map.of(
+                    "name",
+                    "day-close",
+                    "arguments",
+                    Map.of(
+                        "prompt",
+                        "call the tool stock and then call the tool price answer in 3 words",
+                        "tools",
+                        List.of(Map.of("name", "stock"), Map.of("name", "price")))),
+                type)
+            .block();
+    session.close();
+    return String.valueOf(((Map<?, ?>) ((List<?>) result.get("content")).get(0)).get("text"));
+  }
 
-    /** Catalogue, stand-ins and gateway as processes of their own; SIGTERM lets a call under way end. */
-    @Test
-    void processesOfTheirOwnAndASignalThatDrains() throws Exception {
-        int cataloguePort = Presets.freePort();
-        int gatewayPort = Presets.freePort();
-        Files.writeString(folder.resolve("c.json"), "{\"listen\":\"127.0.0.1:" + cataloguePort + "\"}");
-        Files.writeString(folder.resolve("s.json"), Files.readString(Path.of("../conf/standin.json"))
-                .replace("127.0.0.1:8500", "127.0.0.1:" + cataloguePort).replaceAll("127\\.0\\.0\\.1:81\\d\\d", "127.0.0.1:0"));
-        Files.writeString(folder.resolve("g.json"), Files.readString(Path.of("../conf/gateway.json"))
-                .replace("127.0.0.1:8500", "127.0.0.1:" + cataloguePort).replace("127.0.0.1:8080", "127.0.0.1:" + gatewayPort)
-                .replaceFirst("\\{", "{\"rules\":{\"warmUpMs\":1},")); // the stand-ins have just started, and need no warming up
-        List<Process> processes = new ArrayList<>();
-        try {
-            processes.add(start("", "catalogue", "--config", folder.resolve("c.json").toString()));
-            awaitLine(processes.get(0), "ready ");
-            processes.add(start("", "standin", "--config", folder.resolve("s.json").toString()));
-            awaitLine(processes.get(1), "ready ");
-            processes.add(start("ulimit -n 200; ", "gateway", "--config", folder.resolve("g.json").toString()));
-            String url = awaitLine(processes.get(2), "ready ").substring("ready ".length());
-            assertTrue(awaitService(url).contains(" a0 a1 a2"));
-            useUpHandles(gatewayPort);
-            assertTrue(awaitService(url).contains(" a0 a1 a2"));
-            Process gateway = processes.get(2);
-            String session = openSession(url);
-            Iterator<String> lines = stream(url, session);
-            String first = lines.next();
-            for (long until = deadline(); first.contains(AT_ITS_LIMIT) && System.nanoTime() < until;) {
-                Thread.sleep(POLL_MILLIS);
-                lines = stream(url, session);
-                first = lines.next();
-            }
-            assertTrue(first.contains("notifications/progress"), "engines are blamed for handles that were used up: " + first);
-            signal(gateway, "STOP"); // the process stands still while its engine goes on
-            Thread.sleep(1_500);
-            signal(gateway, "CONT");
-            gateway.destroy(); // SIGTERM
-            String last = "";
-            while (lines.hasNext()) {
-                last = lines.next();
-            }
-            assertTrue(last.contains(" a59"), last);
-            assertTrue(gateway.waitFor(20, TimeUnit.SECONDS));
-        } finally {
-            processes.forEach(Process::destroy);
-            for (Process process : processes) {
-                assertTrue(process.waitFor(20, TimeUnit.SECONDS));
-            }
-        }
+  /**
+   * Catalogue, stand-ins and gateway as processes of their own; SIGTERM lets a call under way end.
+   */
+  @Test
+  void processesOfTheirOwnAndASignalThatDrains() throws Exception {
+    int cataloguePort = Presets.freePort();
+    int gatewayPort = Presets.freePort();
+    Files.writeString(folder.resolve("c.json"), "{\"listen\":\"127.0.0.1:" + cataloguePort + "\"}");
+    Files.writeString(
+        folder.resolve("s.json"),
+        Files.readString(Path.of("../conf/standin.json"))
+            .replace("127.0.0.1:8500", "127.0.0.1:" + cataloguePort)
+            .replaceAll("127\\.0\\.0\\.1:81\\d\\d", "127.0.0.1:0"));
+    Files.writeString(
+        folder.resolve("g.json"),
+        Files.readString(Path.of("../conf/gateway.json"))
+            .replace("127.0.0.1:8500", "127.0.0.1:" + cataloguePort)
+            .replace("127.0.0.1:8080", "127.0.0.1:" + gatewayPort)
+            .replaceFirst(
+                "\\{",
+                "{\"rules\":{\"warmUpMs\":1},")); // the stand-ins have just started, and need no
+    // warming up
+    List<Process> processes = new ArrayList<>();
+    try {
+      processes.add(start("", "catalogue", "--config", folder.resolve("c.json").toString()));
+      awaitLine(processes.get(0), "ready ");
+      processes.add(start("", "standin", "--config", folder.resolve("s.json").toString()));
+      awaitLine(processes.get(1), "ready ");
+      processes.add(
+          start("ulimit -n 200; ", "gateway", "--config", folder.resolve("g.json").toString()));
+      String url = awaitLine(processes.get(2), "ready ").substring("ready ".length());
+      assertTrue(awaitService(url).contains(" a0 a1 a2"));
+      useUpHandles(gatewayPort);
+      assertTrue(awaitService(url).contains(" a0 a1 a2"));
+      Process gateway = processes.get(2);
+      String session = openSession(url);
+      Iterator<String> lines = stream(url, session);
+      String first = lines.next();
+      for (long until = deadline(); first.contains(AT_ITS_LIMIT) && System.nanoTime() < until; ) {
+        Thread.sleep(POLL_MILLIS);
+        lines = stream(url, session);
+        first = lines.next();
+      }
+      assertTrue(
+          first.contains("notifications/progress"),
+          "engines are blamed for handles that were used up: " + first);
+      signal(gateway, "STOP"); // the process stands still while its engine goes on
+      Thread.sleep(1_500);
+      signal(gateway, "CONT");
+      gateway.destroy(); // SIGTERM
+      String last = "";
+      while (lines.hasNext()) {
+        last = lines.next();
+      }
+      assertTrue(last.contains(" a59"), last);
+      assertTrue(gateway.waitFor(20, TimeUnit.SECONDS));
+    } finally {
+      processes.forEach(Process::destroy);
+      for (Process process : processes) {
+        assertTrue(process.waitFor(20, TimeUnit.SECONDS));
+      }
     }
+  }
 
-    private static void signal(Process process, String name) throws IOException, InterruptedException {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
-    }
+  private static void signal(Process process, String name)
+      throws IOException, InterruptedException {
+    assertEquals(
+        0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
+  }
 
-    private static Iterator<String> stream(String url, String session) throws IOException, InterruptedException {
-        return HTTP.send(HttpRequest.newBuilder(URI.create(url)).header("Content-Type", "application/json")
-                .header("Accept", "text/event-stream").header("Mcp-Session-Id", session)
-                .POST(HttpRequest.BodyPublishers.ofString("{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"tools/call\","
-                        + "\"params\":{\"name\":\"sale-lookup\",\"_meta\":{\"progressToken\":1},\"arguments\":"
-                        + "{\"prompt\":\"answer in 60 words\"}}}")).build(), HttpResponse.BodyHandlers.ofLines()).body()
-                .filter(l -> l.startsWith("data: ")).iterator();
-    }
+  private static Iterator<String> stream(String url, String session)
+      throws IOException, InterruptedException {
+    return HTTP.send(
+            HttpRequest.newBuilder(URI.create(url))
+                .header("Content-Type", "application/json")
+                .header("Accept", "text/event-stream")
+                .header("Mcp-Session-Id", session)
+                .POST(
+                    HttpRequest.BodyPublishers.ofString(
+                        "{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"tools/call\","
+                            + "\"params\":{\"name\":\"sale-lookup\",\"_meta\":{\"progressToken\":1},\"arguments\":{\"prompt\":\"answer"
+                            + " in 60 words\"}}}"))
+                .build(),
+            HttpResponse.BodyHandlers.ofLines())
+        .body()
+        .filter(l -> l.startsWith("data: "))
+        .iterator();
+  }
 
-    private static String awaitService(String url) throws Exception {
-        long until = deadline();
-        String last = "";
-        while (System.nanoTime() < until) {
-            try {
-                last = call(url, "answer in 3 words");
-                if (last.contains(" a0 a1 a2")) {
-                    return last;
-                }
-            } catch (IOException e) {
-                last = e.toString();
-            }
-            Thread.sleep(POLL_MILLIS);
+  private static String awaitService(String url) throws Exception {
+    long until = deadline();
+    String last = "";
+    while (System.nanoTime() < until) {
+      try {
+        last = call(url, "answer in 3 words");
+        if (last.contains(" a0 a1 a2")) {
+          return last;
         }
-        return last;
+      } catch (IOException e) {
+        last = e.toString();
+      }
+      Thread.sleep(POLL_MILLIS);
     }
+    return last;
+  }
 
-    /** More connections than the process has handles: it must go on, and serve again once they are given back. */
-    private static void useUpHandles(int port) throws IOException {
-        List<Socket> sockets = new ArrayList<>();
-        try {
-            for (int i = 0; i < 300; i++) {
-                sockets.add(new Socket(InetAddress.getLoopbackAddress(), port));
-            }
-        } finally {
-            for (Socket socket : sockets) {
-                socket.close();
-            }
-        }
+  /**
+   * More connections than the process has handles: it must go on, and serve again once they are
+   * given back.
+   */
+  private static void useUpHandles(int port) throws IOException {
+    List<Socket> sockets = new ArrayList<>();
+    try {
+      for (int i = 0; i < 300; i++) {
+        sockets.add(new Socket(InetAddress.getLoopbackAddress(), port));
+      }
+    } finally {
+      for (Socket socket : sockets) {
+        socket.close();
+      }
     }
+  }
 }
--- a/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
+++ b/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
@@ -26,76 +26,102 @@
 
 /** What the command line tells of reports. */
 class ReportCommandsTest {
-    private static String out;
+  private static String out;
 
-    private static int run(String... args) {
-        PrintStream before = System.out;
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        System.setOut(new PrintStream(bytes, true, StandardCharsets.UTF_8));
-        try {
-            return new CommandLine(new Lemondock()).execute(args);
-        } finally {
-            System.setOut(before);
-            out = bytes.toString(StandardCharsets.UTF_8);
-        }
+  private static int run(String... args) {
+    PrintStream before = System.out;
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    System.setOut(new PrintStream(bytes, true, StandardCharsets.UTF_8));
+    try {
+      return new CommandLine(new Lemondock()).execute(args);
+    } finally {
+      System.setOut(before);
+      out = bytes.toString(StandardCharsets.UTF_8);
     }
+  }
 
-    @Test
-    void thePagesOfTheRepositoryAreWhatTheCodeSays() throws IOException {
-        String again = "write it anew: bin/lemondock metrics > docs/METRICS.md; bin/lemondock metrics --types-db > conf/types.db";
-        assertEquals(Catalogue.page(), Files.readString(Path.of("../docs/METRICS.md")), again);
-        assertEquals(Catalogue.typesDb(), Files.readString(Path.of("../conf/types.db")), again);
-        assertEquals(0, run("metrics", "--types-db", "--counter"));
-        assertTrue(out.contains("in_time:COUNTER:0:U"));
-    }
+  @Test
+  void thePagesOfTheRepositoryAreWhatTheCodeSays() throws IOException {
+    String again =
+        "write it anew: bin/lemondock metrics > docs/METRICS.md; bin/lemondock metrics --types-db >"
+            + " conf/types.db";
+    assertEquals(Catalogue.page(), Files.readString(Path.of("../docs/METRICS.md")), again);
+    assertEquals(Catalogue.typesDb(), Files.readString(Path.of("../conf/types.db")), again);
+    assertEquals(0, run("metrics", "--types-db", "--counter"));
+    assertTrue(out.contains("in_time:COUNTER:0:U"));
+  }
 
-    @Test
-    void statusTallyAndPutvalTellWhatAGatewayCounts(@TempDir Path folder) throws IOException {
-        Path file = folder.resolve("tally.json");
-        var classes = Presets.gateway("x", 0, 1, "north", 1, "127.0.0.1:1", s -> { }).classes();
-        try (Fleet fleet = new Fleet(classes, 1)) {
-            fleet.addEngine(EngineSettings.quick("m", "mixed", "north", "r1"));
-            fleet.addGateway(Presets.gateway("gw", 0, 1, "north", Presets.freePort(), fleet.catalogueAddress(), s ->
-                    s.putObject("reporting").put("listen", "127.0.0.1:" + Presets.freePort()).put("tickMs", 20)
-                            .put("intervalMs", 20).put("tallyFile", file.toString())), Gateway.MODULE);
-            assertTrue(fleet.awaitServers("gw", 1, 10_000));
-            InetSocketAddress at = fleet.reporting("gw").statusAddress();
-            String address = at.getHostString() + ":" + at.getPort();
-            for (int i = 0; i < 500 && (run("status", address) != 0 || !out.contains("mixed")); i++) {
-                Thread.onSpinWait(); // the first looks may be a moment away
-            }
-            assertTrue(out.contains("no fall of service is seen") && out.contains("gw-"), out);
-            assertEquals(0, run("status", address, "127.0.0.1:" + Presets.freePort()));
-            assertTrue(out.startsWith("NO ANSWER"), out);
-            assertEquals(2, run("status", "127.0.0.1:" + Presets.freePort()));
-            assertEquals(0, run("tally", address));
-            JsonNode tally = new ObjectMapper().readTree(out);
-            assertEquals(false, tally.get("final").booleanValue());
-            Received received = new Received();
-            assertEquals(0, run("putval", address, "--times", "1", "--host", "till"));
-            for (String line : out.split("\n")) {
-                assertTrue(UnixsockListener.take(line, received), line);
-            }
-            assertTrue(received.newest().keySet().stream().anyMatch(n -> n.startsWith("till/lemondock-gw-")
-                    && n.endsWith("/lemondock_gateway")), received.newest().keySet().toString());
-            JsonNode last = fleet.stopGateway("gw");
-            assertEquals(0, run("tally", "--file", file.toString()));
-            assertEquals(last.get("tally").get("requests"), new ObjectMapper().readTree(out).get("tally").get("requests"));
-            assertEquals(true, new ObjectMapper().readTree(out).get("final").booleanValue());
-        }
-        assertEquals(2, run("tally"));
+  @Test
+  void statusTallyAndPutvalTellWhatAGatewayCounts(@TempDir Path folder) throws IOException {
+    Path file = folder.resolve("tally.json");
+    var classes = Presets.gateway("x", 0, 1, "north", 1, "127.0.0.1:1", s -> {}).classes();
+    try (Fleet fleet = new Fleet(classes, 1)) {
+      fleet.addEngine(EngineSettings.quick("m", "mixed", "north", "r1"));
+      fleet.addGateway(
+          Presets.gateway(
+              "gw",
+              0,
+              1,
+              "north",
+              Presets.freePort(),
+              fleet.catalogueAddress(),
+              s ->
+                  s.putObject("reporting")
+                      .put("listen", "127.0.0.1:" + Presets.freePort())
+                      .put("tickMs", 20)
+                      .put("intervalMs", 20)
+                      .put("tallyFile", file.toString())),
+          Gateway.MODULE);
+      assertTrue(fleet.awaitServers("gw", 1, 10_000));
+      InetSocketAddress at = fleet.reporting("gw").statusAddress();
+      String address = at.getHostString() + ":" + at.getPort();
+      for (int i = 0; i < 500 && (run("status", address) != 0 || !out.contains("mixed")); i++) {
+        Thread.onSpinWait(); // the first looks may be a moment away
+      }
+      assertTrue(out.contains("no fall of service is seen") && out.contains("gw-"), out);
+      assertEquals(0, run("status", address, "127.0.0.1:" + Presets.freePort()));
+      assertTrue(out.startsWith("NO ANSWER"), out);
+      assertEquals(2, run("status", "127.0.0.1:" + Presets.freePort()));
+      assertEquals(0, run("tally", address));
+      JsonNode tally = new ObjectMapper().readTree(out);
+      assertEquals(false, tally.get("final").booleanValue());
+      Received received = new Received();
+      assertEquals(0, run("putval", address, "--times", "1", "--host", "till"));
+      for (String line : out.split("\n")) {
+        assertTrue(UnixsockListener.take(line, received), line);
+      }
+      assertTrue(
+          received.newest().keySet().stream()
+              .anyMatch(
+                  n -> n.startsWith("till/lemondock-gw-") && n.endsWith("/lemondock_gateway")),
+          received.newest().keySet().toString());
+      JsonNode last = fleet.stopGateway("gw");
+      assertEquals(0, run("tally", "--file", file.toString()));
+      assertEquals(
+          last.get("tally").get("requests"),
+          new ObjectMapper().readTree(out).get("tally").get("requests"));
+      assertEquals(true, new ObjectMapper().readTree(out).get("final").booleanValue());
     }
+    assertEquals(2, run("tally"));
+  }
 
-    @Test
-    void aFallIsTheFirstThingThatStatusSays() throws IOException {
-        JsonNode answer = new ObjectMapper().readTree("""
+  @Test
+  void aFallIsTheFirstThingThatStatusSays() throws IOException {
+    JsonNode answer =
+        new ObjectMapper()
+            .readTree(
+                """
                 {"instance": "gw-1", "zone": "north", "classes": [{"class": "day-close", "asked10s": 30, "inTime10s": 12,
                 "asked60s": 100, "inTime60s": 80}], "falls": [{"class": "day-close", "zone": "north", "loss": 0.6,
                 "requests": 20}], "servers": [{"role": "reader", "zone": "south", "ready": 1, "away": 2, "cold": 0,
-                "avoided": 1}], "report": [{"destination": "g", "waiting": 7, "dropped": 3}]}""");
-        String text = StatusCommand.text(List.of(answer), List.of());
-        assertTrue(text.startsWith("FALLEN     day-close in north: 60 % of 20 requests of the last seconds lost"), text);
-        assertTrue(text.contains("12.0 of 30.0 (40 %)") && text.contains("80.0 of 100.0 (80 %)"), text);
-        assertTrue(text.contains("reports of gw-1 to g: 7 snapshots wait, 3 dropped"), text);
-    }
+                "avoided": 1}], "report": [{"destination": "g", "waiting": 7, "dropped": 3}]}\
+                """);
+    String text = StatusCommand.text(List.of(answer), List.of());
+    assertTrue(
+        text.startsWith(
+            "FALLEN     day-close in north: 60 % of 20 requests of the last seconds lost"),
+        text);
+    assertTrue(text.contains("12.0 of 30.0 (40 %)") && text.contains("80.0 of 100.0 (80 %)"), text);
+    assertTrue(text.contains("reports of gw-1 to g: 7 snapshots wait, 3 dropped"), text);
+  }
 }
--- a/faults/src/main/java/lemondock/faults/Client.java
+++ b/faults/src/main/java/lemondock/faults/Client.java
@@ -13,182 +13,208 @@
 import lemondock.faults.Truth.Outcome;
 
 /**
- * One client of a gateway: asks one thing at a time on a connection that it keeps, until told to stop; some calls it leaves early. It goes on
- * using an open connection whatever the gateway's state.
+ * One client of a gateway: asks one thing at a time on a connection that it keeps, until told to
+ * stop; some calls it leaves early. It goes on using an open connection whatever the gateway's
+ * state.
  */
 final class Client implements Runnable {
-    private static final long ANSWER_SLACK = 500 * Micros.MILLI;
-    private static final int STREAM_SILENCE_MILLIS = 7_000;
-    private static final int CONNECT_MILLIS = 1_000;
-    /** Clients do not begin all at once. */
-    private static final long LONGEST_DELAY = 800 * Micros.MILLI;
-    private static final long AWAY = 50 * Micros.MILLI;
-    private static final double ONCE_SHARE = 0.3;
-    private static final double LEAVING_SHARE = 0.06;
-    private static final double FRESH_SHARE = 0.05;
-    /** A resting connection's close crosses a request only if it is heard of so soon. */
-    static final long CROSSING = 100 * Micros.MILLI;
-
-    private final String name;
-    private final GatewayProcess gateway;
-    private final Truth truth;
-    private final FleetShape shape;
-    private final SplittableRandom random;
-    private final long thinkMicros;
-    private volatile boolean stopped;
-    private Socket socket;
-    private InputStream in;
-    private long restingSince;
-    private int calls;
-
-    Client(String name, GatewayProcess gateway, Truth truth, FleetShape shape, long thinkMicros, long seed) {
-        this.name = name;
-        this.gateway = gateway;
-        this.truth = truth;
-        this.shape = shape;
-        this.thinkMicros = thinkMicros;
-        this.random = new SplittableRandom(seed);
-    }
+  private static final long ANSWER_SLACK = 500 * Micros.MILLI;
+  private static final int STREAM_SILENCE_MILLIS = 7_000;
+  private static final int CONNECT_MILLIS = 1_000;
 
-    /** Ends it after its present call. */
-    void stop() {
-        stopped = true;
-    }
+  /** Clients do not begin all at once. */
+  private static final long LONGEST_DELAY = 800 * Micros.MILLI;
 
-    @Override
-    public void run() {
-        Micros.sleep(random.nextLong(LONGEST_DELAY));
-        while (!stopped) {
-            call();
-            Micros.sleep(thinkMicros / 2 + random.nextLong(thinkMicros));
-        }
-        drop(false);
-    }
+  private static final long AWAY = 50 * Micros.MILLI;
+  private static final double ONCE_SHARE = 0.3;
+  private static final double LEAVING_SHARE = 0.06;
+  private static final double FRESH_SHARE = 0.05;
 
-    private void call() {
-        Effect effect = random.nextDouble() < ONCE_SHARE ? Effect.ONCE : Effect.SAFE;
-        long deadline = shape.deadlineMs() * Micros.MILLI * (60 + random.nextInt(41)) / 100;
-        ClientCall call = new ClientCall(name + "-" + ++calls + "-" + Long.toHexString(random.nextLong() >>> 32), gateway.name, effect, deadline);
-        if (random.nextDouble() < FRESH_SHARE) {
-            drop(false);
-        }
-        call.fresh = socket == null;
-        call.restedMicros = call.fresh ? 0 : Micros.now() - restingSince;
-        try {
-            if (socket == null) {
-                if (!gateway.admitted()) {
-                    throw new IOException("the front does not send clients there");
-                }
-                connect();
-            }
-        } catch (IOException e) {
-            Micros.sleep(AWAY); // nothing was taken: the gateway is down or starts
-            return;
-        }
-        byte[] request = request(call);
-        truth.calls.put(call.id, call);
-        boolean leaves = random.nextDouble() < LEAVING_SHARE;
-        long leaveAt = Micros.now() + random.nextLong(deadline / 3);
-        try {
-            call.sentAt = Micros.now();
-            socket.getOutputStream().write(request);
-        } catch (IOException e) {
-            end(call, Outcome.NOT_TAKEN);
-            drop(false);
-            return;
-        }
-        await(call, leaves ? leaveAt : Long.MAX_VALUE);
-    }
+  /** A resting connection's close crosses a request only if it is heard of so soon. */
+  static final long CROSSING = 100 * Micros.MILLI;
 
-    private void connect() throws IOException {
-        Socket made = new Socket();
-        made.setTcpNoDelay(true);
-        made.connect(new InetSocketAddress("127.0.0.1", gateway.port()), CONNECT_MILLIS);
-        socket = made;
-        in = new BufferedInputStream(made.getInputStream());
-    }
+  private final String name;
+  private final GatewayProcess gateway;
+  private final Truth truth;
+  private final FleetShape shape;
+  private final SplittableRandom random;
+  private final long thinkMicros;
+  private volatile boolean stopped;
+  private Socket socket;
+  private InputStream in;
+  private long restingSince;
+  private int calls;
 
-    private byte[] request(ClientCall call) {
-        String body = "{\"model\":\"chat\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"" + "x".repeat(200 + random.nextInt(3_000))
-                + "\"}]}";
-        String head = "POST /v1/chat/completions HTTP/1.1\r\nhost: origin.svc\r\nx-request-id: " + call.id + "\r\nx-class: "
-                + (call.effect == Effect.ONCE ? "pay" : "chat") + "\r\nx-key: k" + random.nextInt(40) + "\r\nx-deadline-ms: "
-                + call.deadlineMicros / Micros.MILLI + "\r\nx-extras: max_out=40\r\ncontent-length: " + body.length() + "\r\n\r\n";
-        return (head + body).getBytes(StandardCharsets.ISO_8859_1);
-    }
+  Client(
+      String name,
+      GatewayProcess gateway,
+      Truth truth,
+      FleetShape shape,
+      long thinkMicros,
+      long seed) {
+    this.name = name;
+    this.gateway = gateway;
+    this.truth = truth;
+    this.shape = shape;
+    this.thinkMicros = thinkMicros;
+    this.random = new SplittableRandom(seed);
+  }
 
-    private void await(ClientCall call, long leaveAt) {
-        long until = Math.min(leaveAt, call.sentAt + call.deadlineMicros + ANSWER_SLACK);
-        try {
-            socket.setSoTimeout((int) Math.max(1, (until - Micros.now()) / Micros.MILLI));
-            HttpText.Message head = HttpText.read(in);
-            if (head == null) {
-                unanswered(call);
-                return;
-            }
-            call.status = head.status();
-            if (call.status == 200) {
-                stream(call);
-            } else {
-                end(call, call.status == 429 || call.status == 503 ? Outcome.REFUSED : Outcome.FAILED);
-            }
-            if ("close".equals(head.header("connection"))) {
-                drop(false);
-            }
-            restingSince = Micros.now();
-        } catch (SocketTimeoutException e) {
-            if (until == leaveAt) {
-                boolean reset = random.nextBoolean();
-                drop(reset);
-                call.leftAt = Micros.now();
-                end(call, Outcome.LEFT);
-            } else {
-                end(call, Outcome.OPEN);
-                drop(false);
-            }
-        } catch (IOException | RuntimeException e) {
-            unanswered(call);
-        }
+  /** Ends it after its present call. */
+  void stop() {
+    stopped = true;
+  }
+
+  @Override
+  public void run() {
+    Micros.sleep(random.nextLong(LONGEST_DELAY));
+    while (!stopped) {
+      call();
+      Micros.sleep(thinkMicros / 2 + random.nextLong(thinkMicros));
     }
+    drop(false);
+  }
 
-    /** Reads the stream; a break of the connection ends the call as broken. */
-    private void stream(ClientCall call) throws IOException {
-        socket.setSoTimeout(STREAM_SILENCE_MILLIS);
-        StringBuilder text = new StringBuilder();
-        try {
-            for (byte[] chunk = HttpText.chunk(in); chunk.length > 0; chunk = HttpText.chunk(in)) {
-                text.append(new String(chunk, StandardCharsets.ISO_8859_1));
-            }
-        } catch (IOException e) {
-            end(call, Outcome.BROKEN);
-            drop(false);
-            return;
+  private void call() {
+    Effect effect = random.nextDouble() < ONCE_SHARE ? Effect.ONCE : Effect.SAFE;
+    long deadline = shape.deadlineMs() * Micros.MILLI * (60 + random.nextInt(41)) / 100;
+    ClientCall call =
+        new ClientCall(
+            name + "-" + ++calls + "-" + Long.toHexString(random.nextLong() >>> 32),
+            gateway.name,
+            effect,
+            deadline);
+    if (random.nextDouble() < FRESH_SHARE) {
+      drop(false);
+    }
+    call.fresh = socket == null;
+    call.restedMicros = call.fresh ? 0 : Micros.now() - restingSince;
+    try {
+      if (socket == null) {
+        if (!gateway.admitted()) {
+          throw new IOException("the front does not send clients there");
         }
-        end(call, text.toString().endsWith("data: [DONE]\n\n") ? Outcome.SERVED : Outcome.CUT_SHORT);
+        connect();
+      }
+    } catch (IOException e) {
+      Micros.sleep(AWAY); // nothing was taken: the gateway is down or starts
+      return;
+    }
+    byte[] request = request(call);
+    truth.calls.put(call.id, call);
+    boolean leaves = random.nextDouble() < LEAVING_SHARE;
+    long leaveAt = Micros.now() + random.nextLong(deadline / 3);
+    try {
+      call.sentAt = Micros.now();
+      socket.getOutputStream().write(request);
+    } catch (IOException e) {
+      end(call, Outcome.NOT_TAKEN);
+      drop(false);
+      return;
     }
+    await(call, leaves ? leaveAt : Long.MAX_VALUE);
+  }
 
-    private void unanswered(ClientCall call) {
-        boolean crossed = !call.fresh && Micros.now() - call.sentAt < CROSSING;
-        end(call, crossed ? Outcome.NOT_TAKEN : Outcome.UNANSWERED);
+  private void connect() throws IOException {
+    Socket made = new Socket();
+    made.setTcpNoDelay(true);
+    made.connect(new InetSocketAddress("127.0.0.1", gateway.port()), CONNECT_MILLIS);
+    socket = made;
+    in = new BufferedInputStream(made.getInputStream());
+  }
+
+  private byte[] request(ClientCall call) {
+    String body =
+        "{\"model\":\"chat\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\""
+            + "x".repeat(200 + random.nextInt(3_000))
+            + "\"}]}";
+    String head =
+        "POST /v1/chat/completions HTTP/1.1\r\nhost: origin.svc\r\nx-request-id: "
+            + call.id
+            + "\r\nx-class: "
+            + (call.effect == Effect.ONCE ? "pay" : "chat")
+            + "\r\nx-key: k"
+            + random.nextInt(40)
+            + "\r\nx-deadline-ms: "
+            + call.deadlineMicros / Micros.MILLI
+            + "\r\nx-extras: max_out=40\r\ncontent-length: "
+            + body.length()
+            + "\r\n\r\n";
+    return (head + body).getBytes(StandardCharsets.ISO_8859_1);
+  }
+
+  private void await(ClientCall call, long leaveAt) {
+    long until = Math.min(leaveAt, call.sentAt + call.deadlineMicros + ANSWER_SLACK);
+    try {
+      socket.setSoTimeout((int) Math.max(1, (until - Micros.now()) / Micros.MILLI));
+      HttpText.Message head = HttpText.read(in);
+      if (head == null) {
+        unanswered(call);
+        return;
+      }
+      call.status = head.status();
+      if (call.status == 200) {
+        stream(call);
+      } else {
+        end(call, call.status == 429 || call.status == 503 ? Outcome.REFUSED : Outcome.FAILED);
+      }
+      if ("close".equals(head.header("connection"))) {
+        drop(false);
+      }
+      restingSince = Micros.now();
+    } catch (SocketTimeoutException e) {
+      if (until == leaveAt) {
+        boolean reset = random.nextBoolean();
+        drop(reset);
+        call.leftAt = Micros.now();
+        end(call, Outcome.LEFT);
+      } else {
+        end(call, Outcome.OPEN);
         drop(false);
+      }
+    } catch (IOException | RuntimeException e) {
+      unanswered(call);
     }
+  }
 
-    private static void end(ClientCall call, Outcome outcome) {
-        call.endedAt = Micros.now();
-        call.outcome = outcome;
+  /** Reads the stream; a break of the connection ends the call as broken. */
+  private void stream(ClientCall call) throws IOException {
+    socket.setSoTimeout(STREAM_SILENCE_MILLIS);
+    StringBuilder text = new StringBuilder();
+    try {
+      for (byte[] chunk = HttpText.chunk(in); chunk.length > 0; chunk = HttpText.chunk(in)) {
+        text.append(new String(chunk, StandardCharsets.ISO_8859_1));
+      }
+    } catch (IOException e) {
+      end(call, Outcome.BROKEN);
+      drop(false);
+      return;
     }
+    end(call, text.toString().endsWith("data: [DONE]\n\n") ? Outcome.SERVED : Outcome.CUT_SHORT);
+  }
+
+  private void unanswered(ClientCall call) {
+    boolean crossed = !call.fresh && Micros.now() - call.sentAt < CROSSING;
+    end(call, crossed ? Outcome.NOT_TAKEN : Outcome.UNANSWERED);
+    drop(false);
+  }
+
+  private static void end(ClientCall call, Outcome outcome) {
+    call.endedAt = Micros.now();
+    call.outcome = outcome;
+  }
 
-    private void drop(boolean reset) {
-        if (socket != null) {
-            try {
-                if (reset) {
-                    socket.setSoLinger(true, 0);
-                }
-                socket.close();
-            } catch (IOException e) {
-                // closed in any case
-            }
-            socket = null;
+  private void drop(boolean reset) {
+    if (socket != null) {
+      try {
+        if (reset) {
+          socket.setSoLinger(true, 0);
         }
+        socket.close();
+      } catch (IOException e) {
+        // closed in any case
+      }
+      socket = null;
     }
+  }
 }
--- a/faults/src/main/java/lemondock/faults/GatewayProcess.java
+++ b/faults/src/main/java/lemondock/faults/GatewayProcess.java
@@ -14,144 +14,170 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 
-/** One gateway: real processes of {@code bin/lemondock-node}, one after another at one address, and the signals that they get. */
+/**
+ * One gateway: real processes of {@code bin/lemondock-node}, one after another at one address, and
+ * the signals that they get.
+ */
 final class GatewayProcess implements AutoCloseable {
-    private static final long READY_WITHIN = 20 * Micros.SECOND;
-    private static final int LOOK_MILLIS = 20;
-    private static final long ARRIVALS_AFTER_TERM = 350 * Micros.MILLI;
-    /** Below the ports that the system gives to connections. */
-    private static final int LOWEST_PORT = 10_000;
-    private static final int PORTS = 20_000;
-
-    final String name;
-    private final Path project;
-    private final Path folder;
-    private final Truth truth;
-    private final Optional<FaultShim> shim;
-    private final int port;
-    private int lives;
-    private volatile Process process;
-    private volatile Truth.Life life;
-
-    GatewayProcess(String name, Path project, Path folder, Optional<FaultShim> shim, Truth truth) throws IOException {
-        this.name = name;
-        this.project = project;
-        this.folder = folder;
-        this.shim = shim;
-        this.truth = truth;
-        this.port = freePort();
+  private static final long READY_WITHIN = 20 * Micros.SECOND;
+  private static final int LOOK_MILLIS = 20;
+  private static final long ARRIVALS_AFTER_TERM = 350 * Micros.MILLI;
+
+  /** Below the ports that the system gives to connections. */
+  private static final int LOWEST_PORT = 10_000;
+
+  private static final int PORTS = 20_000;
+
+  final String name;
+  private final Path project;
+  private final Path folder;
+  private final Truth truth;
+  private final Optional<FaultShim> shim;
+  private final int port;
+  private int lives;
+  private volatile Process process;
+  private volatile Truth.Life life;
+
+  GatewayProcess(String name, Path project, Path folder, Optional<FaultShim> shim, Truth truth)
+      throws IOException {
+    this.name = name;
+    this.project = project;
+    this.folder = folder;
+    this.shim = shim;
+    this.truth = truth;
+    this.port = freePort();
+  }
+
+  private static int freePort() throws IOException {
+    while (true) {
+      int candidate = LOWEST_PORT + ThreadLocalRandom.current().nextInt(PORTS);
+      try (ServerSocket free = new ServerSocket(candidate, 1, InetAddress.getByName("127.0.0.1"))) {
+        return free.getLocalPort();
+      } catch (BindException e) {
+        // taken: try another
+      }
     }
-
-    private static int freePort() throws IOException {
-        while (true) {
-            int candidate = LOWEST_PORT + ThreadLocalRandom.current().nextInt(PORTS);
-            try (ServerSocket free = new ServerSocket(candidate, 1, InetAddress.getByName("127.0.0.1"))) {
-                return free.getLocalPort();
-            } catch (BindException e) {
-                // taken: try another
-            }
-        }
-    }
-
-    int port() {
-        return port;
-    }
-
-    Optional<FaultShim> shim() {
-        return shim;
-    }
-
-    /** Writes its configuration, which the next start or SIGHUP takes. */
-    void configure(String config) throws IOException {
-        Path next = folder.resolve(name + ".json.new");
-        Files.writeString(next, config);
-        Files.move(next, folder.resolve(name + ".json"), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-    }
-
-    /** Starts a process and returns at once. */
-    void start() throws IOException {
-        ProcessBuilder builder = new ProcessBuilder(project.resolve("bin/lemondock-node").toString(), folder.resolve(name + ".json").toString());
-        builder.redirectErrorStream(true).redirectOutput(folder.resolve(name + "-" + ++lives + ".log").toFile());
-        builder.environment().putAll(shim.map(FaultShim::environment).orElse(java.util.Map.of()));
-        if (Boolean.getBoolean("lemondock.faults.debug")) {
-            builder.environment().put("LEMONDOCK_NODE_OPTS", "-Dorg.slf4j.simpleLogger.defaultLogLevel=debug");
-        }
-        Truth.Life begun = new Truth.Life(name, Micros.now());
-        Process started = builder.start();
-        process = started;
-        life = begun;
-        truth.lives.add(begun);
-        started.onExit().thenAccept(ended -> {
-            begun.exitCode = ended.exitValue();
-            begun.endedAt = Micros.now();
-        });
-    }
-
-    /** Waits until it is ready. */
-    void awaitReady() throws IOException, InterruptedException {
-        long until = Micros.now() + READY_WITHIN;
-        while (!healthy()) {
-            if (Micros.now() > until || !process.isAlive()) {
-                throw new IOException(name + " is not ready: see its log in " + folder);
-            }
-            Thread.sleep(LOOK_MILLIS);
-        }
-        life.readyAt = Micros.now();
-    }
-
-    private boolean healthy() {
-        try (Socket socket = new Socket()) {
-            socket.connect(new InetSocketAddress("127.0.0.1", port), 500);
-            socket.setSoTimeout(500);
-            socket.getOutputStream().write(HttpText.bytes("GET /healthz HTTP/1.1\r\nhost: h\r\n\r\n"));
-            InputStream in = socket.getInputStream();
-            HttpText.Message answer = HttpText.read(in);
-            return answer != null && answer.status() == 200;
-        } catch (IOException | RuntimeException e) {
-            return false;
-        }
-    }
-
-    /** Sends a signal by its name, as HUP. */
-    void signal(String signal) {
-        try {
-            new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
-        } catch (IOException | InterruptedException e) {
-            throw new IllegalStateException(e);
-        }
+  }
+
+  int port() {
+    return port;
+  }
+
+  Optional<FaultShim> shim() {
+    return shim;
+  }
+
+  /** Writes its configuration, which the next start or SIGHUP takes. */
+  void configure(String config) throws IOException {
+    Path next = folder.resolve(name + ".json.new");
+    Files.writeString(next, config);
+    Files.move(
+        next,
+        folder.resolve(name + ".json"),
+        StandardCopyOption.ATOMIC_MOVE,
+        StandardCopyOption.REPLACE_EXISTING);
+  }
+
+  /** Starts a process and returns at once. */
+  void start() throws IOException {
+    ProcessBuilder builder =
+        new ProcessBuilder(
+            project.resolve("bin/lemondock-node").toString(),
+            folder.resolve(name + ".json").toString());
+    builder
+        .redirectErrorStream(true)
+        .redirectOutput(folder.resolve(name + "-" + ++lives + ".log").toFile());
+    builder.environment().putAll(shim.map(FaultShim::environment).orElse(java.util.Map.of()));
+    if (Boolean.getBoolean("lemondock.faults.debug")) {
+      builder
+          .environment()
+          .put("LEMONDOCK_NODE_OPTS", "-Dorg.slf4j.simpleLogger.defaultLogLevel=debug");
     }
-
-    /** Kills the process without notice. */
-    void kill() throws InterruptedException {
-        life.killedAt = Micros.now();
-        process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
+    Truth.Life begun = new Truth.Life(name, Micros.now());
+    Process started = builder.start();
+    process = started;
+    life = begun;
+    truth.lives.add(begun);
+    started
+        .onExit()
+        .thenAccept(
+            ended -> {
+              begun.exitCode = ended.exitValue();
+              begun.endedAt = Micros.now();
+            });
+  }
+
+  /** Waits until it is ready. */
+  void awaitReady() throws IOException, InterruptedException {
+    long until = Micros.now() + READY_WITHIN;
+    while (!healthy()) {
+      if (Micros.now() > until || !process.isAlive()) {
+        throw new IOException(name + " is not ready: see its log in " + folder);
+      }
+      Thread.sleep(LOOK_MILLIS);
     }
-
-    /** Sends SIGTERM, and SIGKILL so long after it if the process is still there. */
-    void terminate(long killAfterMillis) throws InterruptedException {
-        life.terminatedAt = Micros.now();
-        process.destroy();
-        if (!process.waitFor(killAfterMillis, TimeUnit.MILLISECONDS)) {
-            kill();
-        }
+    life.readyAt = Micros.now();
+  }
+
+  private boolean healthy() {
+    try (Socket socket = new Socket()) {
+      socket.connect(new InetSocketAddress("127.0.0.1", port), 500);
+      socket.setSoTimeout(500);
+      socket.getOutputStream().write(HttpText.bytes("GET /healthz HTTP/1.1\r\nhost: h\r\n\r\n"));
+      InputStream in = socket.getInputStream();
+      HttpText.Message answer = HttpText.read(in);
+      return answer != null && answer.status() == 200;
+    } catch (IOException | RuntimeException e) {
+      return false;
     }
-
-    /** Whether the front sends new connections here: once it was ready, and for a moment after SIGTERM. */
-    boolean admitted() {
-        Truth.Life now = life;
-        return now != null && now.readyAt > 0 && now.endedAt == 0 && (now.terminatedAt == 0 || Micros.now() < now.terminatedAt + ARRIVALS_AFTER_TERM);
+  }
+
+  /** Sends a signal by its name, as HUP. */
+  void signal(String signal) {
+    try {
+      new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
+    } catch (IOException | InterruptedException e) {
+      throw new IllegalStateException(e);
     }
-
-    boolean alive() {
-        return process != null && process.isAlive();
+  }
+
+  /** Kills the process without notice. */
+  void kill() throws InterruptedException {
+    life.killedAt = Micros.now();
+    process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
+  }
+
+  /** Sends SIGTERM, and SIGKILL so long after it if the process is still there. */
+  void terminate(long killAfterMillis) throws InterruptedException {
+    life.terminatedAt = Micros.now();
+    process.destroy();
+    if (!process.waitFor(killAfterMillis, TimeUnit.MILLISECONDS)) {
+      kill();
     }
-
-    @Override
-    public void close() {
-        if (process != null) {
-            life.killedAt = life.killedAt == 0 && process.isAlive() ? Micros.now() : life.killedAt;
-            process.destroyForcibly();
-        }
-        shim.ifPresent(FaultShim::delete);
+  }
+
+  /**
+   * Whether the front sends new connections here: once it was ready, and for a moment after
+   * SIGTERM.
+   */
+  boolean admitted() {
+    Truth.Life now = life;
+    return now != null
+        && now.readyAt > 0
+        && now.endedAt == 0
+        && (now.terminatedAt == 0 || Micros.now() < now.terminatedAt + ARRIVALS_AFTER_TERM);
+  }
+
+  boolean alive() {
+    return process != null && process.isAlive();
+  }
+
+  @Override
+  public void close() {
+    if (process != null) {
+      life.killedAt = life.killedAt == 0 && process.isAlive() ? Micros.now() : life.killedAt;
+      process.destroyForcibly();
     }
+    shim.ifPresent(FaultShim::delete);
+  }
 }
--- a/faults/src/test/java/lemondock/faults/HeldStateTest.java
+++ b/faults/src/test/java/lemondock/faults/HeldStateTest.java
@@ -17,62 +17,75 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Incident 36 and its relatives: connections that are up, take bytes and say nothing, while a reader holds a state. */
+/**
+ * Incident 36 and its relatives: connections that are up, take bytes and say nothing, while a
+ * reader holds a state.
+ */
 @Timeout(60)
 class HeldStateTest {
-    private static final Path PROJECT = Path.of("..").toAbsolutePath().normalize();
-    private static final long BEFORE = 1_500 * Micros.MILLI;
-    private static final long SILENCE = 4_500 * Micros.MILLI;
-    private static final long AFTER = 1_500 * Micros.MILLI;
-    private static final int CLIENTS = 12;
+  private static final Path PROJECT = Path.of("..").toAbsolutePath().normalize();
+  private static final long BEFORE = 1_500 * Micros.MILLI;
+  private static final long SILENCE = 4_500 * Micros.MILLI;
+  private static final long AFTER = 1_500 * Micros.MILLI;
+  private static final int CLIENTS = 12;
 
-    @TempDir
-    Path folder;
+  @TempDir Path folder;
 
-    /** As reported: writes leave on connections that took them before, and never arrive. */
-    @Test
-    void aStateWhoseWriteNeverArrivesIsReleasedInTime() throws Exception {
-        assertEquals(List.of(), heldWhile(server -> !server.reads, Flow.HOLD, Flow.HOLD));
-    }
+  /** As reported: writes leave on connections that took them before, and never arrive. */
+  @Test
+  void aStateWhoseWriteNeverArrivesIsReleasedInTime() throws Exception {
+    assertEquals(List.of(), heldWhile(server -> !server.reads, Flow.HOLD, Flow.HOLD));
+  }
 
-    /** The write arrives, or not; the gateway hears nothing either way. */
-    @Test
-    void aStateIsReleasedInTimeWhereRequestsAreHeldBackOneWay() throws Exception {
-        assertEquals(List.of(), heldWhile(server -> !server.reads, Flow.HOLD, Flow.PASS));
-    }
+  /** The write arrives, or not; the gateway hears nothing either way. */
+  @Test
+  void aStateIsReleasedInTimeWhereRequestsAreHeldBackOneWay() throws Exception {
+    assertEquals(List.of(), heldWhile(server -> !server.reads, Flow.HOLD, Flow.PASS));
+  }
 
-    /** The read ends well, and its answer is held back: its state waits at the reader, and nobody says so. */
-    @Test
-    void aStateWhoseReadsAnswerNeverArrivesIsReleasedInTime() throws Exception {
-        assertEquals(List.of(), heldWhile(server -> server.reads && server.id.equals("r0"), Flow.PASS, Flow.HOLD));
-    }
+  /**
+   * The read ends well, and its answer is held back: its state waits at the reader, and nobody says
+   * so.
+   */
+  @Test
+  void aStateWhoseReadsAnswerNeverArrivesIsReleasedInTime() throws Exception {
+    assertEquals(
+        List.of(),
+        heldWhile(server -> server.reads && server.id.equals("r0"), Flow.PASS, Flow.HOLD));
+  }
 
-    /** One gateway, two readers, three writers; for a while the links to some servers are silent. What was held for too long. */
-    private List<Breach> heldWhile(Predicate<ModelServer> silent, Flow toServer, Flow toClient) throws Exception {
-        FleetShape shape = new FleetShape(1, 2, 3, 500, 3_500, CLIENTS, 15_000, 250);
-        try (Fleet fleet = new Fleet(shape, PROJECT, folder, Optional.empty(), 36)) {
-            fleet.start();
-            List<Client> clients = new ArrayList<>();
-            List<Thread> threads = new ArrayList<>();
-            for (int i = 0; i < CLIENTS; i++) {
-                Client client = new Client("c" + i, fleet.gateways.get(0), fleet.truth, shape, 60 * Micros.MILLI, i);
-                clients.add(client);
-                threads.add(new Thread(client));
-            }
-            threads.forEach(Thread::start);
-            Micros.sleep(BEFORE);
-            List<Link> links = fleet.links(gateway -> true, silent);
-            links.forEach(link -> link.set(toServer, toClient, Admission.ACCEPT));
-            Micros.sleep(SILENCE);
-            links.forEach(Link::heal);
-            clients.forEach(Client::stop);
-            for (Thread thread : threads) {
-                thread.join();
-            }
-            Micros.sleep(AFTER);
-            assertTrue(fleet.truth.calls.size() > CLIENTS * 3, "the test asks enough");
-            List<Breach> breaches = new Auditor(fleet.truth, shape, (gateway, server, from, until) -> false).audit();
-            return breaches.stream().filter(breach -> breach.rule() == Rule.HELD).toList();
-        }
+  /**
+   * One gateway, two readers, three writers; for a while the links to some servers are silent. What
+   * was held for too long.
+   */
+  private List<Breach> heldWhile(Predicate<ModelServer> silent, Flow toServer, Flow toClient)
+      throws Exception {
+    FleetShape shape = new FleetShape(1, 2, 3, 500, 3_500, CLIENTS, 15_000, 250);
+    try (Fleet fleet = new Fleet(shape, PROJECT, folder, Optional.empty(), 36)) {
+      fleet.start();
+      List<Client> clients = new ArrayList<>();
+      List<Thread> threads = new ArrayList<>();
+      for (int i = 0; i < CLIENTS; i++) {
+        Client client =
+            new Client("c" + i, fleet.gateways.get(0), fleet.truth, shape, 60 * Micros.MILLI, i);
+        clients.add(client);
+        threads.add(new Thread(client));
+      }
+      threads.forEach(Thread::start);
+      Micros.sleep(BEFORE);
+      List<Link> links = fleet.links(gateway -> true, silent);
+      links.forEach(link -> link.set(toServer, toClient, Admission.ACCEPT));
+      Micros.sleep(SILENCE);
+      links.forEach(Link::heal);
+      clients.forEach(Client::stop);
+      for (Thread thread : threads) {
+        thread.join();
+      }
+      Micros.sleep(AFTER);
+      assertTrue(fleet.truth.calls.size() > CLIENTS * 3, "the test asks enough");
+      List<Breach> breaches =
+          new Auditor(fleet.truth, shape, (gateway, server, from, until) -> false).audit();
+      return breaches.stream().filter(breach -> breach.rule() == Rule.HELD).toList();
     }
+  }
 }
--- a/faults/src/test/java/lemondock/faults/InterruptedCallsTest.java
+++ b/faults/src/test/java/lemondock/faults/InterruptedCallsTest.java
@@ -20,53 +20,62 @@
 /** A gateway whose system calls fail as Linux documents, and nothing else is wrong. */
 @Timeout(60)
 class InterruptedCallsTest {
-    private static final Path PROJECT = Path.of("..").toAbsolutePath().normalize();
-    private static final long LOAD = 3 * Micros.SECOND;
-    private static final int CLIENTS = 8;
+  private static final Path PROJECT = Path.of("..").toAbsolutePath().normalize();
+  private static final long LOAD = 3 * Micros.SECOND;
+  private static final int CLIENTS = 8;
 
-    @TempDir
-    Path folder;
+  @TempDir Path folder;
 
-    /** Interrupted and short reads and writes are no faults of a connection: every stream arrives whole. */
-    @Test
-    void interruptedAndShortTransfersLoseNothing() throws Exception {
-        Set<Outcome> outcomes = outcomesWith(Fault.INTERRUPT, Fault.SHORTEN);
-        assertTrue(EnumSet.of(Outcome.SERVED, Outcome.LEFT).containsAll(outcomes), outcomes.toString());
-    }
+  /**
+   * Interrupted and short reads and writes are no faults of a connection: every stream arrives
+   * whole.
+   */
+  @Test
+  void interruptedAndShortTransfersLoseNothing() throws Exception {
+    Set<Outcome> outcomes = outcomesWith(Fault.INTERRUPT, Fault.SHORTEN);
+    assertTrue(EnumSet.of(Outcome.SERVED, Outcome.LEFT).containsAll(outcomes), outcomes.toString());
+  }
 
-    /** Sockets that cannot be had for a moment cost time, and no request its answer. */
-    @Test
-    void failingAcceptsAndConnectsLeaveNoRequestUnanswered() throws Exception {
-        Set<Outcome> outcomes = outcomesWith(Fault.ACCEPT, Fault.SOCKET, Fault.CONNECT);
-        assertTrue(EnumSet.of(Outcome.SERVED, Outcome.LEFT, Outcome.REFUSED).containsAll(outcomes), outcomes.toString());
-    }
+  /** Sockets that cannot be had for a moment cost time, and no request its answer. */
+  @Test
+  void failingAcceptsAndConnectsLeaveNoRequestUnanswered() throws Exception {
+    Set<Outcome> outcomes = outcomesWith(Fault.ACCEPT, Fault.SOCKET, Fault.CONNECT);
+    assertTrue(
+        EnumSet.of(Outcome.SERVED, Outcome.LEFT, Outcome.REFUSED).containsAll(outcomes),
+        outcomes.toString());
+  }
 
-    private Set<Outcome> outcomesWith(Fault... faults) throws Exception {
-        Optional<Path> library = FaultShim.compile(PROJECT, folder);
-        assumeTrue(library.isPresent(), "no C compiler");
-        FleetShape shape = new FleetShape(1, 2, 2, 500, 3_000, CLIENTS, 15_000, 250);
-        try (Fleet fleet = new Fleet(shape, PROJECT, folder, library, 5)) {
-            fleet.start();
-            for (Fault fault : faults) {
-                fleet.gateways.get(0).shim().orElseThrow().rate(fault, 150_000);
-            }
-            List<Client> clients = new ArrayList<>();
-            List<Thread> threads = new ArrayList<>();
-            for (int i = 0; i < CLIENTS; i++) {
-                clients.add(new Client("c" + i, fleet.gateways.get(0), fleet.truth, shape, 40 * Micros.MILLI, i));
-                threads.add(new Thread(clients.get(i)));
-            }
-            threads.forEach(Thread::start);
-            Micros.sleep(LOAD);
-            clients.forEach(Client::stop);
-            for (Thread thread : threads) {
-                thread.join();
-            }
-            Micros.sleep(Micros.SECOND);
-            fleet.heal();
-            assertEquals(List.of(), new Auditor(fleet.truth, shape, (gateway, server, from, until) -> true).audit());
-            assertTrue(fleet.truth.calls.size() > CLIENTS * 3, "the test asks enough");
-            return fleet.truth.calls.values().stream().map(call -> call.outcome).collect(Collectors.toSet());
-        }
+  private Set<Outcome> outcomesWith(Fault... faults) throws Exception {
+    Optional<Path> library = FaultShim.compile(PROJECT, folder);
+    assumeTrue(library.isPresent(), "no C compiler");
+    FleetShape shape = new FleetShape(1, 2, 2, 500, 3_000, CLIENTS, 15_000, 250);
+    try (Fleet fleet = new Fleet(shape, PROJECT, folder, library, 5)) {
+      fleet.start();
+      for (Fault fault : faults) {
+        fleet.gateways.get(0).shim().orElseThrow().rate(fault, 150_000);
+      }
+      List<Client> clients = new ArrayList<>();
+      List<Thread> threads = new ArrayList<>();
+      for (int i = 0; i < CLIENTS; i++) {
+        clients.add(
+            new Client("c" + i, fleet.gateways.get(0), fleet.truth, shape, 40 * Micros.MILLI, i));
+        threads.add(new Thread(clients.get(i)));
+      }
+      threads.forEach(Thread::start);
+      Micros.sleep(LOAD);
+      clients.forEach(Client::stop);
+      for (Thread thread : threads) {
+        thread.join();
+      }
+      Micros.sleep(Micros.SECOND);
+      fleet.heal();
+      assertEquals(
+          List.of(),
+          new Auditor(fleet.truth, shape, (gateway, server, from, until) -> true).audit());
+      assertTrue(fleet.truth.calls.size() > CLIENTS * 3, "the test asks enough");
+      return fleet.truth.calls.values().stream()
+          .map(call -> call.outcome)
+          .collect(Collectors.toSet());
     }
+  }
 }
--- a/faults/src/test/java/lemondock/faults/SoakTest.java
+++ b/faults/src/test/java/lemondock/faults/SoakTest.java
@@ -12,34 +12,41 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A short seeded soak: real gateway processes under several faults at a time. More seeds by hand: bin/soak. */
+/**
+ * A short seeded soak: real gateway processes under several faults at a time. More seeds by hand:
+ * bin/soak.
+ */
 @Timeout(120)
 class SoakTest {
-    private static final Path PROJECT = Path.of("..").toAbsolutePath().normalize();
-    private static final int LEAST_SERVED = 100;
+  private static final Path PROJECT = Path.of("..").toAbsolutePath().normalize();
+  private static final int LEAST_SERVED = 100;
 
-    @TempDir
-    Path folder;
+  @TempDir Path folder;
 
-    @ParameterizedTest
-    @ValueSource(longs = {3, 4, 9, 17})
-    void noRuleIsBroken(long seed) throws Exception {
-        play(seed);
-    }
+  @ParameterizedTest
+  @ValueSource(longs = {3, 4, 9, 17})
+  void noRuleIsBroken(long seed) throws Exception {
+    play(seed);
+  }
 
-    /** Reads whose answers are lost cannot be told from slow ones in time, and first requests after a start are read late (docs/incidents/r36-held-state.md). */
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 8, 12, 46})
-    void noRuleIsBrokenBySeedsWithOpenFaults(long seed) throws Exception {
-        play(seed);
-    }
+  /**
+   * Reads whose answers are lost cannot be told from slow ones in time, and first requests after a
+   * start are read late (docs/incidents/r36-held-state.md).
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 8, 12, 46})
+  void noRuleIsBrokenBySeedsWithOpenFaults(long seed) throws Exception {
+    play(seed);
+  }
 
-    private void play(long seed) throws Exception {
-        Optional<Path> library = FaultShim.compile(PROJECT, folder);
-        SoakRun.Result result = new SoakRun(PROJECT, folder.resolve("run"), library, seed).play();
-        System.out.println(result);
-        assertEquals(List.of(), result.breaches(), result.toString());
-        assertEquals(List.of(), result.troubles());
-        assertTrue(result.outcomes().getOrDefault(Outcome.SERVED, 0) > LEAST_SERVED, "enough is served: " + result);
-    }
+  private void play(long seed) throws Exception {
+    Optional<Path> library = FaultShim.compile(PROJECT, folder);
+    SoakRun.Result result = new SoakRun(PROJECT, folder.resolve("run"), library, seed).play();
+    System.out.println(result);
+    assertEquals(List.of(), result.breaches(), result.toString());
+    assertEquals(List.of(), result.troubles());
+    assertTrue(
+        result.outcomes().getOrDefault(Outcome.SERVED, 0) > LEAST_SERVED,
+        "enough is served: " + result);
+  }
 }
--- a/gateway/src/main/java/lemondock/gateway/Host.java
+++ b/gateway/src/main/java/lemondock/gateway/Host.java
@@ -12,8 +12,15 @@
  * @param loop its decision context, clock and timers
  * @param network its sockets
  * @param disk runs what may block on files, off the loop
- * @param workers prepare large requests, off the shards' threads; bounded, they refuse with {@link RejectedExecutionException}
+ * @param workers prepare large requests, off the shards' threads; bounded, they refuse with {@link
+ *     RejectedExecutionException}
  * @param machine tells what the process has left
  * @param durable the folder that the settings' {@code durable} speaks of; null if they do not
  */
-public record Host(Loop loop, Network network, Executor disk, Executor workers, Machine machine, FilePort durable) { }
+public record Host(
+    Loop loop,
+    Network network,
+    Executor disk,
+    Executor workers,
+    Machine machine,
+    FilePort durable) {}
--- a/gateway/src/main/java/lemondock/gateway/Machine.java
+++ b/gateway/src/main/java/lemondock/gateway/Machine.java
@@ -2,38 +2,42 @@
 
 /** What the process has left; may take some time to tell, so it is asked off the loop. */
 public interface Machine {
-    /** Knows nothing and so never tells of want. */
-    Machine UNKNOWN = new Machine() {
+  /** Knows nothing and so never tells of want. */
+  Machine UNKNOWN =
+      new Machine() {
         @Override
         public double memory() {
-            return 0;
+          return 0;
         }
 
         @Override
         public double handles() {
-            return 0;
+          return 0;
         }
 
         @Override
         public long mostHandles() {
-            return Long.MAX_VALUE;
+          return Long.MAX_VALUE;
         }
-    };
+      };
 
-    /** Part of the memory that is in use for good, 0 to 1; 0 if it cannot be told. */
-    double memory();
+  /** Part of the memory that is in use for good, 0 to 1; 0 if it cannot be told. */
+  double memory();
 
-    /** Has the figure of the memory be a fresh one; may take long. */
-    default void refreshMemory() { }
+  /** Has the figure of the memory be a fresh one; may take long. */
+  default void refreshMemory() {}
 
-    /** Microseconds for which the runtime has stopped the whole process so far, as to collect garbage; quick to tell, any thread. */
-    default long paused() {
-        return 0;
-    }
+  /**
+   * Microseconds for which the runtime has stopped the whole process so far, as to collect garbage;
+   * quick to tell, any thread.
+   */
+  default long paused() {
+    return 0;
+  }
 
-    /** Part of the file handles that is in use, 0 to 1; 0 if it cannot be told. */
-    double handles();
+  /** Part of the file handles that is in use, 0 to 1; 0 if it cannot be told. */
+  double handles();
 
-    /** File handles that the process may have open. */
-    long mostHandles();
+  /** File handles that the process may have open. */
+  long mostHandles();
 }
--- a/gateway/src/main/java/lemondock/gateway/ThisProcess.java
+++ b/gateway/src/main/java/lemondock/gateway/ThisProcess.java
@@ -11,49 +11,63 @@
 import java.util.Optional;
 
 /**
- * This process by the JDK's own beans. Memory is what the largest pool of the heap, where objects grow old, held after its last
- * collection: what is used between collections says little (the documentation of {@link MemoryPoolMXBean} advises this
- * figure for turning load away). Before the first such collection memory was never short.
+ * This process by the JDK's own beans. Memory is what the largest pool of the heap, where objects
+ * grow old, held after its last collection: what is used between collections says little (the
+ * documentation of {@link MemoryPoolMXBean} advises this figure for turning load away). Before the
+ * first such collection memory was never short.
  */
 public final class ThisProcess implements Machine {
-    private final Optional<MemoryPoolMXBean> old = ManagementFactory.getMemoryPoolMXBeans().stream()
-            .filter(p -> p.getType() == MemoryType.HEAP && p.isCollectionUsageThresholdSupported() && p.getUsage().getMax() > 0)
-            .max(Comparator.comparingLong(p -> p.getUsage().getMax()));
-
-    /** But for those that tell how long they work beside the program, as ZGC's and Shenandoah's cycles. */
-    private final List<GarbageCollectorMXBean> collectors = ManagementFactory.getGarbageCollectorMXBeans().stream()
-            .filter(c -> !c.getName().endsWith("Cycles")).toList();
-
-    @Override
-    public double memory() {
-        MemoryUsage usage = old.map(MemoryPoolMXBean::getCollectionUsage).orElse(null);
-        return usage == null || usage.getMax() <= 0 ? 0 : (double) usage.getUsed() / usage.getMax();
-    }
+  private final Optional<MemoryPoolMXBean> old =
+      ManagementFactory.getMemoryPoolMXBeans().stream()
+          .filter(
+              p ->
+                  p.getType() == MemoryType.HEAP
+                      && p.isCollectionUsageThresholdSupported()
+                      && p.getUsage().getMax() > 0)
+          .max(Comparator.comparingLong(p -> p.getUsage().getMax()));
 
-    @Override
-    public void refreshMemory() {
-        System.gc();
-    }
+  /**
+   * But for those that tell how long they work beside the program, as ZGC's and Shenandoah's
+   * cycles.
+   */
+  private final List<GarbageCollectorMXBean> collectors =
+      ManagementFactory.getGarbageCollectorMXBeans().stream()
+          .filter(c -> !c.getName().endsWith("Cycles"))
+          .toList();
 
-    @Override
-    public long paused() {
-        long millis = 0;
-        for (GarbageCollectorMXBean collector : collectors) {
-            millis += Math.max(0, collector.getCollectionTime());
-        }
-        return millis * 1_000;
-    }
+  @Override
+  public double memory() {
+    MemoryUsage usage = old.map(MemoryPoolMXBean::getCollectionUsage).orElse(null);
+    return usage == null || usage.getMax() <= 0 ? 0 : (double) usage.getUsed() / usage.getMax();
+  }
 
-    @Override
-    public double handles() {
-        return ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean unix
-                && unix.getMaxFileDescriptorCount() > 0
-                ? (double) unix.getOpenFileDescriptorCount() / unix.getMaxFileDescriptorCount() : 0;
-    }
+  @Override
+  public void refreshMemory() {
+    System.gc();
+  }
 
-    @Override
-    public long mostHandles() {
-        return ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean unix
-                && unix.getMaxFileDescriptorCount() > 0 ? unix.getMaxFileDescriptorCount() : Long.MAX_VALUE;
+  @Override
+  public long paused() {
+    long millis = 0;
+    for (GarbageCollectorMXBean collector : collectors) {
+      millis += Math.max(0, collector.getCollectionTime());
     }
+    return millis * 1_000;
+  }
+
+  @Override
+  public double handles() {
+    return ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean unix
+            && unix.getMaxFileDescriptorCount() > 0
+        ? (double) unix.getOpenFileDescriptorCount() / unix.getMaxFileDescriptorCount()
+        : 0;
+  }
+
+  @Override
+  public long mostHandles() {
+    return ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean unix
+            && unix.getMaxFileDescriptorCount() > 0
+        ? unix.getMaxFileDescriptorCount()
+        : Long.MAX_VALUE;
+  }
 }
--- a/gateway/src/main/java/lemondock/gateway/answer/Prompt.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/Prompt.java
@@ -14,5 +14,13 @@
  * @param conversation the client's name for the conversation, null if it gave none
  * @param prefix key of the opening that the prompt shares with others, 0 if it has none
  */
-public record Prompt(int classId, ArrayNode messages, JsonNode tools, java.util.Set<String> toolNames, int maxTokens,
-        String conversation, int promptTokens, long prefix, int prefixTokens) { }
+public record Prompt(
+    int classId,
+    ArrayNode messages,
+    JsonNode tools,
+    java.util.Set<String> toolNames,
+    int maxTokens,
+    String conversation,
+    int promptTokens,
+    long prefix,
+    int prefixTokens) {}
--- a/gateway/src/main/java/lemondock/gateway/core/Calls.java
+++ b/gateway/src/main/java/lemondock/gateway/core/Calls.java
@@ -19,7 +19,6 @@
 import lemondock.gateway.count.CallCount;
 import lemondock.gateway.count.GatewayTally;
 import lemondock.gateway.engine.Chunk;
-import lemondock.gateway.engine.EngineClient;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.ledger.Engines;
 import lemondock.ledger.Ledger;
@@ -28,468 +27,564 @@
 import lemondock.net.Loop;
 
 /**
- * Clients' calls under way: joins the states of an answer to the ledger's legs. It knows no front; a front gives it a
- * prompt and a {@link Sink} and hears what is to be said to the client.
+ * Clients' calls under way: joins the states of an answer to the ledger's legs. It knows no front;
+ * a front gives it a prompt and a {@link Sink} and hears what is to be said to the client.
  */
 public final class Calls {
-    /** Tokens of later turns are not counted by the tokenizer on the loop, but estimated. */
-    private static final int CHARS_A_TOKEN = 4;
-    /** Characters of a piece that goes without the loop: its event must fit what {@link Sink#flows} leaves room for. */
-    private static final int MOST_DIRECT = 2_000;
-    private static final int LEAST_CALLS = 10;
-    private static final int FIRST_CALLS = 100;
-    private static final double GOOD_TIMES = 1.5;
-
-    private final Loop loop;
-    private final Ledger<ObjectNode, JsonNode, Chunk> ledger;
-    private final GatewaySettings settings;
-    private final GatewayTally tally;
-    private final Lateness lateness;
-    private final Set<Call> open = new HashSet<>();
-    /** Null unless the settings ask for it. */
-    private final Gradient gradient;
-    /** Null where nothing is remembered. */
-    private OnceGuard guard;
-    private long toolsWaiting;
-    private int waitingAnswers;
-
-    /** What a front does for a call. */
-    public interface Sink {
-        /** The call was taken; comes before all else. */
-        void taken(Call call);
-
-        /** A piece of the answer, good until this returns; {@code tokens} counts all so far. */
-        void deliver(CharSequence piece, int tokens);
-
-        /** The shard of the client's connection. */
-        int shard();
-
-        /**
-         * Whoever touches the call's answer, or what the client is sent of it, holds this: the loop for all that decides, an I/O
-         * thread for plain pieces of a running stream. It is never held while waiting for anything.
-         */
-        Object lock();
-
-        /** Whether a plain piece may go to the client from an I/O thread now; asked with the lock held. */
-        boolean flows();
-
-        /** Asks the client to run a tool; its result comes back by {@link Call#result}. */
-        void relay(ToolCall call);
-
-        /** The result of a relayed call is not wanted any more. */
-        void withdraw(ToolCall call, String why);
-
-        /** The one end; nothing follows. Not called for a call that was left by its front. */
-        void ended(Answer.Ending ending);
-    }
+  /** Tokens of later turns are not counted by the tokenizer on the loop, but estimated. */
+  private static final int CHARS_A_TOKEN = 4;
 
-    /** Makes an empty set of calls. */
-    public Calls(Loop loop, Ledger<ObjectNode, JsonNode, Chunk> ledger, GatewaySettings settings, GatewayTally tally, Lateness lateness) {
-        this.lateness = lateness;
-        this.loop = loop;
-        this.tally = tally;
-        this.ledger = ledger;
-        this.settings = settings;
-        this.gradient = !settings.overload().gradient() ? null
-                : new Gradient(LEAST_CALLS, FIRST_CALLS, settings.limits().maxCalls(), GOOD_TIMES);
-    }
+  /**
+   * Characters of a piece that goes without the loop: its event must fit what {@link Sink#flows}
+   * leaves room for.
+   */
+  private static final int MOST_DIRECT = 2_000;
 
-    /** Whether another call may be taken. Those that only wait for their clients' tools have a bound of their own. */
-    public boolean hasRoom() {
-        return open.size() - waitingAnswers < (gradient == null ? settings.limits().maxCalls() : gradient.limit());
-    }
+  private static final int LEAST_CALLS = 10;
+  private static final int FIRST_CALLS = 100;
+  private static final double GOOD_TIMES = 1.5;
 
-    /** Calls under way. */
-    public int size() {
-        return open.size();
-    }
+  private final Loop loop;
+  private final Ledger<ObjectNode, JsonNode, Chunk> ledger;
+  private final GatewaySettings settings;
+  private final GatewayTally tally;
+  private final Lateness lateness;
+  private final Set<Call> open = new HashSet<>();
 
-    /** Tool calls that wait for their results. */
-    public long toolsWaiting() {
-        return toolsWaiting;
-    }
+  /** Null unless the settings ask for it. */
+  private final Gradient gradient;
 
-    /** A call was turned away because the gateway is late. */
-    public void refusedLate(int classId, String tenant, boolean clientRepeat) {
-        tally.refusedLate();
-        tally.turnedAway(classId, tenant, clientRepeat);
-    }
+  /** Null where nothing is remembered. */
+  private OnceGuard guard;
 
-    /** A call was turned away before it was taken; it is counted as refused. */
-    public void turnedAway(Prompt prompt, String tenant, boolean clientRepeat) {
-        tally.turnedAway(prompt.classId(), tenant, clientRepeat);
-    }
+  private long toolsWaiting;
+  private int waitingAnswers;
 
-    /** Has calls that must not run twice remembered; before the first call. */
-    public void guard(OnceGuard by) {
-        guard = by;
-    }
+  /** What a front does for a call. */
+  public interface Sink {
+    /** The call was taken; comes before all else. */
+    void taken(Call call);
 
-    /** What became of an earlier call under the client's key; null where nothing keeps the call from running. */
-    public CallBook.Fate known(Prompt prompt, String key) {
-        CallBook.Fate fate = guarded(prompt, key) ? guard.fate(key) : CallBook.Fate.UNKNOWN;
-        return fate.mayRun() ? null : fate;
-    }
+    /** A piece of the answer, good until this returns; {@code tokens} counts all so far. */
+    void deliver(CharSequence piece, int tokens);
 
-    /** Tool calls that were relayed for an earlier call under that key. */
-    public List<CallBook.Relayed> relayed(String key) {
-        return guard.relayed(key);
-    }
+    /** The shard of the client's connection. */
+    int shard();
 
-    private boolean guarded(Prompt prompt, String key) {
-        return guard != null && key != null && !settings.classes().get(prompt.classId()).repeat().equals("safe");
-    }
+    /**
+     * Whoever touches the call's answer, or what the client is sent of it, holds this: the loop for
+     * all that decides, an I/O thread for plain pieces of a running stream. It is never held while
+     * waiting for anything.
+     */
+    Object lock();
 
     /**
-     * Takes a call. {@code session} is the key of its conversation; {@code tenant} is for the counts, null if unnamed. {@code key}
-     * is the client's own for this call and its repeats, null if it gave none; {@link #known} was asked.
+     * Whether a plain piece may go to the client from an I/O thread now; asked with the lock held.
      */
-    public Call start(Prompt prompt, long session, String tenant, boolean clientRepeat, String key, Sink sink) {
-        Call call = new Call(prompt, session, tenant, clientRepeat, guarded(prompt, key) ? key : null, sink);
-        open.add(call);
-        sink.taken(call);
-        if (call.key == null) {
-            call.begin();
-        } else {
-            guard.taken(call.key, durable -> {
-                if (call.answer.state() == Answer.State.ENDED) {
-                    return; // its client left meanwhile
-                }
-                if (durable) {
-                    call.begin();
-                } else {
-                    synchronized (sink.lock()) { // nothing was sent anywhere
-                        call.answer.refused(GatewaySettings.micros(settings.limits().retryAdviceMs()));
-                    }
-                }
-            });
-        }
-        return call;
+    boolean flows();
+
+    /** Asks the client to run a tool; its result comes back by {@link Call#result}. */
+    void relay(ToolCall call);
+
+    /** The result of a relayed call is not wanted any more. */
+    void withdraw(ToolCall call, String why);
+
+    /** The one end; nothing follows. Not called for a call that was left by its front. */
+    void ended(Answer.Ending ending);
+  }
+
+  /** Makes an empty set of calls. */
+  public Calls(
+      Loop loop,
+      Ledger<ObjectNode, JsonNode, Chunk> ledger,
+      GatewaySettings settings,
+      GatewayTally tally,
+      Lateness lateness) {
+    this.lateness = lateness;
+    this.loop = loop;
+    this.tally = tally;
+    this.ledger = ledger;
+    this.settings = settings;
+    this.gradient =
+        !settings.overload().gradient()
+            ? null
+            : new Gradient(LEAST_CALLS, FIRST_CALLS, settings.limits().maxCalls(), GOOD_TIMES);
+  }
+
+  /**
+   * Whether another call may be taken. Those that only wait for their clients' tools have a bound
+   * of their own.
+   */
+  public boolean hasRoom() {
+    return open.size() - waitingAnswers
+        < (gradient == null ? settings.limits().maxCalls() : gradient.limit());
+  }
+
+  /** Calls under way. */
+  public int size() {
+    return open.size();
+  }
+
+  /** Tool calls that wait for their results. */
+  public long toolsWaiting() {
+    return toolsWaiting;
+  }
+
+  /** A call was turned away because the gateway is late. */
+  public void refusedLate(int classId, String tenant, boolean clientRepeat) {
+    tally.refusedLate();
+    tally.turnedAway(classId, tenant, clientRepeat);
+  }
+
+  /** A call was turned away before it was taken; it is counted as refused. */
+  public void turnedAway(Prompt prompt, String tenant, boolean clientRepeat) {
+    tally.turnedAway(prompt.classId(), tenant, clientRepeat);
+  }
+
+  /** Has calls that must not run twice remembered; before the first call. */
+  public void guard(OnceGuard by) {
+    guard = by;
+  }
+
+  /**
+   * What became of an earlier call under the client's key; null where nothing keeps the call from
+   * running.
+   */
+  public CallBook.Fate known(Prompt prompt, String key) {
+    CallBook.Fate fate = guarded(prompt, key) ? guard.fate(key) : CallBook.Fate.UNKNOWN;
+    return fate.mayRun() ? null : fate;
+  }
+
+  /** Tool calls that were relayed for an earlier call under that key. */
+  public List<CallBook.Relayed> relayed(String key) {
+    return guard.relayed(key);
+  }
+
+  private boolean guarded(Prompt prompt, String key) {
+    return guard != null
+        && key != null
+        && !settings.classes().get(prompt.classId()).repeat().equals("safe");
+  }
+
+  /**
+   * Takes a call. {@code session} is the key of its conversation; {@code tenant} is for the counts,
+   * null if unnamed. {@code key} is the client's own for this call and its repeats, null if it gave
+   * none; {@link #known} was asked.
+   */
+  public Call start(
+      Prompt prompt, long session, String tenant, boolean clientRepeat, String key, Sink sink) {
+    Call call =
+        new Call(prompt, session, tenant, clientRepeat, guarded(prompt, key) ? key : null, sink);
+    open.add(call);
+    sink.taken(call);
+    if (call.key == null) {
+      call.begin();
+    } else {
+      guard.taken(
+          call.key,
+          durable -> {
+            if (call.answer.state() == Answer.State.ENDED) {
+              return; // its client left meanwhile
+            }
+            if (durable) {
+              call.begin();
+            } else {
+              synchronized (sink.lock()) { // nothing was sent anywhere
+                call.answer.refused(GatewaySettings.micros(settings.limits().retryAdviceMs()));
+              }
+            }
+          });
+    }
+    return call;
+  }
+
+  /** Ends every call as failed, as when the time to stop is over. */
+  public void cutAll(String why) {
+    List.copyOf(open).forEach(c -> c.cut(why));
+  }
+
+  /** One client's call. Loop thread only. */
+  public final class Call implements Answer.Steps {
+    private final Prompt prompt;
+    private final long session;
+    private final boolean clientRepeat;
+    private final Sink sink;
+    private final GatewaySettings.RequestClass requestClass;
+    private final Answer answer;
+    private final CallCount count;
+    private final Loop.Timer aimLimit;
+    private final Map<String, Loop.Timer> toolLimits = new HashMap<>();
+    private long leg;
+    private boolean paused;
+    private boolean quiet;
+    private int legs;
+    private final long takenAt = loop.now();
+    private boolean begun;
+
+    /** Its key in the book of calls that must not run twice; null if it is not in there. */
+    private final String key;
+
+    private boolean begunLegs;
+    private boolean waits;
+    private final Set<String> relayed = new HashSet<>();
+
+    private Call(
+        Prompt prompt, long session, String tenant, boolean clientRepeat, String key, Sink sink) {
+      this.key = key;
+      this.prompt = prompt;
+      this.session = session;
+      this.clientRepeat = clientRepeat;
+      this.sink = sink;
+      this.requestClass = settings.classes().get(prompt.classId());
+      this.count =
+          tally.taken(prompt.classId(), tenant, clientRepeat, prompt.promptTokens(), loop.now());
+      this.aimLimit = loop.schedule(count.aim(), count::aimPassed);
+      this.answer =
+          new Answer(
+              this,
+              new Answer.Bounds(
+                  prompt.maxTokens(),
+                  requestClass.maxTurns(),
+                  requestClass.maxToolCallsPerTurn(),
+                  requestClass.maxToolArgumentBytes(),
+                  settings.limits().maxResumptions(),
+                  settings.streamsResume() && requestClass.repeat().equals("safe")));
     }
 
-    /** Ends every call as failed, as when the time to stop is over. */
-    public void cutAll(String why) {
-        List.copyOf(open).forEach(c -> c.cut(why));
+    private void begin() {
+      begunLegs = true;
+      synchronized (sink.lock()) {
+        answer.begin();
+      }
     }
 
-    /** One client's call. Loop thread only. */
-    public final class Call implements Answer.Steps {
-        private final Prompt prompt;
-        private final long session;
-        private final boolean clientRepeat;
-        private final Sink sink;
-        private final GatewaySettings.RequestClass requestClass;
-        private final Answer answer;
-        private final CallCount count;
-        private final Loop.Timer aimLimit;
-        private final Map<String, Loop.Timer> toolLimits = new HashMap<>();
-        private long leg;
-        private boolean paused;
-        private boolean quiet;
-        private int legs;
-        private final long takenAt = loop.now();
-        private boolean begun;
-
-        /** Its key in the book of calls that must not run twice; null if it is not in there. */
-        private final String key;
-        private boolean begunLegs;
-        private boolean waits;
-        private final Set<String> relayed = new HashSet<>();
-
-        private Call(Prompt prompt, long session, String tenant, boolean clientRepeat, String key, Sink sink) {
-            this.key = key;
-            this.prompt = prompt;
-            this.session = session;
-            this.clientRepeat = clientRepeat;
-            this.sink = sink;
-            this.requestClass = settings.classes().get(prompt.classId());
-            this.count = tally.taken(prompt.classId(), tenant, clientRepeat, prompt.promptTokens(), loop.now());
-            this.aimLimit = loop.schedule(count.aim(), count::aimPassed);
-            this.answer = new Answer(this, new Answer.Bounds(prompt.maxTokens(), requestClass.maxTurns(),
-                    requestClass.maxToolCallsPerTurn(), requestClass.maxToolArgumentBytes(),
-                    settings.limits().maxResumptions(),
-                    settings.streamsResume() && requestClass.repeat().equals("safe")));
-        }
-
-        private void begin() {
-            begunLegs = true;
-            synchronized (sink.lock()) {
-                answer.begin();
-            }
+    /** A tool's result; false if none is awaited under that id. */
+    public boolean result(String callId, ToolResult result) {
+      ToolResult kept =
+          result.text().length() <= requestClass.maxToolResultBytes()
+              ? result
+              : new ToolResult(
+                  "the tool's result was larger than "
+                      + requestClass.maxToolResultBytes()
+                      + " characters",
+                  true);
+      Loop.Timer limit = toolLimits.remove(callId);
+      if (limit != null) {
+        limit.cancel();
+        toolsWaiting--;
+        count.answered();
+        if (key != null) {
+          guard.answered(key, remembered(callId));
         }
+      }
+      synchronized (sink.lock()) {
+        return answer.result(callId, kept);
+      }
+    }
 
-        /** A tool's result; false if none is awaited under that id. */
-        public boolean result(String callId, ToolResult result) {
-            ToolResult kept = result.text().length() <= requestClass.maxToolResultBytes() ? result
-                    : new ToolResult("the tool's result was larger than " + requestClass.maxToolResultBytes()
-                            + " characters", true);
-            Loop.Timer limit = toolLimits.remove(callId);
-            if (limit != null) {
-                limit.cancel();
-                toolsWaiting--;
-                count.answered();
-                if (key != null) {
-                    guard.answered(key, remembered(callId));
-                }
-            }
-            synchronized (sink.lock()) {
-                return answer.result(callId, kept);
-            }
-        }
+    /** The client left or cancelled; the sink hears nothing more. */
+    public void leave(String why) {
+      synchronized (sink.lock()) {
+        quiet = true;
+        answer.leave(why);
+      }
+    }
 
-        /** The client left or cancelled; the sink hears nothing more. */
-        public void leave(String why) {
-            synchronized (sink.lock()) {
-                quiet = true;
-                answer.leave(why);
-            }
-        }
+    /** Takes no more of the answer until {@link #resume}. */
+    public void pause() {
+      paused = true;
+      ledger.pause(leg);
+    }
 
-        /** Takes no more of the answer until {@link #resume}. */
-        public void pause() {
-            paused = true;
-            ledger.pause(leg);
-        }
+    /** Takes the answer again. */
+    public void resume() {
+      paused = false;
+      ledger.resume(leg);
+    }
 
-        /** Takes the answer again. */
-        public void resume() {
-            paused = false;
-            ledger.resume(leg);
+    private void cut(String why) {
+      synchronized (sink.lock()) {
+        if (answer.state() != Answer.State.ENDED) {
+          answer.leave(why);
         }
+      }
+    }
 
-        private void cut(String why) {
-            synchronized (sink.lock()) {
-                if (answer.state() != Answer.State.ENDED) {
-                    answer.leave(why);
-                }
-            }
-        }
+    @Override
+    public void leg(List<Answer.Turn> turns, String partial, int maxTokens, boolean resumed) {
+      waits(false);
+      ObjectNode body = body(turns, partial);
+      int added = 0;
+      for (Answer.Turn turn : turns) {
+        added += length(turn);
+      }
+      int tokens = prompt.promptTokens() + (added + partial.length()) / CHARS_A_TOKEN;
+      Leg.Spec<ObjectNode> spec =
+          new Leg.Spec<>(
+              prompt.classId(),
+              0,
+              session,
+              prompt.prefix(),
+              tokens,
+              prompt.prefixTokens(),
+              maxTokens,
+              requestClass.patience(tokens),
+              clientRepeat && legs == 0,
+              resumed,
+              sink.shard(),
+              body);
+      legs++;
+      leg = ledger.open(spec, new Listener());
+      if (paused) {
+        ledger.pause(leg);
+      }
+    }
 
-        @Override
-        public void leg(List<Answer.Turn> turns, String partial, int maxTokens, boolean resumed) {
-            waits(false);
-            ObjectNode body = body(turns, partial);
-            int added = 0;
-            for (Answer.Turn turn : turns) {
-                added += length(turn);
-            }
-            int tokens = prompt.promptTokens() + (added + partial.length()) / CHARS_A_TOKEN;
-            Leg.Spec<ObjectNode> spec = new Leg.Spec<>(prompt.classId(), 0, session, prompt.prefix(), tokens, prompt.prefixTokens(),
-                    maxTokens, requestClass.patience(tokens), clientRepeat && legs == 0, resumed, sink.shard(), body);
-            legs++;
-            leg = ledger.open(spec, new Listener());
-            if (paused) {
-                ledger.pause(leg);
-            }
+    /**
+     * The messages as the engine takes them; a partial answer is gone on with by vLLM's published
+     * switches.
+     */
+    private ObjectNode body(List<Answer.Turn> turns, String partial) {
+      ObjectNode body = JsonNodeFactory.instance.objectNode();
+      body.put("model", settings.engines().model());
+      ArrayNode messages = body.putArray("messages").addAll(prompt.messages());
+      for (Answer.Turn turn : turns) {
+        ObjectNode said = messages.addObject().put("role", "assistant").put("content", turn.text());
+        ArrayNode calls = said.putArray("tool_calls");
+        for (ToolCall call : turn.calls()) {
+          calls
+              .addObject()
+              .put("id", call.id())
+              .put("type", "function")
+              .putObject("function")
+              .put("name", call.name())
+              .put("arguments", call.arguments());
         }
-
-        /** The messages as the engine takes them; a partial answer is gone on with by vLLM's published switches. */
-        private ObjectNode body(List<Answer.Turn> turns, String partial) {
-            ObjectNode body = JsonNodeFactory.instance.objectNode();
-            body.put("model", settings.engines().model());
-            ArrayNode messages = body.putArray("messages").addAll(prompt.messages());
-            for (Answer.Turn turn : turns) {
-                ObjectNode said = messages.addObject().put("role", "assistant").put("content", turn.text());
-                ArrayNode calls = said.putArray("tool_calls");
-                for (ToolCall call : turn.calls()) {
-                    calls.addObject().put("id", call.id()).put("type", "function").putObject("function")
-                            .put("name", call.name()).put("arguments", call.arguments());
-                }
-                for (int i = 0; i < turn.calls().size(); i++) {
-                    messages.addObject().put("role", "tool").put("tool_call_id", turn.calls().get(i).id())
-                            .put("content", turn.results().get(i).text());
-                }
-            }
-            if (!partial.isEmpty()) {
-                messages.addObject().put("role", "assistant").put("content", partial);
-                body.put("continue_final_message", true).put("add_generation_prompt", false);
-            }
-            if (prompt.tools() != null) {
-                body.set("tools", prompt.tools());
-            }
-            return body;
+        for (int i = 0; i < turn.calls().size(); i++) {
+          messages
+              .addObject()
+              .put("role", "tool")
+              .put("tool_call_id", turn.calls().get(i).id())
+              .put("content", turn.results().get(i).text());
         }
+      }
+      if (!partial.isEmpty()) {
+        messages.addObject().put("role", "assistant").put("content", partial);
+        body.put("continue_final_message", true).put("add_generation_prompt", false);
+      }
+      if (prompt.tools() != null) {
+        body.set("tools", prompt.tools());
+      }
+      return body;
+    }
 
-        private static int length(Answer.Turn turn) {
-            return turn.text().length() + turn.calls().stream().mapToInt(c -> c.arguments().length()).sum()
-                    + turn.results().stream().mapToInt(r -> r.text().length()).sum();
-        }
+    private static int length(Answer.Turn turn) {
+      return turn.text().length()
+          + turn.calls().stream().mapToInt(c -> c.arguments().length()).sum()
+          + turn.results().stream().mapToInt(r -> r.text().length()).sum();
+    }
 
-        @Override
-        public void deliver(CharSequence piece, int tokens) {
-            count.delivered(loop.now());
-            if (gradient != null && !begun) {
-                begun = true;
-                gradient.sample(loop.now() - takenAt, open.size());
-            }
-            sink.deliver(piece, tokens);
-        }
+    @Override
+    public void deliver(CharSequence piece, int tokens) {
+      count.delivered(loop.now());
+      if (gradient != null && !begun) {
+        begun = true;
+        gradient.sample(loop.now() - takenAt, open.size());
+      }
+      sink.deliver(piece, tokens);
+    }
 
-        @Override
-        public void relay(ToolCall call) {
-            waits(true);
-            if (waitingAnswers > settings.limits().maxWaitingAnswers()) {
-                cut("too many answers wait for their tools"); // the newest: the others may be answered any moment
-                return;
-            }
-            toolsWaiting++;
-            count.relayed(loop.now());
-            limit(call, GatewaySettings.micros(requestClass.toolTimeoutMs()));
-            if (key == null) {
+    @Override
+    public void relay(ToolCall call) {
+      waits(true);
+      if (waitingAnswers > settings.limits().maxWaitingAnswers()) {
+        cut("too many answers wait for their tools"); // the newest: the others may be answered any
+        // moment
+        return;
+      }
+      toolsWaiting++;
+      count.relayed(loop.now());
+      limit(call, GatewaySettings.micros(requestClass.toolTimeoutMs()));
+      if (key == null) {
+        relayed.add(call.id());
+        sink.relay(call);
+        return;
+      }
+      guard.relayed(
+          key,
+          remembered(call.id()),
+          call.name(),
+          durable -> {
+            synchronized (sink.lock()) {
+              if (!answer.awaited().contains(call)) {
+                return; // it took so long that nobody waits for it any more
+              }
+              if (durable) {
                 relayed.add(call.id());
                 sink.relay(call);
                 return;
+              }
             }
-            guard.relayed(key, remembered(call.id()), call.name(), durable -> {
-                synchronized (sink.lock()) {
-                    if (!answer.awaited().contains(call)) {
-                        return; // it took so long that nobody waits for it any more
-                    }
-                    if (durable) {
-                        relayed.add(call.id());
-                        sink.relay(call);
-                        return;
-                    }
-                }
-                result(call.id(), new ToolResult("the call was not made: it could not be remembered", true));
-            });
-        }
+            result(
+                call.id(),
+                new ToolResult("the call was not made: it could not be remembered", true));
+          });
+    }
 
-        /** Models may use an id again in a later turn. */
-        private String remembered(String callId) {
-            return legs + "/" + callId;
-        }
+    /** Models may use an id again in a later turn. */
+    private String remembered(String callId) {
+      return legs + "/" + callId;
+    }
 
-        private void waits(boolean now) {
-            if (waits != now) {
-                waits = now;
-                waitingAnswers += now ? 1 : -1;
-            }
-        }
+    private void waits(boolean now) {
+      if (waits != now) {
+        waits = now;
+        waitingAnswers += now ? 1 : -1;
+      }
+    }
 
-        private void limit(ToolCall call, long after) {
-            toolLimits.put(call.id(), loop.schedule(after, () -> {
+    private void limit(ToolCall call, long after) {
+      toolLimits.put(
+          call.id(),
+          loop.schedule(
+              after,
+              () -> {
                 lateness.notice(loop.now());
                 long putOff = lateness.putOff(loop.now());
                 if (putOff > 0) { // the result may wait at the socket
-                    limit(call, putOff);
-                    return;
+                  limit(call, putOff);
+                  return;
                 }
                 toolLimits.remove(call.id());
                 toolsWaiting--;
                 count.lost();
                 synchronized (sink.lock()) {
-                    answer.expired(call.id());
-                }
-            }));
-        }
-
-        @Override
-        public void withdraw(ToolCall call, String why) {
-            if (relayed.remove(call.id())) {
-                sink.withdraw(call, why);
-            }
-        }
-
-        @Override
-        public void leave() {
-            ledger.leave(leg);
-        }
-
-        @Override
-        public void ended(Answer.Ending ending) {
-            aimLimit.cancel();
-            count.ended(loop.now(), ending);
-            toolsWaiting -= toolLimits.size();
-            toolLimits.values().forEach(Loop.Timer::cancel);
-            toolLimits.clear();
-            open.remove(this);
-            waits(false);
-            if (key != null) {
-                guard.ended(key, ending.end() == Answer.End.SERVED ? CallBook.Fate.SERVED
-                        : ending.end() == Answer.End.REFUSED || !begunLegs ? CallBook.Fate.NEVER_RAN : CallBook.Fate.MAY_HAVE_RUN);
-            }
-            if (!quiet) {
-                sink.ended(ending);
-            }
-        }
-
-        /** Hands a leg's events to the answer. */
-        private final class Listener implements Leg.Listener<Chunk>, Engines.Lane {
-            @Override
-            public void chunk(Chunk chunk) {
-                synchronized (sink.lock()) {
-                    answer.chunk(chunk);
+                  answer.expired(call.id());
                 }
-            }
-
-            @Override
-            public Engines.Lane lane() {
-                return this;
-            }
+              }));
+    }
 
-            /** On an I/O thread. The first token of a turn is the loop's: it counts, and the module hears of it. */
-            @Override
-            public boolean take(CharSequence text, int answerTokens) {
-                if (text.length() > MOST_DIRECT) {
-                    return false;
-                }
-                synchronized (sink.lock()) {
-                    return count.inTurn() && sink.flows() && answer.text(text, answerTokens);
-                }
-            }
+    @Override
+    public void withdraw(ToolCall call, String why) {
+      if (relayed.remove(call.id())) {
+        sink.withdraw(call, why);
+      }
+    }
 
-            @Override
-            public void served() {
-                synchronized (sink.lock()) {
-                    answer.served();
-                }
-            }
+    @Override
+    public void leave() {
+      ledger.leave(leg);
+    }
 
-            @Override
-            public void broke(String what) {
-                synchronized (sink.lock()) {
-                    answer.broke(what);
-                }
-            }
+    @Override
+    public void ended(Answer.Ending ending) {
+      aimLimit.cancel();
+      count.ended(loop.now(), ending);
+      toolsWaiting -= toolLimits.size();
+      toolLimits.values().forEach(Loop.Timer::cancel);
+      toolLimits.clear();
+      open.remove(this);
+      waits(false);
+      if (key != null) {
+        guard.ended(
+            key,
+            ending.end() == Answer.End.SERVED
+                ? CallBook.Fate.SERVED
+                : ending.end() == Answer.End.REFUSED || !begunLegs
+                    ? CallBook.Fate.NEVER_RAN
+                    : CallBook.Fate.MAY_HAVE_RUN);
+      }
+      if (!quiet) {
+        sink.ended(ending);
+      }
+    }
 
-            @Override
-            public void refused(long retryAfterMicros) {
-                synchronized (sink.lock()) {
-                    answer.refused(retryAfterMicros);
-                }
-            }
+    /** Hands a leg's events to the answer. */
+    private final class Listener implements Leg.Listener<Chunk>, Engines.Lane {
+      @Override
+      public void chunk(Chunk chunk) {
+        synchronized (sink.lock()) {
+          answer.chunk(chunk);
+        }
+      }
+
+      @Override
+      public Engines.Lane lane() {
+        return this;
+      }
+
+      /**
+       * On an I/O thread. The first token of a turn is the loop's: it counts, and the module hears
+       * of it.
+       */
+      @Override
+      public boolean take(CharSequence text, int answerTokens) {
+        if (text.length() > MOST_DIRECT) {
+          return false;
+        }
+        synchronized (sink.lock()) {
+          return count.inTurn() && sink.flows() && answer.text(text, answerTokens);
+        }
+      }
 
-            @Override
-            public void failed() {
-                synchronized (sink.lock()) {
-                    answer.failed();
-                }
-            }
+      @Override
+      public void served() {
+        synchronized (sink.lock()) {
+          answer.served();
         }
-    }
+      }
 
-    /** What a client gave in answer to a relayed {@code tools/call}: a result or an error of JSON-RPC. */
-    public static ToolResult toolResult(JsonNode result, JsonNode error) {
-        if (error != null) {
-            return new ToolResult("error " + error.path("code").asText() + ": " + error.path("message").asText(""), true);
+      @Override
+      public void broke(String what) {
+        synchronized (sink.lock()) {
+          answer.broke(what);
         }
-        StringBuilder text = new StringBuilder();
-        for (JsonNode part : result.path("content")) {
-            if (part.path("type").asText("").equals("text")) {
-                text.append(text.isEmpty() ? "" : "\n").append(part.path("text").asText(""));
-            } else {
-                text.append(text.isEmpty() ? "" : "\n").append(part);
-            }
+      }
+
+      @Override
+      public void refused(long retryAfterMicros) {
+        synchronized (sink.lock()) {
+          answer.refused(retryAfterMicros);
         }
-        if (text.isEmpty() && result.has("structuredContent")) {
-            text.append(result.get("structuredContent"));
+      }
+
+      @Override
+      public void failed() {
+        synchronized (sink.lock()) {
+          answer.failed();
         }
-        return new ToolResult(text.toString(), result.path("isError").asBoolean(false));
+      }
     }
-
-    /** The session key of a conversation, the same at all gateways; null stands for one that is not named. */
-    public static long sessionKey(String conversation, String fallback) {
-        return Membership.hash(conversation != null ? "conversation " + conversation : "call " + fallback);
+  }
+
+  /**
+   * What a client gave in answer to a relayed {@code tools/call}: a result or an error of JSON-RPC.
+   */
+  public static ToolResult toolResult(JsonNode result, JsonNode error) {
+    if (error != null) {
+      return new ToolResult(
+          "error " + error.path("code").asText() + ": " + error.path("message").asText(""), true);
+    }
+    StringBuilder text = new StringBuilder();
+    for (JsonNode part : result.path("content")) {
+      if (part.path("type").asText("").equals("text")) {
+        text.append(text.isEmpty() ? "" : "\n").append(part.path("text").asText(""));
+      } else {
+        text.append(text.isEmpty() ? "" : "\n").append(part);
+      }
+    }
+    if (text.isEmpty() && result.has("structuredContent")) {
+      text.append(result.get("structuredContent"));
     }
+    return new ToolResult(text.toString(), result.path("isError").asBoolean(false));
+  }
+
+  /**
+   * The session key of a conversation, the same at all gateways; null stands for one that is not
+   * named.
+   */
+  public static long sessionKey(String conversation, String fallback) {
+    return Membership.hash(
+        conversation != null ? "conversation " + conversation : "call " + fallback);
+  }
 }
--- a/gateway/src/main/java/lemondock/gateway/core/OnceGuard.java
+++ b/gateway/src/main/java/lemondock/gateway/core/OnceGuard.java
@@ -14,109 +14,138 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps calls that must not run twice from doing so over a gateway's death: what they did is durable before they do it. {@link
- * CallBook} decides; this puts its records on disk and its word into calls. Loop thread only, but for {@link #open}.
+ * Keeps calls that must not run twice from doing so over a gateway's death: what they did is
+ * durable before they do it. {@link CallBook} decides; this puts its records on disk and its word
+ * into calls. Loop thread only, but for {@link #open}.
  */
 public final class OnceGuard {
-    private static final Logger LOG = LoggerFactory.getLogger(OnceGuard.class);
-    private static final long MICROS_PER_MILLI = 1_000;
+  private static final Logger LOG = LoggerFactory.getLogger(OnceGuard.class);
+  private static final long MICROS_PER_MILLI = 1_000;
 
-    private final Loop loop;
-    private final CallBook book;
-    private final Committer committer;
-    private final long patience;
-    private boolean failing;
+  private final Loop loop;
+  private final CallBook book;
+  private final Committer committer;
+  private final long patience;
+  private boolean failing;
 
-    private OnceGuard(Loop loop, CallBook book, Committer committer, long patience) {
-        this.loop = loop;
-        this.book = book;
-        this.committer = committer;
-        this.patience = patience;
-    }
+  private OnceGuard(Loop loop, CallBook book, Committer committer, long patience) {
+    this.loop = loop;
+    this.book = book;
+    this.committer = committer;
+    this.patience = patience;
+  }
 
-    /**
-     * Reads what is known from earlier lives; call it off the loop.
-     *
-     * @throws IOException names the file and what is wrong with it
-     */
-    public static OnceGuard open(FilePort files, GatewaySettings.Durable settings, Loop loop, Executor disk) throws IOException {
-        CallBook book = new CallBook(new CallBook.Settings(settings.mostCalls(), (long) settings.keepMs()), millis(loop));
-        AppendLog log = new AppendLog(files);
-        AppendLog.Found found = log.open(book::replay);
-        LOG.atInfo().addKeyValue("file", found.file()).addKeyValue("records", found.records()).addKeyValue("dropped", found.dropped())
-                .addKeyValue("calls", book.size()).log("book of calls");
-        Committer committer = new Committer(log, loop, disk, new Committer.Settings(settings.mostWaiting(), settings.mostBytes()),
-                () -> book.snapshot(millis(loop)));
-        return new OnceGuard(loop, book, committer, GatewaySettings.micros(settings.waitMs()));
-    }
+  /**
+   * Reads what is known from earlier lives; call it off the loop.
+   *
+   * @throws IOException names the file and what is wrong with it
+   */
+  public static OnceGuard open(
+      FilePort files, GatewaySettings.Durable settings, Loop loop, Executor disk)
+      throws IOException {
+    CallBook book =
+        new CallBook(
+            new CallBook.Settings(settings.mostCalls(), (long) settings.keepMs()), millis(loop));
+    AppendLog log = new AppendLog(files);
+    AppendLog.Found found = log.open(book::replay);
+    LOG.atInfo()
+        .addKeyValue("file", found.file())
+        .addKeyValue("records", found.records())
+        .addKeyValue("dropped", found.dropped())
+        .addKeyValue("calls", book.size())
+        .log("book of calls");
+    Committer committer =
+        new Committer(
+            log,
+            loop,
+            disk,
+            new Committer.Settings(settings.mostWaiting(), settings.mostBytes()),
+            () -> book.snapshot(millis(loop)));
+    return new OnceGuard(loop, book, committer, GatewaySettings.micros(settings.waitMs()));
+  }
 
-    /** The book's clock: the wall clock may step, and a step forward would let a call run a second time. */
-    private static long millis(Loop loop) {
-        return loop.now() / MICROS_PER_MILLI;
-    }
+  /**
+   * The book's clock: the wall clock may step, and a step forward would let a call run a second
+   * time.
+   */
+  private static long millis(Loop loop) {
+    return loop.now() / MICROS_PER_MILLI;
+  }
 
-    /** What became of the call under that key. */
-    public CallBook.Fate fate(String key) {
-        return book.fate(key, millis(loop));
-    }
+  /** What became of the call under that key. */
+  public CallBook.Fate fate(String key) {
+    return book.fate(key, millis(loop));
+  }
 
-    /** Tool calls that were relayed for it. */
-    public List<CallBook.Relayed> relayed(String key) {
-        return book.relayed(key);
-    }
+  /** Tool calls that were relayed for it. */
+  public List<CallBook.Relayed> relayed(String key) {
+    return book.relayed(key);
+  }
 
-    /** A call is taken; {@code then} hears once whether that is durable, at the latest when the time for it is over. */
-    void taken(String key, Consumer<Boolean> then) {
-        durable(book.taken(key, millis(loop)), then);
-    }
+  /**
+   * A call is taken; {@code then} hears once whether that is durable, at the latest when the time
+   * for it is over.
+   */
+  void taken(String key, Consumer<Boolean> then) {
+    durable(book.taken(key, millis(loop)), then);
+  }
 
-    /** A tool call is to be relayed; {@code then} hears the same. */
-    void relayed(String key, String id, String tool, Consumer<Boolean> then) {
-        durable(book.relayed(key, id, tool), then);
-    }
+  /** A tool call is to be relayed; {@code then} hears the same. */
+  void relayed(String key, String id, String tool, Consumer<Boolean> then) {
+    durable(book.relayed(key, id, tool), then);
+  }
 
-    /** Its result came. */
-    void answered(String key, String id) {
-        later(book.answered(key, id));
-    }
+  /** Its result came. */
+  void answered(String key, String id) {
+    later(book.answered(key, id));
+  }
 
-    /** The call has ended. */
-    void ended(String key, CallBook.Fate fate) {
-        later(book.ended(key, fate));
-    }
+  /** The call has ended. */
+  void ended(String key, CallBook.Fate fate) {
+    later(book.ended(key, fate));
+  }
 
-    private void durable(byte[] record, Consumer<Boolean> then) {
-        boolean[] told = {false};
-        Loop.Timer limit = loop.schedule(patience, () -> {
-            if (!told[0]) {
+  private void durable(byte[] record, Consumer<Boolean> then) {
+    boolean[] told = {false};
+    Loop.Timer limit =
+        loop.schedule(
+            patience,
+            () -> {
+              if (!told[0]) {
                 told[0] = true;
-                noted(new IOException("the disk took longer than " + patience / MICROS_PER_MILLI + " ms"));
+                noted(
+                    new IOException(
+                        "the disk took longer than " + patience / MICROS_PER_MILLI + " ms"));
                 then.accept(false);
-            }
-        });
-        committer.append(record, failure -> {
-            limit.cancel();
-            noted(failure);
-            if (!told[0]) {
-                told[0] = true;
-                then.accept(failure == null);
-            }
+              }
+            });
+    committer.append(
+        record,
+        failure -> {
+          limit.cancel();
+          noted(failure);
+          if (!told[0]) {
+            told[0] = true;
+            then.accept(failure == null);
+          }
         });
-    }
+  }
 
-    /** What is only lost with the answer to a later question: without it the book says the worse. */
-    private void later(byte[] record) {
-        committer.append(record, this::noted);
-    }
+  /** What is only lost with the answer to a later question: without it the book says the worse. */
+  private void later(byte[] record) {
+    committer.append(record, this::noted);
+  }
 
-    private void noted(IOException failure) {
-        if (failing != (failure != null)) {
-            failing = failure != null;
-            if (failing) {
-                LOG.atWarn().addKeyValue("why", failure.getMessage()).log("the book of calls cannot be written; calls that it guards are refused");
-            } else {
-                LOG.atInfo().log("the book of calls is written again");
-            }
-        }
+  private void noted(IOException failure) {
+    if (failing != (failure != null)) {
+      failing = failure != null;
+      if (failing) {
+        LOG.atWarn()
+            .addKeyValue("why", failure.getMessage())
+            .log("the book of calls cannot be written; calls that it guards are refused");
+      } else {
+        LOG.atInfo().log("the book of calls is written again");
+      }
     }
+  }
 }
--- a/gateway/src/main/java/lemondock/gateway/count/GatewayTally.java
+++ b/gateway/src/main/java/lemondock/gateway/count/GatewayTally.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.ledger.AttemptCount;
-import lemondock.policy.Routing.Ending;
 import lemondock.policy.Routing;
+import lemondock.policy.Routing.Ending;
 import lemondock.tally.BoundedNames;
 import lemondock.tally.Metrics;
 import lemondock.tally.Recorder;
@@ -17,266 +17,297 @@
 import lemondock.tally.Tally;
 
 /**
- * What a gateway counts on its decision loop. Series are looked up once and kept; the names of tenants and zones, which
- * others choose, are bounded. Loop thread only, but for {@link #tally}.
+ * What a gateway counts on its decision loop. Series are looked up once and kept; the names of
+ * tenants and zones, which others choose, are bounded. Loop thread only, but for {@link #tally}.
  */
 public final class GatewayTally implements AttemptCount {
-    /** The tenant of a request that names none. */
-    public static final String NO_TENANT = "none";
-
-    /** The field of {@link Metrics#REQUESTS} for served; those of the other endings follow in the order of their enum. */
-    static final int SERVED = 2;
-    private static final int REFUSED = 3;
-    private static final int SENT = 0;
-    private static final int MOST_ZONES = 64;
-    private static final List<Ending> ATTEMPT_FIELDS = List.of(Ending.OK, Ending.READ, Ending.ERROR, Ending.FULL,
-            Ending.TIMEOUT, Ending.CONNECT_FAILED, Ending.RESET, Ending.CANCELLED, Ending.MOOT);
-
-    private final GatewaySettings settings;
-    private final Tally tally;
-    private final Recorder recorder;
-    private final List<ClassCount> classes = new ArrayList<>();
-    private final BoundedNames tenants;
-    private final BoundedNames zones;
-    private final Map<Routing.Role, Map<String, Series>> attempts = new EnumMap<>(Routing.Role.class);
-    private final Map<Routing.Role, Map<String, Series>> servers = new EnumMap<>(Routing.Role.class);
-    private final Map<String, Series[]> held = new HashMap<>();
-    private final Series gateway;
-    private final Series module;
-    private final Series lag;
-    private final Series overload;
-    private final Series otherTenants;
-    private final Series otherZones;
-
-    /** The series of one class, which any of its requests shares. */
-    static final class ClassCount {
-        final long worth;
-        final long lateWorth;
-        final double tokenAim;
-        final Series verdicts;
-        final Series tools;
-        final Series firstToken;
-        final Series tokenPace;
-        final Series wholeTime;
-        final Map<String, RequestCount> byTenant = new HashMap<>();
-
-        ClassCount(Tally tally, GatewaySettings.RequestClass c, String zone) {
-            worth = Math.round(c.worth() * Metrics.WORTH_ONE);
-            lateWorth = Math.round(c.worth() * c.lateWorth() * Metrics.WORTH_ONE);
-            tokenAim = GatewaySettings.micros(c.tokenAimMs());
-            verdicts = tally.series(Metrics.VERDICTS, c.name(), zone);
-            tools = tally.series(Metrics.TOOLS, c.name());
-            firstToken = tally.series(Metrics.FIRST_TOKEN, c.name());
-            tokenPace = tally.series(Metrics.TOKEN_PACE, c.name());
-            wholeTime = tally.series(Metrics.WHOLE_TIME, c.name());
-        }
-    }
-
-    /** The series of one class and tenant. */
-    record RequestCount(Series worth, Series requests) { }
-
-    /** Makes a count of its own tally, for the thread that the gateway decides on. */
-    public GatewayTally(GatewaySettings settings) {
-        this.settings = settings;
-        this.tally = new Tally(settings.reporting().maxValues());
-        this.recorder = tally.recorder();
-        this.tenants = new BoundedNames(with(settings.reporting().tenants(), NO_TENANT), settings.reporting().maxTenants());
-        this.zones = new BoundedNames(List.of(settings.zone()), MOST_ZONES);
-        this.gateway = tally.series(Metrics.GATEWAY);
-        this.module = tally.series(Metrics.MODULE);
-        this.lag = tally.series(Metrics.LOOP_LAG);
-        this.overload = tally.series(Metrics.OVERLOAD);
-        this.otherTenants = tally.series(Metrics.BOUNDS, "tenant");
-        this.otherZones = tally.series(Metrics.BOUNDS, "zone");
-        settings.classes().forEach(c -> classes.add(new ClassCount(tally, c, settings.zone())));
-    }
-
-    private static List<String> with(List<String> some, String one) {
-        List<String> all = new ArrayList<>(some);
-        all.add(one);
-        return all;
-    }
-
-    /** What was counted; its snapshot may be taken on any thread. */
-    public Tally tally() {
-        return tally;
-    }
-
-    Recorder recorder() {
-        return recorder;
-    }
-
-    // ==== requests
-
-    /** A request was taken. Times in microseconds. */
-    public CallCount taken(int classId, String tenant, boolean repeat, int promptTokens, long now) {
-        ClassCount of = classes.get(classId);
-        RequestCount request = request(of, classId, tenant);
-        long ticket = recorder.enter();
-        count(of, request, repeat);
-        recorder.exit(ticket);
-        GatewaySettings.RequestClass c = settings.classes().get(classId);
-        long aim = GatewaySettings.micros(c.aimMs() + c.aimMsPerThousandTokens() * promptTokens / 1000);
-        return new CallCount(this, of, request, now, aim);
-    }
-
-    /** A request was turned away before it was taken, for a bound of the gateway or because it stops. */
-    public void turnedAway(int classId, String tenant, boolean repeat) {
-        ClassCount of = classes.get(classId);
-        RequestCount request = request(of, classId, tenant);
-        long ticket = recorder.enter();
-        count(of, request, repeat);
-        recorder.add(request.requests.slot(REFUSED), 1);
-        recorder.add(of.verdicts.slot(1), 1);
-        recorder.exit(ticket);
-    }
-
-    private void count(ClassCount of, RequestCount request, boolean repeat) {
-        recorder.add(request.requests.slot(0), 1);
-        recorder.add(request.requests.slot(1), repeat ? 1 : 0);
-        recorder.add(request.worth.slot(repeat ? 1 : 0), of.worth);
-    }
-
-    private RequestCount request(ClassCount of, int classId, String tenant) {
-        String label = bounded(tenants, otherTenants, tenant == null ? NO_TENANT : tenant);
-        RequestCount found = of.byTenant.get(label);
-        if (found == null) {
-            String name = settings.classes().get(classId).name();
-            found = new RequestCount(tally.series(Metrics.WORTH, name, settings.zone(), label),
-                    tally.series(Metrics.REQUESTS, name, settings.zone(), label));
-            of.byTenant.put(label, found);
-        }
-        return found;
-    }
-
-    private String bounded(BoundedNames names, Series others, String name) {
-        long before = names.turnedAway();
-        String label = names.label(name);
-        if (names.turnedAway() != before) {
-            recorder.count(others.first());
-        }
-        return label;
+  /** The tenant of a request that names none. */
+  public static final String NO_TENANT = "none";
+
+  /**
+   * The field of {@link Metrics#REQUESTS} for served; those of the other endings follow in the
+   * order of their enum.
+   */
+  static final int SERVED = 2;
+
+  private static final int REFUSED = 3;
+  private static final int SENT = 0;
+  private static final int MOST_ZONES = 64;
+  private static final List<Ending> ATTEMPT_FIELDS =
+      List.of(
+          Ending.OK,
+          Ending.READ,
+          Ending.ERROR,
+          Ending.FULL,
+          Ending.TIMEOUT,
+          Ending.CONNECT_FAILED,
+          Ending.RESET,
+          Ending.CANCELLED,
+          Ending.MOOT);
+
+  private final GatewaySettings settings;
+  private final Tally tally;
+  private final Recorder recorder;
+  private final List<ClassCount> classes = new ArrayList<>();
+  private final BoundedNames tenants;
+  private final BoundedNames zones;
+  private final Map<Routing.Role, Map<String, Series>> attempts = new EnumMap<>(Routing.Role.class);
+  private final Map<Routing.Role, Map<String, Series>> servers = new EnumMap<>(Routing.Role.class);
+  private final Map<String, Series[]> held = new HashMap<>();
+  private final Series gateway;
+  private final Series module;
+  private final Series lag;
+  private final Series overload;
+  private final Series otherTenants;
+  private final Series otherZones;
+
+  /** The series of one class, which any of its requests shares. */
+  static final class ClassCount {
+    final long worth;
+    final long lateWorth;
+    final double tokenAim;
+    final Series verdicts;
+    final Series tools;
+    final Series firstToken;
+    final Series tokenPace;
+    final Series wholeTime;
+    final Map<String, RequestCount> byTenant = new HashMap<>();
+
+    ClassCount(Tally tally, GatewaySettings.RequestClass c, String zone) {
+      worth = Math.round(c.worth() * Metrics.WORTH_ONE);
+      lateWorth = Math.round(c.worth() * c.lateWorth() * Metrics.WORTH_ONE);
+      tokenAim = GatewaySettings.micros(c.tokenAimMs());
+      verdicts = tally.series(Metrics.VERDICTS, c.name(), zone);
+      tools = tally.series(Metrics.TOOLS, c.name());
+      firstToken = tally.series(Metrics.FIRST_TOKEN, c.name());
+      tokenPace = tally.series(Metrics.TOKEN_PACE, c.name());
+      wholeTime = tally.series(Metrics.WHOLE_TIME, c.name());
     }
-
-    // ==== attempts and states
-
-    /** An attempt is made at a server. */
-    public void sent(Routing.Role role, String zone) {
-        recorder.count(byServer(attempts, Metrics.ATTEMPTS, role, zone).slot(SENT));
+  }
+
+  /** The series of one class and tenant. */
+  record RequestCount(Series worth, Series requests) {}
+
+  /** Makes a count of its own tally, for the thread that the gateway decides on. */
+  public GatewayTally(GatewaySettings settings) {
+    this.settings = settings;
+    this.tally = new Tally(settings.reporting().maxValues());
+    this.recorder = tally.recorder();
+    this.tenants =
+        new BoundedNames(
+            with(settings.reporting().tenants(), NO_TENANT), settings.reporting().maxTenants());
+    this.zones = new BoundedNames(List.of(settings.zone()), MOST_ZONES);
+    this.gateway = tally.series(Metrics.GATEWAY);
+    this.module = tally.series(Metrics.MODULE);
+    this.lag = tally.series(Metrics.LOOP_LAG);
+    this.overload = tally.series(Metrics.OVERLOAD);
+    this.otherTenants = tally.series(Metrics.BOUNDS, "tenant");
+    this.otherZones = tally.series(Metrics.BOUNDS, "zone");
+    settings.classes().forEach(c -> classes.add(new ClassCount(tally, c, settings.zone())));
+  }
+
+  private static List<String> with(List<String> some, String one) {
+    List<String> all = new ArrayList<>(some);
+    all.add(one);
+    return all;
+  }
+
+  /** What was counted; its snapshot may be taken on any thread. */
+  public Tally tally() {
+    return tally;
+  }
+
+  Recorder recorder() {
+    return recorder;
+  }
+
+  // ==== requests
+
+  /** A request was taken. Times in microseconds. */
+  public CallCount taken(int classId, String tenant, boolean repeat, int promptTokens, long now) {
+    ClassCount of = classes.get(classId);
+    RequestCount request = request(of, classId, tenant);
+    long ticket = recorder.enter();
+    count(of, request, repeat);
+    recorder.exit(ticket);
+    GatewaySettings.RequestClass c = settings.classes().get(classId);
+    long aim = GatewaySettings.micros(c.aimMs() + c.aimMsPerThousandTokens() * promptTokens / 1000);
+    return new CallCount(this, of, request, now, aim);
+  }
+
+  /**
+   * A request was turned away before it was taken, for a bound of the gateway or because it stops.
+   */
+  public void turnedAway(int classId, String tenant, boolean repeat) {
+    ClassCount of = classes.get(classId);
+    RequestCount request = request(of, classId, tenant);
+    long ticket = recorder.enter();
+    count(of, request, repeat);
+    recorder.add(request.requests.slot(REFUSED), 1);
+    recorder.add(of.verdicts.slot(1), 1);
+    recorder.exit(ticket);
+  }
+
+  private void count(ClassCount of, RequestCount request, boolean repeat) {
+    recorder.add(request.requests.slot(0), 1);
+    recorder.add(request.requests.slot(1), repeat ? 1 : 0);
+    recorder.add(request.worth.slot(repeat ? 1 : 0), of.worth);
+  }
+
+  private RequestCount request(ClassCount of, int classId, String tenant) {
+    String label = bounded(tenants, otherTenants, tenant == null ? NO_TENANT : tenant);
+    RequestCount found = of.byTenant.get(label);
+    if (found == null) {
+      String name = settings.classes().get(classId).name();
+      found =
+          new RequestCount(
+              tally.series(Metrics.WORTH, name, settings.zone(), label),
+              tally.series(Metrics.REQUESTS, name, settings.zone(), label));
+      of.byTenant.put(label, found);
     }
-
-    /** An attempt has ended. */
-    public void attemptEnded(Routing.Role role, String zone, Ending ending) {
-        recorder.count(byServer(attempts, Metrics.ATTEMPTS, role, zone).slot(1 + ATTEMPT_FIELDS.indexOf(ending)));
+    return found;
+  }
+
+  private String bounded(BoundedNames names, Series others, String name) {
+    long before = names.turnedAway();
+    String label = names.label(name);
+    if (names.turnedAway() != before) {
+      recorder.count(others.first());
     }
-
-    private Series byServer(Map<Routing.Role, Map<String, Series>> in, lemondock.tally.Family family, Routing.Role role,
-            String zone) {
-        Map<String, Series> byZone = in.computeIfAbsent(role, r -> new HashMap<>());
-        Series found = byZone.get(zone);
-        if (found == null) {
-            String label = bounded(zones, otherZones, zone);
-            found = byZone.get(label);
-            if (found == null) {
-                found = tally.series(family, role.name().toLowerCase(Locale.ROOT), label);
-                byZone.put(label, found);
-            }
-        }
-        return found;
+    return label;
+  }
+
+  // ==== attempts and states
+
+  /** An attempt is made at a server. */
+  public void sent(Routing.Role role, String zone) {
+    recorder.count(byServer(attempts, Metrics.ATTEMPTS, role, zone).slot(SENT));
+  }
+
+  /** An attempt has ended. */
+  public void attemptEnded(Routing.Role role, String zone, Ending ending) {
+    recorder.count(
+        byServer(attempts, Metrics.ATTEMPTS, role, zone).slot(1 + ATTEMPT_FIELDS.indexOf(ending)));
+  }
+
+  private Series byServer(
+      Map<Routing.Role, Map<String, Series>> in,
+      lemondock.tally.Family family,
+      Routing.Role role,
+      String zone) {
+    Map<String, Series> byZone = in.computeIfAbsent(role, r -> new HashMap<>());
+    Series found = byZone.get(zone);
+    if (found == null) {
+      String label = bounded(zones, otherZones, zone);
+      found = byZone.get(label);
+      if (found == null) {
+        found = tally.series(family, role.name().toLowerCase(Locale.ROOT), label);
+        byZone.put(label, found);
+      }
     }
-
-    /** A read left a state at a server of the zone. */
-    public void stateMade(String zone) {
-        state(zone, 0, 1, -1);
+    return found;
+  }
+
+  /** A read left a state at a server of the zone. */
+  public void stateMade(String zone) {
+    state(zone, 0, 1, -1);
+  }
+
+  /** A writer took a state that had waited for so many microseconds. */
+  public void stateFetched(String zone, long waited) {
+    state(zone, 1, -1, waited);
+  }
+
+  /** A state was let go unused after so many microseconds. */
+  public void stateLetGo(String zone, long waited) {
+    state(zone, 2, -1, waited);
+  }
+
+  private void state(String zone, int field, int change, long waited) {
+    Series[] of = held.get(zone);
+    if (of == null) {
+      String label = bounded(zones, otherZones, zone);
+      of =
+          held.computeIfAbsent(
+              label,
+              z ->
+                  new Series[] {tally.series(Metrics.HELD, z), tally.series(Metrics.HELD_TIME, z)});
     }
-
-    /** A writer took a state that had waited for so many microseconds. */
-    public void stateFetched(String zone, long waited) {
-        state(zone, 1, -1, waited);
+    long ticket = recorder.enter();
+    recorder.add(of[0].slot(field), 1);
+    recorder.add(of[0].slot(3), change);
+    if (waited >= 0) {
+      recorder.record(of[1], waited);
     }
-
-    /** A state was let go unused after so many microseconds. */
-    public void stateLetGo(String zone, long waited) {
-        state(zone, 2, -1, waited);
+    recorder.exit(ticket);
+  }
+
+  // ==== gauges
+
+  /** What the gateway has in hand; {@code uptime} in seconds. */
+  public void inHand(
+      long calls, long legs, long sessions, long streams, long relayed, long listed, long uptime) {
+    long[] values = {calls, legs, sessions, streams, relayed, listed, uptime};
+    long ticket = recorder.enter();
+    for (int i = 0; i < values.length; i++) {
+      recorder.set(gateway.slot(i), values[i]);
     }
-
-    private void state(String zone, int field, int change, long waited) {
-        Series[] of = held.get(zone);
-        if (of == null) {
-            String label = bounded(zones, otherZones, zone);
-            of = held.computeIfAbsent(label, z -> new Series[] {tally.series(Metrics.HELD, z),
-                tally.series(Metrics.HELD_TIME, z)});
+    recorder.exit(ticket);
+  }
+
+  /** The decision loop ran a timer so many microseconds late. */
+  public void lag(long micros) {
+    recorder.time(lag, micros);
+  }
+
+  /** The gateway's own limit: the share let in, stalls and their sum in microseconds. */
+  public void limit(double share, long stalls, long stalled) {
+    long ticket = recorder.enter();
+    recorder.set(overload.slot(0), Math.round(share * 1_000));
+    recorder.set(overload.slot(2), stalls);
+    recorder.set(overload.slot(3), stalled);
+    recorder.exit(ticket);
+  }
+
+  /** A request was refused because the gateway is late; it is counted as turned away too. */
+  public void refusedLate() {
+    recorder.count(overload.slot(1));
+  }
+
+  /** Takes a look at the module; {@code zones} names the zone of a server's number, or null. */
+  public Routing.Sight look(java.util.function.LongFunction<String> zoneOf) {
+    Map<Series, long[]> sums = new HashMap<>();
+    servers.values().forEach(byZone -> byZone.values().forEach(s -> sums.put(s, new long[4])));
+    return new Routing.Sight() {
+      @Override
+      public void server(
+          long id, Routing.Role role, Routing.Standing standing, boolean cold, boolean healthy) {
+        String zone = zoneOf.apply(id);
+        if (zone != null) {
+          long[] sum =
+              sums.computeIfAbsent(
+                  byServer(servers, Metrics.SERVERS, role, zone), s -> new long[4]);
+          boolean ready = standing == Routing.Standing.READY;
+          sum[ready ? 0 : 1]++;
+          sum[2] += ready && cold ? 1 : 0;
+          sum[3] += ready && !healthy ? 1 : 0;
         }
-        long ticket = recorder.enter();
-        recorder.add(of[0].slot(field), 1);
-        recorder.add(of[0].slot(3), change);
-        if (waited >= 0) {
-            recorder.record(of[1], waited);
-        }
-        recorder.exit(ticket);
-    }
+      }
 
-    // ==== gauges
-
-    /** What the gateway has in hand; {@code uptime} in seconds. */
-    public void inHand(long calls, long legs, long sessions, long streams, long relayed, long listed, long uptime) {
-        long[] values = {calls, legs, sessions, streams, relayed, listed, uptime};
+      @Override
+      public void all(int parked, long tokensUnderWay, long room) {
         long ticket = recorder.enter();
-        for (int i = 0; i < values.length; i++) {
-            recorder.set(gateway.slot(i), values[i]);
-        }
+        recorder.set(module.slot(0), parked);
+        recorder.set(module.slot(1), tokensUnderWay);
+        recorder.set(module.slot(2), room);
+        sums.forEach(
+            (s, sum) -> {
+              for (int i = 0; i < sum.length; i++) {
+                recorder.set(s.slot(i), sum[i]);
+              }
+            });
         recorder.exit(ticket);
-    }
-
-    /** The decision loop ran a timer so many microseconds late. */
-    public void lag(long micros) {
-        recorder.time(lag, micros);
-    }
-
-    /** The gateway's own limit: the share let in, stalls and their sum in microseconds. */
-    public void limit(double share, long stalls, long stalled) {
-        long ticket = recorder.enter();
-        recorder.set(overload.slot(0), Math.round(share * 1_000));
-        recorder.set(overload.slot(2), stalls);
-        recorder.set(overload.slot(3), stalled);
-        recorder.exit(ticket);
-    }
-
-    /** A request was refused because the gateway is late; it is counted as turned away too. */
-    public void refusedLate() {
-        recorder.count(overload.slot(1));
-    }
-
-    /** Takes a look at the module; {@code zones} names the zone of a server's number, or null. */
-    public Routing.Sight look(java.util.function.LongFunction<String> zoneOf) {
-        Map<Series, long[]> sums = new HashMap<>();
-        servers.values().forEach(byZone -> byZone.values().forEach(s -> sums.put(s, new long[4])));
-        return new Routing.Sight() {
-            @Override
-            public void server(long id, Routing.Role role, Routing.Standing standing, boolean cold, boolean healthy) {
-                String zone = zoneOf.apply(id);
-                if (zone != null) {
-                    long[] sum = sums.computeIfAbsent(byServer(servers, Metrics.SERVERS, role, zone), s -> new long[4]);
-                    boolean ready = standing == Routing.Standing.READY;
-                    sum[ready ? 0 : 1]++;
-                    sum[2] += ready && cold ? 1 : 0;
-                    sum[3] += ready && !healthy ? 1 : 0;
-                }
-            }
-
-            @Override
-            public void all(int parked, long tokensUnderWay, long room) {
-                long ticket = recorder.enter();
-                recorder.set(module.slot(0), parked);
-                recorder.set(module.slot(1), tokensUnderWay);
-                recorder.set(module.slot(2), room);
-                sums.forEach((s, sum) -> {
-                    for (int i = 0; i < sum.length; i++) {
-                        recorder.set(s.slot(i), sum[i]);
-                    }
-                });
-                recorder.exit(ticket);
-            }
-        };
-    }
+      }
+    };
+  }
 }
