--- a/gateway/src/main/java/lemondock/gateway/discovery/Listing.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/Listing.java
@@ -13,140 +13,159 @@
 import lemondock.ledger.ServerEntry;
 import lemondock.policy.Routing;
 
-/** The two forms in which lists of servers are written: the project's file and Consul's health API. No I/O. */
+/**
+ * The two forms in which lists of servers are written: the project's file and Consul's health API.
+ * No I/O.
+ */
 public final class Listing {
-    private static final ObjectMapper MAPPER = new ObjectMapper();
+  private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    private Listing() { }
+  private Listing() {}
 
-    /** A list that cannot be read; the message says what and where. */
-    public static final class Unreadable extends Exception {
-        private static final long serialVersionUID = 1L;
+  /** A list that cannot be read; the message says what and where. */
+  public static final class Unreadable extends Exception {
+    private static final long serialVersionUID = 1L;
 
-        Unreadable(String message) {
-            super(message);
-        }
+    Unreadable(String message) {
+      super(message);
     }
+  }
 
-    /** Reads {@code {"servers": [...]}}. */
-    public static List<ServerEntry> ofFile(byte[] text) throws Unreadable {
-        JsonNode servers = tree(text).get("servers");
-        if (servers == null || !servers.isArray()) {
-            throw new Unreadable("/servers: expected an array, found " + servers);
-        }
-        List<ServerEntry> entries = new ArrayList<>();
-        for (int i = 0; i < servers.size(); i++) {
-            JsonNode s = servers.get(i);
-            String at = "/servers/" + i;
-            entries.add(new ServerEntry(text(s, "name", at), address(text(s, "address", at), at + "/address"),
-                    text(s, "kind", at), s.path("zone").asText("default"), s.path("rack").asText("0"),
-                    standing(s.path("standing").asText("ready"), at + "/standing"), weight(s.path("weight"), at),
-                    s.path("startedAt").asLong(0)));
-        }
-        return entries;
+  /** Reads {@code {"servers": [...]}}. */
+  public static List<ServerEntry> ofFile(byte[] text) throws Unreadable {
+    JsonNode servers = tree(text).get("servers");
+    if (servers == null || !servers.isArray()) {
+      throw new Unreadable("/servers: expected an array, found " + servers);
+    }
+    List<ServerEntry> entries = new ArrayList<>();
+    for (int i = 0; i < servers.size(); i++) {
+      JsonNode s = servers.get(i);
+      String at = "/servers/" + i;
+      entries.add(
+          new ServerEntry(
+              text(s, "name", at),
+              address(text(s, "address", at), at + "/address"),
+              text(s, "kind", at),
+              s.path("zone").asText("default"),
+              s.path("rack").asText("0"),
+              standing(s.path("standing").asText("ready"), at + "/standing"),
+              weight(s.path("weight"), at),
+              s.path("startedAt").asLong(0)));
     }
+    return entries;
+  }
 
-    /** Writes what {@link #ofFile} reads; used for the cache. */
-    public static byte[] toFile(List<ServerEntry> entries) {
-        ObjectNode root = JsonNodeFactory.instance.objectNode();
-        ArrayNode servers = root.putArray("servers");
-        for (ServerEntry e : entries) {
-            servers.addObject().put("name", e.name())
-                    .put("address", e.address().getHostString() + ":" + e.address().getPort())
-                    .put("kind", e.kind()).put("zone", e.zone()).put("rack", e.rack())
-                    .put("standing", e.standing().name().toLowerCase(Locale.ROOT)).put("weight", e.weight())
-                    .put("startedAt", e.startedAt());
-        }
-        return root.toPrettyString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
+  /** Writes what {@link #ofFile} reads; used for the cache. */
+  public static byte[] toFile(List<ServerEntry> entries) {
+    ObjectNode root = JsonNodeFactory.instance.objectNode();
+    ArrayNode servers = root.putArray("servers");
+    for (ServerEntry e : entries) {
+      servers
+          .addObject()
+          .put("name", e.name())
+          .put("address", e.address().getHostString() + ":" + e.address().getPort())
+          .put("kind", e.kind())
+          .put("zone", e.zone())
+          .put("rack", e.rack())
+          .put("standing", e.standing().name().toLowerCase(Locale.ROOT))
+          .put("weight", e.weight())
+          .put("startedAt", e.startedAt());
     }
+    return root.toPrettyString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
+  }
 
-    /**
-     * Reads the answer of Consul's {@code /v1/health/service/NAME}. Kind, zone, rack and start come from the service's
-     * Meta. A check in maintenance, or Meta {@code draining=true}, drains; another critical check means gone.
-     */
-    public static List<ServerEntry> ofConsul(byte[] text) throws Unreadable {
-        JsonNode root = tree(text);
-        if (!root.isArray()) {
-            throw new Unreadable("/: expected an array of services");
-        }
-        List<ServerEntry> entries = new ArrayList<>();
-        for (int i = 0; i < root.size(); i++) {
-            JsonNode service = root.get(i).path("Service");
-            String at = "/" + i + "/Service";
-            JsonNode meta = service.path("Meta");
-            String host = service.path("Address").asText("");
-            if (host.isEmpty()) {
-                host = root.get(i).path("Node").path("Address").asText("");
-            }
-            entries.add(new ServerEntry(text(service, "ID", at),
-                    address(host + ":" + service.path("Port").asInt(0), at + "/Address"),
-                    text(meta, "kind", at + "/Meta"), meta.path("zone").asText("default"),
-                    meta.path("rack").asText("0"), standing(meta, root.get(i).path("Checks")),
-                    weight(service.path("Weights").path("Passing"), at + "/Weights/Passing"),
-                    meta.path("started").asLong(0)));
-        }
-        return entries;
+  /**
+   * Reads the answer of Consul's {@code /v1/health/service/NAME}. Kind, zone, rack and start come
+   * from the service's Meta. A check in maintenance, or Meta {@code draining=true}, drains; another
+   * critical check means gone.
+   */
+  public static List<ServerEntry> ofConsul(byte[] text) throws Unreadable {
+    JsonNode root = tree(text);
+    if (!root.isArray()) {
+      throw new Unreadable("/: expected an array of services");
     }
+    List<ServerEntry> entries = new ArrayList<>();
+    for (int i = 0; i < root.size(); i++) {
+      JsonNode service = root.get(i).path("Service");
+      String at = "/" + i + "/Service";
+      JsonNode meta = service.path("Meta");
+      String host = service.path("Address").asText("");
+      if (host.isEmpty()) {
+        host = root.get(i).path("Node").path("Address").asText("");
+      }
+      entries.add(
+          new ServerEntry(
+              text(service, "ID", at),
+              address(host + ":" + service.path("Port").asInt(0), at + "/Address"),
+              text(meta, "kind", at + "/Meta"),
+              meta.path("zone").asText("default"),
+              meta.path("rack").asText("0"),
+              standing(meta, root.get(i).path("Checks")),
+              weight(service.path("Weights").path("Passing"), at + "/Weights/Passing"),
+              meta.path("started").asLong(0)));
+    }
+    return entries;
+  }
 
-    private static Routing.Standing standing(JsonNode meta, JsonNode checks) {
-        boolean draining = meta.path("draining").asText("").equals("true");
-        for (JsonNode check : checks) {
-            if (check.path("Status").asText("").equals("critical")) {
-                String id = check.path("CheckID").asText("");
-                if (!id.startsWith("_service_maintenance") && !id.startsWith("_node_maintenance")) {
-                    return Routing.Standing.GONE;
-                }
-                draining = true;
-            }
+  private static Routing.Standing standing(JsonNode meta, JsonNode checks) {
+    boolean draining = meta.path("draining").asText("").equals("true");
+    for (JsonNode check : checks) {
+      if (check.path("Status").asText("").equals("critical")) {
+        String id = check.path("CheckID").asText("");
+        if (!id.startsWith("_service_maintenance") && !id.startsWith("_node_maintenance")) {
+          return Routing.Standing.GONE;
         }
-        return draining ? Routing.Standing.DRAINING : Routing.Standing.READY;
+        draining = true;
+      }
     }
+    return draining ? Routing.Standing.DRAINING : Routing.Standing.READY;
+  }
 
-    private static JsonNode tree(byte[] text) throws Unreadable {
-        try {
-            JsonNode root = MAPPER.readTree(text);
-            if (root == null || root.isMissingNode()) {
-                throw new Unreadable("expected JSON, found nothing");
-            }
-            return root;
-        } catch (java.io.IOException e) {
-            throw new Unreadable("expected JSON: " + e.getMessage().lines().findFirst().orElse(""));
-        }
+  private static JsonNode tree(byte[] text) throws Unreadable {
+    try {
+      JsonNode root = MAPPER.readTree(text);
+      if (root == null || root.isMissingNode()) {
+        throw new Unreadable("expected JSON, found nothing");
+      }
+      return root;
+    } catch (java.io.IOException e) {
+      throw new Unreadable("expected JSON: " + e.getMessage().lines().findFirst().orElse(""));
     }
+  }
 
-    private static String text(JsonNode node, String name, String at) throws Unreadable {
-        JsonNode value = node.get(name);
-        if (value == null || !value.isTextual() || value.textValue().isEmpty()) {
-            throw new Unreadable(at + "/" + name + ": expected a text, found " + value);
-        }
-        return value.textValue();
+  private static String text(JsonNode node, String name, String at) throws Unreadable {
+    JsonNode value = node.get(name);
+    if (value == null || !value.isTextual() || value.textValue().isEmpty()) {
+      throw new Unreadable(at + "/" + name + ": expected a text, found " + value);
     }
+    return value.textValue();
+  }
 
-    private static double weight(JsonNode node, String at) throws Unreadable {
-        double weight = node.isMissingNode() ? 1 : node.asDouble(Double.NaN);
-        if (!(weight > 0) || Double.isInfinite(weight)) {
-            throw new Unreadable(at + ": expected a weight above 0, found " + node);
-        }
-        return weight;
+  private static double weight(JsonNode node, String at) throws Unreadable {
+    double weight = node.isMissingNode() ? 1 : node.asDouble(Double.NaN);
+    if (!(weight > 0) || Double.isInfinite(weight)) {
+      throw new Unreadable(at + ": expected a weight above 0, found " + node);
     }
+    return weight;
+  }
 
-    private static Routing.Standing standing(String name, String at) throws Unreadable {
-        try {
-            return Routing.Standing.valueOf(name.toUpperCase(Locale.ROOT));
-        } catch (IllegalArgumentException e) {
-            throw new Unreadable(at + ": expected ready, draining or gone, found " + name);
-        }
+  private static Routing.Standing standing(String name, String at) throws Unreadable {
+    try {
+      return Routing.Standing.valueOf(name.toUpperCase(Locale.ROOT));
+    } catch (IllegalArgumentException e) {
+      throw new Unreadable(at + ": expected ready, draining or gone, found " + name);
     }
+  }
 
-    private static InetSocketAddress address(String text, String at) throws Unreadable {
-        try {
-            InetSocketAddress address = SettingsFile.address(text);
-            if (address.getPort() > 0 && !address.isUnresolved()) {
-                return address;
-            }
-        } catch (RuntimeException e) {
-            // reported below
-        }
-        throw new Unreadable(at + ": expected HOST:PORT, found " + text);
+  private static InetSocketAddress address(String text, String at) throws Unreadable {
+    try {
+      InetSocketAddress address = SettingsFile.address(text);
+      if (address.getPort() > 0 && !address.isUnresolved()) {
+        return address;
+      }
+    } catch (RuntimeException e) {
+      // reported below
     }
+    throw new Unreadable(at + ": expected HOST:PORT, found " + text);
+  }
 }
--- a/gateway/src/main/java/lemondock/gateway/discovery/ServerList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/ServerList.java
@@ -5,21 +5,21 @@
 
 /** Where lists of servers come from; all its calls to the sink are made on the loop. */
 public interface ServerList {
-    /** Begins to follow the list. */
-    void start(Sink sink);
+  /** Begins to follow the list. */
+  void start(Sink sink);
 
-    /** Asks for the whole list again, after the module wished it. */
-    void watch();
+  /** Asks for the whole list again, after the module wished it. */
+  void watch();
 
-    /** Stops following. */
-    void stop();
+  /** Stops following. */
+  void stop();
 
-    /** What hears of the list. */
-    interface Sink {
-        /** The whole list as it is now. */
-        void whole(List<ServerEntry> entries);
+  /** What hears of the list. */
+  interface Sink {
+    /** The whole list as it is now. */
+    void whole(List<ServerEntry> entries);
 
-        /** The list could not be had; the one before stays in force. */
-        void failed(String what);
-    }
+    /** The list could not be had; the one before stays in force. */
+    void failed(String what);
+  }
 }
--- a/gateway/src/main/java/lemondock/gateway/engine/Chunk.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/Chunk.java
@@ -15,20 +15,31 @@
  * @param last the stream's closing mark
  * @param error what the engine reports in place of an answer, null if it does not
  */
-public record Chunk(String text, List<CallPiece> calls, String finish, int promptTokens, int cachedTokens,
-        int answerTokens, boolean last, String error) implements Piece {
-    /** The closing mark. */
-    public static final Chunk LAST = new Chunk("", List.of(), null, -1, -1, -1, true, null);
+public record Chunk(
+    String text,
+    List<CallPiece> calls,
+    String finish,
+    int promptTokens,
+    int cachedTokens,
+    int answerTokens,
+    boolean last,
+    String error)
+    implements Piece {
+  /** The closing mark. */
+  public static final Chunk LAST = new Chunk("", List.of(), null, -1, -1, -1, true, null);
 
-    /** A piece of the call at an index: id and name come with its first piece, arguments in any number of them. */
-    public record CallPiece(int index, String id, String name, String arguments) { }
+  /**
+   * A piece of the call at an index: id and name come with its first piece, arguments in any number
+   * of them.
+   */
+  public record CallPiece(int index, String id, String name, String arguments) {}
 
-    @Override
-    public boolean carries() {
-        return !text.isEmpty() || !calls.isEmpty() || finish != null;
-    }
+  @Override
+  public boolean carries() {
+    return !text.isEmpty() || !calls.isEmpty() || finish != null;
+  }
 
-    static Chunk error(String what) {
-        return new Chunk("", List.of(), null, -1, -1, -1, false, what);
-    }
+  static Chunk error(String what) {
+    return new Chunk("", List.of(), null, -1, -1, -1, false, what);
+  }
 }
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
@@ -17,224 +17,276 @@
 import lemondock.policy.Routing.Ending;
 
 /**
- * The ledger's port to engines that speak the OpenAI API: carries reads, writes and aborts. Every read and write ends by exactly one
- * {@code ended} or a cancel.
+ * The ledger's port to engines that speak the OpenAI API: carries reads, writes and aborts. Every
+ * read and write ends by exactly one {@code ended} or a cancel.
  */
 public final class EngineClient implements Engines<ObjectNode, JsonNode, Chunk> {
-    private static final int ABORT_TRIES = 3;
-    private static final long ABORT_AGAIN = 30_000;
-
-    private final Loop loop;
-    private final Lateness lateness;
-    private final HttpClient client;
-    private final String agent;
-    private final String apiKey;
-    private final long silence;
-
-    /** Makes a client; {@code agent} names this gateway to the engines. */
-    public EngineClient(Loop loop, HttpClient client, GatewaySettings.Engines settings, String agent, Lateness lateness) {
-        this.lateness = lateness;
-        this.loop = loop;
-        this.client = client;
-        this.agent = agent;
-        this.apiKey = settings.apiKey();
-        this.silence = GatewaySettings.micros(settings.streamSilenceMs());
+  private static final int ABORT_TRIES = 3;
+  private static final long ABORT_AGAIN = 30_000;
+
+  private final Loop loop;
+  private final Lateness lateness;
+  private final HttpClient client;
+  private final String agent;
+  private final String apiKey;
+  private final long silence;
+
+  /** Makes a client; {@code agent} names this gateway to the engines. */
+  public EngineClient(
+      Loop loop,
+      HttpClient client,
+      GatewaySettings.Engines settings,
+      String agent,
+      Lateness lateness) {
+    this.lateness = lateness;
+    this.loop = loop;
+    this.client = client;
+    this.agent = agent;
+    this.apiKey = settings.apiKey();
+    this.silence = GatewaySettings.micros(settings.streamSilenceMs());
+  }
+
+  @Override
+  public Work read(
+      ServerEntry server,
+      String requestId,
+      Leg.Spec<ObjectNode> spec,
+      Attempt<JsonNode, Chunk> attempt) {
+    InetSocketAddress to = server.address();
+    return client.send(
+            to,
+            post(
+                to,
+                EngineProtocol.COMPLETIONS,
+                requestId,
+                EngineProtocol.read(spec.prompt(), requestId)),
+            new Reading(attempt))
+        ::cancel;
+  }
+
+  @Override
+  public Work write(
+      ServerEntry server,
+      String requestId,
+      Leg.Spec<ObjectNode> spec,
+      JsonNode transfer,
+      Attempt<JsonNode, Chunk> attempt) {
+    InetSocketAddress to = server.address();
+    Writing writing = new Writing(attempt);
+    writing.call =
+        client.send(
+            to,
+            post(
+                to,
+                EngineProtocol.COMPLETIONS,
+                requestId,
+                EngineProtocol.write(spec.prompt(), requestId, transfer, spec.maxTokens())),
+            spec.shard(),
+            writing);
+    return writing;
+  }
+
+  /** Lets go of a request and of what is kept for it; tried again if it cannot be said at once. */
+  @Override
+  public void release(ServerEntry at, String requestId, ObjectNode prompt) {
+    abort(at.address(), requestId, ABORT_TRIES);
+  }
+
+  /**
+   * Each attempt has a name of its own here, so that what it may have left is let go of at once.
+   */
+  @Override
+  public void doubt(ServerEntry at, String requestId, ObjectNode prompt) {
+    release(at, requestId, prompt);
+  }
+
+  private void abort(InetSocketAddress at, String requestId, int tries) {
+    client.send(
+        at,
+        post(at, EngineProtocol.ABORT, requestId, EngineProtocol.abort(requestId)),
+        new HttpClient.Receiver() {
+          @Override
+          public void done() {}
+
+          @Override
+          public void failed(HttpClient.Failure failure, String what) {
+            if (tries > 1) {
+              loop.schedule(ABORT_AGAIN, () -> abort(at, requestId, tries - 1));
+            }
+          }
+        });
+  }
+
+  private java.nio.ByteBuffer post(
+      InetSocketAddress to, String path, String requestId, byte[] body) {
+    Headers headers =
+        Headers.of(
+            "host",
+            to.getHostString() + ":" + to.getPort(),
+            "content-type",
+            "application/json",
+            "user-agent",
+            agent,
+            "x-request-id",
+            requestId);
+    if (apiKey != null) {
+      headers.add("authorization", "Bearer " + apiKey);
+    }
+    return HttpEncoder.request("POST", path, headers, body);
+  }
+
+  private static final class Reading extends HttpClient.Keeping {
+    private final Attempt<JsonNode, Chunk> attempt;
+
+    Reading(Attempt<JsonNode, Chunk> attempt) {
+      this.attempt = attempt;
     }
 
     @Override
-    public Work read(ServerEntry server, String requestId, Leg.Spec<ObjectNode> spec, Attempt<JsonNode, Chunk> attempt) {
-        InetSocketAddress to = server.address();
-        return client.send(to, post(to, EngineProtocol.COMPLETIONS, requestId, EngineProtocol.read(spec.prompt(), requestId)),
-                new Reading(attempt))::cancel;
+    public void done() {
+      if (status() != 200) {
+        EngineProtocol.Refusal refusal = EngineProtocol.refusal(status(), body());
+        attempt.ended(refusal.ending(), refusal.stateMissing(), refusal.what());
+        return;
+      }
+      EngineProtocol.ReadReply reply = EngineProtocol.readReply(body());
+      if (reply.problem() != null) {
+        attempt.ended(Ending.ERROR, false, reply.problem());
+      } else {
+        attempt.read(reply.transfer(), reply.cachedTokens());
+      }
     }
 
     @Override
-    public Work write(ServerEntry server, String requestId, Leg.Spec<ObjectNode> spec, JsonNode transfer,
-            Attempt<JsonNode, Chunk> attempt) {
-        InetSocketAddress to = server.address();
-        Writing writing = new Writing(attempt);
-        writing.call = client.send(to, post(to, EngineProtocol.COMPLETIONS, requestId,
-                EngineProtocol.write(spec.prompt(), requestId, transfer, spec.maxTokens())), spec.shard(), writing);
-        return writing;
+    public void failed(HttpClient.Failure failure, String what) {
+      attempt.ended(Engines.ending(failure), false, what);
+    }
+  }
+
+  /**
+   * A write under way. A stream that was begun and then stays silent is broken after the settings'
+   * time.
+   */
+  public final class Writing extends HttpClient.Keeping implements Work {
+    private final Attempt<JsonNode, Chunk> attempt;
+    private HttpClient.Call call;
+    private boolean finished;
+    private boolean over;
+    private boolean watched;
+    private final Silence quiet = new Silence(loop, lateness, silence, this::silent);
+    private volatile Lane lane;
+    private final PlainPiece plain = new PlainPiece();
+
+    private Writing(Attempt<JsonNode, Chunk> attempt) {
+      this.attempt = attempt;
     }
 
-    /** Lets go of a request and of what is kept for it; tried again if it cannot be said at once. */
     @Override
-    public void release(ServerEntry at, String requestId, ObjectNode prompt) {
-        abort(at.address(), requestId, ABORT_TRIES);
+    public void pause() {
+      quiet.pause();
+      call.pause();
     }
 
-    /** Each attempt has a name of its own here, so that what it may have left is let go of at once. */
     @Override
-    public void doubt(ServerEntry at, String requestId, ObjectNode prompt) {
-        release(at, requestId, prompt);
-    }
-
-    private void abort(InetSocketAddress at, String requestId, int tries) {
-        client.send(at, post(at, EngineProtocol.ABORT, requestId, EngineProtocol.abort(requestId)),
-                new HttpClient.Receiver() {
-                    @Override
-                    public void done() { }
-
-                    @Override
-                    public void failed(HttpClient.Failure failure, String what) {
-                        if (tries > 1) {
-                            loop.schedule(ABORT_AGAIN, () -> abort(at, requestId, tries - 1));
-                        }
-                    }
-                });
-    }
-
-    private java.nio.ByteBuffer post(InetSocketAddress to, String path, String requestId, byte[] body) {
-        Headers headers = Headers.of("host", to.getHostString() + ":" + to.getPort(), "content-type",
-                "application/json", "user-agent", agent, "x-request-id", requestId);
-        if (apiKey != null) {
-            headers.add("authorization", "Bearer " + apiKey);
-        }
-        return HttpEncoder.request("POST", path, headers, body);
-    }
-
-    private static final class Reading extends HttpClient.Keeping {
-        private final Attempt<JsonNode, Chunk> attempt;
-
-        Reading(Attempt<JsonNode, Chunk> attempt) {
-            this.attempt = attempt;
-        }
-
-        @Override
-        public void done() {
-            if (status() != 200) {
-                EngineProtocol.Refusal refusal = EngineProtocol.refusal(status(), body());
-                attempt.ended(refusal.ending(), refusal.stateMissing(), refusal.what());
-                return;
-            }
-            EngineProtocol.ReadReply reply = EngineProtocol.readReply(body());
-            if (reply.problem() != null) {
-                attempt.ended(Ending.ERROR, false, reply.problem());
-            } else {
-                attempt.read(reply.transfer(), reply.cachedTokens());
-            }
-        }
-
-        @Override
-        public void failed(HttpClient.Failure failure, String what) {
-            attempt.ended(Engines.ending(failure), false, what);
-        }
-    }
-
-    /** A write under way. A stream that was begun and then stays silent is broken after the settings' time. */
-    public final class Writing extends HttpClient.Keeping implements Work {
-        private final Attempt<JsonNode, Chunk> attempt;
-        private HttpClient.Call call;
-        private boolean finished;
-        private boolean over;
-        private boolean watched;
-        private final Silence quiet = new Silence(loop, lateness, silence, this::silent);
-        private volatile Lane lane;
-        private final PlainPiece plain = new PlainPiece();
-
-        private Writing(Attempt<JsonNode, Chunk> attempt) {
-            this.attempt = attempt;
-        }
-
-        @Override
-        public void pause() {
-            quiet.pause();
-            call.pause();
-        }
-
-        @Override
-        public void resume() {
-            quiet.resume();
-            call.resume();
-        }
-
-        /** What is more than plain text still comes as an event. */
-        @Override
-        public void by(Lane way) {
-            lane = way;
-        }
-
-        @Override
-        public boolean direct(byte[] data, int length) {
-            Lane way = lane;
-            if (way == null || !plain.take(data, length) || !way.take(plain.text(), plain.answerTokens())) {
-                return false;
-            }
-            quiet.heard();
-            return true;
-        }
-
-        @Override
-        public void cancel() {
-            over();
-            call.cancel();
-        }
-
-        /** Nothing may hold it any more: a timer that is left to run out would keep the whole call until then. */
-        private void over() {
-            lane = null;
-            over = true;
-            quiet.end();
-        }
-
-        @Override
-        public Object map(SseEvent event) {
-            return EngineProtocol.chunk(event.data());
-        }
-
-        @Override
-        public void event(Object mapped) {
-            Chunk chunk = (Chunk) mapped;
-            if (over || finished && !chunk.carries() && chunk.error() == null && chunk.answerTokens() < 0) {
-                return;
-            }
-            quiet.heard();
-            if (status() != 200 || chunk.error() != null) {
-                call.cancel();
-                end(Ending.ERROR, status() != 200 ? "status " + status() + " with an event stream" : chunk.error());
-                return;
-            }
-            finished |= chunk.finish() != null;
-            attempt.chunk(chunk);
-            if (!watched && !over && chunk.carries()) {
-                watched = true;
-                quiet.watch();
-            }
-        }
-
-        private void silent() {
-            call.cancel();
-            end(Ending.RESET, "the stream stayed silent for " + silence / 1_000 + " ms");
-        }
-
-        @Override
-        public void done() {
-            if (status() != 200) {
-                EngineProtocol.Refusal refusal = EngineProtocol.refusal(status(), body());
-                over();
-                attempt.ended(refusal.ending(), refusal.stateMissing(), refusal.what());
-            } else if (finished) {
-                end(Ending.OK, "");
-            } else {
-                end(Ending.RESET, "the stream ended without a finish_reason");
-            }
-        }
-
-        @Override
-        public void failed(HttpClient.Failure failure, String what) {
-            if (finished) {
-                end(Ending.OK, ""); // all of the answer had come; only the closing mark was lost
-            } else {
-                end(Engines.ending(failure), what);
-            }
-        }
+    public void resume() {
+      quiet.resume();
+      call.resume();
+    }
 
-        private void end(Ending ending, String what) {
-            if (!over) {
-                over();
-                attempt.ended(ending, false, what);
-            }
-        }
+    /** What is more than plain text still comes as an event. */
+    @Override
+    public void by(Lane way) {
+      lane = way;
+    }
+
+    @Override
+    public boolean direct(byte[] data, int length) {
+      Lane way = lane;
+      if (way == null
+          || !plain.take(data, length)
+          || !way.take(plain.text(), plain.answerTokens())) {
+        return false;
+      }
+      quiet.heard();
+      return true;
+    }
+
+    @Override
+    public void cancel() {
+      over();
+      call.cancel();
+    }
+
+    /**
+     * Nothing may hold it any more: a timer that is left to run out would keep the whole call until
+     * then.
+     */
+    private void over() {
+      lane = null;
+      over = true;
+      quiet.end();
+    }
+
+    @Override
+    public Object map(SseEvent event) {
+      return EngineProtocol.chunk(event.data());
+    }
+
+    @Override
+    public void event(Object mapped) {
+      Chunk chunk = (Chunk) mapped;
+      if (over
+          || finished && !chunk.carries() && chunk.error() == null && chunk.answerTokens() < 0) {
+        return;
+      }
+      quiet.heard();
+      if (status() != 200 || chunk.error() != null) {
+        call.cancel();
+        end(
+            Ending.ERROR,
+            status() != 200 ? "status " + status() + " with an event stream" : chunk.error());
+        return;
+      }
+      finished |= chunk.finish() != null;
+      attempt.chunk(chunk);
+      if (!watched && !over && chunk.carries()) {
+        watched = true;
+        quiet.watch();
+      }
+    }
+
+    private void silent() {
+      call.cancel();
+      end(Ending.RESET, "the stream stayed silent for " + silence / 1_000 + " ms");
+    }
+
+    @Override
+    public void done() {
+      if (status() != 200) {
+        EngineProtocol.Refusal refusal = EngineProtocol.refusal(status(), body());
+        over();
+        attempt.ended(refusal.ending(), refusal.stateMissing(), refusal.what());
+      } else if (finished) {
+        end(Ending.OK, "");
+      } else {
+        end(Ending.RESET, "the stream ended without a finish_reason");
+      }
+    }
+
+    @Override
+    public void failed(HttpClient.Failure failure, String what) {
+      if (finished) {
+        end(Ending.OK, ""); // all of the answer had come; only the closing mark was lost
+      } else {
+        end(Engines.ending(failure), what);
+      }
+    }
+
+    private void end(Ending ending, String what) {
+      if (!over) {
+        over();
+        attempt.ended(ending, false, what);
+      }
     }
+  }
 }
--- a/gateway/src/main/java/lemondock/gateway/front/AccessCheck.java
+++ b/gateway/src/main/java/lemondock/gateway/front/AccessCheck.java
@@ -8,40 +8,48 @@
 import lemondock.net.http.HttpServer;
 
 /**
- * Checks the Host and Origin header fields of requests, against DNS rebinding: a page of another site can make a browser send requests
- * here, but only under that site's names.
+ * Checks the Host and Origin header fields of requests, against DNS rebinding: a page of another
+ * site can make a browser send requests here, but only under that site's names.
  */
 final class AccessCheck {
-    private static final Pattern LOOPBACK = Pattern.compile("(localhost|127\\.[0-9.]+|\\[::1]):[0-9]+");
-    /** A page that this machine itself serves, on whatever port; other machines' pages have other origins. */
-    private static final Pattern LOOPBACK_ORIGIN =
-            Pattern.compile("https?://(localhost|127\\.0\\.0\\.1|\\[::1])(:[0-9]{1,5})?");
+  private static final Pattern LOOPBACK =
+      Pattern.compile("(localhost|127\\.[0-9.]+|\\[::1]):[0-9]+");
 
-    private final GatewaySettings.Front settings;
-    private final boolean loopback;
+  /**
+   * A page that this machine itself serves, on whatever port; other machines' pages have other
+   * origins.
+   */
+  private static final Pattern LOOPBACK_ORIGIN =
+      Pattern.compile("https?://(localhost|127\\.0\\.0\\.1|\\[::1])(:[0-9]{1,5})?");
 
-    AccessCheck(GatewaySettings.Front settings) {
-        this.settings = settings;
-        this.loopback = LOOPBACK.matcher(settings.listen()).matches();
-    }
+  private final GatewaySettings.Front settings;
+  private final boolean loopback;
 
-    /** Why the request is not allowed here, null if it is. */
-    String forbidden(HttpServer.Request request) {
-        String host = request.headers().get("host");
-        if (host != null && !settings.allowedHosts().contains("*")
-                && !settings.allowedHosts().contains(withoutPort(host).toLowerCase(Locale.ROOT))) {
-            return "host " + clip(host) + " is not allowed here";
-        }
-        String origin = request.headers().get("origin");
-        if (origin != null && !settings.allowedOrigins().contains("*") && !settings.allowedOrigins().contains(origin)
-                && !(loopback && LOOPBACK_ORIGIN.matcher(origin).matches())) {
-            return "origin " + clip(origin) + " is not allowed here";
-        }
-        return null;
-    }
+  AccessCheck(GatewaySettings.Front settings) {
+    this.settings = settings;
+    this.loopback = LOOPBACK.matcher(settings.listen()).matches();
+  }
 
-    private static String withoutPort(String host) {
-        int colon = host.lastIndexOf(':');
-        return colon > host.lastIndexOf(']') ? host.substring(0, colon) : host;
+  /** Why the request is not allowed here, null if it is. */
+  String forbidden(HttpServer.Request request) {
+    String host = request.headers().get("host");
+    if (host != null
+        && !settings.allowedHosts().contains("*")
+        && !settings.allowedHosts().contains(withoutPort(host).toLowerCase(Locale.ROOT))) {
+      return "host " + clip(host) + " is not allowed here";
     }
+    String origin = request.headers().get("origin");
+    if (origin != null
+        && !settings.allowedOrigins().contains("*")
+        && !settings.allowedOrigins().contains(origin)
+        && !(loopback && LOOPBACK_ORIGIN.matcher(origin).matches())) {
+      return "origin " + clip(origin) + " is not allowed here";
+    }
+    return null;
+  }
+
+  private static String withoutPort(String host) {
+    int colon = host.lastIndexOf(':');
+    return colon > host.lastIndexOf(']') ? host.substring(0, colon) : host;
+  }
 }
--- a/gateway/src/main/java/lemondock/gateway/front/FrontAnswers.java
+++ b/gateway/src/main/java/lemondock/gateway/front/FrontAnswers.java
@@ -8,27 +8,31 @@
 
 /** The short answers of the MCP front. */
 final class FrontAnswers {
-    private FrontAnswers() { }
+  private FrontAnswers() {}
 
-    /** Answers with a line of text. */
-    static void text(HttpServer.Exchange exchange, int status, String what) {
-        exchange.respond(status, Headers.of("content-type", "text/plain; charset=utf-8"),
-                (what + "\n").getBytes(StandardCharsets.UTF_8));
-    }
+  /** Answers with a line of text. */
+  static void text(HttpServer.Exchange exchange, int status, String what) {
+    exchange.respond(
+        status,
+        Headers.of("content-type", "text/plain; charset=utf-8"),
+        (what + "\n").getBytes(StandardCharsets.UTF_8));
+  }
 
-    /** Answers with a JSON-RPC error. */
-    static void error(HttpServer.Exchange exchange, int status, JsonNode id, int code, String what) {
-        exchange.respond(status, Headers.of("content-type", "application/json"),
-                bytes(JsonRpc.error(id, code, what, null)));
-    }
+  /** Answers with a JSON-RPC error. */
+  static void error(HttpServer.Exchange exchange, int status, JsonNode id, int code, String what) {
+    exchange.respond(
+        status,
+        Headers.of("content-type", "application/json"),
+        bytes(JsonRpc.error(id, code, what, null)));
+  }
 
-    /** A message as it is sent. */
-    static byte[] bytes(JsonNode node) {
-        return node.toString().getBytes(StandardCharsets.UTF_8);
-    }
+  /** A message as it is sent. */
+  static byte[] bytes(JsonNode node) {
+    return node.toString().getBytes(StandardCharsets.UTF_8);
+  }
 
-    /** A text that came from outside, bounded for answers and log lines. */
-    static String clip(String text) {
-        return text.length() > 80 ? text.substring(0, 80) + "..." : text;
-    }
+  /** A text that came from outside, bounded for answers and log lines. */
+  static String clip(String text) {
+    return text.length() > 80 ? text.substring(0, 80) + "..." : text;
+  }
 }
--- a/gateway/src/main/java/lemondock/gateway/front/McpCall.java
+++ b/gateway/src/main/java/lemondock/gateway/front/McpCall.java
@@ -15,155 +15,174 @@
 
 /** One {@code tools/call} of a client: turns what becomes of it into messages of the protocol. */
 final class McpCall implements Calls.Sink {
-    private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final long MICROS = 1_000;
-
-    private final McpSession session;
-    private final JsonNode id;
-    private final Reply reply;
-    private final boolean safe;
-    private final Progress progress;
-    private final String conversation;
-    private final Map<String, String> relayIds = new HashMap<>();
-    private Calls.Call call;
-
-    /** Where a call's messages go. */
-    interface Reply {
-        /** Sends a message that is no response; dropped where the client takes responses only. */
-        void message(String json);
-
-        /** Sends a piece of the answer, like {@link #message}. */
-        void progress(Progress progress, int tokens, CharSequence piece);
-
-        /** Sends the response to the call. */
-        void response(McpCall call, ObjectNode response);
-
-        /** The call was cancelled by the client and gets no response. */
-        void cancelled(McpCall call);
-
-        /** The shard of the connection they go over. */
-        int shard();
-
-        /** See {@link Calls.Sink#lock}. */
-        Object lock();
-
-        /** See {@link Calls.Sink#flows}. */
-        boolean flows();
-    }
-
-    McpCall(McpSession session, JsonNode id, JsonNode progressToken, boolean safe, String conversation, Reply reply) {
-        this.session = session;
-        this.id = id;
-        this.reply = reply;
-        this.safe = safe;
-        this.conversation = conversation;
-        this.progress = progressToken == null ? null : new Progress(progressToken);
-    }
-
-    JsonNode id() {
-        return id;
-    }
-
-    String key() {
-        return id.toString();
-    }
-
-    Calls.Call call() {
-        return call;
-    }
-
-    /** The client cancelled it; {@link Calls.Call#leave} was called. */
-    void cancelled() {
-        reply.cancelled(this);
-    }
-
-    @Override
-    public void taken(Calls.Call made) {
-        call = made;
-    }
-
-    @Override
-    public void deliver(CharSequence piece, int tokens) {
-        if (progress != null) {
-            reply.progress(progress, tokens, piece);
-        }
-    }
-
-    @Override
-    public int shard() {
-        return reply.shard();
-    }
-
-    @Override
-    public Object lock() {
-        return reply.lock();
-    }
-
-    @Override
-    public boolean flows() {
-        return reply.flows();
-    }
-
-    @Override
-    public void relay(ToolCall tool) {
-        String relayId = "relay-" + session.nextRelay++;
-        relayIds.put(tool.id(), relayId);
-        session.relayed.put(relayId, new McpSession.Relayed(call, tool.id()));
-        ObjectNode params = JsonNodeFactory.instance.objectNode().put("name", tool.name());
-        params.set("arguments", arguments(tool.arguments()));
-        params.putObject("_meta").set("lemondock/call", id);
-        reply.message(JsonRpc.request(JsonNodeFactory.instance.textNode(relayId), Mcp.TOOLS_CALL, params).toString());
-    }
-
-    /** What a model calls arguments need not be JSON; then the client gets the text as it is. */
-    private static JsonNode arguments(String text) {
-        try {
-            JsonNode parsed = text.isBlank() ? null : MAPPER.readTree(text);
-            if (parsed != null && parsed.isObject()) {
-                return parsed;
-            }
-        } catch (JsonProcessingException e) {
-            // handed on below
-        }
-        ObjectNode arguments = JsonNodeFactory.instance.objectNode();
-        return text.isBlank() ? arguments : arguments.put("text", text);
-    }
-
-    @Override
-    public void withdraw(ToolCall tool, String why) {
-        String relayId = relayIds.get(tool.id());
-        session.relayed.remove(relayId);
-        reply.message(JsonRpc.notification(Mcp.CANCELLED, JsonNodeFactory.instance.objectNode()
-                .put("requestId", relayId).put("reason", why)).toString());
-    }
-
-    @Override
-    public void ended(Answer.Ending ending) {
-        reply.response(this, switch (ending.end()) {
-            case SERVED -> JsonRpc.result(id, result(ending));
-            case REFUSED -> JsonRpc.error(id, Mcp.REFUSED, ending.what(), data(ending, true));
-            default -> JsonRpc.error(id, Mcp.FAILED, ending.what(), data(ending, safe));
+  private static final ObjectMapper MAPPER = new ObjectMapper();
+  private static final long MICROS = 1_000;
+
+  private final McpSession session;
+  private final JsonNode id;
+  private final Reply reply;
+  private final boolean safe;
+  private final Progress progress;
+  private final String conversation;
+  private final Map<String, String> relayIds = new HashMap<>();
+  private Calls.Call call;
+
+  /** Where a call's messages go. */
+  interface Reply {
+    /** Sends a message that is no response; dropped where the client takes responses only. */
+    void message(String json);
+
+    /** Sends a piece of the answer, like {@link #message}. */
+    void progress(Progress progress, int tokens, CharSequence piece);
+
+    /** Sends the response to the call. */
+    void response(McpCall call, ObjectNode response);
+
+    /** The call was cancelled by the client and gets no response. */
+    void cancelled(McpCall call);
+
+    /** The shard of the connection they go over. */
+    int shard();
+
+    /** See {@link Calls.Sink#lock}. */
+    Object lock();
+
+    /** See {@link Calls.Sink#flows}. */
+    boolean flows();
+  }
+
+  McpCall(
+      McpSession session,
+      JsonNode id,
+      JsonNode progressToken,
+      boolean safe,
+      String conversation,
+      Reply reply) {
+    this.session = session;
+    this.id = id;
+    this.reply = reply;
+    this.safe = safe;
+    this.conversation = conversation;
+    this.progress = progressToken == null ? null : new Progress(progressToken);
+  }
+
+  JsonNode id() {
+    return id;
+  }
+
+  String key() {
+    return id.toString();
+  }
+
+  Calls.Call call() {
+    return call;
+  }
+
+  /** The client cancelled it; {@link Calls.Call#leave} was called. */
+  void cancelled() {
+    reply.cancelled(this);
+  }
+
+  @Override
+  public void taken(Calls.Call made) {
+    call = made;
+  }
+
+  @Override
+  public void deliver(CharSequence piece, int tokens) {
+    if (progress != null) {
+      reply.progress(progress, tokens, piece);
+    }
+  }
+
+  @Override
+  public int shard() {
+    return reply.shard();
+  }
+
+  @Override
+  public Object lock() {
+    return reply.lock();
+  }
+
+  @Override
+  public boolean flows() {
+    return reply.flows();
+  }
+
+  @Override
+  public void relay(ToolCall tool) {
+    String relayId = "relay-" + session.nextRelay++;
+    relayIds.put(tool.id(), relayId);
+    session.relayed.put(relayId, new McpSession.Relayed(call, tool.id()));
+    ObjectNode params = JsonNodeFactory.instance.objectNode().put("name", tool.name());
+    params.set("arguments", arguments(tool.arguments()));
+    params.putObject("_meta").set("lemondock/call", id);
+    reply.message(
+        JsonRpc.request(JsonNodeFactory.instance.textNode(relayId), Mcp.TOOLS_CALL, params)
+            .toString());
+  }
+
+  /** What a model calls arguments need not be JSON; then the client gets the text as it is. */
+  private static JsonNode arguments(String text) {
+    try {
+      JsonNode parsed = text.isBlank() ? null : MAPPER.readTree(text);
+      if (parsed != null && parsed.isObject()) {
+        return parsed;
+      }
+    } catch (JsonProcessingException e) {
+      // handed on below
+    }
+    ObjectNode arguments = JsonNodeFactory.instance.objectNode();
+    return text.isBlank() ? arguments : arguments.put("text", text);
+  }
+
+  @Override
+  public void withdraw(ToolCall tool, String why) {
+    String relayId = relayIds.get(tool.id());
+    session.relayed.remove(relayId);
+    reply.message(
+        JsonRpc.notification(
+                Mcp.CANCELLED,
+                JsonNodeFactory.instance.objectNode().put("requestId", relayId).put("reason", why))
+            .toString());
+  }
+
+  @Override
+  public void ended(Answer.Ending ending) {
+    reply.response(
+        this,
+        switch (ending.end()) {
+          case SERVED -> JsonRpc.result(id, result(ending));
+          case REFUSED -> JsonRpc.error(id, Mcp.REFUSED, ending.what(), data(ending, true));
+          default -> JsonRpc.error(id, Mcp.FAILED, ending.what(), data(ending, safe));
         });
-    }
-
-    private ObjectNode result(Answer.Ending ending) {
-        ObjectNode result = JsonNodeFactory.instance.objectNode();
-        result.putArray("content").addObject().put("type", "text").put("text", ending.text());
-        ObjectNode told = result.putObject("structuredContent");
-        told.put("text", ending.text()).put("tokens", ending.tokens()).put("turns", ending.turns() + 1)
-                .put("toolCalls", ending.calls()).put("finishReason", ending.finish());
-        if (conversation != null) {
-            told.put("conversation", conversation);
-        }
-        return result.put("isError", false);
-    }
-
-    private static ObjectNode data(Answer.Ending ending, boolean retryable) {
-        ObjectNode data = JsonNodeFactory.instance.objectNode().put("retryable", retryable)
-                .put("tokens", ending.tokens());
-        if (retryable && ending.retryAfterMicros() > 0) {
-            data.put("retryAfterMs", ending.retryAfterMicros() / MICROS);
-        }
-        return data;
-    }
+  }
+
+  private ObjectNode result(Answer.Ending ending) {
+    ObjectNode result = JsonNodeFactory.instance.objectNode();
+    result.putArray("content").addObject().put("type", "text").put("text", ending.text());
+    ObjectNode told = result.putObject("structuredContent");
+    told.put("text", ending.text())
+        .put("tokens", ending.tokens())
+        .put("turns", ending.turns() + 1)
+        .put("toolCalls", ending.calls())
+        .put("finishReason", ending.finish());
+    if (conversation != null) {
+      told.put("conversation", conversation);
+    }
+    return result.put("isError", false);
+  }
+
+  private static ObjectNode data(Answer.Ending ending, boolean retryable) {
+    ObjectNode data =
+        JsonNodeFactory.instance
+            .objectNode()
+            .put("retryable", retryable)
+            .put("tokens", ending.tokens());
+    if (retryable && ending.retryAfterMicros() > 0) {
+      data.put("retryAfterMs", ending.retryAfterMicros() / MICROS);
+    }
+    return data;
+  }
 }
--- a/gateway/src/main/java/lemondock/gateway/front/McpSession.java
+++ b/gateway/src/main/java/lemondock/gateway/front/McpSession.java
@@ -5,46 +5,59 @@
 import java.util.Map;
 import lemondock.gateway.core.Calls;
 
-/** One client's session: its version, its calls and streams, and the tool calls that it was sent. */
+/**
+ * One client's session: its version, its calls and streams, and the tool calls that it was sent.
+ */
 final class McpSession {
-    private static final int MOST_EARLY = 64;
-    private static final long EARLY_MICROS = 2_000_000;
-    final String id;
-    final String version;
-    /** Calls under way by the JSON text of their ids, so that 1 and "1" differ. */
-    final Map<String, McpCall> calls = new HashMap<>();
-    /** Relayed calls that wait for the client's response, by the id they were sent under. */
-    final Map<String, Relayed> relayed = new HashMap<>();
-    final Map<Long, Stream> streams = new HashMap<>();
-    /** Ids cancelled while no call of theirs was under way, and when: a call may still wait to be read. */
-    private final LinkedHashMap<String, Long> early = new LinkedHashMap<>();
-    Stream server;
-    long usedAt;
-    long nextStream = 1;
-    long nextRelay = 1;
-    long nextCall = 1;
-    boolean ended;
-
-    /** A call that was sent to the client. */
-    record Relayed(Calls.Call call, String callId) { }
-
-    /** The client cancelled a call that is not under way: it has ended, never was, or its request waits to be read. */
-    void cancelledEarly(String key, long now) {
-        early.put(key, now);
-        if (early.size() > MOST_EARLY) {
-            early.remove(early.keySet().iterator().next());
-        }
-    }
+  private static final int MOST_EARLY = 64;
+  private static final long EARLY_MICROS = 2_000_000;
+  final String id;
+  final String version;
 
-    /** Whether a call that begins was cancelled a moment ago. */
-    boolean wasCancelled(String key, long now) {
-        Long at = early.remove(key);
-        return at != null && now - at < EARLY_MICROS;
-    }
+  /** Calls under way by the JSON text of their ids, so that 1 and "1" differ. */
+  final Map<String, McpCall> calls = new HashMap<>();
+
+  /** Relayed calls that wait for the client's response, by the id they were sent under. */
+  final Map<String, Relayed> relayed = new HashMap<>();
+
+  final Map<Long, Stream> streams = new HashMap<>();
+
+  /**
+   * Ids cancelled while no call of theirs was under way, and when: a call may still wait to be
+   * read.
+   */
+  private final LinkedHashMap<String, Long> early = new LinkedHashMap<>();
 
-    McpSession(String id, String version, long now) {
-        this.id = id;
-        this.version = version;
-        this.usedAt = now;
+  Stream server;
+  long usedAt;
+  long nextStream = 1;
+  long nextRelay = 1;
+  long nextCall = 1;
+  boolean ended;
+
+  /** A call that was sent to the client. */
+  record Relayed(Calls.Call call, String callId) {}
+
+  /**
+   * The client cancelled a call that is not under way: it has ended, never was, or its request
+   * waits to be read.
+   */
+  void cancelledEarly(String key, long now) {
+    early.put(key, now);
+    if (early.size() > MOST_EARLY) {
+      early.remove(early.keySet().iterator().next());
     }
+  }
+
+  /** Whether a call that begins was cancelled a moment ago. */
+  boolean wasCancelled(String key, long now) {
+    Long at = early.remove(key);
+    return at != null && now - at < EARLY_MICROS;
+  }
+
+  McpSession(String id, String version, long now) {
+    this.id = id;
+    this.version = version;
+    this.usedAt = now;
+  }
 }
--- a/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
@@ -47,298 +47,433 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A gateway's reports, on a loop, sockets and threads that no request uses: collectors, the detector of falls, the port
- * that {@code lemondock status} asks, and the final tally. The gateway knows nothing of it but its {@link GatewayTally}.
+ * A gateway's reports, on a loop, sockets and threads that no request uses: collectors, the
+ * detector of falls, the port that {@code lemondock status} asks, and the final tally. The gateway
+ * knows nothing of it but its {@link GatewayTally}.
  */
 public final class Reporting {
-    private static final Logger LOG = LoggerFactory.getLogger(Reporting.class);
-    private static final String DEFAULT_PREFIX = "lemondock";
-    private static final int COLLECTD_PACKET = 1_452;
-    private static final long SHORT_WINDOW = 10_000_000;
-    private static final long LONG_WINDOW = 60_000_000;
-    private static final int MOST_PROCESS_METERS = 200;
-    private static final int STATUS_CONNECTIONS = 64;
-    private static final long STATUS_TIMEOUT = 5_000_000;
-    private static final long MICROS = 1_000;
-    private static final double PROCESS_PLACES = 1_000;
+  private static final Logger LOG = LoggerFactory.getLogger(Reporting.class);
+  private static final String DEFAULT_PREFIX = "lemondock";
+  private static final int COLLECTD_PACKET = 1_452;
+  private static final long SHORT_WINDOW = 10_000_000;
+  private static final long LONG_WINDOW = 60_000_000;
+  private static final int MOST_PROCESS_METERS = 200;
+  private static final int STATUS_CONNECTIONS = 64;
+  private static final long STATUS_TIMEOUT = 5_000_000;
+  private static final long MICROS = 1_000;
+  private static final double PROCESS_PLACES = 1_000;
 
-    private final GatewaySettings settings;
-    private final GatewaySettings.Reporting reporting;
-    private final GatewayTally counted;
-    private final Environment environment;
-    private final Loop loop;
-    private final Reporter reporter;
-    private final FallDetector detector;
-    private final MeterView meters = new MeterView();
-    private final MeterRegistry process;
-    private final ServiceWindow lastSeconds = new ServiceWindow(SHORT_WINDOW);
-    private final ServiceWindow lastMinute = new ServiceWindow(LONG_WINDOW);
-    private final Map<String, Series> processSeries = new LinkedHashMap<>();
-    private final Map<FallDetector.Key, Series> falls = new LinkedHashMap<>();
-    private final Series notFinite;
-    private HttpServer status;
-    private String instance;
-    private long notFiniteCount;
-    private long stamp;
+  private final GatewaySettings settings;
+  private final GatewaySettings.Reporting reporting;
+  private final GatewayTally counted;
+  private final Environment environment;
+  private final Loop loop;
+  private final Reporter reporter;
+  private final FallDetector detector;
+  private final MeterView meters = new MeterView();
+  private final MeterRegistry process;
+  private final ServiceWindow lastSeconds = new ServiceWindow(SHORT_WINDOW);
+  private final ServiceWindow lastMinute = new ServiceWindow(LONG_WINDOW);
+  private final Map<String, Series> processSeries = new LinkedHashMap<>();
+  private final Map<FallDetector.Key, Series> falls = new LinkedHashMap<>();
+  private final Series notFinite;
+  private HttpServer status;
+  private String instance;
+  private long notFiniteCount;
+  private long stamp;
 
-    /** Makes reports of a gateway; {@code process} holds gauges of the process that are told along. */
-    public Reporting(GatewaySettings settings, GatewayTally counted, Environment environment, MeterRegistry process) {
-        this.settings = settings;
-        this.reporting = settings.reporting();
-        this.counted = counted;
-        this.environment = environment;
-        this.loop = environment.loop();
-        this.process = process;
-        this.reporter = new Reporter(loop, counted.tally(), new Reporter.Options(
-                GatewaySettings.micros(reporting.tickMs()), (int) Math.round(reporting.intervalMs() / reporting.tickMs()),
-                reporting.ringBytes(), reporting.ringSnapshots(), GatewaySettings.micros(reporting.mostAheadMs())));
-        GatewaySettings.Detector d = reporting.detector();
-        Cusum.Settings figures = new Cusum.Settings(d.leastUsual(), d.mostUsual(), d.fall(), d.times(), d.threshold(),
-                d.clear(), GatewaySettings.micros(d.holdMs()), GatewaySettings.micros(d.quietMs()), d.memory());
-        this.detector = new FallDetector(() -> new Cusum(figures));
-        this.notFinite = counted.tally().series(Metrics.BOUNDS, "not_finite");
-    }
+  /**
+   * Makes reports of a gateway; {@code process} holds gauges of the process that are told along.
+   */
+  public Reporting(
+      GatewaySettings settings,
+      GatewayTally counted,
+      Environment environment,
+      MeterRegistry process) {
+    this.settings = settings;
+    this.reporting = settings.reporting();
+    this.counted = counted;
+    this.environment = environment;
+    this.loop = environment.loop();
+    this.process = process;
+    this.reporter =
+        new Reporter(
+            loop,
+            counted.tally(),
+            new Reporter.Options(
+                GatewaySettings.micros(reporting.tickMs()),
+                (int) Math.round(reporting.intervalMs() / reporting.tickMs()),
+                reporting.ringBytes(),
+                reporting.ringSnapshots(),
+                GatewaySettings.micros(reporting.mostAheadMs())));
+    GatewaySettings.Detector d = reporting.detector();
+    Cusum.Settings figures =
+        new Cusum.Settings(
+            d.leastUsual(),
+            d.mostUsual(),
+            d.fall(),
+            d.times(),
+            d.threshold(),
+            d.clear(),
+            GatewaySettings.micros(d.holdMs()),
+            GatewaySettings.micros(d.quietMs()),
+            d.memory());
+    this.detector = new FallDetector(() -> new Cusum(figures));
+    this.notFinite = counted.tally().series(Metrics.BOUNDS, "not_finite");
+  }
 
-    /**
-     * Begins to report; call it off the loops.
-     *
-     * @param gateway the address that the gateway's clients come to; its port tells two gateways of one name apart
-     * @throws SettingsException if a file of users cannot be used
-     * @throws IOException if the port for {@code lemondock status} cannot be taken
-     */
-    public void start(InetSocketAddress gateway) throws SettingsException, IOException {
-        instance = reporting.instance() != null ? reporting.instance() : settings.name() + "-" + gateway.getPort();
-        List<Runnable> starts = new ArrayList<>();
-        for (int i = 0; i < reporting.destinations().size(); i++) {
-            starts.add(destination(reporting.destinations().get(i), "/reporting/destinations/" + i));
-        }
-        reporter.onGauges(this::gauges);
-        reporter.onTick(this::looked);
-        if (reporting.listen() != null) {
-            status = new HttpServer(loop, new HttpServer.Options(HttpLimits.DEFAULT, STATUS_CONNECTIONS, 1 << 20,
-                    STATUS_TIMEOUT, STATUS_TIMEOUT, STATUS_TIMEOUT), this::serve);
-            status.start(environment.network(), SettingsFile.address(reporting.listen()));
-        }
-        loop.execute(() -> {
-            starts.forEach(Runnable::run);
-            reporter.start();
-        });
+  /**
+   * Begins to report; call it off the loops.
+   *
+   * @param gateway the address that the gateway's clients come to; its port tells two gateways of
+   *     one name apart
+   * @throws SettingsException if a file of users cannot be used
+   * @throws IOException if the port for {@code lemondock status} cannot be taken
+   */
+  public void start(InetSocketAddress gateway) throws SettingsException, IOException {
+    instance =
+        reporting.instance() != null
+            ? reporting.instance()
+            : settings.name() + "-" + gateway.getPort();
+    List<Runnable> starts = new ArrayList<>();
+    for (int i = 0; i < reporting.destinations().size(); i++) {
+      starts.add(destination(reporting.destinations().get(i), "/reporting/destinations/" + i));
     }
-
-    /** Adds what hears of each look; before the start. It is called on the reports' loop. */
-    public void onLook(Reporter.Listener listener) {
-        reporter.onTick(listener);
+    reporter.onGauges(this::gauges);
+    reporter.onTick(this::looked);
+    if (reporting.listen() != null) {
+      status =
+          new HttpServer(
+              loop,
+              new HttpServer.Options(
+                  HttpLimits.DEFAULT,
+                  STATUS_CONNECTIONS,
+                  1 << 20,
+                  STATUS_TIMEOUT,
+                  STATUS_TIMEOUT,
+                  STATUS_TIMEOUT),
+              this::serve);
+      status.start(environment.network(), SettingsFile.address(reporting.listen()));
     }
+    loop.execute(
+        () -> {
+          starts.forEach(Runnable::run);
+          reporter.start();
+        });
+  }
 
-    /** The name under which it reports; known once started. */
-    public String instance() {
-        return instance;
-    }
+  /** Adds what hears of each look; before the start. It is called on the reports' loop. */
+  public void onLook(Reporter.Listener listener) {
+    reporter.onTick(listener);
+  }
 
-    /** The address that answers {@code lemondock status}; null if none is set. */
-    public InetSocketAddress statusAddress() {
-        return status == null ? null : status.address();
-    }
+  /** The name under which it reports; known once started. */
+  public String instance() {
+    return instance;
+  }
 
-    /** The tally as Micrometer's meters, for an embedding program's own registries. */
-    public MeterView meters() {
-        return meters;
-    }
+  /** The address that answers {@code lemondock status}; null if none is set. */
+  public InetSocketAddress statusAddress() {
+    return status == null ? null : status.address();
+  }
 
-    private Runnable destination(GatewaySettings.Destination d, String pointer) throws SettingsException {
-        long interval = Math.round(reporting.intervalMs());
-        Identity names = new Identity(reporting.host() != null ? reporting.host() : environment.hostName(), instance);
-        InetSocketAddress at = d.address() == null ? null : SettingsFile.unresolved(d.address());
-        if (d.kind().equals("collectd")) {
-            Packets packets = new Packets(names, seal(d, pointer), d.packetBytes() == null ? COLLECTD_PACKET
-                    : d.packetBytes(), interval, !"counter".equals(d.counters()));
-            reporter.add(new DatagramDestination(loop, d.name(), at.getHostString(), at.getPort(), environment.resolver(),
-                    environment.datagrams(), packets, reporter.ring(), d.maxSnapshots(),
-                    GatewaySettings.micros(d.maxBackoffMs())));
-            return () -> { };
-        }
-        String prefix = d.prefix() == null ? DEFAULT_PREFIX : d.prefix();
-        boolean tags = Boolean.TRUE.equals(d.tags());
-        Encoder encoder = switch (d.kind()) {
-            case "graphite" -> new PlainText(prefix, instance, tags);
-            case "graphite-pickle" -> new Pickle(prefix, instance, tags);
-            default -> new PutVal(names, interval);
-        };
-        Dialer dialer = d.path() != null ? handler -> environment.unix().accept(Path.of(d.path()), handler)
-                : Dialer.tcp(loop, environment.network(), environment.resolver(), at.getHostString(), at.getPort(),
-                        GatewaySettings.micros(d.connectTimeoutMs()));
-        StreamDestination made = new StreamDestination(loop, d.name(), dialer, encoder, reporter.ring(),
-                new StreamDestination.Options(d.maxSnapshots(), GatewaySettings.micros(d.resendMs()),
-                        GatewaySettings.micros(d.stallMs()), GatewaySettings.micros(d.backoffMs()),
-                        GatewaySettings.micros(d.maxBackoffMs())), environment.random());
-        reporter.add(made);
-        return made::start;
+  /** The tally as Micrometer's meters, for an embedding program's own registries. */
+  public MeterView meters() {
+    return meters;
+  }
+
+  private Runnable destination(GatewaySettings.Destination d, String pointer)
+      throws SettingsException {
+    long interval = Math.round(reporting.intervalMs());
+    Identity names =
+        new Identity(
+            reporting.host() != null ? reporting.host() : environment.hostName(), instance);
+    InetSocketAddress at = d.address() == null ? null : SettingsFile.unresolved(d.address());
+    if (d.kind().equals("collectd")) {
+      Packets packets =
+          new Packets(
+              names,
+              seal(d, pointer),
+              d.packetBytes() == null ? COLLECTD_PACKET : d.packetBytes(),
+              interval,
+              !"counter".equals(d.counters()));
+      reporter.add(
+          new DatagramDestination(
+              loop,
+              d.name(),
+              at.getHostString(),
+              at.getPort(),
+              environment.resolver(),
+              environment.datagrams(),
+              packets,
+              reporter.ring(),
+              d.maxSnapshots(),
+              GatewaySettings.micros(d.maxBackoffMs())));
+      return () -> {};
     }
+    String prefix = d.prefix() == null ? DEFAULT_PREFIX : d.prefix();
+    boolean tags = Boolean.TRUE.equals(d.tags());
+    Encoder encoder =
+        switch (d.kind()) {
+          case "graphite" -> new PlainText(prefix, instance, tags);
+          case "graphite-pickle" -> new Pickle(prefix, instance, tags);
+          default -> new PutVal(names, interval);
+        };
+    Dialer dialer =
+        d.path() != null
+            ? handler -> environment.unix().accept(Path.of(d.path()), handler)
+            : Dialer.tcp(
+                loop,
+                environment.network(),
+                environment.resolver(),
+                at.getHostString(),
+                at.getPort(),
+                GatewaySettings.micros(d.connectTimeoutMs()));
+    StreamDestination made =
+        new StreamDestination(
+            loop,
+            d.name(),
+            dialer,
+            encoder,
+            reporter.ring(),
+            new StreamDestination.Options(
+                d.maxSnapshots(),
+                GatewaySettings.micros(d.resendMs()),
+                GatewaySettings.micros(d.stallMs()),
+                GatewaySettings.micros(d.backoffMs()),
+                GatewaySettings.micros(d.maxBackoffMs())),
+            environment.random());
+    reporter.add(made);
+    return made::start;
+  }
 
-    private static Seal seal(GatewaySettings.Destination d, String pointer) throws SettingsException {
-        if (d.security() == null || d.security().equals("none")) {
-            return new Seal(Seal.Level.NONE, "", "");
-        }
-        String password;
-        try {
-            password = AuthFile.password(Files.readAllLines(Path.of(d.authFile())), d.username()).orElse(null);
-        } catch (IOException e) {
-            throw new SettingsException(List.of(d.authFile() + ": " + pointer + "/authFile: expected a file of lines "
-                    + "'name: password', found: " + e));
-        }
-        if (password == null) {
-            throw new SettingsException(List.of(d.authFile() + ": " + pointer + "/username: expected a line for user "
-                    + d.username() + ", found none"));
-        }
-        return new Seal(d.security().equals("sign") ? Seal.Level.SIGN : Seal.Level.ENCRYPT, d.username(), password);
+  private static Seal seal(GatewaySettings.Destination d, String pointer) throws SettingsException {
+    if (d.security() == null || d.security().equals("none")) {
+      return new Seal(Seal.Level.NONE, "", "");
     }
+    String password;
+    try {
+      password =
+          AuthFile.password(Files.readAllLines(Path.of(d.authFile())), d.username()).orElse(null);
+    } catch (IOException e) {
+      throw new SettingsException(
+          List.of(
+              d.authFile()
+                  + ": "
+                  + pointer
+                  + "/authFile: expected a file of lines "
+                  + "'name: password', found: "
+                  + e));
+    }
+    if (password == null) {
+      throw new SettingsException(
+          List.of(
+              d.authFile()
+                  + ": "
+                  + pointer
+                  + "/username: expected a line for user "
+                  + d.username()
+                  + ", found none"));
+    }
+    return new Seal(
+        d.security().equals("sign") ? Seal.Level.SIGN : Seal.Level.ENCRYPT, d.username(), password);
+  }
 
-    // ==== looks
+  // ==== looks
 
-    private void gauges(Recorder recorder) {
-        MeterView.gauges(process, (name, value) -> {
-            Series series = processSeries.get(name);
-            if (series == null && processSeries.size() < MOST_PROCESS_METERS) {
-                series = counted.tally().series(Metrics.PROCESS, name);
-                processSeries.put(name, series);
-            }
-            if (series == null) {
-                return;
-            }
-            boolean finite = Double.isFinite(value) && Math.abs(value) < Long.MAX_VALUE / (2 * PROCESS_PLACES);
-            notFiniteCount += finite ? 0 : 1;
-            recorder.set(series.first(), finite ? Math.round(value * PROCESS_PLACES) : Snapshot.ABSENT);
+  private void gauges(Recorder recorder) {
+    MeterView.gauges(
+        process,
+        (name, value) -> {
+          Series series = processSeries.get(name);
+          if (series == null && processSeries.size() < MOST_PROCESS_METERS) {
+            series = counted.tally().series(Metrics.PROCESS, name);
+            processSeries.put(name, series);
+          }
+          if (series == null) {
+            return;
+          }
+          boolean finite =
+              Double.isFinite(value) && Math.abs(value) < Long.MAX_VALUE / (2 * PROCESS_PLACES);
+          notFiniteCount += finite ? 0 : 1;
+          recorder.set(
+              series.first(), finite ? Math.round(value * PROCESS_PLACES) : Snapshot.ABSENT);
         });
-        recorder.set(notFinite.first(), notFiniteCount);
-        for (FallDetector.Sight sight : detector.sights()) {
-            Series series = falls.computeIfAbsent(sight.key(),
-                    k -> counted.tally().series(Metrics.FALL, k.what(), k.zone()));
-            recorder.set(series.slot(0), sight.fallen() ? 1 : 0);
-            recorder.set(series.slot(1), sight.falls());
-            recorder.set(series.slot(2), Math.round(sight.level() * PROCESS_PLACES));
-        }
+    recorder.set(notFinite.first(), notFiniteCount);
+    for (FallDetector.Sight sight : detector.sights()) {
+      Series series =
+          falls.computeIfAbsent(
+              sight.key(), k -> counted.tally().series(Metrics.FALL, k.what(), k.zone()));
+      recorder.set(series.slot(0), sight.fallen() ? 1 : 0);
+      recorder.set(series.slot(1), sight.falls());
+      recorder.set(series.slot(2), Math.round(sight.level() * PROCESS_PLACES));
     }
+  }
 
-    private void looked(long at, Snapshot snapshot) {
-        stamp = at;
-        meters.show(snapshot);
-        lastSeconds.take(loop.now(), snapshot);
-        lastMinute.take(loop.now(), snapshot);
-        for (FallDetector.Change change : detector.observe(loop.now(), verdicts(snapshot), attempts(snapshot))) {
-            LOG.warn("{}", change.line());
-            reporter.notice(change.began(), change.line());
-        }
+  private void looked(long at, Snapshot snapshot) {
+    stamp = at;
+    meters.show(snapshot);
+    lastSeconds.take(loop.now(), snapshot);
+    lastMinute.take(loop.now(), snapshot);
+    for (FallDetector.Change change :
+        detector.observe(loop.now(), verdicts(snapshot), attempts(snapshot))) {
+      LOG.warn("{}", change.line());
+      reporter.notice(change.began(), change.line());
     }
+  }
 
-    private static List<FallDetector.Count> verdicts(Snapshot snapshot) {
-        List<FallDetector.Count> counts = new ArrayList<>();
-        for (Series s : snapshot.series()) {
-            if (s.family().equals(Metrics.VERDICTS)) {
-                counts.add(new FallDetector.Count(new FallDetector.Key(s.labels().get(0), s.labels().get(1)),
-                        snapshot.values()[s.slot(0)], snapshot.values()[s.slot(1)]));
-            }
-        }
-        return counts;
+  private static List<FallDetector.Count> verdicts(Snapshot snapshot) {
+    List<FallDetector.Count> counts = new ArrayList<>();
+    for (Series s : snapshot.series()) {
+      if (s.family().equals(Metrics.VERDICTS)) {
+        counts.add(
+            new FallDetector.Count(
+                new FallDetector.Key(s.labels().get(0), s.labels().get(1)),
+                snapshot.values()[s.slot(0)],
+                snapshot.values()[s.slot(1)]));
+      }
     }
+    return counts;
+  }
 
-    /** Attempts by role and zone: answered ones against those that failed, were turned away or were called off. */
-    private static List<FallDetector.Count> attempts(Snapshot snapshot) {
-        int ok = Metrics.ATTEMPTS.index("ok");
-        int read = Metrics.ATTEMPTS.index("read");
-        int lastBad = Metrics.ATTEMPTS.index("cancelled");
-        List<FallDetector.Count> counts = new ArrayList<>();
-        for (Series s : snapshot.series()) {
-            if (s.family().equals(Metrics.ATTEMPTS)) {
-                long bad = 0;
-                for (int i = read + 1; i <= lastBad; i++) {
-                    bad += snapshot.values()[s.slot(i)];
-                }
-                counts.add(new FallDetector.Count(new FallDetector.Key(s.labels().get(0), s.labels().get(1)),
-                        snapshot.values()[s.slot(ok)] + snapshot.values()[s.slot(read)], bad));
-            }
+  /**
+   * Attempts by role and zone: answered ones against those that failed, were turned away or were
+   * called off.
+   */
+  private static List<FallDetector.Count> attempts(Snapshot snapshot) {
+    int ok = Metrics.ATTEMPTS.index("ok");
+    int read = Metrics.ATTEMPTS.index("read");
+    int lastBad = Metrics.ATTEMPTS.index("cancelled");
+    List<FallDetector.Count> counts = new ArrayList<>();
+    for (Series s : snapshot.series()) {
+      if (s.family().equals(Metrics.ATTEMPTS)) {
+        long bad = 0;
+        for (int i = read + 1; i <= lastBad; i++) {
+          bad += snapshot.values()[s.slot(i)];
         }
-        return counts;
+        counts.add(
+            new FallDetector.Count(
+                new FallDetector.Key(s.labels().get(0), s.labels().get(1)),
+                snapshot.values()[s.slot(ok)] + snapshot.values()[s.slot(read)],
+                bad));
+      }
     }
+    return counts;
+  }
 
-    // ==== what people ask
+  // ==== what people ask
 
-    private void serve(HttpServer.Exchange exchange) {
-        ObjectNode answer = switch (exchange.request().path()) {
-            case "/status" -> status();
-            case "/tally" -> tally(reporter.newest(), false);
-            default -> null;
+  private void serve(HttpServer.Exchange exchange) {
+    ObjectNode answer =
+        switch (exchange.request().path()) {
+          case "/status" -> status();
+          case "/tally" -> tally(reporter.newest(), false);
+          default -> null;
         };
-        if (answer == null || !exchange.request().method().equals("GET")) {
-            exchange.respond(answer == null ? 404 : 405, Headers.of("content-type", "text/plain; charset=utf-8"),
-                    "GET /status or /tally\n".getBytes(StandardCharsets.UTF_8));
-        } else {
-            exchange.respond(200, Headers.of("content-type", "application/json"),
-                    answer.toString().getBytes(StandardCharsets.UTF_8));
-        }
+    if (answer == null || !exchange.request().method().equals("GET")) {
+      exchange.respond(
+          answer == null ? 404 : 405,
+          Headers.of("content-type", "text/plain; charset=utf-8"),
+          "GET /status or /tally\n".getBytes(StandardCharsets.UTF_8));
+    } else {
+      exchange.respond(
+          200,
+          Headers.of("content-type", "application/json"),
+          answer.toString().getBytes(StandardCharsets.UTF_8));
     }
+  }
 
-    private ObjectNode head() {
-        return JsonNodeFactory.instance.objectNode().put("gateway", settings.name()).put("instance", instance)
-                .put("zone", settings.zone()).put("stampMs", stamp);
-    }
+  private ObjectNode head() {
+    return JsonNodeFactory.instance
+        .objectNode()
+        .put("gateway", settings.name())
+        .put("instance", instance)
+        .put("zone", settings.zone())
+        .put("stampMs", stamp);
+  }
 
-    private ObjectNode tally(Snapshot snapshot, boolean last) {
-        ObjectNode root = head().put("final", last);
-        root.set("tally", TallyJson.of(snapshot));
-        return root;
-    }
+  private ObjectNode tally(Snapshot snapshot, boolean last) {
+    ObjectNode root = head().put("final", last);
+    root.set("tally", TallyJson.of(snapshot));
+    return root;
+  }
 
-    private ObjectNode status() {
-        ObjectNode root = head();
-        ArrayNode classes = root.putArray("classes");
-        Map<String, double[]> minute = lastMinute.service();
-        lastSeconds.service().forEach((name, service) -> {
-            double[] longer = minute.getOrDefault(name, service);
-            classes.addObject().put("class", name).put("asked10s", service[0]).put("inTime10s", service[1])
-                    .put("asked60s", longer[0]).put("inTime60s", longer[1]);
-        });
-        ArrayNode told = root.putArray("falls");
-        for (FallDetector.Sight s : detector.sights()) {
-            if (s.fallen()) {
-                told.addObject().put("class", s.key().what()).put("zone", s.key().zone()).put("loss", s.loss())
-                        .put("requests", s.requests());
-            }
-        }
-        ObjectNode tally = TallyJson.of(reporter.newest());
-        for (String family : List.of("servers", "gateway", "module", "loop_lag", "report")) {
-            if (tally.has(family)) {
-                root.set(family, tally.get(family));
-            }
-        }
-        return root;
+  private ObjectNode status() {
+    ObjectNode root = head();
+    ArrayNode classes = root.putArray("classes");
+    Map<String, double[]> minute = lastMinute.service();
+    lastSeconds
+        .service()
+        .forEach(
+            (name, service) -> {
+              double[] longer = minute.getOrDefault(name, service);
+              classes
+                  .addObject()
+                  .put("class", name)
+                  .put("asked10s", service[0])
+                  .put("inTime10s", service[1])
+                  .put("asked60s", longer[0])
+                  .put("inTime60s", longer[1]);
+            });
+    ArrayNode told = root.putArray("falls");
+    for (FallDetector.Sight s : detector.sights()) {
+      if (s.fallen()) {
+        told.addObject()
+            .put("class", s.key().what())
+            .put("zone", s.key().zone())
+            .put("loss", s.loss())
+            .put("requests", s.requests());
+      }
     }
+    ObjectNode tally = TallyJson.of(reporter.newest());
+    for (String family : List.of("servers", "gateway", "module", "loop_lag", "report")) {
+      if (tally.has(family)) {
+        root.set(family, tally.get(family));
+      }
+    }
+    return root;
+  }
 
-    // ==== the end
+  // ==== the end
 
-    /** Takes the final tally, sends what waits and closes; the future gives the tally as JSON. */
-    public CompletableFuture<ObjectNode> finish() {
-        CompletableFuture<ObjectNode> done = new CompletableFuture<>();
-        loop.execute(() -> reporter.finish(Math.max(MICROS, GatewaySettings.micros(reporting.finishMs())), snapshot -> {
-            if (status != null) {
-                status.stopListening();
-            }
-            ObjectNode finalTally = tally(snapshot, true);
-            if (reporting.tallyFile() == null) {
-                done.complete(finalTally);
-                return;
-            }
-            environment.disk().execute(() -> {
-                Path file = Path.of(reporting.tallyFile());
-                try {
-                    Path next = Path.of(file + ".next");
-                    Files.writeString(next, finalTally.toPrettyString() + "\n");
-                    Files.move(next, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
-                } catch (IOException e) {
-                    LOG.warn("the final tally cannot be written to {}: {}", file, e.getMessage());
-                }
-                done.complete(finalTally);
-            });
-        }));
-        return done;
-    }
+  /** Takes the final tally, sends what waits and closes; the future gives the tally as JSON. */
+  public CompletableFuture<ObjectNode> finish() {
+    CompletableFuture<ObjectNode> done = new CompletableFuture<>();
+    loop.execute(
+        () ->
+            reporter.finish(
+                Math.max(MICROS, GatewaySettings.micros(reporting.finishMs())),
+                snapshot -> {
+                  if (status != null) {
+                    status.stopListening();
+                  }
+                  ObjectNode finalTally = tally(snapshot, true);
+                  if (reporting.tallyFile() == null) {
+                    done.complete(finalTally);
+                    return;
+                  }
+                  environment
+                      .disk()
+                      .execute(
+                          () -> {
+                            Path file = Path.of(reporting.tallyFile());
+                            try {
+                              Path next = Path.of(file + ".next");
+                              Files.writeString(next, finalTally.toPrettyString() + "\n");
+                              Files.move(
+                                  next,
+                                  file,
+                                  StandardCopyOption.REPLACE_EXISTING,
+                                  StandardCopyOption.ATOMIC_MOVE);
+                            } catch (IOException e) {
+                              LOG.warn(
+                                  "the final tally cannot be written to {}: {}",
+                                  file,
+                                  e.getMessage());
+                            }
+                            done.complete(finalTally);
+                          });
+                }));
+    return done;
+  }
 }
--- a/gateway/src/main/java/lemondock/gateway/reporting/TallyJson.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/TallyJson.java
@@ -9,32 +9,35 @@
 import lemondock.tally.Series;
 import lemondock.tally.Snapshot;
 
-/** A tally as JSON: for each family its rows, each with its labels and values. Values are exact decimals. */
+/**
+ * A tally as JSON: for each family its rows, each with its labels and values. Values are exact
+ * decimals.
+ */
 public final class TallyJson {
-    private TallyJson() { }
+  private TallyJson() {}
 
-    /** All families; a gauge without a value is left out of its row. */
-    public static ObjectNode of(Snapshot snapshot) {
-        ObjectNode root = JsonNodeFactory.instance.objectNode();
-        for (Series s : snapshot.series()) {
-            Family family = s.family();
-            ArrayNode rows = root.withArray("/" + family.name());
-            ObjectNode row = rows.addObject();
-            for (int i = 0; i < s.labels().size(); i++) {
-                row.put(family.dimensions().get(i), s.labels().get(i));
-            }
-            for (int i = 0; i < family.fields().size(); i++) {
-                Field field = family.fields().get(i);
-                long value = snapshot.values()[s.slot(i)];
-                if (value != Snapshot.ABSENT || field.kind() == Field.Kind.COUNTER) {
-                    if (field.decimals() == 0) {
-                        row.put(field.name(), value);
-                    } else {
-                        row.put(field.name(), BigDecimal.valueOf(value, field.decimals()).stripTrailingZeros());
-                    }
-                }
-            }
+  /** All families; a gauge without a value is left out of its row. */
+  public static ObjectNode of(Snapshot snapshot) {
+    ObjectNode root = JsonNodeFactory.instance.objectNode();
+    for (Series s : snapshot.series()) {
+      Family family = s.family();
+      ArrayNode rows = root.withArray("/" + family.name());
+      ObjectNode row = rows.addObject();
+      for (int i = 0; i < s.labels().size(); i++) {
+        row.put(family.dimensions().get(i), s.labels().get(i));
+      }
+      for (int i = 0; i < family.fields().size(); i++) {
+        Field field = family.fields().get(i);
+        long value = snapshot.values()[s.slot(i)];
+        if (value != Snapshot.ABSENT || field.kind() == Field.Kind.COUNTER) {
+          if (field.decimals() == 0) {
+            row.put(field.name(), value);
+          } else {
+            row.put(field.name(), BigDecimal.valueOf(value, field.decimals()).stripTrailingZeros());
+          }
         }
-        return root;
+      }
     }
+    return root;
+  }
 }
--- a/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
@@ -9,125 +9,299 @@
 import lemondock.policy.Routing;
 
 /**
- * The settings of a gateway as the file states them; {@code gateway.schema.json} says what each means and may be.
- * Times are milliseconds, as their names tell.
+ * The settings of a gateway as the file states them; {@code gateway.schema.json} says what each
+ * means and may be. Times are milliseconds, as their names tell.
  */
-public record GatewaySettings(String name, int number, int gateways, String zone, long seed, int ioThreads,
-        Front front, Engines engines, Discovery discovery, List<RequestClass> classes, List<Kind> kinds, Limits limits,
-        Rules rules, boolean streamsResume, Overload overload, Durable durable, Reporting reporting, Log log) {
-
-    private static final double MICROS = 1_000;
-    /** The module ends a request this long before its deadline (microseconds). */
-    private static final long RESOLUTION = 2_000;
-
-    /** The clients' side. */
-    public record Front(String listen, List<String> allowedOrigins, List<String> allowedHosts, int maxConnections,
-            long maxBodyBytes, long maxBodiesBytes, int maxDepth, int maxBatch, int maxSessions,
-            int maxCallsPerSession, double sessionIdleMs, double resumeWindowMs, int replayBytes, double keepAliveMs,
-            double requestTimeoutMs, double idleTimeoutMs, double stallTimeoutMs) { }
-
-    /** The model servers' side. */
-    public record Engines(String model, double connectTimeoutMs, double idleMs, double streamSilenceMs,
-            int maxConnectionsPerServer, long maxReplyBytes, int maxEventBytes, String apiKey) { }
-
-    /** Where the list of servers comes from. */
-    public record Discovery(String kind, String path, double pollMs, String address, String service, double waitMs,
-            double retryMs, double maxRetryMs, String cache) { }
-
-    /** One class of requests; a tool for the client. */
-    public record RequestClass(String name, String description, double aimMs, double aimMsPerThousandTokens,
-            double deadlineMs, double worth, double lateWorth, String repeat, String group, double repeatWindowMs,
-            double tokenAimMs, int maxTokens, int maxTurns, int maxToolCallsPerTurn, double toolTimeoutMs,
-            int maxToolResultBytes, int maxToolArgumentBytes) {
-
-        /** The time (microseconds) that a client gives a prompt of so many tokens; it grows twice as fast as the aim. */
-        public long patience(int promptTokens) {
-            return micros(deadlineMs + 2 * aimMsPerThousandTokens * promptTokens / 1000);
-        }
-
-        private Routing.RequestClass toModule() {
-            return new Routing.RequestClass(micros(aimMs), micros(aimMsPerThousandTokens), micros(deadlineMs), worth,
-                    lateWorth, Routing.Repeat.valueOf(repeat.toUpperCase(Locale.ROOT)),
-                    group.equals("rack") ? Routing.Group.CELL : Routing.Group.valueOf(group.toUpperCase(Locale.ROOT)),
-                    micros(repeatWindowMs), micros(tokenAimMs));
-        }
-    }
+public record GatewaySettings(
+    String name,
+    int number,
+    int gateways,
+    String zone,
+    long seed,
+    int ioThreads,
+    Front front,
+    Engines engines,
+    Discovery discovery,
+    List<RequestClass> classes,
+    List<Kind> kinds,
+    Limits limits,
+    Rules rules,
+    boolean streamsResume,
+    Overload overload,
+    Durable durable,
+    Reporting reporting,
+    Log log) {
 
-    /** One kind of server. */
-    public record Kind(String name, String role, long memoryTokens) { }
-
-    /** Bounds of the whole gateway. */
-    public record Limits(int maxCalls, int maxWaitingAnswers, int maxAttempts, int maxResumptions, double retryAdviceMs,
-            double stopNoticeMs, double stopWithinMs) { }
-
-    /** The figures of the five rules. */
-    public record Rules(double answerSlackMs, double drainGraceMs, double coldShare, double warmUpMs,
-            double overloadFactor, double overloadWindowMs, double releaseWithinMs) { }
-
-    /** What to let in at the gateway's own limit, and what counts as a stall of the process; see {@code lemondock.admit}. */
-    public record Overload(boolean refuse, boolean gradient, double targetMs, double intervalMs, double drainMs, double step,
-            double leastShare, double adviceMs, double mostAdviceMs, double stallMs, double stallGraceMs,
-            double softPart, double hardPart, double risePerSecond, double repeatPart, double repeatsPerSecond,
-            double repeatHalfLifeMs, int heavyBytes, int heavyThreads, int heavyQueue) {
-
-        /** The same for the deciding module. */
-        public Admission.Settings toAdmission() {
-            return new Admission.Settings(micros(targetMs), micros(intervalMs), micros(drainMs), step, leastShare,
-                    micros(adviceMs), micros(mostAdviceMs),
-                    new RepeatBudget.Settings(repeatPart, repeatsPerSecond, micros(repeatHalfLifeMs)));
-        }
-
-        /** How memory and handles in use bound what is let in. */
-        public Pressure.Settings toPressure() {
-            return new Pressure.Settings(softPart, hardPart, risePerSecond);
-        }
-    }
+  private static final double MICROS = 1_000;
+
+  /** The module ends a request this long before its deadline (microseconds). */
+  private static final long RESOLUTION = 2_000;
+
+  /** The clients' side. */
+  public record Front(
+      String listen,
+      List<String> allowedOrigins,
+      List<String> allowedHosts,
+      int maxConnections,
+      long maxBodyBytes,
+      long maxBodiesBytes,
+      int maxDepth,
+      int maxBatch,
+      int maxSessions,
+      int maxCallsPerSession,
+      double sessionIdleMs,
+      double resumeWindowMs,
+      int replayBytes,
+      double keepAliveMs,
+      double requestTimeoutMs,
+      double idleTimeoutMs,
+      double stallTimeoutMs) {}
+
+  /** The model servers' side. */
+  public record Engines(
+      String model,
+      double connectTimeoutMs,
+      double idleMs,
+      double streamSilenceMs,
+      int maxConnectionsPerServer,
+      long maxReplyBytes,
+      int maxEventBytes,
+      String apiKey) {}
 
-    /** Where calls that must not run twice are remembered over the gateway's death; see {@code lemondock.durable}. Null for nowhere. */
-    public record Durable(String path, double keepMs, int mostCalls, long mostBytes, int mostWaiting, double waitMs) { }
+  /** Where the list of servers comes from. */
+  public record Discovery(
+      String kind,
+      String path,
+      double pollMs,
+      String address,
+      String service,
+      double waitMs,
+      double retryMs,
+      double maxRetryMs,
+      String cache) {}
+
+  /** One class of requests; a tool for the client. */
+  public record RequestClass(
+      String name,
+      String description,
+      double aimMs,
+      double aimMsPerThousandTokens,
+      double deadlineMs,
+      double worth,
+      double lateWorth,
+      String repeat,
+      String group,
+      double repeatWindowMs,
+      double tokenAimMs,
+      int maxTokens,
+      int maxTurns,
+      int maxToolCallsPerTurn,
+      double toolTimeoutMs,
+      int maxToolResultBytes,
+      int maxToolArgumentBytes) {
 
     /**
-     * What is reported, and to whom.
-     *
-     * @param instance tells this gateway's values from others'; null: its name and the port it listens on, which no two
-     *     gateways of a machine share
-     * @param host collectd's host; null: the machine's name
-     * @param listen where {@code lemondock status} and {@code tally} ask; null: nowhere
-     * @param tallyFile gets the final tally as JSON at the end; null: none
+     * The time (microseconds) that a client gives a prompt of so many tokens; it grows twice as
+     * fast as the aim.
      */
-    public record Reporting(String instance, String host, String listen, double tickMs, double intervalMs, long ringBytes,
-            int ringSnapshots, int maxValues, int maxTenants, List<String> tenants, double mostAheadMs, double finishMs,
-            String tallyFile, Detector detector, List<Destination> destinations) { }
+    public long patience(int promptTokens) {
+      return micros(deadlineMs + 2 * aimMsPerThousandTokens * promptTokens / 1000);
+    }
+
+    private Routing.RequestClass toModule() {
+      return new Routing.RequestClass(
+          micros(aimMs),
+          micros(aimMsPerThousandTokens),
+          micros(deadlineMs),
+          worth,
+          lateWorth,
+          Routing.Repeat.valueOf(repeat.toUpperCase(Locale.ROOT)),
+          group.equals("rack")
+              ? Routing.Group.CELL
+              : Routing.Group.valueOf(group.toUpperCase(Locale.ROOT)),
+          micros(repeatWindowMs),
+          micros(tokenAimMs));
+    }
+  }
 
-    /** The detector of falls; see {@code Cusum.Settings}. */
-    public record Detector(double leastUsual, double mostUsual, double fall, double times, double threshold, double clear,
-            double holdMs, double quietMs, double memory) { }
+  /** One kind of server. */
+  public record Kind(String name, String role, long memoryTokens) {}
 
-    /** One collector. */
-    public record Destination(String name, String kind, String address, String path, String prefix, Boolean tags,
-            String security, String username, String authFile, Integer packetBytes, String counters, int maxSnapshots,
-            double resendMs, double stallMs, double connectTimeoutMs, double backoffMs, double maxBackoffMs) { }
+  /** Bounds of the whole gateway. */
+  public record Limits(
+      int maxCalls,
+      int maxWaitingAnswers,
+      int maxAttempts,
+      int maxResumptions,
+      double retryAdviceMs,
+      double stopNoticeMs,
+      double stopWithinMs) {}
 
-    /** The log's form. */
-    public record Log(String format, String level) { }
+  /** The figures of the five rules. */
+  public record Rules(
+      double answerSlackMs,
+      double drainGraceMs,
+      double coldShare,
+      double warmUpMs,
+      double overloadFactor,
+      double overloadWindowMs,
+      double releaseWithinMs) {}
 
-    /** Microseconds of a time in milliseconds. */
-    public static long micros(double millis) {
-        return Math.round(millis * MICROS);
+  /**
+   * What to let in at the gateway's own limit, and what counts as a stall of the process; see
+   * {@code lemondock.admit}.
+   */
+  public record Overload(
+      boolean refuse,
+      boolean gradient,
+      double targetMs,
+      double intervalMs,
+      double drainMs,
+      double step,
+      double leastShare,
+      double adviceMs,
+      double mostAdviceMs,
+      double stallMs,
+      double stallGraceMs,
+      double softPart,
+      double hardPart,
+      double risePerSecond,
+      double repeatPart,
+      double repeatsPerSecond,
+      double repeatHalfLifeMs,
+      int heavyBytes,
+      int heavyThreads,
+      int heavyQueue) {
+
+    /** The same for the deciding module. */
+    public Admission.Settings toAdmission() {
+      return new Admission.Settings(
+          micros(targetMs),
+          micros(intervalMs),
+          micros(drainMs),
+          step,
+          leastShare,
+          micros(adviceMs),
+          micros(mostAdviceMs),
+          new RepeatBudget.Settings(repeatPart, repeatsPerSecond, micros(repeatHalfLifeMs)));
     }
 
-    /** What the module is told; it hears numbers where the settings have names. */
-    public Routing.Settings toModule() {
-        Map<String, Routing.Role> roles = Map.of("reader", Routing.Role.READER, "writer", Routing.Role.WRITER,
-                "mixed", Routing.Role.MIXED);
-        return new Routing.Settings(number, gateways, 0, RESOLUTION,
-                classes.stream().map(RequestClass::toModule).toList(), List.of(),
-                kinds.stream().map(k -> new Routing.Kind(roles.get(k.role()), k.memoryTokens())).toList(),
-                new Routing.Limits(limits.maxAttempts(), true, false, false, false, true,
-                        micros(limits.retryAdviceMs()), micros(engines.connectTimeoutMs()), false),
-                new Routing.Rules(micros(rules.answerSlackMs()), micros(rules.drainGraceMs()), rules.coldShare(),
-                        micros(rules.warmUpMs()), rules.overloadFactor(), micros(rules.overloadWindowMs()),
-                        micros(rules.releaseWithinMs())),
-                streamsResume, false);
+    /** How memory and handles in use bound what is let in. */
+    public Pressure.Settings toPressure() {
+      return new Pressure.Settings(softPart, hardPart, risePerSecond);
     }
+  }
+
+  /**
+   * Where calls that must not run twice are remembered over the gateway's death; see {@code
+   * lemondock.durable}. Null for nowhere.
+   */
+  public record Durable(
+      String path, double keepMs, int mostCalls, long mostBytes, int mostWaiting, double waitMs) {}
+
+  /**
+   * What is reported, and to whom.
+   *
+   * @param instance tells this gateway's values from others'; null: its name and the port it
+   *     listens on, which no two gateways of a machine share
+   * @param host collectd's host; null: the machine's name
+   * @param listen where {@code lemondock status} and {@code tally} ask; null: nowhere
+   * @param tallyFile gets the final tally as JSON at the end; null: none
+   */
+  public record Reporting(
+      String instance,
+      String host,
+      String listen,
+      double tickMs,
+      double intervalMs,
+      long ringBytes,
+      int ringSnapshots,
+      int maxValues,
+      int maxTenants,
+      List<String> tenants,
+      double mostAheadMs,
+      double finishMs,
+      String tallyFile,
+      Detector detector,
+      List<Destination> destinations) {}
+
+  /** The detector of falls; see {@code Cusum.Settings}. */
+  public record Detector(
+      double leastUsual,
+      double mostUsual,
+      double fall,
+      double times,
+      double threshold,
+      double clear,
+      double holdMs,
+      double quietMs,
+      double memory) {}
+
+  /** One collector. */
+  public record Destination(
+      String name,
+      String kind,
+      String address,
+      String path,
+      String prefix,
+      Boolean tags,
+      String security,
+      String username,
+      String authFile,
+      Integer packetBytes,
+      String counters,
+      int maxSnapshots,
+      double resendMs,
+      double stallMs,
+      double connectTimeoutMs,
+      double backoffMs,
+      double maxBackoffMs) {}
+
+  /** The log's form. */
+  public record Log(String format, String level) {}
+
+  /** Microseconds of a time in milliseconds. */
+  public static long micros(double millis) {
+    return Math.round(millis * MICROS);
+  }
+
+  /** What the module is told; it hears numbers where the settings have names. */
+  public Routing.Settings toModule() {
+    Map<String, Routing.Role> roles =
+        Map.of(
+            "reader",
+            Routing.Role.READER,
+            "writer",
+            Routing.Role.WRITER,
+            "mixed",
+            Routing.Role.MIXED);
+    return new Routing.Settings(
+        number,
+        gateways,
+        0,
+        RESOLUTION,
+        classes.stream().map(RequestClass::toModule).toList(),
+        List.of(),
+        kinds.stream().map(k -> new Routing.Kind(roles.get(k.role()), k.memoryTokens())).toList(),
+        new Routing.Limits(
+            limits.maxAttempts(),
+            true,
+            false,
+            false,
+            false,
+            true,
+            micros(limits.retryAdviceMs()),
+            micros(engines.connectTimeoutMs()),
+            false),
+        new Routing.Rules(
+            micros(rules.answerSlackMs()),
+            micros(rules.drainGraceMs()),
+            rules.coldShare(),
+            micros(rules.warmUpMs()),
+            rules.overloadFactor(),
+            micros(rules.overloadWindowMs()),
+            micros(rules.releaseWithinMs())),
+        streamsResume,
+        false);
+  }
 }
--- a/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
+++ b/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
@@ -16,364 +16,451 @@
 import java.util.List;
 import lemondock.admit.Lateness;
 import lemondock.gateway.count.GatewayTally;
-import lemondock.ledger.Ledger;
-import lemondock.ledger.Leg;
-import lemondock.ledger.Membership;
-import lemondock.ledger.ServerEntry;
 import lemondock.gateway.engine.Chunk;
 import lemondock.gateway.engine.EngineClient;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsException;
 import lemondock.gateway.settings.SettingsFile;
+import lemondock.ledger.Ledger;
+import lemondock.ledger.Leg;
+import lemondock.ledger.Membership;
+import lemondock.ledger.ServerEntry;
 import lemondock.net.http.HttpClient;
 import lemondock.net.http.HttpLimits;
 import lemondock.net.testing.ScriptedConnection;
 import lemondock.net.testing.ScriptedNetwork;
 import lemondock.net.time.ManualLoop;
 import lemondock.policy.Routing;
-import lemondock.policy.Routing.Ending;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** The ledger's contract with the module, on a clock and a network that the test moves by hand. */
 class LedgerTest {
-    /** One connection; what was written to it is text, and the test answers by hand. */
-    private final class Line extends ScriptedConnection {
-        private final InetSocketAddress to;
-        private final StringBuilder written = new StringBuilder();
-
-        Line(InetSocketAddress to, Handler handler) {
-            super(loop, to, handler);
-            this.to = to;
-        }
-
-        void answer(String text) {
-            receive(text);
-            loop.run();
-        }
-
-        void cut() {
-            end(new IOException("cut"));
-            loop.run();
-        }
-
-        @Override
-        public void write(ByteBuffer bytes) {
-            written.append(StandardCharsets.UTF_8.decode(bytes));
-        }
-
-        @Override
-        public long flushed() {
-            return written.length();
-        }
+  /** One connection; what was written to it is text, and the test answers by hand. */
+  private final class Line extends ScriptedConnection {
+    private final InetSocketAddress to;
+    private final StringBuilder written = new StringBuilder();
+
+    Line(InetSocketAddress to, Handler handler) {
+      super(loop, to, handler);
+      this.to = to;
     }
 
-    private final ManualLoop loop = new ManualLoop(1_000_000);
-    private final ScriptedNetwork<Line> network = new ScriptedNetwork<>(loop, Line::new);
-    private final List<Line> lines = network.connections();
-    private final List<String> told = new ArrayList<>();
-    private final List<String> heard = new ArrayList<>();
-    private Routing.Host host;
-    private Ledger<ObjectNode, JsonNode, Chunk> ledger;
-    private long reader;
-    private long writer;
-    private boolean faulty;
-
-    private final Lateness lateness = new Lateness(100_000, 300_000, 50_000);
-    private long lastTook;
-
-    /** A module that only writes down what it is told. */
-    private final class Told implements Routing.Decider {
-        @Override
-        public void started(long now) { }
-
-        @Override
-        public void servers(long now, Routing.ListKind kind, List<Routing.Server> entries) { }
-
-        @Override
-        public void request(long now, Routing.Request request) {
-            told.add("request " + request.id());
-            if (faulty) {
-                throw new IllegalStateException("a defect");
-            }
-        }
-
-        @Override
-        public void firstToken(long now, long requestId, int attempt, long serverId, long took) {
-            told.add("first " + attempt);
-        }
-
-        @Override
-        public void outcome(long now, Routing.Outcome o) {
-            lastTook = o.took();
-            told.add(o.ending() + " " + o.attempt() + (o.requestEnded() ? " ended" : "") + (o.stateMissing() ? " missing" : ""));
-        }
-
-        @Override
-        public void clientLeft(long now, long requestId) {
-            told.add("left");
-        }
-
-        @Override
-        public void timer(long now, long token) {
-            told.add("timer " + token);
-        }
+    void answer(String text) {
+      receive(text);
+      loop.run();
     }
 
-    @BeforeEach
-    void make() {
-        Membership members = new Membership(List.of("reader", "writer"));
-        List<Routing.Server> servers = members.update(List.of(
-                new ServerEntry("r", new InetSocketAddress("127.0.0.1", 1), "reader", "z", "k", Routing.Standing.READY, 1, 0),
-                new ServerEntry("w", new InetSocketAddress("127.0.0.1", 2), "writer", "z", "k", Routing.Standing.READY, 1, 0)),
-                false, 0, 0).servers();
-        reader = servers.get(0).id();
-        writer = servers.get(1).id();
-        HttpClient client = new HttpClient(loop, network, new HttpClient.Options(HttpLimits.DEFAULT, 10_000, 10, 1_000, 1 << 30));
-        EngineClient engines = new EngineClient(loop, client, new GatewaySettings.Engines("m", 250, 1000, 100, 10, 1000, 1000,
-                null), "test", lateness);
-        Routing.Settings settings = new Routing.Settings(0, 1, 0, 0, List.of(), List.of(),
-                List.of(new Routing.Kind(Routing.Role.READER, 0), new Routing.Kind(Routing.Role.WRITER, 0)), null, null, true,
-                false);
-        ledger = new Ledger<>(loop, engines, members, settings, 1, "t", (s, seed, h) -> {
-            host = h;
-            return new Told();
-        }, () -> { }, new GatewayTally(someSettings()), lateness);
+    void cut() {
+      end(new IOException("cut"));
+      loop.run();
     }
 
-    private static GatewaySettings someSettings() {
-        try {
-            return SettingsFile.gateway("t", new ObjectMapper().readTree("""
-                    {"name": "t", "front": {"listen": "127.0.0.1:1"}, "discovery": {"kind": "file", "path": "x"},
-                     "classes": [{"name": "c", "aimMs": 100, "deadlineMs": 1000}],
-                     "kinds": [{"name": "m", "role": "mixed"}]}"""));
-        } catch (SettingsException | JsonProcessingException e) {
-            throw new IllegalStateException(e);
-        }
+    @Override
+    public void write(ByteBuffer bytes) {
+      written.append(StandardCharsets.UTF_8.decode(bytes));
     }
 
-    private long open() {
-        return ledger.open(new Leg.Spec<>(0, 0, 1, 0, 10, 0, 50, 1_000_000, false, false, 0, JsonNodeFactory.instance.objectNode()),
-                new Leg.Listener<>() {
-                    @Override
-                    public void chunk(Chunk chunk) {
-                        heard.add("'" + chunk.text() + "'");
-                    }
-
-                    @Override
-                    public void served() {
-                        heard.add("served");
-                    }
-
-                    @Override
-                    public void broke(String what) {
-                        heard.add("broke");
-                    }
-
-                    @Override
-                    public void refused(long retryAfterMicros) {
-                        heard.add("refused");
-                    }
-
-                    @Override
-                    public void failed() {
-                        heard.add("failed");
-                    }
-                });
+    @Override
+    public long flushed() {
+      return written.length();
     }
-
-    private Line send(long id, long server) {
-        host.send(id, server, 0);
-        loop.run();
-        return lines.get(lines.size() - 1);
+  }
+
+  private final ManualLoop loop = new ManualLoop(1_000_000);
+  private final ScriptedNetwork<Line> network = new ScriptedNetwork<>(loop, Line::new);
+  private final List<Line> lines = network.connections();
+  private final List<String> told = new ArrayList<>();
+  private final List<String> heard = new ArrayList<>();
+  private Routing.Host host;
+  private Ledger<ObjectNode, JsonNode, Chunk> ledger;
+  private long reader;
+  private long writer;
+  private boolean faulty;
+
+  private final Lateness lateness = new Lateness(100_000, 300_000, 50_000);
+  private long lastTook;
+
+  /** A module that only writes down what it is told. */
+  private final class Told implements Routing.Decider {
+    @Override
+    public void started(long now) {}
+
+    @Override
+    public void servers(long now, Routing.ListKind kind, List<Routing.Server> entries) {}
+
+    @Override
+    public void request(long now, Routing.Request request) {
+      told.add("request " + request.id());
+      if (faulty) {
+        throw new IllegalStateException("a defect");
+      }
     }
 
-    private static String ok(String body) {
-        return "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: " + body.length() + "\r\n\r\n" + body;
+    @Override
+    public void firstToken(long now, long requestId, int attempt, long serverId, long took) {
+      told.add("first " + attempt);
     }
 
-    private static final String READ = ok("{\"kv_transfer_params\":{\"x\":1}}");
-    private static final String STREAM = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
-
-    private static String event(String data) {
-        String text = "data: " + data + "\n\n";
-        return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
-    }
-
-    private static String token(String text) {
-        return event("{\"choices\":[{\"delta\":{\"content\":\"" + text + "\"}}]}");
-    }
-
-    private long aborts() {
-        return lines.stream().filter(l -> l.written.toString().startsWith("POST /abort_request")
-                || l.written.indexOf("POST /abort_request") > 0).count();
-    }
-
-    @Test
-    void aWholeRequest() {
-        long id = open();
-        send(id, reader).answer(READ);
-        Line write = send(id, writer);
-        assertTrue(write.written.toString().contains("\"kv_transfer_params\":{\"x\":1}"));
-        write.answer(STREAM + token("a"));
-        write.answer(event("{\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}") + event("[DONE]") + "0\r\n\r\n");
-        assertEquals(List.of("request " + id, "READ 0", "first 1", "OK 1 ended"), told);
-        assertEquals(List.of("'a'", "''", "served"), heard.stream().distinct().toList());
-        assertEquals(0, ledger.size());
-        assertEquals(0, aborts());
+    @Override
+    public void outcome(long now, Routing.Outcome o) {
+      lastTook = o.took();
+      told.add(
+          o.ending()
+              + " "
+              + o.attempt()
+              + (o.requestEnded() ? " ended" : "")
+              + (o.stateMissing() ? " missing" : ""));
     }
 
-    @Test
-    void eachSendGetsOneOutcomeWhoeverComesFirst() {
-        long id = open();
-        Line read = send(id, reader);
-        host.cancel(id, 0);
-        host.cancel(id, 0);
-        read.answer(READ); // it was on its way
-        read.cut();
-        loop.run();
-        assertEquals(List.of("request " + id, "CANCELLED 0"), told);
-        assertEquals(1, aborts()); // what the read may have left is let go
-        Line second = send(id, reader);
-        second.answer(READ);
-        host.cancel(id, 1);
-        loop.run();
-        assertEquals("READ 1", told.get(2));
-        assertEquals(3, told.size());
+    @Override
+    public void clientLeft(long now, long requestId) {
+      told.add("left");
     }
 
-    @Test
-    void whatWasNeverSentIsSaidSo() {
-        long id = open();
-        host.send(id, 999, 0);
-        host.send(id, writer, 0);
-        loop.run();
-        assertEquals(List.of("request " + id, "MOOT 0", "FULL 1 missing"), told);
-        assertEquals(0, lines.size());
-        host.fail(id);
-        loop.run();
-        assertEquals(1, told.stream().filter(t -> t.startsWith("request")).count());
+    @Override
+    public void timer(long now, long token) {
+      told.add("timer " + token);
     }
-
-    @Test
-    void brokenConnectionsAreResetsUnlessNothingWasSent() {
-        long id = open();
-        send(id, reader).cut();
-        host.send(id, reader, 0);
-        lines.get(lines.size() - 1).end(new IOException("refused"));
-        loop.dropFirst(); // the connection that never came up
-        loop.run();
-        assertEquals(List.of("request " + id, "RESET 0", "CONNECT_FAILED 1"), told);
-    }
-
-    @Test
-    void aStallOfTheProcessIsNotTheEnginesAndWhatCameMeanwhileIsHeardFirst() {
-        lateness.ticked(loop.now());
-        long id = open();
-        Line read = send(id, reader);
-        host.timer(7, 200_000); // the module wants to look whether the read is overdue
-        loop.move(50_000);
-        loop.standStill(3_000_000);
-        assertEquals(List.of("request " + id), told, "nothing is judged before the sockets were heard");
-        read.answer(READ);
-        loop.move(60_000);
-        assertEquals(List.of("request " + id, "READ 0", "timer 7"), told);
-        assertTrue(lastTook >= 50_000 && lastTook <= 160_000, "took " + lastTook + " us, of which the process stood still 3 s");
-    }
-
-    @Test
-    void aStreamThatBreaksEndsItsRequestOnce() {
-        long id = open();
-        send(id, reader).answer(READ);
-        Line write = send(id, writer);
-        write.answer(STREAM + token("a"));
-        write.cut();
-        host.fail(id);
-        loop.run();
-        assertEquals("RESET 1 ended", told.get(told.size() - 1));
-        assertEquals(List.of("'a'", "broke"), heard);
-        assertEquals(0, ledger.size());
-    }
-
-    @Test
-    void aSilentStreamIsBrokenOff() {
-        long id = open();
-        send(id, reader).answer(READ);
-        Line write = send(id, writer);
-        write.answer(STREAM + token("a"));
-        loop.move(60_000);
-        write.answer(token("b"));
-        loop.move(90_000);
-        assertEquals(List.of("'a'", "'b'"), heard);
-        loop.move(20_000);
-        assertEquals(List.of("'a'", "'b'", "broke"), heard);
-        assertTrue(write.isClosed());
-    }
-
-    @Test
-    void aClientThatLeavesHearsNothingAndHoldsNothing() {
-        long id = open();
-        send(id, reader).answer(READ);
-        ledger.leave(id);
-        host.release(id);
-        loop.run();
-        assertEquals(List.of(), heard);
-        assertEquals(0, ledger.size());
-        long streaming = open();
-        send(streaming, reader).answer(READ);
-        Line write = send(streaming, writer);
-        write.answer(STREAM + token("a"));
-        ledger.leave(streaming);
-        loop.run();
-        assertTrue(write.isClosed());
-        assertEquals("CANCELLED 1 ended", told.get(told.size() - 1));
-        assertEquals(0, ledger.size());
-        assertEquals(List.of("'a'"), heard);
-    }
-
-    @Test
-    void aNewStateLetsTheOldOneGo() {
-        long id = open();
-        send(id, reader).answer(READ);
-        long before = ledger.counts().releases;
-        send(id, reader).answer(READ);
-        assertEquals(before + 1, ledger.counts().releases);
-        host.release(id);
-        assertEquals(before + 2, ledger.counts().releases);
-        host.release(id);
-        assertEquals(before + 2, ledger.counts().releases);
-    }
-
-    @Test
-    void nothingIsReleasedWhileAnAttemptIsOut() {
-        long id = open();
-        send(id, reader).answer(READ);
-        send(id, writer);
-        host.release(id);
-        assertEquals(0, ledger.counts().releases);
-    }
-
-    @Test
-    void aDefectOfTheModuleFailsItsRequestAndNoOther() {
-        long before = open();
-        faulty = true;
-        open();
-        assertEquals(List.of("failed"), heard);
-        assertEquals(1, ledger.size());
-        faulty = false;
-        host.refuse(before, 0);
-        ledger.servers(Routing.ListKind.CHANGES, List.of());
-        assertEquals(0, ledger.size());
-    }
-
-    @Test
-    void anEndIsToldOnce() {
-        long id = open();
-        host.refuse(id, 5);
-        host.refuse(id, 5);
-        host.fail(id);
-        ledger.servers(Routing.ListKind.CHANGES, List.of()); // the next event carries out what was decided
-        assertEquals(List.of("refused"), heard);
-        assertEquals(0, ledger.size());
+  }
+
+  @BeforeEach
+  void make() {
+    Membership members = new Membership(List.of("reader", "writer"));
+    List<Routing.Server> servers =
+        members
+            .update(
+                List.of(
+                    new ServerEntry(
+                        "r",
+                        new InetSocketAddress("127.0.0.1", 1),
+                        "reader",
+                        "z",
+                        "k",
+                        Routing.Standing.READY,
+                        1,
+                        0),
+                    new ServerEntry(
+                        "w",
+                        new InetSocketAddress("127.0.0.1", 2),
+                        "writer",
+                        "z",
+                        "k",
+                        Routing.Standing.READY,
+                        1,
+                        0)),
+                false,
+                0,
+                0)
+            .servers();
+    reader = servers.get(0).id();
+    writer = servers.get(1).id();
+    HttpClient client =
+        new HttpClient(
+            loop, network, new HttpClient.Options(HttpLimits.DEFAULT, 10_000, 10, 1_000, 1 << 30));
+    EngineClient engines =
+        new EngineClient(
+            loop,
+            client,
+            new GatewaySettings.Engines("m", 250, 1000, 100, 10, 1000, 1000, null),
+            "test",
+            lateness);
+    Routing.Settings settings =
+        new Routing.Settings(
+            0,
+            1,
+            0,
+            0,
+            List.of(),
+            List.of(),
+            List.of(
+                new Routing.Kind(Routing.Role.READER, 0), new Routing.Kind(Routing.Role.WRITER, 0)),
+            null,
+            null,
+            true,
+            false);
+    ledger =
+        new Ledger<>(
+            loop,
+            engines,
+            members,
+            settings,
+            1,
+            "t",
+            (s, seed, h) -> {
+              host = h;
+              return new Told();
+            },
+            () -> {},
+            new GatewayTally(someSettings()),
+            lateness);
+  }
+
+  private static GatewaySettings someSettings() {
+    try {
+      return SettingsFile.gateway(
+          "t",
+          new ObjectMapper()
+              .readTree(
+                  """
+                  {"name": "t", "front": {"listen": "127.0.0.1:1"}, "discovery": {"kind": "file", "path": "x"},
+                   "classes": [{"name": "c", "aimMs": 100, "deadlineMs": 1000}],
+                   "kinds": [{"name": "m", "role": "mixed"}]}\
+                  """));
+    } catch (SettingsException | JsonProcessingException e) {
+      throw new IllegalStateException(e);
     }
+  }
+
+  private long open() {
+    return ledger.open(
+        new Leg.Spec<>(
+            0,
+            0,
+            1,
+            0,
+            10,
+            0,
+            50,
+            1_000_000,
+            false,
+            false,
+            0,
+            JsonNodeFactory.instance.objectNode()),
+        new Leg.Listener<>() {
+          @Override
+          public void chunk(Chunk chunk) {
+            heard.add("'" + chunk.text() + "'");
+          }
+
+          @Override
+          public void served() {
+            heard.add("served");
+          }
+
+          @Override
+          public void broke(String what) {
+            heard.add("broke");
+          }
+
+          @Override
+          public void refused(long retryAfterMicros) {
+            heard.add("refused");
+          }
+
+          @Override
+          public void failed() {
+            heard.add("failed");
+          }
+        });
+  }
+
+  private Line send(long id, long server) {
+    host.send(id, server, 0);
+    loop.run();
+    return lines.get(lines.size() - 1);
+  }
+
+  private static String ok(String body) {
+    return "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: "
+        + body.length()
+        + "\r\n\r\n"
+        + body;
+  }
+
+  private static final String READ = ok("{\"kv_transfer_params\":{\"x\":1}}");
+  private static final String STREAM =
+      "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
+
+  private static String event(String data) {
+    String text = "data: " + data + "\n\n";
+    return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
+  }
+
+  private static String token(String text) {
+    return event("{\"choices\":[{\"delta\":{\"content\":\"" + text + "\"}}]}");
+  }
+
+  private long aborts() {
+    return lines.stream()
+        .filter(
+            l ->
+                l.written.toString().startsWith("POST /abort_request")
+                    || l.written.indexOf("POST /abort_request") > 0)
+        .count();
+  }
+
+  @Test
+  void aWholeRequest() {
+    long id = open();
+    send(id, reader).answer(READ);
+    Line write = send(id, writer);
+    assertTrue(write.written.toString().contains("\"kv_transfer_params\":{\"x\":1}"));
+    write.answer(STREAM + token("a"));
+    write.answer(
+        event("{\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}")
+            + event("[DONE]")
+            + "0\r\n\r\n");
+    assertEquals(List.of("request " + id, "READ 0", "first 1", "OK 1 ended"), told);
+    assertEquals(List.of("'a'", "''", "served"), heard.stream().distinct().toList());
+    assertEquals(0, ledger.size());
+    assertEquals(0, aborts());
+  }
+
+  @Test
+  void eachSendGetsOneOutcomeWhoeverComesFirst() {
+    long id = open();
+    Line read = send(id, reader);
+    host.cancel(id, 0);
+    host.cancel(id, 0);
+    read.answer(READ); // it was on its way
+    read.cut();
+    loop.run();
+    assertEquals(List.of("request " + id, "CANCELLED 0"), told);
+    assertEquals(1, aborts()); // what the read may have left is let go
+    Line second = send(id, reader);
+    second.answer(READ);
+    host.cancel(id, 1);
+    loop.run();
+    assertEquals("READ 1", told.get(2));
+    assertEquals(3, told.size());
+  }
+
+  @Test
+  void whatWasNeverSentIsSaidSo() {
+    long id = open();
+    host.send(id, 999, 0);
+    host.send(id, writer, 0);
+    loop.run();
+    assertEquals(List.of("request " + id, "MOOT 0", "FULL 1 missing"), told);
+    assertEquals(0, lines.size());
+    host.fail(id);
+    loop.run();
+    assertEquals(1, told.stream().filter(t -> t.startsWith("request")).count());
+  }
+
+  @Test
+  void brokenConnectionsAreResetsUnlessNothingWasSent() {
+    long id = open();
+    send(id, reader).cut();
+    host.send(id, reader, 0);
+    lines.get(lines.size() - 1).end(new IOException("refused"));
+    loop.dropFirst(); // the connection that never came up
+    loop.run();
+    assertEquals(List.of("request " + id, "RESET 0", "CONNECT_FAILED 1"), told);
+  }
+
+  @Test
+  void aStallOfTheProcessIsNotTheEnginesAndWhatCameMeanwhileIsHeardFirst() {
+    lateness.ticked(loop.now());
+    long id = open();
+    Line read = send(id, reader);
+    host.timer(7, 200_000); // the module wants to look whether the read is overdue
+    loop.move(50_000);
+    loop.standStill(3_000_000);
+    assertEquals(List.of("request " + id), told, "nothing is judged before the sockets were heard");
+    read.answer(READ);
+    loop.move(60_000);
+    assertEquals(List.of("request " + id, "READ 0", "timer 7"), told);
+    assertTrue(
+        lastTook >= 50_000 && lastTook <= 160_000,
+        "took " + lastTook + " us, of which the process stood still 3 s");
+  }
+
+  @Test
+  void aStreamThatBreaksEndsItsRequestOnce() {
+    long id = open();
+    send(id, reader).answer(READ);
+    Line write = send(id, writer);
+    write.answer(STREAM + token("a"));
+    write.cut();
+    host.fail(id);
+    loop.run();
+    assertEquals("RESET 1 ended", told.get(told.size() - 1));
+    assertEquals(List.of("'a'", "broke"), heard);
+    assertEquals(0, ledger.size());
+  }
+
+  @Test
+  void aSilentStreamIsBrokenOff() {
+    long id = open();
+    send(id, reader).answer(READ);
+    Line write = send(id, writer);
+    write.answer(STREAM + token("a"));
+    loop.move(60_000);
+    write.answer(token("b"));
+    loop.move(90_000);
+    assertEquals(List.of("'a'", "'b'"), heard);
+    loop.move(20_000);
+    assertEquals(List.of("'a'", "'b'", "broke"), heard);
+    assertTrue(write.isClosed());
+  }
+
+  @Test
+  void aClientThatLeavesHearsNothingAndHoldsNothing() {
+    long id = open();
+    send(id, reader).answer(READ);
+    ledger.leave(id);
+    host.release(id);
+    loop.run();
+    assertEquals(List.of(), heard);
+    assertEquals(0, ledger.size());
+    long streaming = open();
+    send(streaming, reader).answer(READ);
+    Line write = send(streaming, writer);
+    write.answer(STREAM + token("a"));
+    ledger.leave(streaming);
+    loop.run();
+    assertTrue(write.isClosed());
+    assertEquals("CANCELLED 1 ended", told.get(told.size() - 1));
+    assertEquals(0, ledger.size());
+    assertEquals(List.of("'a'"), heard);
+  }
+
+  @Test
+  void aNewStateLetsTheOldOneGo() {
+    long id = open();
+    send(id, reader).answer(READ);
+    long before = ledger.counts().releases;
+    send(id, reader).answer(READ);
+    assertEquals(before + 1, ledger.counts().releases);
+    host.release(id);
+    assertEquals(before + 2, ledger.counts().releases);
+    host.release(id);
+    assertEquals(before + 2, ledger.counts().releases);
+  }
+
+  @Test
+  void nothingIsReleasedWhileAnAttemptIsOut() {
+    long id = open();
+    send(id, reader).answer(READ);
+    send(id, writer);
+    host.release(id);
+    assertEquals(0, ledger.counts().releases);
+  }
+
+  @Test
+  void aDefectOfTheModuleFailsItsRequestAndNoOther() {
+    long before = open();
+    faulty = true;
+    open();
+    assertEquals(List.of("failed"), heard);
+    assertEquals(1, ledger.size());
+    faulty = false;
+    host.refuse(before, 0);
+    ledger.servers(Routing.ListKind.CHANGES, List.of());
+    assertEquals(0, ledger.size());
+  }
+
+  @Test
+  void anEndIsToldOnce() {
+    long id = open();
+    host.refuse(id, 5);
+    host.refuse(id, 5);
+    host.fail(id);
+    ledger.servers(
+        Routing.ListKind.CHANGES, List.of()); // the next event carries out what was decided
+    assertEquals(List.of("refused"), heard);
+    assertEquals(0, ledger.size());
+  }
 }
--- a/gateway/src/test/java/lemondock/gateway/count/CallCountTest.java
+++ b/gateway/src/test/java/lemondock/gateway/count/CallCountTest.java
@@ -12,139 +12,157 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a call counts as, by the times at which things happen to it. Aim 100 ms and 10 a token, worth 3, late worth a fifth. */
+/**
+ * What a call counts as, by the times at which things happen to it. Aim 100 ms and 10 a token,
+ * worth 3, late worth a fifth.
+ */
 class CallCountTest {
-    private static final long MS = 1_000;
-    private GatewayTally tally;
-
-    @BeforeEach
-    void make() throws Exception {
-        tally = new GatewayTally(SettingsFile.gateway("t", new ObjectMapper().readTree("""
-                {"name": "t", "zone": "z", "front": {"listen": "127.0.0.1:1"}, "discovery": {"kind": "file", "path": "x"},
-                 "classes": [{"name": "c", "aimMs": 100, "aimMsPerThousandTokens": 50, "deadlineMs": 1000, "worth": 3,
-                   "lateWorth": 0.2, "tokenAimMs": 10}],
-                 "kinds": [{"name": "m", "role": "mixed"}]}""")));
+  private static final long MS = 1_000;
+  private GatewayTally tally;
+
+  @BeforeEach
+  void make() throws Exception {
+    tally =
+        new GatewayTally(
+            SettingsFile.gateway(
+                "t",
+                new ObjectMapper()
+                    .readTree(
+                        """
+                        {"name": "t", "zone": "z", "front": {"listen": "127.0.0.1:1"}, "discovery": {"kind": "file", "path": "x"},
+                         "classes": [{"name": "c", "aimMs": 100, "aimMsPerThousandTokens": 50, "deadlineMs": 1000, "worth": 3,
+                           "lateWorth": 0.2, "tokenAimMs": 10}],
+                         "kinds": [{"name": "m", "role": "mixed"}]}\
+                        """)));
+  }
+
+  private static Answer.Ending end(Answer.End end, int tokens) {
+    return new Answer.Ending(end, "", tokens, 0, 0, "stop", false, 0, "");
+  }
+
+  /**
+   * Worth asked, again, in time, late; then taken, repeats, served, refused, failed, left; then
+   * good, bad.
+   */
+  private void assertCounts(String worth, String requests, String verdicts) {
+    Snapshot s = tally.tally().snapshot(true);
+    assertEquals(worth, row(s, Metrics.WORTH, List.of("c", "z", "none"), 1_000_000));
+    assertEquals(requests, row(s, Metrics.REQUESTS, List.of("c", "z", "none"), 1));
+    assertEquals(verdicts, row(s, Metrics.VERDICTS, List.of("c", "z"), 1));
+  }
+
+  private static String row(
+      Snapshot s, lemondock.tally.Family family, List<String> labels, long part) {
+    StringBuilder text = new StringBuilder();
+    family
+        .fields()
+        .forEach(
+            f ->
+                text.append(text.isEmpty() ? "" : " ")
+                    .append((double) s.value(family, f.name(), labels) / part));
+    return text.toString().replace(".0", "");
+  }
+
+  private CallCount taken() {
+    return tally.taken(0, null, false, 1000, 0); // aim 150 ms
+  }
+
+  @Test
+  void inTimeAndAtPace() {
+    CallCount call = taken();
+    assertEquals(150 * MS, call.aim());
+    call.delivered(150 * MS);
+    call.aimPassed();
+    call.delivered(160 * MS);
+    call.ended(240 * MS, end(Answer.End.SERVED, 10));
+    call.ended(250 * MS, end(Answer.End.FAILED, 10)); // ends once
+    assertCounts("3 0 3 0", "1 0 1 0 0 0", "1 0");
+  }
+
+  @Test
+  void aFirstTokenTooLateEarnsTheLateWorth() {
+    CallCount call = taken();
+    call.aimPassed();
+    call.delivered(151 * MS);
+    call.ended(200 * MS, end(Answer.End.SERVED, 5));
+    assertCounts("3 0 0 0.6", "1 0 1 0 0 0", "0 1");
+  }
+
+  @Test
+  void aStreamTooSlowEarnsTheLateWorthUpToTwiceThePace() {
+    CallCount call = taken();
+    call.delivered(10 * MS);
+    call.ended((10 + 81) * MS, end(Answer.End.SERVED, 5)); // 4 gaps of 20.25 ms
+    CallCount other = taken();
+    other.delivered(10 * MS);
+    other.ended((10 + 79) * MS, end(Answer.End.SERVED, 5));
+    assertCounts("6 0 0 0.6", "2 0 2 0 0 0", "2 2");
+  }
+
+  @Test
+  void theTimeOfToolsIsNotTheWriters() {
+    CallCount call = taken();
+    call.delivered(100 * MS);
+    call.relayed(110 * MS);
+    call.relayed(110 * MS);
+    call.answered();
+    call.lost();
+    call.delivered(5_000 * MS);
+    call.relayed(5_010 * MS);
+    call.ended(9_000 * MS, end(Answer.End.SERVED, 3));
+    assertCounts("3 0 3 0", "1 0 1 0 0 0", "1 0");
+    assertEquals("3 1 2", row(tally.tally().snapshot(true), Metrics.TOOLS, List.of("c"), 1));
+  }
+
+  @Test
+  void aCallThatEndsWhileItsToolsRunHasLostThem() {
+    CallCount call = taken();
+    call.relayed(10 * MS);
+    call.relayed(10 * MS);
+    call.ended(20 * MS, end(Answer.End.LEFT, 0));
+    assertEquals(0, call.waiting());
+    assertEquals("2 0 2", row(tally.tally().snapshot(true), Metrics.TOOLS, List.of("c"), 1));
+  }
+
+  @Test
+  void refusedFailedAndLeft() {
+    taken().ended(5 * MS, end(Answer.End.REFUSED, 0));
+    CallCount failed = taken();
+    failed.delivered(10 * MS);
+    failed.ended(50 * MS, end(Answer.End.FAILED, 3)); // it began well: one good, one bad
+    taken().ended(5 * MS, end(Answer.End.LEFT, 0)); // who leaves early says nothing of service
+    CallCount late = taken();
+    late.aimPassed();
+    late.ended(900 * MS, end(Answer.End.LEFT, 0));
+    tally.turnedAway(0, null, true);
+    assertCounts("12 3 0 0", "5 1 0 2 1 2", "1 4");
+  }
+
+  @Test
+  void whatIsNeverSentIsNoPaceAndAnswersWithoutTextAreInTime() {
+    CallCount call = taken();
+    call.ended(50 * MS, end(Answer.End.SERVED, 0));
+    assertCounts("3 0 3 0", "1 0 1 0 0 0", "1 0");
+  }
+
+  @Test
+  void statesAndAttemptsAreCountedByWhere() {
+    tally.stateMade("south");
+    tally.stateMade("south");
+    tally.stateMade("south");
+    tally.stateFetched("south", 7 * MS);
+    tally.stateLetGo("south", 9 * MS);
+    tally.sent(Routing.Role.WRITER, "south");
+    for (Routing.Ending ending : Routing.Ending.values()) {
+      tally.attemptEnded(Routing.Role.WRITER, "south", ending);
     }
-
-    private static Answer.Ending end(Answer.End end, int tokens) {
-        return new Answer.Ending(end, "", tokens, 0, 0, "stop", false, 0, "");
-    }
-
-    /** Worth asked, again, in time, late; then taken, repeats, served, refused, failed, left; then good, bad. */
-    private void assertCounts(String worth, String requests, String verdicts) {
-        Snapshot s = tally.tally().snapshot(true);
-        assertEquals(worth, row(s, Metrics.WORTH, List.of("c", "z", "none"), 1_000_000));
-        assertEquals(requests, row(s, Metrics.REQUESTS, List.of("c", "z", "none"), 1));
-        assertEquals(verdicts, row(s, Metrics.VERDICTS, List.of("c", "z"), 1));
-    }
-
-    private static String row(Snapshot s, lemondock.tally.Family family, List<String> labels, long part) {
-        StringBuilder text = new StringBuilder();
-        family.fields().forEach(f -> text.append(text.isEmpty() ? "" : " ")
-                .append((double) s.value(family, f.name(), labels) / part));
-        return text.toString().replace(".0", "");
-    }
-
-    private CallCount taken() {
-        return tally.taken(0, null, false, 1000, 0); // aim 150 ms
-    }
-
-    @Test
-    void inTimeAndAtPace() {
-        CallCount call = taken();
-        assertEquals(150 * MS, call.aim());
-        call.delivered(150 * MS);
-        call.aimPassed();
-        call.delivered(160 * MS);
-        call.ended(240 * MS, end(Answer.End.SERVED, 10));
-        call.ended(250 * MS, end(Answer.End.FAILED, 10)); // ends once
-        assertCounts("3 0 3 0", "1 0 1 0 0 0", "1 0");
-    }
-
-    @Test
-    void aFirstTokenTooLateEarnsTheLateWorth() {
-        CallCount call = taken();
-        call.aimPassed();
-        call.delivered(151 * MS);
-        call.ended(200 * MS, end(Answer.End.SERVED, 5));
-        assertCounts("3 0 0 0.6", "1 0 1 0 0 0", "0 1");
-    }
-
-    @Test
-    void aStreamTooSlowEarnsTheLateWorthUpToTwiceThePace() {
-        CallCount call = taken();
-        call.delivered(10 * MS);
-        call.ended((10 + 81) * MS, end(Answer.End.SERVED, 5)); // 4 gaps of 20.25 ms
-        CallCount other = taken();
-        other.delivered(10 * MS);
-        other.ended((10 + 79) * MS, end(Answer.End.SERVED, 5));
-        assertCounts("6 0 0 0.6", "2 0 2 0 0 0", "2 2");
-    }
-
-    @Test
-    void theTimeOfToolsIsNotTheWriters() {
-        CallCount call = taken();
-        call.delivered(100 * MS);
-        call.relayed(110 * MS);
-        call.relayed(110 * MS);
-        call.answered();
-        call.lost();
-        call.delivered(5_000 * MS);
-        call.relayed(5_010 * MS);
-        call.ended(9_000 * MS, end(Answer.End.SERVED, 3));
-        assertCounts("3 0 3 0", "1 0 1 0 0 0", "1 0");
-        assertEquals("3 1 2", row(tally.tally().snapshot(true), Metrics.TOOLS, List.of("c"), 1));
-    }
-
-    @Test
-    void aCallThatEndsWhileItsToolsRunHasLostThem() {
-        CallCount call = taken();
-        call.relayed(10 * MS);
-        call.relayed(10 * MS);
-        call.ended(20 * MS, end(Answer.End.LEFT, 0));
-        assertEquals(0, call.waiting());
-        assertEquals("2 0 2", row(tally.tally().snapshot(true), Metrics.TOOLS, List.of("c"), 1));
-    }
-
-    @Test
-    void refusedFailedAndLeft() {
-        taken().ended(5 * MS, end(Answer.End.REFUSED, 0));
-        CallCount failed = taken();
-        failed.delivered(10 * MS);
-        failed.ended(50 * MS, end(Answer.End.FAILED, 3)); // it began well: one good, one bad
-        taken().ended(5 * MS, end(Answer.End.LEFT, 0)); // who leaves early says nothing of service
-        CallCount late = taken();
-        late.aimPassed();
-        late.ended(900 * MS, end(Answer.End.LEFT, 0));
-        tally.turnedAway(0, null, true);
-        assertCounts("12 3 0 0", "5 1 0 2 1 2", "1 4");
-    }
-
-    @Test
-    void whatIsNeverSentIsNoPaceAndAnswersWithoutTextAreInTime() {
-        CallCount call = taken();
-        call.ended(50 * MS, end(Answer.End.SERVED, 0));
-        assertCounts("3 0 3 0", "1 0 1 0 0 0", "1 0");
-    }
-
-    @Test
-    void statesAndAttemptsAreCountedByWhere() {
-        tally.stateMade("south");
-        tally.stateMade("south");
-        tally.stateMade("south");
-        tally.stateFetched("south", 7 * MS);
-        tally.stateLetGo("south", 9 * MS);
-        tally.sent(Routing.Role.WRITER, "south");
-        for (Routing.Ending ending : Routing.Ending.values()) {
-            tally.attemptEnded(Routing.Role.WRITER, "south", ending);
-        }
-        for (int i = 0; i < 200; i++) {
-            tally.sent(Routing.Role.READER, "zone" + i);
-        }
-        Snapshot s = tally.tally().snapshot(true);
-        assertEquals("3 1 1 1", row(s, Metrics.HELD, List.of("south"), 1));
-        assertEquals(2, s.value(Metrics.HELD_TIME, "count", List.of("south")));
-        assertEquals("1 1 1 1 1 1 1 1 1 1", row(s, Metrics.ATTEMPTS, List.of("writer", "south"), 1));
-        assertEquals(137, s.value(Metrics.ATTEMPTS, "sent", List.of("reader", "other")));
+    for (int i = 0; i < 200; i++) {
+      tally.sent(Routing.Role.READER, "zone" + i);
     }
+    Snapshot s = tally.tally().snapshot(true);
+    assertEquals("3 1 1 1", row(s, Metrics.HELD, List.of("south"), 1));
+    assertEquals(2, s.value(Metrics.HELD_TIME, "count", List.of("south")));
+    assertEquals("1 1 1 1 1 1 1 1 1 1", row(s, Metrics.ATTEMPTS, List.of("writer", "south"), 1));
+    assertEquals(137, s.value(Metrics.ATTEMPTS, "sent", List.of("reader", "other")));
+  }
 }
--- a/gateway/src/test/java/lemondock/gateway/discovery/MembershipTest.java
+++ b/gateway/src/test/java/lemondock/gateway/discovery/MembershipTest.java
@@ -1,191 +1,287 @@
 package lemondock.gateway.discovery;
 
-import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import lemondock.ledger.Membership;
 import lemondock.ledger.ServerEntry;
+import lemondock.policy.Routing;
 import lemondock.policy.Routing.ListKind;
 import lemondock.policy.Routing.Standing;
-import lemondock.policy.Routing;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 class MembershipTest {
-    private static final long NOW = 100_000_000;
-    private static final long WALL = 1_700_000_000_000L;
-    private final Membership members = new Membership(List.of("reader", "writer"));
+  private static final long NOW = 100_000_000;
+  private static final long WALL = 1_700_000_000_000L;
+  private final Membership members = new Membership(List.of("reader", "writer"));
 
-    private static ServerEntry entry(String name, String kind, Standing standing, long startedAt) {
-        return new ServerEntry(name, new InetSocketAddress("127.0.0.1", 9000 + name.charAt(0)), kind, "north", "r1", standing,
-                1, startedAt);
-    }
+  private static ServerEntry entry(String name, String kind, Standing standing, long startedAt) {
+    return new ServerEntry(
+        name,
+        new InetSocketAddress("127.0.0.1", 9000 + name.charAt(0)),
+        kind,
+        "north",
+        "r1",
+        standing,
+        1,
+        startedAt);
+  }
 
-    private Membership.News hear(ServerEntry... entries) {
-        return members.update(List.of(entries), false, NOW, WALL);
-    }
+  private Membership.News hear(ServerEntry... entries) {
+    return members.update(List.of(entries), false, NOW, WALL);
+  }
 
-    @Test
-    void theFirstListIsWholeAndLaterOnesAreChanges() {
-        assertEquals(ListKind.WHOLE, hear(entry("a", "reader", Standing.READY, 0), entry("b", "writer", Standing.READY, 0)).kind());
-        Membership.News none = hear(entry("a", "reader", Standing.READY, 0), entry("b", "writer", Standing.READY, 0));
-        assertEquals(ListKind.CHANGES, none.kind());
-        assertEquals(List.of(), none.servers());
-        Membership.News drain = hear(entry("a", "reader", Standing.DRAINING, 0));
-        assertEquals(List.of(Standing.DRAINING, Standing.GONE), drain.servers().stream().map(Routing.Server::standing).toList());
-    }
+  @Test
+  void theFirstListIsWholeAndLaterOnesAreChanges() {
+    assertEquals(
+        ListKind.WHOLE,
+        hear(entry("a", "reader", Standing.READY, 0), entry("b", "writer", Standing.READY, 0))
+            .kind());
+    Membership.News none =
+        hear(entry("a", "reader", Standing.READY, 0), entry("b", "writer", Standing.READY, 0));
+    assertEquals(ListKind.CHANGES, none.kind());
+    assertEquals(List.of(), none.servers());
+    Membership.News drain = hear(entry("a", "reader", Standing.DRAINING, 0));
+    assertEquals(
+        List.of(Standing.DRAINING, Standing.GONE),
+        drain.servers().stream().map(Routing.Server::standing).toList());
+  }
 
-    /** A change of a list of thousands must not cost a hash for each of them. */
-    @Test
-    void entriesThatComeAgainUnchangedAreNotNumberedAgain() {
-        AtomicInteger numbered = new AtomicInteger();
-        Membership counted = new Membership(List.of("reader", "writer"), server -> {
-            numbered.incrementAndGet();
-            return Membership.hash(server.name());
-        });
-        List<ServerEntry> listed = new ArrayList<>();
-        for (int i = 0; i < 100; i++) {
-            listed.add(entry("s" + i, "reader", Standing.READY, WALL - i));
-        }
-        List<Routing.Server> first = counted.update(listed, false, NOW, WALL).servers();
-        assertEquals(100, numbered.get());
-        listed.set(3, entry("s3", "reader", Standing.DRAINING, WALL - 3));
-        listed.remove(7);
-        List<Routing.Server> changes = counted.update(listed, false, NOW + 5, WALL + 3).servers();
-        assertEquals(101, numbered.get());
-        assertEquals(List.of(Standing.DRAINING, Standing.GONE), changes.stream().map(Routing.Server::standing).toList());
-        assertEquals(List.of(first.get(3).id(), first.get(7).id()), changes.stream().map(Routing.Server::id).toList());
-        assertEquals(List.of(listed.get(5).name() + ": listed twice under " + listed.get(5).address()), counted.update(
-                List.of(listed.get(5), listed.get(5)), false, NOW, WALL).skipped());
-        assertEquals(1, counted.size());
+  /** A change of a list of thousands must not cost a hash for each of them. */
+  @Test
+  void entriesThatComeAgainUnchangedAreNotNumberedAgain() {
+    AtomicInteger numbered = new AtomicInteger();
+    Membership counted =
+        new Membership(
+            List.of("reader", "writer"),
+            server -> {
+              numbered.incrementAndGet();
+              return Membership.hash(server.name());
+            });
+    List<ServerEntry> listed = new ArrayList<>();
+    for (int i = 0; i < 100; i++) {
+      listed.add(entry("s" + i, "reader", Standing.READY, WALL - i));
     }
+    List<Routing.Server> first = counted.update(listed, false, NOW, WALL).servers();
+    assertEquals(100, numbered.get());
+    listed.set(3, entry("s3", "reader", Standing.DRAINING, WALL - 3));
+    listed.remove(7);
+    List<Routing.Server> changes = counted.update(listed, false, NOW + 5, WALL + 3).servers();
+    assertEquals(101, numbered.get());
+    assertEquals(
+        List.of(Standing.DRAINING, Standing.GONE),
+        changes.stream().map(Routing.Server::standing).toList());
+    assertEquals(
+        List.of(first.get(3).id(), first.get(7).id()),
+        changes.stream().map(Routing.Server::id).toList());
+    assertEquals(
+        List.of(listed.get(5).name() + ": listed twice under " + listed.get(5).address()),
+        counted.update(List.of(listed.get(5), listed.get(5)), false, NOW, WALL).skipped());
+    assertEquals(1, counted.size());
+  }
 
-    /** A wall clock that steps must not make a server that has just started look warm, nor an old one look new. */
-    @ParameterizedTest
-    @CsvSource({"0", "3600000", "-3600000", "5000", "-5000"})
-    void aStepOfTheWallClockDoesNotMakeANewServerOld(long step) {
-        long second = 1_000_000;
-        hear(entry("a", "reader", Standing.READY, WALL - 60_000));
-        long later = NOW + 20 * second;
-        List<Routing.Server> news = members.update(List.of(entry("a", "reader", Standing.READY, WALL - 60_000),
-                entry("b", "reader", Standing.READY, WALL + 19_000)), false, later, WALL + 20_000 + step).servers();
-        assertEquals(1, news.size(), "what is known keeps its start");
-        assertTrue(news.get(0).startedAt() >= later - second, "started " + (later - news.get(0).startedAt()) / second + " s ago");
-        assertTrue(news.get(0).startedAt() <= later);
-    }
+  /**
+   * A wall clock that steps must not make a server that has just started look warm, nor an old one
+   * look new.
+   */
+  @ParameterizedTest
+  @CsvSource({"0", "3600000", "-3600000", "5000", "-5000"})
+  void aStepOfTheWallClockDoesNotMakeANewServerOld(long step) {
+    long second = 1_000_000;
+    hear(entry("a", "reader", Standing.READY, WALL - 60_000));
+    long later = NOW + 20 * second;
+    List<Routing.Server> news =
+        members
+            .update(
+                List.of(
+                    entry("a", "reader", Standing.READY, WALL - 60_000),
+                    entry("b", "reader", Standing.READY, WALL + 19_000)),
+                false,
+                later,
+                WALL + 20_000 + step)
+            .servers();
+    assertEquals(1, news.size(), "what is known keeps its start");
+    assertTrue(
+        news.get(0).startedAt() >= later - second,
+        "started " + (later - news.get(0).startedAt()) / second + " s ago");
+    assertTrue(news.get(0).startedAt() <= later);
+  }
 
-    /** The clock was wrong from the start of this gateway, and the last list had an earlier process of the server. */
-    @Test
-    void aProcessThatReplacesOneOfTheLastListIsNotOlderThanThat() {
-        long hour = 3_600_000;
-        members.update(List.of(entry("a", "reader", Standing.READY, WALL - 60_000)), false, NOW, WALL + hour);
-        long later = NOW + 2_000_000;
-        List<Routing.Server> news = members.update(List.of(entry("a", "reader", Standing.READY, WALL + 1_000)), false, later,
-                WALL + hour + 2_000).servers();
-        assertTrue(news.get(0).startedAt() >= NOW, "started " + (later - news.get(0).startedAt()) / 1_000_000 + " s ago");
-    }
+  /**
+   * The clock was wrong from the start of this gateway, and the last list had an earlier process of
+   * the server.
+   */
+  @Test
+  void aProcessThatReplacesOneOfTheLastListIsNotOlderThanThat() {
+    long hour = 3_600_000;
+    members.update(
+        List.of(entry("a", "reader", Standing.READY, WALL - 60_000)), false, NOW, WALL + hour);
+    long later = NOW + 2_000_000;
+    List<Routing.Server> news =
+        members
+            .update(
+                List.of(entry("a", "reader", Standing.READY, WALL + 1_000)),
+                false,
+                later,
+                WALL + hour + 2_000)
+            .servers();
+    assertTrue(
+        news.get(0).startedAt() >= NOW,
+        "started " + (later - news.get(0).startedAt()) / 1_000_000 + " s ago");
+  }
 
-    /** A list may be the first to have a server that has run for long, as after one that was emptied by mistake. */
-    @Test
-    void aServerThatComesLateToTheListIsAsOldAsItSays() {
-        hear(entry("a", "reader", Standing.READY, WALL - 60_000));
-        List<Routing.Server> news = hear(entry("a", "reader", Standing.READY, WALL - 60_000), entry("b", "reader", Standing.READY, WALL - 50_000))
-                .servers();
-        assertEquals(List.of(NOW - 50_000_000), news.stream().map(Routing.Server::startedAt).toList());
-    }
+  /**
+   * A list may be the first to have a server that has run for long, as after one that was emptied
+   * by mistake.
+   */
+  @Test
+  void aServerThatComesLateToTheListIsAsOldAsItSays() {
+    hear(entry("a", "reader", Standing.READY, WALL - 60_000));
+    List<Routing.Server> news =
+        hear(
+                entry("a", "reader", Standing.READY, WALL - 60_000),
+                entry("b", "reader", Standing.READY, WALL - 50_000))
+            .servers();
+    assertEquals(List.of(NOW - 50_000_000), news.stream().map(Routing.Server::startedAt).toList());
+  }
 
-    /** One that was off the list for a while is the process that it was. */
-    @Test
-    void aServerThatComesBackToTheListKeepsItsStart() {
-        long startedAt = hear(entry("a", "reader", Standing.READY, WALL - 60_000)).servers().get(0).startedAt();
-        hear();
-        assertEquals(startedAt, members.update(List.of(entry("a", "reader", Standing.READY, WALL - 60_000)), false, NOW + 1_000_000,
-                WALL + 1_000).servers().get(0).startedAt());
-    }
+  /** One that was off the list for a while is the process that it was. */
+  @Test
+  void aServerThatComesBackToTheListKeepsItsStart() {
+    long startedAt =
+        hear(entry("a", "reader", Standing.READY, WALL - 60_000)).servers().get(0).startedAt();
+    hear();
+    assertEquals(
+        startedAt,
+        members
+            .update(
+                List.of(entry("a", "reader", Standing.READY, WALL - 60_000)),
+                false,
+                NOW + 1_000_000,
+                WALL + 1_000)
+            .servers()
+            .get(0)
+            .startedAt());
+  }
 
-    @Test
-    void afterABreakTheListIsToldWhole() {
-        hear(entry("a", "reader", Standing.READY, 0));
-        members.forgetChanges();
-        assertEquals(ListKind.WHOLE, hear(entry("a", "reader", Standing.READY, 0)).kind());
-        assertEquals(ListKind.CACHED, members.update(List.of(), true, NOW, WALL).kind());
-    }
+  @Test
+  void afterABreakTheListIsToldWhole() {
+    hear(entry("a", "reader", Standing.READY, 0));
+    members.forgetChanges();
+    assertEquals(ListKind.WHOLE, hear(entry("a", "reader", Standing.READY, 0)).kind());
+    assertEquals(ListKind.CACHED, members.update(List.of(), true, NOW, WALL).kind());
+  }
 
-    @Test
-    void numbersAreTheSameEverywhereAndInEveryLife() {
-        long here = hear(entry("a", "reader", Standing.READY, 0)).servers().get(0).id();
-        long there = new Membership(List.of("writer", "reader")).update(List.of(entry("x", "writer", Standing.READY, 0),
-                entry("a", "reader", Standing.READY, 5)), false, 1, 1).servers().get(1).id();
-        assertEquals(here, there);
-    }
+  @Test
+  void numbersAreTheSameEverywhereAndInEveryLife() {
+    long here = hear(entry("a", "reader", Standing.READY, 0)).servers().get(0).id();
+    long there =
+        new Membership(List.of("writer", "reader"))
+            .update(
+                List.of(
+                    entry("x", "writer", Standing.READY, 0),
+                    entry("a", "reader", Standing.READY, 5)),
+                false,
+                1,
+                1)
+            .servers()
+            .get(1)
+            .id();
+    assertEquals(here, there);
+  }
 
-    @Test
-    void aStartIsPutOnTheClockOnceAndANewOneIsANewProcess() {
-        long first = hear(entry("a", "reader", Standing.READY, WALL - 2_000)).servers().get(0).startedAt();
-        assertEquals(NOW - 2_000_000, first);
-        assertEquals(List.of(), members.update(List.of(entry("a", "reader", Standing.READY, WALL - 2_000)), false, NOW + 7,
-                WALL + 900).servers()); // clocks that drift apart do not make a new process
-        assertNotEquals(first, hear(entry("a", "reader", Standing.READY, WALL - 1_000)).servers().get(0).startedAt());
-        assertEquals(NOW, hear(entry("a", "reader", Standing.READY, WALL + 60_000)).servers().get(0).startedAt());
-    }
+  @Test
+  void aStartIsPutOnTheClockOnceAndANewOneIsANewProcess() {
+    long first =
+        hear(entry("a", "reader", Standing.READY, WALL - 2_000)).servers().get(0).startedAt();
+    assertEquals(NOW - 2_000_000, first);
+    assertEquals(
+        List.of(),
+        members
+            .update(
+                List.of(entry("a", "reader", Standing.READY, WALL - 2_000)),
+                false,
+                NOW + 7,
+                WALL + 900)
+            .servers()); // clocks that drift apart do not make a new process
+    assertNotEquals(
+        first,
+        hear(entry("a", "reader", Standing.READY, WALL - 1_000)).servers().get(0).startedAt());
+    assertEquals(
+        NOW,
+        hear(entry("a", "reader", Standing.READY, WALL + 60_000)).servers().get(0).startedAt());
+  }
 
-    @Test
-    void whatCannotBeUsedIsPassedOverAndNamed() {
-        Membership.News news = hear(entry("a", "painter", Standing.READY, 0), entry("b", "reader", Standing.READY, 0),
-                entry("b", "reader", Standing.READY, 0));
-        assertEquals(1, news.servers().size());
-        assertEquals(2, news.skipped().size());
-        assertTrue(news.skipped().get(0).contains("painter"));
-    }
+  @Test
+  void whatCannotBeUsedIsPassedOverAndNamed() {
+    Membership.News news =
+        hear(
+            entry("a", "painter", Standing.READY, 0),
+            entry("b", "reader", Standing.READY, 0),
+            entry("b", "reader", Standing.READY, 0));
+    assertEquals(1, news.servers().size());
+    assertEquals(2, news.skipped().size());
+    assertTrue(news.skipped().get(0).contains("painter"));
+  }
 
-    @Test
-    void aServerThatLeftCanStillBeToldToLetGo() {
-        long id = hear(entry("a", "reader", Standing.READY, 0)).servers().get(0).id();
-        hear();
-        assertEquals("a", members.entry(id).name());
-        assertEquals(0, members.size());
-    }
+  @Test
+  void aServerThatLeftCanStillBeToldToLetGo() {
+    long id = hear(entry("a", "reader", Standing.READY, 0)).servers().get(0).id();
+    hear();
+    assertEquals("a", members.entry(id).name());
+    assertEquals(0, members.size());
+  }
 
-    @Test
-    void consulsFormIsRead() throws Listing.Unreadable {
-        String text = "[{\"Node\":{\"Address\":\"127.0.0.1\"},\"Service\":{\"ID\":\"w1\",\"Address\":\"\",\"Port\":80,"
-                + "\"Meta\":{\"kind\":\"writer\",\"zone\":\"z\",\"rack\":\"r\",\"started\":\"12\"},\"Weights\":{\"Passing\":3}},"
-                + "\"Checks\":[{\"CheckID\":\"_service_maintenance:w1\",\"Status\":\"critical\"}]},"
-                + "{\"Service\":{\"ID\":\"w2\",\"Address\":\"127.0.0.2\",\"Port\":81,\"Meta\":{\"kind\":\"writer\"}},"
-                + "\"Checks\":[{\"CheckID\":\"tcp\",\"Status\":\"critical\"}]}]";
-        List<ServerEntry> entries = Listing.ofConsul(text.getBytes(StandardCharsets.UTF_8));
-        assertEquals(Standing.DRAINING, entries.get(0).standing());
-        assertEquals(3, entries.get(0).weight());
-        assertEquals(12, entries.get(0).startedAt());
-        assertEquals(Standing.GONE, entries.get(1).standing());
-    }
+  @Test
+  void consulsFormIsRead() throws Listing.Unreadable {
+    String text =
+        "[{\"Node\":{\"Address\":\"127.0.0.1\"},\"Service\":{\"ID\":\"w1\",\"Address\":\"\",\"Port\":80,"
+            + "\"Meta\":{\"kind\":\"writer\",\"zone\":\"z\",\"rack\":\"r\",\"started\":\"12\"},\"Weights\":{\"Passing\":3}},"
+            + "\"Checks\":[{\"CheckID\":\"_service_maintenance:w1\",\"Status\":\"critical\"}]},"
+            + "{\"Service\":{\"ID\":\"w2\",\"Address\":\"127.0.0.2\",\"Port\":81,\"Meta\":{\"kind\":\"writer\"}},"
+            + "\"Checks\":[{\"CheckID\":\"tcp\",\"Status\":\"critical\"}]}]";
+    List<ServerEntry> entries = Listing.ofConsul(text.getBytes(StandardCharsets.UTF_8));
+    assertEquals(Standing.DRAINING, entries.get(0).standing());
+    assertEquals(3, entries.get(0).weight());
+    assertEquals(12, entries.get(0).startedAt());
+    assertEquals(Standing.GONE, entries.get(1).standing());
+  }
 
-    @Test
-    void theFilesFormIsReadBack() throws Listing.Unreadable {
-        List<ServerEntry> entries = List.of(entry("a", "reader", Standing.DRAINING, 77));
-        assertEquals(entries, Listing.ofFile(Listing.toFile(entries)));
-    }
+  @Test
+  void theFilesFormIsReadBack() throws Listing.Unreadable {
+    List<ServerEntry> entries = List.of(entry("a", "reader", Standing.DRAINING, 77));
+    assertEquals(entries, Listing.ofFile(Listing.toFile(entries)));
+  }
 
-    @ParameterizedTest
-    @CsvSource(delimiter = '~', value = {
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '~',
+      value = {
         "nonsense ~ expected JSON",
         "{\"servers\":1} ~ /servers: expected an array",
         "{\"servers\":[{\"name\":\"\"}]} ~ /servers/0/name: expected a text",
-        "{\"servers\":[{\"name\":\"a\",\"address\":\"x\",\"kind\":\"k\"}]} ~ /servers/0/address: expected HOST:PORT",
-        "{\"servers\":[{\"name\":\"a\",\"address\":\"127.0.0.1:1\",\"kind\":\"k\",\"weight\":-1}]} ~ expected a weight",
-        "{\"servers\":[{\"name\":\"a\",\"address\":\"127.0.0.1:1\",\"kind\":\"k\",\"standing\":\"x\"}]} ~ /servers/0/standing",
-    })
-    void whatIsWrongIsNamed(String text, String problem) {
-        String message = assertThrows(Listing.Unreadable.class,
-                () -> Listing.ofFile(text.getBytes(StandardCharsets.UTF_8))).getMessage();
-        assertTrue(message.contains(problem), message);
-    }
+        "{\"servers\":[{\"name\":\"a\",\"address\":\"x\",\"kind\":\"k\"}]} ~ /servers/0/address:"
+            + " expected HOST:PORT",
+        "{\"servers\":[{\"name\":\"a\",\"address\":\"127.0.0.1:1\",\"kind\":\"k\",\"weight\":-1}]}"
+            + " ~ expected a weight",
+        "{\"servers\":[{\"name\":\"a\",\"address\":\"127.0.0.1:1\",\"kind\":\"k\",\"standing\":\"x\"}]}"
+            + " ~ /servers/0/standing",
+      })
+  void whatIsWrongIsNamed(String text, String problem) {
+    String message =
+        assertThrows(
+                Listing.Unreadable.class,
+                () -> Listing.ofFile(text.getBytes(StandardCharsets.UTF_8)))
+            .getMessage();
+    assertTrue(message.contains(problem), message);
+  }
 }
--- a/gateway/src/test/java/lemondock/gateway/front/PeekTest.java
+++ b/gateway/src/test/java/lemondock/gateway/front/PeekTest.java
@@ -4,43 +4,67 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import java.nio.charset.StandardCharsets;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 class PeekTest {
-    private static String tool(String body) {
-        return Peek.tool(body.getBytes(StandardCharsets.UTF_8));
-    }
+  private static String tool(String body) {
+    return Peek.tool(body.getBytes(StandardCharsets.UTF_8));
+  }
 
-    @Test
-    void theToolOfACallIsSeen() {
-        assertEquals("sale-lookup", tool("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\",\"a\":1}}"));
-        assertEquals("x", tool("{ \"params\" : { \"name\" :\n\t\"x\" } , \"method\" : \"tools/call\" }"));
-    }
+  @Test
+  void theToolOfACallIsSeen() {
+    assertEquals(
+        "sale-lookup",
+        tool(
+            "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\",\"a\":1}}"));
+    assertEquals(
+        "x", tool("{ \"params\" : { \"name\" :\n\t\"x\" } , \"method\" : \"tools/call\" }"));
+  }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"", "[{\"method\":\"tools/call\",\"params\":{\"name\":\"x\"}}]", "{\"method\":\"tools/list\",\"params\":{\"name\":\"x\"}}",
-        "{\"method\":\"tools/call\"", "{\"method\":\"tools/call\",\"name\"", "{\"method\":\"tools/call\",\"name\":",
-        "{\"method\":\"tools/call\",\"name\":7}", "{\"method\":\"tools/call\",\"name\":\"x", "{\"method\":\"tools/call\",\"name\":\"a\\u0062\"}"})
-    void whatIsNotPlainIsLeftToTheParser(String body) {
-        assertNull(tool(body));
-    }
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "",
+        "[{\"method\":\"tools/call\",\"params\":{\"name\":\"x\"}}]",
+        "{\"method\":\"tools/list\",\"params\":{\"name\":\"x\"}}",
+        "{\"method\":\"tools/call\"",
+        "{\"method\":\"tools/call\",\"name\"",
+        "{\"method\":\"tools/call\",\"name\":",
+        "{\"method\":\"tools/call\",\"name\":7}",
+        "{\"method\":\"tools/call\",\"name\":\"x",
+        "{\"method\":\"tools/call\",\"name\":\"a\\u0062\"}"
+      })
+  void whatIsNotPlainIsLeftToTheParser(String body) {
+    assertNull(tool(body));
+  }
 
-    @Test
-    void aNameFarBehindOrTooLongIsNotLookedFor() {
-        assertNull(tool("{\"method\":\"tools/call\",\"x\":\"" + "y".repeat(600) + "\",\"name\":\"x\"}"));
-        assertNull(tool("{\"method\":\"tools/call\",\"name\":\"" + "y".repeat(200) + "\"}"));
-    }
+  @Test
+  void aNameFarBehindOrTooLongIsNotLookedFor() {
+    assertNull(
+        tool("{\"method\":\"tools/call\",\"x\":\"" + "y".repeat(600) + "\",\"name\":\"x\"}"));
+    assertNull(tool("{\"method\":\"tools/call\",\"name\":\"" + "y".repeat(200) + "\"}"));
+  }
 
-    /** The server asks with the first bytes only, and again with all when it prepares the request: both must see the same. */
-    @Test
-    void theFirstBytesSayTheSameAsAllOfIt() {
-        for (int before = 0; before < 700; before++) {
-            byte[] body = ("{\"method\":\"tools/call\",\"x\":\"" + "y".repeat(before) + "\",\"params\":{\"name\" : \"day-close\",\"arguments\":{}}}"
-                    + "z".repeat(300)).getBytes(StandardCharsets.UTF_8);
-            assertEquals(Peek.tool(body), Peek.tool(Arrays.copyOf(body, Math.min(body.length, Peek.FAR))), "after " + before);
-        }
+  /**
+   * The server asks with the first bytes only, and again with all when it prepares the request:
+   * both must see the same.
+   */
+  @Test
+  void theFirstBytesSayTheSameAsAllOfIt() {
+    for (int before = 0; before < 700; before++) {
+      byte[] body =
+          ("{\"method\":\"tools/call\",\"x\":\""
+                  + "y".repeat(before)
+                  + "\",\"params\":{\"name\" : \"day-close\",\"arguments\":{}}}"
+                  + "z".repeat(300))
+              .getBytes(StandardCharsets.UTF_8);
+      assertEquals(
+          Peek.tool(body),
+          Peek.tool(Arrays.copyOf(body, Math.min(body.length, Peek.FAR))),
+          "after " + before);
     }
+  }
 }
--- a/ledger/src/main/java/lemondock/ledger/Engines.java
+++ b/ledger/src/main/java/lemondock/ledger/Engines.java
@@ -4,90 +4,96 @@
 import lemondock.policy.Routing.Ending;
 
 /**
- * The port to the engines. An adapter turns what the ledger asks for into a protocol's messages and says what came back; it decides
- * nothing. Loop thread only.
+ * The port to the engines. An adapter turns what the ledger asks for into a protocol's messages and
+ * says what came back; it decides nothing. Loop thread only.
  *
  * @param <P> what an engine gets: the request as the client's side made it
  * @param <S> how a protocol names a state that waits at a reader
  * @param <C> an event of a stream
  */
 public interface Engines<P, S, C extends Piece> {
-    /** Asks a server to read; {@code name} is the attempt's own and never used again. */
-    Work read(ServerEntry server, String name, Leg.Spec<P> spec, Attempt<S, C> attempt);
-
-    /** Asks a server to write from a state, or, where that is null, to read and write. */
-    Work write(ServerEntry server, String name, Leg.Spec<P> spec, S state, Attempt<S, C> attempt);
-
-    /** Lets go of the state that the read of that name left at a server. */
-    void release(ServerEntry at, String name, P prompt);
-
-    /**
-     * Attempts of the request are under way, or a read has ended without an answer: releases whatever is held for the request and no attempt waits
-     * for, and leaves the attempts alone. False, and nothing is done, in a protocol that cannot say this; there states go by the name of their
-     * read alone. {@code ended}: the request has ended, and what servers still do for it comes to nothing.
-     */
-    default boolean releaseIdle(ServerEntry at, String name, P prompt, boolean ended) {
-        return false;
-    }
-
-    /**
-     * Another state is used, or this one was not found: it is of no use, though its request goes on. An adapter whose protocol names
-     * states by the request must not release it now, for that would take the one in use along.
-     */
-    default void supersede(ServerEntry at, String name, P prompt) {
-        release(at, name, prompt);
-    }
-
+  /** Asks a server to read; {@code name} is the attempt's own and never used again. */
+  Work read(ServerEntry server, String name, Leg.Spec<P> spec, Attempt<S, C> attempt);
+
+  /** Asks a server to write from a state, or, where that is null, to read and write. */
+  Work write(ServerEntry server, String name, Leg.Spec<P> spec, S state, Attempt<S, C> attempt);
+
+  /** Lets go of the state that the read of that name left at a server. */
+  void release(ServerEntry at, String name, P prompt);
+
+  /**
+   * Attempts of the request are under way, or a read has ended without an answer: releases whatever
+   * is held for the request and no attempt waits for, and leaves the attempts alone. False, and
+   * nothing is done, in a protocol that cannot say this; there states go by the name of their read
+   * alone. {@code ended}: the request has ended, and what servers still do for it comes to nothing.
+   */
+  default boolean releaseIdle(ServerEntry at, String name, P prompt, boolean ended) {
+    return false;
+  }
+
+  /**
+   * Another state is used, or this one was not found: it is of no use, though its request goes on.
+   * An adapter whose protocol names states by the request must not release it now, for that would
+   * take the one in use along.
+   */
+  default void supersede(ServerEntry at, String name, P prompt) {
+    release(at, name, prompt);
+  }
+
+  /**
+   * A read of that name may have left a state, now or soon: it was given up or broke while it was
+   * under way. The adapter sees to it that nothing stays held, at once or, where a protocol names
+   * states by the request, with {@link #releaseIdle}.
+   */
+  void doubt(ServerEntry at, String name, P prompt);
+
+  /** What a request without a whole response proves of its attempt. */
+  static Ending ending(HttpClient.Failure failure) {
+    return switch (failure) {
+      case NOT_SENT -> Ending.CONNECT_FAILED;
+      case NO_ROOM -> Ending.MOOT; // the server is not to be blamed for what this gateway lacks
+      case BROKEN -> Ending.RESET;
+      case MALFORMED -> Ending.ERROR;
+    };
+  }
+
+  /** An attempt under way. */
+  interface Work {
+    /** Breaks it off; nothing more is heard of it. */
+    void cancel();
+
+    /** Takes no more of the answer until {@link #resume}, which slows the engine. */
+    default void pause() {}
+
+    /** Takes the answer again. */
+    default void resume() {}
+
+    /** Plain pieces go this way from now on, if the adapter can tell them. */
+    default void by(Lane way) {}
+  }
+
+  /** Where plain pieces of a stream that runs go without the loop. */
+  interface Lane {
     /**
-     * A read of that name may have left a state, now or soon: it was given up or broke while it was under way. The adapter sees to it that
-     * nothing stays held, at once or, where a protocol names states by the request, with {@link #releaseIdle}.
+     * Takes a piece of text, good until this returns, on an I/O thread; false if it cannot just
+     * now, then the loop gets it.
+     *
+     * @param answerTokens tokens of the leg so far, -1 if not told
      */
-    void doubt(ServerEntry at, String name, P prompt);
-
-    /** What a request without a whole response proves of its attempt. */
-    static Ending ending(HttpClient.Failure failure) {
-        return switch (failure) {
-            case NOT_SENT -> Ending.CONNECT_FAILED;
-            case NO_ROOM -> Ending.MOOT; // the server is not to be blamed for what this gateway lacks
-            case BROKEN -> Ending.RESET;
-            case MALFORMED -> Ending.ERROR;
-        };
-    }
-
-    /** An attempt under way. */
-    interface Work {
-        /** Breaks it off; nothing more is heard of it. */
-        void cancel();
-
-        /** Takes no more of the answer until {@link #resume}, which slows the engine. */
-        default void pause() { }
-
-        /** Takes the answer again. */
-        default void resume() { }
-
-        /** Plain pieces go this way from now on, if the adapter can tell them. */
-        default void by(Lane way) { }
-    }
-
-    /** Where plain pieces of a stream that runs go without the loop. */
-    interface Lane {
-        /**
-         * Takes a piece of text, good until this returns, on an I/O thread; false if it cannot just now, then the loop gets it.
-         *
-         * @param answerTokens tokens of the leg so far, -1 if not told
-         */
-        boolean take(CharSequence text, int answerTokens);
-    }
-
-    /** What becomes of an attempt: a read or pieces of an answer, and, after all but a read, one end. */
-    interface Attempt<S, C extends Piece> {
-        /** The prompt was read; the state waits at the reader. */
-        default void read(S state, int cachedTokens) { }
-
-        /** An event of the answer. */
-        default void chunk(C chunk) { }
-
-        /** The end: OK after a whole stream; the module's word for any other. */
-        void ended(Ending ending, boolean stateMissing, String what);
-    }
+    boolean take(CharSequence text, int answerTokens);
+  }
+
+  /**
+   * What becomes of an attempt: a read or pieces of an answer, and, after all but a read, one end.
+   */
+  interface Attempt<S, C extends Piece> {
+    /** The prompt was read; the state waits at the reader. */
+    default void read(S state, int cachedTokens) {}
+
+    /** An event of the answer. */
+    default void chunk(C chunk) {}
+
+    /** The end: OK after a whole stream; the module's word for any other. */
+    void ended(Ending ending, boolean stateMissing, String what);
+  }
 }
--- a/ledger/src/main/java/lemondock/ledger/Piece.java
+++ b/ledger/src/main/java/lemondock/ledger/Piece.java
@@ -2,9 +2,9 @@
 
 /** One event of a writer's stream, as far as the ledger cares. */
 public interface Piece {
-    /** Whether the engine has produced something with it: the first such one begins the answer. */
-    boolean carries();
+  /** Whether the engine has produced something with it: the first such one begins the answer. */
+  boolean carries();
 
-    /** Prompt tokens found kept, -1 if not told here. */
-    int cachedTokens();
+  /** Prompt tokens found kept, -1 if not told here. */
+  int cachedTokens();
 }
--- a/ledger/src/main/java/lemondock/ledger/ServerEntry.java
+++ b/ledger/src/main/java/lemondock/ledger/ServerEntry.java
@@ -8,5 +8,12 @@
  *
  * @param startedAt milliseconds since the epoch of its process's start, 0 if long ago or not told
  */
-public record ServerEntry(String name, InetSocketAddress address, String kind, String zone, String rack,
-        Routing.Standing standing, double weight, long startedAt) { }
+public record ServerEntry(
+    String name,
+    InetSocketAddress address,
+    String kind,
+    String zone,
+    String rack,
+    Routing.Standing standing,
+    double weight,
+    long startedAt) {}
--- a/ledger/src/test/java/lemondock/ledger/SilenceTest.java
+++ b/ledger/src/test/java/lemondock/ledger/SilenceTest.java
@@ -9,54 +9,54 @@
 
 /** When a stream that says nothing is broken, on a clock moved by hand. */
 class SilenceTest {
-    private static final long SECOND = 1_000_000;
-
-    private final ManualLoop loop = new ManualLoop(SECOND);
-    private final Lateness lateness = new Lateness(SECOND / 10, 3 * SECOND / 10, SECOND / 20);
-    private int broken;
-    private final Silence silence = new Silence(loop, lateness, 4 * SECOND, () -> broken++);
-
-    @BeforeEach
-    void begin() {
-        tick();
-        silence.heard();
-        silence.watch();
-    }
-
-    private void tick() {
-        loop.schedule(lateness.ticked(loop.now()) - loop.now(), this::tick);
-    }
-
-    @Test
-    void whatIsHeardPutsItOffAndItIsBrokenOnce() {
-        loop.move(3 * SECOND);
-        silence.heard();
-        loop.move(3 * SECOND);
-        assertEquals(0, broken);
-        loop.move(10 * SECOND);
-        assertEquals(1, broken);
-    }
-
-    @Test
-    void noSilenceWhileNobodyTakesItNorOnceItHasEnded() {
-        silence.pause();
-        loop.move(20 * SECOND);
-        silence.resume();
-        loop.move(3 * SECOND);
-        assertEquals(0, broken);
-        silence.end();
-        loop.move(20 * SECOND);
-        assertEquals(0, broken);
-    }
-
-    @Test
-    void afterAStallOfTheProcessWhatCameMeanwhileIsHeardFirst() {
-        loop.standStill(10 * SECOND);
-        assertEquals(0, broken);
-        silence.heard();
-        loop.move(3 * SECOND);
-        assertEquals(0, broken);
-        loop.move(2 * SECOND);
-        assertEquals(1, broken);
-    }
+  private static final long SECOND = 1_000_000;
+
+  private final ManualLoop loop = new ManualLoop(SECOND);
+  private final Lateness lateness = new Lateness(SECOND / 10, 3 * SECOND / 10, SECOND / 20);
+  private int broken;
+  private final Silence silence = new Silence(loop, lateness, 4 * SECOND, () -> broken++);
+
+  @BeforeEach
+  void begin() {
+    tick();
+    silence.heard();
+    silence.watch();
+  }
+
+  private void tick() {
+    loop.schedule(lateness.ticked(loop.now()) - loop.now(), this::tick);
+  }
+
+  @Test
+  void whatIsHeardPutsItOffAndItIsBrokenOnce() {
+    loop.move(3 * SECOND);
+    silence.heard();
+    loop.move(3 * SECOND);
+    assertEquals(0, broken);
+    loop.move(10 * SECOND);
+    assertEquals(1, broken);
+  }
+
+  @Test
+  void noSilenceWhileNobodyTakesItNorOnceItHasEnded() {
+    silence.pause();
+    loop.move(20 * SECOND);
+    silence.resume();
+    loop.move(3 * SECOND);
+    assertEquals(0, broken);
+    silence.end();
+    loop.move(20 * SECOND);
+    assertEquals(0, broken);
+  }
+
+  @Test
+  void afterAStallOfTheProcessWhatCameMeanwhileIsHeardFirst() {
+    loop.standStill(10 * SECOND);
+    assertEquals(0, broken);
+    silence.heard();
+    loop.move(3 * SECOND);
+    assertEquals(0, broken);
+    loop.move(2 * SECOND);
+    assertEquals(1, broken);
+  }
 }
--- a/measure/src/main/java/lemondock/measure/Load.java
+++ b/measure/src/main/java/lemondock/measure/Load.java
@@ -20,168 +20,231 @@
 
 /** Streams over a gateway, or straight to an engine, and what their clients saw. */
 final class Load implements AutoCloseable {
-    private static final long MICROS = 1_000_000;
-    private final List<Node> nodes = new ArrayList<>();
-    private final List<HttpClient> clients = new ArrayList<>();
-    final Histogram first = new ConcurrentHistogram(60 * MICROS, 3);
-    final Histogram transit = new ConcurrentHistogram(60 * MICROS, 3);
-    final AtomicLong events = new AtomicLong();
-    final AtomicLong failures = new AtomicLong();
-
-    Load(int loops) {
-        this(loops, 100_000);
+  private static final long MICROS = 1_000_000;
+  private final List<Node> nodes = new ArrayList<>();
+  private final List<HttpClient> clients = new ArrayList<>();
+  final Histogram first = new ConcurrentHistogram(60 * MICROS, 3);
+  final Histogram transit = new ConcurrentHistogram(60 * MICROS, 3);
+  final AtomicLong events = new AtomicLong();
+  final AtomicLong failures = new AtomicLong();
+
+  Load(int loops) {
+    this(loops, 100_000);
+  }
+
+  Load(int loops, int connections) {
+    for (int i = 0; i < loops; i++) {
+      Node node = new Node("load-" + i, 1);
+      nodes.add(node);
+      clients.add(
+          new HttpClient(
+              node.loop(),
+              node.network(),
+              new HttpClient.Options(
+                  new HttpLimits(8_192, 32_768, 100, 1L << 40),
+                  1 << 20,
+                  connections,
+                  10 * MICROS,
+                  60 * MICROS)));
     }
-
-    Load(int loops, int connections) {
-        for (int i = 0; i < loops; i++) {
-            Node node = new Node("load-" + i, 1);
-            nodes.add(node);
-            clients.add(new HttpClient(node.loop(), node.network(), new HttpClient.Options(new HttpLimits(8_192, 32_768, 100, 1L << 40), 1 << 20,
-                    connections, 10 * MICROS, 60 * MICROS)));
-        }
-    }
-
-    /** Opens sessions at a gateway. */
-    List<String> sessions(int port, int count) throws InterruptedException {
-        List<String> ids = new ArrayList<>();
-        CountDownLatch done = new CountDownLatch(count);
-        byte[] body = ("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"initialize\",\"params\":"
-                + "{\"protocolVersion\":\"2025-06-18\"}}").getBytes(StandardCharsets.UTF_8);
-        for (int i = 0; i < count; i++) {
-            int at = i % nodes.size();
-            nodes.get(at).loop().execute(() -> clients.get(at).send(new InetSocketAddress("127.0.0.1", port),
-                    HttpEncoder.request("POST", "/mcp", headers(), body), new HttpClient.Receiver() {
-                        @Override
-                        public void head(HttpEvent.ResponseHead head) {
-                            synchronized (ids) {
+  }
+
+  /** Opens sessions at a gateway. */
+  List<String> sessions(int port, int count) throws InterruptedException {
+    List<String> ids = new ArrayList<>();
+    CountDownLatch done = new CountDownLatch(count);
+    byte[] body =
+        ("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"initialize\",\"params\":"
+                + "{\"protocolVersion\":\"2025-06-18\"}}")
+            .getBytes(StandardCharsets.UTF_8);
+    for (int i = 0; i < count; i++) {
+      int at = i % nodes.size();
+      nodes
+          .get(at)
+          .loop()
+          .execute(
+              () ->
+                  clients
+                      .get(at)
+                      .send(
+                          new InetSocketAddress("127.0.0.1", port),
+                          HttpEncoder.request("POST", "/mcp", headers(), body),
+                          new HttpClient.Receiver() {
+                            @Override
+                            public void head(HttpEvent.ResponseHead head) {
+                              synchronized (ids) {
                                 ids.add(head.headers().get("mcp-session-id"));
+                              }
                             }
-                        }
-
-                        @Override
-                        public void done() {
-                            done.countDown();
-                        }
 
-                        @Override
-                        public void failed(HttpClient.Failure failure, String what) {
-                            failures.incrementAndGet();
-                            done.countDown();
-                        }
-                    }));
-        }
-        done.await(60, TimeUnit.SECONDS);
-        return ids;
-    }
-
-    private static Headers headers() {
-        return Headers.of("host", "localhost", "content-type", "application/json", "accept",
-                "application/json, text/event-stream");
-    }
-
-    /** A call of a gateway's tool. */
-    static byte[] call(int id, String prompt) {
-        return call(id, "sale-lookup", prompt);
-    }
-
-    static byte[] call(int id, String tool, String prompt) {
-        return ("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"method\":\"tools/call\",\"params\":{\"name\":\"" + tool + "\","
-                + "\"_meta\":{\"progressToken\":1},\"arguments\":{\"prompt\":\"" + prompt + "\"}}}")
-                .getBytes(StandardCharsets.UTF_8);
-    }
-
-    /** A call that offers the model a tool. */
-    static byte[] toolCall(int id, String prompt) {
-        return ("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\","
-                + "\"arguments\":{\"prompt\":\"" + prompt + "\",\"tools\":[{\"name\":\"stock\",\"inputSchema\":{\"type\":\"object\"}}]}}}")
-                .getBytes(StandardCharsets.UTF_8);
-    }
+                            @Override
+                            public void done() {
+                              done.countDown();
+                            }
 
-    /** The same prompt for an engine. */
-    static byte[] direct(String prompt) {
-        return ("{\"model\":\"m\",\"stream\":true,\"max_tokens\":1000000,\"messages\":[{\"role\":\"user\",\"content\":\"" + prompt
-                + "\"}]}").getBytes(StandardCharsets.UTF_8);
+                            @Override
+                            public void failed(HttpClient.Failure failure, String what) {
+                              failures.incrementAndGet();
+                              done.countDown();
+                            }
+                          }));
     }
-
-    /** Sends a call; the receiver is made when it goes out. */
-    void send(int number, int port, String session, byte[] body, Supplier<HttpClient.Receiver> receiver) {
-        int at = number % nodes.size();
-        Headers headers = headers();
-        headers.add("mcp-session-id", session);
-        nodes.get(at).loop().execute(() -> clients.get(at).send(new InetSocketAddress("127.0.0.1", port),
-                HttpEncoder.request("POST", "/mcp", headers, body), receiver.get()));
+    done.await(60, TimeUnit.SECONDS);
+    return ids;
+  }
+
+  private static Headers headers() {
+    return Headers.of(
+        "host",
+        "localhost",
+        "content-type",
+        "application/json",
+        "accept",
+        "application/json, text/event-stream");
+  }
+
+  /** A call of a gateway's tool. */
+  static byte[] call(int id, String prompt) {
+    return call(id, "sale-lookup", prompt);
+  }
+
+  static byte[] call(int id, String tool, String prompt) {
+    return ("{\"jsonrpc\":\"2.0\",\"id\":"
+            + id
+            + ",\"method\":\"tools/call\",\"params\":{\"name\":\""
+            + tool
+            + "\","
+            + "\"_meta\":{\"progressToken\":1},\"arguments\":{\"prompt\":\""
+            + prompt
+            + "\"}}}")
+        .getBytes(StandardCharsets.UTF_8);
+  }
+
+  /** A call that offers the model a tool. */
+  static byte[] toolCall(int id, String prompt) {
+    return ("{\"jsonrpc\":\"2.0\",\"id\":"
+            + id
+            + ",\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\","
+            + "\"arguments\":{\"prompt\":\""
+            + prompt
+            + "\",\"tools\":[{\"name\":\"stock\",\"inputSchema\":{\"type\":\"object\"}}]}}}")
+        .getBytes(StandardCharsets.UTF_8);
+  }
+
+  /** The same prompt for an engine. */
+  static byte[] direct(String prompt) {
+    return ("{\"model\":\"m\",\"stream\":true,\"max_tokens\":1000000,\"messages\":[{\"role\":\"user\",\"content\":\""
+            + prompt
+            + "\"}]}")
+        .getBytes(StandardCharsets.UTF_8);
+  }
+
+  /** Sends a call; the receiver is made when it goes out. */
+  void send(
+      int number, int port, String session, byte[] body, Supplier<HttpClient.Receiver> receiver) {
+    int at = number % nodes.size();
+    Headers headers = headers();
+    headers.add("mcp-session-id", session);
+    nodes
+        .get(at)
+        .loop()
+        .execute(
+            () ->
+                clients
+                    .get(at)
+                    .send(
+                        new InetSocketAddress("127.0.0.1", port),
+                        HttpEncoder.request("POST", "/mcp", headers, body),
+                        receiver.get()));
+  }
+
+  /**
+   * Begins a stream; {@code session} null goes to an engine. Words that are moments tell how long
+   * they took.
+   */
+  void stream(
+      int number, int port, String session, byte[] body, boolean stamped, CountDownLatch done) {
+    int at = number % nodes.size();
+    Node node = nodes.get(at);
+    Headers headers = headers();
+    if (session != null) {
+      headers.add("mcp-session-id", session);
     }
-
-    /** Begins a stream; {@code session} null goes to an engine. Words that are moments tell how long they took. */
-    void stream(int number, int port, String session, byte[] body, boolean stamped, CountDownLatch done) {
-        int at = number % nodes.size();
-        Node node = nodes.get(at);
-        Headers headers = headers();
-        if (session != null) {
-            headers.add("mcp-session-id", session);
-        }
-        node.loop().execute(() -> {
-            long begun = node.loop().now();
-            clients.get(at).send(new InetSocketAddress("127.0.0.1", port), HttpEncoder.request("POST",
-                    session == null ? "/v1/chat/completions" : "/mcp", headers, body), new HttpClient.Receiver() {
+    node.loop()
+        .execute(
+            () -> {
+              long begun = node.loop().now();
+              clients
+                  .get(at)
+                  .send(
+                      new InetSocketAddress("127.0.0.1", port),
+                      HttpEncoder.request(
+                          "POST", session == null ? "/v1/chat/completions" : "/mcp", headers, body),
+                      new HttpClient.Receiver() {
                         private boolean heard;
 
                         @Override
                         public void head(HttpEvent.ResponseHead head) {
-                            if (head.status() != 200) {
-                                failures.incrementAndGet();
-                            }
+                          if (head.status() != 200) {
+                            failures.incrementAndGet();
+                          }
                         }
 
                         @Override
                         public Object map(SseEvent event) {
-                            String word = word(event.data(), session == null ? "\"content\":\" " : "\"message\":\" ");
-                            if (word == null && event.data().contains("\"error\"")) {
-                                failures.incrementAndGet();
-                            }
-                            if (word != null) {
-                                events.incrementAndGet();
-                                if (stamped) {
-                                    transit.recordValue(Math.max(0, Math.min(59 * MICROS, node.loop().now()
-                                            - Long.parseLong(word))));
-                                }
+                          String word =
+                              word(
+                                  event.data(),
+                                  session == null ? "\"content\":\" " : "\"message\":\" ");
+                          if (word == null && event.data().contains("\"error\"")) {
+                            failures.incrementAndGet();
+                          }
+                          if (word != null) {
+                            events.incrementAndGet();
+                            if (stamped) {
+                              transit.recordValue(
+                                  Math.max(
+                                      0,
+                                      Math.min(
+                                          59 * MICROS, node.loop().now() - Long.parseLong(word))));
                             }
-                            return word == null ? "" : word;
+                          }
+                          return word == null ? "" : word;
                         }
 
                         @Override
                         public void event(Object mapped) {
-                            if (!heard && !mapped.equals("")) {
-                                heard = true;
-                                first.recordValue(Math.min(59 * MICROS, node.loop().now() - begun));
-                            }
+                          if (!heard && !mapped.equals("")) {
+                            heard = true;
+                            first.recordValue(Math.min(59 * MICROS, node.loop().now() - begun));
+                          }
                         }
 
                         @Override
                         public void done() {
-                            done.countDown();
+                          done.countDown();
                         }
 
                         @Override
                         public void failed(HttpClient.Failure failure, String what) {
-                            failures.incrementAndGet();
-                            done.countDown();
+                          failures.incrementAndGet();
+                          done.countDown();
                         }
-                    });
-        });
-    }
-
-    private static String word(String data, String before) {
-        int at = data.indexOf(before);
-        if (at < 0) {
-            return null;
-        }
-        int from = at + before.length();
-        return data.substring(from, data.indexOf('"', from));
-    }
-
-    @Override
-    public void close() {
-        nodes.forEach(Node::close);
+                      });
+            });
+  }
+
+  private static String word(String data, String before) {
+    int at = data.indexOf(before);
+    if (at < 0) {
+      return null;
     }
+    int from = at + before.length();
+    return data.substring(from, data.indexOf('"', from));
+  }
+
+  @Override
+  public void close() {
+    nodes.forEach(Node::close);
+  }
 }
--- a/measure/src/main/java/lemondock/measure/Recording.java
+++ b/measure/src/main/java/lemondock/measure/Recording.java
@@ -24,7 +24,10 @@
 import org.openjdk.jmh.runner.RunnerException;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 
-/** What it costs to count: a group of an ended request (four counters, one time), and a single count. */
+/**
+ * What it costs to count: a group of an ended request (four counters, one time), and a single
+ * count.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -32,66 +35,75 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class Recording {
-    private final Tally tally = new Tally(8192);
-    private final Recorder recorder = tally.recorder();
-    private final Series worth = tally.series(Metrics.WORTH, "c", "z", "t");
-    private final Series requests = tally.series(Metrics.REQUESTS, "c", "z", "t");
-    private final Series time = tally.series(Metrics.WHOLE_TIME, "c");
-    private final LongAdder[] adders = {new LongAdder(), new LongAdder(), new LongAdder(), new LongAdder()};
-    private final ConcurrentHashMap<String, LongAdder> map = new ConcurrentHashMap<>();
-    private final SimpleMeterRegistry registry = new SimpleMeterRegistry();
-    private final Counter[] counters = {registry.counter("a"), registry.counter("b"), registry.counter("c"),
-        registry.counter("d")};
-    private final Timer timer = Timer.builder("t").publishPercentiles(0.5, 0.9, 0.99, 0.999).register(registry);
-    private long micros;
+  private final Tally tally = new Tally(8192);
+  private final Recorder recorder = tally.recorder();
+  private final Series worth = tally.series(Metrics.WORTH, "c", "z", "t");
+  private final Series requests = tally.series(Metrics.REQUESTS, "c", "z", "t");
+  private final Series time = tally.series(Metrics.WHOLE_TIME, "c");
+  private final LongAdder[] adders = {
+    new LongAdder(), new LongAdder(), new LongAdder(), new LongAdder()
+  };
+  private final ConcurrentHashMap<String, LongAdder> map = new ConcurrentHashMap<>();
+  private final SimpleMeterRegistry registry = new SimpleMeterRegistry();
+  private final Counter[] counters = {
+    registry.counter("a"), registry.counter("b"), registry.counter("c"), registry.counter("d")
+  };
+  private final Timer timer =
+      Timer.builder("t").publishPercentiles(0.5, 0.9, 0.99, 0.999).register(registry);
+  private long micros;
 
-    /** One count of its own. */
-    @Benchmark
-    public void oneCount() {
-        recorder.count(worth.slot(0));
-    }
+  /** One count of its own. */
+  @Benchmark
+  public void oneCount() {
+    recorder.count(worth.slot(0));
+  }
 
-    /** The end of a request, seen whole or not at all by a snapshot. */
-    @Benchmark
-    public void requestEnds() {
-        long ticket = recorder.enter();
-        recorder.add(worth.slot(0), 1_000_000);
-        recorder.add(worth.slot(2), 1_000_000);
-        recorder.add(requests.slot(0), 1);
-        recorder.add(requests.slot(2), 1);
-        recorder.record(time, micros++ & 0xFFFFF);
-        recorder.exit(ticket);
-    }
+  /** The end of a request, seen whole or not at all by a snapshot. */
+  @Benchmark
+  public void requestEnds() {
+    long ticket = recorder.enter();
+    recorder.add(worth.slot(0), 1_000_000);
+    recorder.add(worth.slot(2), 1_000_000);
+    recorder.add(requests.slot(0), 1);
+    recorder.add(requests.slot(2), 1);
+    recorder.record(time, micros++ & 0xFFFFF);
+    recorder.exit(ticket);
+  }
 
-    /** The same with four adders and no time. */
-    @Benchmark
-    public void plainAdders() {
-        adders[0].add(1_000_000);
-        adders[1].add(1_000_000);
-        adders[2].increment();
-        adders[3].increment();
-    }
+  /** The same with four adders and no time. */
+  @Benchmark
+  public void plainAdders() {
+    adders[0].add(1_000_000);
+    adders[1].add(1_000_000);
+    adders[2].increment();
+    adders[3].increment();
+  }
 
-    /** The same with adders found by name. */
-    @Benchmark
-    public void addersInAMap() {
-        map.computeIfAbsent("worth.asked", k -> new LongAdder()).add(1_000_000);
-        map.computeIfAbsent("worth.in_time", k -> new LongAdder()).add(1_000_000);
-        map.computeIfAbsent("requests.taken", k -> new LongAdder()).increment();
-        map.computeIfAbsent("requests.served", k -> new LongAdder()).increment();
-    }
+  /** The same with adders found by name. */
+  @Benchmark
+  public void addersInAMap() {
+    map.computeIfAbsent("worth.asked", k -> new LongAdder()).add(1_000_000);
+    map.computeIfAbsent("worth.in_time", k -> new LongAdder()).add(1_000_000);
+    map.computeIfAbsent("requests.taken", k -> new LongAdder()).increment();
+    map.computeIfAbsent("requests.served", k -> new LongAdder()).increment();
+  }
 
-    /** The same with Micrometer's own meters; a snapshot may see half of it. */
-    @Benchmark
-    public void micrometer() {
-        counters[0].increment(1);
-        counters[1].increment(1);
-        counters[2].increment();
-        counters[3].increment();
-        timer.record(micros++ & 0xFFFFF, TimeUnit.MICROSECONDS);
-    }
+  /** The same with Micrometer's own meters; a snapshot may see half of it. */
+  @Benchmark
+  public void micrometer() {
+    counters[0].increment(1);
+    counters[1].increment(1);
+    counters[2].increment();
+    counters[3].increment();
+    timer.record(micros++ & 0xFFFFF, TimeUnit.MICROSECONDS);
+  }
 
-    static void run() throws RunnerException {
-        new Runner(new OptionsBuilder().include(Recording.class.getName()).addProfiler(GCProfiler.class).build()).run();
-    }
+  static void run() throws RunnerException {
+    new Runner(
+            new OptionsBuilder()
+                .include(Recording.class.getName())
+                .addProfiler(GCProfiler.class)
+                .build())
+        .run();
+  }
 }
