--- a/rehearsal/src/test/java/lemondock/rehearsal/ForwardingFiles.java
+++ b/rehearsal/src/test/java/lemondock/rehearsal/ForwardingFiles.java
@@ -7,68 +7,68 @@
 
 /** Hands everything on to another folder; a faulty one leaves something out. */
 class ForwardingFiles implements FilePort {
-    private final FilePort files;
+  private final FilePort files;
 
-    /** The same for an open file. */
-    static class ForwardingOut implements Out {
-        private final Out out;
+  /** The same for an open file. */
+  static class ForwardingOut implements Out {
+    private final Out out;
 
-        ForwardingOut(Out out) {
-            this.out = out;
-        }
-
-        @Override
-        public void write(ByteBuffer bytes) throws IOException {
-            out.write(bytes);
-        }
-
-        @Override
-        public void sync() throws IOException {
-            out.sync();
-        }
-
-        @Override
-        public void close() throws IOException {
-            out.close();
-        }
-    }
-
-    ForwardingFiles(FilePort files) {
-        this.files = files;
+    ForwardingOut(Out out) {
+      this.out = out;
     }
 
     @Override
-    public List<String> names() throws IOException {
-        return files.names();
+    public void write(ByteBuffer bytes) throws IOException {
+      out.write(bytes);
     }
 
     @Override
-    public byte[] read(String name) throws IOException {
-        return files.read(name);
+    public void sync() throws IOException {
+      out.sync();
     }
 
     @Override
-    public Out append(String name) throws IOException {
-        return files.append(name);
+    public void close() throws IOException {
+      out.close();
     }
+  }
 
-    @Override
-    public void truncate(String name, long length) throws IOException {
-        files.truncate(name, length);
-    }
+  ForwardingFiles(FilePort files) {
+    this.files = files;
+  }
 
-    @Override
-    public void rename(String from, String to) throws IOException {
-        files.rename(from, to);
-    }
+  @Override
+  public List<String> names() throws IOException {
+    return files.names();
+  }
 
-    @Override
-    public void delete(String name) throws IOException {
-        files.delete(name);
-    }
+  @Override
+  public byte[] read(String name) throws IOException {
+    return files.read(name);
+  }
 
-    @Override
-    public void syncFolder() throws IOException {
-        files.syncFolder();
-    }
+  @Override
+  public Out append(String name) throws IOException {
+    return files.append(name);
+  }
+
+  @Override
+  public void truncate(String name, long length) throws IOException {
+    files.truncate(name, length);
+  }
+
+  @Override
+  public void rename(String from, String to) throws IOException {
+    files.rename(from, to);
+  }
+
+  @Override
+  public void delete(String name) throws IOException {
+    files.delete(name);
+  }
+
+  @Override
+  public void syncFolder() throws IOException {
+    files.syncFolder();
+  }
 }
--- a/rehearsal/src/test/java/lemondock/rehearsal/HaltingGateway.java
+++ b/rehearsal/src/test/java/lemondock/rehearsal/HaltingGateway.java
@@ -15,96 +15,111 @@
 import lemondock.net.nio.Workers;
 
 /**
- * A process with a gateway that ends at once, as by kill -9, at a given step of what it does to its folder: before the step of that
- * number, or by half, when half of the write of that number is done. Arguments: settings, the number (0: never), whether by half.
+ * A process with a gateway that ends at once, as by kill -9, at a given step of what it does to its
+ * folder: before the step of that number, or by half, when half of the write of that number is
+ * done. Arguments: settings, the number (0: never), whether by half.
  */
 final class HaltingGateway {
-    /** What a process that was killed by signal 9 is seen to end with. */
-    static final int KILLED = 137;
-    private static final int DISK_QUEUE = 64;
+  /** What a process that was killed by signal 9 is seen to end with. */
+  static final int KILLED = 137;
 
-    private HaltingGateway() { }
+  private static final int DISK_QUEUE = 64;
 
-    public static void main(String[] args) throws Exception {
-        GatewaySettings settings = SettingsFile.gateway(Path.of(args[0]));
-        Node node = new Node("gateway", settings.ioThreads());
-        FilePort folder = new Halting(new DiskFolder(Path.of(settings.durable().path())), Integer.parseInt(args[1]),
-                Boolean.parseBoolean(args[2]));
-        Gateway gateway = new Gateway(new Host(node.loop(), node.network(), Workers.of(1, DISK_QUEUE, "disk"),
-                Workers.of(settings.overload().heavyThreads(), settings.overload().heavyQueue(), "worker"), new ThisProcess(), folder),
-                settings, new PromptReader(settings.classes()), Gateway.MODULE);
-        gateway.start();
-        System.out.println("ready");
-        TimeUnit.MINUTES.sleep(2); // whoever started it ends it long before
-        Runtime.getRuntime().halt(1);
-    }
-
-    private static final class Halting extends ForwardingFiles {
-        private final int at;
-        private final boolean half;
-        private int steps;
+  private HaltingGateway() {}
 
-        Halting(FilePort files, int at, boolean half) {
-            super(files);
-            this.at = at;
-            this.half = half;
-        }
+  public static void main(String[] args) throws Exception {
+    GatewaySettings settings = SettingsFile.gateway(Path.of(args[0]));
+    Node node = new Node("gateway", settings.ioThreads());
+    FilePort folder =
+        new Halting(
+            new DiskFolder(Path.of(settings.durable().path())),
+            Integer.parseInt(args[1]),
+            Boolean.parseBoolean(args[2]));
+    Gateway gateway =
+        new Gateway(
+            new Host(
+                node.loop(),
+                node.network(),
+                Workers.of(1, DISK_QUEUE, "disk"),
+                Workers.of(
+                    settings.overload().heavyThreads(), settings.overload().heavyQueue(), "worker"),
+                new ThisProcess(),
+                folder),
+            settings,
+            new PromptReader(settings.classes()),
+            Gateway.MODULE);
+    gateway.start();
+    System.out.println("ready");
+    TimeUnit.MINUTES.sleep(2); // whoever started it ends it long before
+    Runtime.getRuntime().halt(1);
+  }
 
-        /** Whether this is the step. */
-        private synchronized boolean now() {
-            return ++steps == at;
-        }
+  private static final class Halting extends ForwardingFiles {
+    private final int at;
+    private final boolean half;
+    private int steps;
 
-        private void step() {
-            if (!half && now()) {
-                Runtime.getRuntime().halt(KILLED);
-            }
-        }
+    Halting(FilePort files, int at, boolean half) {
+      super(files);
+      this.at = at;
+      this.half = half;
+    }
 
-        @Override
-        public Out append(String name) throws IOException {
-            return new ForwardingOut(super.append(name)) {
-                @Override
-                public void write(ByteBuffer bytes) throws IOException {
-                    if (now()) {
-                        if (half) {
-                            super.write(bytes.slice(bytes.position(), bytes.remaining() / 2));
-                        }
-                        Runtime.getRuntime().halt(KILLED);
-                    }
-                    super.write(bytes);
-                }
+    /** Whether this is the step. */
+    private synchronized boolean now() {
+      return ++steps == at;
+    }
 
-                @Override
-                public void sync() throws IOException {
-                    step();
-                    super.sync();
-                }
-            };
-        }
+    private void step() {
+      if (!half && now()) {
+        Runtime.getRuntime().halt(KILLED);
+      }
+    }
 
+    @Override
+    public Out append(String name) throws IOException {
+      return new ForwardingOut(super.append(name)) {
         @Override
-        public void truncate(String name, long length) throws IOException {
-            step();
-            super.truncate(name, length);
+        public void write(ByteBuffer bytes) throws IOException {
+          if (now()) {
+            if (half) {
+              super.write(bytes.slice(bytes.position(), bytes.remaining() / 2));
+            }
+            Runtime.getRuntime().halt(KILLED);
+          }
+          super.write(bytes);
         }
 
         @Override
-        public void rename(String from, String to) throws IOException {
-            step();
-            super.rename(from, to);
+        public void sync() throws IOException {
+          step();
+          super.sync();
         }
+      };
+    }
 
-        @Override
-        public void delete(String name) throws IOException {
-            step();
-            super.delete(name);
-        }
+    @Override
+    public void truncate(String name, long length) throws IOException {
+      step();
+      super.truncate(name, length);
+    }
 
-        @Override
-        public void syncFolder() throws IOException {
-            step();
-            super.syncFolder();
-        }
+    @Override
+    public void rename(String from, String to) throws IOException {
+      step();
+      super.rename(from, to);
+    }
+
+    @Override
+    public void delete(String name) throws IOException {
+      step();
+      super.delete(name);
+    }
+
+    @Override
+    public void syncFolder() throws IOException {
+      step();
+      super.syncFolder();
     }
+  }
 }
--- a/rehearsal/src/test/java/lemondock/rehearsal/HardCasesTest.java
+++ b/rehearsal/src/test/java/lemondock/rehearsal/HardCasesTest.java
@@ -21,483 +21,606 @@
 
 /** What breaks, one by one, and what must be seen on the sockets. */
 class HardCasesTest {
-    private static final String LONG = "answer in 40 words";
-
-    private static void limits(ObjectNode s, double deadlineMs) {
-        for (var c : s.withArray("classes")) {
-            ((ObjectNode) c).put("deadlineMs", deadlineMs).put("aimMs", deadlineMs / 3).put("toolTimeoutMs", 300);
-        }
-        ((ObjectNode) s.get("engines")).put("streamSilenceMs", 300);
-        ((ObjectNode) s.get("front")).put("resumeWindowMs", 0);
-    }
-
-    private static Consumer<ObjectNode> quick() {
-        return s -> limits(s, 1500);
-    }
-
-    private static Consumer<ObjectNode> once() {
-        return s -> {
-            limits(s, 1500);
-            ((ObjectNode) s.at("/classes/0")).put("repeat", "once");
-        };
-    }
-
-    private static void fault(Bench bench, String engine, Consumer<Faults> set) {
-        bench.fleet.standins().ask(() -> {
-            set.accept(bench.fleet.engine(engine).faults());
-            return null;
-        });
-    }
-
-    private static void faults(Bench bench, Consumer<Faults> set) {
-        bench.fleet.engines().forEach(e -> fault(bench, e, set));
-    }
-
-    private static void assertOneEnd(CallRecord seen) {
-        assertEquals(1, seen.responses);
-        assertEquals(0, seen.afterEnd);
-        assertEquals(List.of(), seen.oddities);
-    }
-
-    /** The whole text of an answer of so many words in its last turn, without tools. */
-    private static String words(int count) {
-        StringBuilder text = new StringBuilder();
-        for (int i = 0; i < count; i++) {
-            text.append(" a").append(i);
-        }
-        return text.toString();
-    }
-
-    /** Makes a call, which must end once and with the whole answer. */
-    private static CallRecord assertServedWhole(Bench bench) {
-        CallRecord seen = bench.call(Bench.ask("m", LONG, Tools.ANSWER));
-        assertOneEnd(seen);
-        assertEquals(words(40), seen.finalText);
-        return seen;
-    }
-
-    // ==== writers
-
-    @Test
-    void aWriterThatBreaksBeforeItsFirstToken() {
-        try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
-            faults(bench, f -> {
-                f.breakAfter = 0;
-                f.hits = new Faults.Hits(1);
-            });
-            assertServedWhole(bench);
-            bench.awaitIdle();
-        }
-    }
-
-    @Test
-    void aWriterThatBreaksAfterSomeTokensIsGoneOnBehind() {
-        try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w1"), Bench.writer("w2"))) {
-            faults(bench, f -> {
-                f.breakAfter = 7;
-                f.hits = new Faults.Hits(1);
+  private static final String LONG = "answer in 40 words";
+
+  private static void limits(ObjectNode s, double deadlineMs) {
+    for (var c : s.withArray("classes")) {
+      ((ObjectNode) c)
+          .put("deadlineMs", deadlineMs)
+          .put("aimMs", deadlineMs / 3)
+          .put("toolTimeoutMs", 300);
+    }
+    ((ObjectNode) s.get("engines")).put("streamSilenceMs", 300);
+    ((ObjectNode) s.get("front")).put("resumeWindowMs", 0);
+  }
+
+  private static Consumer<ObjectNode> quick() {
+    return s -> limits(s, 1500);
+  }
+
+  private static Consumer<ObjectNode> once() {
+    return s -> {
+      limits(s, 1500);
+      ((ObjectNode) s.at("/classes/0")).put("repeat", "once");
+    };
+  }
+
+  private static void fault(Bench bench, String engine, Consumer<Faults> set) {
+    bench
+        .fleet
+        .standins()
+        .ask(
+            () -> {
+              set.accept(bench.fleet.engine(engine).faults());
+              return null;
             });
-            CallRecord seen = assertServedWhole(bench);
-            assertEquals(words(40), seen.streamed.toString());
-            assertEquals(40, seen.tokens);
-            assertTrue(bench.events(Tap.What.EFFECT, "m").size() >= 2);
-            bench.awaitIdle();
-        }
-    }
-
-    @Test
-    void anAnswerThatMayRunOnlyOnceFailsWhenItBreaks() {
-        try (Bench bench = new Bench(once(), Bench.reader("r"), Bench.writer("w1"), Bench.writer("w2"))) {
-            faults(bench, f -> f.breakAfter = 7);
-            CallRecord seen = bench.call(Bench.ask("m", LONG, Tools.ANSWER));
-            assertOneEnd(seen);
-            assertEquals(Mcp.FAILED, seen.errorCode);
-            assertFalse(seen.retryable);
-            assertEquals(1, bench.events(Tap.What.EFFECT, "m").size());
-            bench.awaitIdle();
-        }
-    }
-
-    @Test
-    void aWriterThatBreaksAfterAToolCallWasRelayed() {
-        try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w1"), Bench.writer("w2"))) {
-            CompletableFuture<McpClient.Call> done = bench.begin(bench.client(),
-                    Bench.ask("m", "call the tool stock " + LONG, Tools.ANSWER, "stock"),
-                    call -> faults(bench, f -> {
-                        f.breakAfter = 6; // the first leg has four tokens: it is the second that breaks
+  }
+
+  private static void faults(Bench bench, Consumer<Faults> set) {
+    bench.fleet.engines().forEach(e -> fault(bench, e, set));
+  }
+
+  private static void assertOneEnd(CallRecord seen) {
+    assertEquals(1, seen.responses);
+    assertEquals(0, seen.afterEnd);
+    assertEquals(List.of(), seen.oddities);
+  }
+
+  /** The whole text of an answer of so many words in its last turn, without tools. */
+  private static String words(int count) {
+    StringBuilder text = new StringBuilder();
+    for (int i = 0; i < count; i++) {
+      text.append(" a").append(i);
+    }
+    return text.toString();
+  }
+
+  /** Makes a call, which must end once and with the whole answer. */
+  private static CallRecord assertServedWhole(Bench bench) {
+    CallRecord seen = bench.call(Bench.ask("m", LONG, Tools.ANSWER));
+    assertOneEnd(seen);
+    assertEquals(words(40), seen.finalText);
+    return seen;
+  }
+
+  // ==== writers
+
+  @Test
+  void aWriterThatBreaksBeforeItsFirstToken() {
+    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
+      faults(
+          bench,
+          f -> {
+            f.breakAfter = 0;
+            f.hits = new Faults.Hits(1);
+          });
+      assertServedWhole(bench);
+      bench.awaitIdle();
+    }
+  }
+
+  @Test
+  void aWriterThatBreaksAfterSomeTokensIsGoneOnBehind() {
+    try (Bench bench =
+        new Bench(quick(), Bench.reader("r"), Bench.writer("w1"), Bench.writer("w2"))) {
+      faults(
+          bench,
+          f -> {
+            f.breakAfter = 7;
+            f.hits = new Faults.Hits(1);
+          });
+      CallRecord seen = assertServedWhole(bench);
+      assertEquals(words(40), seen.streamed.toString());
+      assertEquals(40, seen.tokens);
+      assertTrue(bench.events(Tap.What.EFFECT, "m").size() >= 2);
+      bench.awaitIdle();
+    }
+  }
+
+  @Test
+  void anAnswerThatMayRunOnlyOnceFailsWhenItBreaks() {
+    try (Bench bench =
+        new Bench(once(), Bench.reader("r"), Bench.writer("w1"), Bench.writer("w2"))) {
+      faults(bench, f -> f.breakAfter = 7);
+      CallRecord seen = bench.call(Bench.ask("m", LONG, Tools.ANSWER));
+      assertOneEnd(seen);
+      assertEquals(Mcp.FAILED, seen.errorCode);
+      assertFalse(seen.retryable);
+      assertEquals(1, bench.events(Tap.What.EFFECT, "m").size());
+      bench.awaitIdle();
+    }
+  }
+
+  @Test
+  void aWriterThatBreaksAfterAToolCallWasRelayed() {
+    try (Bench bench =
+        new Bench(quick(), Bench.reader("r"), Bench.writer("w1"), Bench.writer("w2"))) {
+      CompletableFuture<McpClient.Call> done =
+          bench.begin(
+              bench.client(),
+              Bench.ask("m", "call the tool stock " + LONG, Tools.ANSWER, "stock"),
+              call ->
+                  faults(
+                      bench,
+                      f -> {
+                        f.breakAfter =
+                            6; // the first leg has four tokens: it is the second that breaks
                         f.hits = new Faults.Hits(1);
-                    }));
-            CallRecord seen = Bench.get(done).seen();
-            assertOneEnd(seen);
-            assertEquals(1, seen.toolCalls.size());
-            assertTrue(seen.finalText.startsWith(" a0 a1 a2 a3[did-stock] b0 b1") && seen.finalText.endsWith(" b39"),
-                    seen.finalText);
-            bench.awaitIdle();
-        }
-    }
-
-    @Test
-    void streamsThatFallSilentMidwayAreBrokenOffAndGoneOnWith() {
-        try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w1"), Bench.writer("w2"))) {
-            faults(bench, f -> {
-                f.stallAfter = 5;
-                f.hits = new Faults.Hits(1);
-            });
-            assertServedWhole(bench);
-            bench.awaitIdle();
-        }
-    }
-
-    // ==== readers and states
-
-    @Test
-    void aReaderThatDiesHoldingAState() {
-        try (Bench bench = new Bench(quick(), Bench.reader("r1"), Bench.reader("r2"), Bench.writer("w"))) {
-            for (String reader : List.of("r1", "r2")) {
-                fault(bench, reader, f -> f.dropStates = true);
-            }
-            CallRecord lost = bench.call(Bench.ask("m1", LONG, Tools.ANSWER));
-            assertOneEnd(lost);
-            assertEquals(Mcp.REFUSED, lost.errorCode);
-            assertTrue(lost.retryable);
-            for (String reader : List.of("r1", "r2")) {
-                fault(bench, reader, f -> f.dropStates = false);
-            }
-            assertEquals(words(40), bench.call(Bench.ask("m2", LONG, Tools.ANSWER)).finalText);
-            bench.awaitIdle();
-        }
-    }
-
-    @Test
-    void everyReaderGone() {
-        try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
-            bench.fleet.crash("r", 0);
-            CallRecord seen = bench.call(Bench.ask("m", LONG, Tools.ANSWER));
-            assertOneEnd(seen);
-            assertEquals(Mcp.REFUSED, seen.errorCode);
-            assertTrue(seen.retryable);
-        }
-    }
-
-    @Test
-    void anEmptyListAndOneWhoseServersAllChange() {
-        try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
-            bench.fleet.standins().ask(() -> {
+                      }));
+      CallRecord seen = Bench.get(done).seen();
+      assertOneEnd(seen);
+      assertEquals(1, seen.toolCalls.size());
+      assertTrue(
+          seen.finalText.startsWith(" a0 a1 a2 a3[did-stock] b0 b1")
+              && seen.finalText.endsWith(" b39"),
+          seen.finalText);
+      bench.awaitIdle();
+    }
+  }
+
+  @Test
+  void streamsThatFallSilentMidwayAreBrokenOffAndGoneOnWith() {
+    try (Bench bench =
+        new Bench(quick(), Bench.reader("r"), Bench.writer("w1"), Bench.writer("w2"))) {
+      faults(
+          bench,
+          f -> {
+            f.stallAfter = 5;
+            f.hits = new Faults.Hits(1);
+          });
+      assertServedWhole(bench);
+      bench.awaitIdle();
+    }
+  }
+
+  // ==== readers and states
+
+  @Test
+  void aReaderThatDiesHoldingAState() {
+    try (Bench bench =
+        new Bench(quick(), Bench.reader("r1"), Bench.reader("r2"), Bench.writer("w"))) {
+      for (String reader : List.of("r1", "r2")) {
+        fault(bench, reader, f -> f.dropStates = true);
+      }
+      CallRecord lost = bench.call(Bench.ask("m1", LONG, Tools.ANSWER));
+      assertOneEnd(lost);
+      assertEquals(Mcp.REFUSED, lost.errorCode);
+      assertTrue(lost.retryable);
+      for (String reader : List.of("r1", "r2")) {
+        fault(bench, reader, f -> f.dropStates = false);
+      }
+      assertEquals(words(40), bench.call(Bench.ask("m2", LONG, Tools.ANSWER)).finalText);
+      bench.awaitIdle();
+    }
+  }
+
+  @Test
+  void everyReaderGone() {
+    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
+      bench.fleet.crash("r", 0);
+      CallRecord seen = bench.call(Bench.ask("m", LONG, Tools.ANSWER));
+      assertOneEnd(seen);
+      assertEquals(Mcp.REFUSED, seen.errorCode);
+      assertTrue(seen.retryable);
+    }
+  }
+
+  @Test
+  void anEmptyListAndOneWhoseServersAllChange() {
+    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
+      bench
+          .fleet
+          .standins()
+          .ask(
+              () -> {
                 bench.fleet.catalogue().empty(true);
                 return null;
-            });
-            assertTrue(bench.fleet.awaitServers(Bench.GATEWAY, 0, 5_000));
-            assertEquals(Mcp.REFUSED, bench.call(Bench.ask("m1", LONG, Tools.ANSWER)).errorCode);
-            bench.fleet.crash("r", 0);
-            bench.fleet.crash("w", 0);
-            bench.fleet.addEngine(Bench.reader("r9"));
-            bench.fleet.addEngine(Bench.writer("w9"));
-            bench.fleet.standins().ask(() -> {
+              });
+      assertTrue(bench.fleet.awaitServers(Bench.GATEWAY, 0, 5_000));
+      assertEquals(Mcp.REFUSED, bench.call(Bench.ask("m1", LONG, Tools.ANSWER)).errorCode);
+      bench.fleet.crash("r", 0);
+      bench.fleet.crash("w", 0);
+      bench.fleet.addEngine(Bench.reader("r9"));
+      bench.fleet.addEngine(Bench.writer("w9"));
+      bench
+          .fleet
+          .standins()
+          .ask(
+              () -> {
                 bench.fleet.catalogue().empty(false);
                 return null;
+              });
+      assertTrue(bench.fleet.awaitServers(Bench.GATEWAY, 2, 5_000));
+      assertEquals(words(40), bench.call(Bench.ask("m2", LONG, Tools.ANSWER)).finalText);
+    }
+  }
+
+  @Test
+  void aDrainToldWhileASendIsUnderWay() {
+    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w1"))) {
+      AtomicReference<McpClient.Call> call = new AtomicReference<>();
+      CompletableFuture<McpClient.Call> done =
+          bench.begin(
+              bench.client(), Bench.ask("m", "answer in 200 words", Tools.ANSWER), call::set);
+      Bench.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
+      bench.fleet.drain("w1", true);
+      assertEquals(words(200), Bench.get(done).seen().finalText); // what runs may end
+      assertEquals(Mcp.REFUSED, bench.call(Bench.ask("m2", LONG, Tools.ANSWER)).errorCode);
+      assertEquals(0, bench.events(Tap.What.WRITE, "m2").size());
+    }
+  }
+
+  // ==== engines that misbehave
+
+  private void misbehaving(Consumer<Faults> fault) {
+    try (Bench bench =
+        new Bench(
+            quick(),
+            Bench.reader("r1"),
+            Bench.reader("r2"),
+            Bench.writer("w1"),
+            Bench.writer("w2"))) {
+      faults(bench, fault);
+      CallRecord seen = bench.call(Bench.ask("m1", LONG, Tools.ANSWER));
+      assertOneEnd(seen);
+      assertTrue(
+          seen.errorCode == Mcp.REFUSED || seen.errorCode == Mcp.FAILED, "code " + seen.errorCode);
+      long took = TimeUnit.MICROSECONDS.toMillis(seen.endedAt - seen.calledAt);
+      assertTrue(took < 2_000, "after " + took + " ms");
+      faults(
+          bench,
+          f -> {
+            f.silent = false;
+            f.raw = null;
+            f.badEvent = null;
+          });
+      Bench.await(
+          "service again",
+          () -> bench.call(Bench.ask("m2", LONG, Tools.ANSWER)).finalText.equals(words(40)));
+      bench.awaitIdle();
+    }
+  }
+
+  @Test
+  void anEngineThatAcceptsAndStaysSilent() {
+    misbehaving(f -> f.silent = true);
+  }
+
+  @Test
+  void anEngineThatSendsHalfAChunk() {
+    misbehaving(f -> f.raw = "half".getBytes(StandardCharsets.UTF_8));
+  }
+
+  @Test
+  void anEngineThatSendsMalformedEvents() {
+    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
+      fault(bench, "w", f -> f.badEvent = "{\"choices\":[");
+      CallRecord seen = bench.call(Bench.ask("m", LONG, Tools.ANSWER));
+      assertOneEnd(seen);
+      assertEquals(
+          Mcp.FAILED, seen.errorCode); // some tokens were delivered, and each going-on breaks again
+      bench.awaitIdle();
+    }
+  }
+
+  @Test
+  void anEngineThatReportsAnErrorInItsStream() {
+    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
+      fault(
+          bench,
+          "w",
+          f -> {
+            f.badEvent = "{\"error\":{\"message\":\"out of memory\"}}";
+            f.hits = new Faults.Hits(1);
+          });
+      CallRecord seen = bench.call(Bench.ask("m", LONG, Tools.ANSWER));
+      assertOneEnd(seen);
+      assertEquals(words(40), seen.finalText);
+    }
+  }
+
+  // ==== clients
+
+  private void leaves(String text, Tools tools, java.util.function.Predicate<Bench> when) {
+    try (Bench bench =
+        new Bench(quick(), Bench.reader("r").paced(60, 1, 5), Bench.writer("w").paced(60, 60, 5))) {
+      AtomicReference<McpClient.Call> call = new AtomicReference<>();
+      bench.begin(bench.client(), Bench.ask("m", text, tools, "stock"), call::set);
+      Bench.await("the moment to leave", () -> call.get() != null && when.test(bench));
+      bench.clients.loop().execute(call.get()::leave);
+      bench.awaitIdle();
+      assertEquals(0, call.get().seen().responses);
+    }
+  }
+
+  @Test
+  void aClientThatLeavesBeforeTheRead() {
+    leaves(LONG, Tools.ANSWER, b -> true);
+  }
+
+  @Test
+  void aClientThatLeavesWhileAStateIsHeld() {
+    leaves(LONG, Tools.ANSWER, b -> !b.events(Tap.What.STATE_KEPT, "m").isEmpty());
+  }
+
+  @Test
+  void aClientThatLeavesMidStream() {
+    leaves("answer in 400 words", Tools.ANSWER, b -> !b.events(Tap.What.EFFECT, "m").isEmpty());
+  }
+
+  @Test
+  void aClientThatLeavesMidCall() {
+    leaves("call the tool stock", Tools.SILENT, b -> b.events(Tap.What.ANSWERED, "m").size() == 2);
+  }
+
+  @Test
+  void aToolThatNeverAnswersAnswersTwiceOrFails() {
+    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
+      CallRecord silent = bench.call(Bench.ask("m1", "call the tool stock", Tools.SILENT, "stock"));
+      assertOneEnd(silent);
+      assertTrue(silent.finalText.contains("[the tool gave no result in time]"), silent.finalText);
+      CallRecord twice = bench.call(Bench.ask("m2", "call the tool stock", Tools.TWICE, "stock"));
+      assertOneEnd(twice);
+      assertTrue(twice.finalText.contains("[did-stock]"), twice.finalText);
+      CallRecord error = bench.call(Bench.ask("m3", "call the tool stock", Tools.ERROR, "stock"));
+      assertOneEnd(error);
+      assertTrue(error.finalText.contains("[error -32000: the tool failed]"), error.finalText);
+      bench.awaitIdle();
+    }
+  }
+
+  @Test
+  void toolsCalledTogetherAreAnsweredInAnyOrder() {
+    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
+      CallRecord seen =
+          bench.call(
+              Bench.ask(
+                  "m", "call the tools stock and price together", Tools.ANSWER, "stock", "price"));
+      assertOneEnd(seen);
+      assertTrue(seen.finalText.contains("[did-stock|did-price]"), seen.finalText);
+    }
+  }
+
+  // ==== stops
+
+  @Test
+  void aStopLetsStreamsEndAndTakesNoNewCalls() {
+    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
+      AtomicReference<McpClient.Call> call = new AtomicReference<>();
+      McpClient client = bench.client();
+      CompletableFuture<McpClient.Call> done =
+          bench.begin(client, Bench.ask("m", "answer in 300 words", Tools.ANSWER), call::set);
+      Bench.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
+      Gateway gateway = bench.fleet.gateway(Bench.GATEWAY);
+      CompletableFuture<Void> stopped = gateway.stop();
+      assertEquals(words(300), Bench.get(done).seen().finalText);
+      Bench.get(stopped);
+    }
+  }
+
+  @Test
+  void aStopCutsWhatTakesTooLong() {
+    try (Bench bench =
+        new Bench(
+            s -> {
+              limits(s, 1500);
+              ((ObjectNode) s.get("limits")).put("stopWithinMs", 100);
+            },
+            Bench.reader("r"),
+            Bench.writer("w").paced(1, 1, 20))) {
+      AtomicReference<McpClient.Call> call = new AtomicReference<>();
+      CompletableFuture<McpClient.Call> done =
+          bench.begin(
+              bench.client(), Bench.ask("m", "answer in 400 words", Tools.ANSWER), call::set);
+      Bench.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
+      bench.fleet.gateway(Bench.GATEWAY).stop();
+      CallRecord seen = Bench.get(done).seen();
+      assertOneEnd(seen);
+      assertEquals(Mcp.FAILED, seen.errorCode);
+    }
+  }
+
+  // ==== many at a time
+
+  @Test
+  void moreCallsThanTheGatewayTakes() {
+    try (Bench bench =
+        new Bench(
+            s -> {
+              limits(s, 1500);
+              ((ObjectNode) s.get("limits")).put("maxCalls", 2);
+            },
+            Bench.reader("r"),
+            Bench.writer("w"))) {
+      McpClient client = bench.client();
+      AtomicReference<McpClient.Call> call = new AtomicReference<>();
+      List<CompletableFuture<McpClient.Call>> taken =
+          List.of(
+              bench.begin(client, Bench.ask("m1", "answer in 300 words", Tools.ANSWER)),
+              bench.begin(client, Bench.ask("m2", "answer in 300 words", Tools.ANSWER), call::set));
+      Bench.await("two calls", () -> call.get() != null && call.get().seen().tokens > 0);
+      CallRecord third = Bench.get(bench.begin(client, Bench.ask("m3", LONG, Tools.ANSWER))).seen();
+      assertEquals(Mcp.LIMIT, third.errorCode);
+      assertTrue(third.retryable);
+      taken.forEach(t -> assertEquals(words(300), Bench.get(t).seen().finalText));
+    }
+  }
+
+  @Test
+  void finalAnswersThatRaceTheDeadline() {
+    try (Bench bench =
+        new Bench(
+            s -> {
+              limits(s, 60);
+              ((ObjectNode) s.at("/classes/0")).put("aimMsPerThousandTokens", 0);
+            },
+            Bench.reader("r").paced(20, 1, 1),
+            Bench.writer("w").paced(1, 28, 1))) { // a first token after about 60 ms
+      McpClient client = bench.client();
+      List<CompletableFuture<McpClient.Call>> calls = new java.util.ArrayList<>();
+      for (int i = 0; i < 40; i++) {
+        calls.add(bench.begin(client, Bench.ask("m" + i, "answer in 5 words", Tools.ANSWER)));
+      }
+      for (CompletableFuture<McpClient.Call> call : calls) {
+        CallRecord seen = Bench.get(call).seen();
+        assertOneEnd(seen);
+        assertTrue(
+            seen.served() ? seen.finalText.equals(words(5)) : seen.errorCode <= Mcp.REFUSED,
+            seen.finalText);
+      }
+      bench.awaitIdle();
+    }
+  }
+
+  @Test
+  void pooledConnectionsThatTheirPeerClosedBetweenRequests() {
+    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
+      assertEquals(words(40), bench.call(Bench.ask("m1", LONG, Tools.ANSWER)).finalText);
+      for (String engine : List.of("r", "w")) {
+        bench.fleet.crash(engine, 10_000_000); // the list does not hear of it
+        bench.fleet.restart(engine);
+      }
+      Bench.await(
+          "service",
+          () -> bench.call(Bench.ask("m2", LONG, Tools.ANSWER)).finalText.equals(words(40)));
+      bench.awaitIdle();
+    }
+  }
+
+  @Test
+  void aClientThatReadsSlowlySlowsItsEngineAndNobodyElse() throws Exception {
+    try (Bench bench =
+        new Bench(
+            s -> ((ObjectNode) s.at("/classes/0")).put("maxTokens", 10_000),
+            Bench.reader("r"),
+            Bench.writer("w").paced(1, 1, 0))) {
+      String session =
+          java.net.http.HttpClient.newHttpClient()
+              .send(
+                  java.net.http.HttpRequest.newBuilder(
+                          java.net.URI.create("http://127.0.0.1:" + bench.port + "/mcp"))
+                      .header("Content-Type", "application/json")
+                      .header("Accept", "application/json")
+                      .POST(
+                          java.net.http.HttpRequest.BodyPublishers.ofString(
+                              "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":"
+                                  + "\"initialize\",\"params\":{\"protocolVersion\":\"2025-06-18\"}}"))
+                      .build(),
+                  java.net.http.HttpResponse.BodyHandlers.discarding())
+              .headers()
+              .firstValue("mcp-session-id")
+              .orElseThrow();
+      String body =
+          "{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\",\"_meta\":{\"progressToken\":1},\"arguments\":{\"prompt\":\"#slow#"
+              + " answer in 4000 words of 8000 letters\"}}}";
+      try (java.net.Socket socket = new java.net.Socket()) {
+        socket.setReceiveBufferSize(64 * 1024);
+        socket.connect(new java.net.InetSocketAddress("127.0.0.1", bench.port));
+        socket.setSoTimeout(20_000);
+        socket
+            .getOutputStream()
+            .write(
+                ("POST /mcp HTTP/1.1\r\nHost: localhost\r\nContent-Type: application/json\r\n"
+                        + "Accept: text/event-stream\r\nMcp-Session-Id: "
+                        + session
+                        + "\r\nConnection: close\r\n"
+                        + "Content-Length: "
+                        + body.length()
+                        + "\r\n\r\n"
+                        + body)
+                    .getBytes(StandardCharsets.UTF_8));
+        int[] before = {-2};
+        Bench.await(
+            "the engine waits",
+            () -> {
+              int now = bench.fleet.standins().ask(() -> bench.fleet.engine("w").written("slow"));
+              boolean stands = now > 0 && now == before[0];
+              before[0] = now;
+              Bench.pause(100);
+              return stands;
             });
-            assertTrue(bench.fleet.awaitServers(Bench.GATEWAY, 2, 5_000));
-            assertEquals(words(40), bench.call(Bench.ask("m2", LONG, Tools.ANSWER)).finalText);
-        }
-    }
-
-    @Test
-    void aDrainToldWhileASendIsUnderWay() {
-        try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w1"))) {
-            AtomicReference<McpClient.Call> call = new AtomicReference<>();
-            CompletableFuture<McpClient.Call> done = bench.begin(bench.client(), Bench.ask("m", "answer in 200 words",
-                    Tools.ANSWER), call::set);
-            Bench.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
-            bench.fleet.drain("w1", true);
-            assertEquals(words(200), Bench.get(done).seen().finalText); // what runs may end
-            assertEquals(Mcp.REFUSED, bench.call(Bench.ask("m2", LONG, Tools.ANSWER)).errorCode);
-            assertEquals(0, bench.events(Tap.What.WRITE, "m2").size());
-        }
-    }
-
-    // ==== engines that misbehave
-
-    private void misbehaving(Consumer<Faults> fault) {
-        try (Bench bench = new Bench(quick(), Bench.reader("r1"), Bench.reader("r2"), Bench.writer("w1"),
-                Bench.writer("w2"))) {
-            faults(bench, fault);
-            CallRecord seen = bench.call(Bench.ask("m1", LONG, Tools.ANSWER));
-            assertOneEnd(seen);
-            assertTrue(seen.errorCode == Mcp.REFUSED || seen.errorCode == Mcp.FAILED, "code " + seen.errorCode);
-            long took = TimeUnit.MICROSECONDS.toMillis(seen.endedAt - seen.calledAt);
-            assertTrue(took < 2_000, "after " + took + " ms");
-            faults(bench, f -> {
-                f.silent = false;
-                f.raw = null;
-                f.badEvent = null;
-            });
-            Bench.await("service again", () -> bench.call(Bench.ask("m2", LONG, Tools.ANSWER)).finalText.equals(words(40)));
-            bench.awaitIdle();
-        }
-    }
-
-    @Test
-    void anEngineThatAcceptsAndStaysSilent() {
-        misbehaving(f -> f.silent = true);
-    }
-
-    @Test
-    void anEngineThatSendsHalfAChunk() {
-        misbehaving(f -> f.raw = "half".getBytes(StandardCharsets.UTF_8));
-    }
-
-    @Test
-    void anEngineThatSendsMalformedEvents() {
-        try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
-            fault(bench, "w", f -> f.badEvent = "{\"choices\":[");
-            CallRecord seen = bench.call(Bench.ask("m", LONG, Tools.ANSWER));
-            assertOneEnd(seen);
-            assertEquals(Mcp.FAILED, seen.errorCode); // some tokens were delivered, and each going-on breaks again
-            bench.awaitIdle();
-        }
-    }
-
-    @Test
-    void anEngineThatReportsAnErrorInItsStream() {
-        try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
-            fault(bench, "w", f -> {
-                f.badEvent = "{\"error\":{\"message\":\"out of memory\"}}";
-                f.hits = new Faults.Hits(1);
-            });
-            CallRecord seen = bench.call(Bench.ask("m", LONG, Tools.ANSWER));
-            assertOneEnd(seen);
-            assertEquals(words(40), seen.finalText);
-        }
-    }
-
-    // ==== clients
-
-    private void leaves(String text, Tools tools, java.util.function.Predicate<Bench> when) {
-        try (Bench bench = new Bench(quick(), Bench.reader("r").paced(60, 1, 5), Bench.writer("w").paced(60, 60, 5))) {
-            AtomicReference<McpClient.Call> call = new AtomicReference<>();
-            bench.begin(bench.client(), Bench.ask("m", text, tools, "stock"), call::set);
-            Bench.await("the moment to leave", () -> call.get() != null && when.test(bench));
-            bench.clients.loop().execute(call.get()::leave);
-            bench.awaitIdle();
-            assertEquals(0, call.get().seen().responses);
-        }
-    }
-
-    @Test
-    void aClientThatLeavesBeforeTheRead() {
-        leaves(LONG, Tools.ANSWER, b -> true);
-    }
-
-    @Test
-    void aClientThatLeavesWhileAStateIsHeld() {
-        leaves(LONG, Tools.ANSWER, b -> !b.events(Tap.What.STATE_KEPT, "m").isEmpty());
-    }
-
-    @Test
-    void aClientThatLeavesMidStream() {
-        leaves("answer in 400 words", Tools.ANSWER, b -> !b.events(Tap.What.EFFECT, "m").isEmpty());
-    }
-
-    @Test
-    void aClientThatLeavesMidCall() {
-        leaves("call the tool stock", Tools.SILENT, b -> b.events(Tap.What.ANSWERED, "m").size() == 2);
-    }
-
-    @Test
-    void aToolThatNeverAnswersAnswersTwiceOrFails() {
-        try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
-            CallRecord silent = bench.call(Bench.ask("m1", "call the tool stock", Tools.SILENT, "stock"));
-            assertOneEnd(silent);
-            assertTrue(silent.finalText.contains("[the tool gave no result in time]"), silent.finalText);
-            CallRecord twice = bench.call(Bench.ask("m2", "call the tool stock", Tools.TWICE, "stock"));
-            assertOneEnd(twice);
-            assertTrue(twice.finalText.contains("[did-stock]"), twice.finalText);
-            CallRecord error = bench.call(Bench.ask("m3", "call the tool stock", Tools.ERROR, "stock"));
-            assertOneEnd(error);
-            assertTrue(error.finalText.contains("[error -32000: the tool failed]"), error.finalText);
-            bench.awaitIdle();
-        }
-    }
-
-    @Test
-    void toolsCalledTogetherAreAnsweredInAnyOrder() {
-        try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
-            CallRecord seen = bench.call(Bench.ask("m", "call the tools stock and price together", Tools.ANSWER, "stock",
-                    "price"));
-            assertOneEnd(seen);
-            assertTrue(seen.finalText.contains("[did-stock|did-price]"), seen.finalText);
-        }
-    }
-
-    // ==== stops
-
-    @Test
-    void aStopLetsStreamsEndAndTakesNoNewCalls() {
-        try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
-            AtomicReference<McpClient.Call> call = new AtomicReference<>();
-            McpClient client = bench.client();
-            CompletableFuture<McpClient.Call> done = bench.begin(client, Bench.ask("m", "answer in 300 words",
-                    Tools.ANSWER), call::set);
-            Bench.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
-            Gateway gateway = bench.fleet.gateway(Bench.GATEWAY);
-            CompletableFuture<Void> stopped = gateway.stop();
-            assertEquals(words(300), Bench.get(done).seen().finalText);
-            Bench.get(stopped);
-        }
-    }
-
-    @Test
-    void aStopCutsWhatTakesTooLong() {
-        try (Bench bench = new Bench(s -> {
-            limits(s, 1500);
-            ((ObjectNode) s.get("limits")).put("stopWithinMs", 100);
-        }, Bench.reader("r"), Bench.writer("w").paced(1, 1, 20))) {
-            AtomicReference<McpClient.Call> call = new AtomicReference<>();
-            CompletableFuture<McpClient.Call> done = bench.begin(bench.client(), Bench.ask("m", "answer in 400 words",
-                    Tools.ANSWER), call::set);
-            Bench.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
-            bench.fleet.gateway(Bench.GATEWAY).stop();
-            CallRecord seen = Bench.get(done).seen();
-            assertOneEnd(seen);
-            assertEquals(Mcp.FAILED, seen.errorCode);
-        }
-    }
-
-    // ==== many at a time
-
-    @Test
-    void moreCallsThanTheGatewayTakes() {
-        try (Bench bench = new Bench(s -> {
-            limits(s, 1500);
-            ((ObjectNode) s.get("limits")).put("maxCalls", 2);
-        }, Bench.reader("r"), Bench.writer("w"))) {
-            McpClient client = bench.client();
-            AtomicReference<McpClient.Call> call = new AtomicReference<>();
-            List<CompletableFuture<McpClient.Call>> taken = List.of(
-                    bench.begin(client, Bench.ask("m1", "answer in 300 words", Tools.ANSWER)),
-                    bench.begin(client, Bench.ask("m2", "answer in 300 words", Tools.ANSWER), call::set));
-            Bench.await("two calls", () -> call.get() != null && call.get().seen().tokens > 0);
-            CallRecord third = Bench.get(bench.begin(client, Bench.ask("m3", LONG, Tools.ANSWER))).seen();
-            assertEquals(Mcp.LIMIT, third.errorCode);
-            assertTrue(third.retryable);
-            taken.forEach(t -> assertEquals(words(300), Bench.get(t).seen().finalText));
-        }
-    }
-
-    @Test
-    void finalAnswersThatRaceTheDeadline() {
-        try (Bench bench = new Bench(s -> {
-            limits(s, 60);
-            ((ObjectNode) s.at("/classes/0")).put("aimMsPerThousandTokens", 0);
-        }, Bench.reader("r").paced(20, 1, 1), Bench.writer("w").paced(1, 28, 1))) { // a first token after about 60 ms
-            McpClient client = bench.client();
-            List<CompletableFuture<McpClient.Call>> calls = new java.util.ArrayList<>();
-            for (int i = 0; i < 40; i++) {
-                calls.add(bench.begin(client, Bench.ask("m" + i, "answer in 5 words", Tools.ANSWER)));
-            }
-            for (CompletableFuture<McpClient.Call> call : calls) {
-                CallRecord seen = Bench.get(call).seen();
-                assertOneEnd(seen);
-                assertTrue(seen.served() ? seen.finalText.equals(words(5)) : seen.errorCode <= Mcp.REFUSED, seen.finalText);
-            }
-            bench.awaitIdle();
-        }
-    }
-
-    @Test
-    void pooledConnectionsThatTheirPeerClosedBetweenRequests() {
-        try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
-            assertEquals(words(40), bench.call(Bench.ask("m1", LONG, Tools.ANSWER)).finalText);
-            for (String engine : List.of("r", "w")) {
-                bench.fleet.crash(engine, 10_000_000); // the list does not hear of it
-                bench.fleet.restart(engine);
-            }
-            Bench.await("service", () -> bench.call(Bench.ask("m2", LONG, Tools.ANSWER)).finalText.equals(words(40)));
-            bench.awaitIdle();
-        }
-    }
-
-    @Test
-    void aClientThatReadsSlowlySlowsItsEngineAndNobodyElse() throws Exception {
-        try (Bench bench = new Bench(s -> ((ObjectNode) s.at("/classes/0")).put("maxTokens", 10_000),
-                Bench.reader("r"), Bench.writer("w").paced(1, 1, 0))) {
-            String session = java.net.http.HttpClient.newHttpClient().send(java.net.http.HttpRequest.newBuilder(
-                    java.net.URI.create("http://127.0.0.1:" + bench.port + "/mcp")).header("Content-Type",
-                    "application/json").header("Accept", "application/json").POST(
-                    java.net.http.HttpRequest.BodyPublishers.ofString("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":"
-                            + "\"initialize\",\"params\":{\"protocolVersion\":\"2025-06-18\"}}")).build(),
-                    java.net.http.HttpResponse.BodyHandlers.discarding()).headers().firstValue("mcp-session-id").orElseThrow();
-            String body = "{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\","
-                    + "\"_meta\":{\"progressToken\":1},\"arguments\":{\"prompt\":\"#slow# answer in 4000 words of 8000 letters\"}}}";
-            try (java.net.Socket socket = new java.net.Socket()) {
-                socket.setReceiveBufferSize(64 * 1024);
-                socket.connect(new java.net.InetSocketAddress("127.0.0.1", bench.port));
-                socket.setSoTimeout(20_000);
-                socket.getOutputStream().write(("POST /mcp HTTP/1.1\r\nHost: localhost\r\nContent-Type: application/json\r\n"
-                        + "Accept: text/event-stream\r\nMcp-Session-Id: " + session + "\r\nConnection: close\r\n"
-                        + "Content-Length: " + body.length() + "\r\n\r\n" + body).getBytes(StandardCharsets.UTF_8));
-                int[] before = {-2};
-                Bench.await("the engine waits", () -> {
-                    int now = bench.fleet.standins().ask(() -> bench.fleet.engine("w").written("slow"));
-                    boolean stands = now > 0 && now == before[0];
-                    before[0] = now;
-                    Bench.pause(100);
-                    return stands;
-                });
-                assertTrue(before[0] < 4000, "all of 32 MB was taken: " + before[0]);
-                assertEquals(words(40), bench.call(Bench.ask("m", LONG, Tools.ANSWER)).finalText);
-                byte[] all = socket.getInputStream().readAllBytes();
-                assertTrue(all.length > 4000 * 8000);
-                assertTrue(new String(all, all.length - 400, 400, StandardCharsets.UTF_8).contains("\"finishReason\":\"stop\""));
-            }
-            bench.awaitIdle();
-        }
-    }
-
-    @Test
-    void aGatewayAtItsLimitRefusesEarlyAndRunningStreamsGoOn() {
-        try (Bench bench = new Bench(s -> {
-            s.putObject("overload").put("targetMs", 50).put("intervalMs", 10);
-            s.putObject("reporting").put("tickMs", 20).put("intervalMs", 20);
-        }, Bench.reader("r"), Bench.writer("w").paced(1, 1, 20))) {
-            McpClient client = bench.client(); // with a session from before: a gateway at its limit refuses new ones as well
-            CompletableFuture<McpClient.Call> running = bench.begin(client,
-                    Bench.ask("running", "answer in 100 words", Tools.ANSWER));
-            Bench.await("it runs", () -> !bench.events(Tap.What.WRITE, "running").isEmpty());
-            AtomicBoolean tooMuch = new AtomicBoolean(true);
-            for (int i = 0; i < 3; i++) { // work always waits for the context for longer than the target
-                keepBusy(bench.fleet.node(Bench.GATEWAY), tooMuch);
-            }
-            AtomicReference<CallRecord> refused = new AtomicReference<>();
-            Bench.await("a refusal", () -> {
-                CallRecord seen = Bench.get(bench.begin(client,
-                        Bench.ask("late" + System.nanoTime(), "answer in 1 words", Tools.ANSWER))).seen();
-                refused.set(seen);
-                return seen.errorCode == Mcp.REFUSED && bench.events(Tap.What.READ, seen.mark).isEmpty();
-            });
-            tooMuch.set(false);
-            assertTrue(refused.get().retryable && refused.get().retryAfterMs >= 250, "advice " + refused.get().retryAfterMs);
-            assertTrue(Bench.get(running).seen().served());
-            Bench.await("all is let in again", () -> Bench.get(bench.begin(client,
-                    Bench.ask("after" + System.nanoTime(), "answer in 1 words", Tools.ANSWER))).seen().served());
-            var tally = bench.fleet.stopGateway(Bench.GATEWAY).get("tally");
-            assertTrue(tally.at("/overload/0/refused").longValue() > 0, tally.get("overload").toString());
-        }
-    }
-
-    private static void keepBusy(Node node, AtomicBoolean on) {
-        node.loop().execute(() -> {
-            busy(40);
-            if (on.get()) {
+        assertTrue(before[0] < 4000, "all of 32 MB was taken: " + before[0]);
+        assertEquals(words(40), bench.call(Bench.ask("m", LONG, Tools.ANSWER)).finalText);
+        byte[] all = socket.getInputStream().readAllBytes();
+        assertTrue(all.length > 4000 * 8000);
+        assertTrue(
+            new String(all, all.length - 400, 400, StandardCharsets.UTF_8)
+                .contains("\"finishReason\":\"stop\""));
+      }
+      bench.awaitIdle();
+    }
+  }
+
+  @Test
+  void aGatewayAtItsLimitRefusesEarlyAndRunningStreamsGoOn() {
+    try (Bench bench =
+        new Bench(
+            s -> {
+              s.putObject("overload").put("targetMs", 50).put("intervalMs", 10);
+              s.putObject("reporting").put("tickMs", 20).put("intervalMs", 20);
+            },
+            Bench.reader("r"),
+            Bench.writer("w").paced(1, 1, 20))) {
+      McpClient client =
+          bench.client(); // with a session from before: a gateway at its limit refuses new ones as
+      // well
+      CompletableFuture<McpClient.Call> running =
+          bench.begin(client, Bench.ask("running", "answer in 100 words", Tools.ANSWER));
+      Bench.await("it runs", () -> !bench.events(Tap.What.WRITE, "running").isEmpty());
+      AtomicBoolean tooMuch = new AtomicBoolean(true);
+      for (int i = 0; i < 3; i++) { // work always waits for the context for longer than the target
+        keepBusy(bench.fleet.node(Bench.GATEWAY), tooMuch);
+      }
+      AtomicReference<CallRecord> refused = new AtomicReference<>();
+      Bench.await(
+          "a refusal",
+          () -> {
+            CallRecord seen =
+                Bench.get(
+                        bench.begin(
+                            client,
+                            Bench.ask(
+                                "late" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
+                    .seen();
+            refused.set(seen);
+            return seen.errorCode == Mcp.REFUSED
+                && bench.events(Tap.What.READ, seen.mark).isEmpty();
+          });
+      tooMuch.set(false);
+      assertTrue(
+          refused.get().retryable && refused.get().retryAfterMs >= 250,
+          "advice " + refused.get().retryAfterMs);
+      assertTrue(Bench.get(running).seen().served());
+      Bench.await(
+          "all is let in again",
+          () ->
+              Bench.get(
+                      bench.begin(
+                          client,
+                          Bench.ask(
+                              "after" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
+                  .seen()
+                  .served());
+      var tally = bench.fleet.stopGateway(Bench.GATEWAY).get("tally");
+      assertTrue(tally.at("/overload/0/refused").longValue() > 0, tally.get("overload").toString());
+    }
+  }
+
+  private static void keepBusy(Node node, AtomicBoolean on) {
+    node.loop()
+        .execute(
+            () -> {
+              busy(40);
+              if (on.get()) {
                 keepBusy(node, on);
-            }
-        });
-    }
+              }
+            });
+  }
 
-    private static void busy(long millis) {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        while (System.nanoTime() < until) {
-            Thread.onSpinWait();
-        }
+  private static void busy(long millis) {
+    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+    while (System.nanoTime() < until) {
+      Thread.onSpinWait();
     }
+  }
 }
--- a/rehearsal/src/test/java/lemondock/rehearsal/OnceTest.java
+++ b/rehearsal/src/test/java/lemondock/rehearsal/OnceTest.java
@@ -20,136 +20,199 @@
 /** A call that may run once, over the death of its gateway. */
 @Timeout(60)
 class OnceTest {
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private Bench bench() {
-        return new Bench(s -> {
-            s.putObject("durable").put("path", folder.resolve("calls").toString()).put("waitMs", 5_000);
-            ((ObjectNode) s.at("/classes/0")).put("repeat", "once").put("deadlineMs", 20_000).put("aimMs", 10_000);
-            ((ObjectNode) s.at("/classes/1")).put("deadlineMs", 20_000).put("aimMs", 10_000);
-        }, Bench.reader("r"), Bench.writer("w"));
-    }
+  private Bench bench() {
+    return new Bench(
+        s -> {
+          s.putObject("durable")
+              .put("path", folder.resolve("calls").toString())
+              .put("waitMs", 5_000);
+          ((ObjectNode) s.at("/classes/0"))
+              .put("repeat", "once")
+              .put("deadlineMs", 20_000)
+              .put("aimMs", 10_000);
+          ((ObjectNode) s.at("/classes/1")).put("deadlineMs", 20_000).put("aimMs", 10_000);
+        },
+        Bench.reader("r"),
+        Bench.writer("w"));
+  }
 
-    private static TalkingClient.Answer call(TalkingClient client, String tool, String key, String mark, String text)
-            throws IOException, InterruptedException {
-        return client.call("7", tool, "#" + mark + "# " + text, text.contains("the tool") ? List.of("stock") : List.of(), key);
-    }
+  private static TalkingClient.Answer call(
+      TalkingClient client, String tool, String key, String mark, String text)
+      throws IOException, InterruptedException {
+    return client.call(
+        "7",
+        tool,
+        "#" + mark + "# " + text,
+        text.contains("the tool") ? List.of("stock") : List.of(),
+        key);
+  }
 
-    private static void restart(Bench bench) {
-        bench.fleet.kill(Bench.GATEWAY);
-        bench.fleet.startGateway(Bench.GATEWAY);
-        assertTrue(bench.fleet.awaitServers(Bench.GATEWAY, 2, 10_000));
-    }
+  private static void restart(Bench bench) {
+    bench.fleet.kill(Bench.GATEWAY);
+    bench.fleet.startGateway(Bench.GATEWAY);
+    assertTrue(bench.fleet.awaitServers(Bench.GATEWAY, 2, 10_000));
+  }
 
-    private static int effects(Bench bench, String mark) {
-        return bench.events(Tap.What.EFFECT, mark).size();
-    }
+  private static int effects(Bench bench, String mark) {
+    return bench.events(Tap.What.EFFECT, mark).size();
+  }
 
-    @Test
-    void aCallThatWasRelayedIsNotRunAgainByTheNextLifeOfItsGateway() throws Exception {
-        try (Bench bench = bench()) {
-            TalkingClient.Answer first = call(new TalkingClient(bench.port), "sale-lookup", "k1", "m1", "call the tool stock answer in 5 words");
-            first.relayed();
-            restart(bench); // its client never answered
-            TalkingClient session = new TalkingClient(bench.port);
-            JsonNode again = call(session, "sale-lookup", "k1", "m1-again", "call the tool stock answer in 5 words").end();
-            assertEquals(Mcp.FAILED, again.at("/error/code").asInt(), again.toString());
-            assertEquals("may_have_run", again.at("/error/data/became").asText());
-            assertFalse(again.at("/error/data/retryable").asBoolean(true));
-            assertEquals("[{\"tool\":\"stock\",\"answered\":false}]", again.at("/error/data/relayed").toString());
-            assertEquals(1, effects(bench, "m1"));
-            assertTrue(bench.events(Tap.What.READ, "m1-again").isEmpty(), "nothing of it may be sent");
-            JsonNode other = call(session, "sale-lookup", "k2", "m2", "answer in 5 words").end();
-            assertEquals(" a0 a1 a2 a3 a4", other.at("/result/content/0/text").asText(), other.toString());
-        }
+  @Test
+  void aCallThatWasRelayedIsNotRunAgainByTheNextLifeOfItsGateway() throws Exception {
+    try (Bench bench = bench()) {
+      TalkingClient.Answer first =
+          call(
+              new TalkingClient(bench.port),
+              "sale-lookup",
+              "k1",
+              "m1",
+              "call the tool stock answer in 5 words");
+      first.relayed();
+      restart(bench); // its client never answered
+      TalkingClient session = new TalkingClient(bench.port);
+      JsonNode again =
+          call(session, "sale-lookup", "k1", "m1-again", "call the tool stock answer in 5 words")
+              .end();
+      assertEquals(Mcp.FAILED, again.at("/error/code").asInt(), again.toString());
+      assertEquals("may_have_run", again.at("/error/data/became").asText());
+      assertFalse(again.at("/error/data/retryable").asBoolean(true));
+      assertEquals(
+          "[{\"tool\":\"stock\",\"answered\":false}]", again.at("/error/data/relayed").toString());
+      assertEquals(1, effects(bench, "m1"));
+      assertTrue(bench.events(Tap.What.READ, "m1-again").isEmpty(), "nothing of it may be sent");
+      JsonNode other = call(session, "sale-lookup", "k2", "m2", "answer in 5 words").end();
+      assertEquals(
+          " a0 a1 a2 a3 a4", other.at("/result/content/0/text").asText(), other.toString());
     }
+  }
 
-    @Test
-    void whatWasServedIsToldSoInThisLifeAndTheNextAndWhatNeverRanMayRun() throws Exception {
-        try (Bench bench = bench()) {
-            TalkingClient session = new TalkingClient(bench.port);
-            assertTrue(call(session, "sale-lookup", "k1", "m1", "answer in 5 words").end().has("result"));
-            assertEquals("served", call(session, "sale-lookup", "k1", "m1b", "answer in 5 words").end()
-                    .at("/error/data/became").asText());
-            bench.fleet.standins().ask(() -> {
+  @Test
+  void whatWasServedIsToldSoInThisLifeAndTheNextAndWhatNeverRanMayRun() throws Exception {
+    try (Bench bench = bench()) {
+      TalkingClient session = new TalkingClient(bench.port);
+      assertTrue(call(session, "sale-lookup", "k1", "m1", "answer in 5 words").end().has("result"));
+      assertEquals(
+          "served",
+          call(session, "sale-lookup", "k1", "m1b", "answer in 5 words")
+              .end()
+              .at("/error/data/became")
+              .asText());
+      bench
+          .fleet
+          .standins()
+          .ask(
+              () -> {
                 bench.fleet.catalogue().empty(true);
                 return null;
-            });
-            assertTrue(bench.fleet.awaitServers(Bench.GATEWAY, 0, 10_000));
-            assertEquals(Mcp.REFUSED, call(session, "sale-lookup", "k2", "m2", "answer in 5 words").end()
-                    .at("/error/code").asInt());
-            bench.fleet.standins().ask(() -> {
+              });
+      assertTrue(bench.fleet.awaitServers(Bench.GATEWAY, 0, 10_000));
+      assertEquals(
+          Mcp.REFUSED,
+          call(session, "sale-lookup", "k2", "m2", "answer in 5 words")
+              .end()
+              .at("/error/code")
+              .asInt());
+      bench
+          .fleet
+          .standins()
+          .ask(
+              () -> {
                 bench.fleet.catalogue().empty(false);
                 return null;
-            });
-            restart(bench);
-            TalkingClient next = new TalkingClient(bench.port);
-            assertEquals("served", call(next, "sale-lookup", "k1", "m1c", "answer in 5 words").end()
-                    .at("/error/data/became").asText());
-            assertTrue(call(next, "sale-lookup", "k2", "m2b", "answer in 5 words").end().has("result"), "it never ran");
-            assertTrue(call(next, "day-close", "k1", "m3", "answer in 5 words").end().has("result"), "safe to repeat");
-            assertEquals(1, effects(bench, "m1"));
-            assertTrue(bench.events(Tap.What.READ, "m1b").isEmpty() && bench.events(Tap.What.READ, "m1c").isEmpty());
-            JsonNode bad = call(next, "sale-lookup", "x".repeat(201), "m4", "answer in 5 words").end();
-            assertTrue(bad.at("/error/message").asText().contains("/_meta/lemondock~1key: expected a text of 1 to 200"), bad.toString());
-        }
+              });
+      restart(bench);
+      TalkingClient next = new TalkingClient(bench.port);
+      assertEquals(
+          "served",
+          call(next, "sale-lookup", "k1", "m1c", "answer in 5 words")
+              .end()
+              .at("/error/data/became")
+              .asText());
+      assertTrue(
+          call(next, "sale-lookup", "k2", "m2b", "answer in 5 words").end().has("result"),
+          "it never ran");
+      assertTrue(
+          call(next, "day-close", "k1", "m3", "answer in 5 words").end().has("result"),
+          "safe to repeat");
+      assertEquals(1, effects(bench, "m1"));
+      assertTrue(
+          bench.events(Tap.What.READ, "m1b").isEmpty()
+              && bench.events(Tap.What.READ, "m1c").isEmpty());
+      JsonNode bad = call(next, "sale-lookup", "x".repeat(201), "m4", "answer in 5 words").end();
+      assertTrue(
+          bad.at("/error/message")
+              .asText()
+              .contains("/_meta/lemondock~1key: expected a text of 1 to 200"),
+          bad.toString());
     }
+  }
 
-    @Test
-    void aLogThatCannotBeReadKeepsTheGatewayFromStarting() throws Exception {
-        Files.createDirectories(folder.resolve("calls"));
-        Files.writeString(folder.resolve("calls").resolve("log-4"), "this is no log");
-        try {
-            bench().close();
-            throw new AssertionError("it started");
-        } catch (java.io.UncheckedIOException e) {
-            assertTrue(e.getMessage().contains("log-4"), e.getMessage());
-        }
+  @Test
+  void aLogThatCannotBeReadKeepsTheGatewayFromStarting() throws Exception {
+    Files.createDirectories(folder.resolve("calls"));
+    Files.writeString(folder.resolve("calls").resolve("log-4"), "this is no log");
+    try {
+      bench().close();
+      throw new AssertionError("it started");
+    } catch (java.io.UncheckedIOException e) {
+      assertTrue(e.getMessage().contains("log-4"), e.getMessage());
     }
+  }
 
-    /** A folder whose syncs fail from that one on. */
-    private static final class Failing extends ForwardingFiles {
-        private volatile int goodSyncs;
+  /** A folder whose syncs fail from that one on. */
+  private static final class Failing extends ForwardingFiles {
+    private volatile int goodSyncs;
 
-        Failing(FilePort files, int goodSyncs) {
-            super(files);
-            this.goodSyncs = goodSyncs;
-        }
+    Failing(FilePort files, int goodSyncs) {
+      super(files);
+      this.goodSyncs = goodSyncs;
+    }
 
+    @Override
+    public Out append(String name) throws IOException {
+      return new ForwardingOut(super.append(name)) {
         @Override
-        public Out append(String name) throws IOException {
-            return new ForwardingOut(super.append(name)) {
-                @Override
-                public void sync() throws IOException {
-                    if (goodSyncs-- <= 0) {
-                        throw new IOException("No space left on device");
-                    }
-                    super.sync();
-                }
-            };
+        public void sync() throws IOException {
+          if (goodSyncs-- <= 0) {
+            throw new IOException("No space left on device");
+          }
+          super.sync();
         }
+      };
     }
+  }
 
-    @Test
-    void nothingIsSentBeforeItIsDurable() throws Exception {
-        try (Bench bench = bench()) {
-            Failing[] disk = new Failing[1];
-            bench.fleet.files(f -> disk[0] = new Failing(f, 1_000));
-            restart(bench);
-            TalkingClient session = new TalkingClient(bench.port);
-            disk[0].goodSyncs = 0;
-            JsonNode refused = call(session, "sale-lookup", "k1", "m1", "answer in 5 words").end();
-            assertEquals(Mcp.REFUSED, refused.at("/error/code").asInt(), refused.toString());
-            assertTrue(refused.at("/error/data/retryable").asBoolean() && bench.events(Tap.What.READ, "m1").isEmpty());
-            assertTrue(call(session, "day-close", "k3", "m3", "answer in 5 words").end().has("result"), "needs no disk");
-            disk[0].goodSyncs = 1; // the call is remembered, its tool call is not
-            JsonNode untold = call(session, "sale-lookup", "k2", "m2", "call the tool stock answer in 5 words").end();
-            assertTrue(untold.at("/result/content/0/text").asText().contains("[the call was not made: it could not be remembered]"),
-                    untold.toString());
-            disk[0].goodSyncs = 1_000;
-            assertTrue(call(session, "sale-lookup", "k1", "m1b", "answer in 5 words").end().has("result"),
-                    "it never ran, and the disk is well again");
-        }
+  @Test
+  void nothingIsSentBeforeItIsDurable() throws Exception {
+    try (Bench bench = bench()) {
+      Failing[] disk = new Failing[1];
+      bench.fleet.files(f -> disk[0] = new Failing(f, 1_000));
+      restart(bench);
+      TalkingClient session = new TalkingClient(bench.port);
+      disk[0].goodSyncs = 0;
+      JsonNode refused = call(session, "sale-lookup", "k1", "m1", "answer in 5 words").end();
+      assertEquals(Mcp.REFUSED, refused.at("/error/code").asInt(), refused.toString());
+      assertTrue(
+          refused.at("/error/data/retryable").asBoolean()
+              && bench.events(Tap.What.READ, "m1").isEmpty());
+      assertTrue(
+          call(session, "day-close", "k3", "m3", "answer in 5 words").end().has("result"),
+          "needs no disk");
+      disk[0].goodSyncs = 1; // the call is remembered, its tool call is not
+      JsonNode untold =
+          call(session, "sale-lookup", "k2", "m2", "call the tool stock answer in 5 words").end();
+      assertTrue(
+          untold
+              .at("/result/content/0/text")
+              .asText()
+              .contains("[the call was not made: it could not be remembered]"),
+          untold.toString());
+      disk[0].goodSyncs = 1_000;
+      assertTrue(
+          call(session, "sale-lookup", "k1", "m1b", "answer in 5 words").end().has("result"),
+          "it never ran, and the disk is well again");
     }
+  }
 }
--- a/rehearsal/src/test/java/lemondock/rehearsal/OwnLimitTest.java
+++ b/rehearsal/src/test/java/lemondock/rehearsal/OwnLimitTest.java
@@ -25,501 +25,653 @@
 
 /** A gateway whose own means run out, or that many clients use at a time in the worst way. */
 class OwnLimitTest {
-    private static final int MANY = 60;
-    private static final int STILL = 8;
-    /** Words of 8,000 letters: more than the system's buffers take on both sides of the gateway. */
-    private static final int LONG = 2_000;
-
-    private static Bench bench(Consumer<ObjectNode> changes) {
-        return bench(4, changes);
+  private static final int MANY = 60;
+  private static final int STILL = 8;
+
+  /** Words of 8,000 letters: more than the system's buffers take on both sides of the gateway. */
+  private static final int LONG = 2_000;
+
+  private static Bench bench(Consumer<ObjectNode> changes) {
+    return bench(4, changes);
+  }
+
+  private static Bench bench(double tokenMs, Consumer<ObjectNode> changes) {
+    return new Bench(
+        s -> {
+          s.put("ioThreads", 3);
+          s.withArray("classes")
+              .forEach(c -> ((ObjectNode) c).put("aimMs", 20_000).put("deadlineMs", 60_000));
+          changes.accept(s);
+        },
+        EngineSettings.quick("r", "reader", "north", "r1").bounded(64, 256, 10_000_000),
+        EngineSettings.quick("w", "writer", "north", "r1")
+            .paced(1, 1, tokenMs)
+            .bounded(256, 256, 10_000_000));
+  }
+
+  private static String words(int count) {
+    StringBuilder text = new StringBuilder();
+    for (int i = 0; i < count; i++) {
+      text.append(" a").append(i);
     }
-
-    private static Bench bench(double tokenMs, Consumer<ObjectNode> changes) {
-        return new Bench(s -> {
-            s.put("ioThreads", 3);
-            s.withArray("classes").forEach(c -> ((ObjectNode) c).put("aimMs", 20_000).put("deadlineMs", 60_000));
-            changes.accept(s);
-        }, EngineSettings.quick("r", "reader", "north", "r1").bounded(64, 256, 10_000_000),
-                EngineSettings.quick("w", "writer", "north", "r1").paced(1, 1, tokenMs).bounded(256, 256, 10_000_000));
+    return text.toString();
+  }
+
+  private static CompletableFuture<McpClient.Call> running(Bench bench, int words) {
+    AtomicReference<McpClient.Call> call = new AtomicReference<>();
+    CompletableFuture<McpClient.Call> done =
+        bench.begin(
+            bench.client(),
+            Bench.ask("running", "answer in " + words + " words", Tools.ANSWER),
+            call::set);
+    Bench.await("it runs", () -> call.get() != null && call.get().seen().tokens > 0);
+    return done;
+  }
+
+  private static void assertWhole(CompletableFuture<McpClient.Call> call, int words) {
+    CallRecord seen = Bench.get(call).seen();
+    assertEquals(words(words), seen.finalText);
+    assertEquals(words(words), seen.streamed.toString());
+    assertEquals(1, seen.responses);
+    assertEquals(0, seen.afterEnd);
+  }
+
+  /** A process that has as much left as a test says. */
+  private static final class Told implements Machine {
+    private volatile double memory;
+    private volatile double handles;
+    private volatile long most = 10_000;
+    private volatile boolean stopped;
+
+    /** All of the time, if it says so. */
+    @Override
+    public long paused() {
+      return stopped ? System.nanoTime() / 1_000 : 0;
     }
 
-    private static String words(int count) {
-        StringBuilder text = new StringBuilder();
-        for (int i = 0; i < count; i++) {
-            text.append(" a").append(i);
-        }
-        return text.toString();
+    @Override
+    public double memory() {
+      return memory;
     }
 
-    private static CompletableFuture<McpClient.Call> running(Bench bench, int words) {
-        AtomicReference<McpClient.Call> call = new AtomicReference<>();
-        CompletableFuture<McpClient.Call> done = bench.begin(bench.client(),
-                Bench.ask("running", "answer in " + words + " words", Tools.ANSWER), call::set);
-        Bench.await("it runs", () -> call.get() != null && call.get().seen().tokens > 0);
-        return done;
+    @Override
+    public double handles() {
+      return handles;
     }
 
-    private static void assertWhole(CompletableFuture<McpClient.Call> call, int words) {
-        CallRecord seen = Bench.get(call).seen();
-        assertEquals(words(words), seen.finalText);
-        assertEquals(words(words), seen.streamed.toString());
-        assertEquals(1, seen.responses);
-        assertEquals(0, seen.afterEnd);
+    @Override
+    public long mostHandles() {
+      return most;
     }
-
-    /** A process that has as much left as a test says. */
-    private static final class Told implements Machine {
-        private volatile double memory;
-        private volatile double handles;
-        private volatile long most = 10_000;
-        private volatile boolean stopped;
-
-        /** All of the time, if it says so. */
-        @Override
-        public long paused() {
-            return stopped ? System.nanoTime() / 1_000 : 0;
-        }
-
-        @Override
-        public double memory() {
-            return memory;
-        }
-
-        @Override
-        public double handles() {
-            return handles;
-        }
-
-        @Override
-        public long mostHandles() {
-            return most;
-        }
+  }
+
+  private static Bench told(Told told, Consumer<ObjectNode> changes) {
+    Bench bench = bench(changes);
+    bench.fleet.machine(told);
+    bench.fleet.kill(Bench.GATEWAY);
+    bench.fleet.startGateway(Bench.GATEWAY);
+    assertTrue(bench.fleet.awaitServers(Bench.GATEWAY, 2, 10_000));
+    return bench;
+  }
+
+  @Test
+  void aLargeCallIsRefusedAtAGlanceAndItsConnectionGoesOn() throws Exception {
+    Told told = new Told();
+    try (Bench bench =
+            told(
+                told,
+                s -> s.putObject("overload").put("risePerSecond", 100).put("targetMs", 5_000));
+        Socket socket = socket(bench, 0)) {
+      send(socket, initialize(1));
+      String session = whole(socket).replaceAll("(?is).*mcp-session-id: (\\S+).*", "$1");
+      told.memory = 0.97;
+      String large =
+          post(
+                  session,
+                  "{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"tools/call\",\"params\":{\"name\":"
+                      + "\"sale-lookup\",\"arguments\":{\"prompt\":\"#large# answer in 3 words "
+                      + "x ".repeat(2_000)
+                      + "\"}}}")
+              .replace("application/json, text/event-stream", "application/json");
+      String[] answer = new String[1];
+      Bench.await(
+          "a refusal",
+          () -> {
+            try {
+              send(socket, large);
+              answer[0] = whole(socket);
+            } catch (IOException e) {
+              throw new AssertionError(e);
+            }
+            return answer[0].startsWith("HTTP/1.1 503");
+          });
+      assertTrue(
+          answer[0].contains("retry-after: ")
+              && answer[0].contains("\"code\":-32010")
+              && answer[0].contains("\"retryable\":true")
+              && answer[0].contains("retryAfterMs"),
+          answer[0]);
+      told.memory = 0;
+      Bench.await(
+          "service",
+          () -> {
+            try {
+              send(socket, large);
+              answer[0] = whole(socket);
+            } catch (IOException e) {
+              throw new AssertionError(e);
+            }
+            return answer[0].contains(" a0 a1 a2");
+          });
+      assertTrue(
+          bench.fleet.stopGateway(Bench.GATEWAY).at("/tally/overload/0/refused").longValue() > 0);
     }
+  }
 
-    private static Bench told(Told told, Consumer<ObjectNode> changes) {
-        Bench bench = bench(changes);
-        bench.fleet.machine(told);
-        bench.fleet.kill(Bench.GATEWAY);
-        bench.fleet.startGateway(Bench.GATEWAY);
-        assertTrue(bench.fleet.awaitServers(Bench.GATEWAY, 2, 10_000));
-        return bench;
+  private static String whole(Socket socket) throws IOException {
+    StringBuilder text = new StringBuilder();
+    while (text.indexOf("\r\n\r\n") < 0) {
+      text.append((char) socket.getInputStream().read());
     }
-
-    @Test
-    void aLargeCallIsRefusedAtAGlanceAndItsConnectionGoesOn() throws Exception {
-        Told told = new Told();
-        try (Bench bench = told(told, s -> s.putObject("overload").put("risePerSecond", 100).put("targetMs", 5_000));
-                Socket socket = socket(bench, 0)) {
-            send(socket, initialize(1));
-            String session = whole(socket).replaceAll("(?is).*mcp-session-id: (\\S+).*", "$1");
-            told.memory = 0.97;
-            String large = post(session, "{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"tools/call\",\"params\":{\"name\":"
-                    + "\"sale-lookup\",\"arguments\":{\"prompt\":\"#large# answer in 3 words " + "x ".repeat(2_000) + "\"}}}")
-                    .replace("application/json, text/event-stream", "application/json");
-            String[] answer = new String[1];
-            Bench.await("a refusal", () -> {
-                try {
-                    send(socket, large);
-                    answer[0] = whole(socket);
-                } catch (IOException e) {
-                    throw new AssertionError(e);
-                }
-                return answer[0].startsWith("HTTP/1.1 503");
-            });
-            assertTrue(answer[0].contains("retry-after: ") && answer[0].contains("\"code\":-32010")
-                    && answer[0].contains("\"retryable\":true") && answer[0].contains("retryAfterMs"), answer[0]);
-            told.memory = 0;
-            Bench.await("service", () -> {
-                try {
-                    send(socket, large);
-                    answer[0] = whole(socket);
-                } catch (IOException e) {
-                    throw new AssertionError(e);
-                }
-                return answer[0].contains(" a0 a1 a2");
-            });
-            assertTrue(bench.fleet.stopGateway(Bench.GATEWAY).at("/tally/overload/0/refused").longValue() > 0);
-        }
+    int length =
+        Integer.parseInt(text.toString().replaceAll("(?is).*content-length: (\\d+).*", "$1"));
+    return text + new String(socket.getInputStream().readNBytes(length), StandardCharsets.UTF_8);
+  }
+
+  /** Calls while the decision context is taken from the gateway for 150 ms again and again. */
+  private static long refusedWhileItWaits(boolean stopped) {
+    Told told = new Told();
+    told.stopped = stopped;
+    try (Bench bench =
+        told(told, s -> s.putObject("overload").put("targetMs", 20).put("stallMs", 10_000))) {
+      bench.awaitIdle();
+      Node gateway = bench.fleet.node(Bench.GATEWAY);
+      List<CompletableFuture<McpClient.Call>> calls = new ArrayList<>();
+      McpClient client = bench.client();
+      assertTrue(
+          Bench.get(bench.begin(client, Bench.ask("first", "answer in 2 words", Tools.ANSWER)))
+              .seen()
+              .served());
+      for (int i = 0; i < 20; i++) {
+        gateway.loop().execute(() -> Bench.pause(150));
+        calls.add(bench.begin(client, Bench.ask("p" + i, "answer in 2 words", Tools.ANSWER)));
+        Bench.pause(100);
+      }
+      calls.forEach(Bench::get); // the module may refuse some too, as it is late
+      return bench.fleet.stopGateway(Bench.GATEWAY).at("/tally/overload/0/refused").longValue();
     }
-
-    private static String whole(Socket socket) throws IOException {
-        StringBuilder text = new StringBuilder();
-        while (text.indexOf("\r\n\r\n") < 0) {
-            text.append((char) socket.getInputStream().read());
-        }
-        int length = Integer.parseInt(text.toString().replaceAll("(?is).*content-length: (\\d+).*", "$1"));
-        return text + new String(socket.getInputStream().readNBytes(length), StandardCharsets.UTF_8);
+  }
+
+  @Test
+  void aWaitWhileTheProcessIsStoppedIsNoOverload() {
+    assertTrue(
+        refusedWhileItWaits(false) > 0, "what waits for so long while the process runs is one");
+    assertEquals(0, refusedWhileItWaits(true));
+  }
+
+  @Test
+  void repeatsHaveABudgetWhileTheShareIsCut() {
+    Told told = new Told();
+    try (Bench bench =
+        told(
+            told,
+            s ->
+                s.putObject("overload")
+                    .put("repeatPart", 0)
+                    .put("repeatsPerSecond", 0)
+                    .put("targetMs", 5_000))) {
+      McpClient known = bench.client();
+      McpClient.Ask again = Bench.ask("again", "answer in 1 words", Tools.ANSWER);
+      McpClient.Ask repeat =
+          new McpClient.Ask(
+              again.tool(),
+              again.classId(),
+              again.messages(),
+              again.conversation(),
+              again.tools(),
+              again.behaviour(),
+              again.toolMicros(),
+              again.maxTokens(),
+              again.mark(),
+              true);
+      assertTrue(
+          Bench.get(bench.begin(known, repeat)).seen().served(),
+          "while all is let in there is no budget");
+      told.memory = 0.875; // half of what comes may come in
+      Bench.await(
+          "a refusal",
+          () ->
+              Bench.get(
+                          bench.begin(
+                              known,
+                              Bench.ask(
+                                  "m" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
+                      .seen()
+                      .errorCode
+                  == Mcp.REFUSED);
+      Bench.await(
+          "the counts are judged", () -> !Bench.get(bench.begin(known, repeat)).seen().served());
+      int first = 0;
+      int again2 = 0;
+      for (int i = 0; i < 60; i++) {
+        first +=
+            Bench.get(bench.begin(known, Bench.ask("f" + i, "answer in 1 words", Tools.ANSWER)))
+                    .seen()
+                    .served()
+                ? 1
+                : 0;
+        again2 += Bench.get(bench.begin(known, repeat)).seen().served() ? 1 : 0;
+      }
+      assertTrue(first > 10, "first tries let in: " + first);
+      assertEquals(0, again2, "repeats let in");
     }
-
-    /** Calls while the decision context is taken from the gateway for 150 ms again and again. */
-    private static long refusedWhileItWaits(boolean stopped) {
-        Told told = new Told();
-        told.stopped = stopped;
-        try (Bench bench = told(told, s -> s.putObject("overload").put("targetMs", 20).put("stallMs", 10_000))) {
-            bench.awaitIdle();
-            Node gateway = bench.fleet.node(Bench.GATEWAY);
-            List<CompletableFuture<McpClient.Call>> calls = new ArrayList<>();
-            McpClient client = bench.client();
-            assertTrue(Bench.get(bench.begin(client, Bench.ask("first", "answer in 2 words", Tools.ANSWER))).seen().served());
-            for (int i = 0; i < 20; i++) {
-                gateway.loop().execute(() -> Bench.pause(150));
-                calls.add(bench.begin(client, Bench.ask("p" + i, "answer in 2 words", Tools.ANSWER)));
-                Bench.pause(100);
-            }
-            calls.forEach(Bench::get); // the module may refuse some too, as it is late
-            return bench.fleet.stopGateway(Bench.GATEWAY).at("/tally/overload/0/refused").longValue();
+  }
+
+  @Test
+  void answersThatWaitForToolsTakeNoPlaceOfOthersAndAreBoundedThemselves() {
+    try (Bench bench =
+        bench(
+            s -> {
+              ((ObjectNode) s.get("limits")).put("maxCalls", 2).put("maxWaitingAnswers", 3);
+              s.withArray("classes").forEach(c -> ((ObjectNode) c).put("toolTimeoutMs", 3_000));
+            })) {
+      List<CompletableFuture<McpClient.Call>> waiting = new ArrayList<>();
+      for (int i = 0; i < 3; i++) {
+        AtomicReference<McpClient.Call> call = new AtomicReference<>();
+        waiting.add(
+            bench.begin(
+                bench.client(),
+                Bench.ask("w" + i, "call the tool stock answer in 3 words", Tools.SILENT, "stock"),
+                call::set));
+        Bench.await("it waits", () -> call.get() != null && !call.get().seen().toolCalls.isEmpty());
+      }
+      assertTrue(
+          bench.call(Bench.ask("m", "answer in 3 words", Tools.ANSWER)).served(),
+          "starved by slow tools");
+      CallRecord fourth =
+          bench.call(
+              Bench.ask("w4", "call the tool stock answer in 3 words", Tools.ANSWER, "stock"));
+      assertEquals(Mcp.FAILED, fourth.errorCode);
+      assertEquals(List.of(), fourth.toolCalls);
+      waiting.forEach(w -> assertTrue(Bench.get(w).seen().served()));
+      assertTrue(
+          bench
+              .call(Bench.ask("w5", "call the tool stock answer in 3 words", Tools.ANSWER, "stock"))
+              .served());
+      bench.awaitIdle();
+    }
+  }
+
+  @Test
+  void clientsLeaveHandlesForEngines() throws IOException {
+    Told told = new Told();
+    told.most = 100;
+    try (Bench bench = told(told, s -> {})) {
+      List<Socket> sockets = new ArrayList<>();
+      try {
+        for (int i = 0; i < 60; i++) {
+          sockets.add(socket(bench, 0));
+        }
+        int closed = 0;
+        for (Socket socket : sockets) {
+          try {
+            send(socket, "GET /healthz HTTP/1.1\r\nHost: localhost\r\n\r\n");
+            closed += socket.getInputStream().read() < 0 ? 1 : 0;
+          } catch (IOException e) {
+            closed++;
+          }
         }
+        assertEquals(10, closed, "of sixty, with a hundred handles in all");
+      } finally {
+        closeAll(sockets);
+      }
     }
-
-    @Test
-    void aWaitWhileTheProcessIsStoppedIsNoOverload() {
-        assertTrue(refusedWhileItWaits(false) > 0, "what waits for so long while the process runs is one");
-        assertEquals(0, refusedWhileItWaits(true));
+  }
+
+  @Test
+  void memoryOrHandlesNearTheirBoundKeepNewcomersOutAndLetRunningStreamsEnd() {
+    Told told = new Told();
+    try (Bench bench =
+        told(told, s -> s.putObject("overload").put("risePerSecond", 100).put("targetMs", 5_000))) {
+      McpClient known = bench.client();
+      assertTrue(
+          Bench.get(bench.begin(known, Bench.ask("before", "answer in 1 words", Tools.ANSWER)))
+              .seen()
+              .served());
+      for (int way = 0; way < 2; way++) {
+        CompletableFuture<McpClient.Call> running = running(bench, 480);
+        told.memory = way == 0 ? 0.97 : 0;
+        told.handles = way == 0 ? 0 : 0.99;
+        AtomicReference<CallRecord> refused = new AtomicReference<>();
+        Bench.await(
+            "a refusal",
+            () -> {
+              refused.set(
+                  Bench.get(
+                          bench.begin(
+                              known,
+                              Bench.ask(
+                                  "m" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
+                      .seen());
+              return refused.get().errorCode == Mcp.REFUSED;
+            });
+        assertTrue(refused.get().retryable && refused.get().retryAfterMs > 0);
+        assertTrue(bench.events(Tap.What.READ, refused.get().mark).isEmpty());
+        CompletableFuture<Boolean> session = new CompletableFuture<>();
+        bench.clients.loop().execute(() -> bench.client().open(session::complete));
+        assertFalse(Bench.get(session), "no new sessions either");
+        told.memory = 0;
+        told.handles = 0;
+        assertWhole(running, 480);
+        Bench.await(
+            "all is let in again",
+            () ->
+                Bench.get(
+                        bench.begin(
+                            known,
+                            Bench.ask("a" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
+                    .seen()
+                    .served());
+      }
     }
-
-    @Test
-    void repeatsHaveABudgetWhileTheShareIsCut() {
-        Told told = new Told();
-        try (Bench bench = told(told, s -> s.putObject("overload").put("repeatPart", 0).put("repeatsPerSecond", 0)
-                .put("targetMs", 5_000))) {
-            McpClient known = bench.client();
-            McpClient.Ask again = Bench.ask("again", "answer in 1 words", Tools.ANSWER);
-            McpClient.Ask repeat = new McpClient.Ask(again.tool(), again.classId(), again.messages(), again.conversation(),
-                    again.tools(), again.behaviour(), again.toolMicros(), again.maxTokens(), again.mark(), true);
-            assertTrue(Bench.get(bench.begin(known, repeat)).seen().served(), "while all is let in there is no budget");
-            told.memory = 0.875; // half of what comes may come in
-            Bench.await("a refusal", () -> Bench.get(bench.begin(known, Bench.ask("m" + System.nanoTime(), "answer in 1 words",
-                    Tools.ANSWER))).seen().errorCode == Mcp.REFUSED);
-            Bench.await("the counts are judged", () -> !Bench.get(bench.begin(known, repeat)).seen().served());
-            int first = 0;
-            int again2 = 0;
-            for (int i = 0; i < 60; i++) {
-                first += Bench.get(bench.begin(known, Bench.ask("f" + i, "answer in 1 words", Tools.ANSWER))).seen().served() ? 1 : 0;
-                again2 += Bench.get(bench.begin(known, repeat)).seen().served() ? 1 : 0;
-            }
-            assertTrue(first > 10, "first tries let in: " + first);
-            assertEquals(0, again2, "repeats let in");
-        }
+  }
+
+  @Test
+  void aServerIsNotBlamedForConnectionsThatTheGatewayDoesNotHave() {
+    try (Bench bench =
+        bench(20, s -> ((ObjectNode) s.get("engines")).put("maxConnectionsPerServer", 1))) {
+      CompletableFuture<McpClient.Call> running = running(bench, 300);
+      for (int i = 0; i < 20; i++) { // the writer's one connection is in use
+        CallRecord seen = bench.call(Bench.ask("m" + i, "answer in 3 words", Tools.ANSWER));
+        assertEquals(1, seen.responses);
+        assertTrue(seen.served() || seen.retryable, "code " + seen.errorCode);
+      }
+      assertWhole(running, 300);
+      bench.awaitIdle();
+      long moot = 0;
+      for (JsonNode row : bench.fleet.stopGateway(Bench.GATEWAY).at("/tally/attempts")) {
+        assertEquals(0, row.get("connect_failed").longValue(), row.toString());
+        moot += row.get("moot").longValue();
+      }
+      assertTrue(moot > 0, "the bound was never met");
     }
-
-    @Test
-    void answersThatWaitForToolsTakeNoPlaceOfOthersAndAreBoundedThemselves() {
-        try (Bench bench = bench(s -> {
-            ((ObjectNode) s.get("limits")).put("maxCalls", 2).put("maxWaitingAnswers", 3);
-            s.withArray("classes").forEach(c -> ((ObjectNode) c).put("toolTimeoutMs", 3_000));
-        })) {
-            List<CompletableFuture<McpClient.Call>> waiting = new ArrayList<>();
-            for (int i = 0; i < 3; i++) {
-                AtomicReference<McpClient.Call> call = new AtomicReference<>();
-                waiting.add(bench.begin(bench.client(), Bench.ask("w" + i, "call the tool stock answer in 3 words", Tools.SILENT, "stock"),
-                        call::set));
-                Bench.await("it waits", () -> call.get() != null && !call.get().seen().toolCalls.isEmpty());
-            }
-            assertTrue(bench.call(Bench.ask("m", "answer in 3 words", Tools.ANSWER)).served(), "starved by slow tools");
-            CallRecord fourth = bench.call(Bench.ask("w4", "call the tool stock answer in 3 words", Tools.ANSWER, "stock"));
-            assertEquals(Mcp.FAILED, fourth.errorCode);
-            assertEquals(List.of(), fourth.toolCalls);
-            waiting.forEach(w -> assertTrue(Bench.get(w).seen().served()));
-            assertTrue(bench.call(Bench.ask("w5", "call the tool stock answer in 3 words", Tools.ANSWER, "stock")).served());
-            bench.awaitIdle();
-        }
+  }
+
+  // ==== raw clients
+
+  private static String post(String session, String body) {
+    return "POST /mcp HTTP/1.1\r\n"
+        + "Host: localhost\r\n"
+        + "Content-Type: application/json\r\n"
+        + "Accept: application/json, text/event-stream\r\n"
+        + (session == null ? "" : "Mcp-Session-Id: " + session + "\r\n")
+        + "Content-Length: "
+        + body.length()
+        + "\r\n\r\n"
+        + body;
+  }
+
+  private static String initialize(int id) {
+    return post(
+        null,
+        "{\"jsonrpc\":\"2.0\",\"id\":"
+            + id
+            + ",\"method\":\"initialize\",\"params\":{\"protocolVersion\":"
+            + "\"2025-06-18\"}}");
+  }
+
+  private static Socket socket(Bench bench, int receiveBuffer) throws IOException {
+    Socket socket = new Socket();
+    if (receiveBuffer > 0) {
+      socket.setReceiveBufferSize(receiveBuffer);
     }
-
-    @Test
-    void clientsLeaveHandlesForEngines() throws IOException {
-        Told told = new Told();
-        told.most = 100;
-        try (Bench bench = told(told, s -> { })) {
-            List<Socket> sockets = new ArrayList<>();
-            try {
-                for (int i = 0; i < 60; i++) {
-                    sockets.add(socket(bench, 0));
-                }
-                int closed = 0;
-                for (Socket socket : sockets) {
+    socket.connect(new InetSocketAddress("127.0.0.1", bench.port));
+    socket.setSoTimeout(30_000);
+    return socket;
+  }
+
+  private static void send(Socket socket, String text) throws IOException {
+    socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+  }
+
+  private static void closeAll(List<Socket> sockets) throws IOException {
+    for (Socket socket : sockets) {
+      socket.close();
+    }
+  }
+
+  /** Counts answers by their status until so many have come. */
+  private static int[] statuses(Socket socket, int count) throws IOException {
+    int[] found = new int[2];
+    InputStream in = socket.getInputStream();
+    StringBuilder line = new StringBuilder();
+    while (found[0] + found[1] < count) {
+      int c = in.read();
+      if (c < 0) {
+        throw new IOException("closed after " + found[0] + " and " + found[1]);
+      }
+      line.append((char) c);
+      if (line.toString().endsWith("HTTP/1.1 200")) {
+        found[0]++;
+        line.setLength(0);
+      } else if (line.toString().endsWith("HTTP/1.1 503")) {
+        found[1]++;
+        line.setLength(0);
+      } else if (line.length() > 12) {
+        line.deleteCharAt(0);
+      }
+    }
+    return found;
+  }
+
+  @Test
+  void fiveThousandSessionsAtOnceAreBoundedAndHoldNobodyUp() throws Exception {
+    try (Bench bench = bench(s -> ((ObjectNode) s.get("front")).put("maxSessions", 1_000))) {
+      CompletableFuture<McpClient.Call> running = running(bench, 400);
+      List<Socket> sockets = new ArrayList<>();
+      List<CompletableFuture<int[]>> answers = new ArrayList<>();
+      try {
+        for (int i = 0; i < 10; i++) {
+          Socket socket = socket(bench, 0);
+          sockets.add(socket);
+          answers.add(
+              CompletableFuture.supplyAsync(
+                  () -> {
                     try {
-                        send(socket, "GET /healthz HTTP/1.1\r\nHost: localhost\r\n\r\n");
-                        closed += socket.getInputStream().read() < 0 ? 1 : 0;
+                      return statuses(socket, 500);
                     } catch (IOException e) {
-                        closed++;
+                      throw new IllegalStateException(e);
                     }
-                }
-                assertEquals(10, closed, "of sixty, with a hundred handles in all");
-            } finally {
-                closeAll(sockets);
-            }
+                  },
+                  task -> new Thread(task).start()));
         }
-    }
-
-    @Test
-    void memoryOrHandlesNearTheirBoundKeepNewcomersOutAndLetRunningStreamsEnd() {
-        Told told = new Told();
-        try (Bench bench = told(told, s -> s.putObject("overload").put("risePerSecond", 100).put("targetMs", 5_000))) {
-            McpClient known = bench.client();
-            assertTrue(Bench.get(bench.begin(known, Bench.ask("before", "answer in 1 words", Tools.ANSWER))).seen().served());
-            for (int way = 0; way < 2; way++) {
-                CompletableFuture<McpClient.Call> running = running(bench, 480);
-                told.memory = way == 0 ? 0.97 : 0;
-                told.handles = way == 0 ? 0 : 0.99;
-                AtomicReference<CallRecord> refused = new AtomicReference<>();
-                Bench.await("a refusal", () -> {
-                    refused.set(Bench.get(bench.begin(known, Bench.ask("m" + System.nanoTime(), "answer in 1 words",
-                            Tools.ANSWER))).seen());
-                    return refused.get().errorCode == Mcp.REFUSED;
-                });
-                assertTrue(refused.get().retryable && refused.get().retryAfterMs > 0);
-                assertTrue(bench.events(Tap.What.READ, refused.get().mark).isEmpty());
-                CompletableFuture<Boolean> session = new CompletableFuture<>();
-                bench.clients.loop().execute(() -> bench.client().open(session::complete));
-                assertFalse(Bench.get(session), "no new sessions either");
-                told.memory = 0;
-                told.handles = 0;
-                assertWhole(running, 480);
-                Bench.await("all is let in again", () -> Bench.get(bench.begin(known, Bench.ask("a" + System.nanoTime(),
-                        "answer in 1 words", Tools.ANSWER))).seen().served());
-            }
+        for (int i = 0; i < 10; i++) {
+          send(sockets.get(i), initialize(i).repeat(500));
         }
-    }
-
-    @Test
-    void aServerIsNotBlamedForConnectionsThatTheGatewayDoesNotHave() {
-        try (Bench bench = bench(20, s -> ((ObjectNode) s.get("engines")).put("maxConnectionsPerServer", 1))) {
-            CompletableFuture<McpClient.Call> running = running(bench, 300);
-            for (int i = 0; i < 20; i++) { // the writer's one connection is in use
-                CallRecord seen = bench.call(Bench.ask("m" + i, "answer in 3 words", Tools.ANSWER));
-                assertEquals(1, seen.responses);
-                assertTrue(seen.served() || seen.retryable, "code " + seen.errorCode);
-            }
-            assertWhole(running, 300);
-            bench.awaitIdle();
-            long moot = 0;
-            for (JsonNode row : bench.fleet.stopGateway(Bench.GATEWAY).at("/tally/attempts")) {
-                assertEquals(0, row.get("connect_failed").longValue(), row.toString());
-                moot += row.get("moot").longValue();
-            }
-            assertTrue(moot > 0, "the bound was never met");
+        int opened = 0;
+        int refused = 0;
+        for (CompletableFuture<int[]> answer : answers) {
+          opened += Bench.get(answer)[0];
+          refused += Bench.get(answer)[1];
         }
+        assertEquals(5_000, opened + refused);
+        assertTrue(opened > 0 && opened <= 999, "opened " + opened);
+        assertEquals(
+            opened + 1,
+            bench.fleet.node(Bench.GATEWAY).ask(bench.fleet.gateway(Bench.GATEWAY)::sessions));
+      } finally {
+        closeAll(sockets);
+      }
+      assertWhole(running, 400);
     }
-
-    // ==== raw clients
-
-    private static String post(String session, String body) {
-        return "POST /mcp HTTP/1.1\r\nHost: localhost\r\nContent-Type: application/json\r\nAccept: application/json, "
-                + "text/event-stream\r\n" + (session == null ? "" : "Mcp-Session-Id: " + session + "\r\n") + "Content-Length: "
-                + body.length() + "\r\n\r\n" + body;
-    }
-
-    private static String initialize(int id) {
-        return post(null, "{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"method\":\"initialize\",\"params\":{\"protocolVersion\":"
-                + "\"2025-06-18\"}}");
-    }
-
-    private static Socket socket(Bench bench, int receiveBuffer) throws IOException {
-        Socket socket = new Socket();
-        if (receiveBuffer > 0) {
-            socket.setReceiveBufferSize(receiveBuffer);
+  }
+
+  @Test
+  void bodiesAtTheLimitSentSlowlyByHundredsLeaveRoomForSmallOnes() throws Exception {
+    try (Bench bench =
+        bench(
+            s ->
+                ((ObjectNode) s.get("front"))
+                    .put("maxBodyBytes", 1 << 20)
+                    .put("maxBodiesBytes", 4 << 20))) {
+      McpClient known = bench.client();
+      assertTrue(
+          Bench.get(bench.begin(known, Bench.ask("first", "answer in 1 words", Tools.ANSWER)))
+              .seen()
+              .served());
+      List<Socket> sockets = new ArrayList<>();
+      try {
+        String head =
+            "POST /mcp HTTP/1.1\r\n"
+                + "Host: localhost\r\n"
+                + "Content-Type: application/json\r\n"
+                + "Content-Length: "
+                + (1 << 20)
+                + "\r\n\r\n";
+        for (int i = 0; i < 300; i++) { // together far more than all may hold
+          sockets.add(socket(bench, 0));
+          send(sockets.get(i), head + "x".repeat(40_000));
         }
-        socket.connect(new InetSocketAddress("127.0.0.1", bench.port));
-        socket.setSoTimeout(30_000);
-        return socket;
-    }
-
-    private static void send(Socket socket, String text) throws IOException {
-        socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
-    }
-
-    private static void closeAll(List<Socket> sockets) throws IOException {
-        for (Socket socket : sockets) {
-            socket.close();
+        for (int i = 0; i < 20; i++) {
+          CallRecord seen =
+              Bench.get(bench.begin(known, Bench.ask("m" + i, "answer in 3 words", Tools.ANSWER)))
+                  .seen();
+          assertTrue(seen.served(), "code " + seen.errorCode + " " + seen.oddities);
         }
+      } finally {
+        closeAll(sockets);
+      }
+      bench.awaitIdle();
     }
-
-    /** Counts answers by their status until so many have come. */
-    private static int[] statuses(Socket socket, int count) throws IOException {
-        int[] found = new int[2];
-        InputStream in = socket.getInputStream();
-        StringBuilder line = new StringBuilder();
-        while (found[0] + found[1] < count) {
-            int c = in.read();
-            if (c < 0) {
-                throw new IOException("closed after " + found[0] + " and " + found[1]);
-            }
-            line.append((char) c);
-            if (line.toString().endsWith("HTTP/1.1 200")) {
-                found[0]++;
-                line.setLength(0);
-            } else if (line.toString().endsWith("HTTP/1.1 503")) {
-                found[1]++;
-                line.setLength(0);
-            } else if (line.length() > 12) {
-                line.deleteCharAt(0);
-            }
-        }
-        return found;
-    }
-
-    @Test
-    void fiveThousandSessionsAtOnceAreBoundedAndHoldNobodyUp() throws Exception {
-        try (Bench bench = bench(s -> ((ObjectNode) s.get("front")).put("maxSessions", 1_000))) {
-            CompletableFuture<McpClient.Call> running = running(bench, 400);
-            List<Socket> sockets = new ArrayList<>();
-            List<CompletableFuture<int[]>> answers = new ArrayList<>();
-            try {
-                for (int i = 0; i < 10; i++) {
-                    Socket socket = socket(bench, 0);
-                    sockets.add(socket);
-                    answers.add(CompletableFuture.supplyAsync(() -> {
-                        try {
-                            return statuses(socket, 500);
-                        } catch (IOException e) {
-                            throw new IllegalStateException(e);
-                        }
-                    }, task -> new Thread(task).start()));
-                }
-                for (int i = 0; i < 10; i++) {
-                    send(sockets.get(i), initialize(i).repeat(500));
-                }
-                int opened = 0;
-                int refused = 0;
-                for (CompletableFuture<int[]> answer : answers) {
-                    opened += Bench.get(answer)[0];
-                    refused += Bench.get(answer)[1];
-                }
-                assertEquals(5_000, opened + refused);
-                assertTrue(opened > 0 && opened <= 999, "opened " + opened);
-                assertEquals(opened + 1, bench.fleet.node(Bench.GATEWAY).ask(bench.fleet.gateway(Bench.GATEWAY)::sessions));
-            } finally {
-                closeAll(sockets);
-            }
-            assertWhole(running, 400);
+  }
+
+  @Test
+  void manyClientsThatNeverReadThenAllReadAtOnceGetAll() throws Exception {
+    try (Bench bench =
+        bench(
+            0.5,
+            s -> {
+              ((ObjectNode) s.at("/classes/0")).put("maxTokens", LONG).put("deadlineMs", 60_000);
+              ((ObjectNode) s.get("front")).put("stallTimeoutMs", 60_000);
+            })) {
+      List<Socket> sockets = new ArrayList<>();
+      try {
+        for (int i = 0; i < STILL; i++) {
+          Socket socket = socket(bench, 8 * 1024);
+          sockets.add(socket);
+          send(socket, initialize(1));
+          String head = whole(socket);
+          String session = head.replaceAll("(?is).*mcp-session-id: (\\S+).*", "$1");
+          send(
+              socket,
+              post(
+                  session,
+                  "{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"tools/call\",\"params\":{\"name\":"
+                      + "\"sale-lookup\",\"_meta\":{\"progressToken\":1},\"arguments\":{\"prompt\":\"#n"
+                      + i
+                      + "# answer in "
+                      + LONG
+                      + " words of 8000 letters\"}}}"));
         }
-    }
-
-    @Test
-    void bodiesAtTheLimitSentSlowlyByHundredsLeaveRoomForSmallOnes() throws Exception {
-        try (Bench bench = bench(s -> ((ObjectNode) s.get("front")).put("maxBodyBytes", 1 << 20)
-                .put("maxBodiesBytes", 4 << 20))) {
-            McpClient known = bench.client();
-            assertTrue(Bench.get(bench.begin(known, Bench.ask("first", "answer in 1 words", Tools.ANSWER))).seen().served());
-            List<Socket> sockets = new ArrayList<>();
-            try {
-                String head = "POST /mcp HTTP/1.1\r\nHost: localhost\r\nContent-Type: application/json\r\nContent-Length: "
-                        + (1 << 20) + "\r\n\r\n";
-                for (int i = 0; i < 300; i++) { // together far more than all may hold
-                    sockets.add(socket(bench, 0));
-                    send(sockets.get(i), head + "x".repeat(40_000));
-                }
-                for (int i = 0; i < 20; i++) {
-                    CallRecord seen = Bench.get(bench.begin(known, Bench.ask("m" + i, "answer in 3 words", Tools.ANSWER))).seen();
-                    assertTrue(seen.served(), "code " + seen.errorCode + " " + seen.oddities);
-                }
-            } finally {
-                closeAll(sockets);
-            }
-            bench.awaitIdle();
+        int[] before = {-1};
+        Bench.await(
+            "all stand still",
+            () -> {
+              int now = 0;
+              for (int i = 0; i < STILL; i++) {
+                String mark = "n" + i;
+                now += bench.fleet.standins().ask(() -> bench.fleet.engine("w").written(mark));
+              }
+              boolean stands =
+                  now > 0 && now == before[0] && bench.events(Tap.What.WRITE, null).size() >= STILL;
+              before[0] = now;
+              Bench.pause(200);
+              return stands;
+            });
+        assertTrue(before[0] < STILL * LONG, "all was taken");
+        List<CompletableFuture<Long>> read = new ArrayList<>();
+        for (Socket socket : sockets) {
+          read.add(
+              CompletableFuture.supplyAsync(
+                  () -> readToEnd(socket), task -> new Thread(task).start()));
         }
-    }
-
-    @Test
-    void manyClientsThatNeverReadThenAllReadAtOnceGetAll() throws Exception {
-        try (Bench bench = bench(0.5, s -> {
-            ((ObjectNode) s.at("/classes/0")).put("maxTokens", LONG).put("deadlineMs", 60_000);
-            ((ObjectNode) s.get("front")).put("stallTimeoutMs", 60_000);
-        })) {
-            List<Socket> sockets = new ArrayList<>();
-            try {
-                for (int i = 0; i < STILL; i++) {
-                    Socket socket = socket(bench, 8 * 1024);
-                    sockets.add(socket);
-                    send(socket, initialize(1));
-                    String head = whole(socket);
-                    String session = head.replaceAll("(?is).*mcp-session-id: (\\S+).*", "$1");
-                    send(socket, post(session, "{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"tools/call\",\"params\":{\"name\":"
-                            + "\"sale-lookup\",\"_meta\":{\"progressToken\":1},\"arguments\":{\"prompt\":\"#n" + i
-                            + "# answer in " + LONG + " words of 8000 letters\"}}}"));
-                }
-                int[] before = {-1};
-                Bench.await("all stand still", () -> {
-                    int now = 0;
-                    for (int i = 0; i < STILL; i++) {
-                        String mark = "n" + i;
-                        now += bench.fleet.standins().ask(() -> bench.fleet.engine("w").written(mark));
-                    }
-                    boolean stands = now > 0 && now == before[0] && bench.events(Tap.What.WRITE, null).size() >= STILL;
-                    before[0] = now;
-                    Bench.pause(200);
-                    return stands;
-                });
-                assertTrue(before[0] < STILL * LONG, "all was taken");
-                List<CompletableFuture<Long>> read = new ArrayList<>();
-                for (Socket socket : sockets) {
-                    read.add(CompletableFuture.supplyAsync(() -> readToEnd(socket), task -> new Thread(task).start()));
-                }
-                for (CompletableFuture<Long> all : read) {
-                    assertTrue(Bench.get(all) > 8_000L * LONG);
-                }
-            } finally {
-                closeAll(sockets);
-            }
-            bench.awaitIdle();
+        for (CompletableFuture<Long> all : read) {
+          assertTrue(Bench.get(all) > 8_000L * LONG);
         }
+      } finally {
+        closeAll(sockets);
+      }
+      bench.awaitIdle();
     }
-
-    /** Bytes up to the end of a chunked answer. */
-    private static long readToEnd(Socket socket) {
-        byte[] buffer = new byte[64 * 1024];
-        long all = 0;
-        String tail = "";
-        try {
-            while (!tail.endsWith("\r\n0\r\n\r\n")) {
-                int count = socket.getInputStream().read(buffer);
-                if (count < 0) {
-                    throw new IOException("broken off after " + all);
-                }
-                all += count;
-                tail += new String(buffer, Math.max(0, count - 7), Math.min(7, count), StandardCharsets.US_ASCII);
-                tail = tail.substring(Math.max(0, tail.length() - 7));
-            }
-            return all;
-        } catch (IOException e) {
-            throw new IllegalStateException(e);
+  }
+
+  /** Bytes up to the end of a chunked answer. */
+  private static long readToEnd(Socket socket) {
+    byte[] buffer = new byte[64 * 1024];
+    long all = 0;
+    String tail = "";
+    try {
+      while (!tail.endsWith("\r\n0\r\n\r\n")) {
+        int count = socket.getInputStream().read(buffer);
+        if (count < 0) {
+          throw new IOException("broken off after " + all);
         }
+        all += count;
+        tail +=
+            new String(
+                buffer, Math.max(0, count - 7), Math.min(7, count), StandardCharsets.US_ASCII);
+        tail = tail.substring(Math.max(0, tail.length() - 7));
+      }
+      return all;
+    } catch (IOException e) {
+      throw new IllegalStateException(e);
     }
-
-    // ==== shards
-
-    @Test
-    void resultsOfToolsComeOverConnectionsOfAnyShard() {
-        try (Bench bench = bench(s -> { })) {
-            McpClient client = bench.client();
-            List<CompletableFuture<McpClient.Call>> calls = new ArrayList<>();
-            for (int i = 0; i < MANY; i++) { // as many connections, and as many more for the results
-                calls.add(bench.begin(client, Bench.ask("m" + i, "call the tool stock and then call the tool price answer in 20 words",
-                        Tools.ANSWER, "stock", "price")));
-            }
-            for (CompletableFuture<McpClient.Call> call : calls) {
-                CallRecord seen = Bench.get(call).seen();
-                assertEquals(2, seen.toolCalls.size());
-                assertEquals(1, seen.responses);
-                assertEquals(List.of(), seen.oddities);
-                assertEquals(seen.finalText, seen.streamed.toString());
-                assertTrue(seen.finalText.contains("[did-stock]") && seen.finalText.contains("[did-price]"), seen.finalText);
-            }
-            bench.awaitIdle();
-        }
+  }
+
+  // ==== shards
+
+  @Test
+  void resultsOfToolsComeOverConnectionsOfAnyShard() {
+    try (Bench bench = bench(s -> {})) {
+      McpClient client = bench.client();
+      List<CompletableFuture<McpClient.Call>> calls = new ArrayList<>();
+      for (int i = 0; i < MANY; i++) { // as many connections, and as many more for the results
+        calls.add(
+            bench.begin(
+                client,
+                Bench.ask(
+                    "m" + i,
+                    "call the tool stock and then call the tool price answer in 20 words",
+                    Tools.ANSWER,
+                    "stock",
+                    "price")));
+      }
+      for (CompletableFuture<McpClient.Call> call : calls) {
+        CallRecord seen = Bench.get(call).seen();
+        assertEquals(2, seen.toolCalls.size());
+        assertEquals(1, seen.responses);
+        assertEquals(List.of(), seen.oddities);
+        assertEquals(seen.finalText, seen.streamed.toString());
+        assertTrue(
+            seen.finalText.contains("[did-stock]") && seen.finalText.contains("[did-price]"),
+            seen.finalText);
+      }
+      bench.awaitIdle();
     }
-
-    @Test
-    void aStopWhileAllShardsAreBusyLetsEveryStreamEnd() {
-        try (Bench bench = bench(s -> { })) {
-            List<CompletableFuture<McpClient.Call>> calls = new ArrayList<>();
-            for (int i = 0; i < MANY; i++) {
-                calls.add(bench.begin(bench.client(), Bench.ask("m" + i, "answer in 200 words", Tools.ANSWER)));
-            }
-            Bench.await("all run", () -> bench.events(Tap.What.WRITE, null).size() >= MANY);
-            CompletableFuture<Void> stopped = bench.fleet.gateway(Bench.GATEWAY).stop();
-            calls.forEach(c -> assertWhole(c, 200));
-            Bench.get(stopped);
-        }
+  }
+
+  @Test
+  void aStopWhileAllShardsAreBusyLetsEveryStreamEnd() {
+    try (Bench bench = bench(s -> {})) {
+      List<CompletableFuture<McpClient.Call>> calls = new ArrayList<>();
+      for (int i = 0; i < MANY; i++) {
+        calls.add(
+            bench.begin(bench.client(), Bench.ask("m" + i, "answer in 200 words", Tools.ANSWER)));
+      }
+      Bench.await("all run", () -> bench.events(Tap.What.WRITE, null).size() >= MANY);
+      CompletableFuture<Void> stopped = bench.fleet.gateway(Bench.GATEWAY).stop();
+      calls.forEach(c -> assertWhole(c, 200));
+      Bench.get(stopped);
     }
+  }
 }
--- a/rehearsal/src/test/java/lemondock/rehearsal/PathTest.java
+++ b/rehearsal/src/test/java/lemondock/rehearsal/PathTest.java
@@ -10,42 +10,52 @@
 
 /** The whole way of a request, on loopback sockets. */
 class PathTest {
-    @Test
-    void aCallIsReadWrittenAndStreamed() {
-        try (Bench bench = new Bench(s -> { }, Bench.reader("r"), Bench.writer("w"))) {
-            CallRecord seen = bench.call(Bench.ask("m1", "answer in 5 words", Tools.ANSWER));
-            assertEquals(" a0 a1 a2 a3 a4", seen.finalText);
-            assertEquals(seen.finalText, seen.streamed.toString());
-            assertEquals(5, seen.tokens);
-            assertEquals(1, seen.responses);
-            assertEquals(List.of(), seen.oddities);
-            assertEquals(1, bench.events(Tap.What.READ, "m1").size());
-            assertEquals(1, bench.events(Tap.What.STATE_TAKEN, "m1").size());
-            assertEquals(1, bench.events(Tap.What.EFFECT, "m1").size());
-            bench.awaitIdle();
-        }
+  @Test
+  void aCallIsReadWrittenAndStreamed() {
+    try (Bench bench = new Bench(s -> {}, Bench.reader("r"), Bench.writer("w"))) {
+      CallRecord seen = bench.call(Bench.ask("m1", "answer in 5 words", Tools.ANSWER));
+      assertEquals(" a0 a1 a2 a3 a4", seen.finalText);
+      assertEquals(seen.finalText, seen.streamed.toString());
+      assertEquals(5, seen.tokens);
+      assertEquals(1, seen.responses);
+      assertEquals(List.of(), seen.oddities);
+      assertEquals(1, bench.events(Tap.What.READ, "m1").size());
+      assertEquals(1, bench.events(Tap.What.STATE_TAKEN, "m1").size());
+      assertEquals(1, bench.events(Tap.What.EFFECT, "m1").size());
+      bench.awaitIdle();
     }
+  }
 
-    @Test
-    void twoToolCallsInMidStream() {
-        try (Bench bench = new Bench(s -> { }, Bench.reader("r"), Bench.writer("w"))) {
-            CallRecord seen = bench.call(Bench.ask("m2", "call the tool stock and then call the tool price",
-                    Tools.ANSWER, "stock", "price"));
-            assertEquals(List.of("stock{\"turn\":0,\"number\":0}", "price{\"turn\":1,\"number\":0}"), seen.toolCalls);
-            assertTrue(seen.finalText.startsWith(" a0 a1 a2 a3[did-stock] b0 b1 b2 b3[did-price] c0"), seen.finalText);
-            assertEquals(seen.finalText, seen.streamed.toString());
-            assertEquals(3, bench.events(Tap.What.EFFECT, "m2").size());
-            bench.awaitIdle();
-        }
+  @Test
+  void twoToolCallsInMidStream() {
+    try (Bench bench = new Bench(s -> {}, Bench.reader("r"), Bench.writer("w"))) {
+      CallRecord seen =
+          bench.call(
+              Bench.ask(
+                  "m2",
+                  "call the tool stock and then call the tool price",
+                  Tools.ANSWER,
+                  "stock",
+                  "price"));
+      assertEquals(
+          List.of("stock{\"turn\":0,\"number\":0}", "price{\"turn\":1,\"number\":0}"),
+          seen.toolCalls);
+      assertTrue(
+          seen.finalText.startsWith(" a0 a1 a2 a3[did-stock] b0 b1 b2 b3[did-price] c0"),
+          seen.finalText);
+      assertEquals(seen.finalText, seen.streamed.toString());
+      assertEquals(3, bench.events(Tap.What.EFFECT, "m2").size());
+      bench.awaitIdle();
     }
+  }
 
-    @Test
-    void aMixedServerReadsAndWritesInPlace() {
-        try (Bench bench = new Bench(s -> { }, Bench.mixed("x"))) {
-            CallRecord seen = bench.call(Bench.ask("m3", "answer in 3 words", Tools.ANSWER));
-            assertEquals(" a0 a1 a2", seen.finalText);
-            assertEquals(0, bench.events(Tap.What.READ, "m3").size());
-            bench.awaitIdle();
-        }
+  @Test
+  void aMixedServerReadsAndWritesInPlace() {
+    try (Bench bench = new Bench(s -> {}, Bench.mixed("x"))) {
+      CallRecord seen = bench.call(Bench.ask("m3", "answer in 3 words", Tools.ANSWER));
+      assertEquals(" a0 a1 a2", seen.finalText);
+      assertEquals(0, bench.events(Tap.What.READ, "m3").size());
+      bench.awaitIdle();
     }
+  }
 }
--- a/rehearsal/src/test/java/lemondock/rehearsal/ReportsTest.java
+++ b/rehearsal/src/test/java/lemondock/rehearsal/ReportsTest.java
@@ -8,34 +8,53 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What collectors are told agrees with the gateways' own final tally, through a day of troubles. */
+/**
+ * What collectors are told agrees with the gateways' own final tally, through a day of troubles.
+ */
 class ReportsTest {
-    @Test
-    void allFormsAgreeWithTheFinalTallyAfterABadDay() throws InterruptedException, IOException {
-        DayScript day = DayScript.quiet().with("reported", 3, 60, List.of(
-                new DayScript.Trouble("fast_errors", 500, 1500, 0.4, 0.8),
-                new DayScript.Trouble("gateway_kill", 1000, 600, 0, 0)));
-        try (ReportCheck check = new ReportCheck()) {
-            BadDay.Result result = new BadDay(day).reporting(check).play();
-            assertTrue(result.finding().kept(), result.finding().toString());
-            assertEquals(List.of(), check.differences());
-            assertTrue(check.compared() > 1_000, "compared only " + check.compared());
-            for (String form : List.of("bare", "signed", "encrypted")) {
-                assertEquals(0, check.datagrams(form).received().unreadable());
-                assertTrue(check.datagrams(form).largest() <= 1_452);
-            }
-            assertEquals(0, check.stream("plain").received().unreadable() + check.stream("pickle").received().unreadable());
-            assertTrue(check.tallies().stream().flatMap(t -> t.at("/tally/worth").findValuesAsText("tenant").stream())
-                    .collect(java.util.stream.Collectors.toSet()).containsAll(List.of("omaruru.tills", "mondesa/traders")));
-            long served = 0;
-            for (JsonNode tally : check.tallies()) {
-                for (JsonNode row : tally.at("/tally/requests")) {
-                    served += row.get("served").longValue();
-                    assertEquals(row.get("taken").longValue(), row.get("served").longValue() + row.get("refused").longValue()
-                            + row.get("failed").longValue() + row.get("left").longValue(), row.toString());
-                }
-            }
-            assertTrue(served > 50 && served <= result.calls(), "served " + served);
+  @Test
+  void allFormsAgreeWithTheFinalTallyAfterABadDay() throws InterruptedException, IOException {
+    DayScript day =
+        DayScript.quiet()
+            .with(
+                "reported",
+                3,
+                60,
+                List.of(
+                    new DayScript.Trouble("fast_errors", 500, 1500, 0.4, 0.8),
+                    new DayScript.Trouble("gateway_kill", 1000, 600, 0, 0)));
+    try (ReportCheck check = new ReportCheck()) {
+      BadDay.Result result = new BadDay(day).reporting(check).play();
+      assertTrue(result.finding().kept(), result.finding().toString());
+      assertEquals(List.of(), check.differences());
+      assertTrue(check.compared() > 1_000, "compared only " + check.compared());
+      for (String form : List.of("bare", "signed", "encrypted")) {
+        assertEquals(0, check.datagrams(form).received().unreadable());
+        assertTrue(check.datagrams(form).largest() <= 1_452);
+      }
+      assertEquals(
+          0,
+          check.stream("plain").received().unreadable()
+              + check.stream("pickle").received().unreadable());
+      assertTrue(
+          check.tallies().stream()
+              .flatMap(t -> t.at("/tally/worth").findValuesAsText("tenant").stream())
+              .collect(java.util.stream.Collectors.toSet())
+              .containsAll(List.of("omaruru.tills", "mondesa/traders")));
+      long served = 0;
+      for (JsonNode tally : check.tallies()) {
+        for (JsonNode row : tally.at("/tally/requests")) {
+          served += row.get("served").longValue();
+          assertEquals(
+              row.get("taken").longValue(),
+              row.get("served").longValue()
+                  + row.get("refused").longValue()
+                  + row.get("failed").longValue()
+                  + row.get("left").longValue(),
+              row.toString());
         }
+      }
+      assertTrue(served > 50 && served <= result.calls(), "served " + served);
     }
+  }
 }
--- a/rehearsal/src/test/java/lemondock/rehearsal/SabotageTest.java
+++ b/rehearsal/src/test/java/lemondock/rehearsal/SabotageTest.java
@@ -16,127 +16,185 @@
 
 /** For each rule a gateway that breaks it on purpose; the auditor must see it on the sockets. */
 class SabotageTest {
-    /** A host that hands on everything; a saboteur leaves something out. */
-    private static class Host implements Routing.Host {
-        private final Routing.Host host;
-
-        Host(Routing.Host host) {
-            this.host = host;
-        }
-
-        @Override
-        public void send(long requestId, long serverId, long timeout) {
-            host.send(requestId, serverId, timeout);
-        }
-
-        @Override
-        public void refuse(long requestId, long retryAfter) {
-            host.refuse(requestId, retryAfter);
-        }
-
-        @Override
-        public void fail(long requestId) {
-            host.fail(requestId);
-        }
-
-        @Override
-        public void cancel(long requestId, int attempt) {
-            host.cancel(requestId, attempt);
-        }
-
-        @Override
-        public void release(long requestId) {
-            host.release(requestId);
-        }
-
-        @Override
-        public void timer(long token, long delay) {
-            host.timer(token, delay);
-        }
-
-        @Override
-        public void watchServers() {
-            host.watchServers();
-        }
-
-        @Override
-        public void log(String line) {
-            host.log(line);
-        }
-    }
+  /** A host that hands on everything; a saboteur leaves something out. */
+  private static class Host implements Routing.Host {
+    private final Routing.Host host;
 
-    /** A module that hears a changed list; null leaves a server out. */
-    private static Ledger.ModuleMaker deaf(UnaryOperator<Routing.Server> heard) {
-        return (settings, seed, host) -> {
-            Control control = new Control(settings, seed, host);
-            return (Routing.Decider) Proxy.newProxyInstance(SabotageTest.class.getClassLoader(),
-                    new Class<?>[] {Routing.Decider.class}, (proxy, method, arguments) -> {
-                        if (method.getName().equals("servers")) {
-                            List<?> entries = (List<?>) arguments[2];
-                            arguments[2] = entries.stream().map(s -> heard.apply((Routing.Server) s))
-                                    .filter(Objects::nonNull).toList();
-                        }
-                        return method.invoke(control, arguments);
-                    });
-        };
+    Host(Routing.Host host) {
+      this.host = host;
     }
 
-    private static Set<Integer> broken(DayScript script, Ledger.ModuleMaker maker) throws InterruptedException {
-        return new BadDay(script, maker).play().finding().broken();
+    @Override
+    public void send(long requestId, long serverId, long timeout) {
+      host.send(requestId, serverId, timeout);
     }
 
-    private static DayScript day(double seconds, double rate, DayScript.Trouble... troubles) {
-        return DayScript.quiet().with("sabotage", seconds, rate, List.of(troubles));
+    @Override
+    public void refuse(long requestId, long retryAfter) {
+      host.refuse(requestId, retryAfter);
     }
 
-    private static DayScript.Trouble trouble(String kind, double at, double length, double part, double size) {
-        return new DayScript.Trouble(kind, at, length, part, size);
+    @Override
+    public void fail(long requestId) {
+      host.fail(requestId);
     }
 
-    @Test
-    void anAnswerNeverGivenIsSeen() throws InterruptedException {
-        DayScript script = day(1.5, 20, trouble("list_empty", 200, 3000, 1, 1)).fleet(1, 1, 0, 8, 5);
-        assertEquals(Set.of(1), broken(script, (settings, seed, host) -> new Control(settings, seed, new Host(host) {
-            @Override
-            public void refuse(long requestId, long retryAfter) { }
-        })));
-        assertEquals(Set.of(), broken(script, Gateway.MODULE));
+    @Override
+    public void cancel(long requestId, int attempt) {
+      host.cancel(requestId, attempt);
     }
 
-    @Test
-    void anEffectTwiceIsSeen() throws InterruptedException {
-        DayScript script = day(2, 60, trouble("fast_errors", 0, 2000, 1, 0.5)).fleet(2, 2, 0, 16, 5);
-        assertEquals(Set.of(2), broken(script, (settings, seed, host) -> new Control(new Routing.Settings(settings.me(),
-                settings.gateways(), settings.zone(), settings.resolution(), settings.classes().stream()
-                        .map(c -> new Routing.RequestClass(c.aim(), c.aimPerThousandTokens(), c.deadline(), c.worth(),
-                                c.lateWorth(), Routing.Repeat.SAFE, c.group(), c.repeatWindow(), c.tokenAim())).toList(),
-                settings.tenants(), settings.kinds(), settings.limits(), settings.rules(), settings.streamsResume(),
-                settings.writersRead()), seed, host)));
-        assertEquals(Set.of(), broken(script, Gateway.MODULE));
+    @Override
+    public void release(long requestId) {
+      host.release(requestId);
     }
 
-    @Test
-    void aDrainIgnoredIsSeen() throws InterruptedException {
-        DayScript script = day(2.5, 60, trouble("deploy", 200, 1200, 0.4, 0.1)).fleet(2, 3, 0, 16, 5);
-        assertTrue(broken(script, deaf(s -> s.standing() == Routing.Standing.READY ? s : null)).contains(3));
-        assertEquals(Set.of(), broken(script, Gateway.MODULE));
+    @Override
+    public void timer(long token, long delay) {
+      host.timer(token, delay);
     }
 
-    @Test
-    void aColdServerPushedOverIsSeen() throws InterruptedException {
-        DayScript script = day(3, 40, trouble("crash", 300, 500, 1, 1)).fleet(1, 1, 0, 2, 20);
-        assertTrue(broken(script, deaf(s -> new Routing.Server(s.id(), s.zone(), s.kind(), s.cell(), s.standing(),
-                s.weight(), 0))).contains(4));
-        assertEquals(Set.of(), broken(script, Gateway.MODULE));
+    @Override
+    public void watchServers() {
+      host.watchServers();
     }
 
-    @Test
-    void aStateNeverLetGoIsSeen() throws InterruptedException {
-        DayScript script = day(2, 40, trouble("give_up", 0, 2000, 1, 1)).fleet(1, 1, 0, 2, 20);
-        assertTrue(broken(script, (settings, seed, host) -> new Control(settings, seed, new Host(host) {
-            @Override
-            public void release(long requestId) { }
-        })).contains(5));
-        assertEquals(Set.of(), broken(script, Gateway.MODULE));
+    @Override
+    public void log(String line) {
+      host.log(line);
     }
+  }
+
+  /** A module that hears a changed list; null leaves a server out. */
+  private static Ledger.ModuleMaker deaf(UnaryOperator<Routing.Server> heard) {
+    return (settings, seed, host) -> {
+      Control control = new Control(settings, seed, host);
+      return (Routing.Decider)
+          Proxy.newProxyInstance(
+              SabotageTest.class.getClassLoader(),
+              new Class<?>[] {Routing.Decider.class},
+              (proxy, method, arguments) -> {
+                if (method.getName().equals("servers")) {
+                  List<?> entries = (List<?>) arguments[2];
+                  arguments[2] =
+                      entries.stream()
+                          .map(s -> heard.apply((Routing.Server) s))
+                          .filter(Objects::nonNull)
+                          .toList();
+                }
+                return method.invoke(control, arguments);
+              });
+    };
+  }
+
+  private static Set<Integer> broken(DayScript script, Ledger.ModuleMaker maker)
+      throws InterruptedException {
+    return new BadDay(script, maker).play().finding().broken();
+  }
+
+  private static DayScript day(double seconds, double rate, DayScript.Trouble... troubles) {
+    return DayScript.quiet().with("sabotage", seconds, rate, List.of(troubles));
+  }
+
+  private static DayScript.Trouble trouble(
+      String kind, double at, double length, double part, double size) {
+    return new DayScript.Trouble(kind, at, length, part, size);
+  }
+
+  @Test
+  void anAnswerNeverGivenIsSeen() throws InterruptedException {
+    DayScript script = day(1.5, 20, trouble("list_empty", 200, 3000, 1, 1)).fleet(1, 1, 0, 8, 5);
+    assertEquals(
+        Set.of(1),
+        broken(
+            script,
+            (settings, seed, host) ->
+                new Control(
+                    settings,
+                    seed,
+                    new Host(host) {
+                      @Override
+                      public void refuse(long requestId, long retryAfter) {}
+                    })));
+    assertEquals(Set.of(), broken(script, Gateway.MODULE));
+  }
+
+  @Test
+  void anEffectTwiceIsSeen() throws InterruptedException {
+    DayScript script = day(2, 60, trouble("fast_errors", 0, 2000, 1, 0.5)).fleet(2, 2, 0, 16, 5);
+    assertEquals(
+        Set.of(2),
+        broken(
+            script,
+            (settings, seed, host) ->
+                new Control(
+                    new Routing.Settings(
+                        settings.me(),
+                        settings.gateways(),
+                        settings.zone(),
+                        settings.resolution(),
+                        settings.classes().stream()
+                            .map(
+                                c ->
+                                    new Routing.RequestClass(
+                                        c.aim(),
+                                        c.aimPerThousandTokens(),
+                                        c.deadline(),
+                                        c.worth(),
+                                        c.lateWorth(),
+                                        Routing.Repeat.SAFE,
+                                        c.group(),
+                                        c.repeatWindow(),
+                                        c.tokenAim()))
+                            .toList(),
+                        settings.tenants(),
+                        settings.kinds(),
+                        settings.limits(),
+                        settings.rules(),
+                        settings.streamsResume(),
+                        settings.writersRead()),
+                    seed,
+                    host)));
+    assertEquals(Set.of(), broken(script, Gateway.MODULE));
+  }
+
+  @Test
+  void aDrainIgnoredIsSeen() throws InterruptedException {
+    DayScript script = day(2.5, 60, trouble("deploy", 200, 1200, 0.4, 0.1)).fleet(2, 3, 0, 16, 5);
+    assertTrue(
+        broken(script, deaf(s -> s.standing() == Routing.Standing.READY ? s : null)).contains(3));
+    assertEquals(Set.of(), broken(script, Gateway.MODULE));
+  }
+
+  @Test
+  void aColdServerPushedOverIsSeen() throws InterruptedException {
+    DayScript script = day(3, 40, trouble("crash", 300, 500, 1, 1)).fleet(1, 1, 0, 2, 20);
+    assertTrue(
+        broken(
+                script,
+                deaf(
+                    s ->
+                        new Routing.Server(
+                            s.id(), s.zone(), s.kind(), s.cell(), s.standing(), s.weight(), 0)))
+            .contains(4));
+    assertEquals(Set.of(), broken(script, Gateway.MODULE));
+  }
+
+  @Test
+  void aStateNeverLetGoIsSeen() throws InterruptedException {
+    DayScript script = day(2, 40, trouble("give_up", 0, 2000, 1, 1)).fleet(1, 1, 0, 2, 20);
+    assertTrue(
+        broken(
+                script,
+                (settings, seed, host) ->
+                    new Control(
+                        settings,
+                        seed,
+                        new Host(host) {
+                          @Override
+                          public void release(long requestId) {}
+                        }))
+            .contains(5));
+    assertEquals(Set.of(), broken(script, Gateway.MODULE));
+  }
 }
--- a/rehearsal/src/test/java/lemondock/rehearsal/SdkClientTest.java
+++ b/rehearsal/src/test/java/lemondock/rehearsal/SdkClientTest.java
@@ -21,61 +21,103 @@
 
 /** The official Java SDK of the Model Context Protocol as the client. */
 class SdkClientTest {
-    private static final ObjectMapper MAPPER = new ObjectMapper();
+  private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    private static HttpClientStreamableHttpTransport transport(Bench bench) {
-        return HttpClientStreamableHttpTransport.builder("http://127.0.0.1:" + bench.port).endpoint("/mcp").build();
-    }
+  private static HttpClientStreamableHttpTransport transport(Bench bench) {
+    return HttpClientStreamableHttpTransport.builder("http://127.0.0.1:" + bench.port)
+        .endpoint("/mcp")
+        .build();
+  }
 
-    @Test
-    void itsClientListsAndCallsTools() {
-        try (Bench bench = new Bench(s -> { }, Bench.reader("r"), Bench.writer("w"))) {
-            // by their numbers: the SDK hands notifications to several threads of its own
-            ConcurrentSkipListMap<Double, String> progress = new ConcurrentSkipListMap<>();
-            try (McpSyncClient client = io.modelcontextprotocol.client.McpClient.sync(transport(bench))
-                    .requestTimeout(Duration.ofSeconds(10))
-                    .progressConsumer(p -> progress.put(p.progress(), p.message())).build()) {
-                client.initialize();
-                client.ping();
-                assertEquals(List.of("sale-lookup", "day-close"),
-                        client.listTools().tools().stream().map(McpSchema.Tool::name).toList());
-                McpSchema.CallToolResult result = client.callTool(McpSchema.CallToolRequest.builder().name("sale-lookup")
-                        .arguments(Map.of("prompt", "answer in 4 words")).progressToken("t").build());
-                assertEquals(" a0 a1 a2 a3", ((McpSchema.TextContent) result.content().get(0)).text());
-                Bench.await("progress", () -> String.join("", progress.values()).equals(" a0 a1 a2 a3"));
-            }
-            bench.awaitIdle();
-        }
+  @Test
+  void itsClientListsAndCallsTools() {
+    try (Bench bench = new Bench(s -> {}, Bench.reader("r"), Bench.writer("w"))) {
+      // by their numbers: the SDK hands notifications to several threads of its own
+      ConcurrentSkipListMap<Double, String> progress = new ConcurrentSkipListMap<>();
+      try (McpSyncClient client =
+          io.modelcontextprotocol.client.McpClient.sync(transport(bench))
+              .requestTimeout(Duration.ofSeconds(10))
+              .progressConsumer(p -> progress.put(p.progress(), p.message()))
+              .build()) {
+        client.initialize();
+        client.ping();
+        assertEquals(
+            List.of("sale-lookup", "day-close"),
+            client.listTools().tools().stream().map(McpSchema.Tool::name).toList());
+        McpSchema.CallToolResult result =
+            client.callTool(
+                McpSchema.CallToolRequest.builder()
+                    .name("sale-lookup")
+                    .arguments(Map.of("prompt", "answer in 4 words"))
+                    .progressToken("t")
+                    .build());
+        assertEquals(" a0 a1 a2 a3", ((McpSchema.TextContent) result.content().get(0)).text());
+        Bench.await("progress", () -> String.join("", progress.values()).equals(" a0 a1 a2 a3"));
+      }
+      bench.awaitIdle();
     }
+  }
 
-    /** Two tool calls in the middle of an answer reach the SDK's session as requests, and it answers them. */
-    @Test
-    void itsSessionAnswersToolCallsInMidStream() {
-        try (Bench bench = new Bench(s -> { }, Bench.reader("r"), Bench.writer("w"))) {
-            ConcurrentLinkedQueue<String> asked = new ConcurrentLinkedQueue<>();
-            McpClientSession.RequestHandler<Map<String, Object>> handler = params -> {
-                JsonNode node = MAPPER.valueToTree(params);
-                asked.add(node.path("name").asText());
-                return Mono.just(Map.of("content", List.of(Map.of("type", "text", "text",
-                        "the " + node.path("name").asText()))));
-            };
-            McpClientSession session = new McpClientSession(Duration.ofSeconds(10), transport(bench),
-                    Map.of("tools/call", handler), Map.of("notifications/progress", params -> Mono.empty()),
-                    UnaryOperator.identity());
-            session.sendRequest("initialize", Map.of("protocolVersion", "2025-06-18", "capabilities", Map.of(), "clientInfo",
-                    Map.of("name", "sdk", "version", "1")), new TypeRef<Map<String, Object>>() { }).block();
-            session.sendNotification("notifications/initialized", null).block();
-            Map<String, Object> result = session.sendRequest("tools/call", Map.of("name", "day-close",
-                    "_meta", Map.of("progressToken", 7), "arguments", Map.of("prompt",
-                            "call the tool stock and then call the tool price answer in 3 words", "tools",
-                            List.of(Map.of("name", "stock"), Map.of("name", "price")))),
-                    new TypeRef<Map<String, Object>>() { }).block();
-            String text = MAPPER.valueToTree(result).path("content").path(0).path("text").asText();
-            assertEquals(" a0 a1 a2 a3[the stock] b0 b1 b2 b3[the price] c0 c1 c2", text);
-            assertEquals(List.of("stock", "price"), List.copyOf(asked));
-            session.close();
-            bench.awaitIdle();
-            assertTrue(bench.fleet.events().size() > 10);
-        }
+  /**
+   * Two tool calls in the middle of an answer reach the SDK's session as requests, and it answers
+   * them.
+   */
+  @Test
+  void itsSessionAnswersToolCallsInMidStream() {
+    try (Bench bench = new Bench(s -> {}, Bench.reader("r"), Bench.writer("w"))) {
+      ConcurrentLinkedQueue<String> asked = new ConcurrentLinkedQueue<>();
+      McpClientSession.RequestHandler<Map<String, Object>> handler =
+          params -> {
+            JsonNode node = MAPPER.valueToTree(params);
+            asked.add(node.path("name").asText());
+            return Mono.just(
+                Map.of(
+                    "content",
+                    List.of(Map.of("type", "text", "text", "the " + node.path("name").asText()))));
+          };
+      McpClientSession session =
+          new McpClientSession(
+              Duration.ofSeconds(10),
+              transport(bench),
+              Map.of("tools/call", handler),
+              Map.of("notifications/progress", params -> Mono.empty()),
+              UnaryOperator.identity());
+      session
+          .sendRequest(
+              "initialize",
+              Map.of(
+                  "protocolVersion",
+                  "2025-06-18",
+                  "capabilities",
+                  Map.of(),
+                  "clientInfo",
+                  Map.of("name", "sdk", "version", "1")),
+              new TypeRef<Map<String, Object>>() {})
+          .block();
+      session.sendNotification("notifications/initialized", null).block();
+      Map<String, Object> result =
+          session
+              .sendRequest(
+                  "tools/call",
+                  Map.of(
+                      "name",
+                      "day-close",
+                      "_meta",
+                      Map.of("progressToken", 7),
+                      "arguments",
+                      Map.of(
+                          "prompt",
+                          "call the tool stock and then call the tool price answer in 3 words",
+                          "tools",
+                          List.of(Map.of("name", "stock"), Map.of("name", "price")))),
+                  new TypeRef<Map<String, Object>>() {})
+              .block();
+      String text = MAPPER.valueToTree(result).path("content").path(0).path("text").asText();
+      assertEquals(" a0 a1 a2 a3[the stock] b0 b1 b2 b3[the price] c0 c1 c2", text);
+      assertEquals(List.of("stock", "price"), List.copyOf(asked));
+      session.close();
+      bench.awaitIdle();
+      assertTrue(bench.fleet.events().size() > 10);
     }
+  }
 }
--- a/rehearsal/src/test/java/lemondock/rehearsal/TokenPathTest.java
+++ b/rehearsal/src/test/java/lemondock/rehearsal/TokenPathTest.java
@@ -16,141 +16,185 @@
 import lemondock.standin.Tap;
 import org.junit.jupiter.api.Test;
 
-/** Tokens that go without the loop, while the loop pauses, resumes, cancels and moves their streams. */
+/**
+ * Tokens that go without the loop, while the loop pauses, resumes, cancels and moves their streams.
+ */
 class TokenPathTest {
-    private static final int WORDS = 300;
+  private static final int WORDS = 300;
 
-    private static Bench bench() {
-        return new Bench(s -> {
-            s.put("ioThreads", 3);
-            ((ObjectNode) s.get("front")).put("resumeWindowMs", 5_000).put("replayBytes", 65_536);
-        }, EngineSettings.quick("r", "reader", "north", "r1").bounded(64, 256, 10_000_000),
-                EngineSettings.quick("w", "writer", "north", "r1").paced(1, 1, 1).bounded(256, 256, 10_000_000));
-    }
+  private static Bench bench() {
+    return new Bench(
+        s -> {
+          s.put("ioThreads", 3);
+          ((ObjectNode) s.get("front")).put("resumeWindowMs", 5_000).put("replayBytes", 65_536);
+        },
+        EngineSettings.quick("r", "reader", "north", "r1").bounded(64, 256, 10_000_000),
+        EngineSettings.quick("w", "writer", "north", "r1")
+            .paced(1, 1, 1)
+            .bounded(256, 256, 10_000_000));
+  }
 
-    private static String expected(int words) {
-        StringBuilder text = new StringBuilder();
-        for (int i = 0; i < words; i++) {
-            text.append(" a").append(i);
-        }
-        return text.toString();
+  private static String expected(int words) {
+    StringBuilder text = new StringBuilder();
+    for (int i = 0; i < words; i++) {
+      text.append(" a").append(i);
     }
+    return text.toString();
+  }
 
-    /** One call whose connection is broken again and again, read at changing pace; gives what was streamed and the result. */
-    private static String[] broken(Bench bench, int seed) throws IOException, InterruptedException {
-        SplittableRandom random = new SplittableRandom(seed);
-        StringBuilder streamed = new StringBuilder();
-        try (TalkingClient.Answer answer = new TalkingClient(bench.port).call("7", "sale-lookup", "#b" + seed + "# answer in " + WORDS + " words",
-                List.of())) {
-            answer.primed();
-            while (true) {
-                boolean slow = random.nextInt(4) == 0;
-                for (int left = 1 + random.nextInt(120); left > 0; left--) {
-                    JsonNode message = answer.next();
-                    if (message.has("result") || message.has("error")) {
-                        return new String[] {streamed.toString(), message.at("/result/content/0/text").asText()};
-                    }
-                    streamed.append(message.at("/params/message").asText());
-                    if (slow) {
-                        Thread.sleep(1);
-                    }
-                }
-                answer.resume();
-            }
+  /**
+   * One call whose connection is broken again and again, read at changing pace; gives what was
+   * streamed and the result.
+   */
+  private static String[] broken(Bench bench, int seed) throws IOException, InterruptedException {
+    SplittableRandom random = new SplittableRandom(seed);
+    StringBuilder streamed = new StringBuilder();
+    try (TalkingClient.Answer answer =
+        new TalkingClient(bench.port)
+            .call("7", "sale-lookup", "#b" + seed + "# answer in " + WORDS + " words", List.of())) {
+      answer.primed();
+      while (true) {
+        boolean slow = random.nextInt(4) == 0;
+        for (int left = 1 + random.nextInt(120); left > 0; left--) {
+          JsonNode message = answer.next();
+          if (message.has("result") || message.has("error")) {
+            return new String[] {
+              streamed.toString(), message.at("/result/content/0/text").asText()
+            };
+          }
+          streamed.append(message.at("/params/message").asText());
+          if (slow) {
+            Thread.sleep(1);
+          }
         }
+        answer.resume();
+      }
     }
+  }
 
-    @Test
-    void noTokenIsLostOrRepeatedHoweverOftenConnectionsBreak() throws Exception {
-        ExecutorService threads = Executors.newCachedThreadPool();
-        try (Bench bench = bench()) {
-            List<CompletableFuture<String[]>> all = new ArrayList<>();
-            for (int i = 0; i < 40; i++) {
-                int seed = i;
-                all.add(CompletableFuture.supplyAsync(() -> {
-                    try {
-                        return broken(bench, seed);
-                    } catch (IOException | InterruptedException e) {
-                        throw new IllegalStateException(e);
-                    }
-                }, threads));
-            }
-            for (CompletableFuture<String[]> one : all) {
-                String[] seen = Bench.get(one);
-                assertEquals(expected(WORDS), seen[0]);
-                assertEquals(seen[0], seen[1]);
-            }
-            bench.awaitIdle();
-        } finally {
-            threads.shutdownNow();
-        }
+  @Test
+  void noTokenIsLostOrRepeatedHoweverOftenConnectionsBreak() throws Exception {
+    ExecutorService threads = Executors.newCachedThreadPool();
+    try (Bench bench = bench()) {
+      List<CompletableFuture<String[]>> all = new ArrayList<>();
+      for (int i = 0; i < 40; i++) {
+        int seed = i;
+        all.add(
+            CompletableFuture.supplyAsync(
+                () -> {
+                  try {
+                    return broken(bench, seed);
+                  } catch (IOException | InterruptedException e) {
+                    throw new IllegalStateException(e);
+                  }
+                },
+                threads));
+      }
+      for (CompletableFuture<String[]> one : all) {
+        String[] seen = Bench.get(one);
+        assertEquals(expected(WORDS), seen[0]);
+        assertEquals(seen[0], seen[1]);
+      }
+      bench.awaitIdle();
+    } finally {
+      threads.shutdownNow();
     }
+  }
 
-    /** A timer that is left to run out holds the call it was for: at 800 calls a second that was all of the memory there was. */
-    @Test
-    void aCallThatHasEndedIsHeldByNoTimer() {
-        int calls = 150;
-        try (Bench bench = new Bench(s -> {
-            ((ObjectNode) s.get("engines")).put("streamSilenceMs", 120_000);
-            ((ObjectNode) s.get("front")).put("resumeWindowMs", 0);
-            ((ObjectNode) s.at("/classes/0")).put("deadlineMs", 120_000).put("aimMs", 60_000);
-        }, Bench.reader("r"), Bench.writer("w"))) {
-            Node node = bench.fleet.node(Bench.GATEWAY);
-            assertEquals(12, Bench.get(bench.begin(bench.client(), Bench.ask("warm", "answer in 12 words", McpClient.Tools.ANSWER))).seen().tokens);
-            bench.awaitIdle();
-            int before = node.ask(node.loop()::timers);
-            for (int i = 0; i < calls; i += 10) {
-                List<CompletableFuture<McpClient.Call>> some = new ArrayList<>();
-                for (int j = 0; j < 10; j++) {
-                    some.add(bench.begin(bench.client(), Bench.ask("t" + i + "-" + j, "answer in 12 words", McpClient.Tools.ANSWER)));
-                }
-                some.forEach(one -> assertTrue(Bench.get(one).seen().served()));
-            }
-            bench.awaitIdle();
-            int perCall = (node.ask(node.loop()::timers) - before) / calls;
-            assertTrue(perCall <= 3, "the module's own, for its deadline and each attempt, hold a number each; found " + perCall + " a call");
+  /**
+   * A timer that is left to run out holds the call it was for: at 800 calls a second that was all
+   * of the memory there was.
+   */
+  @Test
+  void aCallThatHasEndedIsHeldByNoTimer() {
+    int calls = 150;
+    try (Bench bench =
+        new Bench(
+            s -> {
+              ((ObjectNode) s.get("engines")).put("streamSilenceMs", 120_000);
+              ((ObjectNode) s.get("front")).put("resumeWindowMs", 0);
+              ((ObjectNode) s.at("/classes/0")).put("deadlineMs", 120_000).put("aimMs", 60_000);
+            },
+            Bench.reader("r"),
+            Bench.writer("w"))) {
+      Node node = bench.fleet.node(Bench.GATEWAY);
+      assertEquals(
+          12,
+          Bench.get(
+                  bench.begin(
+                      bench.client(),
+                      Bench.ask("warm", "answer in 12 words", McpClient.Tools.ANSWER)))
+              .seen()
+              .tokens);
+      bench.awaitIdle();
+      int before = node.ask(node.loop()::timers);
+      for (int i = 0; i < calls; i += 10) {
+        List<CompletableFuture<McpClient.Call>> some = new ArrayList<>();
+        for (int j = 0; j < 10; j++) {
+          some.add(
+              bench.begin(
+                  bench.client(),
+                  Bench.ask("t" + i + "-" + j, "answer in 12 words", McpClient.Tools.ANSWER)));
         }
+        some.forEach(one -> assertTrue(Bench.get(one).seen().served()));
+      }
+      bench.awaitIdle();
+      int perCall = (node.ask(node.loop()::timers) - before) / calls;
+      assertTrue(
+          perCall <= 3,
+          "the module's own, for its deadline and each attempt, hold a number each; found "
+              + perCall
+              + " a call");
     }
+  }
 
-    @Test
-    void manyCallsOfOneSessionOnOneStreamEndEachOnceWhileTheirNeighboursAreCancelled() throws Exception {
-        try (Bench bench = bench()) {
-            List<CompletableFuture<McpClient.Call>> kept = new ArrayList<>();
-            SplittableRandom random = new SplittableRandom(3);
-            for (int i = 0; i < 80; i++) {
-                boolean leaves = i % 2 == 1;
-                long after = random.nextLong(150_000);
-                CompletableFuture<McpClient.Call> done = bench.begin(bench.client(),
-                        Bench.ask("s" + i, "answer in 100 words", McpClient.Tools.ANSWER), call -> {
-                            if (leaves) {
-                                bench.clients.loop().schedule(after, call::leave);
-                            }
-                        });
-                if (!leaves) {
-                    kept.add(done);
-                }
-            }
-            for (CompletableFuture<McpClient.Call> one : kept) {
-                CallRecord seen = Bench.get(one).seen();
-                assertTrue(seen.served(), seen.mark);
-                assertEquals(expected(100), seen.streamed.toString());
-                assertEquals(1, seen.responses);
-                assertEquals(0, seen.afterEnd);
-            }
-            bench.awaitIdle();
+  @Test
+  void manyCallsOfOneSessionOnOneStreamEndEachOnceWhileTheirNeighboursAreCancelled()
+      throws Exception {
+    try (Bench bench = bench()) {
+      List<CompletableFuture<McpClient.Call>> kept = new ArrayList<>();
+      SplittableRandom random = new SplittableRandom(3);
+      for (int i = 0; i < 80; i++) {
+        boolean leaves = i % 2 == 1;
+        long after = random.nextLong(150_000);
+        CompletableFuture<McpClient.Call> done =
+            bench.begin(
+                bench.client(),
+                Bench.ask("s" + i, "answer in 100 words", McpClient.Tools.ANSWER),
+                call -> {
+                  if (leaves) {
+                    bench.clients.loop().schedule(after, call::leave);
+                  }
+                });
+        if (!leaves) {
+          kept.add(done);
         }
+      }
+      for (CompletableFuture<McpClient.Call> one : kept) {
+        CallRecord seen = Bench.get(one).seen();
+        assertTrue(seen.served(), seen.mark);
+        assertEquals(expected(100), seen.streamed.toString());
+        assertEquals(1, seen.responses);
+        assertEquals(0, seen.afterEnd);
+      }
+      bench.awaitIdle();
     }
+  }
 
-    @Test
-    void aTokenGoesOutWhenItComesAndNotWithALaterOne() throws Exception {
-        try (Bench bench = new Bench(s -> { }, Bench.reader("r"), Bench.writer("w").paced(1, 1, 250))) {
-            try (TalkingClient.Answer answer = new TalkingClient(bench.port).call("1", "sale-lookup", "#slow# answer in 8 words", List.of())) {
-                for (int tokens = 0; tokens < 3; tokens++) {
-                    assertEquals("notifications/progress", answer.next().path("method").asText());
-                }
-                assertTrue(bench.events(Tap.What.ANSWERED, "slow").stream().noneMatch(e -> e.detail().equals("write")),
-                        "the third of eight tokens came only with the end");
-            }
+  @Test
+  void aTokenGoesOutWhenItComesAndNotWithALaterOne() throws Exception {
+    try (Bench bench = new Bench(s -> {}, Bench.reader("r"), Bench.writer("w").paced(1, 1, 250))) {
+      try (TalkingClient.Answer answer =
+          new TalkingClient(bench.port)
+              .call("1", "sale-lookup", "#slow# answer in 8 words", List.of())) {
+        for (int tokens = 0; tokens < 3; tokens++) {
+          assertEquals("notifications/progress", answer.next().path("method").asText());
         }
+        assertTrue(
+            bench.events(Tap.What.ANSWERED, "slow").stream()
+                .noneMatch(e -> e.detail().equals("write")),
+            "the third of eight tokens came only with the end");
+      }
     }
+  }
 }
--- a/rehearsal/src/test/java/lemondock/rehearsal/ToolCallsTest.java
+++ b/rehearsal/src/test/java/lemondock/rehearsal/ToolCallsTest.java
@@ -19,133 +19,193 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Tool calls as clients may treat them: any id, results in any order, turns up to the bound, many that wait at once. */
+/**
+ * Tool calls as clients may treat them: any id, results in any order, turns up to the bound, many
+ * that wait at once.
+ */
 @Timeout(60)
 class ToolCallsTest {
-    private static final int TURNS = 3;
-    private static final int WAITING = 40;
-    private static Bench bench;
+  private static final int TURNS = 3;
+  private static final int WAITING = 40;
+  private static Bench bench;
 
-    @BeforeAll
-    static void start() {
-        bench = new Bench(s -> {
-            ((ObjectNode) s.get("limits")).put("maxWaitingAnswers", WAITING);
-            ((ObjectNode) s.at("/classes/0")).put("deadlineMs", 20_000).put("aimMs", 10_000).put("maxTurns", TURNS).put("toolTimeoutMs", 20_000);
-        }, Bench.reader("r"), Bench.writer("w"));
-    }
+  @BeforeAll
+  static void start() {
+    bench =
+        new Bench(
+            s -> {
+              ((ObjectNode) s.get("limits")).put("maxWaitingAnswers", WAITING);
+              ((ObjectNode) s.at("/classes/0"))
+                  .put("deadlineMs", 20_000)
+                  .put("aimMs", 10_000)
+                  .put("maxTurns", TURNS)
+                  .put("toolTimeoutMs", 20_000);
+            },
+            Bench.reader("r"),
+            Bench.writer("w"));
+  }
 
-    @AfterAll
-    static void stop() {
-        bench.close();
-    }
+  @AfterAll
+  static void stop() {
+    bench.close();
+  }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"0", "-5", "9007199254740993", "123456789012345678901234567890", "\"\"", "\"x\\u0000\\n\\\"é😀\"", "\"LONG\""})
-    void anyIdComesBackAsItWas(String id) throws Exception {
-        String json = id.replace("LONG", "y".repeat(256));
-        TalkingClient client = new TalkingClient(bench.port);
-        try (TalkingClient.Answer answer = client.call(json, "sale-lookup", "call the tool stock answer in 3 words", List.of("stock"))) {
-            JsonNode message = answer.relayed();
-            assertEquals(TalkingClient.MAPPER.readTree(json), message.at("/params/_meta/lemondock~1call"));
-            assertEquals(202, client.post(TalkingClient.result(message.get("id"), "did")));
-            JsonNode end = answer.end();
-            assertEquals(TalkingClient.MAPPER.readTree(json), end.get("id"));
-            assertEquals(" a0 a1 a2 a3[did] b0 b1 b2", end.at("/result/content/0/text").asText());
-        }
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "0",
+        "-5",
+        "9007199254740993",
+        "123456789012345678901234567890",
+        "\"\"",
+        "\"x\\u0000\\n\\\"é😀\"",
+        "\"LONG\""
+      })
+  void anyIdComesBackAsItWas(String id) throws Exception {
+    String json = id.replace("LONG", "y".repeat(256));
+    TalkingClient client = new TalkingClient(bench.port);
+    try (TalkingClient.Answer answer =
+        client.call(
+            json, "sale-lookup", "call the tool stock answer in 3 words", List.of("stock"))) {
+      JsonNode message = answer.relayed();
+      assertEquals(
+          TalkingClient.MAPPER.readTree(json), message.at("/params/_meta/lemondock~1call"));
+      assertEquals(202, client.post(TalkingClient.result(message.get("id"), "did")));
+      JsonNode end = answer.end();
+      assertEquals(TalkingClient.MAPPER.readTree(json), end.get("id"));
+      assertEquals(" a0 a1 a2 a3[did] b0 b1 b2", end.at("/result/content/0/text").asText());
     }
+  }
 
-    @Test
-    void aCallWithoutAUsableIdIsRefused() throws Exception {
-        TalkingClient client = new TalkingClient(bench.port);
-        assertEquals(400, client.post("{\"jsonrpc\":\"2.0\",\"id\":null,\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\"}}"));
-        assertEquals(400, client.post("{\"jsonrpc\":\"2.0\",\"id\":\"" + "y".repeat(257) + "\",\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\"}}"));
-        assertEquals(400, client.post("{\"jsonrpc\":\"2.0\",\"id\":{},\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\"}}"));
-    }
+  @Test
+  void aCallWithoutAUsableIdIsRefused() throws Exception {
+    TalkingClient client = new TalkingClient(bench.port);
+    assertEquals(
+        400,
+        client.post(
+            "{\"jsonrpc\":\"2.0\",\"id\":null,\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\"}}"));
+    assertEquals(
+        400,
+        client.post(
+            "{\"jsonrpc\":\"2.0\",\"id\":\""
+                + "y".repeat(257)
+                + "\",\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\"}}"));
+    assertEquals(
+        400,
+        client.post(
+            "{\"jsonrpc\":\"2.0\",\"id\":{},\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\"}}"));
+  }
 
-    @Test
-    void resultsInReverseOrderStandWhereTheirCallsDo() throws Exception {
-        TalkingClient client = new TalkingClient(bench.port);
-        List<String> tools = List.of("t0", "t1", "t2", "t3");
-        try (TalkingClient.Answer answer = client.call("1", "sale-lookup",
-                "call the tools t0 and t1 and t2 and t3 together answer in 2 words", tools)) {
-            List<JsonNode> relayed = new ArrayList<>();
-            while (relayed.size() < tools.size()) {
-                relayed.add(answer.relayed());
-            }
-            Collections.reverse(relayed);
-            for (JsonNode call : relayed) {
-                client.post(TalkingClient.result(call.get("id"), "did-" + call.at("/params/name").asText()));
-            }
-            assertEquals(" a0 a1 a2 a3[did-t0|did-t1|did-t2|did-t3] b0 b1", answer.end().at("/result/content/0/text").asText());
-        }
+  @Test
+  void resultsInReverseOrderStandWhereTheirCallsDo() throws Exception {
+    TalkingClient client = new TalkingClient(bench.port);
+    List<String> tools = List.of("t0", "t1", "t2", "t3");
+    try (TalkingClient.Answer answer =
+        client.call(
+            "1",
+            "sale-lookup",
+            "call the tools t0 and t1 and t2 and t3 together answer in 2 words",
+            tools)) {
+      List<JsonNode> relayed = new ArrayList<>();
+      while (relayed.size() < tools.size()) {
+        relayed.add(answer.relayed());
+      }
+      Collections.reverse(relayed);
+      for (JsonNode call : relayed) {
+        client.post(
+            TalkingClient.result(call.get("id"), "did-" + call.at("/params/name").asText()));
+      }
+      assertEquals(
+          " a0 a1 a2 a3[did-t0|did-t1|did-t2|did-t3] b0 b1",
+          answer.end().at("/result/content/0/text").asText());
     }
+  }
 
-    private static JsonNode turns(int count) throws IOException, InterruptedException {
-        TalkingClient client = new TalkingClient(bench.port);
-        try (TalkingClient.Answer answer = client.call("1", "sale-lookup", "call the tool stock ".repeat(count) + "answer in 2 words",
-                List.of("stock"))) {
-            JsonNode last = null;
-            for (JsonNode message = answer.next(); message != null; message = answer.next()) {
-                last = message;
-                if (message.path("method").asText().equals(Mcp.TOOLS_CALL)) {
-                    client.post(TalkingClient.result(message.get("id"), "did"));
-                }
-            }
-            return last;
+  private static JsonNode turns(int count) throws IOException, InterruptedException {
+    TalkingClient client = new TalkingClient(bench.port);
+    try (TalkingClient.Answer answer =
+        client.call(
+            "1",
+            "sale-lookup",
+            "call the tool stock ".repeat(count) + "answer in 2 words",
+            List.of("stock"))) {
+      JsonNode last = null;
+      for (JsonNode message = answer.next(); message != null; message = answer.next()) {
+        last = message;
+        if (message.path("method").asText().equals(Mcp.TOOLS_CALL)) {
+          client.post(TalkingClient.result(message.get("id"), "did"));
         }
+      }
+      return last;
     }
+  }
 
-    @Test
-    void turnsGoUpToTheirBoundAndNoFurther() throws Exception {
-        assertEquals(TURNS + 1, turns(TURNS).at("/result/structuredContent/turns").asInt());
-        JsonNode over = turns(TURNS + 1);
-        assertEquals(Mcp.FAILED, over.at("/error/code").asInt(), over.toString());
-        assertTrue(over.at("/error/message").asText().contains("more than " + TURNS + " turns"), over.toString());
-    }
+  @Test
+  void turnsGoUpToTheirBoundAndNoFurther() throws Exception {
+    assertEquals(TURNS + 1, turns(TURNS).at("/result/structuredContent/turns").asInt());
+    JsonNode over = turns(TURNS + 1);
+    assertEquals(Mcp.FAILED, over.at("/error/code").asInt(), over.toString());
+    assertTrue(
+        over.at("/error/message").asText().contains("more than " + TURNS + " turns"),
+        over.toString());
+  }
 
-    /** The flood of slow tools ends at its bound; whoever calls without tools, or has its result at once, is served beside it. */
-    @Test
-    void answersThatWaitForToolsAreBoundedAndStarveNobody() throws Exception {
-        TalkingClient client = new TalkingClient(bench.port);
-        List<TalkingClient.Answer> open = new ArrayList<>();
-        List<JsonNode> relayed = new ArrayList<>();
-        try {
-            for (int i = 0; i < WAITING; i++) {
-                TalkingClient.Answer answer = client.call(Integer.toString(10 + i), "sale-lookup", "#wait" + i + "# call the tool stock answer in 2 words",
-                        List.of("stock"));
-                open.add(answer);
-                relayed.add(answer.relayed());
-            }
-            JsonNode over;
-            try (TalkingClient.Answer answer = client.call("90", "sale-lookup", "call the tool stock answer in 2 words", List.of("stock"))) {
-                over = answer.end();
-            }
-            assertEquals(Mcp.FAILED, over.at("/error/code").asInt(), over.toString());
-            try (TalkingClient.Answer plain = new TalkingClient(bench.port).call("91", "sale-lookup", "answer in 2 words", List.of())) {
-                assertEquals(" a0 a1", plain.end().at("/result/content/0/text").asText());
-            }
-            List<CompletableFuture<JsonNode>> ends = new ArrayList<>();
-            for (int i = WAITING - 1; i >= 0; i--) {
-                client.post(TalkingClient.result(relayed.get(i).get("id"), "r" + i));
-                TalkingClient.Answer answer = open.get(i);
-                ends.add(0, CompletableFuture.supplyAsync(() -> {
-                    try {
-                        return answer.end();
-                    } catch (IOException e) {
-                        throw new IllegalStateException(e);
-                    }
+  /**
+   * The flood of slow tools ends at its bound; whoever calls without tools, or has its result at
+   * once, is served beside it.
+   */
+  @Test
+  void answersThatWaitForToolsAreBoundedAndStarveNobody() throws Exception {
+    TalkingClient client = new TalkingClient(bench.port);
+    List<TalkingClient.Answer> open = new ArrayList<>();
+    List<JsonNode> relayed = new ArrayList<>();
+    try {
+      for (int i = 0; i < WAITING; i++) {
+        TalkingClient.Answer answer =
+            client.call(
+                Integer.toString(10 + i),
+                "sale-lookup",
+                "#wait" + i + "# call the tool stock answer in 2 words",
+                List.of("stock"));
+        open.add(answer);
+        relayed.add(answer.relayed());
+      }
+      JsonNode over;
+      try (TalkingClient.Answer answer =
+          client.call(
+              "90", "sale-lookup", "call the tool stock answer in 2 words", List.of("stock"))) {
+        over = answer.end();
+      }
+      assertEquals(Mcp.FAILED, over.at("/error/code").asInt(), over.toString());
+      try (TalkingClient.Answer plain =
+          new TalkingClient(bench.port).call("91", "sale-lookup", "answer in 2 words", List.of())) {
+        assertEquals(" a0 a1", plain.end().at("/result/content/0/text").asText());
+      }
+      List<CompletableFuture<JsonNode>> ends = new ArrayList<>();
+      for (int i = WAITING - 1; i >= 0; i--) {
+        client.post(TalkingClient.result(relayed.get(i).get("id"), "r" + i));
+        TalkingClient.Answer answer = open.get(i);
+        ends.add(
+            0,
+            CompletableFuture.supplyAsync(
+                () -> {
+                  try {
+                    return answer.end();
+                  } catch (IOException e) {
+                    throw new IllegalStateException(e);
+                  }
                 }));
-            }
-            for (int i = 0; i < WAITING; i++) {
-                JsonNode end = Bench.get(ends.get(i));
-                assertNotNull(end);
-                assertEquals(" a0 a1 a2 a3[r" + i + "] b0 b1", end.at("/result/content/0/text").asText());
-            }
-        } finally {
-            for (TalkingClient.Answer answer : open) {
-                answer.close();
-            }
-        }
-        bench.awaitIdle();
+      }
+      for (int i = 0; i < WAITING; i++) {
+        JsonNode end = Bench.get(ends.get(i));
+        assertNotNull(end);
+        assertEquals(" a0 a1 a2 a3[r" + i + "] b0 b1", end.at("/result/content/0/text").asText());
+      }
+    } finally {
+      for (TalkingClient.Answer answer : open) {
+        answer.close();
+      }
     }
+    bench.awaitIdle();
+  }
 }
--- a/report/src/main/java/lemondock/report/Environment.java
+++ b/report/src/main/java/lemondock/report/Environment.java
@@ -20,6 +20,12 @@
  * @param random numbers from 0 up to 1
  * @param hostName this machine's name
  */
-public record Environment(Loop loop, Network network, Datagrams.Opener datagrams,
-        BiConsumer<Path, Connection.Handler> unix, Dialer.Resolver resolver, Executor disk, DoubleSupplier random,
-        String hostName) { }
+public record Environment(
+    Loop loop,
+    Network network,
+    Datagrams.Opener datagrams,
+    BiConsumer<Path, Connection.Handler> unix,
+    Dialer.Resolver resolver,
+    Executor disk,
+    DoubleSupplier random,
+    String hostName) {}
--- a/report/src/main/java/lemondock/report/host/ProcessMeters.java
+++ b/report/src/main/java/lemondock/report/host/ProcessMeters.java
@@ -10,16 +10,16 @@
 
 /** Gauges of this process, by Micrometer's own binders. */
 public final class ProcessMeters {
-    private ProcessMeters() { }
+  private ProcessMeters() {}
 
-    /** A registry with memory, threads, processors, classes and file handles. */
-    public static MeterRegistry registry() {
-        MeterRegistry registry = new SimpleMeterRegistry();
-        new JvmMemoryMetrics().bindTo(registry);
-        new JvmThreadMetrics().bindTo(registry);
-        new ProcessorMetrics().bindTo(registry);
-        new FileDescriptorMetrics().bindTo(registry);
-        new ClassLoaderMetrics().bindTo(registry);
-        return registry;
-    }
+  /** A registry with memory, threads, processors, classes and file handles. */
+  public static MeterRegistry registry() {
+    MeterRegistry registry = new SimpleMeterRegistry();
+    new JvmMemoryMetrics().bindTo(registry);
+    new JvmThreadMetrics().bindTo(registry);
+    new ProcessorMetrics().bindTo(registry);
+    new FileDescriptorMetrics().bindTo(registry);
+    new ClassLoaderMetrics().bindTo(registry);
+    return registry;
+  }
 }
--- a/rpc/src/test/java/lemondock/rpc/JsonRpcTest.java
+++ b/rpc/src/test/java/lemondock/rpc/JsonRpcTest.java
@@ -15,34 +15,44 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class JsonRpcTest {
-    private final JsonRpc rpc = new JsonRpc(new JsonRpc.Limits(10, 3, 1000, 30));
+  private final JsonRpc rpc = new JsonRpc(new JsonRpc.Limits(10, 3, 1000, 30));
 
-    private JsonRpc.Parsed parse(String text) {
-        return rpc.parse(text.getBytes(StandardCharsets.UTF_8));
-    }
+  private JsonRpc.Parsed parse(String text) {
+    return rpc.parse(text.getBytes(StandardCharsets.UTF_8));
+  }
 
-    private Message one(String text) {
-        return parse(text).messages().get(0);
-    }
+  private Message one(String text) {
+    return parse(text).messages().get(0);
+  }
 
-    @Test
-    void theKindsOfMessages() {
-        assertEquals("sum", assertInstanceOf(Message.Request.class,
-                one("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"sum\",\"params\":[1]}")).method());
-        assertInstanceOf(Message.Notification.class, one("{\"jsonrpc\":\"2.0\",\"method\":\"n\"}"));
-        assertInstanceOf(Message.Response.class, one("{\"jsonrpc\":\"2.0\",\"id\":\"a\",\"result\":null}"));
-        assertInstanceOf(Message.Response.class,
-                one("{\"jsonrpc\":\"2.0\",\"id\":null,\"error\":{\"code\":1,\"message\":\"x\"}}"));
-    }
+  @Test
+  void theKindsOfMessages() {
+    assertEquals(
+        "sum",
+        assertInstanceOf(
+                Message.Request.class,
+                one("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"sum\",\"params\":[1]}"))
+            .method());
+    assertInstanceOf(Message.Notification.class, one("{\"jsonrpc\":\"2.0\",\"method\":\"n\"}"));
+    assertInstanceOf(
+        Message.Response.class, one("{\"jsonrpc\":\"2.0\",\"id\":\"a\",\"result\":null}"));
+    assertInstanceOf(
+        Message.Response.class,
+        one("{\"jsonrpc\":\"2.0\",\"id\":null,\"error\":{\"code\":1,\"message\":\"x\"}}"));
+  }
 
-    @ParameterizedTest
-    @CsvSource(delimiter = '~', quoteCharacter = '`', value = {
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '~',
+      quoteCharacter = '`',
+      value = {
         "{\"jsonrpc\": ~ -32700 ~ null",
         "`` ~ -32700 ~ null",
         "{\"jsonrpc\":\"2.0\",\"id\":1,\"id\":2,\"method\":\"a\"} ~ -32700 ~ null",
         "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"a\"} x ~ -32700 ~ null",
         "[[[[[[[[[[[[1]]]]]]]]]]]] ~ -32700 ~ null",
-        "{\"jsonrpc\":\"2.0\",\"id\":1111111111111111111111111111111111,\"method\":\"a\"} ~ -32700 ~ null",
+        "{\"jsonrpc\":\"2.0\",\"id\":1111111111111111111111111111111111,\"method\":\"a\"} ~ -32700"
+            + " ~ null",
         "[] ~ -32600 ~ null",
         "[1,2,3,4] ~ -32600 ~ null",
         "1 ~ -32600 ~ null",
@@ -53,45 +63,62 @@
         "{\"jsonrpc\":\"2.0\",\"id\":1.5,\"method\":\"a\"} ~ -32600 ~ null",
         "{\"jsonrpc\":\"2.0\",\"id\":{},\"method\":\"a\"} ~ -32600 ~ null",
         "{\"jsonrpc\":\"2.0\",\"id\":7} ~ -32600 ~ 7",
-        "{\"jsonrpc\":\"2.0\",\"id\":7,\"result\":1,\"error\":{\"code\":1,\"message\":\"x\"}} ~ -32600 ~ null",
+        "{\"jsonrpc\":\"2.0\",\"id\":7,\"result\":1,\"error\":{\"code\":1,\"message\":\"x\"}} ~"
+            + " -32600 ~ null",
         "{\"jsonrpc\":\"2.0\",\"id\":7,\"error\":{\"code\":\"x\"}} ~ -32600 ~ null",
         "{\"jsonrpc\":\"2.0\",\"result\":7} ~ -32600 ~ null",
-    })
-    void whatIsNoMessageGetsTheSpecifiedCode(String text, int code, String id) {
-        Message.Invalid invalid = assertInstanceOf(Message.Invalid.class, one(text == null ? "" : text));
-        assertEquals(code, invalid.code(), invalid.what());
-        assertEquals(id, invalid.id().toString());
-    }
+      })
+  void whatIsNoMessageGetsTheSpecifiedCode(String text, int code, String id) {
+    Message.Invalid invalid =
+        assertInstanceOf(Message.Invalid.class, one(text == null ? "" : text));
+    assertEquals(code, invalid.code(), invalid.what());
+    assertEquals(id, invalid.id().toString());
+  }
 
-    @Test
-    void aBatchIsReadMessageByMessage() {
-        JsonRpc.Parsed parsed = parse("[{\"jsonrpc\":\"2.0\",\"method\":\"n\"},1,{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"m\"}]");
-        assertTrue(parsed.batch());
-        assertEquals(List.of(Message.Notification.class, Message.Invalid.class, Message.Request.class),
-                parsed.messages().stream().<Class<?>>map(Message::getClass).toList());
-        assertFalse(parse("{\"jsonrpc\":\"2.0\",\"method\":\"n\"}").batch());
-    }
+  @Test
+  void aBatchIsReadMessageByMessage() {
+    JsonRpc.Parsed parsed =
+        parse(
+            "[{\"jsonrpc\":\"2.0\",\"method\":\"n\"},1,{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"m\"}]");
+    assertTrue(parsed.batch());
+    assertEquals(
+        List.of(Message.Notification.class, Message.Invalid.class, Message.Request.class),
+        parsed.messages().stream().<Class<?>>map(Message::getClass).toList());
+    assertFalse(parse("{\"jsonrpc\":\"2.0\",\"method\":\"n\"}").batch());
+  }
 
-    @Test
-    void versionsAreNegotiated() {
-        assertEquals("2025-06-18", Mcp.negotiate("2025-06-18"));
-        assertEquals(Mcp.VERSIONS.get(0), Mcp.negotiate("1999-01-01"));
-    }
+  @Test
+  void versionsAreNegotiated() {
+    assertEquals("2025-06-18", Mcp.negotiate("2025-06-18"));
+    assertEquals(Mcp.VERSIONS.get(0), Mcp.negotiate("1999-01-01"));
+  }
 
-    @Property(tries = 1_000, seed = "20261201")
-    void anyTextIsSurvived(@ForAll String text, @ForAll byte[] bytes) {
-        assertFalse(parse(text).messages().isEmpty());
-        assertFalse(rpc.parse(bytes).messages().isEmpty());
-        assertFalse(parse("{\"jsonrpc\":\"2.0\",\"id\":" + JsonNodeFactory.instance.textNode(text)
-                + ",\"method\":\"a\",\"params\":{\"x\":" + JsonNodeFactory.instance.textNode(text) + "}}").messages().isEmpty());
-    }
+  @Property(tries = 1_000, seed = "20261201")
+  void anyTextIsSurvived(@ForAll String text, @ForAll byte[] bytes) {
+    assertFalse(parse(text).messages().isEmpty());
+    assertFalse(rpc.parse(bytes).messages().isEmpty());
+    assertFalse(
+        parse(
+                "{\"jsonrpc\":\"2.0\",\"id\":"
+                    + JsonNodeFactory.instance.textNode(text)
+                    + ",\"method\":\"a\",\"params\":{\"x\":"
+                    + JsonNodeFactory.instance.textNode(text)
+                    + "}}")
+            .messages()
+            .isEmpty());
+  }
 
-    @Test
-    void whatIsWrittenIsReadBack() {
-        JsonNodeFactory f = JsonNodeFactory.instance;
-        assertInstanceOf(Message.Request.class, one(JsonRpc.request(f.numberNode(1), "m", f.objectNode()).toString()));
-        assertInstanceOf(Message.Notification.class, one(JsonRpc.notification("m", null).toString()));
-        assertInstanceOf(Message.Response.class, one(JsonRpc.result(f.textNode("a"), f.objectNode()).toString()));
-        assertInstanceOf(Message.Response.class, one(JsonRpc.error(f.nullNode(), 1, "x", f.objectNode()).toString()));
-    }
+  @Test
+  void whatIsWrittenIsReadBack() {
+    JsonNodeFactory f = JsonNodeFactory.instance;
+    assertInstanceOf(
+        Message.Request.class,
+        one(JsonRpc.request(f.numberNode(1), "m", f.objectNode()).toString()));
+    assertInstanceOf(Message.Notification.class, one(JsonRpc.notification("m", null).toString()));
+    assertInstanceOf(
+        Message.Response.class, one(JsonRpc.result(f.textNode("a"), f.objectNode()).toString()));
+    assertInstanceOf(
+        Message.Response.class,
+        one(JsonRpc.error(f.nullNode(), 1, "x", f.objectNode()).toString()));
+  }
 }
--- a/standin/src/main/java/lemondock/standin/EngineSettings.java
+++ b/standin/src/main/java/lemondock/standin/EngineSettings.java
@@ -14,37 +14,126 @@
  * @param coldShare part of its speed with which it starts
  * @param warmUpMs until it has all of its speed
  */
-public record EngineSettings(String name, String listen, String role, String kind, String zone, String rack, int slots,
-        int queue, long memoryTokens, double readPerSecond, double readMs, double firstMs, double tokenMs,
-        double coldShare, double warmUpMs, String catalogue) {
+public record EngineSettings(
+    String name,
+    String listen,
+    String role,
+    String kind,
+    String zone,
+    String rack,
+    int slots,
+    int queue,
+    long memoryTokens,
+    double readPerSecond,
+    double readMs,
+    double firstMs,
+    double tokenMs,
+    double coldShare,
+    double warmUpMs,
+    String catalogue) {
 
-    /** A quick engine for tests, of the kind named as its role, on a free port. */
-    public static EngineSettings quick(String name, String role, String zone, String rack) {
-        return new EngineSettings(name, "127.0.0.1:0", role, role, zone, rack, role.equals("reader") ? 8 : 64, 64,
-                200_000, 100_000, 1, 1, 1, 0.3, 0, null);
-    }
+  /** A quick engine for tests, of the kind named as its role, on a free port. */
+  public static EngineSettings quick(String name, String role, String zone, String rack) {
+    return new EngineSettings(
+        name,
+        "127.0.0.1:0",
+        role,
+        role,
+        zone,
+        rack,
+        role.equals("reader") ? 8 : 64,
+        64,
+        200_000,
+        100_000,
+        1,
+        1,
+        1,
+        0.3,
+        0,
+        null);
+  }
 
-    /** The same with other paces. */
-    public EngineSettings paced(double reads, double first, double token) {
-        return new EngineSettings(name, listen, role, kind, zone, rack, slots, queue, memoryTokens, readPerSecond, reads,
-                first, token, coldShare, warmUpMs, catalogue);
-    }
+  /** The same with other paces. */
+  public EngineSettings paced(double reads, double first, double token) {
+    return new EngineSettings(
+        name,
+        listen,
+        role,
+        kind,
+        zone,
+        rack,
+        slots,
+        queue,
+        memoryTokens,
+        readPerSecond,
+        reads,
+        first,
+        token,
+        coldShare,
+        warmUpMs,
+        catalogue);
+  }
 
-    /** The same with other bounds. */
-    public EngineSettings bounded(int most, int waiting, long memory) {
-        return new EngineSettings(name, listen, role, kind, zone, rack, most, waiting, memory, readPerSecond, readMs,
-                firstMs, tokenMs, coldShare, warmUpMs, catalogue);
-    }
+  /** The same with other bounds. */
+  public EngineSettings bounded(int most, int waiting, long memory) {
+    return new EngineSettings(
+        name,
+        listen,
+        role,
+        kind,
+        zone,
+        rack,
+        most,
+        waiting,
+        memory,
+        readPerSecond,
+        readMs,
+        firstMs,
+        tokenMs,
+        coldShare,
+        warmUpMs,
+        catalogue);
+  }
 
-    /** The same with a warm-up. */
-    public EngineSettings warming(double share, double time) {
-        return new EngineSettings(name, listen, role, kind, zone, rack, slots, queue, memoryTokens, readPerSecond, readMs,
-                firstMs, tokenMs, share, time, catalogue);
-    }
+  /** The same with a warm-up. */
+  public EngineSettings warming(double share, double time) {
+    return new EngineSettings(
+        name,
+        listen,
+        role,
+        kind,
+        zone,
+        rack,
+        slots,
+        queue,
+        memoryTokens,
+        readPerSecond,
+        readMs,
+        firstMs,
+        tokenMs,
+        share,
+        time,
+        catalogue);
+  }
 
-    /** The same on a port. */
-    public EngineSettings at(String address) {
-        return new EngineSettings(name, address, role, kind, zone, rack, slots, queue, memoryTokens, readPerSecond, readMs,
-                firstMs, tokenMs, coldShare, warmUpMs, catalogue);
-    }
+  /** The same on a port. */
+  public EngineSettings at(String address) {
+    return new EngineSettings(
+        name,
+        address,
+        role,
+        kind,
+        zone,
+        rack,
+        slots,
+        queue,
+        memoryTokens,
+        readPerSecond,
+        readMs,
+        firstMs,
+        tokenMs,
+        coldShare,
+        warmUpMs,
+        catalogue);
+  }
 }
--- a/standin/src/main/java/lemondock/standin/collect/UnixsockListener.java
+++ b/standin/src/main/java/lemondock/standin/collect/UnixsockListener.java
@@ -17,69 +17,81 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A stand-in for collectd's unixsock plugin: takes {@code PUTVAL} lines and answers each as the plugin does. */
+/**
+ * A stand-in for collectd's unixsock plugin: takes {@code PUTVAL} lines and answers each as the
+ * plugin does.
+ */
 public final class UnixsockListener implements AutoCloseable {
-    private static final Pattern PUTVAL =
-            Pattern.compile("PUTVAL \"([^\"]+)\" interval=([0-9.]+) ([0-9]+)(?:\\.([0-9]{3}))?((?::[-0-9.U]+)+)");
+  private static final Pattern PUTVAL =
+      Pattern.compile(
+          "PUTVAL \"([^\"]+)\" interval=([0-9.]+) ([0-9]+)(?:\\.([0-9]{3}))?((?::[-0-9.U]+)+)");
 
-    private final ServerSocketChannel server;
-    private final Path path;
-    private final Received received = new Received();
+  private final ServerSocketChannel server;
+  private final Path path;
+  private final Received received = new Received();
 
-    /** Listens at a path, which must not exist. */
-    public UnixsockListener(Path path) throws IOException {
-        this.path = path;
-        this.server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
-        server.bind(UnixDomainSocketAddress.of(path));
-        GraphiteListener.start("unixsock", this::accept);
-    }
+  /** Listens at a path, which must not exist. */
+  public UnixsockListener(Path path) throws IOException {
+    this.path = path;
+    this.server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
+    server.bind(UnixDomainSocketAddress.of(path));
+    GraphiteListener.start("unixsock", this::accept);
+  }
 
-    /** What was received, by identifier. */
-    public Received received() {
-        return received;
-    }
+  /** What was received, by identifier. */
+  public Received received() {
+    return received;
+  }
 
-    private void accept() {
-        while (true) {
-            try {
-                SocketChannel channel = server.accept();
-                GraphiteListener.start("unixsock-read", () -> serve(channel));
-            } catch (IOException e) {
-                return; // closed
-            }
-        }
+  private void accept() {
+    while (true) {
+      try {
+        SocketChannel channel = server.accept();
+        GraphiteListener.start("unixsock-read", () -> serve(channel));
+      } catch (IOException e) {
+        return; // closed
+      }
     }
+  }
 
-    private void serve(SocketChannel channel) {
-        try (channel; BufferedReader lines = new BufferedReader(Channels.newReader(channel, StandardCharsets.UTF_8))) {
-            for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                channel.write(ByteBuffer.wrap((take(line, received) ? "0 Success: 1 value has been dispatched.\n"
-                        : "-1 Parsing failed.\n").getBytes(StandardCharsets.US_ASCII)));
-            }
-        } catch (IOException e) {
-            // the gateway has gone
-        }
+  private void serve(SocketChannel channel) {
+    try (channel;
+        BufferedReader lines =
+            new BufferedReader(Channels.newReader(channel, StandardCharsets.UTF_8))) {
+      for (String line = lines.readLine(); line != null; line = lines.readLine()) {
+        channel.write(
+            ByteBuffer.wrap(
+                (take(line, received)
+                        ? "0 Success: 1 value has been dispatched.\n"
+                        : "-1 Parsing failed.\n")
+                    .getBytes(StandardCharsets.US_ASCII)));
+      }
+    } catch (IOException e) {
+      // the gateway has gone
     }
+  }
 
-    /** Reads one line as the exec and unixsock plugins do; false if it is none. */
-    public static boolean take(String line, Received to) {
-        Matcher m = PUTVAL.matcher(line);
-        if (!m.matches()) {
-            to.bad();
-            return false;
-        }
-        List<BigDecimal> values = new ArrayList<>();
-        for (String value : m.group(5).substring(1).split(":")) {
-            values.add(value.equals("U") ? null : new BigDecimal(value));
-        }
-        to.take(m.group(1), Long.parseLong(m.group(3)) * 1000 + (m.group(4) == null ? 0 : Long.parseLong(m.group(4))),
-                values);
-        return true;
+  /** Reads one line as the exec and unixsock plugins do; false if it is none. */
+  public static boolean take(String line, Received to) {
+    Matcher m = PUTVAL.matcher(line);
+    if (!m.matches()) {
+      to.bad();
+      return false;
     }
-
-    @Override
-    public void close() throws IOException {
-        server.close();
-        Files.deleteIfExists(path);
+    List<BigDecimal> values = new ArrayList<>();
+    for (String value : m.group(5).substring(1).split(":")) {
+      values.add(value.equals("U") ? null : new BigDecimal(value));
     }
+    to.take(
+        m.group(1),
+        Long.parseLong(m.group(3)) * 1000 + (m.group(4) == null ? 0 : Long.parseLong(m.group(4))),
+        values);
+    return true;
+  }
+
+  @Override
+  public void close() throws IOException {
+    server.close();
+    Files.deleteIfExists(path);
+  }
 }
--- a/wire/src/main/java/lemondock/wire/Reply.java
+++ b/wire/src/main/java/lemondock/wire/Reply.java
@@ -8,119 +8,125 @@
 
 /** Collects the actions of one batch and lays them out as a reply frame. */
 final class Reply {
-    private static final int ACTION_BYTES = 24;
-    private static final int HEADER_BYTES = 8;
-
-    /** Action codes of the wire. */
-    private static final int FORWARD = 10;
-    private static final int NOT_NOW = 20;
-    private static final int FAIL = 30;
-    private static final int CALL_OFF = 40;
-    private static final int SET_ALARM = 50;
-    private static final int WRITE_LOG = 90;
-    private static final int BROKEN = 100;
-    private static final int KEEP_INFORMED = 110;
-    private static final int DROP_STATE = 150;
-    private static final int ON_BEHALF = 160;
-
-    private final ByteArrayOutputStream records = new ByteArrayOutputStream();
-    private final ByteArrayOutputStream tail = new ByteArrayOutputStream();
-    private int count;
-    private long behalf = -1;
-
-    /** The actions of one instance, written into this reply. */
-    Routing.Host hostFor(long instance) {
-        return new InstanceHost(instance);
+  private static final int ACTION_BYTES = 24;
+  private static final int HEADER_BYTES = 8;
+
+  /** Action codes of the wire. */
+  private static final int FORWARD = 10;
+
+  private static final int NOT_NOW = 20;
+  private static final int FAIL = 30;
+  private static final int CALL_OFF = 40;
+  private static final int SET_ALARM = 50;
+  private static final int WRITE_LOG = 90;
+  private static final int BROKEN = 100;
+  private static final int KEEP_INFORMED = 110;
+  private static final int DROP_STATE = 150;
+  private static final int ON_BEHALF = 160;
+
+  private final ByteArrayOutputStream records = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream tail = new ByteArrayOutputStream();
+  private int count;
+  private long behalf = -1;
+
+  /** The actions of one instance, written into this reply. */
+  Routing.Host hostFor(long instance) {
+    return new InstanceHost(instance);
+  }
+
+  void broken(long instance, String text) {
+    words(instance, BROKEN, text);
+  }
+
+  byte[] frame() {
+    ByteBuffer frame =
+        ByteBuffer.allocate(HEADER_BYTES + records.size() + tail.size())
+            .order(ByteOrder.LITTLE_ENDIAN);
+    frame.putInt(records.size() + tail.size()).putInt(count).put(records.toByteArray());
+    byte[] bytes = frame.put(tail.toByteArray()).array();
+    records.reset();
+    tail.reset();
+    count = 0;
+    behalf = -1;
+    return bytes;
+  }
+
+  private ByteBuffer action(long instance, int code) {
+    if (behalf != instance) {
+      behalf = instance;
+      add(record(ON_BEHALF).putInt((int) instance));
     }
+    return record(code);
+  }
 
-    void broken(long instance, String text) {
-        words(instance, BROKEN, text);
+  private static ByteBuffer record(int code) {
+    return ByteBuffer.allocate(ACTION_BYTES).order(ByteOrder.LITTLE_ENDIAN).put((byte) code);
+  }
+
+  private void add(ByteBuffer record) {
+    records.writeBytes(record.array());
+    count++;
+  }
+
+  private void words(long instance, int code, String text) {
+    byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+    add(action(instance, code).putInt(tail.size()).putInt(bytes.length));
+    tail.writeBytes(bytes);
+  }
+
+  private static double millis(long micros) {
+    return micros / WireHost.MICROS_PER_MILLI;
+  }
+
+  private final class InstanceHost implements Routing.Host {
+    private final long instance;
+
+    InstanceHost(long instance) {
+      this.instance = instance;
+    }
+
+    @Override
+    public void send(long requestId, long serverId, long timeout) {
+      add(
+          action(instance, FORWARD)
+              .putLong(requestId)
+              .putInt((int) serverId)
+              .putDouble(millis(timeout)));
     }
 
-    byte[] frame() {
-        ByteBuffer frame = ByteBuffer.allocate(HEADER_BYTES + records.size() + tail.size())
-                .order(ByteOrder.LITTLE_ENDIAN);
-        frame.putInt(records.size() + tail.size()).putInt(count).put(records.toByteArray());
-        byte[] bytes = frame.put(tail.toByteArray()).array();
-        records.reset();
-        tail.reset();
-        count = 0;
-        behalf = -1;
-        return bytes;
+    @Override
+    public void refuse(long requestId, long retryAfter) {
+      add(action(instance, NOT_NOW).putLong(requestId).putDouble(millis(retryAfter)));
     }
 
-    private ByteBuffer action(long instance, int code) {
-        if (behalf != instance) {
-            behalf = instance;
-            add(record(ON_BEHALF).putInt((int) instance));
-        }
-        return record(code);
+    @Override
+    public void fail(long requestId) {
+      add(action(instance, FAIL).putLong(requestId));
     }
 
-    private static ByteBuffer record(int code) {
-        return ByteBuffer.allocate(ACTION_BYTES).order(ByteOrder.LITTLE_ENDIAN).put((byte) code);
+    @Override
+    public void cancel(long requestId, int attempt) {
+      add(action(instance, CALL_OFF).putLong(requestId).putShort((short) attempt));
     }
 
-    private void add(ByteBuffer record) {
-        records.writeBytes(record.array());
-        count++;
+    @Override
+    public void release(long requestId) {
+      add(action(instance, DROP_STATE).putLong(requestId));
     }
 
-    private void words(long instance, int code, String text) {
-        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        add(action(instance, code).putInt(tail.size()).putInt(bytes.length));
-        tail.writeBytes(bytes);
+    @Override
+    public void timer(long token, long delay) {
+      add(action(instance, SET_ALARM).putLong(token).putDouble(millis(delay)));
     }
 
-    private static double millis(long micros) {
-        return micros / WireHost.MICROS_PER_MILLI;
+    @Override
+    public void watchServers() {
+      add(action(instance, KEEP_INFORMED).put((byte) 1));
     }
 
-    private final class InstanceHost implements Routing.Host {
-        private final long instance;
-
-        InstanceHost(long instance) {
-            this.instance = instance;
-        }
-
-        @Override
-        public void send(long requestId, long serverId, long timeout) {
-            add(action(instance, FORWARD).putLong(requestId).putInt((int) serverId).putDouble(millis(timeout)));
-        }
-
-        @Override
-        public void refuse(long requestId, long retryAfter) {
-            add(action(instance, NOT_NOW).putLong(requestId).putDouble(millis(retryAfter)));
-        }
-
-        @Override
-        public void fail(long requestId) {
-            add(action(instance, FAIL).putLong(requestId));
-        }
-
-        @Override
-        public void cancel(long requestId, int attempt) {
-            add(action(instance, CALL_OFF).putLong(requestId).putShort((short) attempt));
-        }
-
-        @Override
-        public void release(long requestId) {
-            add(action(instance, DROP_STATE).putLong(requestId));
-        }
-
-        @Override
-        public void timer(long token, long delay) {
-            add(action(instance, SET_ALARM).putLong(token).putDouble(millis(delay)));
-        }
-
-        @Override
-        public void watchServers() {
-            add(action(instance, KEEP_INFORMED).put((byte) 1));
-        }
-
-        @Override
-        public void log(String line) {
-            words(instance, WRITE_LOG, line);
-        }
+    @Override
+    public void log(String line) {
+      words(instance, WRITE_LOG, line);
     }
+  }
 }
