--- a/wire/src/main/java/lemondock/wire/SettingsText.java
+++ b/wire/src/main/java/lemondock/wire/SettingsText.java
@@ -6,161 +6,194 @@
 import java.util.Map;
 import lemondock.policy.Routing;
 
-/** Turns settings by path, or the start-up text (one {@code path=value} a line), into {@link Routing.Settings}. */
+/**
+ * Turns settings by path, or the start-up text (one {@code path=value} a line), into {@link
+ * Routing.Settings}.
+ */
 public final class SettingsText {
-    private final Map<String, String> values;
-
-    private SettingsText(Map<String, String> values) {
-        this.values = values;
-    }
-
-    private SettingsText(String text) {
-        values = new HashMap<>();
-        for (String line : text.split("\n")) {
-            if (line.isBlank()) {
-                continue;
-            }
-            int equals = line.indexOf('=');
-            if (equals < 1) {
-                throw new Malformed("setting without a name or value: " + line.strip());
-            }
-            values.put(line.substring(0, equals).strip(), line.substring(equals + 1).strip());
-        }
-    }
-
-    /** Settings from the start-up text; an IllegalArgumentException names what is wrong. */
-    public static Routing.Settings parse(String text) {
-        return new SettingsText(text).settings();
-    }
-
-    /** Settings from values by path, as a gateway of its own has them; an IllegalArgumentException names what is wrong. */
-    public static Routing.Settings parse(Map<String, String> values) {
-        return new SettingsText(values).settings();
-    }
-
-    private Routing.Settings settings() {
-        return new Routing.Settings((int) number("me"), (int) number("siblings"), (int) number("az"),
-                micros("resolution-ms"), classes(), tenants(), kinds(), limits(), rules(),
-                flag("specifics.resume"), flag("specifics.local-read"));
-    }
-
-    private List<Routing.RequestClass> classes() {
-        List<String> stretch = list("specifics.aim-us-per-1000-prompt-tokens");
-        List<String> pace = list("specifics.token-aim-ms");
-        List<Routing.RequestClass> classes = new ArrayList<>();
-        for (int i = 0; i < count("classes.count"); i++) {
-            String at = "classes." + i + ".";
-            classes.add(new Routing.RequestClass(micros(at + "goal-time-ms"),
-                    Math.round(item(stretch, i, "specifics.aim-us-per-1000-prompt-tokens")),
-                    micros(at + "deadline-ms"), number(at + "credit"), number(at + "late-worth"),
-                    repeat(at + "repeat"), group(at + "group"), micros(at + "repeat-window-ms"),
-                    Math.round(item(pace, i, "specifics.token-aim-ms") * WireHost.MICROS_PER_MILLI)));
-        }
-        return List.copyOf(classes);
-    }
-
-    private List<Routing.Tenant> tenants() {
-        List<Routing.Tenant> tenants = new ArrayList<>();
-        for (int i = 0; i < count("tenants.count"); i++) {
-            tenants.add(new Routing.Tenant(number("tenants." + i + ".quota-per-s")));
-        }
-        return List.copyOf(tenants);
-    }
-
-    private List<Routing.Kind> kinds() {
-        List<String> roles = list("specifics.duty-by-kind");
-        List<String> memory = list("specifics.memory-tokens");
-        List<Routing.Kind> kinds = new ArrayList<>();
-        for (int i = 0; i < roles.size(); i++) {
-            Routing.Role role = switch (roles.get(i)) {
-                case "read" -> Routing.Role.READER;
-                case "write" -> Routing.Role.WRITER;
-                case "both" -> Routing.Role.MIXED;
-                default -> throw new Malformed("setting specifics.duty-by-kind: unknown role " + roles.get(i));
-            };
-            kinds.add(new Routing.Kind(role, Math.round(item(memory, i, "specifics.memory-tokens"))));
-        }
-        return List.copyOf(kinds);
-    }
-
-    private Routing.Limits limits() {
-        return new Routing.Limits((int) number("limits.max-attempts"), flag("limits.cancel"),
-                flag("limits.second-copies"), flag("limits.may-probe"), flag("limits.peers"),
-                flag("limits.retry-after"), micros("limits.max-retry-after-ms"),
-                micros("limits.connect-timeout-ms"), "ask".equals(values.get("registry-mode")));
-    }
-
-    private Routing.Rules rules() {
-        return new Routing.Rules(micros("obligations.answer-slack-ms"),
-                micros("obligations.stop-sending-within-ms"), number("obligations.cold-share"),
-                micros("obligations.warm-up-ms"), number("obligations.overload-factor"),
-                micros("obligations.fall-ms"), micros("specifics.release-within-ms"));
-    }
-
-    private Routing.Repeat repeat(String name) {
-        String value = values.getOrDefault(name, "");
-        return switch (value) {
-            case "repeatable" -> Routing.Repeat.SAFE;
-            case "by_key" -> Routing.Repeat.KEYED;
-            case "once" -> Routing.Repeat.ONCE;
-            default -> throw new Malformed("setting " + name + ": unknown effect '" + value + "'");
-        };
-    }
-
-    private Routing.Group group(String name) {
-        String value = values.getOrDefault(name, "all");
-        return switch (value) {
-            case "all" -> Routing.Group.ALL;
-            case "zone" -> Routing.Group.ZONE;
-            case "cell" -> Routing.Group.CELL;
-            default -> throw new Malformed("setting " + name + ": unknown group '" + value + "'");
-        };
-    }
-
-    private boolean flag(String name) {
-        String value = values.getOrDefault(name, "false");
-        return switch (value) {
-            case "true", "1" -> true;
-            case "false", "0", "" -> false;
-            default -> throw new Malformed("setting " + name + ": neither true nor false: " + value);
-        };
-    }
-
-    private long micros(String name) {
-        return Math.round(number(name) * WireHost.MICROS_PER_MILLI);
-    }
-
-    private int count(String name) {
-        double count = number(name);
-        if (count < 0 || count != Math.rint(count) || count > Short.MAX_VALUE) {
-            throw new Malformed("setting " + name + ": not a count: " + values.get(name));
-        }
-        return (int) count;
-    }
-
-    private double number(String name) {
-        String value = values.getOrDefault(name, "");
-        return value.isEmpty() ? 0 : parse(value, name);
-    }
-
-    private static double item(List<String> items, int index, String name) {
-        return index < items.size() ? parse(items.get(index), name) : 0;
-    }
-
-    private static double parse(String value, String name) {
-        try {
-            double number = Double.parseDouble(value);
-            if (Double.isFinite(number)) {
-                return number;
-            }
-        } catch (NumberFormatException e) {
-            // reported below, together with what is not finite
-        }
-        throw new Malformed("setting " + name + ": not a number: " + value);
-    }
-
-    private List<String> list(String name) {
-        String value = values.getOrDefault(name, "");
-        return value.isEmpty() ? List.of() : List.of(value.split(","));
-    }
+  private final Map<String, String> values;
+
+  private SettingsText(Map<String, String> values) {
+    this.values = values;
+  }
+
+  private SettingsText(String text) {
+    values = new HashMap<>();
+    for (String line : text.split("\n")) {
+      if (line.isBlank()) {
+        continue;
+      }
+      int equals = line.indexOf('=');
+      if (equals < 1) {
+        throw new Malformed("setting without a name or value: " + line.strip());
+      }
+      values.put(line.substring(0, equals).strip(), line.substring(equals + 1).strip());
+    }
+  }
+
+  /** Settings from the start-up text; an IllegalArgumentException names what is wrong. */
+  public static Routing.Settings parse(String text) {
+    return new SettingsText(text).settings();
+  }
+
+  /**
+   * Settings from values by path, as a gateway of its own has them; an IllegalArgumentException
+   * names what is wrong.
+   */
+  public static Routing.Settings parse(Map<String, String> values) {
+    return new SettingsText(values).settings();
+  }
+
+  private Routing.Settings settings() {
+    return new Routing.Settings(
+        (int) number("me"),
+        (int) number("siblings"),
+        (int) number("az"),
+        micros("resolution-ms"),
+        classes(),
+        tenants(),
+        kinds(),
+        limits(),
+        rules(),
+        flag("specifics.resume"),
+        flag("specifics.local-read"));
+  }
+
+  private List<Routing.RequestClass> classes() {
+    List<String> stretch = list("specifics.aim-us-per-1000-prompt-tokens");
+    List<String> pace = list("specifics.token-aim-ms");
+    List<Routing.RequestClass> classes = new ArrayList<>();
+    for (int i = 0; i < count("classes.count"); i++) {
+      String at = "classes." + i + ".";
+      classes.add(
+          new Routing.RequestClass(
+              micros(at + "goal-time-ms"),
+              Math.round(item(stretch, i, "specifics.aim-us-per-1000-prompt-tokens")),
+              micros(at + "deadline-ms"),
+              number(at + "credit"),
+              number(at + "late-worth"),
+              repeat(at + "repeat"),
+              group(at + "group"),
+              micros(at + "repeat-window-ms"),
+              Math.round(item(pace, i, "specifics.token-aim-ms") * WireHost.MICROS_PER_MILLI)));
+    }
+    return List.copyOf(classes);
+  }
+
+  private List<Routing.Tenant> tenants() {
+    List<Routing.Tenant> tenants = new ArrayList<>();
+    for (int i = 0; i < count("tenants.count"); i++) {
+      tenants.add(new Routing.Tenant(number("tenants." + i + ".quota-per-s")));
+    }
+    return List.copyOf(tenants);
+  }
+
+  private List<Routing.Kind> kinds() {
+    List<String> roles = list("specifics.duty-by-kind");
+    List<String> memory = list("specifics.memory-tokens");
+    List<Routing.Kind> kinds = new ArrayList<>();
+    for (int i = 0; i < roles.size(); i++) {
+      Routing.Role role =
+          switch (roles.get(i)) {
+            case "read" -> Routing.Role.READER;
+            case "write" -> Routing.Role.WRITER;
+            case "both" -> Routing.Role.MIXED;
+            default ->
+                throw new Malformed("setting specifics.duty-by-kind: unknown role " + roles.get(i));
+          };
+      kinds.add(new Routing.Kind(role, Math.round(item(memory, i, "specifics.memory-tokens"))));
+    }
+    return List.copyOf(kinds);
+  }
+
+  private Routing.Limits limits() {
+    return new Routing.Limits(
+        (int) number("limits.max-attempts"),
+        flag("limits.cancel"),
+        flag("limits.second-copies"),
+        flag("limits.may-probe"),
+        flag("limits.peers"),
+        flag("limits.retry-after"),
+        micros("limits.max-retry-after-ms"),
+        micros("limits.connect-timeout-ms"),
+        "ask".equals(values.get("registry-mode")));
+  }
+
+  private Routing.Rules rules() {
+    return new Routing.Rules(
+        micros("obligations.answer-slack-ms"),
+        micros("obligations.stop-sending-within-ms"),
+        number("obligations.cold-share"),
+        micros("obligations.warm-up-ms"),
+        number("obligations.overload-factor"),
+        micros("obligations.fall-ms"),
+        micros("specifics.release-within-ms"));
+  }
+
+  private Routing.Repeat repeat(String name) {
+    String value = values.getOrDefault(name, "");
+    return switch (value) {
+      case "repeatable" -> Routing.Repeat.SAFE;
+      case "by_key" -> Routing.Repeat.KEYED;
+      case "once" -> Routing.Repeat.ONCE;
+      default -> throw new Malformed("setting " + name + ": unknown effect '" + value + "'");
+    };
+  }
+
+  private Routing.Group group(String name) {
+    String value = values.getOrDefault(name, "all");
+    return switch (value) {
+      case "all" -> Routing.Group.ALL;
+      case "zone" -> Routing.Group.ZONE;
+      case "cell" -> Routing.Group.CELL;
+      default -> throw new Malformed("setting " + name + ": unknown group '" + value + "'");
+    };
+  }
+
+  private boolean flag(String name) {
+    String value = values.getOrDefault(name, "false");
+    return switch (value) {
+      case "true", "1" -> true;
+      case "false", "0", "" -> false;
+      default -> throw new Malformed("setting " + name + ": neither true nor false: " + value);
+    };
+  }
+
+  private long micros(String name) {
+    return Math.round(number(name) * WireHost.MICROS_PER_MILLI);
+  }
+
+  private int count(String name) {
+    double count = number(name);
+    if (count < 0 || count != Math.rint(count) || count > Short.MAX_VALUE) {
+      throw new Malformed("setting " + name + ": not a count: " + values.get(name));
+    }
+    return (int) count;
+  }
+
+  private double number(String name) {
+    String value = values.getOrDefault(name, "");
+    return value.isEmpty() ? 0 : parse(value, name);
+  }
+
+  private static double item(List<String> items, int index, String name) {
+    return index < items.size() ? parse(items.get(index), name) : 0;
+  }
+
+  private static double parse(String value, String name) {
+    try {
+      double number = Double.parseDouble(value);
+      if (Double.isFinite(number)) {
+        return number;
+      }
+    } catch (NumberFormatException e) {
+      // reported below, together with what is not finite
+    }
+    throw new Malformed("setting " + name + ": not a number: " + value);
+  }
+
+  private List<String> list(String name) {
+    String value = values.getOrDefault(name, "");
+    return value.isEmpty() ? List.of() : List.of(value.split(","));
+  }
 }
