--- a/admit/src/main/java/lemondock/admit/Admission.java
+++ b/admit/src/main/java/lemondock/admit/Admission.java
@@ -150,7 +150,7 @@
 
   /** The worst of the queues counts: whatever has to pass all of them waits there. */
   private void judge(long now) {
-    double before = share;
+    final double before = share;
     long shortest = 0;
     for (int i = 0; i < this.shortest.length; i++) {
       shortest =
--- a/cli/src/main/java/lemondock/cli/BadDayCommand.java
+++ b/cli/src/main/java/lemondock/cli/BadDayCommand.java
@@ -18,8 +18,8 @@
     name = "bad-day",
     mixinStandardHelpOptions = true,
     description =
-        "Plays a scripted day on loopback sockets; exits with 1 if one of the five rules was"
-            + " broken.")
+        "Plays a scripted day on loopback sockets; exits with 1 if one of the five rules"
+            + " was broken.")
 final class BadDayCommand implements Callable<Integer> {
   @Option(
       names = "--script",
@@ -52,9 +52,9 @@
   @Option(
       names = "--reports",
       description =
-          "Has the gateways report to small listeners for Graphite and collectd, in all forms, and"
-              + " compares what arrives with the gateways' final tallies; exits with 1 if it"
-              + " differs.")
+          "Has the gateways report to small listeners for Graphite and collectd, in all"
+              + " forms, and compares what arrives with the gateways' final tallies;"
+              + " exits with 1 if it differs.")
   private boolean reports;
 
   @Option(names = "--log", defaultValue = "error", description = "error, warn, info or debug.")
--- a/cli/src/main/java/lemondock/cli/CollectorCommand.java
+++ b/cli/src/main/java/lemondock/cli/CollectorCommand.java
@@ -13,8 +13,8 @@
     name = "collector",
     mixinStandardHelpOptions = true,
     description =
-        "Runs stand-ins for carbon (plaintext) and collectd on loopback that print the newest worth"
-            + " they are told.")
+        "Runs stand-ins for carbon (plaintext) and collectd on loopback that print the"
+            + " newest worth they are told.")
 final class CollectorCommand implements Callable<Integer> {
   @Option(
       names = "--graphite",
--- a/cli/src/main/java/lemondock/cli/ConfigCommand.java
+++ b/cli/src/main/java/lemondock/cli/ConfigCommand.java
@@ -26,8 +26,8 @@
       name = "check",
       mixinStandardHelpOptions = true,
       description =
-          "Checks a gateway's settings; each problem is a line with file, pointer, expected and"
-              + " found.")
+          "Checks a gateway's settings; each problem is a line with file, pointer,"
+              + " expected and found.")
   static final class Check implements Callable<Integer> {
     @Parameters(paramLabel = "FILE")
     private Path file;
--- a/cli/src/main/java/lemondock/cli/DemoCommand.java
+++ b/cli/src/main/java/lemondock/cli/DemoCommand.java
@@ -37,8 +37,8 @@
       fallbackValue = "127.0.0.1",
       paramLabel = "HOST",
       description =
-          "Reports to Graphite (plaintext, port 2003) and collectd (network plugin, port 25826) of"
-              + " a host.")
+          "Reports to Graphite (plaintext, port 2003) and collectd (network plugin, port"
+              + " 25826) of a host.")
   private String report;
 
   @Option(names = "--graphite-port", defaultValue = "2003", hidden = true)
--- a/cli/src/main/java/lemondock/cli/Lemondock.java
+++ b/cli/src/main/java/lemondock/cli/Lemondock.java
@@ -74,7 +74,8 @@
   @Command(
       name = "node",
       description =
-          "One gateway of the platform, told all by the file that ROUTER_CONFIG or CONFIG names.")
+          "One gateway of the platform, told all by the file that ROUTER_CONFIG or CONFIG"
+              + " names.")
   static final class NodeCommand implements Callable<Integer> {
     @Parameters(arity = "0..1", paramLabel = "CONFIG")
     private String config;
--- a/cli/src/main/java/lemondock/cli/StatusCommand.java
+++ b/cli/src/main/java/lemondock/cli/StatusCommand.java
@@ -21,8 +21,8 @@
     name = "status",
     mixinStandardHelpOptions = true,
     description =
-        "Shows what one or several gateways see now; exits with 1 while service has fallen, 2 if"
-            + " none answers.")
+        "Shows what one or several gateways see now; exits with 1 while service has fallen,"
+            + " 2 if none answers.")
 final class StatusCommand implements Callable<Integer> {
   @Parameters(
       paramLabel = "HOST:PORT",
@@ -78,8 +78,8 @@
         text.append(
             String.format(
                 Locale.ROOT,
-                "FALLEN     %s in %s: %.0f %% of %d requests of the last seconds lost, "
-                    + "says %s%n",
+                "FALLEN     %s in %s: %.0f %% of %d requests of the last seconds"
+                    + " lost, says %s%n",
                 fall.path("class").asText(),
                 fall.path("zone").asText(),
                 100 * fall.path("loss").asDouble(),
--- a/cli/src/test/java/lemondock/cli/ProgramTest.java
+++ b/cli/src/test/java/lemondock/cli/ProgramTest.java
@@ -285,7 +285,7 @@
                     "arguments",
                     Map.of(
                         "prompt",
-                        "call the tool stock and then call the tool price answer in 3 words",
+                        "call the tool stock and then call the tool price" + " answer in 3 words",
                         "tools",
                         List.of(Map.of("name", "stock"), Map.of("name", "price")))),
                 type)
@@ -312,10 +312,8 @@
         Files.readString(Path.of("../conf/gateway.json"))
             .replace("127.0.0.1:8500", "127.0.0.1:" + cataloguePort)
             .replace("127.0.0.1:8080", "127.0.0.1:" + gatewayPort)
-            .replaceFirst(
-                "\\{",
-                "{\"rules\":{\"warmUpMs\":1},")); // the stand-ins have just started, and need no
-    // warming up
+            .replaceFirst("\\{", "{\"rules\":{\"warmUpMs\":1},")); // the stand-ins have just
+    // started, and need no warming up
     List<Process> processes = new ArrayList<>();
     try {
       processes.add(start("", "catalogue", "--config", folder.resolve("c.json").toString()));
--- a/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
+++ b/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
@@ -43,8 +43,8 @@
   @Test
   void thePagesOfTheRepositoryAreWhatTheCodeSays() throws IOException {
     String again =
-        "write it anew: bin/lemondock metrics > docs/METRICS.md; bin/lemondock metrics --types-db >"
-            + " conf/types.db";
+        "write it anew: bin/lemondock metrics > docs/METRICS.md; bin/lemondock metrics"
+            + " --types-db > conf/types.db";
     assertEquals(Catalogue.page(), Files.readString(Path.of("../docs/METRICS.md")), again);
     assertEquals(Catalogue.typesDb(), Files.readString(Path.of("../conf/types.db")), again);
     assertEquals(0, run("metrics", "--types-db", "--counter"));
@@ -119,7 +119,7 @@
     String text = StatusCommand.text(List.of(answer), List.of());
     assertTrue(
         text.startsWith(
-            "FALLEN     day-close in north: 60 % of 20 requests of the last seconds lost"),
+            "FALLEN     day-close in north: 60 % of 20 requests of the last seconds" + " lost"),
         text);
     assertTrue(text.contains("12.0 of 30.0 (40 %)") && text.contains("80.0 of 100.0 (80 %)"), text);
     assertTrue(text.contains("reports of gw-1 to g: 7 snapshots wait, 3 dropped"), text);
--- a/durable/src/main/java/lemondock/durable/AppendLog.java
+++ b/durable/src/main/java/lemondock/durable/AppendLog.java
@@ -140,7 +140,7 @@
       mend();
     }
     ByteBuffer bytes = framed(records, 0);
-    int size = bytes.remaining();
+    final int size = bytes.remaining();
     torn = true;
     put(out, bytes);
     out.sync();
--- a/durable/src/main/java/lemondock/durable/CallBook.java
+++ b/durable/src/main/java/lemondock/durable/CallBook.java
@@ -140,6 +140,15 @@
     return entry == null ? List.of() : List.copyOf(entry.relayed.values());
   }
 
+  /** A tool call is to be relayed; its record must be durable before it is. */
+  public byte[] relayed(String key, String id, String tool) {
+    Entry entry = entries.get(key);
+    if (entry != null && entry.relayed.size() < MOST_RELAYED) {
+      entry.relayed.put(id, new Relayed(id, tool, false));
+    }
+    return record(RELAYED, key, id, tool);
+  }
+
   /** Calls in the book. */
   public int size() {
     return entries.size();
@@ -157,15 +166,6 @@
     return record(TAKEN, key, "0", "");
   }
 
-  /** A tool call is to be relayed; its record must be durable before it is. */
-  public byte[] relayed(String key, String id, String tool) {
-    Entry entry = entries.get(key);
-    if (entry != null && entry.relayed.size() < MOST_RELAYED) {
-      entry.relayed.put(id, new Relayed(id, tool, false));
-    }
-    return record(RELAYED, key, id, tool);
-  }
-
   /** A relayed call's result has come. */
   public byte[] answered(String key, String id) {
     Entry entry = entries.get(key);
--- a/faults/src/main/java/lemondock/faults/FaultProxy.java
+++ b/faults/src/main/java/lemondock/faults/FaultProxy.java
@@ -335,7 +335,7 @@
     try {
       while (!closed) {
         selector.select(POLL_MILLIS);
-        long begun = Micros.now();
+        final long begun = Micros.now();
         for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
           task.run();
         }
--- a/faults/src/main/java/lemondock/faults/ModelServer.java
+++ b/faults/src/main/java/lemondock/faults/ModelServer.java
@@ -27,7 +27,9 @@
   private static final long FIRST_TOKEN_MICROS = 10_000;
   private static final long LOOK_MICROS = 4_000;
   private static final String HEAD =
-      "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
+      "HTTP/1.1 200 OK\r\n"
+          + "content-type: text/event-stream\r\n"
+          + "transfer-encoding: chunked\r\n\r\n";
   private static final String NOT_RUN = "\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
 
   final String id;
@@ -212,9 +214,8 @@
       places.release();
     }
     if (socket.isClosed()
-        || gone(
-            socket,
-            in)) { // also one that has hung notices before it keeps a state that nobody wants
+        || gone(socket, in)) { // also one that has hung notices before it keeps a state that nobody
+      // wants
       arrival.fate = Fate.DROPPED;
       return false;
     }
@@ -224,7 +225,9 @@
         .getOutputStream()
         .write(
             HttpText.bytes(
-                "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":4}"));
+                "HTTP/1.1 202 Accepted\r\n"
+                    + "content-length: 19\r\n\r\n"
+                    + "{\"cached_tokens\":4}"));
     return true;
   }
 
--- a/faults/src/main/java/lemondock/faults/SoakRun.java
+++ b/faults/src/main/java/lemondock/faults/SoakRun.java
@@ -71,7 +71,7 @@
     try (Fleet fleet = new Fleet(plan.shape(), project, folder, library, seed)) {
       fleet.start();
       List<Client> clients = clients(fleet);
-      List<Thread> load = clients.stream().map(client -> begun(client, "client")).toList();
+      final List<Thread> load = clients.stream().map(client -> begun(client, "client")).toList();
       List<Thread> faults = faults(fleet);
       Micros.sleep(LOAD);
       join(faults);
--- a/gateway/src/main/java/lemondock/gateway/Gateway.java
+++ b/gateway/src/main/java/lemondock/gateway/Gateway.java
@@ -108,7 +108,7 @@
         new Membership(settings.kinds().stream().map(GatewaySettings.Kind::name).toList());
     String agent = "lemondock/" + VERSION + " (" + settings.name() + ")";
     GatewaySettings.Engines engines = settings.engines();
-    HttpClient engineClient =
+    final HttpClient engineClient =
         new HttpClient(
             loop,
             network,
@@ -120,8 +120,8 @@
                 GatewaySettings.micros(engines.connectTimeoutMs()),
                 GatewaySettings.micros(engines.idleMs())));
     SecureRandom random = new SecureRandom();
-    long seed = settings.seed() != 0 ? settings.seed() : random.nextLong();
-    String life = Long.toString(loop.wallMillis(), 36);
+    final long seed = settings.seed() != 0 ? settings.seed() : random.nextLong();
+    final String life = Long.toString(loop.wallMillis(), 36);
     this.list = list(agent);
     this.tally = new GatewayTally(settings);
     this.lateness =
@@ -332,7 +332,7 @@
   }
 
   private void press(double memory, double handles) {
-    Pressure.Resource before = pressure.shortest();
+    final Pressure.Resource before = pressure.shortest();
     pressure.saw(loop.now(), memory, handles);
     admission.pressed(loop.now(), pressure.scale());
     if (pressure.refreshes(loop.now(), REFRESH_EVERY)) {
--- a/gateway/src/main/java/lemondock/gateway/WorkersProbe.java
+++ b/gateway/src/main/java/lemondock/gateway/WorkersProbe.java
@@ -41,9 +41,8 @@
           });
       return 0;
     } catch (RejectedExecutionException e) {
-      waiting =
-          false; // no place in the queue: all that is known is that nothing has passed since the
-      // last one
+      waiting = false; // no place in the queue: all that is known is that nothing has passed
+      // since the last one
       return Math.max(1, loop.now() - passedAt);
     }
   }
--- a/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
@@ -222,7 +222,8 @@
             .put("maxItems", MOST_TOOLS)
             .put(
                 "description",
-                "MCP tools that the client runs when they are called in the middle of the answer");
+                "MCP tools that the client runs when they are called in the middle"
+                    + " of the answer");
     ObjectNode tool = tools.putObject("items").put("type", "object");
     tool.putArray("required").add("name");
     ObjectNode fields = tool.putObject("properties");
--- a/gateway/src/main/java/lemondock/gateway/core/Calls.java
+++ b/gateway/src/main/java/lemondock/gateway/core/Calls.java
@@ -290,6 +290,11 @@
       }
     }
 
+    @Override
+    public void leave() {
+      ledger.leave(leg);
+    }
+
     /** Takes no more of the answer until {@link #resume}. */
     public void pause() {
       paused = true;
@@ -398,8 +403,8 @@
     public void relay(ToolCall call) {
       waits(true);
       if (waitingAnswers > settings.limits().maxWaitingAnswers()) {
-        cut("too many answers wait for their tools"); // the newest: the others may be answered any
-        // moment
+        cut("too many answers wait for their tools"); // the newest: the others may be
+        // answered any moment
         return;
       }
       toolsWaiting++;
@@ -471,11 +476,6 @@
       }
     }
 
-    @Override
-    public void leave() {
-      ledger.leave(leg);
-    }
-
     @Override
     public void ended(Answer.Ending ending) {
       aimLimit.cancel();
--- a/gateway/src/main/java/lemondock/gateway/core/OnceGuard.java
+++ b/gateway/src/main/java/lemondock/gateway/core/OnceGuard.java
@@ -82,6 +82,11 @@
     return book.relayed(key);
   }
 
+  /** A tool call is to be relayed; {@code then} hears the same. */
+  void relayed(String key, String id, String tool, Consumer<Boolean> then) {
+    durable(book.relayed(key, id, tool), then);
+  }
+
   /**
    * A call is taken; {@code then} hears once whether that is durable, at the latest when the time
    * for it is over.
@@ -90,11 +95,6 @@
     durable(book.taken(key, millis(loop)), then);
   }
 
-  /** A tool call is to be relayed; {@code then} hears the same. */
-  void relayed(String key, String id, String tool, Consumer<Boolean> then) {
-    durable(book.relayed(key, id, tool), then);
-  }
-
   /** Its result came. */
   void answered(String key, String id) {
     later(book.answered(key, id));
@@ -142,7 +142,7 @@
       if (failing) {
         LOG.atWarn()
             .addKeyValue("why", failure.getMessage())
-            .log("the book of calls cannot be written; calls that it guards are refused");
+            .log("the book of calls cannot be written; calls that it guards are" + " refused");
       } else {
         LOG.atInfo().log("the book of calls is written again");
       }
--- a/gateway/src/main/java/lemondock/gateway/count/CallCount.java
+++ b/gateway/src/main/java/lemondock/gateway/count/CallCount.java
@@ -129,8 +129,8 @@
     double pace = ending.tokens() > 1 ? (double) writing / (ending.tokens() - 1) : 0;
     boolean prompt = firstAt != 0 ? firstAt - arrivedAt <= aim : now - arrivedAt <= aim;
     boolean inTime = served && prompt && pace <= of.tokenAim;
-    boolean late = served && !inTime && pace <= LATE_PACE * of.tokenAim;
-    long ticket = counts.recorder().enter();
+    final boolean late = served && !inTime && pace <= LATE_PACE * of.tokenAim;
+    final long ticket = counts.recorder().enter();
     counts.recorder().add(request.requests().slot(GatewayTally.SERVED + ending.end().ordinal()), 1);
     counts.recorder().record(of.wholeTime, now - arrivedAt);
     if (ending.tokens() > 1) {
--- a/gateway/src/main/java/lemondock/gateway/count/GatewayTally.java
+++ b/gateway/src/main/java/lemondock/gateway/count/GatewayTally.java
@@ -141,7 +141,7 @@
   public void turnedAway(int classId, String tenant, boolean repeat) {
     ClassCount of = classes.get(classId);
     RequestCount request = request(of, classId, tenant);
-    long ticket = recorder.enter();
+    final long ticket = recorder.enter();
     count(of, request, repeat);
     recorder.add(request.requests.slot(REFUSED), 1);
     recorder.add(of.verdicts.slot(1), 1);
@@ -233,7 +233,7 @@
               z ->
                   new Series[] {tally.series(Metrics.HELD, z), tally.series(Metrics.HELD_TIME, z)});
     }
-    long ticket = recorder.enter();
+    final long ticket = recorder.enter();
     recorder.add(of[0].slot(field), 1);
     recorder.add(of[0].slot(3), change);
     if (waited >= 0) {
@@ -296,7 +296,7 @@
 
       @Override
       public void all(int parked, long tokensUnderWay, long room) {
-        long ticket = recorder.enter();
+        final long ticket = recorder.enter();
         recorder.set(module.slot(0), parked);
         recorder.set(module.slot(1), tokensUnderWay);
         recorder.set(module.slot(2), room);
--- a/gateway/src/main/java/lemondock/gateway/discovery/Listing.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/Listing.java
@@ -121,6 +121,14 @@
     return draining ? Routing.Standing.DRAINING : Routing.Standing.READY;
   }
 
+  private static Routing.Standing standing(String name, String at) throws Unreadable {
+    try {
+      return Routing.Standing.valueOf(name.toUpperCase(Locale.ROOT));
+    } catch (IllegalArgumentException e) {
+      throw new Unreadable(at + ": expected ready, draining or gone, found " + name);
+    }
+  }
+
   private static JsonNode tree(byte[] text) throws Unreadable {
     try {
       JsonNode root = MAPPER.readTree(text);
@@ -149,14 +157,6 @@
     return weight;
   }
 
-  private static Routing.Standing standing(String name, String at) throws Unreadable {
-    try {
-      return Routing.Standing.valueOf(name.toUpperCase(Locale.ROOT));
-    } catch (IllegalArgumentException e) {
-      throw new Unreadable(at + ": expected ready, draining or gone, found " + name);
-    }
-  }
-
   private static InetSocketAddress address(String text, String at) throws Unreadable {
     try {
       InetSocketAddress address = SettingsFile.address(text);
--- a/gateway/src/main/java/lemondock/gateway/front/McpFront.java
+++ b/gateway/src/main/java/lemondock/gateway/front/McpFront.java
@@ -459,7 +459,7 @@
     if (!taken) {
       LOG.atInfo()
           .addKeyValue("request", clip(response.id().toString()))
-          .log("a response that nobody waits for (unknown, late or a repeat) was dropped");
+          .log("a response that nobody waits for (unknown, late or a repeat) was" + " dropped");
     }
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/front/Stream.java
+++ b/gateway/src/main/java/lemondock/gateway/front/Stream.java
@@ -150,10 +150,8 @@
     if (!finished) {
       begin(data != null);
       out.text(
-          data == null
-              ? ""
-              : data); // JSON on one line: what this program writes has no line ends outside of
-      // strings
+          data == null ? "" : data); // JSON on one line: what this program writes has no line ends
+      // outside of strings
       end();
     }
   }
--- a/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
@@ -467,7 +467,7 @@
                                   StandardCopyOption.ATOMIC_MOVE);
                             } catch (IOException e) {
                               LOG.warn(
-                                  "the final tally cannot be written to {}: {}",
+                                  "the final tally cannot be" + " written to {}: {}",
                                   file,
                                   e.getMessage());
                             }
--- a/gateway/src/main/java/lemondock/gateway/settings/SettingsFile.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/SettingsFile.java
@@ -147,8 +147,8 @@
     for (int i = 0; i < r.destinations().size(); i++) {
       GatewaySettings.Destination d = r.destinations().get(i);
       String at = "/reporting/destinations/" + i;
-      boolean collectd = d.kind().equals("collectd");
-      boolean sealed = d.security() != null && !d.security().equals("none");
+      final boolean collectd = d.kind().equals("collectd");
+      final boolean sealed = d.security() != null && !d.security().equals("none");
       if (!names.add(d.name())) {
         report.problem(at + "/name", "expected a name used once, found " + d.name() + " again");
       }
--- a/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
+++ b/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
@@ -270,7 +270,9 @@
 
   private static final String READ = ok("{\"kv_transfer_params\":{\"x\":1}}");
   private static final String STREAM =
-      "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
+      "HTTP/1.1 200 OK\r\n"
+          + "content-type: text/event-stream\r\n"
+          + "transfer-encoding: chunked\r\n\r\n";
 
   private static String event(String data) {
     String text = "data: " + data + "\n\n";
@@ -354,7 +356,7 @@
   void aStallOfTheProcessIsNotTheEnginesAndWhatCameMeanwhileIsHeardFirst() {
     lateness.ticked(loop.now());
     long id = open();
-    Line read = send(id, reader);
+    final Line read = send(id, reader);
     host.timer(7, 200_000); // the module wants to look whether the read is overdue
     loop.move(50_000);
     loop.standStill(3_000_000);
@@ -441,7 +443,7 @@
 
   @Test
   void aDefectOfTheModuleFailsItsRequestAndNoOther() {
-    long before = open();
+    final long before = open();
     faulty = true;
     open();
     assertEquals(List.of("failed"), heard);
--- a/gateway/src/test/java/lemondock/gateway/discovery/MembershipTest.java
+++ b/gateway/src/test/java/lemondock/gateway/discovery/MembershipTest.java
@@ -71,7 +71,7 @@
     for (int i = 0; i < 100; i++) {
       listed.add(entry("s" + i, "reader", Standing.READY, WALL - i));
     }
-    List<Routing.Server> first = counted.update(listed, false, NOW, WALL).servers();
+    final List<Routing.Server> first = counted.update(listed, false, NOW, WALL).servers();
     assertEquals(100, numbered.get());
     listed.set(3, entry("s3", "reader", Standing.DRAINING, WALL - 3));
     listed.remove(7);
@@ -269,8 +269,8 @@
         "nonsense ~ expected JSON",
         "{\"servers\":1} ~ /servers: expected an array",
         "{\"servers\":[{\"name\":\"\"}]} ~ /servers/0/name: expected a text",
-        "{\"servers\":[{\"name\":\"a\",\"address\":\"x\",\"kind\":\"k\"}]} ~ /servers/0/address:"
-            + " expected HOST:PORT",
+        "{\"servers\":[{\"name\":\"a\",\"address\":\"x\",\"kind\":\"k\"}]} ~"
+            + " /servers/0/address: expected HOST:PORT",
         "{\"servers\":[{\"name\":\"a\",\"address\":\"127.0.0.1:1\",\"kind\":\"k\",\"weight\":-1}]}"
             + " ~ expected a weight",
         "{\"servers\":[{\"name\":\"a\",\"address\":\"127.0.0.1:1\",\"kind\":\"k\",\"standing\":\"x\"}]}"
--- a/gateway/src/test/java/lemondock/gateway/engine/PlainPieceTest.java
+++ b/gateway/src/test/java/lemondock/gateway/engine/PlainPieceTest.java
@@ -19,6 +19,7 @@
  * What the quick reader takes means what the whole reader says, and what it does not take it leaves
  * alone.
  */
+@SuppressWarnings("checkstyle:AvoidEscapedUnicodeCharacters") // The escapes are what is parsed.
 class PlainPieceTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private final PlainPiece piece = new PlainPiece();
--- a/gateway/src/test/java/lemondock/gateway/settings/SettingsFileTest.java
+++ b/gateway/src/test/java/lemondock/gateway/settings/SettingsFileTest.java
@@ -45,25 +45,27 @@
   @CsvSource(
       delimiter = '~',
       value = {
-        "\"name\":\"g\" ~ \"name\":7 ~ g.json: /name: expected: integer found, string expected;"
-            + " found: 7",
+        "\"name\":\"g\" ~ \"name\":7 ~ g.json: /name: expected: integer found, string"
+            + " expected; found: 7",
         "\"name\":\"g\" ~ \"nam\":\"g\" ~ name",
         "8080 ~ 99999 ~ /front/listen: expected HOST:PORT with a port up to 65535, found"
             + " 127.0.0.1:99999",
-        "\"deadlineMs\":5000 ~ \"deadlineMs\":500 ~ /classes/0/deadlineMs: expected at least aimMs"
-            + " (1000.0), found 500.0",
+        "\"deadlineMs\":5000 ~ \"deadlineMs\":500 ~ /classes/0/deadlineMs: expected at"
+            + " least aimMs (1000.0), found 500.0",
         "\"repeatWindowMs\":500 ~ \"repeatWindowMs\":0 ~ /classes/0/repeatWindowMs",
         "\"aimMs\":1000 ~ \"aimMs\":-1 ~ /classes/0/aimMs",
         "\"repeat\":\"keyed\" ~ \"repeat\":\"often\" ~ /classes/0/repeat",
         "\"path\":\"list.json\" ~ \"pollMs\":5 ~ path",
-        "\"role\":\"mixed\" ~ \"role\":\"reader\" ~ /kinds: expected kinds that can read and kinds"
-            + " that can write, found no writer",
-        "\"front\" ~ \"number\":3,\"front\" ~ /number: expected less than /gateways (1), found 3",
+        "\"role\":\"mixed\" ~ \"role\":\"reader\" ~ /kinds: expected kinds that can read"
+            + " and kinds that can write, found no writer",
+        "\"front\" ~ \"number\":3,\"front\" ~ /number: expected less than /gateways (1),"
+            + " found 3",
         "[{\"name\":\"m\",\"role\":\"mixed\"}] ~"
             + " [{\"name\":\"m\",\"role\":\"mixed\"},{\"name\":\"m\",\"role\":\"mixed\"}] ~"
             + " /kinds/1/name",
-        "{\"name\":\"g\" ~ {\"overload\":{\"softPart\":0.9,\"hardPart\":0.85},\"name\":\"g\" "
-            + "~ /overload/hardPart: expected more than softPart (0.9), found 0.85",
+        "{\"name\":\"g\" ~"
+            + " {\"overload\":{\"softPart\":0.9,\"hardPart\":0.85},\"name\":\"g\" ~"
+            + " /overload/hardPart: expected more than softPart (0.9), found 0.85",
         "}]} ~ }]} x ~ g.json:1:",
       })
   void aProblemNamesFilePointerExpectedAndFound(String part, String by, String problem) {
@@ -76,22 +78,24 @@
   @CsvSource(
       delimiter = '~',
       value = {
-        "\"intervalMs\":1500 ~ /reporting/intervalMs: expected a multiple of tickMs (1000.0), found"
-            + " 1500.0",
+        "\"intervalMs\":1500 ~ /reporting/intervalMs: expected a multiple of tickMs"
+            + " (1000.0), found 1500.0",
         "\"tickMs\":0 ~ /reporting/tickMs",
-        "\"detector\":{\"leastUsual\":0.4,\"mostUsual\":0.3} ~ /reporting/detector/mostUsual:"
-            + " expected at least leastUsual (0.4)",
-        "D{\"name\":\"a\",\"kind\":\"graphite\"} ~ /reporting/destinations/0: expected: required"
-            + " property 'address'",
+        "\"detector\":{\"leastUsual\":0.4,\"mostUsual\":0.3} ~"
+            + " /reporting/detector/mostUsual: expected at least leastUsual (0.4)",
+        "D{\"name\":\"a\",\"kind\":\"graphite\"} ~ /reporting/destinations/0: expected:"
+            + " required property 'address'",
         "D{\"name\":\"a\",\"kind\":\"collectd-unixsock\"} ~ required property 'path'",
         "D{\"name\":\"a\",\"kind\":\"statsd\",\"address\":\"h:1\"} ~"
             + " /reporting/destinations/0/kind",
         "D{\"name\":\"a\",\"kind\":\"graphite\",\"address\":\"h:99999\"} ~"
             + " /reporting/destinations/0/address: expected HOST:PORT",
-        "D{\"name\":\"a\",\"kind\":\"graphite\",\"address\":\"h:1\",\"security\":\"sign\"} "
-            + "~ /reporting/destinations/0/security: expected none for kind 'graphite', found sign",
-        "D{\"name\":\"a\",\"kind\":\"collectd\",\"address\":\"h:1\",\"tags\":true} "
-            + "~ /reporting/destinations/0/tags: expected none for kind 'collectd', found true",
+        "D{\"name\":\"a\",\"kind\":\"graphite\",\"address\":\"h:1\",\"security\":\"sign\"}"
+            + " ~ /reporting/destinations/0/security: expected none for kind 'graphite',"
+            + " found sign",
+        "D{\"name\":\"a\",\"kind\":\"collectd\",\"address\":\"h:1\",\"tags\":true} ~"
+            + " /reporting/destinations/0/tags: expected none for kind 'collectd', found"
+            + " true",
         "D{\"name\":\"a\",\"kind\":\"collectd\",\"address\":\"h:1\",\"security\":\"sign\",\"username\":\"u\"}"
             + " ~ expected username and authFile with security 'sign', found no authFile",
         "D{\"name\":\"a\",\"kind\":\"collectd\",\"address\":\"h:1\",\"username\":\"u\"} "
--- a/ledger/src/main/java/lemondock/ledger/Ledger.java
+++ b/ledger/src/main/java/lemondock/ledger/Ledger.java
@@ -462,7 +462,7 @@
 
   /** The one place where an attempt ends. */
   private void end(Attempt attempt, Ending ending, int kept, boolean stateMissing, String what) {
-    Entry<P, S, C> entry = attempt.entry;
+    final Entry<P, S, C> entry = attempt.entry;
     if (attempt.over) {
       return;
     }
@@ -477,7 +477,7 @@
     }
     boolean stream = entry.stream == attempt;
     boolean ends = stream || ending == Ending.OK;
-    boolean first = ends && !entry.ended;
+    final boolean first = ends && !entry.ended;
     entry.ended |= ends;
     if (ending != Ending.OK && ending != Ending.READ && LOG.isDebugEnabled()) {
       LOG.atDebug()
--- a/ledger/src/main/java/lemondock/ledger/Membership.java
+++ b/ledger/src/main/java/lemondock/ledger/Membership.java
@@ -146,6 +146,11 @@
     return now == null ? Routing.Standing.GONE : now.entry().standing();
   }
 
+  private static Routing.Server standing(Routing.Server s, Routing.Standing standing) {
+    return new Routing.Server(
+        s.id(), s.zone(), s.kind(), s.cell(), standing, s.weight(), s.startedAt());
+  }
+
   /** The place in the settings of a known server's kind. */
   public int kind(long id) {
     return kinds.indexOf(entry(id).kind());
@@ -184,11 +189,6 @@
             startedAt));
   }
 
-  private static Routing.Server standing(Routing.Server s, Routing.Standing standing) {
-    return new Routing.Server(
-        s.id(), s.zone(), s.kind(), s.cell(), standing, s.weight(), s.startedAt());
-  }
-
   private void remember(long id, Listed before) {
     gone.put(id, before);
     if (gone.size() > MOST_GONE) {
--- a/measure/src/main/java/lemondock/measure/Affinity.java
+++ b/measure/src/main/java/lemondock/measure/Affinity.java
@@ -99,8 +99,10 @@
             + (int) READ_A_SECOND
             + " tokens a second, "
             + AT_A_TIME
-            + " calls at a time\n| the leg behind the call | prompt tokens found kept, of all legs "
-            + "| from its arrival to its writing, ms p50 | p99 |\n| --- | --- | --- | --- |");
+            + " calls at a time\n"
+            + "| the leg behind the call | prompt tokens found kept, of all legs | from"
+            + " its arrival to its writing, ms p50 | p99 |\n"
+            + "| --- | --- | --- | --- |");
     for (boolean anew : new boolean[] {false, true}) {
       AtomicLongArray kept = new AtomicLongArray(2);
       List<Long> times = run(anew, kept);
--- a/measure/src/main/java/lemondock/measure/Decisions.java
+++ b/measure/src/main/java/lemondock/measure/Decisions.java
@@ -95,7 +95,7 @@
         begun = System.nanoTime();
       }
       now += 1_000;
-      long at = System.nanoTime();
+      final long at = System.nanoTime();
       control.request(
           now,
           new Routing.Request(
--- a/measure/src/main/java/lemondock/measure/DetectorDays.java
+++ b/measure/src/main/java/lemondock/measure/DetectorDays.java
@@ -173,7 +173,7 @@
           Collections.sort(score.delays);
           System.out.printf(
               Locale.ROOT,
-              "| %s | %d | %d (%.0f %%) | %.2f / %.2f | %d / %d | %.1f | %d, %d, %d |%n",
+              "| %s | %d | %d (%.0f %%) | %.2f / %.2f | %d / %d | %.1f | %d, %d, %d" + " |%n",
               name,
               score.falls,
               score.delays.size(),
@@ -189,26 +189,6 @@
         });
   }
 
-  private static Cusum.Settings with(double threshold) {
-    Cusum.Settings d = Cusum.Settings.DEFAULT;
-    return new Cusum.Settings(
-        d.leastUsual(),
-        d.mostUsual(),
-        d.fall(),
-        d.times(),
-        threshold,
-        d.clear(),
-        d.hold(),
-        d.quiet(),
-        d.memory());
-  }
-
-  private static double at(List<Double> sorted, double share) {
-    return sorted.isEmpty()
-        ? Double.NaN
-        : sorted.get((int) Math.min(sorted.size() - 1, sorted.size() * share));
-  }
-
   private static void judge(JsonNode day, Supplier<Evidence> evidence, Score score) {
     Map<String, Map<String, List<Call>>> seen = new TreeMap<>(); // gateway -> class or all -> calls
     for (JsonNode c : day.get("calls")) {
@@ -234,6 +214,26 @@
         });
   }
 
+  private static Cusum.Settings with(double threshold) {
+    Cusum.Settings d = Cusum.Settings.DEFAULT;
+    return new Cusum.Settings(
+        d.leastUsual(),
+        d.mostUsual(),
+        d.fall(),
+        d.times(),
+        threshold,
+        d.clear(),
+        d.hold(),
+        d.quiet(),
+        d.memory());
+  }
+
+  private static double at(List<Double> sorted, double share) {
+    return sorted.isEmpty()
+        ? Double.NaN
+        : sorted.get((int) Math.min(sorted.size() - 1, sorted.size() * share));
+  }
+
   private static List<Span> falls(List<Call> calls) {
     List<Call> sorted =
         calls.stream().sorted(java.util.Comparator.comparingLong(Call::at)).toList();
--- a/measure/src/main/java/lemondock/measure/Ledgers.java
+++ b/measure/src/main/java/lemondock/measure/Ledgers.java
@@ -52,8 +52,8 @@
             + " s, median (spread); file system "
             + Files.getFileStore(root).type()
             + "\n"
-            + "| calls a second | book | until durable p50 us | p99 us | syncs a second | CPU us a"
-            + " call |\n"
+            + "| calls a second | book | until durable p50 us | p99 us | syncs a second"
+            + " | CPU us a call |\n"
             + "| --- | --- | --- | --- | --- | --- |");
     for (double rate : RATES) {
       double[][][] rows = new double[2][4][rounds];
@@ -78,7 +78,9 @@
       }
     }
     System.out.println(
-        "\n| calls in the log | bytes | until all are known again, ms |\n| --- | --- | --- |");
+        "\n"
+            + "| calls in the log | bytes | until all are known again, ms |\n"
+            + "| --- | --- | --- |");
     for (int size : SIZES) {
       recovery(root.resolve("s" + size), size, rounds);
     }
--- a/measure/src/main/java/lemondock/measure/Measure.java
+++ b/measure/src/main/java/lemondock/measure/Measure.java
@@ -65,7 +65,9 @@
         default ->
             System.err.println(
                 "usage: measure"
-                    + " [all|latency|relay|open|overload|recovery|threads|fair|quiet|waiting|ledger|affinity|toolcall|decisions|recording|reports|reporting|detector"
+                    + " [all|latency|relay|open|overload|recovery|threads|fair"
+                    + "|quiet|waiting|ledger|affinity|toolcall"
+                    + "|decisions|recording|reports|reporting|detector"
                     + " FILE...]");
       }
     } finally {
@@ -145,9 +147,9 @@
         try (Load load = new Load(2)) {
           List<String> sessions = w == 2 ? load.sessions(child.port, streams) : List.of();
           CountDownLatch done = new CountDownLatch(streams);
-          Duration before = child.cpu();
-          Duration engineBefore = engine.cpu();
-          Duration loadBefore =
+          final Duration before = child.cpu();
+          final Duration engineBefore = engine.cpu();
+          final Duration loadBefore =
               ProcessHandle.current().info().totalCpuDuration().orElse(Duration.ZERO);
           for (int i = 0; i < streams; i++) {
             String prompt = "#s" + i + "# stamp each word answer in " + words + " words";
@@ -162,8 +164,8 @@
               Thread.sleep(2); // arrivals over some time, not all at once
             }
           }
-          // while all streams run and none begins or ends: what a token costs, not a call and not
-          // the compiler
+          // while all streams run and none begins or ends: what a token costs, not a call
+          // and not the compiler
           Thread.sleep(SETTLES);
           long tokens = load.events.get();
           Duration from = child.cpu();
@@ -210,10 +212,11 @@
             + " tokens, one every 20 ms; "
             + rounds
             + " rounds, median (spread)\n"
-            + "| way | first p50 us | first p99 us | token p50 us | token p99 us | token p99.9 us |"
-            + " CPU us a token | with calls begun and ended | engine's | load's | failures | bytes"
-            + " allocated a token |\n"
-            + "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+            + "| way | first p50 us | first p99 us | token p50 us | token p99 us |"
+            + " token p99.9 us | CPU us a token | with calls begun and ended | engine's"
+            + " | load's | failures | bytes allocated a token |\n"
+            + "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | ---"
+            + " |");
     for (int w = 0; w < ways.length; w++) {
       StringBuilder line = new StringBuilder("| " + ways[w]);
       for (double[] column : rows[w]) {
@@ -300,8 +303,8 @@
         }
       }
       System.out.println(
-          "| reports | first p99 us | token p50 us | token p99 us | token p99.9 us | events/s | CPU"
-              + " s | failures |\n"
+          "| reports | first p99 us | token p50 us | token p99 us | token p99.9 us |"
+              + " events/s | CPU s | failures |\n"
               + "| --- | --- | --- | --- | --- | --- | --- | --- |");
       results.forEach(
           (kind, rows) -> {
@@ -375,8 +378,8 @@
           if (round == 1) {
             System.out.printf(
                 Locale.ROOT,
-                "relay, %d streams, %s: %d events in %.1f s (%.0f a second), %d failures, "
-                    + "%.1f s of CPU, %.0f events a CPU second%n",
+                "relay, %d streams, %s: %d events in %.1f s (%.0f a second), %d"
+                    + " failures, %.1f s of CPU, %.0f events a CPU second%n",
                 streams,
                 through ? "gateway" : "netty",
                 load.events.get(),
@@ -411,7 +414,8 @@
             + " events as fast as they are taken; "
             + rounds
             + " rounds, median (spread)\n"
-            + "| I/O threads | events a second | events a CPU second | bytes allocated an event |\n"
+            + "| I/O threads | events a second | events a CPU second | bytes allocated"
+            + " an event |\n"
             + "| --- | --- | --- | --- |");
     for (int threads : new int[] {1, 2, 4, 8}) {
       Path file = settings(hose.port);
@@ -491,8 +495,8 @@
             + " giants; "
             + rounds
             + " rounds, median (spread)\n"
-            + "| giants | token p50 us | token p99 us | token p99.9 us | giants' events a second"
-            + " |\n"
+            + "| giants | token p50 us | token p99 us | token p99.9 us | giants' events"
+            + " a second |\n"
             + "| --- | --- | --- | --- | --- |");
     String huge = " answer in 100000 words of 8000 letters without pause";
     for (String where : new String[] {"none", "beside the gateway", "over the same shard"}) {
@@ -502,7 +506,7 @@
             Load giant = new Load(1)) {
           List<String> sessions = load.sessions(gateway.port, streams + giants);
           CountDownLatch done = new CountDownLatch(streams);
-          long begun = System.nanoTime();
+          final long begun = System.nanoTime();
           for (int i = 0; i < (where.equals("none") ? 0 : giants); i++) {
             boolean over = where.equals("over the same shard");
             String prompt = "#g" + i + "#" + huge;
@@ -543,13 +547,13 @@
    * take nothing.
    */
   private static void quiet() throws Exception {
-    int idle = Integer.getInteger("idle", 5_000);
+    final int idle = Integer.getInteger("idle", 5_000);
     int stalled = Integer.getInteger("stalled", 100);
     Child engine = new Child("4g", "engine", "40000", "1");
     Child gateway = new Child("1g", "gateway", settings(engine.port).toString());
     System.out.println(
-        "| | CPU % of one processor, median (spread) of 10 times 1 s | heap MB after a collection"
-            + " |\n"
+        "| | CPU % of one processor, median (spread) of 10 times 1 s | heap MB after a"
+            + " collection |\n"
             + "| --- | --- | --- |");
     TimeUnit.SECONDS.sleep(3);
     System.out.println("| nothing | " + cpuShare(gateway) + " | " + gateway.memory()[1] + " |");
@@ -603,8 +607,8 @@
     Child engine = new Child("4g", "engine", "40000", "1");
     Child gateway = new Child("512m", "gateway", settings(engine.port).toString());
     System.out.println(
-        "| answers waiting | heap MB after a collection | CPU % of one processor | a call of 20"
-            + " tokens beside them, first token p50, p99 us |\n"
+        "| answers waiting | heap MB after a collection | CPU % of one processor | a call"
+            + " of 20 tokens beside them, first token p50, p99 us |\n"
             + "| --- | --- | --- | --- |");
     List<java.net.Socket> sockets = new ArrayList<>();
     for (int most : new int[] {0, answers / 10, answers}) {
@@ -675,8 +679,11 @@
     socket
         .getOutputStream()
         .write(
-            ("POST /mcp HTTP/1.1\r\nhost: localhost\r\ncontent-type: application/json\r\naccept: "
-                    + "text/event-stream\r\nmcp-session-id: "
+            ("POST /mcp HTTP/1.1\r\n"
+                    + "host: localhost\r\n"
+                    + "content-type: application/json\r\n"
+                    + "accept: text/event-stream\r\n"
+                    + "mcp-session-id: "
                     + session
                     + "\r\ncontent-length: "
                     + body.length
--- a/measure/src/main/java/lemondock/measure/Overload.java
+++ b/measure/src/main/java/lemondock/measure/Overload.java
@@ -279,6 +279,79 @@
     return last / 10.0 - burstEnd;
   }
 
+  /**
+   * How long after a burst of ten times the capacity, and after a pause of the process, calls are
+   * in time again.
+   */
+  static void recovery() throws Exception {
+    int rounds = Integer.getInteger("rounds", 5);
+    Child engine = otherProcessors("engine", "100000", "5");
+    Overload it = new Overload();
+    Child gateway = oneProcessor(overloadSettings("\"limits\":{\"maxCalls\":40000}", engine.port));
+    try (Load load = overloadLoad()) {
+      it.run(load, gateway.port, new double[] {100, 400}, new double[] {4, 4}, 1);
+    }
+    double capacity = KNOWN > 0 ? KNOWN : it.capacity(Overload::overloadLoad, gateway.port);
+    System.out.printf(
+        Locale.ROOT,
+        "capacity %.0f calls a second on one processor; %d rounds%n",
+        capacity,
+        rounds);
+    List<Double> after = new ArrayList<>();
+    List<Double> broken = new ArrayList<>();
+    for (int round = 0; round < rounds; round++) {
+      try (Load load = overloadLoad()) {
+        Outcome outcome =
+            it.run(
+                load,
+                gateway.port,
+                new double[] {capacity / 2, capacity * 10, capacity / 2},
+                new double[] {3, 10, 8},
+                20 + round);
+        outcome.trace(12);
+        after.add(1_000 * recovery(outcome, 13));
+        broken.add((double) outcome.broken.get());
+      }
+    }
+    System.out.println(
+        "after a burst of 10 s: in time again after "
+            + spread(after)
+            + " ms; broken streams "
+            + spread(broken));
+    after.clear();
+    broken.clear();
+    for (int round = 0; round < rounds; round++) {
+      try (Load load = overloadLoad()) {
+        Thread pause =
+            new Thread(
+                () -> {
+                  try {
+                    TimeUnit.SECONDS.sleep(3);
+                    gateway.signal("STOP");
+                    TimeUnit.SECONDS.sleep(3);
+                    gateway.signal("CONT");
+                  } catch (IOException | InterruptedException e) {
+                    throw new IllegalStateException(e);
+                  }
+                });
+        pause.start();
+        Outcome outcome =
+            it.run(load, gateway.port, new double[] {capacity / 2}, new double[] {14}, 40 + round);
+        pause.join();
+        outcome.trace(2);
+        after.add(1_000 * recovery(outcome, 6.2)); // sessions are opened first
+        broken.add((double) outcome.broken.get());
+      }
+    }
+    System.out.println(
+        "after a pause of 3 s: in time again after "
+            + spread(after)
+            + " ms; broken streams "
+            + spread(broken));
+    gateway.process.destroy();
+    engine.process.destroy();
+  }
+
   private static Path overloadSettings(String more, int engine) throws IOException {
     Path plain = Measure.settings("{\"tickMs\":10,\"intervalMs\":10}", engine);
     String text = Files.readString(plain);
@@ -320,12 +393,13 @@
     }
     double capacity = KNOWN > 0 ? KNOWN : it.capacity(Overload::overloadLoad, first.port);
     first.process.destroy();
-    int cap =
-        Math.max(4, (int) (capacity * 0.15)); // Little: an answer of 100 ms, and half as much again
+    final int cap =
+        Math.max(4, (int) (capacity * 0.15)); // Little: an answer of 100 ms, and half as much
+    // again
     System.out.printf(
         Locale.ROOT,
-        "capacity %.0f calls a second on one processor; worth in time a second, %d rounds of %.0f"
-            + " s, median (spread)%n",
+        "capacity %.0f calls a second on one processor; worth in time a second, %d rounds"
+            + " of %.0f s, median (spread)%n",
         capacity,
         rounds,
         seconds);
@@ -361,8 +435,8 @@
             cpu.add(gateway.cpu().minus(before).toMillis() / 10.0 / seconds);
             System.err.printf(
                 Locale.ROOT,
-                "%s at %.1f x: worth %.0f, sent %d, in time %d and %d, refused %d, late %d, broken"
-                    + " %d%n",
+                "%s at %.1f x: worth %.0f, sent %d, in time %d and %d, refused %d,"
+                    + " late %d, broken %d%n",
                 way.getKey(),
                 times,
                 outcome.worth(),
@@ -382,77 +456,4 @@
     }
     engine.process.destroy();
   }
-
-  /**
-   * How long after a burst of ten times the capacity, and after a pause of the process, calls are
-   * in time again.
-   */
-  static void recovery() throws Exception {
-    int rounds = Integer.getInteger("rounds", 5);
-    Child engine = otherProcessors("engine", "100000", "5");
-    Overload it = new Overload();
-    Child gateway = oneProcessor(overloadSettings("\"limits\":{\"maxCalls\":40000}", engine.port));
-    try (Load load = overloadLoad()) {
-      it.run(load, gateway.port, new double[] {100, 400}, new double[] {4, 4}, 1);
-    }
-    double capacity = KNOWN > 0 ? KNOWN : it.capacity(Overload::overloadLoad, gateway.port);
-    System.out.printf(
-        Locale.ROOT,
-        "capacity %.0f calls a second on one processor; %d rounds%n",
-        capacity,
-        rounds);
-    List<Double> after = new ArrayList<>();
-    List<Double> broken = new ArrayList<>();
-    for (int round = 0; round < rounds; round++) {
-      try (Load load = overloadLoad()) {
-        Outcome outcome =
-            it.run(
-                load,
-                gateway.port,
-                new double[] {capacity / 2, capacity * 10, capacity / 2},
-                new double[] {3, 10, 8},
-                20 + round);
-        outcome.trace(12);
-        after.add(1_000 * recovery(outcome, 13));
-        broken.add((double) outcome.broken.get());
-      }
-    }
-    System.out.println(
-        "after a burst of 10 s: in time again after "
-            + spread(after)
-            + " ms; broken streams "
-            + spread(broken));
-    after.clear();
-    broken.clear();
-    for (int round = 0; round < rounds; round++) {
-      try (Load load = overloadLoad()) {
-        Thread pause =
-            new Thread(
-                () -> {
-                  try {
-                    TimeUnit.SECONDS.sleep(3);
-                    gateway.signal("STOP");
-                    TimeUnit.SECONDS.sleep(3);
-                    gateway.signal("CONT");
-                  } catch (IOException | InterruptedException e) {
-                    throw new IllegalStateException(e);
-                  }
-                });
-        pause.start();
-        Outcome outcome =
-            it.run(load, gateway.port, new double[] {capacity / 2}, new double[] {14}, 40 + round);
-        pause.join();
-        outcome.trace(2);
-        after.add(1_000 * recovery(outcome, 6.2)); // sessions are opened first
-        broken.add((double) outcome.broken.get());
-      }
-    }
-    System.out.println(
-        "after a pause of 3 s: in time again after "
-            + spread(after)
-            + " ms; broken streams "
-            + spread(broken));
-    gateway.process.destroy();
-    engine.process.destroy();
-  }
 }
--- a/measure/src/main/java/lemondock/measure/Reports.java
+++ b/measure/src/main/java/lemondock/measure/Reports.java
@@ -33,8 +33,9 @@
 
   static void run() {
     System.out.println(
-        "| tenants | values | snapshot us | plaintext | pickle | PUTVAL | collectd packets, bytes |"
-            + " signed | encrypted | encode ms (spread) | ring of an hour, MB | copies, MB |");
+        "| tenants | values | snapshot us | plaintext | pickle | PUTVAL | collectd packets,"
+            + " bytes | signed | encrypted | encode ms (spread) | ring of an hour, MB |"
+            + " copies, MB |");
     System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for (int tenants : new int[] {3, 100, 1_000}) {
       report(tenants);
@@ -101,8 +102,8 @@
     java.util.Arrays.sort(encode);
     System.out.printf(
         Locale.ROOT,
-        "| %d | %d | p50 %d, p99 %d | %d | %d | %d | %d, %d | %d, %d | %d, %d | %.2f (%.2f to %.2f)"
-            + " | %.2f | %.1f |%n",
+        "| %d | %d | p50 %d, p99 %d | %d | %d | %d | %d, %d | %d, %d | %d, %d | %.2f (%.2f"
+            + " to %.2f) | %.2f | %.1f |%n",
         tenants,
         view.values().length,
         took[SNAPSHOTS / 2] / 1000,
--- a/measure/src/main/java/lemondock/measure/Roles.java
+++ b/measure/src/main/java/lemondock/measure/Roles.java
@@ -260,12 +260,14 @@
   private static final class Hose extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final Pattern COUNT = Pattern.compile("send (\\d+) events");
     private static final byte[] EVENT =
-        ("data: {\"id\":\"chatcmpl-1\",\"object\":\"chat.completion.chunk\",\"choices\":"
-                + "[{\"index\":0,\"delta\":{\"content\":\" word\"},\"finish_reason\":null}]}\n\n")
+        ("data:"
+             + " {\"id\":\"chatcmpl-1\",\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\""
+             + " word\"},\"finish_reason\":null}]}\n\n")
             .getBytes(StandardCharsets.UTF_8);
     private static final byte[] END =
-        ("data: {\"id\":\"chatcmpl-1\",\"object\":\"chat.completion.chunk\",\"choices\":"
-                + "[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n")
+        ("data:"
+             + " {\"id\":\"chatcmpl-1\",\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n"
+             + "data: [DONE]\n\n")
             .getBytes(StandardCharsets.UTF_8);
     private int left;
 
--- a/measure/src/main/java/lemondock/measure/ToolCalls.java
+++ b/measure/src/main/java/lemondock/measure/ToolCalls.java
@@ -100,8 +100,8 @@
             + " calls with one tool call each, one at a time, "
             + rounds
             + " rounds, median (spread)\n"
-            + "| client speaks with | from the calling turn's end to the next turn's arrival, us"
-            + " p50 | p99 |\n"
+            + "| client speaks with | from the calling turn's end to the next turn's"
+            + " arrival, us p50 | p99 |\n"
             + "| --- | --- | --- |");
     System.out.println(
         "| the engine"
--- a/net/src/main/java/lemondock/net/OutBuffer.java
+++ b/net/src/main/java/lemondock/net/OutBuffer.java
@@ -130,15 +130,14 @@
 
   /** Makes it one chunk of HTTP/1.1 content. */
   public OutBuffer chunked() {
-    int length = length();
-    from -= 2;
-    bytes[from] = '\r';
-    bytes[from + 1] = '\n';
+    int remaining = length();
+    bytes[--from] = '\n';
+    bytes[--from] = '\r';
     do {
-      int digit = length & 0xf;
+      int digit = remaining & 0xf;
       bytes[--from] = (byte) (digit < 10 ? '0' + digit : 'a' + digit - 10);
-      length >>>= 4;
-    } while (length > 0);
+      remaining >>>= 4;
+    } while (remaining > 0);
     return add('\r').add('\n');
   }
 
--- a/net/src/main/java/lemondock/net/http/HttpClient.java
+++ b/net/src/main/java/lemondock/net/http/HttpClient.java
@@ -137,6 +137,11 @@
       body = bytes;
     }
 
+    /** The content, empty if it was an event stream or has not come. */
+    protected byte[] body() {
+      return body;
+    }
+
     /** The status, 0 before the head has come. */
     protected int status() {
       return head == null ? 0 : head.status();
@@ -146,11 +151,6 @@
     protected String header(String name) {
       return head == null ? null : head.headers().get(name);
     }
-
-    /** The content, empty if it was an event stream or has not come. */
-    protected byte[] body() {
-      return body;
-    }
   }
 
   private static final class Host {
--- a/net/src/main/java/lemondock/net/http/HttpServer.java
+++ b/net/src/main/java/lemondock/net/http/HttpServer.java
@@ -534,7 +534,7 @@
 
     @Override
     public void received(List<Object> events) {
-      boolean wasLeaving = leaving;
+      final boolean wasLeaving = leaving;
       leaving = false;
       for (Object event : events) {
         if (closing) {
@@ -622,16 +622,14 @@
           request = new Request(request.method(), request.target(), request.headers(), NOTHING);
         }
         exchanges++;
-        boolean last =
-            overrun
-                && waiting.isEmpty(); // the answer says so, and the client sends the rest once more
-        // elsewhere
+        boolean last = overrun && waiting.isEmpty(); // the answer says so, and the client sends the
+        // rest once more elsewhere
         current =
             new Exchange(
                 this, request, arrived.prepared, arrived.keepAlive && !last, arrived.chunks);
         if (arrived.refusal
-            != null) { // the cheapest word there is; the connection stays, a new one would cost
-          // more
+            != null) { // the cheapest word there is; the connection stays, a new one
+          // would cost more
           arrived.refusal.counted().run();
           current.respond(
               503,
--- a/net/src/main/java/lemondock/net/nio/AsyncConnection.java
+++ b/net/src/main/java/lemondock/net/nio/AsyncConnection.java
@@ -185,8 +185,8 @@
           });
       return;
     }
-    // a peer that sends much is read in larger pieces while it does; one that is waited for holds
-    // little memory
+    // a peer that sends much is read in larger pieces while it does; one that is waited for
+    // holds little memory
     readBytes = count == readBytes ? Math.min(MOST_READ_BYTES, 2 * readBytes) : READ_BYTES;
     batchesRead++;
     IoThread io = IoThread.current();
@@ -196,7 +196,8 @@
       handler.decode(readBuffer.flip(), events);
       readsOn = events.isEmpty() && handler.readsOn();
     } catch (RuntimeException
-        | Error e) { // what escapes would end the shard's thread and leave its sockets unheard
+        | Error e) { // what escapes would end the shard's thread and leave its sockets
+      // unheard
       loop.failed(e);
       loop.executeHere(() -> fail(new IOException("decoder failed: " + e, e)));
       return;
--- a/net/src/main/java/lemondock/net/nio/ShardProbe.java
+++ b/net/src/main/java/lemondock/net/nio/ShardProbe.java
@@ -75,7 +75,7 @@
   /** On the shard's thread. */
   @Override
   public void completed(Integer count, Void attachment) {
-    long took = loop.now() - sentAt;
+    final long took = loop.now() - sentAt;
     if (count < 0) {
       return;
     }
--- a/net/src/main/java/lemondock/net/nio/ThreadLoop.java
+++ b/net/src/main/java/lemondock/net/nio/ThreadLoop.java
@@ -77,8 +77,8 @@
   @Override
   public void execute(Runnable task) {
     context.add(task);
-    if (!context
-        .taken()) { // else whoever has the context looks at the inbox again after giving it up
+    if (!context.taken()) { // else whoever has the context looks at the inbox again after giving it
+      // up
       LockSupport.unpark(thread);
     }
   }
@@ -164,8 +164,8 @@
       outside.clear();
       boolean sooner = Thread.currentThread() != thread && wheel.nextDue() < wakesAt;
       context.leave();
-      // what came in during the turn relied on this thread to look again, which it does after the
-      // tasks below: one of them may take long
+      // what came in during the turn relied on this thread to look again, which it does after
+      // the tasks below: one of them may take long
       if (sooner || !after.isEmpty() && !context.isEmpty()) {
         LockSupport.unpark(thread);
       }
--- a/net/src/main/java/lemondock/net/sse/SseDecoder.java
+++ b/net/src/main/java/lemondock/net/sse/SseDecoder.java
@@ -134,9 +134,9 @@
   }
 
   private void dispatch(Taker out) {
-    int count = dataLength;
-    boolean whole = hasData;
-    String named = type.isEmpty() ? "message" : type;
+    final int count = dataLength;
+    final boolean whole = hasData;
+    final String named = type.isEmpty() ? "message" : type;
     dataLength = 0;
     hasData = false;
     type = "";
--- a/net/src/main/java/lemondock/net/time/TimerWheel.java
+++ b/net/src/main/java/lemondock/net/time/TimerWheel.java
@@ -169,8 +169,8 @@
     entry.slot = (int) (entry.due >>> (BITS * level)) & (SLOTS - 1);
     Entry head = slots[level][entry.slot];
     Entry after =
-        head.before; // handed down timers may be older than ones set since: keep the order of
-    // setting
+        head.before; // handed down timers may be older than ones set since: keep the order
+    // of setting
     while (after != head && after.due == entry.due && after.order > entry.order) {
       after = after.before;
     }
--- a/net/src/test/java/lemondock/net/http/HttpDecoderTest.java
+++ b/net/src/test/java/lemondock/net/http/HttpDecoderTest.java
@@ -87,7 +87,13 @@
                 + "\r\n\r\n"
                 + "POST /c HTTP/1.1\r\n"
                 + HOST
-                + "Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: u\r\n\r\n")
+                + "Transfer-Encoding: chunked\r\n\r\n"
+                + "3;x=y\r\n"
+                + "abc\r\n"
+                + "2\r\n"
+                + "de\r\n"
+                + "0\r\n"
+                + "T: u\r\n\r\n")
             .getBytes(StandardCharsets.ISO_8859_1);
     String whole = joined(decode(HttpDecoder.ofRequests(SMALL), bytes, bytes.length));
     assertTrue(whole.contains("hello|End") && whole.contains("abcde|End"), whole);
@@ -132,7 +138,15 @@
             + "\\r"
             + "\\n"
             + " ~ 400 ~ Content-Length",
-        "POST / HTTP/1.1\\r\\nHost: a\\r\\nContent-Length: +3\\r\\n\\r\\n ~ 400 ~ Content-Length",
+        "POST / HTTP/1.1\\r"
+            + "\\n"
+            + "Host: a\\r"
+            + "\\n"
+            + "Content-Length: +3\\r"
+            + "\\n"
+            + "\\r"
+            + "\\n"
+            + " ~ 400 ~ Content-Length",
         "POST / HTTP/1.1\\r"
             + "\\n"
             + "Host: a\\r"
@@ -245,7 +259,10 @@
         400, refused(responses("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", true)).status());
     assertEquals(
         400,
-        refused(responses("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", true))
+        refused(
+                responses(
+                    "HTTP/1.1 200 OK\r\n" + "Transfer-Encoding: chunked\r\n\r\n" + "5\r\n" + "ab",
+                    true))
             .status());
     assertEquals(502, refused(responses("HTP/1.1 200 OK\r\n", false)).status());
     assertEquals(502, refused(responses("HTTP/1.1 999999 OK\r\n", false)).status());
--- a/net/src/test/java/lemondock/net/http/HttpServerTest.java
+++ b/net/src/test/java/lemondock/net/http/HttpServerTest.java
@@ -250,8 +250,8 @@
     try (Socket socket = new Socket("127.0.0.1", holding.address().getPort())) {
       socket.getOutputStream().write(SMALL.getBytes(StandardCharsets.US_ASCII));
       assertTrue(
-          served.await(
-              5, TimeUnit.SECONDS)); // so that those behind it fill all the places there are
+          served.await(5, TimeUnit.SECONDS)); // so that those behind it fill all the places there
+      // are
       socket.getOutputStream().write(SMALL.repeat(2_000).getBytes(StandardCharsets.US_ASCII));
       assertFalse(gone.await(100, TimeUnit.MILLISECONDS));
     }
--- a/net/src/test/java/lemondock/net/nio/IdleCloseTest.java
+++ b/net/src/test/java/lemondock/net/nio/IdleCloseTest.java
@@ -135,9 +135,8 @@
     try (Socket socket = served()) {
       holdLoopThen(() -> {});
       send(socket);
-      Thread.sleep(
-          2 * IDLE
-              / 1_000); // the idle timer is due now, and runs before what was read is handed over
+      Thread.sleep(2 * IDLE / 1_000); // the idle timer is due now, and runs before what was read is
+      // handed over
       release.countDown();
       assertAnswered(socket);
       assertEquals(
@@ -195,11 +194,10 @@
         Socket later = served()) {
       holdLoopThen(() -> {});
       socket.getOutputStream().write("\r\n".getBytes(StandardCharsets.US_ASCII));
-      send(later); // decoded by the same I/O thread, so the two bytes that came before it are read
-      // by then
-      Thread.sleep(
-          2 * IDLE
-              / 1_000); // the idle timer is due now, and runs before what was read is handed over
+      send(later); // decoded by the same I/O thread, so the two bytes that came before it
+      // are read by then
+      Thread.sleep(2 * IDLE / 1_000); // the idle timer is due now, and runs before what was read is
+      // handed over
       release.countDown();
       assertAnswered(later);
       send(socket);
--- a/net/src/test/java/lemondock/net/nio/ServerClientTest.java
+++ b/net/src/test/java/lemondock/net/nio/ServerClientTest.java
@@ -120,7 +120,8 @@
       socket
           .getOutputStream()
           .write(
-              "POST /c HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
+              ("POST /c HTTP/1.1\r\nHost: a\r\n"
+                      + "Expect: 100-continue\r\nContent-Length: 2\r\n\r\n")
                   .getBytes(StandardCharsets.ISO_8859_1));
       byte[] interim = socket.getInputStream().readNBytes(25);
       assertEquals(
@@ -493,7 +494,9 @@
         queued.get(10, TimeUnit.SECONDS);
         peer.getOutputStream()
             .write(
-                ("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nContent-Length: 13\r\n\r\n"
+                ("HTTP/1.1 200 OK\r\n"
+                        + "Content-Type: text/event-stream\r\n"
+                        + "Content-Length: 13\r\n\r\n"
                         + "data: stale\n\n")
                     .getBytes(StandardCharsets.US_ASCII));
         assertTrue(
--- a/net/src/test/java/lemondock/net/nio/SharedStateTest.java
+++ b/net/src/test/java/lemondock/net/nio/SharedStateTest.java
@@ -56,8 +56,8 @@
     @Operation
     public void takeAndGive() {
       if (budget.take(6)) {
-        over |=
-            budget.used() > 10 + 6 + 6; // others may have asked in vain and not taken it back yet
+        over |= budget.used() > 10 + 6 + 6; // others may have asked in vain and not taken it back
+        // yet
         budget.give(6);
       }
     }
--- a/node/src/main/java/lemondock/node/Main.java
+++ b/node/src/main/java/lemondock/node/Main.java
@@ -6,8 +6,6 @@
 import java.util.concurrent.atomic.AtomicReference;
 import lemondock.net.nio.AsyncNetwork;
 import lemondock.net.nio.ThreadLoop;
-import sun.misc.Signal;
-import sun.misc.SignalHandler;
 
 /**
  * The gateway as the platform starts it: told all by its configuration file, changed by SIGHUP,
@@ -46,16 +44,13 @@
             });
     AsyncNetwork network = new AsyncNetwork(loop, 1, 1);
     Node node = new Node(loop, network, config, Main::log);
-    SignalHandler before =
-        Signal.handle(new Signal("HUP"), s -> loop.execute(() -> node.reload(file)));
-    if (before
-        == SignalHandler
-            .SIG_IGN) { // inherited, as below nohup; the virtual machine does not change that
+    boolean hangupIgnored = ProcessSignals.onHangup(() -> loop.execute(() -> node.reload(file)));
+    if (hangupIgnored) {
       log(
-          "SIGHUP was ignored when this process started and stays so: a new configuration is read"
-              + " by a restart only");
+          "SIGHUP was ignored when this process started and stays so: a new configuration"
+              + " is read by a restart only");
     }
-    Signal.handle(new Signal("TERM"), s -> loop.execute(() -> node.leave(end::countDown)));
+    ProcessSignals.onTerminate(() -> loop.execute(() -> node.leave(end::countDown)));
     loop.execute(
         () -> {
           try {
--- a/node/src/main/java/lemondock/node/Node.java
+++ b/node/src/main/java/lemondock/node/Node.java
@@ -143,7 +143,7 @@
     int handles = Math.max(16, config.sockets() - OWN_HANDLES);
     int clients = (int) (handles * CLIENTS_HANDLES);
     int servers = handles - clients;
-    long bodies = contentBytes(config.memoryMb(), Runtime.getRuntime().maxMemory());
+    final long bodies = contentBytes(config.memoryMb(), Runtime.getRuntime().maxMemory());
     long connect = config.settings().limits().connectTimeout();
     this.members = new Membership(config.kinds(), Node::id);
     this.client =
--- a/node/src/main/java/lemondock/node/StateReleases.java
+++ b/node/src/main/java/lemondock/node/StateReleases.java
@@ -162,8 +162,8 @@
               asked);
       underWay.add(asked);
       loop.schedule(
-          RELEASE_ENDS,
-          asked::breakOff); // a machine that says nothing would hold the connection for ever
+          RELEASE_ENDS, asked::breakOff); // a machine that says nothing would hold the connection
+      // for ever
     }
 
     private void notDone(InetSocketAddress to, String what) {
--- a/node/src/main/java/lemondock/node/Watch.java
+++ b/node/src/main/java/lemondock/node/Watch.java
@@ -109,7 +109,7 @@
   }
 
   private void ask() {
-    int number = ++calls;
+    final int number = ++calls;
     cancel(call);
     if (failures == 0) {
       cancel(lateCall);
--- a/node/src/test/java/lemondock/node/GatewayFixture.java
+++ b/node/src/test/java/lemondock/node/GatewayFixture.java
@@ -23,11 +23,13 @@
   static final String READ =
       "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":4}";
   static final String HEAD =
-      "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
+      "HTTP/1.1 200 OK\r\n"
+          + "content-type: text/event-stream\r\n"
+          + "transfer-encoding: chunked\r\n\r\n";
   static final String EVENT =
       "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"o\\u00e9\"}}]}\n\n";
   static final String USAGE =
-      "data: {\"choices\":[],\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":4}}}\n\n";
+      "data:" + " {\"choices\":[],\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":4}}}\n\n";
   static final String DONE = "data: [DONE]\n\n";
   static final String STREAM = HEAD + chunk(EVENT) + chunk(USAGE + DONE) + "0\r\n\r\n";
   static final String GONE = "HTTP/1.1 410 Gone\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
--- a/node/src/test/java/lemondock/node/NarrowMomentsTest.java
+++ b/node/src/test/java/lemondock/node/NarrowMomentsTest.java
@@ -44,7 +44,7 @@
         },
         (got, out) -> STREAM);
     String large = "X-Extras: prompt_len=10,max_out=300000\r\n";
-    Peer.Client running = client().send(request("running", "chat", large));
+    final Peer.Client running = client().send(request("running", "chat", large));
     await(() -> requests(reader) == 1);
     for (String how : List.of("close", "reset", "end")) {
       Peer.Client leaver = client().send(request(how, "chat", large));
@@ -154,7 +154,8 @@
             writtenAt[i] = System.nanoTime();
             out.write(
                 chunk(
-                        "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"<"
+                        "data:"
+                            + " {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"<"
                             + i
                             + ">\"}}]}\n\n")
                     .getBytes(StandardCharsets.ISO_8859_1));
--- a/node/src/test/java/lemondock/node/NodeTest.java
+++ b/node/src/test/java/lemondock/node/NodeTest.java
@@ -29,7 +29,8 @@
                 request(
                     "a1",
                     "chat",
-                    "X-Extras: prefix=p,prompt_len=10,prefix_len=5,max_out=9\r\n"
+                    "X-Extras:"
+                        + " prefix=p,prompt_len=10,prefix_len=5,max_out=9\r\n"
                         + "Idempotency-Key: \"k-7\"\r\n"
                         + "X-Other: one\r\n"
                         + "X-Other: two\r\n"
@@ -108,7 +109,7 @@
           return READ;
         },
         (got, out) -> STREAM);
-    Peer.Client first = client().send(request("same", "chat", ""));
+    final Peer.Client first = client().send(request("same", "chat", ""));
     await(() -> !reader.got.isEmpty());
     assertEquals("409", status(client().send(request("same", "chat", "")).until("\r\n\r\n")));
     go.countDown();
@@ -401,7 +402,7 @@
           go.await();
           return chunk(USAGE + DONE) + "0\r\n\r\n";
         });
-    Peer.Client running = client().send(request("run", "chat", ""));
+    final Peer.Client running = client().send(request("run", "chat", ""));
     Peer.Client idle = client().send("GET /healthz HTTP/1.1\r\nhost: h\r\n\r\n");
     idle.until("ready\n");
     await(() -> !writer.got.isEmpty());
@@ -510,7 +511,7 @@
 
   @Test
   void nothingIsRoutedBeforeDiscoveryWasAsked() throws Exception {
-    CountDownLatch answer = new CountDownLatch(1);
+    final CountDownLatch answer = new CountDownLatch(1);
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
       port = free.getLocalPort();
     }
--- a/policy/src/main/java/lemondock/policy/Control.java
+++ b/policy/src/main/java/lemondock/policy/Control.java
@@ -344,7 +344,7 @@
     if (f == null || attempt >= f.attempts.size()) {
       return;
     }
-    Attempt a = f.attempts.get(attempt);
+    final Attempt a = f.attempts.get(attempt);
     f.streaming = true;
     f.stateAt = null;
     f.held.taken();
@@ -462,6 +462,10 @@
     return Math.max(1, preferred(writers, this::healthy).stream().mapToLong(Control::memory).sum());
   }
 
+  private static long memory(Server s) {
+    return s.kind.memoryTokens() > 0 ? s.kind.memoryTokens() : UNTOLD_MEMORY;
+  }
+
   /**
    * Under pressure the classes of less worth, and tenants beyond their share, are turned away
    * first.
@@ -494,6 +498,13 @@
     }
   }
 
+  @Override
+  public void look(long at, Routing.Sight sight) {
+    now = Math.max(now, at);
+    servers.forEach((id, s) -> sight.server(id, s.kind.role(), s.standing, cold(s), healthy(s)));
+    sight.all(parked.size(), tokensUnderWay, Math.round(room * memory()));
+  }
+
   private void admitParked() {
     Iterator<Flight> waiting = parked.iterator();
     for (int passed = 0; waiting.hasNext() && passed < MOST_PASSED; ) {
@@ -654,13 +665,6 @@
     host.timer(token(0, Timer.REAP), REAP_EVERY);
   }
 
-  @Override
-  public void look(long at, Routing.Sight sight) {
-    now = Math.max(now, at);
-    servers.forEach((id, s) -> sight.server(id, s.kind.role(), s.standing, cold(s), healthy(s)));
-    sight.all(parked.size(), tokensUnderWay, Math.round(room * memory()));
-  }
-
   // ==== the write
   private void write(Flight f) {
     Server s = pickWriter(f);
@@ -725,10 +729,11 @@
     }
     Attempt last = f.attempts.get(f.attempts.size() - 1);
     if (last.neverRan && f.held.isDue(now)) {
-      letGo(f); // writers that never come up: a further one would hold the state beyond its time
+      letGo(f); // writers that never come up: a further one would hold the state beyond its
+      // time
     }
     boolean afresh = last.reads && f.stateAt != null;
-    boolean moved =
+    final boolean moved =
         last.writes
             && !last.neverRan
             && !firm(f, last)
@@ -746,7 +751,8 @@
       host.trace(f.request.id(), Reason.RETRY);
     }
     if (f.stateAt != null && !moved) {
-      write(f); // after a write that may have run the state is likely gone: read anew, then cheap
+      write(f); // after a write that may have run the state is likely gone: read anew, then
+      // cheap
     } else if (!read(f)) {
       settle(f, Reason.NO_READER);
     }
@@ -1192,10 +1198,6 @@
     return Math.min(room, ROOM_CUT * a.tokens / memory());
   }
 
-  private static long memory(Server s) {
-    return s.kind.memoryTokens() > 0 ? s.kind.memoryTokens() : UNTOLD_MEMORY;
-  }
-
   /** The token of a request's timer; request 0 stands for the module's own. */
   static long token(long requestId, Timer kind) {
     return requestId * TIMERS.length + kind.ordinal();
--- a/policy/src/test/java/lemondock/policy/ControlTest.java
+++ b/policy/src/test/java/lemondock/policy/ControlTest.java
@@ -171,7 +171,7 @@
       plainFleet();
       long reader = ask(1, cls, 1, 77, 500);
       end(1, 0, reader, Ending.READ, false);
-      long writer = sentTo();
+      final long writer = sentTo();
       now += WITHIN;
       heldTimer();
       assertEquals(1, host.of("release").size());
@@ -339,7 +339,7 @@
     plainFleet();
     long reader = ask(1, ONCE, 1, 77, 500);
     end(1, 0, reader, Ending.READ, false);
-    long writer = sentTo();
+    final long writer = sentTo();
     ask(2, ONCE, 2, 78, 500);
     ask(3, ONCE, 3, 79, 500);
     end(3, 0, sentTo(), Ending.READ, false);
@@ -571,7 +571,7 @@
   @Test
   void aSilentReaderLosesItsSessionsBeforeAnyOutcome() {
     plainFleet();
-    long home = serve(1, 500, 77, 2000);
+    final long home = serve(1, 500, 77, 2000);
     now += SECOND;
     ask(2, SAFE, 500, 77, 2000);
     now += 2 * SECOND;
@@ -626,9 +626,9 @@
       firstTokenAfter(++id, SECOND);
     }
     assertNotEquals(0, ask(++id, SAFE, id, 0, 3000), "the probe: nothing else is under way");
-    long probe = id;
+    final long probe = id;
     assertEquals(0, ask(++id, SAFE, id, 0, 3000), "no room beside the probe");
-    long refused = id;
+    final long refused = id;
     List<Action> waits = host.of("timer").stream().filter(t -> t.value() <= SECOND).toList();
     host.actions.clear();
     now += SECOND;
@@ -641,7 +641,7 @@
     assertNotEquals(
         0,
         ask(++id, SAFE, id, 0, 3000),
-        "three prompt answers gave room for one beside it, though of a class of less worth");
+        "three prompt answers gave room for one beside it, though of a class of less" + " worth");
   }
 
   /** One whole request whose first token takes so long. */
@@ -716,7 +716,7 @@
   @Test
   void aLostReadIsCalledOffAndReadAgain() {
     plainFleet();
-    long home = ask(1, SAFE, 1, 77, 500);
+    final long home = ask(1, SAFE, 1, 77, 500);
     now += 620_000;
     host.actions.clear();
     control.timer(now, Control.token(1, Control.Timer.WATCH));
--- a/rehearsal/src/main/java/lemondock/rehearsal/Auditor.java
+++ b/rehearsal/src/main/java/lemondock/rehearsal/Auditor.java
@@ -169,7 +169,7 @@
 
   /** Each request taken gets exactly one final answer in time, nothing after. */
   private void oneAnswer(CallRecord c) {
-    GatewaySettings.RequestClass cls = settings.classes().get(c.classId);
+    final GatewaySettings.RequestClass cls = settings.classes().get(c.classId);
     long last = c.leftAt != 0 ? c.leftAt : c.endedAt != 0 ? c.endedAt : end;
     if (c.notTaken || killedWithin(c.gateway, c.calledAt, last + TOLERANCE)) {
       return;
@@ -252,7 +252,9 @@
       if (c.retryable
           && !legs.isEmpty()
           && !(cls.repeat().equals("keyed") && cls.group().equals("all"))) {
-        breach(2, c.mark + " may have run, and its client was told that trying again is harmless");
+        breach(
+            2,
+            c.mark + " may have run, and its client was told that trying again is" + " harmless");
       }
     }
   }
--- a/rehearsal/src/main/java/lemondock/rehearsal/BadDay.java
+++ b/rehearsal/src/main/java/lemondock/rehearsal/BadDay.java
@@ -337,7 +337,7 @@
 
   private void arrive() {
     List<String> up = fleet.gateways();
-    String gateway = up.get(random.nextInt(up.size()));
+    final String gateway = up.get(random.nextInt(up.size()));
     Talk talk =
         talks.stream()
             .filter(t -> !t.busy && t.turnsLeft > 0)
--- a/rehearsal/src/main/java/lemondock/rehearsal/ReportCheck.java
+++ b/rehearsal/src/main/java/lemondock/rehearsal/ReportCheck.java
@@ -109,10 +109,6 @@
     }
   }
 
-  private interface Told {
-    Map<String, BigDecimal> now();
-  }
-
   /** Waits until both agree; what was sent last may still be on its way. */
   private void compare(String where, Map<String, BigDecimal> own, Told told) {
     long until = System.nanoTime() + WAIT_NANOS;
@@ -142,6 +138,10 @@
     }
   }
 
+  private interface Told {
+    Map<String, BigDecimal> now();
+  }
+
   private static boolean same(Map<String, BigDecimal> own, Map<String, BigDecimal> got) {
     return own.entrySet().stream()
         .allMatch(
--- a/rehearsal/src/main/java/lemondock/rehearsal/Verdict.java
+++ b/rehearsal/src/main/java/lemondock/rehearsal/Verdict.java
@@ -81,12 +81,14 @@
   public static String page(List<BadDay.Result> results) {
     StringBuilder html =
         new StringBuilder(
-            "<!doctype html><meta charset=\"utf-8\"><title>Bad days</title><style>body{font:15px"
+            "<!doctype html><meta charset=\"utf-8\"><title>Bad"
+                + " days</title><style>body{font:15px"
                 + " sans-serif;max-width:72em;margin:2em auto}td,th{padding:.3em"
                 + " .7em;text-align:left;vertical-align:top;border-bottom:1px solid"
-                + " #ccc}.bad{color:#a00;font-weight:bold}</style><h1>Bad days on loopback,"
-                + " stand-in engines</h1><table><tr><th>day<th>troubles<th>rules<th>worth in time"
-                + "<th>calls</tr>");
+                + " #ccc}.bad{color:#a00;font-weight:bold}</style><h1>Bad days on"
+                + " loopback, stand-in"
+                + " engines</h1><table><tr><th>day<th>troubles<th>rules<th>worth in"
+                + " time<th>calls</tr>");
     for (BadDay.Result r : results) {
       html.append("<tr><td>")
           .append(escape(r.script().name()))
--- a/rehearsal/src/test/java/lemondock/rehearsal/BreaksTest.java
+++ b/rehearsal/src/test/java/lemondock/rehearsal/BreaksTest.java
@@ -236,8 +236,8 @@
       }
     }
     Collections.shuffle(
-        all,
-        new Random(12)); // one reader after the other broken would all be put aside, and rightly
+        all, new Random(12)); // one reader after the other broken would all be put aside, and
+    // rightly
     return all.stream();
   }
 
--- a/rehearsal/src/test/java/lemondock/rehearsal/CrashTest.java
+++ b/rehearsal/src/test/java/lemondock/rehearsal/CrashTest.java
@@ -214,7 +214,7 @@
           assertTrue(effects(mark + "a").isEmpty(), where + ": its work was done in both lives");
           assertEquals(1, again.relayed, where);
         } else {
-          String became = again.end.at("/error/data/became").asText();
+          final String became = again.end.at("/error/data/became").asText();
           assertEquals(0, again.relayed, where);
           assertTrue(effects(mark + "b").isEmpty(), where);
           assertFalse(
--- a/rehearsal/src/test/java/lemondock/rehearsal/HardCasesTest.java
+++ b/rehearsal/src/test/java/lemondock/rehearsal/HardCasesTest.java
@@ -143,8 +143,8 @@
                   faults(
                       bench,
                       f -> {
-                        f.breakAfter =
-                            6; // the first leg has four tokens: it is the second that breaks
+                        f.breakAfter = 6; // the first leg has four tokens: it is
+                        // the second that breaks
                         f.hits = new Faults.Hits(1);
                       }));
       CallRecord seen = Bench.get(done).seen();
@@ -434,7 +434,7 @@
             Bench.writer("w"))) {
       McpClient client = bench.client();
       AtomicReference<McpClient.Call> call = new AtomicReference<>();
-      List<CompletableFuture<McpClient.Call>> taken =
+      final List<CompletableFuture<McpClient.Call>> taken =
           List.of(
               bench.begin(client, Bench.ask("m1", "answer in 300 words", Tools.ANSWER)),
               bench.begin(client, Bench.ask("m2", "answer in 300 words", Tools.ANSWER), call::set));
@@ -520,8 +520,11 @@
         socket
             .getOutputStream()
             .write(
-                ("POST /mcp HTTP/1.1\r\nHost: localhost\r\nContent-Type: application/json\r\n"
-                        + "Accept: text/event-stream\r\nMcp-Session-Id: "
+                ("POST /mcp HTTP/1.1\r\n"
+                        + "Host: localhost\r\n"
+                        + "Content-Type: application/json\r\n"
+                        + "Accept: text/event-stream\r\n"
+                        + "Mcp-Session-Id: "
                         + session
                         + "\r\nConnection: close\r\n"
                         + "Content-Length: "
@@ -562,9 +565,9 @@
             Bench.reader("r"),
             Bench.writer("w").paced(1, 1, 20))) {
       McpClient client =
-          bench.client(); // with a session from before: a gateway at its limit refuses new ones as
-      // well
-      CompletableFuture<McpClient.Call> running =
+          bench.client(); // with a session from before: a gateway at its limit refuses
+      // new ones as well
+      final CompletableFuture<McpClient.Call> running =
           bench.begin(client, Bench.ask("running", "answer in 100 words", Tools.ANSWER));
       Bench.await("it runs", () -> !bench.events(Tap.What.WRITE, "running").isEmpty());
       AtomicBoolean tooMuch = new AtomicBoolean(true);
--- a/rehearsal/src/test/java/lemondock/rehearsal/McpProtocolTest.java
+++ b/rehearsal/src/test/java/lemondock/rehearsal/McpProtocolTest.java
@@ -200,8 +200,12 @@
       socket
           .getOutputStream()
           .write(
-              ("POST /mcp HTTP/1.1\r\nHost: evil.example\r\nConnection: close\r\n"
-                      + "Content-Type: application/json\r\nContent-Length: 2\r\n\r\n{}")
+              ("POST /mcp HTTP/1.1\r\n"
+                      + "Host: evil.example\r\n"
+                      + "Connection: close\r\n"
+                      + "Content-Type: application/json\r\n"
+                      + "Content-Length: 2\r\n\r\n"
+                      + "{}")
                   .getBytes(StandardCharsets.US_ASCII));
       assertTrue(
           new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
@@ -219,13 +223,14 @@
         "[] ~ 400 ~ -32600",
         "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"no/such\"} ~ 200 ~ -32601",
         "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/call\"} ~ 200 ~ -32602",
-        "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/call\",\"params\":{\"name\":\"nope\"}} ~"
-            + " 200 ~ -32602",
+        "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/call\",\"params\":{\"name\":\"nope\"}}"
+            + " ~ 200 ~ -32602",
         "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\",\"arguments\":{\"prompt\":5}}}"
             + " ~ 200 ~ -32602",
         "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\",\"arguments\":{\"prompt\":\"x\",\"max_tokens\":0}}}"
             + " ~ 200 ~ -32602",
-        "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"initialize\",\"params\":{}} ~ 400 ~ -32602",
+        "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"initialize\",\"params\":{}} ~ 400 ~"
+            + " -32602",
       })
   void badMessagesGetTheSpecifiedCode(String body, int status, int code) {
     HttpResponse<String> response = post(session("2025-06-18"), body);
--- a/rehearsal/src/test/java/lemondock/rehearsal/OwnLimitTest.java
+++ b/rehearsal/src/test/java/lemondock/rehearsal/OwnLimitTest.java
@@ -128,8 +128,8 @@
       String large =
           post(
                   session,
-                  "{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"tools/call\",\"params\":{\"name\":"
-                      + "\"sale-lookup\",\"arguments\":{\"prompt\":\"#large# answer in 3 words "
+                  "{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\",\"arguments\":{\"prompt\":\"#large#"
+                      + " answer in 3 words "
                       + "x ".repeat(2_000)
                       + "\"}}}")
               .replace("application/json, text/event-stream", "application/json");
@@ -339,7 +339,7 @@
               .seen()
               .served());
       for (int way = 0; way < 2; way++) {
-        CompletableFuture<McpClient.Call> running = running(bench, 480);
+        final CompletableFuture<McpClient.Call> running = running(bench, 480);
         told.memory = way == 0 ? 0.97 : 0;
         told.handles = way == 0 ? 0 : 0.99;
         AtomicReference<CallRecord> refused = new AtomicReference<>();
@@ -641,7 +641,7 @@
                 client,
                 Bench.ask(
                     "m" + i,
-                    "call the tool stock and then call the tool price answer in 20 words",
+                    "call the tool stock and then call the tool price answer in" + " 20 words",
                     Tools.ANSWER,
                     "stock",
                     "price")));
--- a/rehearsal/src/test/java/lemondock/rehearsal/SdkClientTest.java
+++ b/rehearsal/src/test/java/lemondock/rehearsal/SdkClientTest.java
@@ -107,7 +107,7 @@
                       "arguments",
                       Map.of(
                           "prompt",
-                          "call the tool stock and then call the tool price answer in 3 words",
+                          "call the tool stock and then call the tool" + " price answer in 3 words",
                           "tools",
                           List.of(Map.of("name", "stock"), Map.of("name", "price")))),
                   new TypeRef<Map<String, Object>>() {})
--- a/rehearsal/src/test/java/lemondock/rehearsal/TokenPathTest.java
+++ b/rehearsal/src/test/java/lemondock/rehearsal/TokenPathTest.java
@@ -142,7 +142,8 @@
       int perCall = (node.ask(node.loop()::timers) - before) / calls;
       assertTrue(
           perCall <= 3,
-          "the module's own, for its deadline and each attempt, hold a number each; found "
+          "the module's own, for its deadline and each attempt, hold a number each; found"
+              + " "
               + perCall
               + " a call");
     }
--- a/rehearsal/src/test/java/lemondock/rehearsal/TypeScriptClientTest.java
+++ b/rehearsal/src/test/java/lemondock/rehearsal/TypeScriptClientTest.java
@@ -62,11 +62,12 @@
     Outcome node = run(Map.of(), "node", "--version");
     assumeTrue(
         node.code() == 0 && node.text().matches("v(1[89]|[2-9]\\d).*\\s*"),
-        "Node 18 or later is not present: the TypeScript client was neither built nor tested");
+        "Node 18 or later is not present: the TypeScript client was neither built nor" + " tested");
     Outcome packages = run(Map.of(), "npm", "ci", "--no-audit", "--no-fund");
     assumeTrue(
         packages.code() == 0 || OURS.stream().anyMatch(packages.text()::contains),
-        "the packages of the TypeScript client cannot be had: it was neither built nor tested");
+        "the packages of the TypeScript client cannot be had: it was neither built nor"
+            + " tested");
     assertEquals(0, packages.code(), packages.text());
     Outcome built = run(Map.of(), "npm", "run", "build");
     assertEquals(0, built.code(), built.text());
--- a/report/src/main/java/lemondock/report/SnapshotRing.java
+++ b/report/src/main/java/lemondock/report/SnapshotRing.java
@@ -182,7 +182,7 @@
       if (to >= next) {
         return 0;
       }
-      int gone = (int) (next - to);
+      final int gone = (int) (next - to);
       long[] state = base.clone();
       int n = (int) (to - firstNumber);
       for (Entry entry : entries) {
--- a/report/src/main/java/lemondock/report/collectd/DatagramDestination.java
+++ b/report/src/main/java/lemondock/report/collectd/DatagramDestination.java
@@ -137,7 +137,7 @@
       finished();
       return false;
     }
-    int size = packet.remaining();
+    final int size = packet.remaining();
     try {
       if (!socket.send(packet)) {
         figures.lost++;
--- a/report/src/test/java/lemondock/report/DestinationsTest.java
+++ b/report/src/test/java/lemondock/report/DestinationsTest.java
@@ -288,7 +288,7 @@
     go(it);
     Line line = lines.get(0);
     for (int i = 0; i < 100; i++) {
-      int before = line.reads;
+      final int before = line.reads;
       List<Object> events = new ArrayList<>();
       line.handler.decode(ByteBuffer.wrap(new byte[4096]), events);
       line.handler.received(events);
@@ -430,13 +430,13 @@
     for (int i = 0; i < 1_000; i++) {
       tally.series(Metrics.TOOLS, "class-" + i);
     }
-    DatagramDestination it = datagrams();
+    final DatagramDestination it = datagrams();
     reporter.start();
     loop.move(SECOND);
     int first = sent.size();
     assertTrue(first > 0 && first <= 16, "at once: " + first);
     loop.move(SECOND / 2);
-    int whole = sent.size();
+    final int whole = sent.size();
     assertEquals(1, it.figures().snapshots);
     assertTrue(sent.stream().allMatch(p -> p.remaining() <= 1024));
     room = 3;
@@ -451,7 +451,7 @@
 
   @Test
   void wherePortsAreRefusedSnapshotsComeLater() {
-    DatagramDestination it = datagrams();
+    final DatagramDestination it = datagrams();
     reporter.start();
     unreachable = true;
     seconds(10);
--- a/report/src/test/java/lemondock/report/SnapshotRingTest.java
+++ b/report/src/test/java/lemondock/report/SnapshotRingTest.java
@@ -19,6 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The ring of snapshots against a plain list of copies. */
+@SuppressWarnings("checkstyle:AvoidEscapedUnicodeCharacters") // Its names are not printable.
 class SnapshotRingTest {
   private static final Family ONE =
       Family.values("one", List.of("n"), "", new Field("v", Field.Kind.COUNTER, 0, "1", ""));
--- a/rpc/src/main/java/lemondock/rpc/JsonRpc.java
+++ b/rpc/src/main/java/lemondock/rpc/JsonRpc.java
@@ -140,6 +140,10 @@
     return new Message.Request(id, method.textValue(), params);
   }
 
+  private static ObjectNode message() {
+    return JsonNodeFactory.instance.objectNode().put("jsonrpc", "2.0");
+  }
+
   private static Message response(JsonNode node, JsonNode id, boolean usable) {
     JsonNode result = node.get("result");
     JsonNode error = node.get("error");
@@ -204,8 +208,4 @@
     }
     return node;
   }
-
-  private static ObjectNode message() {
-    return JsonNodeFactory.instance.objectNode().put("jsonrpc", "2.0");
-  }
 }
--- a/standin/src/main/java/lemondock/standin/Catalogue.java
+++ b/standin/src/main/java/lemondock/standin/Catalogue.java
@@ -252,7 +252,9 @@
       return;
     }
     Map<String, String> meta = new LinkedHashMap<>();
-    body.path("Meta").fields().forEachRemaining(f -> meta.put(f.getKey(), f.getValue().asText()));
+    body.path("Meta")
+        .properties()
+        .forEach(entry -> meta.put(entry.getKey(), entry.getValue().asText()));
     put(
         new Service(
             body.path("ID").asText(name),
--- a/standin/src/main/java/lemondock/standin/Engine.java
+++ b/standin/src/main/java/lemondock/standin/Engine.java
@@ -349,7 +349,7 @@
         end();
         return;
       }
-      boolean lost = random.nextDouble() < faults.lostAnswers;
+      final boolean lost = random.nextDouble() < faults.lostAnswers;
       if (aborted.remove(id)) {
         end();
         return;
--- a/standin/src/main/java/lemondock/standin/Platform.java
+++ b/standin/src/main/java/lemondock/standin/Platform.java
@@ -181,8 +181,8 @@
             exchange.send(
                 ("data: {\"choices\":[],\"usage\":{\"completion_tokens\":"
                         + TOKENS
-                        + ",\"prompt_tokens_details\":{\"cached_tokens\":0}}}"
-                        + "\n\ndata: [DONE]\n\n")
+                        + ",\"prompt_tokens_details\":{\"cached_tokens\":0}}}\n\n"
+                        + "data: [DONE]\n\n")
                     .getBytes(StandardCharsets.UTF_8));
             exchange.finish();
           } else if (exchange.open()) {
--- a/standin/src/main/java/lemondock/standin/Script.java
+++ b/standin/src/main/java/lemondock/standin/Script.java
@@ -21,7 +21,7 @@
       Pattern.compile("call the tool ([A-Za-z0-9_.-]*[A-Za-z0-9_-])");
   private static final Pattern TOGETHER =
       Pattern.compile(
-          "call the tools ((?:[A-Za-z0-9_.-]+ and )+[A-Za-z0-9_.-]*[A-Za-z0-9_-]) together");
+          "call the tools ((?:[A-Za-z0-9_.-]+ and )+[A-Za-z0-9_.-]*[A-Za-z0-9_-])" + " together");
   private static final Pattern MARK = Pattern.compile("#([A-Za-z0-9-]{1,64})#");
   private static final int SHORTEST = 12;
   private static final int SPREAD = 40;
--- a/standin/src/main/java/lemondock/standin/collect/UnixsockListener.java
+++ b/standin/src/main/java/lemondock/standin/collect/UnixsockListener.java
@@ -24,7 +24,8 @@
 public final class UnixsockListener implements AutoCloseable {
   private static final Pattern PUTVAL =
       Pattern.compile(
-          "PUTVAL \"([^\"]+)\" interval=([0-9.]+) ([0-9]+)(?:\\.([0-9]{3}))?((?::[-0-9.U]+)+)");
+          "PUTVAL \"([^\"]+)\" interval=([0-9.]+)"
+              + " ([0-9]+)(?:\\.([0-9]{3}))?((?::[-0-9.U]+)+)");
 
   private final ServerSocketChannel server;
   private final Path path;
--- a/tally/src/main/java/lemondock/tally/Catalogue.java
+++ b/tally/src/main/java/lemondock/tally/Catalogue.java
@@ -14,14 +14,14 @@
     StringBuilder text =
         new StringBuilder(
             "# Metrics\n\n"
-                + "Written from `Metrics.java` by `lemondock metrics`; a test compares. Graphite"
-                + " paths are\n"
+                + "Written from `Metrics.java` by `lemondock metrics`; a test compares."
+                + " Graphite paths are\n"
                 + "`PREFIX.INSTANCE.FAMILY.LABELS.FIELD`; collectd identifiers are"
                 + " `HOST/lemondock-INSTANCE/lemondock_FAMILY-LABELS`.\n"
-                + "No label: the part is left out. Counters grow over a process's life; gauges are"
-                + " of the moment; percentiles are of\n"
-                + "the last interval. collectd gets counters of worth in millionths and of time in"
-                + " microseconds, as whole numbers.\n");
+                + "No label: the part is left out. Counters grow over a process's life;"
+                + " gauges are of the moment; percentiles are of\n"
+                + "the last interval. collectd gets counters of worth in millionths and"
+                + " of time in microseconds, as whole numbers.\n");
     for (Family f : Metrics.ALL) {
       text.append("\n## ")
           .append(f.name())
--- a/tally/src/main/java/lemondock/tally/Metrics.java
+++ b/tally/src/main/java/lemondock/tally/Metrics.java
@@ -65,8 +65,8 @@
           counter("cancelled", "called off"),
           counter(
               "moot",
-              "never sent: the request had ended, the server was unknown, or the gateway lacked a"
-                  + " connection"));
+              "never sent: the request had ended, the server was unknown, or the"
+                  + " gateway lacked a connection"));
 
   /** Tool calls in mid-stream. */
   public static final Family TOOLS =
@@ -113,7 +113,7 @@
       Family.times(
           "loop_lag",
           List.of(),
-          "how late the decision loop ran a timer that it sets itself ten times a second");
+          "how late the decision loop ran a timer that it sets itself ten times a" + " second");
 
   /** The gateway at its own limit. */
   public static final Family OVERLOAD =
@@ -126,7 +126,7 @@
               Kind.GAUGE,
               3,
               "1",
-              "part of the requests that is let in; 1 while nothing is refused for it"),
+              "part of the requests that is let in; 1 while nothing is refused for" + " it"),
           counter("refused", "requests refused because the gateway is late"),
           counter("stalls", "times for which the process did not run"),
           new Field("stalled", Kind.COUNTER, 3, "ms", "their sum"));
@@ -207,7 +207,8 @@
       Family.values(
           "process",
           List.of("meter"),
-          "gauges of the process from Micrometer's binders (memory, collector, threads, files)",
+          "gauges of the process from Micrometer's binders (memory, collector, threads,"
+              + " files)",
           new Field("value", Kind.GAUGE, 3, "as the meter's", "the meter's value"));
 
   /** Lateness of reporting. */
--- a/tally/src/test/java/lemondock/tally/TallyTest.java
+++ b/tally/src/test/java/lemondock/tally/TallyTest.java
@@ -163,7 +163,7 @@
     long ticket = recorder.enter();
     recorder.add(pair.slot(0), Long.MAX_VALUE);
     recorder.exit(ticket);
-    long before = tally.snapshot(true).value(PAIR, "left", List.of("a"));
+    final long before = tally.snapshot(true).value(PAIR, "left", List.of("a"));
     ticket = recorder.enter();
     recorder.add(pair.slot(0), 10);
     recorder.exit(ticket);
--- a/wire/src/main/java/lemondock/wire/Reply.java
+++ b/wire/src/main/java/lemondock/wire/Reply.java
@@ -43,7 +43,7 @@
         ByteBuffer.allocate(HEADER_BYTES + records.size() + tail.size())
             .order(ByteOrder.LITTLE_ENDIAN);
     frame.putInt(records.size() + tail.size()).putInt(count).put(records.toByteArray());
-    byte[] bytes = frame.put(tail.toByteArray()).array();
+    final byte[] bytes = frame.put(tail.toByteArray()).array();
     records.reset();
     tail.reset();
     count = 0;
--- a/wire/src/main/java/lemondock/wire/SettingsText.java
+++ b/wire/src/main/java/lemondock/wire/SettingsText.java
@@ -44,6 +44,18 @@
     return new SettingsText(values).settings();
   }
 
+  private static double parse(String value, String name) {
+    try {
+      double number = Double.parseDouble(value);
+      if (Double.isFinite(number)) {
+        return number;
+      }
+    } catch (NumberFormatException e) {
+      // reported below, together with what is not finite
+    }
+    throw new Malformed("setting " + name + ": not a number: " + value);
+  }
+
   private Routing.Settings settings() {
     return new Routing.Settings(
         (int) number("me"),
@@ -180,18 +192,6 @@
     return index < items.size() ? parse(items.get(index), name) : 0;
   }
 
-  private static double parse(String value, String name) {
-    try {
-      double number = Double.parseDouble(value);
-      if (Double.isFinite(number)) {
-        return number;
-      }
-    } catch (NumberFormatException e) {
-      // reported below, together with what is not finite
-    }
-    throw new Malformed("setting " + name + ": not a number: " + value);
-  }
-
   private List<String> list(String name) {
     String value = values.getOrDefault(name, "");
     return value.isEmpty() ? List.of() : List.of(value.split(","));
