--- a/detect/src/main/java/lemondock/detect/BurnRate.java
+++ b/anomaly/src/main/java/lemondock/anomaly/BurnRate.java
@@ -1,4 +1,4 @@
-package lemondock.detect;
+package lemondock.anomaly;
 
 /**
  * The share of bad requests over a short and a long window against a budget, both of which must be
--- a/detect/src/main/java/lemondock/detect/Cusum.java
+++ b/anomaly/src/main/java/lemondock/anomaly/Cusum.java
@@ -1,4 +1,4 @@
-package lemondock.detect;
+package lemondock.anomaly;
 
 /**
  * Page's cumulative sum for a share of bad requests (E. S. Page, "Continuous inspection schemes",
--- a/detect/src/main/java/lemondock/detect/Evidence.java
+++ b/anomaly/src/main/java/lemondock/anomaly/Evidence.java
@@ -1,4 +1,4 @@
-package lemondock.detect;
+package lemondock.anomaly;
 
 /**
  * Weighs requests that got what was wanted against those that did not, and says whether service has
--- a/detect/src/main/java/lemondock/detect/FallDetector.java
+++ b/anomaly/src/main/java/lemondock/anomaly/FallDetector.java
@@ -1,4 +1,4 @@
-package lemondock.detect;
+package lemondock.anomaly;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/detect/src/test/java/lemondock/detect/DetectTest.java
+++ b/anomaly/src/test/java/lemondock/anomaly/DetectTest.java
@@ -1,4 +1,4 @@
-package lemondock.detect;
+package lemondock.anomaly;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/measure/src/main/java/lemondock/measure/Affinity.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Affinity.java
@@ -1,4 +1,4 @@
-package lemondock.measure;
+package lemondock.benchmark;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -17,18 +17,18 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicLongArray;
+import lemondock.dispatch.Ledger;
+import lemondock.emulator.EngineSettings;
+import lemondock.emulator.Tap;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.ledger.Ledger;
 import lemondock.net.http.HttpClient;
 import lemondock.net.http.HttpLimits;
 import lemondock.policy.Routing;
-import lemondock.rehearsal.Fleet;
-import lemondock.rehearsal.McpClient;
-import lemondock.rehearsal.Node;
-import lemondock.rehearsal.Presets;
-import lemondock.standin.EngineSettings;
-import lemondock.standin.Tap;
+import lemondock.scenario.Fleet;
+import lemondock.scenario.McpClient;
+import lemondock.scenario.Node;
+import lemondock.scenario.Presets;
 
 /**
  * What is won by sending the leg behind a tool call to the reader that has the text, against one
--- a/measure/src/main/java/lemondock/measure/Child.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Child.java
@@ -1,4 +1,4 @@
-package lemondock.measure;
+package lemondock.benchmark;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -31,7 +31,7 @@
             "-Xmx" + heap,
             "-cp",
             System.getProperty("java.class.path"),
-            "lemondock.measure.Measure"));
+            "lemondock.benchmark.Measure"));
     command.addAll(List.of(args));
     process = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.INHERIT).start();
     ALL.add(this);
--- a/measure/src/main/java/lemondock/measure/Decisions.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Decisions.java
@@ -1,4 +1,4 @@
-package lemondock.measure;
+package lemondock.benchmark;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/measure/src/main/java/lemondock/measure/DetectorDays.java
+++ b/benchmark/src/main/java/lemondock/benchmark/DetectorDays.java
@@ -1,4 +1,4 @@
-package lemondock.measure;
+package lemondock.benchmark;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -19,16 +19,16 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Supplier;
-import lemondock.detect.BurnRate;
-import lemondock.detect.Cusum;
-import lemondock.detect.Evidence;
-import lemondock.detect.FallDetector;
+import lemondock.anomaly.BurnRate;
+import lemondock.anomaly.Cusum;
+import lemondock.anomaly.Evidence;
+import lemondock.anomaly.FallDetector;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.rehearsal.BadDay;
-import lemondock.rehearsal.CallRecord;
-import lemondock.rehearsal.DayScript;
-import lemondock.tally.Metrics;
-import lemondock.tally.Series;
+import lemondock.metrics.Metrics;
+import lemondock.metrics.Series;
+import lemondock.scenario.BadDay;
+import lemondock.scenario.CallRecord;
+import lemondock.scenario.DayScript;
 
 /**
  * Judges the detector of falls. Days are played once, on sockets with stand-in engines, and what
--- a/measure/src/main/java/lemondock/measure/Ledgers.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Ledgers.java
@@ -1,4 +1,4 @@
-package lemondock.measure;
+package lemondock.benchmark;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -12,10 +12,10 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import lemondock.durable.AppendLog;
-import lemondock.durable.CallBook;
-import lemondock.durable.Committer;
-import lemondock.durable.DiskFolder;
+import lemondock.idempotency.AppendLog;
+import lemondock.idempotency.CallBook;
+import lemondock.idempotency.Committer;
+import lemondock.idempotency.DiskFolder;
 import lemondock.net.nio.ThreadLoop;
 import lemondock.net.nio.Workers;
 import org.HdrHistogram.Histogram;
@@ -43,7 +43,7 @@
     Path root =
         Files.createTempDirectory(
             Path.of(System.getProperty("folder", System.getProperty("java.io.tmpdir"))),
-            "lemondock-ledger");
+            "lemondock-dispatch");
     System.out.println(
         "calls taken, made durable, and ended; "
             + rounds
--- a/measure/src/main/java/lemondock/measure/Load.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Load.java
@@ -1,4 +1,4 @@
-package lemondock.measure;
+package lemondock.benchmark;
 
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -14,7 +14,7 @@
 import lemondock.net.http.HttpEvent;
 import lemondock.net.http.HttpLimits;
 import lemondock.net.sse.SseEvent;
-import lemondock.rehearsal.Node;
+import lemondock.scenario.Node;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
--- a/measure/src/main/java/lemondock/measure/Measure.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Measure.java
@@ -1,4 +1,4 @@
-package lemondock.measure;
+package lemondock.benchmark;
 
 import ch.qos.logback.classic.Level;
 import ch.qos.logback.classic.Logger;
@@ -13,9 +13,9 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import lemondock.rehearsal.Presets;
-import lemondock.standin.collect.CollectdListener;
-import lemondock.standin.collect.GraphiteListener;
+import lemondock.emulator.collect.CollectdListener;
+import lemondock.emulator.collect.GraphiteListener;
+import lemondock.scenario.Presets;
 import org.HdrHistogram.Histogram;
 import org.slf4j.LoggerFactory;
 
@@ -94,7 +94,7 @@
           .append(engines[i])
           .append("\",\"kind\":\"mixed\",\"zone\":\"north\",\"rack\":\"r1\"}");
     }
-    Path folder = Files.createTempDirectory("lemondock-measure");
+    Path folder = Files.createTempDirectory("lemondock-benchmark");
     Path file = folder.resolve("list.json");
     Files.writeString(file, list.append("]}"));
     Path settings = folder.resolve("gateway.json");
--- a/measure/src/main/java/lemondock/measure/Overload.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Overload.java
@@ -1,4 +1,4 @@
-package lemondock.measure;
+package lemondock.benchmark;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/measure/src/main/java/lemondock/measure/Recording.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Recording.java
@@ -1,4 +1,4 @@
-package lemondock.measure;
+package lemondock.benchmark;
 
 import io.micrometer.core.instrument.Counter;
 import io.micrometer.core.instrument.Timer;
@@ -6,10 +6,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
-import lemondock.tally.Metrics;
-import lemondock.tally.Recorder;
-import lemondock.tally.Series;
-import lemondock.tally.Tally;
+import lemondock.metrics.Metrics;
+import lemondock.metrics.Recorder;
+import lemondock.metrics.Series;
+import lemondock.metrics.Tally;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
--- a/measure/src/main/java/lemondock/measure/Reports.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Reports.java
@@ -1,4 +1,4 @@
-package lemondock.measure;
+package lemondock.benchmark;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
@@ -6,19 +6,19 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.SplittableRandom;
-import lemondock.report.Encoder;
-import lemondock.report.SnapshotRing;
-import lemondock.report.collectd.Identity;
-import lemondock.report.collectd.Packets;
-import lemondock.report.collectd.PutVal;
-import lemondock.report.collectd.Seal;
-import lemondock.report.graphite.Pickle;
-import lemondock.report.graphite.PlainText;
-import lemondock.tally.Metrics;
-import lemondock.tally.Recorder;
-import lemondock.tally.Series;
-import lemondock.tally.Snapshot;
-import lemondock.tally.Tally;
+import lemondock.exporter.Encoder;
+import lemondock.exporter.SnapshotRing;
+import lemondock.exporter.collectd.Identity;
+import lemondock.exporter.collectd.Packets;
+import lemondock.exporter.collectd.PutVal;
+import lemondock.exporter.collectd.Seal;
+import lemondock.exporter.graphite.Pickle;
+import lemondock.exporter.graphite.PlainText;
+import lemondock.metrics.Metrics;
+import lemondock.metrics.Recorder;
+import lemondock.metrics.Series;
+import lemondock.metrics.Snapshot;
+import lemondock.metrics.Tally;
 
 /**
  * Bytes and packets of a report, time to take and encode it, and memory of the ring, by number of
--- a/measure/src/main/java/lemondock/measure/Roles.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Roles.java
@@ -1,4 +1,4 @@
-package lemondock.measure;
+package lemondock.benchmark;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -34,6 +34,11 @@
 import java.util.Arrays;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import lemondock.emulator.Engine;
+import lemondock.emulator.EngineSettings;
+import lemondock.emulator.Tap;
+import lemondock.exporter.host.ProcessMeters;
+import lemondock.exporter.host.ReportHost;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.Host;
 import lemondock.gateway.ThisProcess;
@@ -42,12 +47,7 @@
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsFile;
 import lemondock.net.nio.Workers;
-import lemondock.rehearsal.Node;
-import lemondock.report.host.ProcessMeters;
-import lemondock.report.host.ReportHost;
-import lemondock.standin.Engine;
-import lemondock.standin.EngineSettings;
-import lemondock.standin.Tap;
+import lemondock.scenario.Node;
 
 /**
  * What the processes of a measurement do; each prints {@code ready PORT} and runs until it is
--- a/measure/src/main/java/lemondock/measure/ToolCalls.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ToolCalls.java
@@ -1,4 +1,4 @@
-package lemondock.measure;
+package lemondock.benchmark;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -12,18 +12,18 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import lemondock.emulator.EngineSettings;
+import lemondock.emulator.Tap;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.http.Headers;
 import lemondock.net.http.HttpClient;
 import lemondock.net.http.HttpEncoder;
 import lemondock.net.http.HttpLimits;
-import lemondock.rehearsal.Fleet;
-import lemondock.rehearsal.McpClient;
-import lemondock.rehearsal.Node;
-import lemondock.rehearsal.Presets;
-import lemondock.standin.EngineSettings;
-import lemondock.standin.Tap;
+import lemondock.scenario.Fleet;
+import lemondock.scenario.McpClient;
+import lemondock.scenario.Node;
+import lemondock.scenario.Presets;
 
 /**
  * What a tool call takes more when it is relayed by a gateway than when a client speaks with the
--- a/cli/src/main/java/lemondock/cli/BadDayCommand.java
+++ b/cli/src/main/java/lemondock/cli/BadDayCommand.java
@@ -6,10 +6,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import lemondock.rehearsal.BadDay;
-import lemondock.rehearsal.DayScript;
-import lemondock.rehearsal.ReportCheck;
-import lemondock.rehearsal.Verdict;
+import lemondock.scenario.BadDay;
+import lemondock.scenario.DayScript;
+import lemondock.scenario.ReportCheck;
+import lemondock.scenario.Verdict;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
--- a/cli/src/main/java/lemondock/cli/CatalogueCommand.java
+++ b/cli/src/main/java/lemondock/cli/CatalogueCommand.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
+import lemondock.emulator.Catalogue;
+import lemondock.emulator.Tap;
 import lemondock.gateway.settings.SettingsFile;
-import lemondock.rehearsal.Node;
-import lemondock.standin.Catalogue;
-import lemondock.standin.Tap;
+import lemondock.scenario.Node;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
--- a/cli/src/main/java/lemondock/cli/CollectorCommand.java
+++ b/cli/src/main/java/lemondock/cli/CollectorCommand.java
@@ -2,9 +2,9 @@
 
 import java.util.Map;
 import java.util.concurrent.Callable;
-import lemondock.standin.collect.CollectdListener;
-import lemondock.standin.collect.GraphiteListener;
-import lemondock.standin.collect.Received;
+import lemondock.emulator.collect.CollectdListener;
+import lemondock.emulator.collect.GraphiteListener;
+import lemondock.emulator.collect.Received;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
--- a/cli/src/main/java/lemondock/cli/DemoCommand.java
+++ b/cli/src/main/java/lemondock/cli/DemoCommand.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.concurrent.Callable;
+import lemondock.emulator.EngineSettings;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.rehearsal.Fleet;
-import lemondock.rehearsal.Presets;
-import lemondock.standin.EngineSettings;
+import lemondock.scenario.Fleet;
+import lemondock.scenario.Presets;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
--- a/cli/src/main/java/lemondock/cli/Lemondock.java
+++ b/cli/src/main/java/lemondock/cli/Lemondock.java
@@ -4,8 +4,8 @@
 import java.util.Arrays;
 import java.util.concurrent.Callable;
 import lemondock.gateway.Gateway;
-import lemondock.node.Main;
-import lemondock.wire.WireHost;
+import lemondock.platform.Main;
+import lemondock.simulator.WireHost;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
@@ -52,7 +52,7 @@
     if (args.length > 0 && args[0].equals("node")) {
       Main.main(
           Arrays.copyOfRange(
-              args, 1, args.length)); // as the platform starts it, by bin/lemondock-node
+              args, 1, args.length)); // as the platform starts it, by bin/lemondock-platform
       return;
     }
     CommandLine line = new CommandLine(new Lemondock());
--- a/cli/src/main/java/lemondock/cli/MetricsCommand.java
+++ b/cli/src/main/java/lemondock/cli/MetricsCommand.java
@@ -1,7 +1,7 @@
 package lemondock.cli;
 
 import java.util.concurrent.Callable;
-import lemondock.tally.Catalogue;
+import lemondock.metrics.Catalogue;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
--- a/cli/src/main/java/lemondock/cli/PlatformCommand.java
+++ b/cli/src/main/java/lemondock/cli/PlatformCommand.java
@@ -3,8 +3,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import lemondock.rehearsal.Node;
-import lemondock.standin.Platform;
+import lemondock.emulator.Platform;
+import lemondock.scenario.Node;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -51,7 +51,7 @@
     Platform platform = node.ask(() -> new Platform(node.loop(), node.network()));
     platform.start(readers, writers);
     Files.writeString(out, platform.config(listen).toPrettyString());
-    System.out.println("ready: bin/lemondock-node " + out);
+    System.out.println("ready: bin/lemondock-platform " + out);
     Stops.onSignal(() -> {});
     Stops.await(Long.MAX_VALUE);
     return 0;
--- a/ledger/src/main/java/lemondock/ledger/AttemptCount.java
+++ b/dispatch/src/main/java/lemondock/dispatch/AttemptCount.java
@@ -1,4 +1,4 @@
-package lemondock.ledger;
+package lemondock.dispatch;
 
 import java.util.function.LongFunction;
 import lemondock.policy.Routing;
--- a/ledger/src/main/java/lemondock/ledger/Engines.java
+++ b/dispatch/src/main/java/lemondock/dispatch/Engines.java
@@ -1,4 +1,4 @@
-package lemondock.ledger;
+package lemondock.dispatch;
 
 import lemondock.net.http.HttpClient;
 import lemondock.policy.Routing.Ending;
--- a/ledger/src/main/java/lemondock/ledger/Ledger.java
+++ b/dispatch/src/main/java/lemondock/dispatch/Ledger.java
@@ -1,4 +1,4 @@
-package lemondock.ledger;
+package lemondock.dispatch;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import lemondock.admit.Lateness;
 import lemondock.net.Loop;
+import lemondock.overload.Lateness;
 import lemondock.policy.Routing;
 import lemondock.policy.Routing.Ending;
 import org.slf4j.Logger;
--- a/ledger/src/main/java/lemondock/ledger/Leg.java
+++ b/dispatch/src/main/java/lemondock/dispatch/Leg.java
@@ -1,4 +1,4 @@
-package lemondock.ledger;
+package lemondock.dispatch;
 
 /** One request as the module knows it: a prompt that is read once and answered once. */
 public final class Leg {
--- a/ledger/src/main/java/lemondock/ledger/Membership.java
+++ b/dispatch/src/main/java/lemondock/dispatch/Membership.java
@@ -1,4 +1,4 @@
-package lemondock.ledger;
+package lemondock.dispatch;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/ledger/src/main/java/lemondock/ledger/Piece.java
+++ b/dispatch/src/main/java/lemondock/dispatch/Piece.java
@@ -1,4 +1,4 @@
-package lemondock.ledger;
+package lemondock.dispatch;
 
 /** One event of a writer's stream, as far as the ledger cares. */
 public interface Piece {
--- a/ledger/src/main/java/lemondock/ledger/ServerEntry.java
+++ b/dispatch/src/main/java/lemondock/dispatch/ServerEntry.java
@@ -1,4 +1,4 @@
-package lemondock.ledger;
+package lemondock.dispatch;
 
 import java.net.InetSocketAddress;
 import lemondock.policy.Routing;
--- a/ledger/src/main/java/lemondock/ledger/Silence.java
+++ b/dispatch/src/main/java/lemondock/dispatch/Silence.java
@@ -1,7 +1,7 @@
-package lemondock.ledger;
+package lemondock.dispatch;
 
-import lemondock.admit.Lateness;
 import lemondock.net.Loop;
+import lemondock.overload.Lateness;
 
 /**
  * Watches a stream that has begun: one that says nothing for too long is broken. Not while nobody
--- a/ledger/src/main/java/lemondock/ledger/StartTimes.java
+++ b/dispatch/src/main/java/lemondock/dispatch/StartTimes.java
@@ -1,4 +1,4 @@
-package lemondock.ledger;
+package lemondock.dispatch;
 
 /**
  * Puts servers' starts, which lists tell in wall time, on the module's clock. This gateway's wall
--- a/ledger/src/test/java/lemondock/ledger/SilenceTest.java
+++ b/dispatch/src/test/java/lemondock/dispatch/SilenceTest.java
@@ -1,9 +1,9 @@
-package lemondock.ledger;
+package lemondock.dispatch;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import lemondock.admit.Lateness;
 import lemondock.net.time.ManualLoop;
+import lemondock.overload.Lateness;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
--- a/standin/src/main/java/lemondock/standin/EngineSettings.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineSettings.java
@@ -1,4 +1,4 @@
-package lemondock.standin;
+package lemondock.emulator;
 
 /**
  * What a stand-in engine is; times in milliseconds, lengths in tokens.
--- a/standin/src/main/java/lemondock/standin/Faults.java
+++ b/emulator/src/main/java/lemondock/emulator/Faults.java
@@ -1,4 +1,4 @@
-package lemondock.standin;
+package lemondock.emulator;
 
 /**
  * What is wrong with a stand-in engine at the moment; each is off at first. Set on the engine's
--- a/standin/src/main/java/lemondock/standin/Platform.java
+++ b/emulator/src/main/java/lemondock/emulator/Platform.java
@@ -1,4 +1,4 @@
-package lemondock.standin;
+package lemondock.emulator;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
--- a/standin/src/main/java/lemondock/standin/Script.java
+++ b/emulator/src/main/java/lemondock/emulator/Script.java
@@ -1,4 +1,4 @@
-package lemondock.standin;
+package lemondock.emulator;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
--- a/standin/src/main/java/lemondock/standin/Tap.java
+++ b/emulator/src/main/java/lemondock/emulator/Tap.java
@@ -1,4 +1,4 @@
-package lemondock.standin;
+package lemondock.emulator;
 
 /**
  * Hears what passes on a stand-in's sockets; what the auditor goes by. Called on the stand-in's
--- a/standin/src/main/java/lemondock/standin/collect/CollectdListener.java
+++ b/emulator/src/main/java/lemondock/emulator/collect/CollectdListener.java
@@ -1,4 +1,4 @@
-package lemondock.standin.collect;
+package lemondock.emulator.collect;
 
 import java.io.IOException;
 import java.math.BigDecimal;
--- a/standin/src/main/java/lemondock/standin/collect/Received.java
+++ b/emulator/src/main/java/lemondock/emulator/collect/Received.java
@@ -1,4 +1,4 @@
-package lemondock.standin.collect;
+package lemondock.emulator.collect;
 
 import java.math.BigDecimal;
 import java.util.List;
--- a/report/src/main/java/lemondock/report/Destination.java
+++ b/exporter/src/main/java/lemondock/exporter/Destination.java
@@ -1,4 +1,4 @@
-package lemondock.report;
+package lemondock.exporter;
 
 /**
  * A collector that reports go to. All on the reports' loop; a destination has no thread and knows
--- a/report/src/main/java/lemondock/report/Dialer.java
+++ b/exporter/src/main/java/lemondock/exporter/Dialer.java
@@ -1,4 +1,4 @@
-package lemondock.report;
+package lemondock.exporter;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/report/src/main/java/lemondock/report/Environment.java
+++ b/exporter/src/main/java/lemondock/exporter/Environment.java
@@ -1,4 +1,4 @@
-package lemondock.report;
+package lemondock.exporter;
 
 import java.nio.file.Path;
 import java.util.concurrent.Executor;
--- a/report/src/main/java/lemondock/report/Reporter.java
+++ b/exporter/src/main/java/lemondock/exporter/Reporter.java
@@ -1,14 +1,14 @@
-package lemondock.report;
+package lemondock.exporter;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
+import lemondock.metrics.Metrics;
+import lemondock.metrics.Recorder;
+import lemondock.metrics.Series;
+import lemondock.metrics.Snapshot;
+import lemondock.metrics.Tally;
 import lemondock.net.Loop;
-import lemondock.tally.Metrics;
-import lemondock.tally.Recorder;
-import lemondock.tally.Series;
-import lemondock.tally.Snapshot;
-import lemondock.tally.Tally;
 
 /**
  * Takes snapshots of a tally and hands them to the destinations, on a loop of its own, so that no
--- a/report/src/main/java/lemondock/report/SnapshotRing.java
+++ b/exporter/src/main/java/lemondock/exporter/SnapshotRing.java
@@ -1,10 +1,10 @@
-package lemondock.report;
+package lemondock.exporter;
 
 import java.util.ArrayDeque;
 import java.util.Arrays;
 import java.util.List;
-import lemondock.tally.Series;
-import lemondock.tally.Snapshot;
+import lemondock.metrics.Series;
+import lemondock.metrics.Snapshot;
 
 /**
  * The snapshots that some destination may still need, oldest dropped first past a bound of bytes or
--- a/report/src/main/java/lemondock/report/Stamps.java
+++ b/exporter/src/main/java/lemondock/exporter/Stamps.java
@@ -1,4 +1,4 @@
-package lemondock.report;
+package lemondock.exporter;
 
 /**
  * Stamps for reports, which never go back and never repeat. Collectors overwrite or refuse what is
--- a/report/src/main/java/lemondock/report/collectd/AuthFile.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/AuthFile.java
@@ -1,4 +1,4 @@
-package lemondock.report.collectd;
+package lemondock.exporter.collectd;
 
 import java.util.List;
 import java.util.Optional;
--- a/report/src/main/java/lemondock/report/collectd/DatagramDestination.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/DatagramDestination.java
@@ -1,4 +1,4 @@
-package lemondock.report.collectd;
+package lemondock.exporter.collectd;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -6,11 +6,11 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
+import lemondock.exporter.Destination;
+import lemondock.exporter.Dialer;
+import lemondock.exporter.SnapshotRing;
 import lemondock.net.Datagrams;
 import lemondock.net.Loop;
-import lemondock.report.Destination;
-import lemondock.report.Dialer;
-import lemondock.report.SnapshotRing;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/report/src/main/java/lemondock/report/collectd/Identity.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/Identity.java
@@ -1,4 +1,4 @@
-package lemondock.report.collectd;
+package lemondock.exporter.collectd;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
-import lemondock.report.Labels;
-import lemondock.tally.Series;
+import lemondock.exporter.Labels;
+import lemondock.metrics.Series;
 
 /**
  * collectd's names: host, plugin {@code lemondock}, its instance, type {@code lemondock_FAMILY},
--- a/report/src/main/java/lemondock/report/collectd/Packets.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/Packets.java
@@ -1,14 +1,14 @@
-package lemondock.report.collectd;
+package lemondock.exporter.collectd;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import lemondock.report.SnapshotRing;
-import lemondock.tally.Field;
-import lemondock.tally.Series;
-import lemondock.tally.Snapshot;
+import lemondock.exporter.SnapshotRing;
+import lemondock.metrics.Field;
+import lemondock.metrics.Series;
+import lemondock.metrics.Snapshot;
 
 /**
  * collectd's binary network protocol (https://collectd.org/wiki/index.php/Binary_protocol): parts
--- a/report/src/main/java/lemondock/report/collectd/PutVal.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/PutVal.java
@@ -1,13 +1,13 @@
-package lemondock.report.collectd;
+package lemondock.exporter.collectd;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import lemondock.report.Encoder;
-import lemondock.report.SnapshotRing;
-import lemondock.tally.Field;
-import lemondock.tally.Series;
-import lemondock.tally.Snapshot;
+import lemondock.exporter.Encoder;
+import lemondock.exporter.SnapshotRing;
+import lemondock.metrics.Field;
+import lemondock.metrics.Series;
+import lemondock.metrics.Snapshot;
 
 /**
  * collectd's plain text protocol, as its exec and unixsock plugins take it: a {@code PUTVAL} line
--- a/report/src/main/java/lemondock/report/collectd/Seal.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/Seal.java
@@ -1,4 +1,4 @@
-package lemondock.report.collectd;
+package lemondock.exporter.collectd;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/report/src/main/java/lemondock/report/graphite/Paths.java
+++ b/exporter/src/main/java/lemondock/exporter/graphite/Paths.java
@@ -1,10 +1,10 @@
-package lemondock.report.graphite;
+package lemondock.exporter.graphite;
 
 import java.util.ArrayList;
 import java.util.List;
-import lemondock.report.Labels;
-import lemondock.tally.Field;
-import lemondock.tally.Series;
+import lemondock.exporter.Labels;
+import lemondock.metrics.Field;
+import lemondock.metrics.Series;
 
 /**
  * Graphite's names of values: a path of parts, or a name with tags (Graphite 1.1). Built once for a
--- a/report/src/main/java/lemondock/report/graphite/Pickle.java
+++ b/exporter/src/main/java/lemondock/exporter/graphite/Pickle.java
@@ -1,14 +1,14 @@
-package lemondock.report.graphite;
+package lemondock.exporter.graphite;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import lemondock.report.Encoder;
-import lemondock.report.SnapshotRing;
-import lemondock.tally.Field;
-import lemondock.tally.Series;
-import lemondock.tally.Snapshot;
+import lemondock.exporter.Encoder;
+import lemondock.exporter.SnapshotRing;
+import lemondock.metrics.Field;
+import lemondock.metrics.Series;
+import lemondock.metrics.Snapshot;
 
 /**
  * Graphite's pickle protocol: four bytes of length (big-endian), then Python's pickle (protocol 2)
--- a/report/src/main/java/lemondock/report/host/ProcessMeters.java
+++ b/exporter/src/main/java/lemondock/exporter/host/ProcessMeters.java
@@ -1,4 +1,4 @@
-package lemondock.report.host;
+package lemondock.exporter.host;
 
 import io.micrometer.core.instrument.MeterRegistry;
 import io.micrometer.core.instrument.binder.jvm.ClassLoaderMetrics;
--- a/report/src/main/java/lemondock/report/host/ReportHost.java
+++ b/exporter/src/main/java/lemondock/exporter/host/ReportHost.java
@@ -1,4 +1,4 @@
-package lemondock.report.host;
+package lemondock.exporter.host;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -11,11 +11,11 @@
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import lemondock.exporter.Environment;
 import lemondock.net.nio.AsyncNetwork;
 import lemondock.net.nio.ThreadLoop;
 import lemondock.net.nio.UdpDatagrams;
 import lemondock.net.nio.UnixConnector;
-import lemondock.report.Environment;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/report/src/test/java/lemondock/report/DestinationsTest.java
+++ b/exporter/src/test/java/lemondock/exporter/DestinationsTest.java
@@ -1,4 +1,4 @@
-package lemondock.report;
+package lemondock.exporter;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,21 +12,21 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
+import lemondock.exporter.collectd.DatagramDestination;
+import lemondock.exporter.collectd.Identity;
+import lemondock.exporter.collectd.Packets;
+import lemondock.exporter.collectd.Seal;
+import lemondock.exporter.graphite.PlainText;
+import lemondock.metrics.Family;
+import lemondock.metrics.Field;
+import lemondock.metrics.Metrics;
+import lemondock.metrics.Recorder;
+import lemondock.metrics.Series;
+import lemondock.metrics.Snapshot;
+import lemondock.metrics.Tally;
 import lemondock.net.Connection;
 import lemondock.net.Datagrams;
 import lemondock.net.time.ManualLoop;
-import lemondock.report.collectd.DatagramDestination;
-import lemondock.report.collectd.Identity;
-import lemondock.report.collectd.Packets;
-import lemondock.report.collectd.Seal;
-import lemondock.report.graphite.PlainText;
-import lemondock.tally.Family;
-import lemondock.tally.Field;
-import lemondock.tally.Metrics;
-import lemondock.tally.Recorder;
-import lemondock.tally.Series;
-import lemondock.tally.Snapshot;
-import lemondock.tally.Tally;
 import org.junit.jupiter.api.Test;
 
 /** Destinations on a clock and connections that the test moves by hand. */
--- a/report/src/test/java/lemondock/report/SnapshotRingTest.java
+++ b/exporter/src/test/java/lemondock/exporter/SnapshotRingTest.java
@@ -1,4 +1,4 @@
-package lemondock.report;
+package lemondock.exporter;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -9,10 +9,10 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import lemondock.tally.Family;
-import lemondock.tally.Field;
-import lemondock.tally.Series;
-import lemondock.tally.Snapshot;
+import lemondock.metrics.Family;
+import lemondock.metrics.Field;
+import lemondock.metrics.Series;
+import lemondock.metrics.Snapshot;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
--- a/faults/src/main/java/lemondock/faults/Auditor.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/Auditor.java
@@ -1,16 +1,16 @@
-package lemondock.faults;
+package lemondock.faultinjection;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import lemondock.faults.Truth.Arrival;
-import lemondock.faults.Truth.ClientCall;
-import lemondock.faults.Truth.Effect;
-import lemondock.faults.Truth.Fate;
-import lemondock.faults.Truth.Life;
-import lemondock.faults.Truth.Outcome;
+import lemondock.faultinjection.Truth.Arrival;
+import lemondock.faultinjection.Truth.ClientCall;
+import lemondock.faultinjection.Truth.Effect;
+import lemondock.faultinjection.Truth.Fate;
+import lemondock.faultinjection.Truth.Life;
+import lemondock.faultinjection.Truth.Outcome;
 
 /**
  * Judges a run by what truly happened: the five rules, the deadline told to servers, attempts for
--- a/faults/src/main/java/lemondock/faults/Client.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/Client.java
@@ -1,4 +1,4 @@
-package lemondock.faults;
+package lemondock.faultinjection;
 
 import java.io.BufferedInputStream;
 import java.io.IOException;
@@ -8,9 +8,9 @@
 import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 import java.util.SplittableRandom;
-import lemondock.faults.Truth.ClientCall;
-import lemondock.faults.Truth.Effect;
-import lemondock.faults.Truth.Outcome;
+import lemondock.faultinjection.Truth.ClientCall;
+import lemondock.faultinjection.Truth.Effect;
+import lemondock.faultinjection.Truth.Outcome;
 
 /**
  * One client of a gateway: asks one thing at a time on a connection that it keeps, until told to
--- a/faults/src/main/java/lemondock/faults/FaultInjector.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultInjector.java
@@ -1,11 +1,11 @@
-package lemondock.faults;
+package lemondock.faultinjection;
 
 import java.io.IOException;
 import java.util.List;
 import java.util.SplittableRandom;
-import lemondock.faults.FaultProxy.Admission;
-import lemondock.faults.FaultProxy.Flow;
-import lemondock.faults.FaultProxy.Link;
+import lemondock.faultinjection.FaultProxy.Admission;
+import lemondock.faultinjection.FaultProxy.Flow;
+import lemondock.faultinjection.FaultProxy.Link;
 
 /** Carries out the steps of a plan on a fleet, each on a thread of its own. */
 final class FaultInjector {
--- a/faults/src/main/java/lemondock/faults/FaultPlan.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultPlan.java
@@ -1,4 +1,4 @@
-package lemondock.faults;
+package lemondock.faultinjection;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/faults/src/main/java/lemondock/faults/FaultShim.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultShim.java
@@ -1,4 +1,4 @@
-package lemondock.faults;
+package lemondock.faultinjection;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -72,7 +72,7 @@
   /** Compiles the library into a folder; empty where no C compiler is present. */
   static Optional<Path> compile(Path project, Path folder) {
     Path library = folder.resolve("faultshim.so");
-    Path source = project.resolve("faults/src/main/c").resolve(SOURCE);
+    Path source = project.resolve("faultinjection/src/main/c").resolve(SOURCE);
     try {
       Process compiler =
           new ProcessBuilder(
--- a/faults/src/main/java/lemondock/faults/Fleet.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/Fleet.java
@@ -1,4 +1,4 @@
-package lemondock.faults;
+package lemondock.faultinjection;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/faults/src/main/java/lemondock/faults/FleetShape.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FleetShape.java
@@ -1,4 +1,4 @@
-package lemondock.faults;
+package lemondock.faultinjection;
 
 /**
  * What a fleet is made of.
--- a/faults/src/main/java/lemondock/faults/GatewayProcess.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/GatewayProcess.java
@@ -1,4 +1,4 @@
-package lemondock.faults;
+package lemondock.faultinjection;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -15,8 +15,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One gateway: real processes of {@code bin/lemondock-node}, one after another at one address, and
- * the signals that they get.
+ * One gateway: real processes of {@code bin/lemondock-platform}, one after another at one address,
+ * and the signals that they get.
  */
 final class GatewayProcess implements AutoCloseable {
   private static final long READY_WITHIN = 20 * Micros.SECOND;
@@ -82,13 +82,13 @@
   void start() throws IOException {
     ProcessBuilder builder =
         new ProcessBuilder(
-            project.resolve("bin/lemondock-node").toString(),
+            project.resolve("bin/lemondock-platform").toString(),
             folder.resolve(name + ".json").toString());
     builder
         .redirectErrorStream(true)
         .redirectOutput(folder.resolve(name + "-" + ++lives + ".log").toFile());
     builder.environment().putAll(shim.map(FaultShim::environment).orElse(java.util.Map.of()));
-    if (Boolean.getBoolean("lemondock.faults.debug")) {
+    if (Boolean.getBoolean("lemondock.faultinjection.debug")) {
       builder
           .environment()
           .put("LEMONDOCK_NODE_OPTS", "-Dorg.slf4j.simpleLogger.defaultLogLevel=debug");
--- a/faults/src/main/java/lemondock/faults/HttpText.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/HttpText.java
@@ -1,4 +1,4 @@
-package lemondock.faults;
+package lemondock.faultinjection;
 
 import java.io.ByteArrayOutputStream;
 import java.io.EOFException;
--- a/faults/src/main/java/lemondock/faults/MachineStalls.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/MachineStalls.java
@@ -1,4 +1,4 @@
-package lemondock.faults;
+package lemondock.faultinjection;
 
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
--- a/faults/src/main/java/lemondock/faults/ModelServer.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ModelServer.java
@@ -1,4 +1,4 @@
-package lemondock.faults;
+package lemondock.faultinjection;
 
 import java.io.BufferedInputStream;
 import java.io.IOException;
@@ -13,8 +13,8 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
-import lemondock.faults.Truth.Arrival;
-import lemondock.faults.Truth.Fate;
+import lemondock.faultinjection.Truth.Arrival;
+import lemondock.faultinjection.Truth.Fate;
 
 /**
  * A stand-in for one model server, a reader or a writer. It can hang (accepts, takes nothing), die
--- a/faults/src/main/java/lemondock/faults/SoakMain.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/SoakMain.java
@@ -1,4 +1,4 @@
-package lemondock.faults;
+package lemondock.faultinjection;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/faults/src/main/java/lemondock/faults/SoakRun.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/SoakRun.java
@@ -1,4 +1,4 @@
-package lemondock.faults;
+package lemondock.faultinjection;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.ConcurrentLinkedQueue;
-import lemondock.faults.Truth.Outcome;
+import lemondock.faultinjection.Truth.Outcome;
 
 /** One seeded run: a fleet under load, its faults, and the audit. */
 final class SoakRun {
--- a/faults/src/main/java/lemondock/faults/package-info.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/package-info.java
@@ -3,4 +3,4 @@
  * model servers, with shims for the clock, system calls and the disk, and an auditor that judges
  * the five rules by what truly arrived.
  */
-package lemondock.faults;
+package lemondock.faultinjection;
--- a/faults/src/test/java/lemondock/faults/HeldStateTest.java
+++ b/faultinjection/src/test/java/lemondock/faultinjection/HeldStateTest.java
@@ -1,4 +1,4 @@
-package lemondock.faults;
+package lemondock.faultinjection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Predicate;
-import lemondock.faults.Auditor.Breach;
-import lemondock.faults.Auditor.Rule;
-import lemondock.faults.FaultProxy.Admission;
-import lemondock.faults.FaultProxy.Flow;
-import lemondock.faults.FaultProxy.Link;
+import lemondock.faultinjection.Auditor.Breach;
+import lemondock.faultinjection.Auditor.Rule;
+import lemondock.faultinjection.FaultProxy.Admission;
+import lemondock.faultinjection.FaultProxy.Flow;
+import lemondock.faultinjection.FaultProxy.Link;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
--- a/faults/src/test/java/lemondock/faults/InterruptedCallsTest.java
+++ b/faultinjection/src/test/java/lemondock/faultinjection/InterruptedCallsTest.java
@@ -1,4 +1,4 @@
-package lemondock.faults;
+package lemondock.faultinjection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,8 +11,8 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.stream.Collectors;
-import lemondock.faults.FaultShim.Fault;
-import lemondock.faults.Truth.Outcome;
+import lemondock.faultinjection.FaultShim.Fault;
+import lemondock.faultinjection.Truth.Outcome;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
--- a/faults/src/test/java/lemondock/faults/SoakTest.java
+++ b/faultinjection/src/test/java/lemondock/faultinjection/SoakTest.java
@@ -1,4 +1,4 @@
-package lemondock.faults;
+package lemondock.faultinjection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Optional;
-import lemondock.faults.Truth.Outcome;
+import lemondock.faultinjection.Truth.Outcome;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/gateway/src/main/java/lemondock/gateway/Host.java
+++ b/gateway/src/main/java/lemondock/gateway/Host.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
-import lemondock.durable.FilePort;
+import lemondock.idempotency.FilePort;
 import lemondock.net.Loop;
 import lemondock.net.Network;
 
--- a/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
@@ -20,8 +20,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
+import lemondock.dispatch.Membership;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.ledger.Membership;
 
 /**
  * Reads the arguments of a call, checks them against the tool's published schema and counts tokens
--- a/gateway/src/main/java/lemondock/gateway/core/Calls.java
+++ b/gateway/src/main/java/lemondock/gateway/core/Calls.java
@@ -9,9 +9,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import lemondock.admit.Gradient;
-import lemondock.admit.Lateness;
-import lemondock.durable.CallBook;
+import lemondock.dispatch.Engines;
+import lemondock.dispatch.Ledger;
+import lemondock.dispatch.Leg;
+import lemondock.dispatch.Membership;
 import lemondock.gateway.answer.Answer;
 import lemondock.gateway.answer.Prompt;
 import lemondock.gateway.answer.ToolCall;
@@ -20,11 +21,10 @@
 import lemondock.gateway.count.GatewayTally;
 import lemondock.gateway.engine.Chunk;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.ledger.Engines;
-import lemondock.ledger.Ledger;
-import lemondock.ledger.Leg;
-import lemondock.ledger.Membership;
+import lemondock.idempotency.CallBook;
 import lemondock.net.Loop;
+import lemondock.overload.Gradient;
+import lemondock.overload.Lateness;
 
 /**
  * Clients' calls under way: joins the states of an answer to the ledger's legs. It knows no front;
--- a/gateway/src/main/java/lemondock/gateway/count/GatewayTally.java
+++ b/gateway/src/main/java/lemondock/gateway/count/GatewayTally.java
@@ -6,15 +6,15 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import lemondock.dispatch.AttemptCount;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.ledger.AttemptCount;
+import lemondock.metrics.BoundedNames;
+import lemondock.metrics.Metrics;
+import lemondock.metrics.Recorder;
+import lemondock.metrics.Series;
+import lemondock.metrics.Tally;
 import lemondock.policy.Routing;
 import lemondock.policy.Routing.Ending;
-import lemondock.tally.BoundedNames;
-import lemondock.tally.Metrics;
-import lemondock.tally.Recorder;
-import lemondock.tally.Series;
-import lemondock.tally.Tally;
 
 /**
  * What a gateway counts on its decision loop. Series are looked up once and kept; the names of
@@ -192,7 +192,7 @@
 
   private Series byServer(
       Map<Routing.Role, Map<String, Series>> in,
-      lemondock.tally.Family family,
+      lemondock.metrics.Family family,
       Routing.Role role,
       String zone) {
     Map<String, Series> byZone = in.computeIfAbsent(role, r -> new HashMap<>());
--- a/gateway/src/main/java/lemondock/gateway/discovery/ConsulList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/ConsulList.java
@@ -2,8 +2,8 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
+import lemondock.dispatch.ServerEntry;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.ledger.ServerEntry;
 import lemondock.net.Loop;
 import lemondock.net.http.Headers;
 import lemondock.net.http.HttpClient;
--- a/gateway/src/main/java/lemondock/gateway/discovery/FileList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/FileList.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
+import lemondock.dispatch.ServerEntry;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.ledger.ServerEntry;
 import lemondock.net.Loop;
 
 /**
--- a/gateway/src/main/java/lemondock/gateway/discovery/Listing.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/Listing.java
@@ -9,8 +9,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import lemondock.dispatch.ServerEntry;
 import lemondock.gateway.settings.SettingsFile;
-import lemondock.ledger.ServerEntry;
 import lemondock.policy.Routing;
 
 /**
--- a/gateway/src/main/java/lemondock/gateway/discovery/ServerList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/ServerList.java
@@ -1,7 +1,7 @@
 package lemondock.gateway.discovery;
 
 import java.util.List;
-import lemondock.ledger.ServerEntry;
+import lemondock.dispatch.ServerEntry;
 
 /** Where lists of servers come from; all its calls to the sink are made on the loop. */
 public interface ServerList {
--- a/gateway/src/main/java/lemondock/gateway/engine/Chunk.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/Chunk.java
@@ -1,7 +1,7 @@
 package lemondock.gateway.engine;
 
 import java.util.List;
-import lemondock.ledger.Piece;
+import lemondock.dispatch.Piece;
 
 /**
  * One event of a writer's stream.
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
@@ -3,17 +3,17 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.net.InetSocketAddress;
-import lemondock.admit.Lateness;
+import lemondock.dispatch.Engines;
+import lemondock.dispatch.Leg;
+import lemondock.dispatch.ServerEntry;
+import lemondock.dispatch.Silence;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.ledger.Engines;
-import lemondock.ledger.Leg;
-import lemondock.ledger.ServerEntry;
-import lemondock.ledger.Silence;
 import lemondock.net.Loop;
 import lemondock.net.http.Headers;
 import lemondock.net.http.HttpClient;
 import lemondock.net.http.HttpEncoder;
 import lemondock.net.sse.SseEvent;
+import lemondock.overload.Lateness;
 import lemondock.policy.Routing.Ending;
 
 /**
--- a/gateway/src/main/java/lemondock/gateway/reporting/ServiceWindow.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/ServiceWindow.java
@@ -4,9 +4,9 @@
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import lemondock.tally.Metrics;
-import lemondock.tally.Series;
-import lemondock.tally.Snapshot;
+import lemondock.metrics.Metrics;
+import lemondock.metrics.Series;
+import lemondock.metrics.Snapshot;
 
 /**
  * Worth asked for and answered in time over the last seconds, by class; from snapshots, with time
--- a/gateway/src/main/java/lemondock/gateway/reporting/TallyJson.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/TallyJson.java
@@ -4,10 +4,10 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.math.BigDecimal;
-import lemondock.tally.Family;
-import lemondock.tally.Field;
-import lemondock.tally.Series;
-import lemondock.tally.Snapshot;
+import lemondock.metrics.Family;
+import lemondock.metrics.Field;
+import lemondock.metrics.Series;
+import lemondock.metrics.Snapshot;
 
 /**
  * A tally as JSON: for each family its rows, each with its labels and values. Values are exact
--- a/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import lemondock.admit.Admission;
-import lemondock.admit.Pressure;
-import lemondock.admit.RepeatBudget;
+import lemondock.overload.Admission;
+import lemondock.overload.Pressure;
+import lemondock.overload.RepeatBudget;
 import lemondock.policy.Routing;
 
 /**
@@ -149,7 +149,7 @@
 
   /**
    * What to let in at the gateway's own limit, and what counts as a stall of the process; see
-   * {@code lemondock.admit}.
+   * {@code lemondock.overload}.
    */
   public record Overload(
       boolean refuse,
@@ -194,7 +194,7 @@
 
   /**
    * Where calls that must not run twice are remembered over the gateway's death; see {@code
-   * lemondock.durable}. Null for nowhere.
+   * lemondock.idempotency}. Null for nowhere.
    */
   public record Durable(
       String path, double keepMs, int mostCalls, long mostBytes, int mostWaiting, double waitMs) {}
--- a/gateway/src/test/java/lemondock/gateway/WallsTest.java
+++ b/gateway/src/test/java/lemondock/gateway/WallsTest.java
@@ -54,22 +54,22 @@
   static final ArchRule DECIDING_MODULES_KNOW_NOTHING_ELSE =
       classes()
           .that()
-          .resideInAnyPackage("lemondock.detect..", "lemondock.admit..")
+          .resideInAnyPackage("lemondock.anomaly..", "lemondock.overload..")
           .should()
           .onlyDependOnClassesThat()
           .resideInAnyPackage(
-              "lemondock.detect..", "lemondock.admit..", "java.lang..", "java.util..");
+              "lemondock.anomaly..", "lemondock.overload..", "java.lang..", "java.util..");
 
   @ArchTest
   static final ArchRule DECIDING_MODULES_AND_REPORTS_HAVE_NO_CLOCK =
       noClasses()
           .that()
           .resideInAnyPackage(
-              "lemondock.detect..",
-              "lemondock.admit..",
-              "lemondock.tally..",
-              "lemondock.report..",
-              "lemondock.durable..")
+              "lemondock.anomaly..",
+              "lemondock.overload..",
+              "lemondock.metrics..",
+              "lemondock.exporter..",
+              "lemondock.idempotency..")
           .should()
           .callMethod(System.class, "nanoTime")
           .orShould()
@@ -88,7 +88,7 @@
   static final ArchRule ENCODERS_DO_NO_IO =
       noClasses()
           .that()
-          .resideInAnyPackage("lemondock.report.graphite..", "lemondock.tally..")
+          .resideInAnyPackage("lemondock.exporter.graphite..", "lemondock.metrics..")
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage("java.net..", "java.nio.channels..", "java.nio.file..");
--- a/gateway/src/test/java/lemondock/gateway/count/CallCountTest.java
+++ b/gateway/src/test/java/lemondock/gateway/count/CallCountTest.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import lemondock.gateway.answer.Answer;
 import lemondock.gateway.settings.SettingsFile;
+import lemondock.metrics.Metrics;
+import lemondock.metrics.Snapshot;
 import lemondock.policy.Routing;
-import lemondock.tally.Metrics;
-import lemondock.tally.Snapshot;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -52,7 +52,7 @@
   }
 
   private static String row(
-      Snapshot s, lemondock.tally.Family family, List<String> labels, long part) {
+      Snapshot s, lemondock.metrics.Family family, List<String> labels, long part) {
     StringBuilder text = new StringBuilder();
     family
         .fields()
--- a/durable/src/main/java/lemondock/durable/AppendLog.java
+++ b/idempotency/src/main/java/lemondock/idempotency/AppendLog.java
@@ -1,4 +1,4 @@
-package lemondock.durable;
+package lemondock.idempotency;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/durable/src/test/java/lemondock/durable/DurableTest.java
+++ b/idempotency/src/test/java/lemondock/idempotency/DurableTest.java
@@ -1,4 +1,4 @@
-package lemondock.durable;
+package lemondock.idempotency;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -18,7 +18,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import lemondock.durable.CallBook.Fate;
+import lemondock.idempotency.CallBook.Fate;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/tally/src/main/java/lemondock/tally/Catalogue.java
+++ b/metrics/src/main/java/lemondock/metrics/Catalogue.java
@@ -1,4 +1,4 @@
-package lemondock.tally;
+package lemondock.metrics;
 
 import java.util.Locale;
 
--- a/tally/src/main/java/lemondock/tally/Field.java
+++ b/metrics/src/main/java/lemondock/metrics/Field.java
@@ -1,4 +1,4 @@
-package lemondock.tally;
+package lemondock.metrics;
 
 /**
  * One value of a family.
--- a/tally/src/main/java/lemondock/tally/MeterView.java
+++ b/metrics/src/main/java/lemondock/metrics/MeterView.java
@@ -1,4 +1,4 @@
-package lemondock.tally;
+package lemondock.metrics;
 
 import io.micrometer.core.instrument.FunctionCounter;
 import io.micrometer.core.instrument.Gauge;
--- a/tally/src/main/java/lemondock/tally/Metrics.java
+++ b/metrics/src/main/java/lemondock/metrics/Metrics.java
@@ -1,7 +1,7 @@
-package lemondock.tally;
+package lemondock.metrics;
 
 import java.util.List;
-import lemondock.tally.Field.Kind;
+import lemondock.metrics.Field.Kind;
 
 /**
  * Everything that a gateway reports, and the one list of it: the pages for operators and collectd's
--- a/tally/src/test/java/lemondock/tally/TallyTest.java
+++ b/metrics/src/test/java/lemondock/metrics/TallyTest.java
@@ -1,4 +1,4 @@
-package lemondock.tally;
+package lemondock.metrics;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/admit/src/main/java/lemondock/admit/Admission.java
+++ b/overload/src/main/java/lemondock/overload/Admission.java
@@ -1,4 +1,4 @@
-package lemondock.admit;
+package lemondock.overload;
 
 import java.util.Arrays;
 
--- a/admit/src/main/java/lemondock/admit/Gradient.java
+++ b/overload/src/main/java/lemondock/overload/Gradient.java
@@ -1,4 +1,4 @@
-package lemondock.admit;
+package lemondock.overload;
 
 /**
  * A bound on calls at a time that follows their time to the first token: it shrinks as that time
--- a/admit/src/main/java/lemondock/admit/Lateness.java
+++ b/overload/src/main/java/lemondock/overload/Lateness.java
@@ -1,4 +1,4 @@
-package lemondock.admit;
+package lemondock.overload;
 
 /**
  * How late the gateway itself is, told by a tick that it should run at a fixed pace. It keeps two
--- a/admit/src/main/java/lemondock/admit/Pressure.java
+++ b/overload/src/main/java/lemondock/overload/Pressure.java
@@ -1,4 +1,4 @@
-package lemondock.admit;
+package lemondock.overload;
 
 /**
  * How much may be let in by what the process has left of memory and file handles. What ends a
--- a/admit/src/main/java/lemondock/admit/RepeatBudget.java
+++ b/overload/src/main/java/lemondock/overload/RepeatBudget.java
@@ -1,4 +1,4 @@
-package lemondock.admit;
+package lemondock.overload;
 
 /**
  * How many repeated calls may come in for the new ones that do. A client that was refused comes
--- a/admit/src/test/java/lemondock/admit/AdmitTest.java
+++ b/overload/src/test/java/lemondock/overload/AdmitTest.java
@@ -1,4 +1,4 @@
-package lemondock.admit;
+package lemondock.overload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/rehearsal/src/main/java/lemondock/rehearsal/Auditor.java
+++ b/scenario/src/main/java/lemondock/scenario/Auditor.java
@@ -1,4 +1,4 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -9,10 +9,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import lemondock.emulator.EngineSettings;
+import lemondock.emulator.Tap;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.rpc.Mcp;
-import lemondock.standin.EngineSettings;
-import lemondock.standin.Tap;
 
 /**
  * Checks the five rules from what passed on the sockets: what engines and the catalogue were sent
--- a/rehearsal/src/main/java/lemondock/rehearsal/BadDay.java
+++ b/scenario/src/main/java/lemondock/scenario/BadDay.java
@@ -1,4 +1,4 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -19,13 +19,13 @@
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
 import java.util.stream.Stream;
-import lemondock.durable.FilePort;
+import lemondock.dispatch.Ledger;
+import lemondock.emulator.EngineSettings;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.ledger.Ledger;
+import lemondock.idempotency.FilePort;
 import lemondock.net.http.HttpClient;
 import lemondock.net.http.HttpLimits;
-import lemondock.standin.EngineSettings;
 
 /**
  * Plays a scripted day on real sockets: a fleet of gateways and stand-in engines in zones, clients
@@ -222,8 +222,8 @@
               fleet.events().stream()
                   .filter(
                       e ->
-                          e.what() == lemondock.standin.Tap.What.READ
-                              || e.what() == lemondock.standin.Tap.What.WRITE)
+                          e.what() == lemondock.emulator.Tap.What.READ
+                              || e.what() == lemondock.emulator.Tap.What.WRITE)
                   .count();
       return new Result(
           script,
@@ -570,8 +570,8 @@
       DayScript.Trouble t,
       List<Act> acts,
       List<String> names,
-      java.util.function.Consumer<lemondock.standin.Faults> set,
-      java.util.function.Consumer<lemondock.standin.Faults> clear) {
+      java.util.function.Consumer<lemondock.emulator.Faults> set,
+      java.util.function.Consumer<lemondock.emulator.Faults> clear) {
     during(
         t,
         acts,
--- a/rehearsal/src/main/java/lemondock/rehearsal/CallRecord.java
+++ b/scenario/src/main/java/lemondock/scenario/CallRecord.java
@@ -1,4 +1,4 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/rehearsal/src/main/java/lemondock/rehearsal/Fleet.java
+++ b/scenario/src/main/java/lemondock/scenario/Fleet.java
@@ -1,4 +1,4 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
@@ -18,8 +18,12 @@
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.UnaryOperator;
-import lemondock.durable.DiskFolder;
-import lemondock.durable.FilePort;
+import lemondock.dispatch.Ledger;
+import lemondock.emulator.Catalogue;
+import lemondock.emulator.Engine;
+import lemondock.emulator.EngineSettings;
+import lemondock.emulator.Tap;
+import lemondock.exporter.host.ReportHost;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.Host;
 import lemondock.gateway.Machine;
@@ -27,15 +31,11 @@
 import lemondock.gateway.reporting.Reporting;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsException;
-import lemondock.ledger.Ledger;
+import lemondock.idempotency.DiskFolder;
+import lemondock.idempotency.FilePort;
+import lemondock.metrics.Snapshot;
 import lemondock.net.nio.ThreadLoop;
 import lemondock.net.nio.Workers;
-import lemondock.report.host.ReportHost;
-import lemondock.standin.Catalogue;
-import lemondock.standin.Engine;
-import lemondock.standin.EngineSettings;
-import lemondock.standin.Tap;
-import lemondock.tally.Snapshot;
 
 /**
  * Gateways, engines and a catalogue in one process, over real loopback sockets. Each gateway and
--- a/rehearsal/src/main/java/lemondock/rehearsal/McpClient.java
+++ b/scenario/src/main/java/lemondock/scenario/McpClient.java
@@ -1,4 +1,4 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
--- a/rehearsal/src/main/java/lemondock/rehearsal/Node.java
+++ b/scenario/src/main/java/lemondock/scenario/Node.java
@@ -1,4 +1,4 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
--- a/rehearsal/src/main/java/lemondock/rehearsal/ReportCheck.java
+++ b/scenario/src/main/java/lemondock/scenario/ReportCheck.java
@@ -1,4 +1,4 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -16,12 +16,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
-import lemondock.standin.collect.CollectdListener;
-import lemondock.standin.collect.GraphiteListener;
-import lemondock.standin.collect.Received;
-import lemondock.tally.Family;
-import lemondock.tally.Field;
-import lemondock.tally.Metrics;
+import lemondock.emulator.collect.CollectdListener;
+import lemondock.emulator.collect.GraphiteListener;
+import lemondock.emulator.collect.Received;
+import lemondock.metrics.Family;
+import lemondock.metrics.Field;
+import lemondock.metrics.Metrics;
 
 /**
  * Small listeners for all forms of reports, and the comparison of what they were told last with the
--- a/rehearsal/src/test/java/lemondock/rehearsal/AuditorTest.java
+++ b/scenario/src/test/java/lemondock/scenario/AuditorTest.java
@@ -1,12 +1,12 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
 import java.util.Set;
+import lemondock.emulator.EngineSettings;
+import lemondock.emulator.Tap;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.standin.EngineSettings;
-import lemondock.standin.Tap;
 import org.junit.jupiter.api.Test;
 
 /** Time for which a gateway stood still counts against no limit; all other time does. */
--- a/rehearsal/src/test/java/lemondock/rehearsal/BadDayTest.java
+++ b/scenario/src/test/java/lemondock/scenario/BadDayTest.java
@@ -1,4 +1,4 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import lemondock.durable.FilePort;
+import lemondock.idempotency.FilePort;
 import org.junit.jupiter.api.Test;
 
 /** Short days on sockets keep the five rules. */
--- a/rehearsal/src/test/java/lemondock/rehearsal/Bench.java
+++ b/scenario/src/test/java/lemondock/scenario/Bench.java
@@ -1,4 +1,4 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -10,13 +10,13 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
+import lemondock.dispatch.Ledger;
+import lemondock.emulator.EngineSettings;
+import lemondock.emulator.Tap;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.ledger.Ledger;
 import lemondock.net.http.HttpClient;
 import lemondock.net.http.HttpLimits;
-import lemondock.standin.EngineSettings;
-import lemondock.standin.Tap;
 
 /** A small fleet with one gateway and a client, for tests. */
 final class Bench implements AutoCloseable {
--- a/rehearsal/src/test/java/lemondock/rehearsal/BreaksTest.java
+++ b/scenario/src/test/java/lemondock/scenario/BreaksTest.java
@@ -1,4 +1,4 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -21,10 +21,10 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
+import lemondock.emulator.EngineSettings;
+import lemondock.emulator.Faults;
+import lemondock.emulator.Tap;
 import lemondock.rpc.Mcp;
-import lemondock.standin.EngineSettings;
-import lemondock.standin.Faults;
-import lemondock.standin.Tap;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Timeout;
--- a/rehearsal/src/test/java/lemondock/rehearsal/CrashTest.java
+++ b/scenario/src/test/java/lemondock/scenario/CrashTest.java
@@ -1,4 +1,4 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -25,8 +25,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Supplier;
 import java.util.stream.Stream;
+import lemondock.emulator.Tap;
 import lemondock.rpc.Mcp;
-import lemondock.standin.Tap;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
--- a/rehearsal/src/test/java/lemondock/rehearsal/ForwardingFiles.java
+++ b/scenario/src/test/java/lemondock/scenario/ForwardingFiles.java
@@ -1,9 +1,9 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.List;
-import lemondock.durable.FilePort;
+import lemondock.idempotency.FilePort;
 
 /** Hands everything on to another folder; a faulty one leaves something out. */
 class ForwardingFiles implements FilePort {
--- a/rehearsal/src/test/java/lemondock/rehearsal/HaltingGateway.java
+++ b/scenario/src/test/java/lemondock/scenario/HaltingGateway.java
@@ -1,17 +1,17 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
-import lemondock.durable.DiskFolder;
-import lemondock.durable.FilePort;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.Host;
 import lemondock.gateway.ThisProcess;
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsFile;
+import lemondock.idempotency.DiskFolder;
+import lemondock.idempotency.FilePort;
 import lemondock.net.nio.Workers;
 
 /**
--- a/rehearsal/src/test/java/lemondock/rehearsal/HardCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/HardCasesTest.java
@@ -1,4 +1,4 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,11 +12,11 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
+import lemondock.emulator.Faults;
+import lemondock.emulator.Tap;
 import lemondock.gateway.Gateway;
-import lemondock.rehearsal.McpClient.Tools;
 import lemondock.rpc.Mcp;
-import lemondock.standin.Faults;
-import lemondock.standin.Tap;
+import lemondock.scenario.McpClient.Tools;
 import org.junit.jupiter.api.Test;
 
 /** What breaks, one by one, and what must be seen on the sockets. */
--- a/rehearsal/src/test/java/lemondock/rehearsal/McpProtocolTest.java
+++ b/scenario/src/test/java/lemondock/scenario/McpProtocolTest.java
@@ -1,4 +1,4 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -497,7 +497,7 @@
         "{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":9}}");
     JsonNode overtaken = json(post(session, call(9, "#overtaken# answer in 3 words", "")).body());
     assertEquals(Mcp.FAILED, overtaken.at("/error/code").asInt(), overtaken.toString());
-    assertTrue(bench.events(lemondock.standin.Tap.What.READ, "overtaken").isEmpty());
+    assertTrue(bench.events(lemondock.emulator.Tap.What.READ, "overtaken").isEmpty());
     assertTrue(post(session, call(9, "answer in 3 words", "")).body().contains(" a0 a1 a2"));
     post(
         session,
--- a/rehearsal/src/test/java/lemondock/rehearsal/OnceTest.java
+++ b/scenario/src/test/java/lemondock/scenario/OnceTest.java
@@ -1,4 +1,4 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,9 +10,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import lemondock.durable.FilePort;
+import lemondock.emulator.Tap;
+import lemondock.idempotency.FilePort;
 import lemondock.rpc.Mcp;
-import lemondock.standin.Tap;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
--- a/rehearsal/src/test/java/lemondock/rehearsal/OwnLimitTest.java
+++ b/scenario/src/test/java/lemondock/scenario/OwnLimitTest.java
@@ -1,4 +1,4 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -16,11 +16,11 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
+import lemondock.emulator.EngineSettings;
+import lemondock.emulator.Tap;
 import lemondock.gateway.Machine;
-import lemondock.rehearsal.McpClient.Tools;
 import lemondock.rpc.Mcp;
-import lemondock.standin.EngineSettings;
-import lemondock.standin.Tap;
+import lemondock.scenario.McpClient.Tools;
 import org.junit.jupiter.api.Test;
 
 /** A gateway whose own means run out, or that many clients use at a time in the worst way. */
--- a/rehearsal/src/test/java/lemondock/rehearsal/PathTest.java
+++ b/scenario/src/test/java/lemondock/scenario/PathTest.java
@@ -1,11 +1,11 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import lemondock.rehearsal.McpClient.Tools;
-import lemondock.standin.Tap;
+import lemondock.emulator.Tap;
+import lemondock.scenario.McpClient.Tools;
 import org.junit.jupiter.api.Test;
 
 /** The whole way of a request, on loopback sockets. */
--- a/rehearsal/src/test/java/lemondock/rehearsal/ReportHardCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ReportHardCasesTest.java
@@ -1,4 +1,4 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -15,12 +15,12 @@
 import java.util.TreeSet;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
-import lemondock.rehearsal.McpClient.Tools;
-import lemondock.standin.collect.CollectdListener;
-import lemondock.standin.collect.GraphiteListener;
-import lemondock.standin.collect.GraphiteListener.Fault;
-import lemondock.standin.collect.Received;
-import lemondock.standin.collect.UnixsockListener;
+import lemondock.emulator.collect.CollectdListener;
+import lemondock.emulator.collect.GraphiteListener;
+import lemondock.emulator.collect.GraphiteListener.Fault;
+import lemondock.emulator.collect.Received;
+import lemondock.emulator.collect.UnixsockListener;
+import lemondock.scenario.McpClient.Tools;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/rehearsal/src/test/java/lemondock/rehearsal/SabotageTest.java
+++ b/scenario/src/test/java/lemondock/scenario/SabotageTest.java
@@ -1,4 +1,4 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,8 +8,8 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.function.UnaryOperator;
+import lemondock.dispatch.Ledger;
 import lemondock.gateway.Gateway;
-import lemondock.ledger.Ledger;
 import lemondock.policy.Control;
 import lemondock.policy.Routing;
 import org.junit.jupiter.api.Test;
--- a/rehearsal/src/test/java/lemondock/rehearsal/TokenPathTest.java
+++ b/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
@@ -1,4 +1,4 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,8 +12,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import lemondock.standin.EngineSettings;
-import lemondock.standin.Tap;
+import lemondock.emulator.EngineSettings;
+import lemondock.emulator.Tap;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/rehearsal/src/test/java/lemondock/rehearsal/ToolCallsTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ToolCallsTest.java
@@ -1,4 +1,4 @@
-package lemondock.rehearsal;
+package lemondock.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
--- a/wire/src/main/java/lemondock/wire/Malformed.java
+++ b/simulator/src/main/java/lemondock/simulator/Malformed.java
@@ -1,4 +1,4 @@
-package lemondock.wire;
+package lemondock.simulator;
 
 /** Input that does not follow the wire; the message says what and where. */
 final class Malformed extends IllegalArgumentException {
--- a/wire/src/main/java/lemondock/wire/Reply.java
+++ b/simulator/src/main/java/lemondock/simulator/Reply.java
@@ -1,4 +1,4 @@
-package lemondock.wire;
+package lemondock.simulator;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
--- a/wire/src/main/java/lemondock/wire/SettingsText.java
+++ b/simulator/src/main/java/lemondock/simulator/SettingsText.java
@@ -1,4 +1,4 @@
-package lemondock.wire;
+package lemondock.simulator;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/wire/src/main/java/lemondock/wire/WireHost.java
+++ b/simulator/src/main/java/lemondock/simulator/WireHost.java
@@ -1,4 +1,4 @@
-package lemondock.wire;
+package lemondock.simulator;
 
 import java.io.BufferedInputStream;
 import java.io.IOException;
--- a/wire/src/test/java/lemondock/wire/WireHostTest.java
+++ b/simulator/src/test/java/lemondock/simulator/WireHostTest.java
@@ -1,4 +1,4 @@
-package lemondock.wire;
+package lemondock.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
