--- a/anomaly/src/main/java/lemondock/anomaly/BurnRate.java
+++ b/anomaly/src/main/java/lemondock/anomaly/BurnRate.java
@@ -5,7 +5,7 @@
  * burnt fast (as in chapter 5 of Google's "The Site Reliability Workbook"). The baseline that
  * {@link Cusum} is weighed against.
  */
-public final class BurnRate implements Evidence {
+public final class BurnRate implements DetectionEvidence {
   private static final int BUCKETS = 64;
 
   private final Settings settings;
--- a/anomaly/src/main/java/lemondock/anomaly/Cusum.java
+++ b/anomaly/src/main/java/lemondock/anomaly/Cusum.java
@@ -7,7 +7,7 @@
  * tells at small counts as soon as they are beyond chance, and its rate of false alarms is set by
  * one threshold: about one in e^threshold requests at the usual loss, or fewer.
  */
-public final class Cusum implements Evidence {
+public final class Cusum implements DetectionEvidence {
   private final Settings settings;
   private double usual;
   private double sum;
--- a/anomaly/src/main/java/lemondock/anomaly/FallDetector.java
+++ b/anomaly/src/main/java/lemondock/anomaly/DegradationDetector.java
@@ -14,7 +14,7 @@
  * in as they stand; the detector takes the differences. No I/O, no clock; one thread. It keeps one
  * cell for each label, which its caller has bounded.
  */
-public final class FallDetector {
+public final class DegradationDetector {
   /** The label of all classes, or all roles, together. */
   public static final String ALL = "all";
 
@@ -26,7 +26,7 @@
   private static final double WORSE_THAN_REST = 2.0;
   private static final long LEAST_BAD = 3;
 
-  private final Supplier<Evidence> evidence;
+  private final Supplier<DetectionEvidence> evidence;
   private final Map<Key, Cell> cells = new LinkedHashMap<>();
   private final Map<Key, Spread> servers = new LinkedHashMap<>();
 
@@ -120,16 +120,16 @@
   }
 
   private static final class Cell extends Spread {
-    private final Evidence evidence;
+    private final DetectionEvidence evidence;
     private long falls;
 
-    Cell(Evidence evidence) {
+    Cell(DetectionEvidence evidence) {
       this.evidence = evidence;
     }
   }
 
   /** Makes a detector; each cell gets evidence of its own. */
-  public FallDetector(Supplier<Evidence> evidence) {
+  public DegradationDetector(Supplier<DetectionEvidence> evidence) {
     this.evidence = evidence;
   }
 
--- a/anomaly/src/main/java/lemondock/anomaly/Evidence.java
+++ b/anomaly/src/main/java/lemondock/anomaly/DetectionEvidence.java
@@ -4,7 +4,7 @@
  * Weighs requests that got what was wanted against those that did not, and says whether service has
  * fallen. No clock, no I/O; time is passed in and never goes back.
  */
-public interface Evidence {
+public interface DetectionEvidence {
   /**
    * Takes what came in since the last call.
    *
--- a/benchmark/src/main/java/lemondock/benchmark/Decisions.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Decisions.java
@@ -5,9 +5,22 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.SplittableRandom;
+import lemondock.policy.AttemptOutcome;
+import lemondock.policy.AttemptResult;
 import lemondock.policy.Control;
-import lemondock.policy.Routing;
-import lemondock.policy.Routing.Ending;
+import lemondock.policy.DeduplicationScope;
+import lemondock.policy.DeploymentLimits;
+import lemondock.policy.EndpointListKind;
+import lemondock.policy.Idempotency;
+import lemondock.policy.RequestClass;
+import lemondock.policy.RouterHost;
+import lemondock.policy.RouterSettings;
+import lemondock.policy.RoutingRequest;
+import lemondock.policy.ServerEntry;
+import lemondock.policy.ServerKind;
+import lemondock.policy.ServerLifecycle;
+import lemondock.policy.ServerRole;
+import lemondock.policy.ServiceRules;
 import org.HdrHistogram.Histogram;
 
 /** How long the module takes for a request, with 64 servers and 400 requests under way. */
@@ -22,8 +35,8 @@
 
   static void run() {
     ArrayDeque<Send> sends = new ArrayDeque<>();
-    Routing.Host host =
-        new Routing.Host() {
+    RouterHost host =
+        new RouterHost() {
           @Override
           public void send(long requestId, long serverId, long timeout) {
             sends.add(new Send(requestId, serverId));
@@ -50,41 +63,41 @@
           @Override
           public void log(String line) {}
         };
-    Routing.Settings settings =
-        new Routing.Settings(
+    RouterSettings settings =
+        new RouterSettings(
             0,
             1,
             0,
             2_000,
             List.of(
-                new Routing.RequestClass(
+                new RequestClass(
                     1_200_000,
                     40_000,
                     5_000_000,
                     1,
                     0.1,
-                    Routing.Repeat.SAFE,
-                    Routing.Group.ALL,
+                    Idempotency.SAFE,
+                    DeduplicationScope.ALL,
                     0,
                     60_000)),
             List.of(),
             List.of(
-                new Routing.Kind(Routing.Role.READER, 10_000_000),
-                new Routing.Kind(Routing.Role.WRITER, 10_000_000)),
-            new Routing.Limits(5, true, false, false, false, true, 1_000_000, 250_000, false),
-            new Routing.Rules(8_000, 2_000_000, 0.3, 13_000_000, 2.5, 3_000_000, 300_000),
+                new ServerKind(ServerRole.READER, 10_000_000),
+                new ServerKind(ServerRole.WRITER, 10_000_000)),
+            new DeploymentLimits(5, true, false, false, false, true, 1_000_000, 250_000, false),
+            new ServiceRules(8_000, 2_000_000, 0.3, 13_000_000, 2.5, 3_000_000, 300_000),
             true,
             false);
     Control control = new Control(settings, 1, host);
     long now = 1_000_000;
     control.started(now);
-    List<Routing.Server> servers = new ArrayList<>();
+    List<ServerEntry> servers = new ArrayList<>();
     for (int i = 0; i < SERVERS; i++) {
       servers.add(
-          new Routing.Server(
-              1_000 + i * 7919L, i % 2, i % 3 == 0 ? 0 : 1, i % 12, Routing.Standing.READY, 1, 0));
+          new ServerEntry(
+              1_000 + i * 7919L, i % 2, i % 3 == 0 ? 0 : 1, i % 12, ServerLifecycle.READY, 1, 0));
     }
-    control.servers(now, Routing.ListKind.WHOLE, servers);
+    control.servers(now, EndpointListKind.WHOLE, servers);
     SplittableRandom random = new SplittableRandom(1);
     Histogram all = new Histogram(1_000_000_000L, 3);
     ArrayDeque<long[]> open = new ArrayDeque<>();
@@ -98,7 +111,7 @@
       final long at = System.nanoTime();
       control.request(
           now,
-          new Routing.Request(
+          new RoutingRequest(
               i + 1,
               0,
               0,
@@ -115,8 +128,8 @@
       if (read != null) {
         control.outcome(
             now + 100,
-            new Routing.Outcome(
-                read.id(), 0, read.server(), Ending.READ, 20_000, false, 500, false));
+            new AttemptResult(
+                read.id(), 0, read.server(), AttemptOutcome.READ, 20_000, false, 500, false));
         Send write = sends.poll();
         if (write != null) {
           control.firstToken(now + 200, write.id(), 1, write.server(), 20_000);
@@ -127,7 +140,7 @@
         long[] done = open.poll();
         control.outcome(
             now + 300,
-            new Routing.Outcome(done[0], 1, done[1], Ending.OK, 2_000_000, true, 500, false));
+            new AttemptResult(done[0], 1, done[1], AttemptOutcome.OK, 2_000_000, true, 500, false));
       }
       all.recordValue(System.nanoTime() - at);
       sends.clear();
--- a/benchmark/src/main/java/lemondock/benchmark/ToolCalls.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ToolCalls.java
@@ -20,10 +20,10 @@
 import lemondock.net.http.HttpClient;
 import lemondock.net.http.HttpEncoder;
 import lemondock.net.http.HttpLimits;
-import lemondock.scenario.Fleet;
 import lemondock.scenario.McpClient;
 import lemondock.scenario.Node;
 import lemondock.scenario.Presets;
+import lemondock.scenario.ScenarioFleet;
 
 /**
  * What a tool call takes more when it is relayed by a gateway than when a client speaks with the
@@ -39,10 +39,10 @@
   static void measure() throws Exception {
     int rounds = Integer.getInteger("rounds", 5);
     int port = Presets.freePort();
-    List<GatewaySettings.RequestClass> classes =
+    List<GatewaySettings.ClassSettings> classes =
         Presets.gateway("x", 0, 1, "north", port, "127.0.0.1:1", s -> {}).classes();
     double[][][] rows = new double[2][2][rounds];
-    try (Fleet fleet = new Fleet(classes, 1);
+    try (ScenarioFleet fleet = new ScenarioFleet(classes, 1);
         Node clients = new Node("clients", 1)) {
       fleet.addEngine(EngineSettings.quick("m", "mixed", "north", "r1"));
       fleet.addGateway(
--- a/cli/src/main/java/lemondock/cli/BadDayCommand.java
+++ b/cli/src/main/java/lemondock/cli/BadDayCommand.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import lemondock.scenario.BadDay;
 import lemondock.scenario.DayScript;
+import lemondock.scenario.FaultScenario;
 import lemondock.scenario.ReportCheck;
 import lemondock.scenario.Verdict;
 import picocli.CommandLine.Command;
@@ -63,11 +63,11 @@
   @Override
   public Integer call() throws Exception {
     Logs.set("text", level);
-    List<BadDay.Result> results = new ArrayList<>();
+    List<FaultScenario.Result> results = new ArrayList<>();
     for (long s = seed; s < seed + seeds; s++) {
       DayScript day =
           script == null ? DayScript.draw(s, seconds) : DayScript.read(script).seeded(s);
-      results.add(reports ? reported(day) : new BadDay(day).play());
+      results.add(reports ? reported(day) : new FaultScenario(day).play());
       System.out.println(Verdict.line(results.get(results.size() - 1)));
     }
     Files.createDirectories(out);
@@ -80,9 +80,9 @@
 
   private boolean differed;
 
-  private BadDay.Result reported(DayScript day) throws InterruptedException, IOException {
+  private FaultScenario.Result reported(DayScript day) throws InterruptedException, IOException {
     try (ReportCheck check = new ReportCheck()) {
-      BadDay.Result result = new BadDay(day).reporting(check).play();
+      FaultScenario.Result result = new FaultScenario(day).reporting(check).play();
       System.out.println(
           "reports: "
               + check.compared()
--- a/cli/src/main/java/lemondock/cli/CatalogueCommand.java
+++ b/cli/src/main/java/lemondock/cli/CatalogueCommand.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import lemondock.emulator.Catalogue;
+import lemondock.emulator.CatalogueEmulator;
 import lemondock.emulator.Tap;
 import lemondock.gateway.settings.SettingsFile;
 import lemondock.scenario.Node;
@@ -38,7 +38,7 @@
             CatalogueCommand.class,
             Settings.class);
     Node node = new Node("catalogue", 1);
-    Catalogue catalogue = node.ask(() -> new Catalogue(node.loop(), Tap.NONE));
+    CatalogueEmulator catalogue = node.ask(() -> new CatalogueEmulator(node.loop(), Tap.NONE));
     catalogue.start(node.network(), SettingsFile.address(settings.listen()));
     System.out.println(
         "ready http://"
--- a/cli/src/main/java/lemondock/cli/DemoCommand.java
+++ b/cli/src/main/java/lemondock/cli/DemoCommand.java
@@ -6,8 +6,8 @@
 import lemondock.emulator.EngineSettings;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.scenario.Fleet;
 import lemondock.scenario.Presets;
+import lemondock.scenario.ScenarioFleet;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -53,9 +53,9 @@
   @Override
   public Integer call() throws Exception {
     Logs.set("text", level);
-    List<GatewaySettings.RequestClass> classes =
+    List<GatewaySettings.ClassSettings> classes =
         Presets.gateway("model", 0, 1, "north", 1, "127.0.0.1:1", s -> {}).classes();
-    Fleet fleet = new Fleet(classes, 1);
+    ScenarioFleet fleet = new ScenarioFleet(classes, 1);
     for (String zone : ZONES) {
       fleet.addEngine(
           EngineSettings.quick(zone + "-reader-1", "reader", zone, "r1").paced(5, 5, 20));
--- a/cli/src/main/java/lemondock/cli/Lemondock.java
+++ b/cli/src/main/java/lemondock/cli/Lemondock.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.concurrent.Callable;
 import lemondock.gateway.Gateway;
-import lemondock.platform.Main;
+import lemondock.platform.PlatformMain;
 import lemondock.simulator.WireHost;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -50,7 +50,7 @@
       return;
     }
     if (args.length > 0 && args[0].equals("node")) {
-      Main.main(
+      PlatformMain.main(
           Arrays.copyOfRange(
               args, 1, args.length)); // as the platform starts it, by bin/lemondock-platform
       return;
@@ -82,7 +82,7 @@
 
     @Override
     public Integer call() throws InterruptedException {
-      Main.main(config == null ? new String[0] : new String[] {config});
+      PlatformMain.main(config == null ? new String[0] : new String[] {config});
       return 0;
     }
   }
--- a/cli/src/main/java/lemondock/cli/MetricsCommand.java
+++ b/cli/src/main/java/lemondock/cli/MetricsCommand.java
@@ -1,7 +1,7 @@
 package lemondock.cli;
 
 import java.util.concurrent.Callable;
-import lemondock.metrics.Catalogue;
+import lemondock.metrics.MetricCatalogue;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -23,7 +23,7 @@
 
   @Override
   public Integer call() {
-    System.out.print(typesDb ? Catalogue.typesDb(!counter) : Catalogue.page());
+    System.out.print(typesDb ? MetricCatalogue.typesDb(!counter) : MetricCatalogue.page());
     return 0;
   }
 }
--- a/cli/src/main/java/lemondock/cli/StandinCommand.java
+++ b/cli/src/main/java/lemondock/cli/StandinCommand.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import lemondock.emulator.Engine;
+import lemondock.emulator.EngineEmulator;
 import lemondock.emulator.EngineSettings;
 import lemondock.emulator.Tap;
 import lemondock.gateway.settings.SettingsFile;
@@ -58,8 +58,11 @@
     List<Runnable> leaving = new ArrayList<>();
     long started = System.currentTimeMillis();
     for (EngineSettings e : settings.engines()) {
-      Engine engine =
-          node.ask(() -> new Engine(node.loop(), node.network(), e, e.name().hashCode(), Tap.NONE));
+      EngineEmulator engine =
+          node.ask(
+              () ->
+                  new EngineEmulator(
+                      node.loop(), node.network(), e, e.name().hashCode(), Tap.NONE));
       engine.start(node.network());
       System.out.println(
           "ready "
@@ -90,7 +93,7 @@
     return 0;
   }
 
-  private static byte[] registration(EngineSettings e, Engine engine, long started) {
+  private static byte[] registration(EngineSettings e, EngineEmulator engine, long started) {
     ObjectNode body =
         JsonNodeFactory.instance
             .objectNode()
--- a/dispatch/src/main/java/lemondock/dispatch/AttemptCount.java
+++ b/dispatch/src/main/java/lemondock/dispatch/AttemptMetrics.java
@@ -1,22 +1,25 @@
 package lemondock.dispatch;
 
 import java.util.function.LongFunction;
-import lemondock.policy.Routing;
-import lemondock.policy.Routing.Ending;
+import lemondock.policy.AttemptOutcome;
+import lemondock.policy.DecisionReason;
+import lemondock.policy.RouterStateVisitor;
+import lemondock.policy.ServerLifecycle;
+import lemondock.policy.ServerRole;
 
 /**
  * Counts what becomes of attempts and states, for reports; the methods that are not overridden
  * count nothing.
  */
-public interface AttemptCount {
+public interface AttemptMetrics {
   /** Counts nothing. */
-  AttemptCount NONE = new AttemptCount() {};
+  AttemptMetrics NONE = new AttemptMetrics() {};
 
   /** An attempt was sent to a server of that role and zone. */
-  default void sent(Routing.Role role, String zone) {}
+  default void sent(ServerRole role, String zone) {}
 
   /** An attempt has ended. */
-  default void attemptEnded(Routing.Role role, String zone, Ending ending) {}
+  default void attemptEnded(ServerRole role, String zone, AttemptOutcome ending) {}
 
   /** A state waits in that zone. */
   default void stateMade(String zone) {}
@@ -28,14 +31,14 @@
   default void stateLetGo(String zone, long waited) {}
 
   /** The module did something with a request for that reason. */
-  default void decided(Routing.Reason reason) {}
+  default void decided(DecisionReason reason) {}
 
   /** Takes what the module tells of its view. */
-  default Routing.Sight look(LongFunction<String> zoneOf) {
-    return new Routing.Sight() {
+  default RouterStateVisitor look(LongFunction<String> zoneOf) {
+    return new RouterStateVisitor() {
       @Override
       public void server(
-          long id, Routing.Role role, Routing.Standing standing, boolean cold, boolean healthy) {}
+          long id, ServerRole role, ServerLifecycle standing, boolean cold, boolean healthy) {}
 
       @Override
       public void all(int parked, long tokensUnderWay, long room) {}
--- a/dispatch/src/main/java/lemondock/dispatch/Membership.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EndpointRegistry.java
@@ -11,7 +11,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.ToLongFunction;
-import lemondock.policy.Routing;
+import lemondock.policy.EndpointListKind;
+import lemondock.policy.ServerEntry;
+import lemondock.policy.ServerLifecycle;
 
 /**
  * Turns lists with names into what the module hears: numbers, changes where changes suffice, starts
@@ -19,7 +21,7 @@
  * address, so that it is the same at every gateway and in every life; the module's rendezvous hash
  * rests on that.
  */
-public final class Membership {
+public final class EndpointRegistry {
   private static final int MOST_GONE = 4_096;
 
   private final List<String> kinds;
@@ -31,31 +33,31 @@
    * The same by the very entries that were listed: one that comes again unchanged costs no hash and
    * no comparison.
    */
-  private final Map<ServerEntry, Listed> listedByEntry = new IdentityHashMap<>();
+  private final Map<Endpoint, Listed> listedByEntry = new IdentityHashMap<>();
 
   private final Map<Long, Listed> gone = new LinkedHashMap<>();
-  private final ToLongFunction<ServerEntry> ids;
-  private final StartTimes starts = new StartTimes();
+  private final ToLongFunction<Endpoint> ids;
+  private final ServerStartTimes starts = new ServerStartTimes();
   private boolean told;
 
   /** A server as listed last, with its start on the module's clock. */
-  private record Listed(ServerEntry entry, Routing.Server server) {}
+  private record Listed(Endpoint entry, ServerEntry server) {}
 
   /**
    * What the module is to hear of one list; {@code skipped} tells of entries that cannot be used.
    */
-  public record News(Routing.ListKind kind, List<Routing.Server> servers, List<String> skipped) {}
+  public record News(EndpointListKind kind, List<ServerEntry> servers, List<String> skipped) {}
 
   /** Makes an empty membership for kinds of servers in the order of the settings. */
-  public Membership(List<String> kinds) {
-    this(kinds, Membership::id);
+  public EndpointRegistry(List<String> kinds) {
+    this(kinds, EndpointRegistry::id);
   }
 
   /**
    * The same where a server's number comes otherwise, as where gateways reach one server at
    * addresses of their own.
    */
-  public Membership(List<String> kinds, ToLongFunction<ServerEntry> ids) {
+  public EndpointRegistry(List<String> kinds, ToLongFunction<Endpoint> ids) {
     this.kinds = List.copyOf(kinds);
     this.ids = ids;
   }
@@ -67,11 +69,11 @@
    * @param now microseconds of the module's clock
    * @param wall milliseconds since the epoch at that moment
    */
-  public News update(List<ServerEntry> entries, boolean cached, long now, long wall) {
+  public News update(List<Endpoint> entries, boolean cached, long now, long wall) {
     starts.clock(now, wall);
     List<String> skipped = new ArrayList<>();
     Map<Long, Listed> next = new LinkedHashMap<>();
-    for (ServerEntry entry : entries) {
+    for (Endpoint entry : entries) {
       Listed unchanged = listedByEntry.get(entry);
       if (unchanged != null && next.putIfAbsent(unchanged.server().id(), unchanged) == null) {
         continue;
@@ -79,7 +81,7 @@
       int kind = kinds.indexOf(entry.kind());
       if (kind < 0) {
         skipped.add(entry.name() + ": kind " + entry.kind() + " is not in the settings");
-      } else if (entry.standing() != Routing.Standing.GONE) {
+      } else if (entry.standing() != ServerLifecycle.GONE) {
         long id = ids.applyAsLong(entry);
         if (next.put(id, listed(id, kind, entry)) != null) {
           skipped.add(entry.name() + ": listed twice under " + entry.address());
@@ -87,7 +89,7 @@
       }
     }
     boolean whole = cached || !told;
-    List<Routing.Server> servers = new ArrayList<>();
+    List<ServerEntry> servers = new ArrayList<>();
     next.forEach(
         (id, current) -> {
           Listed before = listed.get(id);
@@ -102,7 +104,7 @@
           if (!next.containsKey(id)) {
             remember(id, before);
             if (!whole) {
-              servers.add(standing(before.server(), Routing.Standing.GONE));
+              servers.add(standing(before.server(), ServerLifecycle.GONE));
             }
           }
         });
@@ -117,8 +119,8 @@
     }
     return new News(
         cached
-            ? Routing.ListKind.CACHED
-            : whole ? Routing.ListKind.WHOLE : Routing.ListKind.CHANGES,
+            ? EndpointListKind.CACHED
+            : whole ? EndpointListKind.WHOLE : EndpointListKind.CHANGES,
         servers,
         skipped);
   }
@@ -135,19 +137,19 @@
    * The server of that number, also for some time after it has left the list; null if it was never
    * listed.
    */
-  public ServerEntry entry(long id) {
+  public Endpoint entry(long id) {
     Listed known = listed.getOrDefault(id, gone.get(id));
     return known == null ? null : known.entry();
   }
 
   /** What the last list said of the server of that number; gone if it is not on it. */
-  public Routing.Standing standing(long id) {
+  public ServerLifecycle standing(long id) {
     Listed now = listed.get(id);
-    return now == null ? Routing.Standing.GONE : now.entry().standing();
+    return now == null ? ServerLifecycle.GONE : now.entry().standing();
   }
 
-  private static Routing.Server standing(Routing.Server s, Routing.Standing standing) {
-    return new Routing.Server(
+  private static ServerEntry standing(ServerEntry s, ServerLifecycle standing) {
+    return new ServerEntry(
         s.id(), s.zone(), s.kind(), s.cell(), standing, s.weight(), s.startedAt());
   }
 
@@ -162,7 +164,7 @@
   }
 
   /** The entries listed now. */
-  public List<ServerEntry> entries() {
+  public List<Endpoint> entries() {
     return listed.values().stream().map(Listed::entry).toList();
   }
 
@@ -170,7 +172,7 @@
    * The start is put on the module's clock once and kept, also while a server is off the list: a
    * start that moves means a new process.
    */
-  private Listed listed(long id, int kind, ServerEntry entry) {
+  private Listed listed(long id, int kind, Endpoint entry) {
     Listed before = listed.getOrDefault(id, gone.get(id));
     boolean same = before != null && before.entry().startedAt() == entry.startedAt();
     long startedAt =
@@ -179,7 +181,7 @@
             : starts.started(entry.startedAt(), listed.containsKey(id));
     return new Listed(
         entry,
-        new Routing.Server(
+        new ServerEntry(
             id,
             number(zones, entry.zone()),
             kind,
@@ -200,7 +202,7 @@
     return numbers.computeIfAbsent(name, n -> numbers.size());
   }
 
-  private static long id(ServerEntry entry) {
+  private static long id(Endpoint entry) {
     return hash(
         entry.name() + "@" + entry.address().getHostString() + ":" + entry.address().getPort());
   }
--- a/dispatch/src/main/java/lemondock/dispatch/Ledger.java
+++ b/dispatch/src/main/java/lemondock/dispatch/RequestDispatcher.java
@@ -7,44 +7,54 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import lemondock.net.Loop;
-import lemondock.overload.Lateness;
-import lemondock.policy.Routing;
-import lemondock.policy.Routing.Ending;
+import lemondock.overload.StallMonitor;
+import lemondock.policy.AttemptOutcome;
+import lemondock.policy.AttemptResult;
+import lemondock.policy.DecisionReason;
+import lemondock.policy.EndpointListKind;
+import lemondock.policy.RequestRouter;
+import lemondock.policy.RouterHost;
+import lemondock.policy.RouterSettings;
+import lemondock.policy.RouterStateVisitor;
+import lemondock.policy.RoutingRequest;
+import lemondock.policy.ServerEntry;
+import lemondock.policy.ServerKind;
+import lemondock.policy.ServerRole;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
  * The book of what is under way: it tells the module what happens and carries out what the module
- * decides, and decides nothing itself. It keeps the contract of {@link Routing}: one outcome for
- * each send, events in order on one clock, no event within an event. Its table is bounded by what
- * its front lets in.
+ * decides, and decides nothing itself. It keeps the contract of {@link RequestRouter}: one outcome
+ * for each send, events in order on one clock, no event within an event. Its table is bounded by
+ * what its front lets in.
  *
  * @param <P> what an engine gets
  * @param <S> how the engines' protocol names a state
  * @param <C> an event of a stream
  */
-public final class Ledger<P, S, C extends Piece> implements Routing.Host {
-  private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
+public final class RequestDispatcher<P, S, C extends StreamChunk> implements RouterHost {
+  private static final Logger LOG = LoggerFactory.getLogger(RequestDispatcher.class);
 
   private final Loop loop;
-  private final AttemptCount tally;
-  private final Lateness lateness;
-  private final Engines<P, S, C> engines;
-  private final Membership members;
+  private final AttemptMetrics tally;
+  private final StallMonitor lateness;
+  private final EnginePort<P, S, C> engines;
+  private final EndpointRegistry members;
   private final String idPrefix;
-  private final List<Routing.Role> roles;
+  private final List<ServerRole> roles;
   private final Runnable watch;
   private final Map<Long, Entry<P, S, C>> legs = new HashMap<>();
   private final ArrayDeque<Runnable> after = new ArrayDeque<>();
   private final Counts counts = new Counts();
-  private Routing.Decider module;
+  private RequestRouter module;
   private boolean deciding;
   private long nextId = 1;
 
   /** Makes the module that decides for a ledger; tests may put a faulty one in its place. */
   public interface ModuleMaker {
     /** A module that acts through the host. */
-    Routing.Decider make(Routing.Settings settings, long seed, Routing.Host host);
+    RequestRouter make(RouterSettings settings, long seed, RouterHost host);
   }
 
   /** What was counted since the start; the gateway's own word, for logs and comparison. */
@@ -59,19 +69,19 @@
     public long releases;
   }
 
-  private static final class Entry<P, S, C extends Piece> {
+  private static final class Entry<P, S, C extends StreamChunk> {
     private final long id;
-    private final Leg.Spec<P> spec;
-    private final Leg.Listener<C> listener;
-    private final List<Ledger<P, S, C>.Attempt> attempts = new ArrayList<>();
+    private final DispatchedRequest<P> spec;
+    private final RequestListener<C> listener;
+    private final List<RequestDispatcher<P, S, C>.Attempt> attempts = new ArrayList<>();
     private final List<Held<S>> held = new ArrayList<>();
     private int out;
     private boolean ended;
     private boolean paused;
-    private Ledger<P, S, C>.Attempt stream;
-    private Ledger<P, S, C>.Attempt lastRead;
+    private RequestDispatcher<P, S, C>.Attempt stream;
+    private RequestDispatcher<P, S, C>.Attempt lastRead;
 
-    Entry(long id, Leg.Spec<P> spec, Leg.Listener<C> listener) {
+    Entry(long id, DispatchedRequest<P> spec, RequestListener<C> listener) {
       this.id = id;
       this.spec = spec;
       this.listener = listener;
@@ -79,27 +89,27 @@
   }
 
   /** A state that waits at a reader under the name of the read that made it. */
-  private record Held<S>(ServerEntry at, String requestId, S state, long since) {}
+  private record Held<S>(Endpoint at, String requestId, S state, long since) {}
 
   /** Makes a ledger; {@code idPrefix} begins the ids that engines see. */
-  public Ledger(
+  public RequestDispatcher(
       Loop loop,
-      Engines<P, S, C> engines,
-      Membership members,
-      Routing.Settings settings,
+      EnginePort<P, S, C> engines,
+      EndpointRegistry members,
+      RouterSettings settings,
       long seed,
       String idPrefix,
       ModuleMaker maker,
       Runnable watch,
-      AttemptCount tally,
-      Lateness lateness) {
+      AttemptMetrics tally,
+      StallMonitor lateness) {
     this.lateness = lateness;
     this.loop = loop;
     this.tally = tally;
     this.engines = engines;
     this.members = members;
     this.idPrefix = idPrefix;
-    this.roles = settings.kinds().stream().map(Routing.Kind::role).toList();
+    this.roles = settings.kinds().stream().map(ServerKind::role).toList();
     this.watch = watch;
     this.module = maker.make(settings, seed, this);
   }
@@ -110,12 +120,12 @@
   }
 
   /** Takes a request; its listener hears how it ends. */
-  public long open(Leg.Spec<P> spec, Leg.Listener<C> listener) {
+  public long open(DispatchedRequest<P> spec, RequestListener<C> listener) {
     Entry<P, S, C> entry = new Entry<>(nextId++, spec, listener);
     legs.put(entry.id, entry);
     counts.legs++;
-    Routing.Request request =
-        new Routing.Request(
+    RoutingRequest request =
+        new RoutingRequest(
             entry.id,
             spec.classId(),
             spec.tenant(),
@@ -147,7 +157,7 @@
     if (entry.stream != null && !entry.stream.over) {
       Attempt stream = entry.stream;
       stream.work.cancel();
-      later(() -> end(stream, Ending.CANCELLED, 0, false, "the client left"));
+      later(() -> end(stream, AttemptOutcome.CANCELLED, 0, false, "the client left"));
     }
     forget(entry);
   }
@@ -175,7 +185,7 @@
   }
 
   /** News of the servers, in the module's terms. */
-  public void servers(Routing.ListKind kind, List<Routing.Server> servers) {
+  public void servers(EndpointListKind kind, List<ServerEntry> servers) {
     decide(null, () -> module.servers(loop.now(), kind, servers));
   }
 
@@ -189,18 +199,18 @@
     look(
         tally.look(
             id -> {
-              ServerEntry server = members.entry(id);
+              Endpoint server = members.entry(id);
               return server == null ? null : server.zone();
             }));
   }
 
   /** The same to somebody else. */
-  public void look(Routing.Sight sight) {
+  public void look(RouterStateVisitor sight) {
     module.look(loop.now(), sight);
   }
 
   /** Tells each attempt that is out. */
-  public void underWay(BiConsumer<ServerEntry, Leg.Spec<P>> each) {
+  public void underWay(BiConsumer<Endpoint, DispatchedRequest<P>> each) {
     for (Entry<P, S, C> entry : legs.values()) {
       for (Attempt attempt : entry.attempts) {
         if (!attempt.over && attempt.server != null) {
@@ -228,7 +238,7 @@
     if (entry == null) {
       return;
     }
-    ServerEntry server = members.entry(serverId);
+    Endpoint server = members.entry(serverId);
     Attempt attempt = new Attempt(entry, entry.attempts.size(), serverId, server, loop.now());
     entry.attempts.add(attempt);
     entry.out++;
@@ -242,21 +252,21 @@
           () ->
               end(
                   attempt,
-                  Ending.MOOT,
+                  AttemptOutcome.MOOT,
                   0,
                   false,
                   "the request has ended or the server is not known"));
       return;
     }
     LOG.debug("leg {}: attempt {} goes to {}", requestId, attempt.number, server.name());
-    Routing.Role role = attempt.role;
+    ServerRole role = attempt.role;
     Held<S> state = entry.held.isEmpty() ? null : entry.held.get(entry.held.size() - 1);
-    if (role == Routing.Role.READER) {
+    if (role == ServerRole.READER) {
       attempt.reads = true;
       entry.lastRead = attempt;
       attempt.work = engines.read(server, attempt.requestId, entry.spec, attempt);
-    } else if (role == Routing.Role.WRITER && state == null) {
-      later(() -> end(attempt, Ending.FULL, 0, true, "there is no state to write from"));
+    } else if (role == ServerRole.WRITER && state == null) {
+      later(() -> end(attempt, AttemptOutcome.FULL, 0, true, "there is no state to write from"));
     } else {
       attempt.state = state;
       attempt.work =
@@ -273,7 +283,7 @@
               () -> {
                 if (!attempt.over && entry.stream != attempt) {
                   attempt.giveUp();
-                  end(attempt, Ending.TIMEOUT, 0, false, "no answer in time");
+                  end(attempt, AttemptOutcome.TIMEOUT, 0, false, "no answer in time");
                 }
               });
     }
@@ -307,7 +317,7 @@
       if (!attempt.over && entry.stream != attempt && !attempt.calledOff) {
         attempt.calledOff = true;
         attempt.giveUp();
-        later(() -> end(attempt, Ending.CANCELLED, 0, false, "called off"));
+        later(() -> end(attempt, AttemptOutcome.CANCELLED, 0, false, "called off"));
       }
     }
   }
@@ -373,24 +383,24 @@
   }
 
   @Override
-  public void trace(long requestId, Routing.Reason reason) {
+  public void trace(long requestId, DecisionReason reason) {
     tally.decided(reason);
     LOG.debug("leg {}: {}", requestId, reason);
   }
 
   // ==== what happens to attempts
 
-  private final class Attempt implements Engines.Attempt<S, C> {
+  private final class Attempt implements EnginePort.Attempt<S, C> {
     private final Entry<P, S, C> entry;
     private final int number;
     private final long serverId;
-    private final ServerEntry server;
+    private final Endpoint server;
     private final long sentAt;
     private final long stalledBefore = lateness.stalled();
     private final String requestId;
-    private Engines.Work work;
+    private EnginePort.Work work;
     private Held<S> state;
-    private Routing.Role role;
+    private ServerRole role;
     private boolean reads;
     private boolean calledOff;
     private boolean over;
@@ -398,7 +408,7 @@
     private int cached;
     private Loop.Timer limit = () -> {};
 
-    Attempt(Entry<P, S, C> entry, int number, long serverId, ServerEntry server, long sentAt) {
+    Attempt(Entry<P, S, C> entry, int number, long serverId, Endpoint server, long sentAt) {
       this.entry = entry;
       this.number = number;
       this.serverId = serverId;
@@ -426,7 +436,7 @@
         tally.stateMade(server.zone());
         LOG.debug("leg {}: state held at {}", entry.id, server.name());
         entry.held.add(new Held<>(server, requestId, made, loop.now()));
-        end(this, Ending.READ, cachedTokens, false, "");
+        end(this, AttemptOutcome.READ, cachedTokens, false, "");
       }
     }
 
@@ -453,7 +463,7 @@
     }
 
     @Override
-    public void ended(Ending ending, boolean stateMissing, String what) {
+    public void ended(AttemptOutcome ending, boolean stateMissing, String what) {
       if (!calledOff) {
         end(this, ending, cached, stateMissing, what);
       }
@@ -461,7 +471,8 @@
   }
 
   /** The one place where an attempt ends. */
-  private void end(Attempt attempt, Ending ending, int kept, boolean stateMissing, String what) {
+  private void end(
+      Attempt attempt, AttemptOutcome ending, int kept, boolean stateMissing, String what) {
     final Entry<P, S, C> entry = attempt.entry;
     if (attempt.over) {
       return;
@@ -469,17 +480,17 @@
     attempt.over = true;
     attempt.limit.cancel();
     entry.out--;
-    if (attempt.reads && (ending == Ending.RESET || ending == Ending.ERROR)) {
+    if (attempt.reads && (ending == AttemptOutcome.RESET || ending == AttemptOutcome.ERROR)) {
       engines.doubt(attempt.server, attempt.requestId, entry.spec.prompt());
     }
     if (attempt.role != null) {
       tally.attemptEnded(attempt.role, attempt.server.zone(), ending);
     }
     boolean stream = entry.stream == attempt;
-    boolean ends = stream || ending == Ending.OK;
+    boolean ends = stream || ending == AttemptOutcome.OK;
     final boolean first = ends && !entry.ended;
     entry.ended |= ends;
-    if (ending != Ending.OK && ending != Ending.READ && LOG.isDebugEnabled()) {
+    if (ending != AttemptOutcome.OK && ending != AttemptOutcome.READ && LOG.isDebugEnabled()) {
       LOG.atDebug()
           .addKeyValue("request", attempt.requestId)
           .addKeyValue("server", attempt.server == null ? "?" : attempt.server.name())
@@ -490,8 +501,8 @@
     if (stateMissing && attempt.state != null && entry.held.remove(attempt.state)) {
       supersede(entry, attempt.state);
     }
-    Routing.Outcome outcome =
-        new Routing.Outcome(
+    AttemptResult outcome =
+        new AttemptResult(
             entry.id,
             attempt.number,
             attempt.serverId,
@@ -501,7 +512,7 @@
             kept,
             stateMissing);
     decide(entry, () -> module.outcome(loop.now(), outcome));
-    if (first && ending == Ending.OK) {
+    if (first && ending == AttemptOutcome.OK) {
       counts.served++;
       entry.listener.served();
     } else if (first) {
--- a/dispatch/src/main/java/lemondock/dispatch/StartTimes.java
+++ b/dispatch/src/main/java/lemondock/dispatch/ServerStartTimes.java
@@ -7,7 +7,7 @@
  * the first list, the earlier one counts; and a process that has replaced one of the last list
  * cannot be much older than that list. No I/O and no clock of its own.
  */
-final class StartTimes {
+final class ServerStartTimes {
   private static final long MICROS_PER_MILLI = 1_000;
 
   /**
--- a/dispatch/src/main/java/lemondock/dispatch/Silence.java
+++ b/dispatch/src/main/java/lemondock/dispatch/StreamIdleTimeout.java
@@ -1,18 +1,18 @@
 package lemondock.dispatch;
 
 import lemondock.net.Loop;
-import lemondock.overload.Lateness;
+import lemondock.overload.StallMonitor;
 
 /**
  * Watches a stream that has begun: one that says nothing for too long is broken. Not while nobody
  * takes it, and not for time in which this process stood still: what came in meanwhile is heard
  * first. Loop thread only, but for {@link #heard}.
  */
-public final class Silence {
+public final class StreamIdleTimeout {
   private static final long LEAST = 1_000;
 
   private final Loop loop;
-  private final Lateness lateness;
+  private final StallMonitor lateness;
   private final long most;
   private final Runnable broken;
   private Loop.Timer timer = () -> {};
@@ -20,7 +20,7 @@
   private volatile long heardAt;
 
   /** Runs {@code broken} once a stream was silent for {@code most} microseconds. */
-  public Silence(Loop loop, Lateness lateness, long most, Runnable broken) {
+  public StreamIdleTimeout(Loop loop, StallMonitor lateness, long most, Runnable broken) {
     this.loop = loop;
     this.lateness = lateness;
     this.most = most;
--- a/emulator/src/main/java/lemondock/emulator/Catalogue.java
+++ b/emulator/src/main/java/lemondock/emulator/CatalogueEmulator.java
@@ -23,7 +23,7 @@
  * blocking queries, and the agent's register, deregister and maintenance. It has one node and no
  * checks but maintenance.
  */
-public final class Catalogue implements HttpServer.Service {
+public final class CatalogueEmulator implements HttpServer.Service {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final long MICROS = 1_000;
   private static final long SECOND = 1_000_000;
@@ -56,7 +56,7 @@
   private record Waiting(HttpServer.Exchange exchange, String service, String gateway) {}
 
   /** Makes an empty catalogue. */
-  public Catalogue(Loop loop, Tap tap) {
+  public CatalogueEmulator(Loop loop, Tap tap) {
     this.loop = loop;
     this.tap = tap;
     this.server =
--- a/emulator/src/main/java/lemondock/emulator/Engine.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineEmulator.java
@@ -29,7 +29,7 @@
  * tells a {@link Tap} what passed on its sockets. It is no model of an engine's inner workings.
  * States move by a call of its own between stand-ins.
  */
-public final class Engine implements HttpServer.Service {
+public final class EngineEmulator implements HttpServer.Service {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final int CHARS_A_TOKEN = 4;
   private static final int MOST_KEPT = 4_096;
@@ -66,7 +66,7 @@
   private record State(int tokens, String mark, String gateway, long at) {}
 
   /** Makes an engine; it serves from {@link #start} on. */
-  public Engine(Loop loop, Network network, EngineSettings settings, long seed, Tap tap) {
+  public EngineEmulator(Loop loop, Network network, EngineSettings settings, long seed, Tap tap) {
     this.loop = loop;
     this.settings = settings;
     this.tap = tap;
--- a/faultinjection/src/main/java/lemondock/faultinjection/FaultInjector.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultInjector.java
@@ -16,9 +16,9 @@
   private static final long HOUR_MILLIS = 3_600_000;
   private static final int SLOWEST_MILLIS = 120;
 
-  private final Fleet fleet;
+  private final ProcessFleet fleet;
 
-  FaultInjector(Fleet fleet) {
+  FaultInjector(ProcessFleet fleet) {
     this.fleet = fleet;
   }
 
--- a/faultinjection/src/main/java/lemondock/faultinjection/Fleet.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ProcessFleet.java
@@ -14,7 +14,7 @@
  * Gateways, model servers in three zones and a proxy with a link for each pair of them, put
  * together for one run.
  */
-final class Fleet implements AutoCloseable {
+final class ProcessFleet implements AutoCloseable {
   private static final String[] ZONES = {"a", "b", "c"};
   private static final int READER_SLOTS = 4;
   private static final int WRITER_SLOTS = 10;
@@ -36,7 +36,7 @@
   private final Map<String, String> states = new LinkedHashMap<>();
   private final long seed;
 
-  Fleet(FleetShape shape, Path project, Path folder, Optional<Path> library, long seed)
+  ProcessFleet(FleetShape shape, Path project, Path folder, Optional<Path> library, long seed)
       throws IOException {
     this.shape = shape;
     this.seed = seed;
--- a/faultinjection/src/main/java/lemondock/faultinjection/Auditor.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/SoakAuditor.java
@@ -16,7 +16,7 @@
  * Judges a run by what truly happened: the five rules, the deadline told to servers, attempts for
  * clients that have gone, crashes.
  */
-final class Auditor {
+final class SoakAuditor {
   /** What the platform grants beyond the settings' limit on what is held. */
   private static final long HELD_SLACK = 300 * Micros.MILLI;
 
@@ -61,7 +61,7 @@
   /** A rule that was broken, and how. */
   record Breach(Rule rule, String what) {}
 
-  Auditor(Truth truth, FleetShape shape, Links links) {
+  SoakAuditor(Truth truth, FleetShape shape, Links links) {
     this.truth = truth;
     this.shape = shape;
     this.links = links;
--- a/faultinjection/src/main/java/lemondock/faultinjection/SoakMain.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/SoakMain.java
@@ -50,7 +50,7 @@
                                 .play())));
     players.shutdown();
     int broken = 0;
-    Map<Auditor.Rule, Integer> rules = new TreeMap<>();
+    Map<SoakAuditor.Rule, Integer> rules = new TreeMap<>();
     for (Future<SoakRun.Result> run : runs.values()) {
       SoakRun.Result result;
       try {
--- a/faultinjection/src/main/java/lemondock/faultinjection/SoakRun.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/SoakRun.java
@@ -34,7 +34,7 @@
       long seed,
       FaultPlan plan,
       Map<Outcome, Integer> outcomes,
-      List<Auditor.Breach> breaches,
+      List<SoakAuditor.Breach> breaches,
       long stalledMicros,
       List<String> troubles) {
     @Override
@@ -68,7 +68,7 @@
   /** Plays it; logs of the gateways and the breaches are left in its folder. */
   Result play() throws IOException, InterruptedException {
     Files.createDirectories(folder);
-    try (Fleet fleet = new Fleet(plan.shape(), project, folder, library, seed)) {
+    try (ProcessFleet fleet = new ProcessFleet(plan.shape(), project, folder, library, seed)) {
       fleet.start();
       List<Client> clients = clients(fleet);
       final List<Thread> load = clients.stream().map(client -> begun(client, "client")).toList();
@@ -85,7 +85,7 @@
     }
   }
 
-  private List<Client> clients(Fleet fleet) {
+  private List<Client> clients(ProcessFleet fleet) {
     int each = plan.shape().clientsPerGateway() * (plan.crowd() ? CROWD_TIMES : 1);
     List<Client> clients = new ArrayList<>();
     for (GatewayProcess gateway : fleet.gateways) {
@@ -103,7 +103,7 @@
     return clients;
   }
 
-  private List<Thread> faults(Fleet fleet) {
+  private List<Thread> faults(ProcessFleet fleet) {
     long begin = Micros.now();
     FaultInjector injector = new FaultInjector(fleet);
     return plan.steps().stream()
@@ -123,7 +123,7 @@
   }
 
   /** All gateways are told to end, one soon after another, while their clients go on. */
-  private List<Thread> terminations(Fleet fleet) {
+  private List<Thread> terminations(ProcessFleet fleet) {
     return fleet.gateways.stream()
         .filter(GatewayProcess::alive)
         .map(
@@ -156,9 +156,9 @@
     }
   }
 
-  private Result audited(Fleet fleet) throws IOException {
-    Auditor auditor = new Auditor(fleet.truth, plan.shape(), fleet::clean);
-    List<Auditor.Breach> breaches = auditor.audit();
+  private Result audited(ProcessFleet fleet) throws IOException {
+    SoakAuditor auditor = new SoakAuditor(fleet.truth, plan.shape(), fleet::clean);
+    List<SoakAuditor.Breach> breaches = auditor.audit();
     Map<Outcome, Integer> outcomes = new EnumMap<>(Outcome.class);
     fleet.truth.calls.values().forEach(call -> outcomes.merge(call.outcome, 1, Integer::sum));
     Result result =
--- a/gateway/src/main/java/lemondock/gateway/Gateway.java
+++ b/gateway/src/main/java/lemondock/gateway/Gateway.java
@@ -14,12 +14,12 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
-import lemondock.dispatch.Ledger;
-import lemondock.dispatch.Membership;
-import lemondock.dispatch.ServerEntry;
+import lemondock.dispatch.Endpoint;
+import lemondock.dispatch.EndpointRegistry;
+import lemondock.dispatch.RequestDispatcher;
 import lemondock.gateway.answer.PromptReader;
-import lemondock.gateway.core.Calls;
-import lemondock.gateway.core.OnceGuard;
+import lemondock.gateway.core.CallService;
+import lemondock.gateway.core.IdempotencyGuard;
 import lemondock.gateway.count.GatewayTally;
 import lemondock.gateway.discovery.ConsulList;
 import lemondock.gateway.discovery.FileList;
@@ -30,24 +30,25 @@
 import lemondock.gateway.front.McpFront;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsFile;
-import lemondock.idempotency.FilePort;
+import lemondock.idempotency.FileSystemPort;
 import lemondock.net.Loop;
 import lemondock.net.Network;
 import lemondock.net.http.HttpClient;
 import lemondock.net.http.HttpLimits;
 import lemondock.net.http.HttpServer;
 import lemondock.overload.Admission;
-import lemondock.overload.Lateness;
-import lemondock.overload.Pressure;
+import lemondock.overload.ResourcePressure;
+import lemondock.overload.StallMonitor;
 import lemondock.policy.Control;
-import lemondock.policy.Routing;
+import lemondock.policy.EndpointListKind;
+import lemondock.policy.ServerLifecycle;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
  * A gateway, put together: front, ledger with the module, engines, list of servers. The way of a
- * request: {@link McpFront} reads a call, {@link Calls} makes legs of it, {@link Ledger} asks the
- * module and carries out its word through {@link EngineClient}.
+ * request: {@link McpFront} reads a call, {@link CallService} makes legs of it, {@link
+ * RequestDispatcher} asks the module and carries out its word through {@link EngineClient}.
  */
 public final class Gateway {
   /** The program's version. */
@@ -70,23 +71,23 @@
   private final Network network;
   private final GatewaySettings settings;
   private final Executor disk;
-  private final Membership members;
-  private final Ledger<ObjectNode, JsonNode, Chunk> ledger;
-  private final Calls calls;
+  private final EndpointRegistry members;
+  private final RequestDispatcher<ObjectNode, JsonNode, Chunk> ledger;
+  private final CallService calls;
   private final McpFront front;
   private final HttpServer server;
   private final ServerList list;
   private final GatewayTally tally;
-  private final Lateness lateness;
+  private final StallMonitor lateness;
   private final Admission admission;
 
   /** For each queue, what the process had been stopped for when it was asked last. */
   private final long[] pausedAt;
 
-  private final Pressure pressure;
+  private final ResourcePressure pressure;
   private final Machine machine;
   private final Executor workers;
-  private final FilePort durable;
+  private final FileSystemPort durable;
   private long startedAt;
   private boolean stopped;
 
@@ -96,7 +97,10 @@
    * @param maker makes the module; {@link #MODULE} but for tests of the auditor
    */
   public Gateway(
-      Host host, GatewaySettings settings, PromptReader prompts, Ledger.ModuleMaker maker) {
+      Host host,
+      GatewaySettings settings,
+      PromptReader prompts,
+      RequestDispatcher.ModuleMaker maker) {
     this.loop = host.loop();
     this.network = host.network();
     this.disk = host.disk();
@@ -105,7 +109,7 @@
     this.workers = host.workers();
     this.settings = settings;
     this.members =
-        new Membership(settings.kinds().stream().map(GatewaySettings.Kind::name).toList());
+        new EndpointRegistry(settings.kinds().stream().map(GatewaySettings.Kind::name).toList());
     String agent = "lemondock/" + VERSION + " (" + settings.name() + ")";
     GatewaySettings.Engines engines = settings.engines();
     final HttpClient engineClient =
@@ -125,16 +129,16 @@
     this.list = list(agent);
     this.tally = new GatewayTally(settings);
     this.lateness =
-        new Lateness(
+        new StallMonitor(
             LAG_LOOK,
             GatewaySettings.micros(settings.overload().stallMs()),
             GatewaySettings.micros(settings.overload().stallGraceMs()));
     int queues = 2 + settings.ioThreads(); // the context, the workers, each shard's thread
     this.admission = new Admission(settings.overload().toAdmission(), queues);
     this.pausedAt = new long[queues];
-    this.pressure = new Pressure(settings.overload().toPressure());
+    this.pressure = new ResourcePressure(settings.overload().toPressure());
     this.ledger =
-        new Ledger<>(
+        new RequestDispatcher<>(
             loop,
             new EngineClient(loop, engineClient, engines, agent, lateness),
             members,
@@ -145,7 +149,7 @@
             list::watch,
             tally,
             lateness);
-    this.calls = new Calls(loop, ledger, settings, tally, lateness);
+    this.calls = new CallService(loop, ledger, settings, tally, lateness);
     this.front =
         new McpFront(
             loop,
@@ -173,7 +177,7 @@
   }
 
   /** The module of the project. */
-  public static final Ledger.ModuleMaker MODULE = Control::new;
+  public static final RequestDispatcher.ModuleMaker MODULE = Control::new;
 
   private static String sessionId(SecureRandom random) {
     byte[] bytes = new byte[24];
@@ -203,9 +207,9 @@
   /** Takes its port and begins; call it off the loop. */
   public void start() throws IOException {
     if (settings.durable() != null) { // first: what cannot be read must not be served over
-      calls.guard(OnceGuard.open(durable, settings.durable(), loop, disk));
+      calls.guard(IdempotencyGuard.open(durable, settings.durable(), loop, disk));
     }
-    List<ServerEntry> cached = readCache();
+    List<Endpoint> cached = readCache();
     List<Network.Probe> probes = network.probes();
     server.start(network, SettingsFile.address(settings.front().listen()));
     loop.execute(
@@ -224,7 +228,7 @@
           list.start(
               new ServerList.Sink() {
                 @Override
-                public void whole(List<ServerEntry> entries) {
+                public void whole(List<Endpoint> entries) {
                   hear(entries, false);
                   writeCache();
                 }
@@ -233,7 +237,7 @@
                 public void failed(String what) {
                   LOG.atWarn().addKeyValue("why", what).log("the list of servers cannot be had");
                   members.forgetChanges();
-                  ledger.servers(Routing.ListKind.FAILED, List.of());
+                  ledger.servers(EndpointListKind.FAILED, List.of());
                 }
               });
         });
@@ -332,7 +336,7 @@
   }
 
   private void press(double memory, double handles) {
-    final Pressure.Resource before = pressure.shortest();
+    final ResourcePressure.Resource before = pressure.shortest();
     pressure.saw(loop.now(), memory, handles);
     admission.pressed(loop.now(), pressure.scale());
     if (pressure.refreshes(loop.now(), REFRESH_EVERY)) {
@@ -359,7 +363,7 @@
   }
 
   /** What the ledger has counted; loop thread only. */
-  public Ledger.Counts counts() {
+  public RequestDispatcher.Counts counts() {
     return ledger.counts();
   }
 
@@ -383,15 +387,15 @@
     return front.sessions();
   }
 
-  private void hear(List<ServerEntry> entries, boolean cached) {
-    Membership.News news = members.update(entries, cached, loop.now(), loop.wallMillis());
+  private void hear(List<Endpoint> entries, boolean cached) {
+    EndpointRegistry.News news = members.update(entries, cached, loop.now(), loop.wallMillis());
     news.skipped()
         .forEach(
             s ->
                 LOG.atWarn()
                     .addKeyValue("why", s)
                     .log("an entry of the list of servers was passed over"));
-    if (news.kind() != Routing.ListKind.CHANGES || !news.servers().isEmpty()) {
+    if (news.kind() != EndpointListKind.CHANGES || !news.servers().isEmpty()) {
       LOG.atInfo()
           .addKeyValue("told", news.servers().size())
           .addKeyValue("listed", members.size())
@@ -430,8 +434,8 @@
   private String notReady() {
     boolean reads = false;
     boolean writes = false;
-    for (ServerEntry entry : members.entries()) {
-      if (entry.standing() == Routing.Standing.READY) {
+    for (Endpoint entry : members.entries()) {
+      if (entry.standing() == ServerLifecycle.READY) {
         String role =
             settings.kinds().stream()
                 .filter(k -> k.name().equals(entry.kind()))
@@ -478,7 +482,7 @@
         });
   }
 
-  private List<ServerEntry> readCache() {
+  private List<Endpoint> readCache() {
     String cache = settings.discovery().cache();
     if (cache == null || !Files.exists(Path.of(cache))) {
       return List.of();
--- a/gateway/src/main/java/lemondock/gateway/Host.java
+++ b/gateway/src/main/java/lemondock/gateway/Host.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
-import lemondock.idempotency.FilePort;
+import lemondock.idempotency.FileSystemPort;
 import lemondock.net.Loop;
 import lemondock.net.Network;
 
@@ -23,4 +23,4 @@
     Executor disk,
     Executor workers,
     Machine machine,
-    FilePort durable) {}
+    FileSystemPort durable) {}
--- a/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
@@ -20,7 +20,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import lemondock.dispatch.Membership;
+import lemondock.dispatch.EndpointRegistry;
 import lemondock.gateway.settings.GatewaySettings;
 
 /**
@@ -34,7 +34,7 @@
   private static final int MOST_PROBLEMS = 5;
   private static final int MOST_TOOLS = 64;
 
-  private final List<GatewaySettings.RequestClass> classes;
+  private final List<GatewaySettings.ClassSettings> classes;
   private final Map<String, Integer> numbers = new HashMap<>();
   private final List<JsonSchema> schemas = new ArrayList<>();
   private final ArrayNode listing = JsonNodeFactory.instance.arrayNode();
@@ -51,12 +51,12 @@
   }
 
   /** Makes a reader for the classes of the settings. */
-  public PromptReader(List<GatewaySettings.RequestClass> classes) {
+  public PromptReader(List<GatewaySettings.ClassSettings> classes) {
     this.classes = classes;
     SchemaValidatorsConfig config =
         SchemaValidatorsConfig.builder().pathType(PathType.JSON_POINTER).build();
     JsonSchemaFactory factory = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012);
-    for (GatewaySettings.RequestClass c : classes) {
+    for (GatewaySettings.ClassSettings c : classes) {
       ObjectNode schema = inputSchema(c);
       numbers.put(c.name(), schemas.size());
       schemas.add(factory.getSchema(schema, config));
@@ -150,7 +150,7 @@
       }
       tokens += here;
     }
-    long prefix = prefixTokens == 0 ? 0 : Membership.hash(opening.toString());
+    long prefix = prefixTokens == 0 ? 0 : EndpointRegistry.hash(opening.toString());
     return new Prompt(
         classId, messages, tools, names, maxTokens, conversation, tokens, prefix, prefixTokens);
   }
@@ -184,7 +184,7 @@
     return colon < 0 ? message : message.substring(colon + 2);
   }
 
-  private static ObjectNode inputSchema(GatewaySettings.RequestClass c) {
+  private static ObjectNode inputSchema(GatewaySettings.ClassSettings c) {
     ObjectNode schema = JsonNodeFactory.instance.objectNode().put("type", "object");
     ObjectNode properties = schema.putObject("properties");
     ObjectNode message =
--- a/gateway/src/main/java/lemondock/gateway/core/Calls.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CallService.java
@@ -9,10 +9,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import lemondock.dispatch.Engines;
-import lemondock.dispatch.Ledger;
-import lemondock.dispatch.Leg;
-import lemondock.dispatch.Membership;
+import lemondock.dispatch.DispatchedRequest;
+import lemondock.dispatch.EndpointRegistry;
+import lemondock.dispatch.EnginePort;
+import lemondock.dispatch.RequestDispatcher;
+import lemondock.dispatch.RequestListener;
 import lemondock.gateway.answer.Answer;
 import lemondock.gateway.answer.Prompt;
 import lemondock.gateway.answer.ToolCall;
@@ -21,16 +22,16 @@
 import lemondock.gateway.count.GatewayTally;
 import lemondock.gateway.engine.Chunk;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.idempotency.CallBook;
+import lemondock.idempotency.IdempotencyStore;
 import lemondock.net.Loop;
-import lemondock.overload.Gradient;
-import lemondock.overload.Lateness;
+import lemondock.overload.GradientLimit;
+import lemondock.overload.StallMonitor;
 
 /**
  * Clients' calls under way: joins the states of an answer to the ledger's legs. It knows no front;
  * a front gives it a prompt and a {@link Sink} and hears what is to be said to the client.
  */
-public final class Calls {
+public final class CallService {
   /** Tokens of later turns are not counted by the tokenizer on the loop, but estimated. */
   private static final int CHARS_A_TOKEN = 4;
 
@@ -45,17 +46,17 @@
   private static final double GOOD_TIMES = 1.5;
 
   private final Loop loop;
-  private final Ledger<ObjectNode, JsonNode, Chunk> ledger;
+  private final RequestDispatcher<ObjectNode, JsonNode, Chunk> ledger;
   private final GatewaySettings settings;
   private final GatewayTally tally;
-  private final Lateness lateness;
+  private final StallMonitor lateness;
   private final Set<Call> open = new HashSet<>();
 
   /** Null unless the settings ask for it. */
-  private final Gradient gradient;
+  private final GradientLimit gradient;
 
   /** Null where nothing is remembered. */
-  private OnceGuard guard;
+  private IdempotencyGuard guard;
 
   private long toolsWaiting;
   private int waitingAnswers;
@@ -94,12 +95,12 @@
   }
 
   /** Makes an empty set of calls. */
-  public Calls(
+  public CallService(
       Loop loop,
-      Ledger<ObjectNode, JsonNode, Chunk> ledger,
+      RequestDispatcher<ObjectNode, JsonNode, Chunk> ledger,
       GatewaySettings settings,
       GatewayTally tally,
-      Lateness lateness) {
+      StallMonitor lateness) {
     this.lateness = lateness;
     this.loop = loop;
     this.tally = tally;
@@ -108,7 +109,7 @@
     this.gradient =
         !settings.overload().gradient()
             ? null
-            : new Gradient(LEAST_CALLS, FIRST_CALLS, settings.limits().maxCalls(), GOOD_TIMES);
+            : new GradientLimit(LEAST_CALLS, FIRST_CALLS, settings.limits().maxCalls(), GOOD_TIMES);
   }
 
   /**
@@ -142,7 +143,7 @@
   }
 
   /** Has calls that must not run twice remembered; before the first call. */
-  public void guard(OnceGuard by) {
+  public void guard(IdempotencyGuard by) {
     guard = by;
   }
 
@@ -150,13 +151,14 @@
    * What became of an earlier call under the client's key; null where nothing keeps the call from
    * running.
    */
-  public CallBook.Fate known(Prompt prompt, String key) {
-    CallBook.Fate fate = guarded(prompt, key) ? guard.fate(key) : CallBook.Fate.UNKNOWN;
+  public IdempotencyStore.Fate known(Prompt prompt, String key) {
+    IdempotencyStore.Fate fate =
+        guarded(prompt, key) ? guard.fate(key) : IdempotencyStore.Fate.UNKNOWN;
     return fate.mayRun() ? null : fate;
   }
 
   /** Tool calls that were relayed for an earlier call under that key. */
-  public List<CallBook.Relayed> relayed(String key) {
+  public List<IdempotencyStore.Relayed> relayed(String key) {
     return guard.relayed(key);
   }
 
@@ -209,7 +211,7 @@
     private final long session;
     private final boolean clientRepeat;
     private final Sink sink;
-    private final GatewaySettings.RequestClass requestClass;
+    private final GatewaySettings.ClassSettings requestClass;
     private final Answer answer;
     private final CallCount count;
     private final Loop.Timer aimLimit;
@@ -324,8 +326,8 @@
         added += length(turn);
       }
       int tokens = prompt.promptTokens() + (added + partial.length()) / CHARS_A_TOKEN;
-      Leg.Spec<ObjectNode> spec =
-          new Leg.Spec<>(
+      DispatchedRequest<ObjectNode> spec =
+          new DispatchedRequest<>(
               prompt.classId(),
               0,
               session,
@@ -489,10 +491,10 @@
         guard.ended(
             key,
             ending.end() == Answer.End.SERVED
-                ? CallBook.Fate.SERVED
+                ? IdempotencyStore.Fate.SERVED
                 : ending.end() == Answer.End.REFUSED || !begunLegs
-                    ? CallBook.Fate.NEVER_RAN
-                    : CallBook.Fate.MAY_HAVE_RUN);
+                    ? IdempotencyStore.Fate.NEVER_RAN
+                    : IdempotencyStore.Fate.MAY_HAVE_RUN);
       }
       if (!quiet) {
         sink.ended(ending);
@@ -500,7 +502,7 @@
     }
 
     /** Hands a leg's events to the answer. */
-    private final class Listener implements Leg.Listener<Chunk>, Engines.Lane {
+    private final class Listener implements RequestListener<Chunk>, EnginePort.Lane {
       @Override
       public void chunk(Chunk chunk) {
         synchronized (sink.lock()) {
@@ -509,7 +511,7 @@
       }
 
       @Override
-      public Engines.Lane lane() {
+      public EnginePort.Lane lane() {
         return this;
       }
 
@@ -584,7 +586,7 @@
    * named.
    */
   public static long sessionKey(String conversation, String fallback) {
-    return Membership.hash(
+    return EndpointRegistry.hash(
         conversation != null ? "conversation " + conversation : "call " + fallback);
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/core/OnceGuard.java
+++ b/gateway/src/main/java/lemondock/gateway/core/IdempotencyGuard.java
@@ -6,29 +6,29 @@
 import java.util.function.Consumer;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.idempotency.AppendLog;
-import lemondock.idempotency.CallBook;
-import lemondock.idempotency.Committer;
-import lemondock.idempotency.FilePort;
+import lemondock.idempotency.FileSystemPort;
+import lemondock.idempotency.GroupCommit;
+import lemondock.idempotency.IdempotencyStore;
 import lemondock.net.Loop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
  * Keeps calls that must not run twice from doing so over a gateway's death: what they did is
- * durable before they do it. {@link CallBook} decides; this puts its records on disk and its word
- * into calls. Loop thread only, but for {@link #open}.
+ * durable before they do it. {@link IdempotencyStore} decides; this puts its records on disk and
+ * its word into calls. Loop thread only, but for {@link #open}.
  */
-public final class OnceGuard {
-  private static final Logger LOG = LoggerFactory.getLogger(OnceGuard.class);
+public final class IdempotencyGuard {
+  private static final Logger LOG = LoggerFactory.getLogger(IdempotencyGuard.class);
   private static final long MICROS_PER_MILLI = 1_000;
 
   private final Loop loop;
-  private final CallBook book;
-  private final Committer committer;
+  private final IdempotencyStore book;
+  private final GroupCommit committer;
   private final long patience;
   private boolean failing;
 
-  private OnceGuard(Loop loop, CallBook book, Committer committer, long patience) {
+  private IdempotencyGuard(Loop loop, IdempotencyStore book, GroupCommit committer, long patience) {
     this.loop = loop;
     this.book = book;
     this.committer = committer;
@@ -40,12 +40,13 @@
    *
    * @throws IOException names the file and what is wrong with it
    */
-  public static OnceGuard open(
-      FilePort files, GatewaySettings.Durable settings, Loop loop, Executor disk)
+  public static IdempotencyGuard open(
+      FileSystemPort files, GatewaySettings.Durable settings, Loop loop, Executor disk)
       throws IOException {
-    CallBook book =
-        new CallBook(
-            new CallBook.Settings(settings.mostCalls(), (long) settings.keepMs()), millis(loop));
+    IdempotencyStore book =
+        new IdempotencyStore(
+            new IdempotencyStore.Settings(settings.mostCalls(), (long) settings.keepMs()),
+            millis(loop));
     AppendLog log = new AppendLog(files);
     AppendLog.Found found = log.open(book::replay);
     LOG.atInfo()
@@ -54,14 +55,14 @@
         .addKeyValue("dropped", found.dropped())
         .addKeyValue("calls", book.size())
         .log("book of calls");
-    Committer committer =
-        new Committer(
+    GroupCommit committer =
+        new GroupCommit(
             log,
             loop,
             disk,
-            new Committer.Settings(settings.mostWaiting(), settings.mostBytes()),
+            new GroupCommit.Settings(settings.mostWaiting(), settings.mostBytes()),
             () -> book.snapshot(millis(loop)));
-    return new OnceGuard(loop, book, committer, GatewaySettings.micros(settings.waitMs()));
+    return new IdempotencyGuard(loop, book, committer, GatewaySettings.micros(settings.waitMs()));
   }
 
   /**
@@ -73,12 +74,12 @@
   }
 
   /** What became of the call under that key. */
-  public CallBook.Fate fate(String key) {
+  public IdempotencyStore.Fate fate(String key) {
     return book.fate(key, millis(loop));
   }
 
   /** Tool calls that were relayed for it. */
-  public List<CallBook.Relayed> relayed(String key) {
+  public List<IdempotencyStore.Relayed> relayed(String key) {
     return book.relayed(key);
   }
 
@@ -101,7 +102,7 @@
   }
 
   /** The call has ended. */
-  void ended(String key, CallBook.Fate fate) {
+  void ended(String key, IdempotencyStore.Fate fate) {
     later(book.ended(key, fate));
   }
 
--- a/gateway/src/main/java/lemondock/gateway/count/GatewayTally.java
+++ b/gateway/src/main/java/lemondock/gateway/count/GatewayTally.java
@@ -6,21 +6,23 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import lemondock.dispatch.AttemptCount;
+import lemondock.dispatch.AttemptMetrics;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.metrics.BoundedNames;
 import lemondock.metrics.Metrics;
 import lemondock.metrics.Recorder;
 import lemondock.metrics.Series;
 import lemondock.metrics.Tally;
-import lemondock.policy.Routing;
-import lemondock.policy.Routing.Ending;
+import lemondock.policy.AttemptOutcome;
+import lemondock.policy.RouterStateVisitor;
+import lemondock.policy.ServerLifecycle;
+import lemondock.policy.ServerRole;
 
 /**
  * What a gateway counts on its decision loop. Series are looked up once and kept; the names of
  * tenants and zones, which others choose, are bounded. Loop thread only, but for {@link #tally}.
  */
-public final class GatewayTally implements AttemptCount {
+public final class GatewayTally implements AttemptMetrics {
   /** The tenant of a request that names none. */
   public static final String NO_TENANT = "none";
 
@@ -33,17 +35,17 @@
   private static final int REFUSED = 3;
   private static final int SENT = 0;
   private static final int MOST_ZONES = 64;
-  private static final List<Ending> ATTEMPT_FIELDS =
+  private static final List<AttemptOutcome> ATTEMPT_FIELDS =
       List.of(
-          Ending.OK,
-          Ending.READ,
-          Ending.ERROR,
-          Ending.FULL,
-          Ending.TIMEOUT,
-          Ending.CONNECT_FAILED,
-          Ending.RESET,
-          Ending.CANCELLED,
-          Ending.MOOT);
+          AttemptOutcome.OK,
+          AttemptOutcome.READ,
+          AttemptOutcome.ERROR,
+          AttemptOutcome.FULL,
+          AttemptOutcome.TIMEOUT,
+          AttemptOutcome.CONNECT_FAILED,
+          AttemptOutcome.RESET,
+          AttemptOutcome.CANCELLED,
+          AttemptOutcome.MOOT);
 
   private final GatewaySettings settings;
   private final Tally tally;
@@ -51,8 +53,8 @@
   private final List<ClassCount> classes = new ArrayList<>();
   private final BoundedNames tenants;
   private final BoundedNames zones;
-  private final Map<Routing.Role, Map<String, Series>> attempts = new EnumMap<>(Routing.Role.class);
-  private final Map<Routing.Role, Map<String, Series>> servers = new EnumMap<>(Routing.Role.class);
+  private final Map<ServerRole, Map<String, Series>> attempts = new EnumMap<>(ServerRole.class);
+  private final Map<ServerRole, Map<String, Series>> servers = new EnumMap<>(ServerRole.class);
   private final Map<String, Series[]> held = new HashMap<>();
   private final Series gateway;
   private final Series module;
@@ -73,7 +75,7 @@
     final Series wholeTime;
     final Map<String, RequestCount> byTenant = new HashMap<>();
 
-    ClassCount(Tally tally, GatewaySettings.RequestClass c, String zone) {
+    ClassCount(Tally tally, GatewaySettings.ClassSettings c, String zone) {
       worth = Math.round(c.worth() * Metrics.WORTH_ONE);
       lateWorth = Math.round(c.worth() * c.lateWorth() * Metrics.WORTH_ONE);
       tokenAim = GatewaySettings.micros(c.tokenAimMs());
@@ -130,7 +132,7 @@
     long ticket = recorder.enter();
     count(of, request, repeat);
     recorder.exit(ticket);
-    GatewaySettings.RequestClass c = settings.classes().get(classId);
+    GatewaySettings.ClassSettings c = settings.classes().get(classId);
     long aim = GatewaySettings.micros(c.aimMs() + c.aimMsPerThousandTokens() * promptTokens / 1000);
     return new CallCount(this, of, request, now, aim);
   }
@@ -180,20 +182,20 @@
   // ==== attempts and states
 
   /** An attempt is made at a server. */
-  public void sent(Routing.Role role, String zone) {
+  public void sent(ServerRole role, String zone) {
     recorder.count(byServer(attempts, Metrics.ATTEMPTS, role, zone).slot(SENT));
   }
 
   /** An attempt has ended. */
-  public void attemptEnded(Routing.Role role, String zone, Ending ending) {
+  public void attemptEnded(ServerRole role, String zone, AttemptOutcome ending) {
     recorder.count(
         byServer(attempts, Metrics.ATTEMPTS, role, zone).slot(1 + ATTEMPT_FIELDS.indexOf(ending)));
   }
 
   private Series byServer(
-      Map<Routing.Role, Map<String, Series>> in,
+      Map<ServerRole, Map<String, Series>> in,
       lemondock.metrics.Family family,
-      Routing.Role role,
+      ServerRole role,
       String zone) {
     Map<String, Series> byZone = in.computeIfAbsent(role, r -> new HashMap<>());
     Series found = byZone.get(zone);
@@ -275,19 +277,19 @@
   }
 
   /** Takes a look at the module; {@code zones} names the zone of a server's number, or null. */
-  public Routing.Sight look(java.util.function.LongFunction<String> zoneOf) {
+  public RouterStateVisitor look(java.util.function.LongFunction<String> zoneOf) {
     Map<Series, long[]> sums = new HashMap<>();
     servers.values().forEach(byZone -> byZone.values().forEach(s -> sums.put(s, new long[4])));
-    return new Routing.Sight() {
+    return new RouterStateVisitor() {
       @Override
       public void server(
-          long id, Routing.Role role, Routing.Standing standing, boolean cold, boolean healthy) {
+          long id, ServerRole role, ServerLifecycle standing, boolean cold, boolean healthy) {
         String zone = zoneOf.apply(id);
         if (zone != null) {
           long[] sum =
               sums.computeIfAbsent(
                   byServer(servers, Metrics.SERVERS, role, zone), s -> new long[4]);
-          boolean ready = standing == Routing.Standing.READY;
+          boolean ready = standing == ServerLifecycle.READY;
           sum[ready ? 0 : 1]++;
           sum[2] += ready && cold ? 1 : 0;
           sum[3] += ready && !healthy ? 1 : 0;
--- a/gateway/src/main/java/lemondock/gateway/discovery/ConsulList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/ConsulList.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import lemondock.dispatch.ServerEntry;
+import lemondock.dispatch.Endpoint;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.Loop;
 import lemondock.net.http.Headers;
@@ -122,7 +122,7 @@
         ConsulList.this.failed("the catalogue answered " + status());
         return;
       }
-      List<ServerEntry> entries;
+      List<Endpoint> entries;
       long next;
       try {
         entries = Listing.ofConsul(body());
--- a/gateway/src/main/java/lemondock/gateway/discovery/FileList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/FileList.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import lemondock.dispatch.ServerEntry;
+import lemondock.dispatch.Endpoint;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.Loop;
 
@@ -64,7 +64,7 @@
       }
       byte[] text = Files.readAllBytes(path);
       if (!Arrays.equals(text, seen)) {
-        List<ServerEntry> entries = Listing.ofFile(text);
+        List<Endpoint> entries = Listing.ofFile(text);
         seen = text;
         loop.execute(() -> sink.whole(entries));
       }
--- a/gateway/src/main/java/lemondock/gateway/discovery/Listing.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/Listing.java
@@ -9,9 +9,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import lemondock.dispatch.ServerEntry;
+import lemondock.dispatch.Endpoint;
 import lemondock.gateway.settings.SettingsFile;
-import lemondock.policy.Routing;
+import lemondock.policy.ServerLifecycle;
 
 /**
  * The two forms in which lists of servers are written: the project's file and Consul's health API.
@@ -32,17 +32,17 @@
   }
 
   /** Reads {@code {"servers": [...]}}. */
-  public static List<ServerEntry> ofFile(byte[] text) throws Unreadable {
+  public static List<Endpoint> ofFile(byte[] text) throws Unreadable {
     JsonNode servers = tree(text).get("servers");
     if (servers == null || !servers.isArray()) {
       throw new Unreadable("/servers: expected an array, found " + servers);
     }
-    List<ServerEntry> entries = new ArrayList<>();
+    List<Endpoint> entries = new ArrayList<>();
     for (int i = 0; i < servers.size(); i++) {
       JsonNode s = servers.get(i);
       String at = "/servers/" + i;
       entries.add(
-          new ServerEntry(
+          new Endpoint(
               text(s, "name", at),
               address(text(s, "address", at), at + "/address"),
               text(s, "kind", at),
@@ -56,10 +56,10 @@
   }
 
   /** Writes what {@link #ofFile} reads; used for the cache. */
-  public static byte[] toFile(List<ServerEntry> entries) {
+  public static byte[] toFile(List<Endpoint> entries) {
     ObjectNode root = JsonNodeFactory.instance.objectNode();
     ArrayNode servers = root.putArray("servers");
-    for (ServerEntry e : entries) {
+    for (Endpoint e : entries) {
       servers
           .addObject()
           .put("name", e.name())
@@ -79,12 +79,12 @@
    * from the service's Meta. A check in maintenance, or Meta {@code draining=true}, drains; another
    * critical check means gone.
    */
-  public static List<ServerEntry> ofConsul(byte[] text) throws Unreadable {
+  public static List<Endpoint> ofConsul(byte[] text) throws Unreadable {
     JsonNode root = tree(text);
     if (!root.isArray()) {
       throw new Unreadable("/: expected an array of services");
     }
-    List<ServerEntry> entries = new ArrayList<>();
+    List<Endpoint> entries = new ArrayList<>();
     for (int i = 0; i < root.size(); i++) {
       JsonNode service = root.get(i).path("Service");
       String at = "/" + i + "/Service";
@@ -94,7 +94,7 @@
         host = root.get(i).path("Node").path("Address").asText("");
       }
       entries.add(
-          new ServerEntry(
+          new Endpoint(
               text(service, "ID", at),
               address(host + ":" + service.path("Port").asInt(0), at + "/Address"),
               text(meta, "kind", at + "/Meta"),
@@ -107,23 +107,23 @@
     return entries;
   }
 
-  private static Routing.Standing standing(JsonNode meta, JsonNode checks) {
+  private static ServerLifecycle standing(JsonNode meta, JsonNode checks) {
     boolean draining = meta.path("draining").asText("").equals("true");
     for (JsonNode check : checks) {
       if (check.path("Status").asText("").equals("critical")) {
         String id = check.path("CheckID").asText("");
         if (!id.startsWith("_service_maintenance") && !id.startsWith("_node_maintenance")) {
-          return Routing.Standing.GONE;
+          return ServerLifecycle.GONE;
         }
         draining = true;
       }
     }
-    return draining ? Routing.Standing.DRAINING : Routing.Standing.READY;
+    return draining ? ServerLifecycle.DRAINING : ServerLifecycle.READY;
   }
 
-  private static Routing.Standing standing(String name, String at) throws Unreadable {
+  private static ServerLifecycle standing(String name, String at) throws Unreadable {
     try {
-      return Routing.Standing.valueOf(name.toUpperCase(Locale.ROOT));
+      return ServerLifecycle.valueOf(name.toUpperCase(Locale.ROOT));
     } catch (IllegalArgumentException e) {
       throw new Unreadable(at + ": expected ready, draining or gone, found " + name);
     }
--- a/gateway/src/main/java/lemondock/gateway/discovery/ServerList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/ServerList.java
@@ -1,7 +1,7 @@
 package lemondock.gateway.discovery;
 
 import java.util.List;
-import lemondock.dispatch.ServerEntry;
+import lemondock.dispatch.Endpoint;
 
 /** Where lists of servers come from; all its calls to the sink are made on the loop. */
 public interface ServerList {
@@ -17,7 +17,7 @@
   /** What hears of the list. */
   interface Sink {
     /** The whole list as it is now. */
-    void whole(List<ServerEntry> entries);
+    void whole(List<Endpoint> entries);
 
     /** The list could not be had; the one before stays in force. */
     void failed(String what);
--- a/gateway/src/main/java/lemondock/gateway/engine/Chunk.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/Chunk.java
@@ -1,7 +1,7 @@
 package lemondock.gateway.engine;
 
 import java.util.List;
-import lemondock.dispatch.Piece;
+import lemondock.dispatch.StreamChunk;
 
 /**
  * One event of a writer's stream.
@@ -24,7 +24,7 @@
     int answerTokens,
     boolean last,
     String error)
-    implements Piece {
+    implements StreamChunk {
   /** The closing mark. */
   public static final Chunk LAST = new Chunk("", List.of(), null, -1, -1, -1, true, null);
 
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
@@ -3,29 +3,29 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.net.InetSocketAddress;
-import lemondock.dispatch.Engines;
-import lemondock.dispatch.Leg;
-import lemondock.dispatch.ServerEntry;
-import lemondock.dispatch.Silence;
+import lemondock.dispatch.DispatchedRequest;
+import lemondock.dispatch.Endpoint;
+import lemondock.dispatch.EnginePort;
+import lemondock.dispatch.StreamIdleTimeout;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.Loop;
 import lemondock.net.http.Headers;
 import lemondock.net.http.HttpClient;
 import lemondock.net.http.HttpEncoder;
 import lemondock.net.sse.SseEvent;
-import lemondock.overload.Lateness;
-import lemondock.policy.Routing.Ending;
+import lemondock.overload.StallMonitor;
+import lemondock.policy.AttemptOutcome;
 
 /**
  * The ledger's port to engines that speak the OpenAI API: carries reads, writes and aborts. Every
  * read and write ends by exactly one {@code ended} or a cancel.
  */
-public final class EngineClient implements Engines<ObjectNode, JsonNode, Chunk> {
+public final class EngineClient implements EnginePort<ObjectNode, JsonNode, Chunk> {
   private static final int ABORT_TRIES = 3;
   private static final long ABORT_AGAIN = 30_000;
 
   private final Loop loop;
-  private final Lateness lateness;
+  private final StallMonitor lateness;
   private final HttpClient client;
   private final String agent;
   private final String apiKey;
@@ -37,7 +37,7 @@
       HttpClient client,
       GatewaySettings.Engines settings,
       String agent,
-      Lateness lateness) {
+      StallMonitor lateness) {
     this.lateness = lateness;
     this.loop = loop;
     this.client = client;
@@ -48,9 +48,9 @@
 
   @Override
   public Work read(
-      ServerEntry server,
+      Endpoint server,
       String requestId,
-      Leg.Spec<ObjectNode> spec,
+      DispatchedRequest<ObjectNode> spec,
       Attempt<JsonNode, Chunk> attempt) {
     InetSocketAddress to = server.address();
     return client.send(
@@ -66,9 +66,9 @@
 
   @Override
   public Work write(
-      ServerEntry server,
+      Endpoint server,
       String requestId,
-      Leg.Spec<ObjectNode> spec,
+      DispatchedRequest<ObjectNode> spec,
       JsonNode transfer,
       Attempt<JsonNode, Chunk> attempt) {
     InetSocketAddress to = server.address();
@@ -88,7 +88,7 @@
 
   /** Lets go of a request and of what is kept for it; tried again if it cannot be said at once. */
   @Override
-  public void release(ServerEntry at, String requestId, ObjectNode prompt) {
+  public void release(Endpoint at, String requestId, ObjectNode prompt) {
     abort(at.address(), requestId, ABORT_TRIES);
   }
 
@@ -96,7 +96,7 @@
    * Each attempt has a name of its own here, so that what it may have left is let go of at once.
    */
   @Override
-  public void doubt(ServerEntry at, String requestId, ObjectNode prompt) {
+  public void doubt(Endpoint at, String requestId, ObjectNode prompt) {
     release(at, requestId, prompt);
   }
 
@@ -151,7 +151,7 @@
       }
       EngineProtocol.ReadReply reply = EngineProtocol.readReply(body());
       if (reply.problem() != null) {
-        attempt.ended(Ending.ERROR, false, reply.problem());
+        attempt.ended(AttemptOutcome.ERROR, false, reply.problem());
       } else {
         attempt.read(reply.transfer(), reply.cachedTokens());
       }
@@ -159,7 +159,7 @@
 
     @Override
     public void failed(HttpClient.Failure failure, String what) {
-      attempt.ended(Engines.ending(failure), false, what);
+      attempt.ended(EnginePort.ending(failure), false, what);
     }
   }
 
@@ -173,7 +173,8 @@
     private boolean finished;
     private boolean over;
     private boolean watched;
-    private final Silence quiet = new Silence(loop, lateness, silence, this::silent);
+    private final StreamIdleTimeout quiet =
+        new StreamIdleTimeout(loop, lateness, silence, this::silent);
     private volatile Lane lane;
     private final PlainPiece plain = new PlainPiece();
 
@@ -243,7 +244,7 @@
       if (status() != 200 || chunk.error() != null) {
         call.cancel();
         end(
-            Ending.ERROR,
+            AttemptOutcome.ERROR,
             status() != 200 ? "status " + status() + " with an event stream" : chunk.error());
         return;
       }
@@ -257,7 +258,7 @@
 
     private void silent() {
       call.cancel();
-      end(Ending.RESET, "the stream stayed silent for " + silence / 1_000 + " ms");
+      end(AttemptOutcome.RESET, "the stream stayed silent for " + silence / 1_000 + " ms");
     }
 
     @Override
@@ -267,22 +268,22 @@
         over();
         attempt.ended(refusal.ending(), refusal.stateMissing(), refusal.what());
       } else if (finished) {
-        end(Ending.OK, "");
+        end(AttemptOutcome.OK, "");
       } else {
-        end(Ending.RESET, "the stream ended without a finish_reason");
+        end(AttemptOutcome.RESET, "the stream ended without a finish_reason");
       }
     }
 
     @Override
     public void failed(HttpClient.Failure failure, String what) {
       if (finished) {
-        end(Ending.OK, ""); // all of the answer had come; only the closing mark was lost
+        end(AttemptOutcome.OK, ""); // all of the answer had come; only the closing mark was lost
       } else {
-        end(Engines.ending(failure), what);
+        end(EnginePort.ending(failure), what);
       }
     }
 
-    private void end(Ending ending, String what) {
+    private void end(AttemptOutcome ending, String what) {
       if (!over) {
         over();
         attempt.ended(ending, false, what);
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineProtocol.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineProtocol.java
@@ -9,7 +9,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import lemondock.policy.Routing.Ending;
+import lemondock.policy.AttemptOutcome;
 
 /**
  * The engines' side as bytes: the OpenAI-compatible chat completions API, as vLLM serves it with
@@ -201,7 +201,7 @@
   }
 
   /** A response that is no success, as the module hears of it. */
-  public record Refusal(Ending ending, boolean stateMissing, String what) {}
+  public record Refusal(AttemptOutcome ending, boolean stateMissing, String what) {}
 
   /**
    * What a status other than 200 means. 429 and 503 are an engine's word that it did not begin; any
@@ -218,7 +218,7 @@
     boolean full = status == 429 || status == 503;
     boolean missing =
         full && root != null && STATE_MISSING.equals(root.path("error").path("code").asText(""));
-    return new Refusal(full ? Ending.FULL : Ending.ERROR, missing, what);
+    return new Refusal(full ? AttemptOutcome.FULL : AttemptOutcome.ERROR, missing, what);
   }
 
   private static String message(JsonNode root) {
--- a/gateway/src/main/java/lemondock/gateway/front/CallIntake.java
+++ b/gateway/src/main/java/lemondock/gateway/front/CallIntake.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import lemondock.gateway.answer.Prompt;
 import lemondock.gateway.answer.PromptReader;
-import lemondock.gateway.core.Calls;
+import lemondock.gateway.core.CallService;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.http.HttpServer;
 import lemondock.overload.Admission;
@@ -32,7 +32,7 @@
   private static final int MOST_KEY = 200;
 
   private final GatewaySettings settings;
-  private final Calls calls;
+  private final CallService calls;
   private final PromptReader prompts;
   private final Admission admission;
   private final JsonRpc rpc;
@@ -56,7 +56,8 @@
    */
   record Refused(int classId, long retryAfter) implements Reading {}
 
-  CallIntake(GatewaySettings settings, Calls calls, PromptReader prompts, Admission admission) {
+  CallIntake(
+      GatewaySettings settings, CallService calls, PromptReader prompts, Admission admission) {
     this.settings = settings;
     this.calls = calls;
     this.prompts = prompts;
@@ -172,7 +173,7 @@
   }
 
   private double value(int classId) {
-    GatewaySettings.RequestClass c = settings.classes().get(classId);
+    GatewaySettings.ClassSettings c = settings.classes().get(classId);
     return Admission.value(c.worth(), GatewaySettings.micros(c.aimMs()));
   }
 
--- a/gateway/src/main/java/lemondock/gateway/front/McpCall.java
+++ b/gateway/src/main/java/lemondock/gateway/front/McpCall.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 import lemondock.gateway.answer.Answer;
 import lemondock.gateway.answer.ToolCall;
-import lemondock.gateway.core.Calls;
+import lemondock.gateway.core.CallService;
 import lemondock.rpc.JsonRpc;
 import lemondock.rpc.Mcp;
 
 /** One {@code tools/call} of a client: turns what becomes of it into messages of the protocol. */
-final class McpCall implements Calls.Sink {
+final class McpCall implements CallService.Sink {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final long MICROS = 1_000;
 
@@ -25,7 +25,7 @@
   private final Progress progress;
   private final String conversation;
   private final Map<String, String> relayIds = new HashMap<>();
-  private Calls.Call call;
+  private CallService.Call call;
 
   /** Where a call's messages go. */
   interface Reply {
@@ -44,10 +44,10 @@
     /** The shard of the connection they go over. */
     int shard();
 
-    /** See {@link Calls.Sink#lock}. */
+    /** See {@link CallService.Sink#lock}. */
     Object lock();
 
-    /** See {@link Calls.Sink#flows}. */
+    /** See {@link CallService.Sink#flows}. */
     boolean flows();
   }
 
@@ -74,17 +74,17 @@
     return id.toString();
   }
 
-  Calls.Call call() {
+  CallService.Call call() {
     return call;
   }
 
-  /** The client cancelled it; {@link Calls.Call#leave} was called. */
+  /** The client cancelled it; {@link CallService.Call#leave} was called. */
   void cancelled() {
     reply.cancelled(this);
   }
 
   @Override
-  public void taken(Calls.Call made) {
+  public void taken(CallService.Call made) {
     call = made;
   }
 
--- a/gateway/src/main/java/lemondock/gateway/front/McpFront.java
+++ b/gateway/src/main/java/lemondock/gateway/front/McpFront.java
@@ -17,7 +17,7 @@
 import java.util.OptionalLong;
 import java.util.function.Supplier;
 import lemondock.gateway.answer.PromptReader;
-import lemondock.gateway.core.Calls;
+import lemondock.gateway.core.CallService;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.Loop;
 import lemondock.net.http.Headers;
@@ -31,7 +31,7 @@
 
 /**
  * The clients' front: the Model Context Protocol over Streamable HTTP. It speaks the protocol and
- * keeps sessions; what becomes of a call is decided behind {@link Calls}.
+ * keeps sessions; what becomes of a call is decided behind {@link CallService}.
  */
 public final class McpFront implements HttpServer.Service {
   private static final Logger LOG = LoggerFactory.getLogger(McpFront.class);
@@ -61,7 +61,7 @@
   public McpFront(
       Loop loop,
       GatewaySettings settings,
-      Calls calls,
+      CallService calls,
       PromptReader prompts,
       Supplier<String> sessionIds,
       Supplier<String> notReady,
@@ -455,7 +455,8 @@
         relayed != null
             && relayed
                 .call()
-                .result(relayed.callId(), Calls.toolResult(response.result(), response.error()));
+                .result(
+                    relayed.callId(), CallService.toolResult(response.result(), response.error()));
     if (!taken) {
       LOG.atInfo()
           .addKeyValue("request", clip(response.id().toString()))
--- a/gateway/src/main/java/lemondock/gateway/front/McpSession.java
+++ b/gateway/src/main/java/lemondock/gateway/front/McpSession.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import lemondock.gateway.core.Calls;
+import lemondock.gateway.core.CallService;
 
 /**
  * One client's session: its version, its calls and streams, and the tool calls that it was sent.
@@ -36,7 +36,7 @@
   boolean ended;
 
   /** A call that was sent to the client. */
-  record Relayed(Calls.Call call, String callId) {}
+  record Relayed(CallService.Call call, String callId) {}
 
   /**
    * The client cancelled a call that is not under way: it has ended, never was, or its request
--- a/gateway/src/main/java/lemondock/gateway/front/PostReply.java
+++ b/gateway/src/main/java/lemondock/gateway/front/PostReply.java
@@ -13,9 +13,9 @@
 import java.util.function.BooleanSupplier;
 import lemondock.gateway.answer.Prompt;
 import lemondock.gateway.answer.PromptReader;
-import lemondock.gateway.core.Calls;
+import lemondock.gateway.core.CallService;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.idempotency.CallBook;
+import lemondock.idempotency.IdempotencyStore;
 import lemondock.net.Loop;
 import lemondock.net.http.Headers;
 import lemondock.net.http.HttpServer;
@@ -44,7 +44,7 @@
   record Services(
       Loop loop,
       GatewaySettings settings,
-      Calls calls,
+      CallService calls,
       PromptReader prompts,
       CallIntake intake,
       BooleanSupplier stopping) {}
@@ -175,11 +175,11 @@
    */
   private boolean known(Message.Request request, Prompt prompt) {
     String key = CallIntake.onceKey(request.params());
-    CallBook.Fate fate = services.calls().known(prompt, key);
+    IdempotencyStore.Fate fate = services.calls().known(prompt, key);
     if (fate == null) {
       return false;
     }
-    boolean again = fate == CallBook.Fate.UNDER_WAY || fate == CallBook.Fate.FULL;
+    boolean again = fate == IdempotencyStore.Fate.UNDER_WAY || fate == IdempotencyStore.Fate.FULL;
     ObjectNode data =
         JsonNodeFactory.instance
             .objectNode()
@@ -216,7 +216,7 @@
             this);
     open.add(call);
     session.calls.put(call.key(), call);
-    long key = Calls.sessionKey(prompt.conversation(), session.id + "/" + session.nextCall++);
+    long key = CallService.sessionKey(prompt.conversation(), session.id + "/" + session.nextCall++);
     services
         .calls()
         .start(
--- a/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import lemondock.anomaly.Cusum;
-import lemondock.anomaly.FallDetector;
+import lemondock.anomaly.DegradationDetector;
 import lemondock.exporter.Dialer;
 import lemondock.exporter.Encoder;
 import lemondock.exporter.Environment;
@@ -69,13 +69,13 @@
   private final Environment environment;
   private final Loop loop;
   private final Reporter reporter;
-  private final FallDetector detector;
+  private final DegradationDetector detector;
   private final MeterView meters = new MeterView();
   private final MeterRegistry process;
   private final ServiceWindow lastSeconds = new ServiceWindow(SHORT_WINDOW);
   private final ServiceWindow lastMinute = new ServiceWindow(LONG_WINDOW);
   private final Map<String, Series> processSeries = new LinkedHashMap<>();
-  private final Map<FallDetector.Key, Series> falls = new LinkedHashMap<>();
+  private final Map<DegradationDetector.Key, Series> falls = new LinkedHashMap<>();
   private final Series notFinite;
   private HttpServer status;
   private String instance;
@@ -118,7 +118,7 @@
             GatewaySettings.micros(d.holdMs()),
             GatewaySettings.micros(d.quietMs()),
             d.memory());
-    this.detector = new FallDetector(() -> new Cusum(figures));
+    this.detector = new DegradationDetector(() -> new Cusum(figures));
     this.notFinite = counted.tally().series(Metrics.BOUNDS, "not_finite");
   }
 
@@ -300,7 +300,7 @@
               series.first(), finite ? Math.round(value * PROCESS_PLACES) : Snapshot.ABSENT);
         });
     recorder.set(notFinite.first(), notFiniteCount);
-    for (FallDetector.Sight sight : detector.sights()) {
+    for (DegradationDetector.Sight sight : detector.sights()) {
       Series series =
           falls.computeIfAbsent(
               sight.key(), k -> counted.tally().series(Metrics.FALL, k.what(), k.zone()));
@@ -315,20 +315,20 @@
     meters.show(snapshot);
     lastSeconds.take(loop.now(), snapshot);
     lastMinute.take(loop.now(), snapshot);
-    for (FallDetector.Change change :
+    for (DegradationDetector.Change change :
         detector.observe(loop.now(), verdicts(snapshot), attempts(snapshot))) {
       LOG.warn("{}", change.line());
       reporter.notice(change.began(), change.line());
     }
   }
 
-  private static List<FallDetector.Count> verdicts(Snapshot snapshot) {
-    List<FallDetector.Count> counts = new ArrayList<>();
+  private static List<DegradationDetector.Count> verdicts(Snapshot snapshot) {
+    List<DegradationDetector.Count> counts = new ArrayList<>();
     for (Series s : snapshot.series()) {
       if (s.family().equals(Metrics.VERDICTS)) {
         counts.add(
-            new FallDetector.Count(
-                new FallDetector.Key(s.labels().get(0), s.labels().get(1)),
+            new DegradationDetector.Count(
+                new DegradationDetector.Key(s.labels().get(0), s.labels().get(1)),
                 snapshot.values()[s.slot(0)],
                 snapshot.values()[s.slot(1)]));
       }
@@ -340,11 +340,11 @@
    * Attempts by role and zone: answered ones against those that failed, were turned away or were
    * called off.
    */
-  private static List<FallDetector.Count> attempts(Snapshot snapshot) {
+  private static List<DegradationDetector.Count> attempts(Snapshot snapshot) {
     int ok = Metrics.ATTEMPTS.index("ok");
     int read = Metrics.ATTEMPTS.index("read");
     int lastBad = Metrics.ATTEMPTS.index("cancelled");
-    List<FallDetector.Count> counts = new ArrayList<>();
+    List<DegradationDetector.Count> counts = new ArrayList<>();
     for (Series s : snapshot.series()) {
       if (s.family().equals(Metrics.ATTEMPTS)) {
         long bad = 0;
@@ -352,8 +352,8 @@
           bad += snapshot.values()[s.slot(i)];
         }
         counts.add(
-            new FallDetector.Count(
-                new FallDetector.Key(s.labels().get(0), s.labels().get(1)),
+            new DegradationDetector.Count(
+                new DegradationDetector.Key(s.labels().get(0), s.labels().get(1)),
                 snapshot.values()[s.slot(ok)] + snapshot.values()[s.slot(read)],
                 bad));
       }
@@ -416,7 +416,7 @@
                   .put("inTime60s", longer[1]);
             });
     ArrayNode told = root.putArray("falls");
-    for (FallDetector.Sight s : detector.sights()) {
+    for (DegradationDetector.Sight s : detector.sights()) {
       if (s.fallen()) {
         told.addObject()
             .put("class", s.key().what())
--- a/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
@@ -4,9 +4,16 @@
 import java.util.Locale;
 import java.util.Map;
 import lemondock.overload.Admission;
-import lemondock.overload.Pressure;
-import lemondock.overload.RepeatBudget;
-import lemondock.policy.Routing;
+import lemondock.overload.ResourcePressure;
+import lemondock.overload.RetryBudget;
+import lemondock.policy.DeduplicationScope;
+import lemondock.policy.DeploymentLimits;
+import lemondock.policy.Idempotency;
+import lemondock.policy.RequestClass;
+import lemondock.policy.RouterSettings;
+import lemondock.policy.ServerKind;
+import lemondock.policy.ServerRole;
+import lemondock.policy.ServiceRules;
 
 /**
  * The settings of a gateway as the file states them; {@code gateway.schema.json} says what each
@@ -22,7 +29,7 @@
     Front front,
     Engines engines,
     Discovery discovery,
-    List<RequestClass> classes,
+    List<ClassSettings> classes,
     List<Kind> kinds,
     Limits limits,
     Rules rules,
@@ -81,7 +88,7 @@
       String cache) {}
 
   /** One class of requests; a tool for the client. */
-  public record RequestClass(
+  public record ClassSettings(
       String name,
       String description,
       double aimMs,
@@ -108,17 +115,17 @@
       return micros(deadlineMs + 2 * aimMsPerThousandTokens * promptTokens / 1000);
     }
 
-    private Routing.RequestClass toModule() {
-      return new Routing.RequestClass(
+    private RequestClass toModule() {
+      return new RequestClass(
           micros(aimMs),
           micros(aimMsPerThousandTokens),
           micros(deadlineMs),
           worth,
           lateWorth,
-          Routing.Repeat.valueOf(repeat.toUpperCase(Locale.ROOT)),
+          Idempotency.valueOf(repeat.toUpperCase(Locale.ROOT)),
           group.equals("rack")
-              ? Routing.Group.CELL
-              : Routing.Group.valueOf(group.toUpperCase(Locale.ROOT)),
+              ? DeduplicationScope.CELL
+              : DeduplicationScope.valueOf(group.toUpperCase(Locale.ROOT)),
           micros(repeatWindowMs),
           micros(tokenAimMs));
     }
@@ -183,12 +190,12 @@
           leastShare,
           micros(adviceMs),
           micros(mostAdviceMs),
-          new RepeatBudget.Settings(repeatPart, repeatsPerSecond, micros(repeatHalfLifeMs)));
+          new RetryBudget.Settings(repeatPart, repeatsPerSecond, micros(repeatHalfLifeMs)));
     }
 
     /** How memory and handles in use bound what is let in. */
-    public Pressure.Settings toPressure() {
-      return new Pressure.Settings(softPart, hardPart, risePerSecond);
+    public ResourcePressure.Settings toPressure() {
+      return new ResourcePressure.Settings(softPart, hardPart, risePerSecond);
     }
   }
 
@@ -266,24 +273,18 @@
   }
 
   /** What the module is told; it hears numbers where the settings have names. */
-  public Routing.Settings toModule() {
-    Map<String, Routing.Role> roles =
-        Map.of(
-            "reader",
-            Routing.Role.READER,
-            "writer",
-            Routing.Role.WRITER,
-            "mixed",
-            Routing.Role.MIXED);
-    return new Routing.Settings(
+  public RouterSettings toModule() {
+    Map<String, ServerRole> roles =
+        Map.of("reader", ServerRole.READER, "writer", ServerRole.WRITER, "mixed", ServerRole.MIXED);
+    return new RouterSettings(
         number,
         gateways,
         0,
         RESOLUTION,
-        classes.stream().map(RequestClass::toModule).toList(),
+        classes.stream().map(ClassSettings::toModule).toList(),
         List.of(),
-        kinds.stream().map(k -> new Routing.Kind(roles.get(k.role()), k.memoryTokens())).toList(),
-        new Routing.Limits(
+        kinds.stream().map(k -> new ServerKind(roles.get(k.role()), k.memoryTokens())).toList(),
+        new DeploymentLimits(
             limits.maxAttempts(),
             true,
             false,
@@ -293,7 +294,7 @@
             micros(limits.retryAdviceMs()),
             micros(engines.connectTimeoutMs()),
             false),
-        new Routing.Rules(
+        new ServiceRules(
             micros(rules.answerSlackMs()),
             micros(rules.drainGraceMs()),
             rules.coldShare(),
--- a/gateway/src/main/java/lemondock/gateway/settings/SettingsFile.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/SettingsFile.java
@@ -68,7 +68,7 @@
     }
     Set<String> names = new HashSet<>();
     for (int i = 0; i < s.classes().size(); i++) {
-      GatewaySettings.RequestClass c = s.classes().get(i);
+      GatewaySettings.ClassSettings c = s.classes().get(i);
       if (!names.add(c.name())) {
         report.problem(
             "/classes/" + i + "/name", "expected a name used once, found " + c.name() + " again");
--- a/idempotency/src/main/java/lemondock/idempotency/AppendLog.java
+++ b/idempotency/src/main/java/lemondock/idempotency/AppendLog.java
@@ -25,7 +25,7 @@
   private static final int HEAD = 8;
   private static final int MOST_EMPTY_WRITES = 8;
 
-  private final FilePort files;
+  private final FileSystemPort files;
   private long number;
   private long length;
 
@@ -39,7 +39,7 @@
   private boolean replacing;
 
   private long replacementLength;
-  private FilePort.Out out;
+  private FileSystemPort.Out out;
 
   /**
    * What an opening found.
@@ -51,7 +51,7 @@
   public record Found(long records, long dropped, String file) {}
 
   /** A log in that folder, not open yet. */
-  public AppendLog(FilePort files) {
+  public AppendLog(FileSystemPort files) {
     this.files = files;
   }
 
@@ -179,7 +179,7 @@
     return bytes.flip().position(before);
   }
 
-  private static void put(FilePort.Out to, ByteBuffer bytes) throws IOException {
+  private static void put(FileSystemPort.Out to, ByteBuffer bytes) throws IOException {
     int empty = 0;
     while (bytes.hasRemaining()) {
       int before = bytes.remaining();
@@ -200,7 +200,7 @@
     ByteBuffer bytes = framed(records, MAGIC.length);
     bytes.position(0).put(MAGIC).position(0);
     int size = bytes.remaining();
-    try (FilePort.Out next = files.append(NEXT)) {
+    try (FileSystemPort.Out next = files.append(NEXT)) {
       put(next, bytes);
       next.sync();
     }
--- a/idempotency/src/main/java/lemondock/idempotency/DiskFolder.java
+++ b/idempotency/src/main/java/lemondock/idempotency/DiskFolder.java
@@ -12,7 +12,7 @@
 import java.util.stream.Stream;
 
 /** A folder of the file system, for one process at a time. */
-public final class DiskFolder implements FilePort, AutoCloseable {
+public final class DiskFolder implements FileSystemPort, AutoCloseable {
   private static final String LOCK = "lock";
 
   private final Path folder;
--- a/idempotency/src/main/java/lemondock/idempotency/FilePort.java
+++ b/idempotency/src/main/java/lemondock/idempotency/FileSystemPort.java
@@ -8,7 +8,7 @@
  * One folder of files, as a log needs it; a simulation puts its own here, with its own faults. May
  * block.
  */
-public interface FilePort {
+public interface FileSystemPort {
   /** Names in the folder. */
   List<String> names() throws IOException;
 
--- a/idempotency/src/main/java/lemondock/idempotency/Committer.java
+++ b/idempotency/src/main/java/lemondock/idempotency/GroupCommit.java
@@ -13,7 +13,7 @@
  * all. Called in one context, which hears there whether a record is durable; files are written by
  * {@code disk}. What waits is bounded.
  */
-public final class Committer {
+public final class GroupCommit {
   private final AppendLog log;
   private final Executor context;
   private final Executor disk;
@@ -44,7 +44,7 @@
    * @param context where it is called and calls back
    * @param snapshot all records that a log which begins anew needs, at the moment it is called
    */
-  public Committer(
+  public GroupCommit(
       AppendLog log,
       Executor context,
       Executor disk,
--- a/idempotency/src/main/java/lemondock/idempotency/CallBook.java
+++ b/idempotency/src/main/java/lemondock/idempotency/IdempotencyStore.java
@@ -19,7 +19,7 @@
  * change is also a record, and the records read again make the same book. No I/O, no clock; one
  * thread.
  */
-public final class CallBook {
+public final class IdempotencyStore {
   private static final byte TAKEN = 1;
   private static final byte RELAYED = 2;
   private static final byte ANSWERED = 3;
@@ -84,7 +84,7 @@
   }
 
   /** An empty book whose clock begins at 0. */
-  public CallBook(Settings settings) {
+  public IdempotencyStore(Settings settings) {
     this(settings, 0);
   }
 
@@ -95,7 +95,7 @@
    *     each life of the process. Time between two lives does not count: what is known from an
    *     earlier life is remembered longer, never shorter, than the settings say
    */
-  public CallBook(Settings settings, long now) {
+  public IdempotencyStore(Settings settings, long now) {
     this.settings = settings;
     this.begun = now;
   }
--- a/metrics/src/main/java/lemondock/metrics/Catalogue.java
+++ b/metrics/src/main/java/lemondock/metrics/MetricCatalogue.java
@@ -6,8 +6,8 @@
  * Writes the list of metrics for people and for collectd. The files in the repository are checked
  * against it.
  */
-public final class Catalogue {
-  private Catalogue() {}
+public final class MetricCatalogue {
+  private MetricCatalogue() {}
 
   /** The page for operators. */
   public static String page() {
--- a/metrics/src/main/java/lemondock/metrics/Metrics.java
+++ b/metrics/src/main/java/lemondock/metrics/Metrics.java
@@ -5,7 +5,7 @@
 
 /**
  * Everything that a gateway reports, and the one list of it: the pages for operators and collectd's
- * {@code types.db} are written from here ({@link Catalogue}).
+ * {@code types.db} are written from here ({@link MetricCatalogue}).
  */
 public final class Metrics {
   private static final int WORTH_PLACES = 6;
--- a/overload/src/main/java/lemondock/overload/Admission.java
+++ b/overload/src/main/java/lemondock/overload/Admission.java
@@ -11,8 +11,8 @@
  * works off the wait, and rises again slowly at first, then fast. Which requests make up the share
  * goes by worth and urgency, not by who came first, with a threshold over those seen lately (as
  * WeChat's DAGOR: Zhou et al., SoCC 2018), so a less valuable request is refused before a more
- * valuable one. Repeats are let in within a {@link RepeatBudget} while the share is cut. What else
- * is short tells a {@link Pressure}, whose scale is a factor on the share.
+ * valuable one. Repeats are let in within a {@link RetryBudget} while the share is cut. What else
+ * is short tells a {@link ResourcePressure}, whose scale is a factor on the share.
  *
  * <p>No clock, no I/O. One thread decides; {@link Gate} is a picture of the decision that any
  * thread may ask.
@@ -28,7 +28,7 @@
   private final double[] seen = new double[SEEN];
   private int seenCount;
   private int next;
-  private final RepeatBudget budget;
+  private final RetryBudget budget;
   private double share = 1;
   private double scale = 1;
   private double repeats = 1;
@@ -62,7 +62,7 @@
       double least,
       long advice,
       long mostAdvice,
-      RepeatBudget.Settings repeats) {}
+      RetryBudget.Settings repeats) {}
 
   /**
    * What is let in now. Values above the threshold are, those at it by chance, those below it are
@@ -109,7 +109,7 @@
     this.waiting = new long[queues];
     this.settings = settings;
     this.growth = settings.step();
-    this.budget = new RepeatBudget(settings.repeats());
+    this.budget = new RetryBudget(settings.repeats());
   }
 
   /**
--- a/overload/src/main/java/lemondock/overload/Gradient.java
+++ b/overload/src/main/java/lemondock/overload/GradientLimit.java
@@ -7,7 +7,7 @@
  * kept to be measured beside it: it knows nothing of worth, and it takes engines that are slow for
  * a gateway that is. No clock, no I/O; one thread.
  */
-public final class Gradient {
+public final class GradientLimit {
   private static final double LONG_WEIGHT = 1.0 / 600;
   private static final double SHORT_WEIGHT = 1.0 / 20;
   private static final double LIMIT_WEIGHT = 0.2;
@@ -27,7 +27,7 @@
    * @param first bound at the start
    * @param tolerance how many times the usual time is still good
    */
-  public Gradient(int least, int first, int most, double tolerance) {
+  public GradientLimit(int least, int first, int most, double tolerance) {
     this.least = least;
     this.limit = first;
     this.most = most;
--- a/overload/src/main/java/lemondock/overload/Pressure.java
+++ b/overload/src/main/java/lemondock/overload/ResourcePressure.java
@@ -7,7 +7,7 @@
  * overload manager scales its actions so). It falls at once and rises slowly, because what was just
  * let in has not taken its part yet. No clock, no I/O; one thread.
  */
-public final class Pressure {
+public final class ResourcePressure {
   private final Settings settings;
   private double scale = 1;
   private long seenAt = Long.MIN_VALUE;
@@ -31,7 +31,7 @@
   public record Settings(double soft, double hard, double rise) {}
 
   /** Makes one that has seen nothing and lets all in. */
-  public Pressure(Settings settings) {
+  public ResourcePressure(Settings settings) {
     this.settings = settings;
   }
 
--- a/overload/src/main/java/lemondock/overload/RepeatBudget.java
+++ b/overload/src/main/java/lemondock/overload/RetryBudget.java
@@ -7,7 +7,7 @@
  * quiet gateway may always try again (Finagle's RetryBudget, kept at the server: its clients are
  * strangers). Counts fade, half of them each {@code halfLife}. No clock, no I/O; one thread.
  */
-public final class RepeatBudget {
+public final class RetryBudget {
   private final Settings settings;
   private double firsts;
   private double repeats;
@@ -23,7 +23,7 @@
   public record Settings(double part, double floor, long halfLife) {}
 
   /** Makes one that has counted nothing. */
-  public RepeatBudget(Settings settings) {
+  public RetryBudget(Settings settings) {
     this.settings = settings;
   }
 
--- a/overload/src/main/java/lemondock/overload/Lateness.java
+++ b/overload/src/main/java/lemondock/overload/StallMonitor.java
@@ -7,7 +7,7 @@
  * is nobody's fault: it is taken off what attempts took, and what is judged by time waits until
  * what came in meanwhile was heard. No clock, no I/O; one thread.
  */
-public final class Lateness {
+public final class StallMonitor {
   private final long tick;
   private final long least;
   private final long grace;
@@ -25,7 +25,7 @@
    * @param least lateness of a tick that counts as a stall
    * @param grace after a stall, for what is waiting at the sockets to be heard
    */
-  public Lateness(long tick, long least, long grace) {
+  public StallMonitor(long tick, long least, long grace) {
     this.tick = tick;
     this.least = least;
     this.grace = grace;
--- a/policy/src/main/java/lemondock/policy/Control.java
+++ b/policy/src/main/java/lemondock/policy/Control.java
@@ -14,14 +14,10 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Predicate;
-import lemondock.policy.Routing.Ending;
-import lemondock.policy.Routing.Reason;
-import lemondock.policy.Routing.Repeat;
-import lemondock.policy.Routing.Role;
-import lemondock.policy.Routing.Standing;
 
 /**
- * Every decision of the router; its interface (types, events, actions) is {@code Routing.java}.
+ * Every decision of the router; its interface (types, events, actions) is {@code
+ * RequestRouter.java}.
  *
  * <p>One instance a gateway, single-threaded. A request's life runs top to bottom: it is admitted
  * or parked, read (session table, else rendezvous hash), written (two draws), and ends with one
@@ -29,7 +25,7 @@
  * repeats in {@link #mayRepeat}, drains and cold servers in {@link #open}, and held state in {@link
  * #letGo}.
  */
-public final class Control implements Routing.Decider {
+public final class Control implements RequestRouter {
   // Times in microseconds, lengths in tokens, shares and factors without unit.
   // ---- session affinity
   static final long SESSION_TTL =
@@ -111,15 +107,15 @@
   }
 
   private static final Timer[] TIMERS = Timer.values();
-  private static final Set<Ending> NEVER_RAN =
-      EnumSet.of(Ending.FULL, Ending.CONNECT_FAILED, Ending.MOOT);
+  private static final Set<AttemptOutcome> NEVER_RAN =
+      EnumSet.of(AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.MOOT);
   private static final Comparator<Flight> WORTH_THEN_AGE =
       Comparator.<Flight>comparingDouble(f -> -f.cls.worth())
           .thenComparing(f -> f.arrivedAt)
           .thenComparing(f -> f.request.id());
 
-  private final Routing.Settings settings;
-  private final Routing.Host host;
+  private final RouterSettings settings;
+  private final RouterHost host;
   private final SplittableRandom random;
   private final Map<Long, Server> servers = new TreeMap<>();
   private List<Server> readers = List.of(); // the ready ones, mixed servers among them
@@ -127,7 +123,7 @@
   private final Map<Long, Flight> flights = new HashMap<>();
   private final Map<Long, Session> sessions = new HashMap<>();
   private final TreeSet<Flight> parked = new TreeSet<>(WORTH_THEN_AGE);
-  private final Map<Role, RoleFigures> figures = new EnumMap<>(Role.class);
+  private final Map<ServerRole, RoleFigures> figures = new EnumMap<>(ServerRole.class);
   private final List<Rate> tenantRates;
   private final double[] newTokens; // usual in each class, 0 while unknown
   private final boolean
@@ -144,9 +140,9 @@
 
   /** One server: what the list says and what this gateway has seen of it. */
   private static final class Server {
-    Routing.Server info;
-    Standing standing;
-    Routing.Kind kind;
+    ServerEntry info;
+    ServerLifecycle standing;
+    ServerKind kind;
     RoleFigures role;
     long readTokens;
     long writeTokens;
@@ -186,8 +182,8 @@
   }
 
   private static final class Flight {
-    Routing.Request request;
-    Routing.RequestClass cls;
+    RoutingRequest request;
+    RequestClass cls;
     long arrivedAt;
     long aim;
     long answerTokens;
@@ -239,19 +235,19 @@
   /**
    * One gateway's module, its seed the only chance; an IllegalArgumentException names bad settings.
    */
-  public Control(Routing.Settings settings, long seed, Routing.Host host) {
+  public Control(RouterSettings settings, long seed, RouterHost host) {
     this.settings = settings;
     this.host = host;
     this.random = new SplittableRandom(seed);
     require(!settings.classes().isEmpty() && !settings.kinds().isEmpty(), "no classes or no kinds");
     require(settings.limits().maxAttempts() > 0, "no attempt is allowed");
-    for (Routing.RequestClass c : settings.classes()) {
+    for (RequestClass c : settings.classes()) {
       require(c.aim() > 0 && c.deadline() >= c.aim(), "a class's deadline lies before its aim");
     }
-    for (Role role : Role.values()) {
+    for (ServerRole role : ServerRole.values()) {
       figures.put(role, new RoleFigures());
     }
-    mixedFleet = settings.kinds().stream().anyMatch(k -> k.role() == Role.MIXED);
+    mixedFleet = settings.kinds().stream().anyMatch(k -> k.role() == ServerRole.MIXED);
     newTokens = new double[settings.classes().size()];
     room = Math.min(1, ROOM_START / Math.max(1, settings.gateways()));
     tenantRates = settings.tenants().stream().map(t -> new Rate()).toList();
@@ -274,25 +270,25 @@
   }
 
   @Override
-  public void servers(long at, Routing.ListKind kind, List<Routing.Server> entries) {
+  public void servers(long at, EndpointListKind kind, List<ServerEntry> entries) {
     now = at;
-    if (kind == Routing.ListKind.FAILED) {
+    if (kind == EndpointListKind.FAILED) {
       host.watchServers();
       return;
     }
-    if (kind != Routing.ListKind.CHANGES) {
-      servers.values().forEach(s -> s.standing = Standing.GONE);
+    if (kind != EndpointListKind.CHANGES) {
+      servers.values().forEach(s -> s.standing = ServerLifecycle.GONE);
     }
     figures.values().forEach(role -> role.warmRateAt = Long.MIN_VALUE);
     entries.forEach(this::list);
-    servers.values().removeIf(s -> s.standing == Standing.GONE && s.unanswered.isEmpty());
-    readers = readyBut(Role.WRITER);
-    writers = readyBut(Role.READER);
+    servers.values().removeIf(s -> s.standing == ServerLifecycle.GONE && s.unanswered.isEmpty());
+    readers = readyBut(ServerRole.WRITER);
+    writers = readyBut(ServerRole.READER);
     admitParked();
   }
 
   @Override
-  public void request(long at, Routing.Request request) {
+  public void request(long at, RoutingRequest request) {
     now = at;
     Flight f = new Flight();
     f.request = request;
@@ -314,7 +310,7 @@
     long rest = Math.max(0, request.patience() - settings.resolution());
     host.timer(token(request.id(), Timer.DEADLINE), rest);
     if (endsLate(f)) {
-      settle(f, Reason.SHUTTING_DOWN);
+      settle(f, DecisionReason.SHUTTING_DOWN);
     } else if (!admits(f) || !read(f)) {
       park(f);
     }
@@ -358,7 +354,7 @@
   }
 
   @Override
-  public void outcome(long at, Routing.Outcome o) {
+  public void outcome(long at, AttemptResult o) {
     now = at;
     Flight f = flights.get(o.requestId());
     if (f == null || o.attempt() >= f.attempts.size() || f.attempts.get(o.attempt()).ended) {
@@ -369,10 +365,10 @@
     f.ended |= o.requestEnded();
     f.streaming &=
         a.firstTook == 0; // a stream that ends without ending its request leaves it unanswered
-    if (o.ending() == Ending.READ) {
+    if (o.ending() == AttemptOutcome.READ) {
       f.stateAt = a.server;
       f.held.readAnswered(now);
-    } else if (o.ending() == Ending.OK || o.stateMissing()) {
+    } else if (o.ending() == AttemptOutcome.OK || o.stateMissing()) {
       f.held.taken();
     } else if (a.reads && !a.writes) {
       f.held.readFailed(now, a.neverRan);
@@ -416,14 +412,14 @@
     } else if (kind == Timer.WATCH) {
       lookAfter(f);
     } else if (kind == Timer.DEADLINE || parked.contains(f)) {
-      settle(f, kind == Timer.DEADLINE ? Reason.DEADLINE : Reason.NO_ROOM);
+      settle(f, kind == Timer.DEADLINE ? DecisionReason.DEADLINE : DecisionReason.NO_ROOM);
     }
   }
 
   // ==== the list of servers
-  private List<Server> readyBut(Role role) {
+  private List<Server> readyBut(ServerRole role) {
     return servers.values().stream()
-        .filter(s -> s.standing == Standing.READY && s.kind.role() != role)
+        .filter(s -> s.standing == ServerLifecycle.READY && s.kind.role() != role)
         .toList();
   }
 
@@ -431,7 +427,7 @@
    * A new process knows nothing and nothing is known of it; what is under way still counts for the
    * old.
    */
-  private void list(Routing.Server entry) {
+  private void list(ServerEntry entry) {
     require(entry.kind() < settings.kinds().size(), "server of an unknown kind");
     Server s = servers.get(entry.id());
     if (s == null || s.info.startedAt() != entry.startedAt()) {
@@ -484,7 +480,7 @@
   /** Waiting here costs no server anything and holds no state; it ends in time for another try. */
   private void park(Flight f) {
     parked.add(f);
-    host.trace(f.request.id(), Reason.PARKED);
+    host.trace(f.request.id(), DecisionReason.PARKED);
     long wait =
         Math.min((long) (f.aim * PARK_SHARE), f.request.patience() / 2) - (now - f.arrivedAt);
     host.timer(token(f.request.id(), Timer.PARK), Math.max(0, wait));
@@ -499,7 +495,7 @@
   }
 
   @Override
-  public void look(long at, Routing.Sight sight) {
+  public void look(long at, RouterStateVisitor sight) {
     now = Math.max(now, at);
     servers.forEach((id, s) -> sight.server(id, s.kind.role(), s.standing, cold(s), healthy(s)));
     sight.all(parked.size(), tokensUnderWay, Math.round(room * memory()));
@@ -529,7 +525,7 @@
     if (o == null || o.expected * f.luck > left) {
       return false;
     }
-    send(f, o.server, true, o.server.kind.role() == Role.MIXED, o.unkept, o.expected);
+    send(f, o.server, true, o.server.kind.role() == ServerRole.MIXED, o.unkept, o.expected);
     return true;
   }
 
@@ -601,7 +597,7 @@
         s,
         unkept,
         (long) (waiting(s) + reading),
-        s.kind.role() == Role.READER || unkept <= LONG_UNKEPT && hasRoom(s, f));
+        s.kind.role() == ServerRole.READER || unkept <= LONG_UNKEPT && hasRoom(s, f));
   }
 
   private boolean hasRoom(Server s, Flight f) {
@@ -624,7 +620,7 @@
    * the class. Not so at one that has started of late.
    */
   private long unkept(Server s, Flight f, boolean first, boolean home) {
-    Routing.Request r = f.request;
+    RoutingRequest r = f.request;
     boolean settled = home && !cold(s);
     long kept =
         settled && r.prefix() != 0 || s.prefixes.containsKey(r.prefix()) ? r.prefixTokens() : 0;
@@ -638,7 +634,7 @@
 
   /** Binds only after a read that succeeded, so that a silent server does not keep its sessions. */
   private void remember(Flight f, Server s) {
-    Routing.Request r = f.request;
+    RoutingRequest r = f.request;
     if (r.session() != 0) {
       sessions.put(r.session(), new Session(s.info.id(), r.promptTokens(), now));
     }
@@ -659,9 +655,9 @@
             + ", avoided "
             + servers.values().stream().filter(s -> !healthy(s)).map(s -> s.info.id()).toList()
             + ", reads wait us "
-            + (long) figures.get(Role.READER).wait
+            + (long) figures.get(ServerRole.READER).wait
             + ", writes "
-            + (long) figures.get(Role.WRITER).wait);
+            + (long) figures.get(ServerRole.WRITER).wait);
     host.timer(token(0, Timer.REAP), REAP_EVERY);
   }
 
@@ -669,7 +665,7 @@
   private void write(Flight f) {
     Server s = pickWriter(f);
     if (s == null) {
-      settle(f, Reason.NO_WRITER);
+      settle(f, DecisionReason.NO_WRITER);
     } else {
       send(f, s, false, true, 0, (long) s.role.firstToken);
     }
@@ -682,7 +678,7 @@
    * them idle.
    */
   private Server pickWriter(Flight f) {
-    Routing.Server home = f.stateAt.info;
+    ServerEntry home = f.stateAt.info;
     List<Server> able = preferred(candidates(f, writers), s -> hasRoom(s, f));
     List<Server> zone = preferred(able, s -> s.info.zone() == home.zone());
     List<Server> cell = zone.stream().filter(s -> s.info.cell() == home.cell()).toList();
@@ -696,10 +692,10 @@
   }
 
   /** The cell's part of the readers of its zone. */
-  private double readerPart(Routing.Server home) {
+  private double readerPart(ServerEntry home) {
     List<Server> zone =
         readers.stream()
-            .filter(s -> s.kind.role() == Role.READER && s.info.zone() == home.zone())
+            .filter(s -> s.kind.role() == ServerRole.READER && s.info.zone() == home.zone())
             .toList();
     return zone.stream().filter(s -> s.info.cell() == home.cell()).count()
         / Math.max(1.0, zone.size());
@@ -741,32 +737,32 @@
     if (!afresh) {
       retries--;
     }
-    Reason noFurther = noFurther(f, afresh);
+    DecisionReason noFurther = noFurther(f, afresh);
     if (noFurther != null) {
       retries = Math.max(0, retries);
       settle(f, noFurther);
       return;
     }
     if (!afresh) {
-      host.trace(f.request.id(), Reason.RETRY);
+      host.trace(f.request.id(), DecisionReason.RETRY);
     }
     if (f.stateAt != null && !moved) {
       write(f); // after a write that may have run the state is likely gone: read anew, then
       // cheap
     } else if (!read(f)) {
-      settle(f, Reason.NO_READER);
+      settle(f, DecisionReason.NO_READER);
     }
   }
 
   /** Why there may be no further attempt, null if there may. */
-  private Reason noFurther(Flight f, boolean afresh) {
+  private DecisionReason noFurther(Flight f, boolean afresh) {
     if (now - f.arrivedAt >= f.request.patience()) {
-      return Reason.TIME_SPENT;
+      return DecisionReason.TIME_SPENT;
     }
     if (spent(f)) {
-      return Reason.ATTEMPTS_SPENT;
+      return DecisionReason.ATTEMPTS_SPENT;
     }
-    return !afresh && retries < 0 ? Reason.RETRIES_SPENT : null;
+    return !afresh && retries < 0 ? DecisionReason.RETRIES_SPENT : null;
   }
 
   /** Whether too few attempts are left to reach an answer: a read and a write, or a write alone. */
@@ -776,7 +772,7 @@
 
   /** A write that may not simply be tried again is never called off for being slow. */
   private static boolean firm(Flight f, Attempt a) {
-    return a.writes && f.cls.repeat() != Repeat.SAFE;
+    return a.writes && f.cls.repeat() != Idempotency.SAFE;
   }
 
   /**
@@ -784,17 +780,17 @@
    * none.
    */
   private boolean mayRepeat(Flight f, Server s) {
-    if (f.mayHaveRun == null || f.cls.repeat() == Repeat.SAFE) {
+    if (f.mayHaveRun == null || f.cls.repeat() == Idempotency.SAFE) {
       return true;
     }
-    Routing.Server first = f.mayHaveRun.server.info;
+    ServerEntry first = f.mayHaveRun.server.info;
     boolean inGroup =
         switch (f.cls.group()) {
           case ALL -> true;
           case ZONE -> first.zone() == s.info.zone();
           case CELL -> first.cell() == s.info.cell();
         };
-    return f.cls.repeat() == Repeat.KEYED
+    return f.cls.repeat() == Idempotency.KEYED
         && inGroup
         && now - f.mayHaveRun.sentAt < f.cls.repeatWindow() - settings.resolution();
   }
@@ -806,7 +802,7 @@
    * together make no burst.
    */
   private boolean open(Server s) {
-    if (s.standing != Standing.READY) {
+    if (s.standing != ServerLifecycle.READY) {
       return false;
     }
     if (!cold(s)) {
@@ -828,7 +824,7 @@
     if (role.warmRateAt != now) { // once an event, whatever the number of cold servers
       role.warmRate =
           servers.values().stream()
-              .filter(p -> p.role == role && p.standing == Standing.READY && !cold(p))
+              .filter(p -> p.role == role && p.standing == ServerLifecycle.READY && !cold(p))
               .mapToDouble(p -> p.answers.perSecond(now))
               .average()
               .orElse(role.warmRate);
@@ -929,16 +925,16 @@
       return;
     }
     a.calledOff = true;
-    host.trace(f.request.id(), Reason.CALLED_OFF);
+    host.trace(f.request.id(), DecisionReason.CALLED_OFF);
     waited(a.server, now - a.sentAt - a.expected);
     host.cancel(f.request.id(), number);
   }
 
   /** Books an attempt's end: tokens under way, health, and what it says of the server's speed. */
-  private void account(Flight f, Attempt a, Routing.Outcome o) {
+  private void account(Flight f, Attempt a, AttemptResult o) {
     a.ended = true;
     a.neverRan = NEVER_RAN.contains(o.ending());
-    a.failed = o.ending() != Ending.READ && !(a.calledOff && !a.writes);
+    a.failed = o.ending() != AttemptOutcome.READ && !(a.calledOff && !a.writes);
     f.out--;
     if (a.writes) {
       a.server.writeTokens -= a.tokens;
@@ -949,7 +945,7 @@
       f.mayHaveRun = null;
     }
     long unkept = Math.max(0, f.request.promptTokens() - o.kept());
-    if (a.reads && (o.ending() == Ending.READ || o.ending() == Ending.OK)) {
+    if (a.reads && (o.ending() == AttemptOutcome.READ || o.ending() == AttemptOutcome.OK)) {
       learnNew(f.request.classId(), unkept);
     }
     switch (o.ending()) {
@@ -979,13 +975,13 @@
 
   // ==== the end of a request
   /** Rule 1: the one final answer; a refusal only where trying again is harmless. */
-  private void settle(Flight f, Reason reason) {
+  private void settle(Flight f, DecisionReason reason) {
     f.ended = true;
     host.trace(f.request.id(), reason);
     boolean harmless =
-        f.cls.repeat() == Repeat.SAFE
+        f.cls.repeat() == Idempotency.SAFE
             || f.mayHaveRun == null && f.out == 0
-            || f.cls.repeat() == Repeat.KEYED && f.cls.group() == Routing.Group.ALL;
+            || f.cls.repeat() == Idempotency.KEYED && f.cls.group() == DeduplicationScope.ALL;
     if (harmless) {
       long advice = Math.min(RETRY_ADVICE, settings.limits().maxRetryAdvice());
       host.refuse(f.request.id(), settings.limits().retryAdvice() ? advice : 0);
@@ -1036,7 +1032,7 @@
   }
 
   private void release(Flight f) {
-    host.trace(f.request.id(), Reason.RELEASED);
+    host.trace(f.request.id(), DecisionReason.RELEASED);
     host.release(f.request.id());
     f.stateAt = null;
     f.held.released(now, f.attempts.stream().anyMatch(a -> a.writes && !a.ended));
--- /dev/null
+++ b/policy/src/main/java/lemondock/policy/EndpointListKind.java
@@ -0,0 +1,12 @@
+package lemondock.policy;
+
+/**
+ * What a list event holds: changes only, the whole list, the whole list from before a restart, or
+ * nothing.
+ */
+public enum EndpointListKind {
+  CHANGES,
+  WHOLE,
+  CACHED,
+  FAILED
+}
--- /dev/null
+++ b/policy/src/main/java/lemondock/policy/ServerEntry.java
@@ -0,0 +1,11 @@
+package lemondock.policy;
+
+/** One server as listed; startedAt 0 means long ago. */
+public record ServerEntry(
+    long id,
+    int zone,
+    int kind,
+    int cell,
+    ServerLifecycle standing,
+    double weight,
+    long startedAt) {}
