--- a/scenario/src/main/java/lemondock/scenario/ReportCheck.java
+++ b/scenario/src/main/java/lemondock/scenario/ReportCheck.java
@@ -93,7 +93,7 @@
   }
 
   /** Stops the gateways and compares; what differs is told by {@link #differences}. */
-  void compare(Fleet fleet) {
+  void compare(ScenarioFleet fleet) {
     for (String gateway : fleet.gateways()) {
       JsonNode tally = fleet.stopGateway(gateway);
       tallies.add(tally);
--- a/scenario/src/main/java/lemondock/scenario/Auditor.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioAuditor.java
@@ -21,7 +21,7 @@
  * <p>What a socket shows comes a little later than what a gateway did, so each limit has {@link
  * #TOLERANCE} on top.
  */
-public final class Auditor {
+public final class ScenarioAuditor {
   /** Microseconds between an act of a gateway and its sight at a peer, on a busy machine. */
   public static final long TOLERANCE = 150_000;
 
@@ -43,7 +43,7 @@
   private final List<Tap.Event> events;
   private final List<CallRecord> calls;
   private final Map<String, List<Long>> kills = new HashMap<>();
-  private final List<Fleet.Stood> stood;
+  private final List<ScenarioFleet.Stood> stood;
   private final long end;
   private final Map<Integer, List<String>> breaches = new TreeMap<>();
   private final Map<String, List<Attempt>> attempts = new LinkedHashMap<>();
@@ -89,13 +89,13 @@
    *     for a window of repetition gets no allowance
    * @param end the moment at which the run was over and nothing was under way any more
    */
-  public Auditor(
+  public ScenarioAuditor(
       GatewaySettings settings,
       List<EngineSettings> engines,
       List<Tap.Event> events,
       List<CallRecord> calls,
-      List<Fleet.Killed> killed,
-      List<Fleet.Stood> stood,
+      List<ScenarioFleet.Killed> killed,
+      List<ScenarioFleet.Stood> stood,
       long end) {
     this.stood = stood;
     this.settings = settings;
@@ -169,7 +169,7 @@
 
   /** Each request taken gets exactly one final answer in time, nothing after. */
   private void oneAnswer(CallRecord c) {
-    final GatewaySettings.RequestClass cls = settings.classes().get(c.classId);
+    final GatewaySettings.ClassSettings cls = settings.classes().get(c.classId);
     long last = c.leftAt != 0 ? c.leftAt : c.endedAt != 0 ? c.endedAt : end;
     if (c.notTaken || killedWithin(c.gateway, c.calledAt, last + TOLERANCE)) {
       return;
@@ -233,7 +233,7 @@
   private void effects() {
     overTries();
     for (CallRecord c : calls) {
-      GatewaySettings.RequestClass cls = settings.classes().get(c.classId);
+      GatewaySettings.ClassSettings cls = settings.classes().get(c.classId);
       List<Attempt> all = attempts.getOrDefault(c.mark, List.of());
       overlaps(c, all);
       if (new HashSet<>(c.toolCalls).size() < c.toolCalls.size()) {
@@ -280,7 +280,7 @@
     }
   }
 
-  private void repeats(CallRecord c, GatewaySettings.RequestClass cls, List<Attempt> leg) {
+  private void repeats(CallRecord c, GatewaySettings.ClassSettings cls, List<Attempt> leg) {
     Attempt first = leg.get(0);
     for (Attempt again : leg.subList(1, leg.size())) {
       if (cls.repeat().equals("once")) {
@@ -544,7 +544,7 @@
       asks.computeIfAbsent(c.mark.replaceAll("-try\\d+$", ""), m -> new ArrayList<>()).add(c);
     }
     for (List<CallRecord> tries : asks.values()) {
-      GatewaySettings.RequestClass cls = settings.classes().get(tries.get(0).classId);
+      GatewaySettings.ClassSettings cls = settings.classes().get(tries.get(0).classId);
       long from = tries.get(0).calledAt;
       double best = tries.stream().mapToDouble(c -> worth(cls, c, from)).max().orElse(0);
       for (String name : List.of("all", cls.name())) {
@@ -558,7 +558,7 @@
     return service;
   }
 
-  private double worth(GatewaySettings.RequestClass cls, CallRecord c, long from) {
+  private double worth(GatewaySettings.ClassSettings cls, CallRecord c, long from) {
     if (!c.served() || c.firstAt == 0) {
       return 0;
     }
--- a/simulator/src/main/java/lemondock/simulator/Reply.java
+++ b/simulator/src/main/java/lemondock/simulator/Reply.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
-import lemondock.policy.Routing;
+import lemondock.policy.RouterHost;
 
 /** Collects the actions of one batch and lays them out as a reply frame. */
 final class Reply {
@@ -30,7 +30,7 @@
   private long behalf = -1;
 
   /** The actions of one instance, written into this reply. */
-  Routing.Host hostFor(long instance) {
+  RouterHost hostFor(long instance) {
     return new InstanceHost(instance);
   }
 
@@ -78,7 +78,7 @@
     return micros / WireHost.MICROS_PER_MILLI;
   }
 
-  private final class InstanceHost implements Routing.Host {
+  private final class InstanceHost implements RouterHost {
     private final long instance;
 
     InstanceHost(long instance) {
