--- a/benchmark/src/main/java/lemondock/benchmark/Affinity.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Affinity.java
@@ -60,7 +60,7 @@
               new Class<?>[] {RequestRouter.class},
               (proxy, method, args) -> {
                 Object[] given = args;
-                if (method.getName().equals("request")) {
+                if (method.getName().equals("requestArrived")) {
                   RoutingRequest r = (RoutingRequest) args[1];
                   kept.addAndGet(1, r.promptTokens());
                   if (anew) {
@@ -70,20 +70,20 @@
                           new RoutingRequest(
                               r.id(),
                               r.classId(),
-                              r.tenant(),
+                              r.tenantId(),
                               sessions.addAndGet(0x9E3779B97F4A7C15L),
                               0,
                               r.promptTokens(),
                               0,
                               r.maxAnswerTokens(),
-                              r.patience(),
-                              r.hint(),
-                              r.clientRepeat(),
+                              r.clientTimeoutMicros(),
+                              r.expectedWriteMicros(),
+                              r.clientRetry(),
                               r.resumed())
                         };
                   }
-                } else if (method.getName().equals("outcome")) {
-                  kept.addAndGet(0, Math.max(0, ((AttemptResult) args[1]).kept()));
+                } else if (method.getName().equals("attemptEnded")) {
+                  kept.addAndGet(0, Math.max(0, ((AttemptResult) args[1]).cachedTokens()));
                 }
                 return method.invoke(module, given);
               });
--- a/benchmark/src/main/java/lemondock/benchmark/Decisions.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Decisions.java
@@ -43,7 +43,7 @@
           }
 
           @Override
-          public void refuse(long requestId, long retryAfter) {}
+          public void reject(long requestId, long retryAfter) {}
 
           @Override
           public void fail(long requestId) {}
@@ -52,13 +52,13 @@
           public void cancel(long requestId, int attempt) {}
 
           @Override
-          public void release(long requestId) {}
+          public void releaseState(long requestId) {}
 
           @Override
-          public void timer(long token, long delay) {}
+          public void setTimer(long token, long delay) {}
 
           @Override
-          public void watchServers() {}
+          public void watchEndpoints() {}
 
           @Override
           public void log(String line) {}
@@ -76,7 +76,7 @@
                     5_000_000,
                     1,
                     0.1,
-                    Idempotency.SAFE,
+                    Idempotency.IDEMPOTENT,
                     DeduplicationScope.ALL,
                     0,
                     60_000)),
@@ -97,7 +97,7 @@
           new ServerEntry(
               1_000 + i * 7919L, i % 2, i % 3 == 0 ? 0 : 1, i % 12, ServerLifecycle.READY, 1, 0));
     }
-    control.servers(now, EndpointListKind.WHOLE, servers);
+    control.endpointsChanged(now, EndpointListKind.FULL_LIST, servers);
     SplittableRandom random = new SplittableRandom(1);
     Histogram all = new Histogram(1_000_000_000L, 3);
     ArrayDeque<long[]> open = new ArrayDeque<>();
@@ -109,7 +109,7 @@
       }
       now += 1_000;
       final long at = System.nanoTime();
-      control.request(
+      control.requestArrived(
           now,
           new RoutingRequest(
               i + 1,
@@ -126,10 +126,17 @@
               false));
       Send read = sends.poll();
       if (read != null) {
-        control.outcome(
+        control.attemptEnded(
             now + 100,
             new AttemptResult(
-                read.id(), 0, read.server(), AttemptOutcome.READ, 20_000, false, 500, false));
+                read.id(),
+                0,
+                read.server(),
+                AttemptOutcome.PROMPT_READ,
+                20_000,
+                false,
+                500,
+                false));
         Send write = sends.poll();
         if (write != null) {
           control.firstToken(now + 200, write.id(), 1, write.server(), 20_000);
@@ -138,7 +145,7 @@
       }
       if (open.size() > UNDER_WAY) {
         long[] done = open.poll();
-        control.outcome(
+        control.attemptEnded(
             now + 300,
             new AttemptResult(done[0], 1, done[1], AttemptOutcome.OK, 2_000_000, true, 500, false));
       }
--- a/dispatch/src/main/java/lemondock/dispatch/EndpointRegistry.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EndpointRegistry.java
@@ -120,7 +120,7 @@
     return new News(
         cached
             ? EndpointListKind.CACHED
-            : whole ? EndpointListKind.WHOLE : EndpointListKind.CHANGES,
+            : whole ? EndpointListKind.FULL_LIST : EndpointListKind.CHANGES,
         servers,
         skipped);
   }
@@ -150,7 +150,7 @@
 
   private static ServerEntry standing(ServerEntry s, ServerLifecycle standing) {
     return new ServerEntry(
-        s.id(), s.zone(), s.kind(), s.cell(), standing, s.weight(), s.startedAt());
+        s.id(), s.zone(), s.kind(), s.cell(), standing, s.weight(), s.startedAtMicros());
   }
 
   /** The place in the settings of a known server's kind. */
@@ -177,7 +177,7 @@
     boolean same = before != null && before.entry().startedAt() == entry.startedAt();
     long startedAt =
         same
-            ? before.server().startedAt()
+            ? before.server().startedAtMicros()
             : starts.started(entry.startedAt(), listed.containsKey(id));
     return new Listed(
         entry,
--- a/dispatch/src/main/java/lemondock/dispatch/EnginePort.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EnginePort.java
@@ -53,7 +53,8 @@
     return switch (failure) {
       case NOT_SENT -> AttemptOutcome.CONNECT_FAILED;
       case NO_ROOM ->
-          AttemptOutcome.MOOT; // the server is not to be blamed for what this gateway lacks
+          AttemptOutcome
+              .ABANDONED_BEFORE_SEND; // not the fault of the server: this gateway lacks room
       case BROKEN -> AttemptOutcome.RESET;
       case MALFORMED -> AttemptOutcome.ERROR;
     };
--- a/dispatch/src/main/java/lemondock/dispatch/RequestDispatcher.java
+++ b/dispatch/src/main/java/lemondock/dispatch/RequestDispatcher.java
@@ -109,7 +109,7 @@
     this.engines = engines;
     this.members = members;
     this.idPrefix = idPrefix;
-    this.roles = settings.kinds().stream().map(ServerKind::role).toList();
+    this.roles = settings.serverKinds().stream().map(ServerKind::role).toList();
     this.watch = watch;
     this.module = maker.make(settings, seed, this);
   }
@@ -138,7 +138,7 @@
             0,
             spec.clientRepeat(),
             spec.resumed());
-    decide(entry, () -> module.request(loop.now(), request));
+    decide(entry, () -> module.requestArrived(loop.now(), request));
     return entry.id;
   }
 
@@ -153,7 +153,7 @@
     }
     entry.ended = true;
     counts.left++;
-    decide(entry, () -> module.clientLeft(loop.now(), id));
+    decide(entry, () -> module.clientDisconnected(loop.now(), id));
     if (entry.stream != null && !entry.stream.over) {
       Attempt stream = entry.stream;
       stream.work.cancel();
@@ -186,12 +186,12 @@
 
   /** News of the servers, in the module's terms. */
   public void servers(EndpointListKind kind, List<ServerEntry> servers) {
-    decide(null, () -> module.servers(loop.now(), kind, servers));
+    decide(null, () -> module.endpointsChanged(loop.now(), kind, servers));
   }
 
   /** This gateway shuts down and may be killed at that time (of the loop's clock). */
   public void shuttingDown(long until) {
-    decide(null, () -> module.shuttingDown(loop.now(), until));
+    decide(null, () -> module.shutdownStarted(loop.now(), until));
   }
 
   /** Has the module tell what it sees, for reports. */
@@ -206,7 +206,7 @@
 
   /** The same to somebody else. */
   public void look(RouterStateVisitor sight) {
-    module.look(loop.now(), sight);
+    module.visitState(loop.now(), sight);
   }
 
   /** Tells each attempt that is out. */
@@ -252,7 +252,7 @@
           () ->
               end(
                   attempt,
-                  AttemptOutcome.MOOT,
+                  AttemptOutcome.ABANDONED_BEFORE_SEND,
                   0,
                   false,
                   "the request has ended or the server is not known"));
@@ -266,7 +266,8 @@
       entry.lastRead = attempt;
       attempt.work = engines.read(server, attempt.requestId, entry.spec, attempt);
     } else if (role == ServerRole.WRITER && state == null) {
-      later(() -> end(attempt, AttemptOutcome.FULL, 0, true, "there is no state to write from"));
+      later(
+          () -> end(attempt, AttemptOutcome.REJECTED, 0, true, "there is no state to write from"));
     } else {
       attempt.state = state;
       attempt.work =
@@ -290,7 +291,7 @@
   }
 
   @Override
-  public void refuse(long requestId, long retryAfter) {
+  public void reject(long requestId, long retryAfter) {
     Entry<P, S, C> entry = legs.get(requestId);
     if (entry != null && !entry.ended) {
       entry.ended = true;
@@ -323,7 +324,7 @@
   }
 
   @Override
-  public void release(long requestId) {
+  public void releaseState(long requestId) {
     Entry<P, S, C> entry = legs.get(requestId);
     if (entry == null) {
       return;
@@ -348,7 +349,7 @@
   }
 
   @Override
-  public void timer(long token, long delay) {
+  public void setTimer(long token, long delay) {
     loop.schedule(delay, () -> due(token));
   }
 
@@ -362,7 +363,7 @@
     if (putOff > 0) {
       loop.schedule(putOff, () -> due(token));
     } else {
-      decide(null, () -> module.timer(loop.now(), token));
+      decide(null, () -> module.timerFired(loop.now(), token));
     }
   }
 
@@ -373,7 +374,7 @@
   }
 
   @Override
-  public void watchServers() {
+  public void watchEndpoints() {
     watch.run();
   }
 
@@ -436,7 +437,7 @@
         tally.stateMade(server.zone());
         LOG.debug("leg {}: state held at {}", entry.id, server.name());
         entry.held.add(new Held<>(server, requestId, made, loop.now()));
-        end(this, AttemptOutcome.READ, cachedTokens, false, "");
+        end(this, AttemptOutcome.PROMPT_READ, cachedTokens, false, "");
       }
     }
 
@@ -490,7 +491,9 @@
     boolean ends = stream || ending == AttemptOutcome.OK;
     final boolean first = ends && !entry.ended;
     entry.ended |= ends;
-    if (ending != AttemptOutcome.OK && ending != AttemptOutcome.READ && LOG.isDebugEnabled()) {
+    if (ending != AttemptOutcome.OK
+        && ending != AttemptOutcome.PROMPT_READ
+        && LOG.isDebugEnabled()) {
       LOG.atDebug()
           .addKeyValue("request", attempt.requestId)
           .addKeyValue("server", attempt.server == null ? "?" : attempt.server.name())
@@ -511,7 +514,7 @@
             entry.ended,
             kept,
             stateMissing);
-    decide(entry, () -> module.outcome(loop.now(), outcome));
+    decide(entry, () -> module.attemptEnded(loop.now(), outcome));
     if (first && ending == AttemptOutcome.OK) {
       counts.served++;
       entry.listener.served();
--- a/gateway/src/main/java/lemondock/gateway/count/GatewayTally.java
+++ b/gateway/src/main/java/lemondock/gateway/count/GatewayTally.java
@@ -38,14 +38,14 @@
   private static final List<AttemptOutcome> ATTEMPT_FIELDS =
       List.of(
           AttemptOutcome.OK,
-          AttemptOutcome.READ,
+          AttemptOutcome.PROMPT_READ,
           AttemptOutcome.ERROR,
-          AttemptOutcome.FULL,
+          AttemptOutcome.REJECTED,
           AttemptOutcome.TIMEOUT,
           AttemptOutcome.CONNECT_FAILED,
           AttemptOutcome.RESET,
           AttemptOutcome.CANCELLED,
-          AttemptOutcome.MOOT);
+          AttemptOutcome.ABANDONED_BEFORE_SEND);
 
   private final GatewaySettings settings;
   private final Tally tally;
@@ -297,7 +297,7 @@
       }
 
       @Override
-      public void all(int parked, long tokensUnderWay, long room) {
+      public void totals(int parked, long tokensUnderWay, long room) {
         final long ticket = recorder.enter();
         recorder.set(module.slot(0), parked);
         recorder.set(module.slot(1), tokensUnderWay);
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineProtocol.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineProtocol.java
@@ -218,7 +218,7 @@
     boolean full = status == 429 || status == 503;
     boolean missing =
         full && root != null && STATE_MISSING.equals(root.path("error").path("code").asText(""));
-    return new Refusal(full ? AttemptOutcome.FULL : AttemptOutcome.ERROR, missing, what);
+    return new Refusal(full ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR, missing, what);
   }
 
   private static String message(JsonNode root) {
--- a/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
@@ -122,13 +122,23 @@
           micros(deadlineMs),
           worth,
           lateWorth,
-          Idempotency.valueOf(repeat.toUpperCase(Locale.ROOT)),
+          idempotency(repeat),
           group.equals("rack")
               ? DeduplicationScope.CELL
               : DeduplicationScope.valueOf(group.toUpperCase(Locale.ROOT)),
           micros(repeatWindowMs),
           micros(tokenAimMs));
     }
+
+    /** Maps the words of the settings file, whose values the schema has checked. */
+    private static Idempotency idempotency(String setting) {
+      return switch (setting.toLowerCase(Locale.ROOT)) {
+        case "safe" -> Idempotency.IDEMPOTENT;
+        case "keyed" -> Idempotency.IDEMPOTENCY_KEY;
+        case "once" -> Idempotency.NON_IDEMPOTENT;
+        default -> throw new IllegalArgumentException("repeat: unknown value '" + setting + "'");
+      };
+    }
   }
 
   /** One kind of server. */
--- a/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
+++ b/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
@@ -97,10 +97,10 @@
     public void started(long now) {}
 
     @Override
-    public void servers(long now, EndpointListKind kind, List<ServerEntry> entries) {}
+    public void endpointsChanged(long now, EndpointListKind kind, List<ServerEntry> entries) {}
 
     @Override
-    public void request(long now, RoutingRequest request) {
+    public void requestArrived(long now, RoutingRequest request) {
       told.add("request " + request.id());
       if (faulty) {
         throw new IllegalStateException("a defect");
@@ -113,10 +113,10 @@
     }
 
     @Override
-    public void outcome(long now, AttemptResult o) {
-      lastTook = o.took();
+    public void attemptEnded(long now, AttemptResult o) {
+      lastTook = o.elapsedMicros();
       told.add(
-          o.ending()
+          o.outcome()
               + " "
               + o.attempt()
               + (o.requestEnded() ? " ended" : "")
@@ -124,12 +124,12 @@
     }
 
     @Override
-    public void clientLeft(long now, long requestId) {
+    public void clientDisconnected(long now, long requestId) {
       told.add("left");
     }
 
     @Override
-    public void timer(long now, long token) {
+    public void timerFired(long now, long token) {
       told.add("timer " + token);
     }
   }
@@ -312,7 +312,7 @@
         event("{\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}")
             + event("[DONE]")
             + "0\r\n\r\n");
-    assertEquals(List.of("request " + id, "READ 0", "first 1", "OK 1 ended"), told);
+    assertEquals(List.of("request " + id, "PROMPT_READ 0", "first 1", "OK 1 ended"), told);
     assertEquals(List.of("'a'", "''", "served"), heard.stream().distinct().toList());
     assertEquals(0, ledger.size());
     assertEquals(0, aborts());
@@ -333,7 +333,7 @@
     second.answer(READ);
     host.cancel(id, 1);
     loop.run();
-    assertEquals("READ 1", told.get(2));
+    assertEquals("PROMPT_READ 1", told.get(2));
     assertEquals(3, told.size());
   }
 
@@ -343,7 +343,7 @@
     host.send(id, 999, 0);
     host.send(id, writer, 0);
     loop.run();
-    assertEquals(List.of("request " + id, "MOOT 0", "FULL 1 missing"), told);
+    assertEquals(List.of("request " + id, "ABANDONED_BEFORE_SEND 0", "REJECTED 1 missing"), told);
     assertEquals(0, lines.size());
     host.fail(id);
     loop.run();
@@ -366,13 +366,13 @@
     lateness.ticked(loop.now());
     long id = open();
     final Line read = send(id, reader);
-    host.timer(7, 200_000); // the module wants to look whether the read is overdue
+    host.setTimer(7, 200_000); // the module wants to look whether the read is overdue
     loop.move(50_000);
     loop.standStill(3_000_000);
     assertEquals(List.of("request " + id), told, "nothing is judged before the sockets were heard");
     read.answer(READ);
     loop.move(60_000);
-    assertEquals(List.of("request " + id, "READ 0", "timer 7"), told);
+    assertEquals(List.of("request " + id, "PROMPT_READ 0", "timer 7"), told);
     assertTrue(
         lastTook >= 50_000 && lastTook <= 160_000,
         "took " + lastTook + " us, of which the process stood still 3 s");
@@ -412,7 +412,7 @@
     long id = open();
     send(id, reader).answer(READ);
     ledger.leave(id);
-    host.release(id);
+    host.releaseState(id);
     loop.run();
     assertEquals(List.of(), heard);
     assertEquals(0, ledger.size());
@@ -435,9 +435,9 @@
     long before = ledger.counts().releases;
     send(id, reader).answer(READ);
     assertEquals(before + 1, ledger.counts().releases);
-    host.release(id);
+    host.releaseState(id);
     assertEquals(before + 2, ledger.counts().releases);
-    host.release(id);
+    host.releaseState(id);
     assertEquals(before + 2, ledger.counts().releases);
   }
 
@@ -446,7 +446,7 @@
     long id = open();
     send(id, reader).answer(READ);
     send(id, writer);
-    host.release(id);
+    host.releaseState(id);
     assertEquals(0, ledger.counts().releases);
   }
 
@@ -458,7 +458,7 @@
     assertEquals(List.of("failed"), heard);
     assertEquals(1, ledger.size());
     faulty = false;
-    host.refuse(before, 0);
+    host.reject(before, 0);
     ledger.servers(EndpointListKind.CHANGES, List.of());
     assertEquals(0, ledger.size());
   }
@@ -466,8 +466,8 @@
   @Test
   void anEndIsToldOnce() {
     long id = open();
-    host.refuse(id, 5);
-    host.refuse(id, 5);
+    host.reject(id, 5);
+    host.reject(id, 5);
     host.fail(id);
     ledger.servers(
         EndpointListKind.CHANGES, List.of()); // the next event carries out what was decided
--- a/gateway/src/test/java/lemondock/gateway/discovery/MembershipTest.java
+++ b/gateway/src/test/java/lemondock/gateway/discovery/MembershipTest.java
@@ -44,7 +44,7 @@
   @Test
   void theFirstListIsWholeAndLaterOnesAreChanges() {
     assertEquals(
-        EndpointListKind.WHOLE,
+        EndpointListKind.FULL_LIST,
         hear(
                 entry("a", "reader", ServerLifecycle.READY, 0),
                 entry("b", "writer", ServerLifecycle.READY, 0))
@@ -58,7 +58,7 @@
     EndpointRegistry.News drain = hear(entry("a", "reader", ServerLifecycle.DRAINING, 0));
     assertEquals(
         List.of(ServerLifecycle.DRAINING, ServerLifecycle.GONE),
-        drain.servers().stream().map(ServerEntry::standing).toList());
+        drain.servers().stream().map(ServerEntry::lifecycle).toList());
   }
 
   /** A change of a list of thousands must not cost a hash for each of them. */
@@ -84,7 +84,7 @@
     assertEquals(101, numbered.get());
     assertEquals(
         List.of(ServerLifecycle.DRAINING, ServerLifecycle.GONE),
-        changes.stream().map(ServerEntry::standing).toList());
+        changes.stream().map(ServerEntry::lifecycle).toList());
     assertEquals(
         List.of(first.get(3).id(), first.get(7).id()),
         changes.stream().map(ServerEntry::id).toList());
@@ -116,9 +116,9 @@
             .servers();
     assertEquals(1, news.size(), "what is known keeps its start");
     assertTrue(
-        news.get(0).startedAt() >= later - second,
-        "started " + (later - news.get(0).startedAt()) / second + " s ago");
-    assertTrue(news.get(0).startedAt() <= later);
+        news.get(0).startedAtMicros() >= later - second,
+        "started " + (later - news.get(0).startedAtMicros()) / second + " s ago");
+    assertTrue(news.get(0).startedAtMicros() <= later);
   }
 
   /**
@@ -143,8 +143,8 @@
                 WALL + hour + 2_000)
             .servers();
     assertTrue(
-        news.get(0).startedAt() >= NOW,
-        "started " + (later - news.get(0).startedAt()) / 1_000_000 + " s ago");
+        news.get(0).startedAtMicros() >= NOW,
+        "started " + (later - news.get(0).startedAtMicros()) / 1_000_000 + " s ago");
   }
 
   /**
@@ -159,7 +159,8 @@
                 entry("a", "reader", ServerLifecycle.READY, WALL - 60_000),
                 entry("b", "reader", ServerLifecycle.READY, WALL - 50_000))
             .servers();
-    assertEquals(List.of(NOW - 50_000_000), news.stream().map(ServerEntry::startedAt).toList());
+    assertEquals(
+        List.of(NOW - 50_000_000), news.stream().map(ServerEntry::startedAtMicros).toList());
   }
 
   /** One that was off the list for a while is the process that it was. */
@@ -169,7 +170,7 @@
         hear(entry("a", "reader", ServerLifecycle.READY, WALL - 60_000))
             .servers()
             .get(0)
-            .startedAt();
+            .startedAtMicros();
     hear();
     assertEquals(
         startedAt,
@@ -181,7 +182,7 @@
                 WALL + 1_000)
             .servers()
             .get(0)
-            .startedAt());
+            .startedAtMicros());
   }
 
   @Test
@@ -189,7 +190,7 @@
     hear(entry("a", "reader", ServerLifecycle.READY, 0));
     members.forgetChanges();
     assertEquals(
-        EndpointListKind.WHOLE, hear(entry("a", "reader", ServerLifecycle.READY, 0)).kind());
+        EndpointListKind.FULL_LIST, hear(entry("a", "reader", ServerLifecycle.READY, 0)).kind());
     assertEquals(EndpointListKind.CACHED, members.update(List.of(), true, NOW, WALL).kind());
   }
 
@@ -217,7 +218,7 @@
         hear(entry("a", "reader", ServerLifecycle.READY, WALL - 2_000))
             .servers()
             .get(0)
-            .startedAt();
+            .startedAtMicros();
     assertEquals(NOW - 2_000_000, first);
     assertEquals(
         List.of(),
@@ -233,13 +234,13 @@
         hear(entry("a", "reader", ServerLifecycle.READY, WALL - 1_000))
             .servers()
             .get(0)
-            .startedAt());
+            .startedAtMicros());
     assertEquals(
         NOW,
         hear(entry("a", "reader", ServerLifecycle.READY, WALL + 60_000))
             .servers()
             .get(0)
-            .startedAt());
+            .startedAtMicros());
   }
 
   @Test
--- a/gateway/src/test/java/lemondock/gateway/engine/EngineProtocolTest.java
+++ b/gateway/src/test/java/lemondock/gateway/engine/EngineProtocolTest.java
@@ -66,8 +66,8 @@
 
   @Test
   void onlyARefusalBeforeWorkProvesThatNothingRan() {
-    assertEquals(AttemptOutcome.FULL, EngineProtocol.refusal(429, bytes("")).ending());
-    assertEquals(AttemptOutcome.FULL, EngineProtocol.refusal(503, bytes("x")).ending());
+    assertEquals(AttemptOutcome.REJECTED, EngineProtocol.refusal(429, bytes("")).ending());
+    assertEquals(AttemptOutcome.REJECTED, EngineProtocol.refusal(503, bytes("x")).ending());
     assertTrue(
         EngineProtocol.refusal(503, bytes("{\"error\":{\"code\":\"kv_state_missing\"}}"))
             .stateMissing());
--- a/gateway/src/test/java/lemondock/gateway/settings/SettingsFileTest.java
+++ b/gateway/src/test/java/lemondock/gateway/settings/SettingsFileTest.java
@@ -36,9 +36,9 @@
     assertEquals(250, settings.engines().connectTimeoutMs());
     assertEquals("file", settings.discovery().kind());
     RouterSettings module = settings.toModule();
-    assertEquals(DeduplicationScope.CELL, module.classes().get(0).group());
-    assertEquals(500_000, module.classes().get(0).repeatWindow());
-    assertEquals(300_000, module.rules().releaseWithin());
+    assertEquals(DeduplicationScope.CELL, module.classes().get(0).deduplicationScope());
+    assertEquals(500_000, module.classes().get(0).deduplicationWindowMicros());
+    assertEquals(300_000, module.rules().releaseWithinMicros());
     assertEquals(5_080_000, settings.classes().get(0).patience(1000));
   }
 
--- a/policy/src/main/java/lemondock/policy/AttemptResult.java
+++ b/policy/src/main/java/lemondock/policy/AttemptResult.java
@@ -1,15 +1,15 @@
 package lemondock.policy;
 
 /**
- * The end of one attempt. kept: prompt tokens found kept (READ, OK); stateMissing: FULL for want of
- * a state.
+ * The end of one attempt. cachedTokens: prompt tokens found cached (PROMPT_READ, OK); stateMissing:
+ * REJECTED for want of a state.
  */
 public record AttemptResult(
     long requestId,
     int attempt,
     long serverId,
-    AttemptOutcome ending,
-    long took,
+    AttemptOutcome outcome,
+    long elapsedMicros,
     boolean requestEnded,
-    int kept,
+    int cachedTokens,
     boolean stateMissing) {}
--- a/policy/src/main/java/lemondock/policy/Control.java
+++ b/policy/src/main/java/lemondock/policy/Control.java
@@ -108,9 +108,12 @@
 
   private static final Timer[] TIMERS = Timer.values();
   private static final Set<AttemptOutcome> NEVER_RAN =
-      EnumSet.of(AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.MOOT);
+      EnumSet.of(
+          AttemptOutcome.REJECTED,
+          AttemptOutcome.CONNECT_FAILED,
+          AttemptOutcome.ABANDONED_BEFORE_SEND);
   private static final Comparator<Flight> WORTH_THEN_AGE =
-      Comparator.<Flight>comparingDouble(f -> -f.cls.worth())
+      Comparator.<Flight>comparingDouble(f -> -f.cls.priorityWeight())
           .thenComparing(f -> f.arrivedAt)
           .thenComparing(f -> f.request.id());
 
@@ -239,17 +242,21 @@
     this.settings = settings;
     this.host = host;
     this.random = new SplittableRandom(seed);
-    require(!settings.classes().isEmpty() && !settings.kinds().isEmpty(), "no classes or no kinds");
+    require(
+        !settings.classes().isEmpty() && !settings.serverKinds().isEmpty(),
+        "no classes or no kinds");
     require(settings.limits().maxAttempts() > 0, "no attempt is allowed");
     for (RequestClass c : settings.classes()) {
-      require(c.aim() > 0 && c.deadline() >= c.aim(), "a class's deadline lies before its aim");
+      require(
+          c.latencyObjectiveMicros() > 0 && c.deadlineMicros() >= c.latencyObjectiveMicros(),
+          "a class's deadline lies before its aim");
     }
     for (ServerRole role : ServerRole.values()) {
       figures.put(role, new RoleFigures());
     }
-    mixedFleet = settings.kinds().stream().anyMatch(k -> k.role() == ServerRole.MIXED);
+    mixedFleet = settings.serverKinds().stream().anyMatch(k -> k.role() == ServerRole.MIXED);
     newTokens = new double[settings.classes().size()];
-    room = Math.min(1, ROOM_START / Math.max(1, settings.gateways()));
+    room = Math.min(1, ROOM_START / Math.max(1, settings.gatewayCount()));
     tenantRates = settings.tenants().stream().map(t -> new Rate()).toList();
   }
 
@@ -263,17 +270,17 @@
   @Override
   public void started(long at) {
     now = at;
-    host.timer(token(0, Timer.REAP), REAP_EVERY);
-    if (settings.limits().askForList()) {
-      host.watchServers();
+    host.setTimer(token(0, Timer.REAP), REAP_EVERY);
+    if (settings.limits().pollsEndpointList()) {
+      host.watchEndpoints();
     }
   }
 
   @Override
-  public void servers(long at, EndpointListKind kind, List<ServerEntry> entries) {
+  public void endpointsChanged(long at, EndpointListKind kind, List<ServerEntry> entries) {
     now = at;
     if (kind == EndpointListKind.FAILED) {
-      host.watchServers();
+      host.watchEndpoints();
       return;
     }
     if (kind != EndpointListKind.CHANGES) {
@@ -288,27 +295,29 @@
   }
 
   @Override
-  public void request(long at, RoutingRequest request) {
+  public void requestArrived(long at, RoutingRequest request) {
     now = at;
     Flight f = new Flight();
     f.request = request;
     f.cls = settings.classes().get(request.classId());
-    f.held = new HeldState(settings.rules().releaseWithin());
+    f.held = new HeldState(settings.rules().releaseWithinMicros());
     f.arrivedAt = now;
     f.luck = random.nextDouble();
-    f.aim = f.cls.aim() + f.cls.aimPerThousandTokens() * request.promptTokens() / 1000;
+    f.aim =
+        f.cls.latencyObjectiveMicros()
+            + f.cls.objectiveMicrosPerThousandTokens() * request.promptTokens() / 1000;
     f.answerTokens =
-        request.hint() > 0 && f.cls.tokenAim() > 0
-            ? Math.max(1, request.hint() / f.cls.tokenAim())
+        request.expectedWriteMicros() > 0 && f.cls.tokenIntervalObjectiveMicros() > 0
+            ? Math.max(1, request.expectedWriteMicros() / f.cls.tokenIntervalObjectiveMicros())
             : Math.max(1, request.maxAnswerTokens() / 2);
     flights.put(request.id(), f);
     meanTokens += (meanTokens == 0 ? 1 : ROLE_WEIGHT) * (f.writeTokens() - meanTokens);
     retries = Math.min(RETRY_MOST, retries + RETRY_EARNED);
-    if (request.tenant() < tenantRates.size() && !request.clientRepeat()) {
-      tenantRates.get(request.tenant()).add(now);
+    if (request.tenantId() < tenantRates.size() && !request.clientRetry()) {
+      tenantRates.get(request.tenantId()).add(now);
     }
-    long rest = Math.max(0, request.patience() - settings.resolution());
-    host.timer(token(request.id(), Timer.DEADLINE), rest);
+    long rest = Math.max(0, request.clientTimeoutMicros() - settings.timerResolutionMicros());
+    host.setTimer(token(request.id(), Timer.DEADLINE), rest);
     if (endsLate(f)) {
       settle(f, DecisionReason.SHUTTING_DOWN);
     } else if (!admits(f) || !read(f)) {
@@ -317,11 +326,11 @@
   }
 
   @Override
-  public void shuttingDown(long at, long until) {
+  public void shutdownStarted(long at, long until) {
     now = at;
     killedAt = until;
     long left = Math.max(0, until - SHUTDOWN_MARGIN - now); // none may be cut off without an answer
-    flights.keySet().forEach(id -> host.timer(token(id, Timer.DEADLINE), left));
+    flights.keySet().forEach(id -> host.setTimer(token(id, Timer.DEADLINE), left));
   }
 
   /**
@@ -329,7 +338,9 @@
    * kill.
    */
   private boolean endsLate(Flight f) {
-    long longest = f.request.patience() + f.request.maxAnswerTokens() * f.cls.tokenAim();
+    long longest =
+        f.request.clientTimeoutMicros()
+            + f.request.maxAnswerTokens() * f.cls.tokenIntervalObjectiveMicros();
     return killedAt < Long.MAX_VALUE && now + longest > killedAt;
   }
 
@@ -354,7 +365,7 @@
   }
 
   @Override
-  public void outcome(long at, AttemptResult o) {
+  public void attemptEnded(long at, AttemptResult o) {
     now = at;
     Flight f = flights.get(o.requestId());
     if (f == null || o.attempt() >= f.attempts.size() || f.attempts.get(o.attempt()).ended) {
@@ -365,10 +376,10 @@
     f.ended |= o.requestEnded();
     f.streaming &=
         a.firstTook == 0; // a stream that ends without ending its request leaves it unanswered
-    if (o.ending() == AttemptOutcome.READ) {
+    if (o.outcome() == AttemptOutcome.PROMPT_READ) {
       f.stateAt = a.server;
       f.held.readAnswered(now);
-    } else if (o.ending() == AttemptOutcome.OK || o.stateMissing()) {
+    } else if (o.outcome() == AttemptOutcome.OK || o.stateMissing()) {
       f.held.taken();
     } else if (a.reads && !a.writes) {
       f.held.readFailed(now, a.neverRan);
@@ -386,7 +397,7 @@
   }
 
   @Override
-  public void clientLeft(long at, long requestId) {
+  public void clientDisconnected(long at, long requestId) {
     now = at;
     Flight f = flights.get(requestId);
     if (f != null && !f.ended) {
@@ -396,7 +407,7 @@
   }
 
   @Override
-  public void timer(long at, long token) {
+  public void timerFired(long at, long token) {
     now = at;
     Timer kind = TIMERS[(int) (token % TIMERS.length)];
     Flight f = flights.get(token / TIMERS.length);
@@ -412,7 +423,9 @@
     } else if (kind == Timer.WATCH) {
       lookAfter(f);
     } else if (kind == Timer.DEADLINE || parked.contains(f)) {
-      settle(f, kind == Timer.DEADLINE ? DecisionReason.DEADLINE : DecisionReason.NO_ROOM);
+      settle(
+          f,
+          kind == Timer.DEADLINE ? DecisionReason.DEADLINE_EXCEEDED : DecisionReason.QUEUE_TIMEOUT);
     }
   }
 
@@ -428,18 +441,18 @@
    * old.
    */
   private void list(ServerEntry entry) {
-    require(entry.kind() < settings.kinds().size(), "server of an unknown kind");
+    require(entry.kind() < settings.serverKinds().size(), "server of an unknown kind");
     Server s = servers.get(entry.id());
-    if (s == null || s.info.startedAt() != entry.startedAt()) {
+    if (s == null || s.info.startedAtMicros() != entry.startedAtMicros()) {
       s = new Server();
-      s.kind = settings.kinds().get(entry.kind());
+      s.kind = settings.serverKinds().get(entry.kind());
       s.role = figures.get(s.kind.role());
       s.credit = random.nextDouble();
       s.creditAt = now;
       servers.put(entry.id(), s);
     }
     s.info = entry;
-    s.standing = entry.standing();
+    s.standing = entry.lifecycle();
   }
 
   // ==== admission
@@ -467,38 +480,41 @@
    * first.
    */
   private double openShare(Flight f) {
-    int tenant = f.request.tenant();
+    int tenant = f.request.tenantId();
     if (tenant < tenantRates.size()) {
       double quota = settings.tenants().get(tenant).quotaPerSecond();
-      if (quota > 0 && tenantRates.get(tenant).perSecond(now) * settings.gateways() > quota) {
+      if (quota > 0 && tenantRates.get(tenant).perSecond(now) * settings.gatewayCount() > quota) {
         return OVER_QUOTA_SHARE;
       }
     }
-    return settings.classes().stream().anyMatch(c -> c.worth() > f.cls.worth()) ? LESSER_SHARE : 1;
+    return settings.classes().stream().anyMatch(c -> c.priorityWeight() > f.cls.priorityWeight())
+        ? LESSER_SHARE
+        : 1;
   }
 
   /** Waiting here costs no server anything and holds no state; it ends in time for another try. */
   private void park(Flight f) {
     parked.add(f);
-    host.trace(f.request.id(), DecisionReason.PARKED);
+    host.trace(f.request.id(), DecisionReason.QUEUED);
     long wait =
-        Math.min((long) (f.aim * PARK_SHARE), f.request.patience() / 2) - (now - f.arrivedAt);
-    host.timer(token(f.request.id(), Timer.PARK), Math.max(0, wait));
-    look();
+        Math.min((long) (f.aim * PARK_SHARE), f.request.clientTimeoutMicros() / 2)
+            - (now - f.arrivedAt);
+    host.setTimer(token(f.request.id(), Timer.PARK), Math.max(0, wait));
+    visitState();
   }
 
-  private void look() {
+  private void visitState() {
     if (!lookSet && !parked.isEmpty()) {
       lookSet = true;
-      host.timer(token(0, Timer.LOOK), PARK_LOOK);
+      host.setTimer(token(0, Timer.LOOK), PARK_LOOK);
     }
   }
 
   @Override
-  public void look(long at, RouterStateVisitor sight) {
+  public void visitState(long at, RouterStateVisitor sight) {
     now = Math.max(now, at);
     servers.forEach((id, s) -> sight.server(id, s.kind.role(), s.standing, cold(s), healthy(s)));
-    sight.all(parked.size(), tokensUnderWay, Math.round(room * memory()));
+    sight.totals(parked.size(), tokensUnderWay, Math.round(room * memory()));
   }
 
   private void admitParked() {
@@ -511,7 +527,7 @@
         passed++;
       }
     }
-    look();
+    visitState();
   }
 
   // ==== the read
@@ -555,11 +571,11 @@
    * gateways pick alike.
    */
   private List<Option> options(Flight f) {
-    f.session = sessions.get(f.request.session());
+    f.session = sessions.get(f.request.sessionId());
     List<Server> ranked = new ArrayList<>(candidates(f, readers));
-    rank(ranked, f.request.prefix() != 0 ? f.request.prefix() : f.request.session());
+    rank(ranked, f.request.prefixId() != 0 ? f.request.prefixId() : f.request.sessionId());
     int homes = Math.min(ranked.size(), 1 + ranked.size() / READERS_A_HOME);
-    rank(ranked.subList(0, homes), f.request.session());
+    rank(ranked.subList(0, homes), f.request.sessionId());
     List<Option> options = new ArrayList<>();
     for (Server s : ranked) {
       options.add(option(f, s, options.size(), homes));
@@ -623,7 +639,7 @@
     RoutingRequest r = f.request;
     boolean settled = home && !cold(s);
     long kept =
-        settled && r.prefix() != 0 || s.prefixes.containsKey(r.prefix()) ? r.prefixTokens() : 0;
+        settled && r.prefixId() != 0 || s.prefixes.containsKey(r.prefixId()) ? r.prefixTokens() : 0;
     if (f.session != null && f.session.serverId() == s.info.id()) {
       kept = Math.max(kept, f.session.keptTokens());
     }
@@ -635,11 +651,11 @@
   /** Binds only after a read that succeeded, so that a silent server does not keep its sessions. */
   private void remember(Flight f, Server s) {
     RoutingRequest r = f.request;
-    if (r.session() != 0) {
-      sessions.put(r.session(), new Session(s.info.id(), r.promptTokens(), now));
+    if (r.sessionId() != 0) {
+      sessions.put(r.sessionId(), new Session(s.info.id(), r.promptTokens(), now));
     }
-    if (r.prefix() != 0) {
-      s.prefixes.put(r.prefix(), now);
+    if (r.prefixId() != 0) {
+      s.prefixes.put(r.prefixId(), now);
     }
   }
 
@@ -658,7 +674,7 @@
             + (long) figures.get(ServerRole.READER).wait
             + ", writes "
             + (long) figures.get(ServerRole.WRITER).wait);
-    host.timer(token(0, Timer.REAP), REAP_EVERY);
+    host.setTimer(token(0, Timer.REAP), REAP_EVERY);
   }
 
   // ==== the write
@@ -756,13 +772,13 @@
 
   /** Why there may be no further attempt, null if there may. */
   private DecisionReason noFurther(Flight f, boolean afresh) {
-    if (now - f.arrivedAt >= f.request.patience()) {
-      return DecisionReason.TIME_SPENT;
+    if (now - f.arrivedAt >= f.request.clientTimeoutMicros()) {
+      return DecisionReason.CLIENT_TIMEOUT;
     }
     if (spent(f)) {
-      return DecisionReason.ATTEMPTS_SPENT;
+      return DecisionReason.ATTEMPTS_EXHAUSTED;
     }
-    return !afresh && retries < 0 ? DecisionReason.RETRIES_SPENT : null;
+    return !afresh && retries < 0 ? DecisionReason.RETRY_BUDGET_EXHAUSTED : null;
   }
 
   /** Whether too few attempts are left to reach an answer: a read and a write, or a write alone. */
@@ -772,7 +788,7 @@
 
   /** A write that may not simply be tried again is never called off for being slow. */
   private static boolean firm(Flight f, Attempt a) {
-    return a.writes && f.cls.repeat() != Idempotency.SAFE;
+    return a.writes && f.cls.idempotency() != Idempotency.IDEMPOTENT;
   }
 
   /**
@@ -780,19 +796,20 @@
    * none.
    */
   private boolean mayRepeat(Flight f, Server s) {
-    if (f.mayHaveRun == null || f.cls.repeat() == Idempotency.SAFE) {
+    if (f.mayHaveRun == null || f.cls.idempotency() == Idempotency.IDEMPOTENT) {
       return true;
     }
     ServerEntry first = f.mayHaveRun.server.info;
     boolean inGroup =
-        switch (f.cls.group()) {
+        switch (f.cls.deduplicationScope()) {
           case ALL -> true;
           case ZONE -> first.zone() == s.info.zone();
           case CELL -> first.cell() == s.info.cell();
         };
-    return f.cls.repeat() == Idempotency.KEYED
+    return f.cls.idempotency() == Idempotency.IDEMPOTENCY_KEY
         && inGroup
-        && now - f.mayHaveRun.sentAt < f.cls.repeatWindow() - settings.resolution();
+        && now - f.mayHaveRun.sentAt
+            < f.cls.deduplicationWindowMicros() - settings.timerResolutionMicros();
   }
 
   /**
@@ -810,7 +827,7 @@
     }
     double part = speed(s) * settings.rules().overloadFactor() * COLD_CAUTION;
     double earned =
-        Math.max(warmRate(s.role) * part, COLD_LEAST / Math.max(1, settings.gateways()));
+        Math.max(warmRate(s.role) * part, COLD_LEAST / Math.max(1, settings.gatewayCount()));
     s.credit = Math.min(1, s.credit + earned * (now - s.creditAt) / 1e6);
     s.creditAt = now;
     return s.credit >= 1;
@@ -834,7 +851,8 @@
   }
 
   private boolean cold(Server s) {
-    return s.info.startedAt() > 0 && now - s.info.startedAt() <= settings.rules().warmUp();
+    return s.info.startedAtMicros() > 0
+        && now - s.info.startedAtMicros() <= settings.rules().slowStartMicros();
   }
 
   /** Its part of a warm server's speed: at first what the settings promise, growing evenly. */
@@ -842,8 +860,9 @@
     if (!cold(s)) {
       return 1;
     }
-    double least = Math.min(1, Math.max(SPEED_LEAST, settings.rules().coldShare()));
-    return least + (1 - least) * (now - s.info.startedAt()) / settings.rules().warmUp();
+    double least = Math.min(1, Math.max(SPEED_LEAST, settings.rules().slowStartInitialShare()));
+    return least
+        + (1 - least) * (now - s.info.startedAtMicros()) / settings.rules().slowStartMicros();
   }
 
   /** The only place that sends; its callers pick among {@link #open} servers. */
@@ -898,12 +917,12 @@
    * Looks after an attempt once it has taken far longer than it should, each time after twice that.
    */
   private void watch(Flight f, Attempt a) {
-    if (settings.limits().cancel() && !firm(f, a)) {
+    if (settings.limits().mayCancel() && !firm(f, a)) {
       long before = f.attempts.stream().filter(b -> b.calledOff).count();
       double base = before == 0 ? f.aim - (now - f.arrivedAt) : f.aim * (1L << before);
       long patience = (long) Math.max(1, Math.max(base * PATIENCE_AIM_SHARE, usual(a)));
       a.overdueAt = now + patience;
-      host.timer(token(f.request.id(), Timer.WATCH), patience);
+      host.setTimer(token(f.request.id(), Timer.WATCH), patience);
     }
   }
 
@@ -925,7 +944,7 @@
       return;
     }
     a.calledOff = true;
-    host.trace(f.request.id(), DecisionReason.CALLED_OFF);
+    host.trace(f.request.id(), DecisionReason.ATTEMPT_TIMEOUT);
     waited(a.server, now - a.sentAt - a.expected);
     host.cancel(f.request.id(), number);
   }
@@ -933,8 +952,8 @@
   /** Books an attempt's end: tokens under way, health, and what it says of the server's speed. */
   private void account(Flight f, Attempt a, AttemptResult o) {
     a.ended = true;
-    a.neverRan = NEVER_RAN.contains(o.ending());
-    a.failed = o.ending() != AttemptOutcome.READ && !(a.calledOff && !a.writes);
+    a.neverRan = NEVER_RAN.contains(o.outcome());
+    a.failed = o.outcome() != AttemptOutcome.PROMPT_READ && !(a.calledOff && !a.writes);
     f.out--;
     if (a.writes) {
       a.server.writeTokens -= a.tokens;
@@ -944,21 +963,22 @@
     if (f.mayHaveRun == a && a.neverRan) {
       f.mayHaveRun = null;
     }
-    long unkept = Math.max(0, f.request.promptTokens() - o.kept());
-    if (a.reads && (o.ending() == AttemptOutcome.READ || o.ending() == AttemptOutcome.OK)) {
+    long unkept = Math.max(0, f.request.promptTokens() - o.cachedTokens());
+    if (a.reads
+        && (o.outcome() == AttemptOutcome.PROMPT_READ || o.outcome() == AttemptOutcome.OK)) {
       learnNew(f.request.classId(), unkept);
     }
-    switch (o.ending()) {
-      case READ -> {
+    switch (o.outcome()) {
+      case PROMPT_READ -> {
         answered(a, true);
-        learnRead(a, unkept + READ_OVERHEAD, o.took());
+        learnRead(a, unkept + READ_OVERHEAD, o.elapsedMicros());
         remember(f, a.server);
       }
       case OK -> {
         answered(a, true);
-        learnPace(f, a, o.took());
+        learnPace(f, a, o.elapsedMicros());
       }
-      case FULL -> {
+      case REJECTED -> {
         answered(a, null);
         if (o.stateMissing()) {
           f.stateAt = null;
@@ -967,7 +987,7 @@
           room -= a.writes ? cut(a) : 0;
         }
       }
-      case MOOT -> answered(a, null);
+      case ABANDONED_BEFORE_SEND -> answered(a, null);
       case CANCELLED -> answered(a, a.calledOff ? false : null);
       default -> answered(a, false);
     }
@@ -979,12 +999,13 @@
     f.ended = true;
     host.trace(f.request.id(), reason);
     boolean harmless =
-        f.cls.repeat() == Idempotency.SAFE
+        f.cls.idempotency() == Idempotency.IDEMPOTENT
             || f.mayHaveRun == null && f.out == 0
-            || f.cls.repeat() == Idempotency.KEYED && f.cls.group() == DeduplicationScope.ALL;
+            || f.cls.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                && f.cls.deduplicationScope() == DeduplicationScope.ALL;
     if (harmless) {
-      long advice = Math.min(RETRY_ADVICE, settings.limits().maxRetryAdvice());
-      host.refuse(f.request.id(), settings.limits().retryAdvice() ? advice : 0);
+      long advice = Math.min(RETRY_ADVICE, settings.limits().maxRetryAfterMicros());
+      host.reject(f.request.id(), settings.limits().sendsRetryAfter() ? advice : 0);
     } else {
       host.fail(f.request.id());
     }
@@ -994,7 +1015,7 @@
   /** Ends the attempts that are still out and lets go of what is held. */
   private void withdraw(Flight f) {
     for (int i = 0; i < f.attempts.size(); i++) {
-      if (!f.attempts.get(i).ended && settings.limits().cancel() && !f.streaming) {
+      if (!f.attempts.get(i).ended && settings.limits().mayCancel() && !f.streaming) {
         host.cancel(f.request.id(), i);
       }
     }
@@ -1032,8 +1053,8 @@
   }
 
   private void release(Flight f) {
-    host.trace(f.request.id(), DecisionReason.RELEASED);
-    host.release(f.request.id());
+    host.trace(f.request.id(), DecisionReason.STATE_RELEASED);
+    host.releaseState(f.request.id());
     f.stateAt = null;
     f.held.released(now, f.attempts.stream().anyMatch(a -> a.writes && !a.ended));
   }
@@ -1042,7 +1063,7 @@
   private void awaitHeld(Flight f) {
     if (f.held.dueAt() < heldTimerAt) {
       heldTimerAt = f.held.dueAt();
-      host.timer(token(0, Timer.HELD), Math.max(1, heldTimerAt - now));
+      host.setTimer(token(0, Timer.HELD), Math.max(1, heldTimerAt - now));
     }
   }
 
@@ -1181,7 +1202,8 @@
    * alike.
    */
   private void learnPace(Flight f, Attempt a, long took) {
-    double pace = (took - a.firstTook) / Math.max(1.0, f.answerTokens * f.cls.tokenAim());
+    double pace =
+        (took - a.firstTook) / Math.max(1.0, f.answerTokens * f.cls.tokenIntervalObjectiveMicros());
     a.server.pace += PACE_WEIGHT * (pace - a.server.pace);
     a.server.role.pace += ROLE_WEIGHT * (pace - a.server.role.pace);
   }
--- a/policy/src/main/java/lemondock/policy/DecisionReason.java
+++ b/policy/src/main/java/lemondock/policy/DecisionReason.java
@@ -3,27 +3,27 @@
 /** Why a request was parked, tried again, released or ended. */
 public enum DecisionReason {
   /** Its deadline, or the end that a shutdown leaves it, has come. */
-  DEADLINE,
+  DEADLINE_EXCEEDED,
   /** It could not end before this gateway may be killed. */
   SHUTTING_DOWN,
   /** It waited for room until another attempt would have been too late. */
-  NO_ROOM,
+  QUEUE_TIMEOUT,
   /** It waits for room, or for a reader that would be in time. */
-  PARKED,
+  QUEUED,
   /** No reader may take it, or each would be too late. */
   NO_READER,
   /** No writer may take it. */
   NO_WRITER,
   /** Too few attempts are left for an answer. */
-  ATTEMPTS_SPENT,
+  ATTEMPTS_EXHAUSTED,
   /** Its client's time was over when an attempt ended. */
-  TIME_SPENT,
+  CLIENT_TIMEOUT,
   /** The budget for retries is spent. */
-  RETRIES_SPENT,
+  RETRY_BUDGET_EXHAUSTED,
   /** Another attempt follows one that did not end well. */
   RETRY,
   /** An attempt took far longer than it should and was called off. */
-  CALLED_OFF,
+  ATTEMPT_TIMEOUT,
   /** What readers hold, or may hold, was released. */
-  RELEASED
+  STATE_RELEASED
 }
--- a/policy/src/main/java/lemondock/policy/DeploymentLimits.java
+++ b/policy/src/main/java/lemondock/policy/DeploymentLimits.java
@@ -3,11 +3,11 @@
 /** What the deployment allows. */
 public record DeploymentLimits(
     int maxAttempts,
-    boolean cancel,
-    boolean secondCopies,
-    boolean probes,
-    boolean peers,
-    boolean retryAdvice,
-    long maxRetryAdvice,
-    long connectTimeout,
-    boolean askForList) {}
+    boolean mayCancel,
+    boolean mayHedge,
+    boolean mayProbe,
+    boolean mayGossip,
+    boolean sendsRetryAfter,
+    long maxRetryAfterMicros,
+    long connectTimeoutMicros,
+    boolean pollsEndpointList) {}
--- a/policy/src/main/java/lemondock/policy/EndpointListKind.java
+++ b/policy/src/main/java/lemondock/policy/EndpointListKind.java
@@ -6,7 +6,7 @@
  */
 public enum EndpointListKind {
   CHANGES,
-  WHOLE,
+  FULL_LIST,
   CACHED,
   FAILED
 }
--- a/policy/src/main/java/lemondock/policy/Idempotency.java
+++ b/policy/src/main/java/lemondock/policy/Idempotency.java
@@ -5,7 +5,7 @@
  * once.
  */
 public enum Idempotency {
-  SAFE,
-  KEYED,
-  ONCE
+  IDEMPOTENT,
+  IDEMPOTENCY_KEY,
+  NON_IDEMPOTENT
 }
--- a/policy/src/main/java/lemondock/policy/RequestRouter.java
+++ b/policy/src/main/java/lemondock/policy/RequestRouter.java
@@ -8,31 +8,32 @@
  */
 public interface RequestRouter {
   /** The first call, made once. */
-  void started(long now);
+  void started(long nowMicros);
 
   /** News of the servers. CHANGES apply to the list held; FAILED leaves it as it is. */
-  void servers(long now, EndpointListKind kind, List<ServerEntry> entries);
+  void endpointsChanged(long nowMicros, EndpointListKind kind, List<ServerEntry> entries);
 
   /** A client's request; the module owes exactly one final answer from here on. */
-  void request(long now, RoutingRequest request);
+  void requestArrived(long nowMicros, RoutingRequest request);
 
   /** The answer of this attempt has begun to stream; the attempt now belongs to the client. */
-  void firstToken(long now, long requestId, int attempt, long serverId, long took);
+  void firstToken(
+      long nowMicros, long requestId, int attempt, long serverId, long timeToFirstTokenMicros);
 
   /** An attempt has ended; exactly one for each {@link RouterHost#send}. */
-  void outcome(long now, AttemptResult outcome);
+  void attemptEnded(long nowMicros, AttemptResult result);
 
   /** The client has left; nothing more is owed. */
-  void clientLeft(long now, long requestId);
+  void clientDisconnected(long nowMicros, long requestId);
 
-  /** A timer set by {@link RouterHost#timer} is due. */
-  void timer(long now, long token);
+  /** A timer set by {@link RouterHost#setTimer} is due. */
+  void timerFired(long nowMicros, long token);
 
   /** This gateway shuts down and may be killed at {@code until}; what is under way goes on. */
-  default void shuttingDown(long now, long until) {}
+  default void shutdownStarted(long nowMicros, long killedAtMicros) {}
 
   /**
    * Tells what the module sees at this moment, for reports; leads to no action and changes nothing.
    */
-  default void look(long now, RouterStateVisitor sight) {}
+  default void visitState(long nowMicros, RouterStateVisitor visitor) {}
 }
--- a/policy/src/main/java/lemondock/policy/RouterHost.java
+++ b/policy/src/main/java/lemondock/policy/RouterHost.java
@@ -3,10 +3,10 @@
 /** Actions, carried out in the order of the calls, at the time of the event that led to them. */
 public interface RouterHost {
   /** Sends the request to a server; attempts count from 0. timeout 0: until the client gives up. */
-  void send(long requestId, long serverId, long timeout);
+  void send(long requestId, long serverId, long timeoutMicros);
 
   /** Final answer: trying again is harmless. retryAfter 0: no advice. */
-  void refuse(long requestId, long retryAfter);
+  void reject(long requestId, long retryAfterMicros);
 
   /** Final answer that promises nothing. */
   void fail(long requestId);
@@ -15,13 +15,15 @@
   void cancel(long requestId, int attempt);
 
   /** Lets go of every state held for the request; allowed after its end. */
-  void release(long requestId);
+  void releaseState(long requestId);
 
-  /** Asks for a {@link RequestRouter#timer} event after the delay, never within the same event. */
-  void timer(long token, long delay);
+  /**
+   * Asks for a {@link RequestRouter#timerFired} event after the delay, never within the same event.
+   */
+  void setTimer(long token, long delayMicros);
 
   /** Asks for the list of servers and its changes, where they come only on demand. */
-  void watchServers();
+  void watchEndpoints();
 
   /** One line for the operators. */
   void log(String line);
--- a/policy/src/main/java/lemondock/policy/RouterSettings.java
+++ b/policy/src/main/java/lemondock/policy/RouterSettings.java
@@ -6,13 +6,13 @@
  * All that the module is told at its start. Zone, class, tenant and kind numbers index the lists.
  */
 public record RouterSettings(
-    int me,
-    int gateways,
+    int gatewayIndex,
+    int gatewayCount,
     int zone,
-    long resolution,
+    long timerResolutionMicros,
     List<RequestClass> classes,
     List<Tenant> tenants,
-    List<ServerKind> kinds,
+    List<ServerKind> serverKinds,
     DeploymentLimits limits,
     ServiceRules rules,
     boolean streamsResume,
--- a/policy/src/main/java/lemondock/policy/ServerEntry.java
+++ b/policy/src/main/java/lemondock/policy/ServerEntry.java
@@ -6,6 +6,6 @@
     int zone,
     int kind,
     int cell,
-    ServerLifecycle standing,
+    ServerLifecycle lifecycle,
     double weight,
-    long startedAt) {}
+    long startedAtMicros) {}
--- a/policy/src/main/java/lemondock/policy/ServiceRules.java
+++ b/policy/src/main/java/lemondock/policy/ServiceRules.java
@@ -5,10 +5,10 @@
  * least.
  */
 public record ServiceRules(
-    long answerSlack,
-    long drainGrace,
-    double coldShare,
-    long warmUp,
+    long answerSlackMicros,
+    long drainGraceMicros,
+    double slowStartInitialShare,
+    long slowStartMicros,
     double overloadFactor,
-    long overloadWindow,
-    long releaseWithin) {}
+    long overloadWindowMicros,
+    long releaseWithinMicros) {}
--- a/policy/src/test/java/lemondock/policy/ControlTest.java
+++ b/policy/src/test/java/lemondock/policy/ControlTest.java
@@ -32,7 +32,7 @@
 
   private void fleet(ServerEntry... servers) {
     control.started(now);
-    control.servers(now, EndpointListKind.CACHED, List.of(servers));
+    control.endpointsChanged(now, EndpointListKind.CACHED, List.of(servers));
     host.take();
   }
 
@@ -43,7 +43,7 @@
   /** Hands in a request and gives the server of its first attempt, 0 if there is none. */
   private long ask(long id, int cls, long session, long prefix, int prompt) {
     host.actions.clear();
-    control.request(now, request(id, cls, session, prefix, prompt));
+    control.requestArrived(now, request(id, cls, session, prefix, prompt));
     return sentTo();
   }
 
@@ -54,14 +54,15 @@
 
   private void end(long id, int attempt, long server, AttemptOutcome ending, boolean last) {
     host.actions.clear();
-    control.outcome(now, new AttemptResult(id, attempt, server, ending, 50_000, last, 0, false));
+    control.attemptEnded(
+        now, new AttemptResult(id, attempt, server, ending, 50_000, last, 0, false));
   }
 
   /** A whole request served: read, written, streamed. */
   private long serve(long id, long session, long prefix, int prompt) {
     long reader = ask(id, SAFE, session, prefix, prompt);
     now += 50_000;
-    end(id, 0, reader, AttemptOutcome.READ, false);
+    end(id, 0, reader, AttemptOutcome.PROMPT_READ, false);
     long writer = sentTo();
     now += 50_000;
     control.firstToken(now, id, 1, writer, 50_000);
@@ -70,7 +71,7 @@
     return reader;
   }
 
-  private static final long WITHIN = Recorder.settings(4, true).rules().releaseWithin();
+  private static final long WITHIN = Recorder.settings(4, true).rules().releaseWithinMicros();
 
   /**
    * Runs the timers on what is held by their times, the first of which was set at that moment,
@@ -92,7 +93,7 @@
 
   private void heldTimer() {
     host.actions.clear();
-    control.timer(now, Control.token(0, Control.Timer.HELD));
+    control.timerFired(now, Control.token(0, Control.Timer.HELD));
   }
 
   /**
@@ -109,7 +110,7 @@
         ready(13, WRITER, 0));
     long reader = ask(1, SAFE, 1, 77, 500);
     now += 50_000;
-    end(1, 0, reader, AttemptOutcome.READ, false);
+    end(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
     long writer = sentTo();
     now += WITHIN / 2;
     host.actions.clear();
@@ -136,7 +137,7 @@
       plainFleet();
       long reader = ask(1, cls, 1, 77, 500);
       now += 20_000;
-      end(1, 0, reader, AttemptOutcome.READ, false);
+      end(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
       long writer = sentTo();
       assertTrue(writer >= 11);
       long readEnd = now;
@@ -166,14 +167,14 @@
       control = new Control(Recorder.settings(4, true), 7, host);
       plainFleet();
       long reader = ask(1, cls, 1, 77, 500);
-      end(1, 0, reader, AttemptOutcome.READ, false);
+      end(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
       final long writer = sentTo();
       now += WITHIN;
       heldTimer();
       assertEquals(1, host.of("release").size());
       host.actions.clear();
-      control.outcome(
-          now, new AttemptResult(1, 1, writer, AttemptOutcome.FULL, WITHIN, false, 0, true));
+      control.attemptEnded(
+          now, new AttemptResult(1, 1, writer, AttemptOutcome.REJECTED, WITHIN, false, 0, true));
       assertTrue(sentTo() == 1 || sentTo() == 2, "read anew");
       assertTrue(host.of("release").isEmpty(), "nothing is held any more");
     }
@@ -211,12 +212,12 @@
     now += 10_000;
     assertEquals(reader, ask(2, SAFE, 1, 77, 500));
     now += SECOND;
-    end(1, 0, reader, AttemptOutcome.READ, false);
+    end(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
     host.actions.clear();
-    control.timer(now, Control.token(2, Control.Timer.WATCH));
+    control.timerFired(now, Control.token(2, Control.Timer.WATCH));
     assertTrue(host.of("cancel").isEmpty(), "its queue moves");
     now += 4 * SECOND;
-    control.timer(now, Control.token(2, Control.Timer.WATCH));
+    control.timerFired(now, Control.token(2, Control.Timer.WATCH));
     assertEquals(1, host.of("cancel").size());
   }
 
@@ -231,7 +232,7 @@
     now += 10_000;
     assertEquals(reader, ask(2, SAFE, 1, 77, 500));
     now += 5_000;
-    end(1, 0, reader, AttemptOutcome.READ, false);
+    end(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
     control.firstToken(now, 1, 1, sentTo(), 1_000);
     now += SECOND;
     heldTimer();
@@ -246,7 +247,7 @@
     now += 10_000;
     assertEquals(reader, ask(2, SAFE, 1, 77, 500));
     now += SECOND;
-    end(1, 0, reader, AttemptOutcome.READ, false);
+    end(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
     heldTimer();
     assertEquals(1, host.of("timer").size(), "looked at again");
     assertEquals(List.of(), names());
@@ -276,7 +277,7 @@
   void whatABrokenReadMayHaveLeftIsReleasedAtTheEndOfItsRequest() {
     plainFleet();
     long reader = ask(1, SAFE, 1, 77, 500);
-    control.clientLeft(now, 1);
+    control.clientDisconnected(now, 1);
     end(1, 0, reader, AttemptOutcome.CANCELLED, true);
     assertEquals(List.of("release"), names());
   }
@@ -287,7 +288,7 @@
     long reader = ask(1, SAFE, 1, 77, 500);
     end(1, 0, reader, AttemptOutcome.CONNECT_FAILED, false);
     assertTrue(host.of("release").isEmpty());
-    control.clientLeft(now, 1);
+    control.clientDisconnected(now, 1);
     long second = sentTo();
     end(1, 1, second, AttemptOutcome.CONNECT_FAILED, true);
     assertTrue(host.of("release").isEmpty());
@@ -300,10 +301,10 @@
   @Test
   void aStateThatAWriteMayHaveTakenIsNotReleasedBeforeTheReadAnew() {
     plainFleet();
-    long within = Recorder.settings(4, true).rules().releaseWithin();
+    long within = Recorder.settings(4, true).rules().releaseWithinMicros();
     long reader = ask(1, SAFE, 1, 77, 500);
     now += 50_000;
-    end(1, 0, reader, AttemptOutcome.READ, false);
+    end(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
     long writer = sentTo();
     now += within;
     end(1, 1, writer, AttemptOutcome.CANCELLED, false);
@@ -318,7 +319,7 @@
   void aGatewayThatShutsDownTakesOnlyWhatEndsBeforeItMayBeKilled() {
     plainFleet();
     assertNotEquals(0, ask(1, SAFE, 1, 77, 500));
-    control.shuttingDown(now, now + 16 * SECOND);
+    control.shutdownStarted(now, now + 16 * SECOND);
     assertNotEquals(0, ask(2, SAFE, 2, 77, 500), "it ends at the very last moment");
     now += 1_000;
     assertEquals(0, ask(3, SAFE, 3, 77, 500));
@@ -335,21 +336,21 @@
   void aRequestWhoseDeadlineLiesBehindTheKillIsAnsweredBeforeIt() {
     plainFleet();
     long reader = ask(1, ONCE, 1, 77, 500);
-    end(1, 0, reader, AttemptOutcome.READ, false);
+    end(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
     final long writer = sentTo();
     ask(2, ONCE, 2, 78, 500);
     ask(3, ONCE, 3, 79, 500);
-    end(3, 0, sentTo(), AttemptOutcome.READ, false);
+    end(3, 0, sentTo(), AttemptOutcome.PROMPT_READ, false);
     control.firstToken(now, 3, 1, sentTo(), 50_000);
     host.actions.clear();
-    control.shuttingDown(now, now + 3 * SECOND);
+    control.shutdownStarted(now, now + 3 * SECOND);
     List<Action> timers = host.of("timer");
     assertTrue(
         timers.stream().allMatch(t -> t.value() > 0 && t.value() < 3 * SECOND),
         "before the kill, but not at once: " + timers);
     host.actions.clear();
     now += 3 * SECOND - Control.SHUTDOWN_MARGIN;
-    timers.forEach(t -> control.timer(now, t.id()));
+    timers.forEach(t -> control.timerFired(now, t.id()));
     assertEquals(
         List.of(1L, 2L),
         host.of("fail").stream().map(Action::id).sorted().toList(),
@@ -393,7 +394,7 @@
       other = serve(100 + prefix, 900 + prefix, prefix, 2000);
       if (other != first) {
         now += Control.SESSION_TTL + SECOND;
-        control.timer(now, 2);
+        control.timerFired(now, 2);
         assertEquals(other, ask(5000, SAFE, 500, prefix, 2500));
       }
     }
@@ -406,7 +407,7 @@
     for (int i = 0; i < 20; i++) {
       ask(i, SAFE, i, 0, 800);
       now += 10_000;
-      end(i, 0, 1, AttemptOutcome.READ, false);
+      end(i, 0, 1, AttemptOutcome.PROMPT_READ, false);
       writers.add(sentTo());
     }
     assertFalse(writers.contains(13L), "another zone is used only if the own one has no writer");
@@ -432,9 +433,9 @@
   void aFullWriterIsFollowedByAnother() {
     plainFleet();
     long reader = ask(1, ONCE, 1, 0, 1000);
-    end(1, 0, reader, AttemptOutcome.READ, false);
+    end(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
     long writer = sentTo();
-    end(1, 1, writer, AttemptOutcome.FULL, false);
+    end(1, 1, writer, AttemptOutcome.REJECTED, false);
     assertNotEquals(writer, sentTo());
     assertTrue(sentTo() > 10);
   }
@@ -443,11 +444,11 @@
   void afterAWriteThatMayHaveRunTheStateCountsAsMoved() {
     plainFleet();
     long reader = ask(1, SAFE, 1, 0, 1000);
-    end(1, 0, reader, AttemptOutcome.READ, false);
+    end(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
     end(1, 1, sentTo(), AttemptOutcome.ERROR, false);
     assertTrue(
         sentTo() <= 10, "a reader is asked anew: a write would find no state and cost an attempt");
-    end(1, 2, sentTo(), AttemptOutcome.READ, false);
+    end(1, 2, sentTo(), AttemptOutcome.PROMPT_READ, false);
     assertTrue(sentTo() > 10);
   }
 
@@ -455,8 +456,8 @@
   void theLastAttemptIsAWriteEvenIfTheStateMayHaveMoved() {
     plainFleet();
     long reader = ask(1, SAFE, 1, 0, 1000);
-    end(1, 0, reader, AttemptOutcome.READ, false);
-    end(1, 1, sentTo(), AttemptOutcome.FULL, false);
+    end(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
+    end(1, 1, sentTo(), AttemptOutcome.REJECTED, false);
     end(1, 2, sentTo(), AttemptOutcome.ERROR, false);
     assertTrue(sentTo() > 10 && host.of("refuse").isEmpty());
   }
@@ -465,7 +466,7 @@
   void onceIsNotSentAgainNorRefusedAfterItMayHaveRun() {
     plainFleet();
     long reader = ask(1, ONCE, 1, 0, 1000);
-    end(1, 0, reader, AttemptOutcome.READ, false);
+    end(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
     end(1, 1, sentTo(), AttemptOutcome.ERROR, false);
     assertEquals(List.of("fail", "release"), names());
   }
@@ -476,7 +477,7 @@
     ask(1, ONCE, 1, 0, 1000);
     host.actions.clear();
     now += 4 * SECOND;
-    control.timer(now, Control.token(1, Control.Timer.DEADLINE));
+    control.timerFired(now, Control.token(1, Control.Timer.DEADLINE));
     assertEquals(List.of("fail", "cancel"), names());
   }
 
@@ -484,7 +485,7 @@
   void keyedStaysInItsCellAndWindow() {
     fleet(ready(1, READER, 0), ready(11, WRITER, 0), ready(12, WRITER, 1), ready(13, WRITER, 0));
     long reader = ask(1, KEYED, 1, 0, 1000);
-    end(1, 0, reader, AttemptOutcome.READ, false);
+    end(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
     long first = sentTo();
     end(1, 1, first, AttemptOutcome.ERROR, false);
     long second = sentTo();
@@ -504,7 +505,7 @@
   void nothingGoesToADrainingServer() {
     plainFleet();
     long home = serve(1, 500, 77, 2000);
-    control.servers(
+    control.endpointsChanged(
         now,
         EndpointListKind.CHANGES,
         List.of(server(home, READER, 0, ServerLifecycle.DRAINING, 0)));
@@ -514,8 +515,8 @@
   @Test
   void aServerMissingFromAFullListIsGone() {
     plainFleet();
-    control.servers(
-        now, EndpointListKind.WHOLE, List.of(ready(2, READER, 1), ready(12, WRITER, 1)));
+    control.endpointsChanged(
+        now, EndpointListKind.FULL_LIST, List.of(ready(2, READER, 1), ready(12, WRITER, 1)));
     for (int i = 0; i < 8; i++) {
       assertEquals(2, serve(i, i, i, 1000));
     }
@@ -526,7 +527,7 @@
     fleet(ready(11, WRITER, 0));
     assertEquals(0, ask(1, SAFE, 1, 0, 1000));
     now += SECOND;
-    control.timer(now, Control.token(1, Control.Timer.PARK));
+    control.timerFired(now, Control.token(1, Control.Timer.PARK));
     assertEquals(1, host.of("refuse").size());
   }
 
@@ -534,7 +535,7 @@
   void aParkedRequestIsSentWhenAReaderComes() {
     fleet(ready(11, WRITER, 0));
     ask(1, SAFE, 1, 0, 1000);
-    control.servers(now, EndpointListKind.CHANGES, List.of(ready(1, READER, 0)));
+    control.endpointsChanged(now, EndpointListKind.CHANGES, List.of(ready(1, READER, 0)));
     assertEquals(1, sentTo());
   }
 
@@ -542,18 +543,18 @@
   void aLateReadOfAnEndedRequestIsLetGo() {
     plainFleet();
     long reader = ask(1, SAFE, 1, 0, 1000);
-    control.clientLeft(now, 1);
-    end(1, 0, reader, AttemptOutcome.READ, true);
+    control.clientDisconnected(now, 1);
+    end(1, 0, reader, AttemptOutcome.PROMPT_READ, true);
     assertEquals(List.of("release"), names());
   }
 
   @Test
   void eventsOfUnknownRequestsArePassedOver() {
     plainFleet();
-    end(99, 0, 1, AttemptOutcome.READ, true);
+    end(99, 0, 1, AttemptOutcome.PROMPT_READ, true);
     control.firstToken(now, 99, 0, 1, 10);
-    control.clientLeft(now, 99);
-    control.timer(now, Control.token(99, Control.Timer.DEADLINE));
+    control.clientDisconnected(now, 99);
+    control.timerFired(now, Control.token(99, Control.Timer.DEADLINE));
     assertTrue(host.actions.isEmpty());
   }
 
@@ -608,7 +609,7 @@
       if (s != 0) {
         sent++;
         now += 1;
-        end(i, 0, s, AttemptOutcome.READ, false);
+        end(i, 0, s, AttemptOutcome.PROMPT_READ, false);
         control.firstToken(now, i, 1, sentTo(), 10);
       }
     }
@@ -633,7 +634,7 @@
     List<Action> waits = host.of("timer").stream().filter(t -> t.value() <= SECOND).toList();
     host.actions.clear();
     now += SECOND;
-    waits.forEach(t -> control.timer(now, t.id()));
+    waits.forEach(t -> control.timerFired(now, t.id()));
     assertEquals(List.of(refused), host.of("refuse").stream().map(Action::id).toList());
     answer(probe, 10);
     firstTokenAfter(++id, 10);
@@ -658,7 +659,7 @@
             .findFirst()
             .map(Action::server)
             .orElse(1L);
-    end(id, 0, reader, AttemptOutcome.READ, false);
+    end(id, 0, reader, AttemptOutcome.PROMPT_READ, false);
     long writer = sentTo();
     now += took;
     control.firstToken(now, id, 1, writer, took);
@@ -703,8 +704,8 @@
     long reader = ask(id, SAFE, id, id, 1000);
     if (reader != 0) {
       now += 1_000;
-      end(id, 0, reader, AttemptOutcome.READ, false);
-      control.clientLeft(now, id);
+      end(id, 0, reader, AttemptOutcome.PROMPT_READ, false);
+      control.clientDisconnected(now, id);
       end(id, 1, 11, AttemptOutcome.CANCELLED, true);
     }
     return reader;
@@ -720,10 +721,10 @@
     final long home = ask(1, SAFE, 1, 77, 500);
     now += 620_000;
     host.actions.clear();
-    control.timer(now, Control.token(1, Control.Timer.WATCH));
+    control.timerFired(now, Control.token(1, Control.Timer.WATCH));
     assertTrue(host.of("cancel").isEmpty(), "not before its time");
     now += 310_000;
-    control.timer(now, Control.token(1, Control.Timer.WATCH));
+    control.timerFired(now, Control.token(1, Control.Timer.WATCH));
     assertEquals(List.of("cancel"), names());
     end(1, 0, home, AttemptOutcome.CANCELLED, false);
     assertFalse(host.actions.isEmpty(), "a lost read is tried again or answered");
@@ -737,10 +738,10 @@
     now += 50_000;
     assertEquals(home, ask(2, SAFE, 1, 77, 1000));
     now += 100_000;
-    end(1, 0, home, AttemptOutcome.READ, false);
+    end(1, 0, home, AttemptOutcome.PROMPT_READ, false);
     now += 2 * SECOND;
     host.actions.clear();
-    control.timer(now, Control.token(2, Control.Timer.WATCH));
+    control.timerFired(now, Control.token(2, Control.Timer.WATCH));
     assertTrue(host.of("cancel").isEmpty());
   }
 
@@ -809,7 +810,7 @@
     for (int i = 0; i < 200; i++) {
       long reader = ask(i, SAFE, i, 0, 800);
       now += 10_000;
-      end(i, 0, reader, AttemptOutcome.READ, false);
+      end(i, 0, reader, AttemptOutcome.PROMPT_READ, false);
       long writer = sentTo();
       near += writer == 11 ? 1 : 0;
       control.firstToken(now, i, 1, writer, 10_000);
@@ -824,11 +825,11 @@
     long slow = 0;
     for (int i = 1; i < 60; i++) {
       long reader = ask(i, SAFE, i, i, 1000);
-      end(i, 0, reader, AttemptOutcome.READ, false);
+      end(i, 0, reader, AttemptOutcome.PROMPT_READ, false);
       long writer = sentTo();
       slow = slow == 0 ? writer : slow;
       control.firstToken(now, i, 1, writer, 20_000);
-      control.outcome(
+      control.attemptEnded(
           now,
           new AttemptResult(
               i,
@@ -843,9 +844,9 @@
     }
     for (int i = 100; i < 110; i++) {
       long reader = ask(i, SAFE, i, i, 1000);
-      end(i, 0, reader, AttemptOutcome.READ, false);
+      end(i, 0, reader, AttemptOutcome.PROMPT_READ, false);
       assertNotEquals(slow, sentTo());
-      control.clientLeft(now, i);
+      control.clientDisconnected(now, i);
     }
   }
 
@@ -865,12 +866,12 @@
     for (int i = 1; i < 200; i++) {
       long s = ask(i, SAFE, i, 0, 200);
       if (s == 1) {
-        control.clientLeft(now, i);
+        control.clientDisconnected(now, i);
         end(i, 0, s, AttemptOutcome.CANCELLED, true);
       } else {
         inPlace += i > 150 ? 1 : 0;
         control.firstToken(now, i, 0, s, 20_000);
-        control.outcome(
+        control.attemptEnded(
             now, new AttemptResult(i, 0, s, AttemptOutcome.OK, 15 * SECOND, true, 0, false));
       }
       now += 10_000;
@@ -882,7 +883,7 @@
   void aStreamThatEndsWithoutEndingItsRequestIsStillAnswered() {
     plainFleet();
     long reader = ask(1, ONCE, 1, 0, 1000);
-    end(1, 0, reader, AttemptOutcome.READ, false);
+    end(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
     long writer = sentTo();
     control.firstToken(now, 1, 1, writer, 10_000);
     end(1, 1, writer, AttemptOutcome.CANCELLED, false);
@@ -894,10 +895,10 @@
     plainFleet();
     long reader = ask(1, ONCE, 1, 0, 1000);
     now += 100_000;
-    end(1, 0, reader, AttemptOutcome.READ, false);
+    end(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
     now += 300_000;
     host.actions.clear();
-    control.timer(now, Control.token(1, Control.Timer.WATCH));
+    control.timerFired(now, Control.token(1, Control.Timer.WATCH));
     assertTrue(host.of("cancel").isEmpty());
   }
 
--- a/policy/src/test/java/lemondock/policy/Recorder.java
+++ b/policy/src/test/java/lemondock/policy/Recorder.java
@@ -39,7 +39,7 @@
   }
 
   @Override
-  public void refuse(long requestId, long retryAfter) {
+  public void reject(long requestId, long retryAfter) {
     actions.add(new Action("refuse", requestId, 0, retryAfter));
   }
 
@@ -54,17 +54,17 @@
   }
 
   @Override
-  public void release(long requestId) {
+  public void releaseState(long requestId) {
     actions.add(new Action("release", requestId, 0, 0));
   }
 
   @Override
-  public void timer(long token, long delay) {
+  public void setTimer(long token, long delay) {
     actions.add(new Action("timer", token, 0, delay));
   }
 
   @Override
-  public void watchServers() {
+  public void watchEndpoints() {
     actions.add(new Action("watch", 0, 0, 0));
   }
 
@@ -90,7 +90,7 @@
                 5 * SECOND,
                 1,
                 0.2,
-                Idempotency.SAFE,
+                Idempotency.IDEMPOTENT,
                 DeduplicationScope.ALL,
                 0,
                 60_000),
@@ -100,7 +100,7 @@
                 5 * SECOND,
                 2,
                 0.2,
-                Idempotency.ONCE,
+                Idempotency.NON_IDEMPOTENT,
                 DeduplicationScope.ALL,
                 0,
                 60_000),
@@ -110,7 +110,7 @@
                 5 * SECOND,
                 2,
                 0.2,
-                Idempotency.KEYED,
+                Idempotency.IDEMPOTENCY_KEY,
                 DeduplicationScope.CELL,
                 SECOND,
                 60_000)),
--- a/policy/src/test/java/lemondock/policy/RulesTest.java
+++ b/policy/src/test/java/lemondock/policy/RulesTest.java
@@ -78,7 +78,7 @@
 
     void tell(EndpointListKind kind, List<ServerEntry> list) {
       list.forEach(s -> servers.put(s.id(), s));
-      control.servers(now, kind, list);
+      control.endpointsChanged(now, kind, list);
       check();
     }
 
@@ -138,23 +138,23 @@
               1 + chance.nextInt(20),
               chance.nextInt(5),
               200 + chance.nextInt(4000));
-      a.deadline = now + a.request.patience();
+      a.deadline = now + a.request.clientTimeoutMicros();
       asked.put(a.request.id(), a);
-      control.request(now, a.request);
+      control.requestArrived(now, a.request);
       check();
     }
 
     void leave(Asked a) {
       if (!a.over && a.tries.stream().noneMatch(t -> t.started)) {
         a.over = true;
-        control.clientLeft(now, a.request.id());
+        control.clientDisconnected(now, a.request.id());
         check();
       }
     }
 
     void ripe() {
       while (!timers.isEmpty() && timers.peek()[0] <= now) {
-        control.timer(now, timers.poll()[1]);
+        control.timerFired(now, timers.poll()[1]);
         check();
       }
       asked
@@ -164,7 +164,7 @@
                   assertTrue(
                       a.over
                           || a.tries.stream().anyMatch(t -> t.started)
-                          || now <= a.deadline + settings.rules().answerSlack() + 20_000,
+                          || now <= a.deadline + settings.rules().answerSlackMicros() + 20_000,
                       "unanswered after its deadline"));
     }
 
@@ -186,7 +186,7 @@
       int luck = chance.nextInt(20);
       if (luck < 13 && !t.writes) {
         a.stateHeld = true;
-        end(a, number, t, AttemptOutcome.READ, a.over);
+        end(a, number, t, AttemptOutcome.PROMPT_READ, a.over);
       } else if (luck < 13 && !a.over) {
         t.started = true;
         a.stateHeld = false;
@@ -195,7 +195,7 @@
       } else {
         AttemptOutcome[] bad = {
           AttemptOutcome.ERROR,
-          AttemptOutcome.FULL,
+          AttemptOutcome.REJECTED,
           AttemptOutcome.TIMEOUT,
           AttemptOutcome.CONNECT_FAILED,
           AttemptOutcome.RESET,
@@ -208,7 +208,7 @@
     void end(Asked a, int number, Try t, AttemptOutcome ending, boolean last) {
       t.ended = ending;
       a.over |= last;
-      control.outcome(
+      control.attemptEnded(
           now, new AttemptResult(a.request.id(), number, t.server, ending, 20_000, last, 0, false));
       check();
       assertTrue(!a.stateHeld || !a.quiet(), "a state is held and no attempt is out");
@@ -227,7 +227,7 @@
                   (int) ((id - 100) % 3),
                   old == null ? 1 : old.cell(),
                   standing,
-                  restart ? now : old.startedAt())));
+                  restart ? now : old.startedAtMicros())));
     }
 
     void check() {
@@ -251,7 +251,7 @@
       assertTrue(a.tries.size() < settings.limits().maxAttempts(), "too many attempts");
       assertTrue(a.quiet(), "two attempts at once");
       ServerEntry s = servers.get(action.server());
-      assertEquals(ServerLifecycle.READY, s.standing(), "sent to a server that is not ready");
+      assertEquals(ServerLifecycle.READY, s.lifecycle(), "sent to a server that is not ready");
       assertTrue(maySend(a, s), "a second effect");
       Try t = new Try();
       t.server = s.id();
@@ -262,37 +262,40 @@
 
     boolean mayHaveRun(Try t) {
       return t.writes
-          && t.ended != AttemptOutcome.FULL
+          && t.ended != AttemptOutcome.REJECTED
           && t.ended != AttemptOutcome.CONNECT_FAILED
-          && t.ended != AttemptOutcome.READ;
+          && t.ended != AttemptOutcome.PROMPT_READ;
     }
 
     boolean maySend(Asked a, ServerEntry s) {
-      Idempotency repeat = settings.classes().get(a.request.classId()).repeat();
-      return repeat == Idempotency.SAFE
+      Idempotency repeat = settings.classes().get(a.request.classId()).idempotency();
+      return repeat == Idempotency.IDEMPOTENT
           || a.tries.stream()
               .filter(this::mayHaveRun)
               .allMatch(
-                  t -> repeat == Idempotency.KEYED && servers.get(t.server).cell() == s.cell());
+                  t ->
+                      repeat == Idempotency.IDEMPOTENCY_KEY
+                          && servers.get(t.server).cell() == s.cell());
     }
 
     void answered(Asked a, String how) {
       assertTrue(!a.over, "answered twice");
       a.over = true;
-      Idempotency repeat = settings.classes().get(a.request.classId()).repeat();
+      Idempotency repeat = settings.classes().get(a.request.classId()).idempotency();
       assertTrue(
           how.equals("fail")
-              || repeat == Idempotency.SAFE
+              || repeat == Idempotency.IDEMPOTENT
               || a.tries.stream().noneMatch(this::mayHaveRun),
           "refused though it may have run");
     }
 
     /** At 50 requests a second over all, a cold server never gets an even share of them all. */
     void cold(ServerEntry s) {
-      if (s.startedAt() > 0 && now - s.startedAt() < settings.rules().warmUp()) {
+      if (s.startedAtMicros() > 0
+          && now - s.startedAtMicros() < settings.rules().slowStartMicros()) {
         List<Long> sends = coldSends.computeIfAbsent(s.id(), x -> new ArrayList<>());
         sends.add(now);
-        long window = settings.rules().overloadWindow();
+        long window = settings.rules().overloadWindowMicros();
         sends.removeIf(at -> now - at > window);
         assertTrue(sends.size() < 100, "cold server got " + sends.size() + " in a window");
       }
--- a/policy/src/test/java/lemondock/policy/SlowStartTest.java
+++ b/policy/src/test/java/lemondock/policy/SlowStartTest.java
@@ -86,7 +86,7 @@
       gateways.forEach(
           g -> {
             g.module.started(now);
-            g.module.servers(now, EndpointListKind.WHOLE, servers);
+            g.module.endpointsChanged(now, EndpointListKind.FULL_LIST, servers);
             g.arrive();
           });
       at(
@@ -102,7 +102,7 @@
                 g ->
                     at(
                         now + random.nextInt(300_000),
-                        () -> g.module.servers(now, EndpointListKind.CHANGES, changes)));
+                        () -> g.module.endpointsChanged(now, EndpointListKind.CHANGES, changes)));
           });
       while (!events.isEmpty() && events.peek().at() < END) {
         Event next = events.poll();
@@ -116,7 +116,10 @@
           ? 1
           : Math.min(
               1,
-              rules.coldShare() + (1 - rules.coldShare()) * (now - REPLACED_AT) / rules.warmUp());
+              rules.slowStartInitialShare()
+                  + (1 - rules.slowStartInitialShare())
+                      * (now - REPLACED_AT)
+                      / rules.slowStartMicros());
     }
 
     /** A request reaches a reader: tells when it has been read. */
@@ -128,11 +131,15 @@
       if (server > 1_000) {
         ArrayDeque<Sent> sent = window.computeIfAbsent(server, s -> new ArrayDeque<>());
         sent.add(new Sent(now, work));
-        while (sent.peek().at() < now - rules.overloadWindow()) {
+        while (sent.peek().at() < now - rules.overloadWindowMicros()) {
           sent.poll();
         }
         double allowed =
-            CAPACITY * speed(server) * rules.overloadFactor() * rules.overloadWindow() / SECOND;
+            CAPACITY
+                * speed(server)
+                * rules.overloadFactor()
+                * rules.overloadWindowMicros()
+                / SECOND;
         double most = allowed + 2 * Math.sqrt(allowed) + 2;
         worst = Math.max(worst, sent.stream().mapToDouble(Sent::work).sum() / most);
       }
@@ -153,13 +160,13 @@
         module =
             new Control(
                 new RouterSettings(
-                    s.me(),
-                    s.gateways(),
+                    s.gatewayIndex(),
+                    s.gatewayCount(),
                     s.zone(),
-                    s.resolution(),
+                    s.timerResolutionMicros(),
                     s.classes(),
                     List.of(),
-                    List.of(s.kinds().get(0), new ServerKind(ServerRole.WRITER, 50_000_000)),
+                    List.of(s.serverKinds().get(0), new ServerKind(ServerRole.WRITER, 50_000_000)),
                     s.limits(),
                     told,
                     false,
@@ -177,7 +184,7 @@
               long id = ++requests;
               int prompt = (int) Math.max(100, -Math.log(1 - random.nextDouble()) * MEAN_PROMPT);
               open.put(id, new int[] {0, prompt});
-              module.request(
+              module.requestArrived(
                   now,
                   Recorder.request(id, Recorder.SAFE, 1 + random.nextInt(sessions), 0, prompt));
               arrive();
@@ -193,16 +200,23 @@
           at(
               read(server, state[1] / (double) MEAN_PROMPT),
               () ->
-                  module.outcome(
+                  module.attemptEnded(
                       now,
                       new AttemptResult(
-                          id, attempt, server, AttemptOutcome.READ, now - from, false, 0, false)));
+                          id,
+                          attempt,
+                          server,
+                          AttemptOutcome.PROMPT_READ,
+                          now - from,
+                          false,
+                          0,
+                          false)));
         } else {
           at(
               now + WRITE,
               () -> {
                 module.firstToken(now, id, attempt, server, WRITE);
-                module.outcome(
+                module.attemptEnded(
                     now,
                     new AttemptResult(
                         id, attempt, server, AttemptOutcome.OK, WRITE, true, 0, false));
@@ -211,7 +225,7 @@
       }
 
       @Override
-      public void refuse(long id, long retryAfter) {}
+      public void reject(long id, long retryAfter) {}
 
       @Override
       public void fail(long id) {}
@@ -220,15 +234,15 @@
       public void cancel(long id, int attempt) {}
 
       @Override
-      public void release(long id) {}
+      public void releaseState(long id) {}
 
       @Override
-      public void timer(long token, long delay) {
-        at(now + delay, () -> module.timer(now, token));
+      public void setTimer(long token, long delay) {
+        at(now + delay, () -> module.timerFired(now, token));
       }
 
       @Override
-      public void watchServers() {}
+      public void watchEndpoints() {}
 
       @Override
       public void log(String line) {}
@@ -238,13 +252,13 @@
   private static ServiceRules rules(double coldShare, double factor) {
     ServiceRules r = Recorder.settings(4, true).rules();
     return new ServiceRules(
-        r.answerSlack(),
-        r.drainGrace(),
+        r.answerSlackMicros(),
+        r.drainGraceMicros(),
         coldShare,
-        r.warmUp(),
+        r.slowStartMicros(),
         factor,
-        r.overloadWindow(),
-        r.releaseWithin());
+        r.overloadWindowMicros(),
+        r.releaseWithinMicros());
   }
 
   @Test
@@ -259,7 +273,7 @@
                   seed,
                   sessions == ONE ? LOAD_HOT : LOAD,
                   sessions,
-                  rules(r.coldShare(), r.overloadFactor()));
+                  rules(r.slowStartInitialShare(), r.overloadFactor()));
           fleet.run();
           String which = gateways + " gateways, seed " + seed + ", " + sessions + " sessions: ";
           assertTrue(fleet.worst < 1, which + fleet.worst + " of what a cold server bears");
--- a/scenario/src/test/java/lemondock/scenario/SabotageTest.java
+++ b/scenario/src/test/java/lemondock/scenario/SabotageTest.java
@@ -36,8 +36,8 @@
     }
 
     @Override
-    public void refuse(long requestId, long retryAfter) {
-      host.refuse(requestId, retryAfter);
+    public void reject(long requestId, long retryAfter) {
+      host.reject(requestId, retryAfter);
     }
 
     @Override
@@ -51,18 +51,18 @@
     }
 
     @Override
-    public void release(long requestId) {
-      host.release(requestId);
+    public void releaseState(long requestId) {
+      host.releaseState(requestId);
     }
 
     @Override
-    public void timer(long token, long delay) {
-      host.timer(token, delay);
+    public void setTimer(long token, long delay) {
+      host.setTimer(token, delay);
     }
 
     @Override
-    public void watchServers() {
-      host.watchServers();
+    public void watchEndpoints() {
+      host.watchEndpoints();
     }
 
     @Override
@@ -80,7 +80,7 @@
               SabotageTest.class.getClassLoader(),
               new Class<?>[] {RequestRouter.class},
               (proxy, method, arguments) -> {
-                if (method.getName().equals("servers")) {
+                if (method.getName().equals("endpointsChanged")) {
                   List<?> entries = (List<?>) arguments[2];
                   arguments[2] =
                       entries.stream()
@@ -120,7 +120,7 @@
                     seed,
                     new Host(host) {
                       @Override
-                      public void refuse(long requestId, long retryAfter) {}
+                      public void reject(long requestId, long retryAfter) {}
                     })));
     assertEquals(Set.of(), broken(script, Gateway.MODULE));
   }
@@ -135,26 +135,26 @@
             (settings, seed, host) ->
                 new Control(
                     new RouterSettings(
-                        settings.me(),
-                        settings.gateways(),
+                        settings.gatewayIndex(),
+                        settings.gatewayCount(),
                         settings.zone(),
-                        settings.resolution(),
+                        settings.timerResolutionMicros(),
                         settings.classes().stream()
                             .map(
                                 c ->
                                     new RequestClass(
-                                        c.aim(),
-                                        c.aimPerThousandTokens(),
-                                        c.deadline(),
-                                        c.worth(),
-                                        c.lateWorth(),
-                                        Idempotency.SAFE,
-                                        c.group(),
-                                        c.repeatWindow(),
-                                        c.tokenAim()))
+                                        c.latencyObjectiveMicros(),
+                                        c.objectiveMicrosPerThousandTokens(),
+                                        c.deadlineMicros(),
+                                        c.priorityWeight(),
+                                        c.latePriorityWeight(),
+                                        Idempotency.IDEMPOTENT,
+                                        c.deduplicationScope(),
+                                        c.deduplicationWindowMicros(),
+                                        c.tokenIntervalObjectiveMicros()))
                             .toList(),
                         settings.tenants(),
-                        settings.kinds(),
+                        settings.serverKinds(),
                         settings.limits(),
                         settings.rules(),
                         settings.streamsResume(),
@@ -168,7 +168,7 @@
   void aDrainIgnoredIsSeen() throws InterruptedException {
     DayScript script = day(2.5, 60, trouble("deploy", 200, 1200, 0.4, 0.1)).fleet(2, 3, 0, 16, 5);
     assertTrue(
-        broken(script, deaf(s -> s.standing() == ServerLifecycle.READY ? s : null)).contains(3));
+        broken(script, deaf(s -> s.lifecycle() == ServerLifecycle.READY ? s : null)).contains(3));
     assertEquals(Set.of(), broken(script, Gateway.MODULE));
   }
 
@@ -181,7 +181,7 @@
                 deaf(
                     s ->
                         new ServerEntry(
-                            s.id(), s.zone(), s.kind(), s.cell(), s.standing(), s.weight(), 0)))
+                            s.id(), s.zone(), s.kind(), s.cell(), s.lifecycle(), s.weight(), 0)))
             .contains(4));
     assertEquals(Set.of(), broken(script, Gateway.MODULE));
   }
@@ -198,7 +198,7 @@
                         seed,
                         new Host(host) {
                           @Override
-                          public void release(long requestId) {}
+                          public void releaseState(long requestId) {}
                         }))
             .contains(5));
     assertEquals(Set.of(), broken(script, Gateway.MODULE));
--- a/simulator/src/main/java/lemondock/simulator/Reply.java
+++ b/simulator/src/main/java/lemondock/simulator/Reply.java
@@ -95,7 +95,7 @@
     }
 
     @Override
-    public void refuse(long requestId, long retryAfter) {
+    public void reject(long requestId, long retryAfter) {
       add(action(instance, NOT_NOW).putLong(requestId).putDouble(millis(retryAfter)));
     }
 
@@ -110,17 +110,17 @@
     }
 
     @Override
-    public void release(long requestId) {
+    public void releaseState(long requestId) {
       add(action(instance, DROP_STATE).putLong(requestId));
     }
 
     @Override
-    public void timer(long token, long delay) {
+    public void setTimer(long token, long delay) {
       add(action(instance, SET_ALARM).putLong(token).putDouble(millis(delay)));
     }
 
     @Override
-    public void watchServers() {
+    public void watchEndpoints() {
       add(action(instance, KEEP_INFORMED).put((byte) 1));
     }
 
--- a/simulator/src/main/java/lemondock/simulator/SettingsText.java
+++ b/simulator/src/main/java/lemondock/simulator/SettingsText.java
@@ -153,9 +153,9 @@
   private Idempotency repeat(String name) {
     String value = values.getOrDefault(name, "");
     return switch (value) {
-      case "repeatable" -> Idempotency.SAFE;
-      case "by_key" -> Idempotency.KEYED;
-      case "once" -> Idempotency.ONCE;
+      case "repeatable" -> Idempotency.IDEMPOTENT;
+      case "by_key" -> Idempotency.IDEMPOTENCY_KEY;
+      case "once" -> Idempotency.NON_IDEMPOTENT;
       default -> throw new Malformed("setting " + name + ": unknown effect '" + value + "'");
     };
   }
--- a/simulator/src/main/java/lemondock/simulator/WireHost.java
+++ b/simulator/src/main/java/lemondock/simulator/WireHost.java
@@ -33,12 +33,12 @@
   private static final AttemptOutcome[] ENDINGS = {
     AttemptOutcome.OK,
     AttemptOutcome.ERROR,
-    AttemptOutcome.FULL,
+    AttemptOutcome.REJECTED,
     AttemptOutcome.TIMEOUT,
     AttemptOutcome.CONNECT_FAILED,
     AttemptOutcome.RESET,
     AttemptOutcome.CANCELLED,
-    AttemptOutcome.MOOT
+    AttemptOutcome.ABANDONED_BEFORE_SEND
   };
   private static final int READ_CODE = 102;
   private static final int READY = 2;
@@ -46,7 +46,7 @@
   private static final int GONE = 3;
   private static final EndpointListKind[] LIST_KINDS = {
     EndpointListKind.CHANGES,
-    EndpointListKind.WHOLE,
+    EndpointListKind.FULL_LIST,
     EndpointListKind.CACHED,
     EndpointListKind.FAILED
   };
@@ -169,10 +169,10 @@
       case FLEET:
         EndpointListKind kind = listKind(body.get(at + 1) & 0xff);
         List<ServerEntry> entries = kind == EndpointListKind.FAILED ? List.of() : sheet(body, at);
-        return () -> control.servers(now, kind, entries);
+        return () -> control.endpointsChanged(now, kind, entries);
       case ACCEPT:
         RoutingRequest request = request(body, at);
-        return () -> control.request(now, request);
+        return () -> control.requestArrived(now, request);
       case ACK_FIRST:
         return () ->
             control.firstToken(
@@ -183,11 +183,11 @@
                 micros(body.getDouble(at + 15)));
       case REPLY:
         AttemptResult outcome = outcome(body, at);
-        return () -> control.outcome(now, outcome);
+        return () -> control.attemptEnded(now, outcome);
       case TIMED_OUT_CLIENT:
-        return () -> control.clientLeft(now, body.getLong(at + 1));
+        return () -> control.clientDisconnected(now, body.getLong(at + 1));
       case RING:
-        return () -> control.timer(now, body.getLong(at + 1));
+        return () -> control.timerFired(now, body.getLong(at + 1));
       case HELD_NOTE, PING_RESULT, NEIGHBOUR_SAYS:
         return () -> {}; // answers to places, probes and messages: the module asks for none
       default:
@@ -257,8 +257,8 @@
     if (code != READ_CODE && code >= ENDINGS.length) {
       throw new Malformed(where() + "unknown outcome " + code);
     }
-    AttemptOutcome ending = code == READ_CODE ? AttemptOutcome.READ : ENDINGS[code];
-    boolean counts = ending == AttemptOutcome.READ || ending == AttemptOutcome.OK;
+    AttemptOutcome ending = code == READ_CODE ? AttemptOutcome.PROMPT_READ : ENDINGS[code];
+    boolean counts = ending == AttemptOutcome.PROMPT_READ || ending == AttemptOutcome.OK;
     int detail = body.getInt(at + 26);
     return new AttemptResult(
         body.getLong(at + 1),
@@ -268,7 +268,7 @@
         micros(body.getDouble(at + 12)),
         body.get(at + 9) != 0,
         counts ? detail : 0,
-        ending == AttemptOutcome.FULL && detail == 1);
+        ending == AttemptOutcome.REJECTED && detail == 1);
   }
 
   private EndpointListKind listKind(int code) {
