--- a/clients/typescript/src/index.ts
+++ b/clients/typescript/src/index.ts
@@ -1,9 +1,16 @@
 import { randomUUID } from "node:crypto";
 import { setTimeout as sleep } from "node:timers/promises";
 import { Client } from "@modelcontextprotocol/sdk/client/index.js";
-import { StreamableHTTPClientTransport, StreamableHTTPError } from "@modelcontextprotocol/sdk/client/streamableHttp.js";
+import {
+  StreamableHTTPClientTransport,
+  StreamableHTTPError,
+} from "@modelcontextprotocol/sdk/client/streamableHttp.js";
 import { resumed } from "./resume.js";
-import { CallToolRequestSchema, CallToolResultSchema, McpError } from "@modelcontextprotocol/sdk/types.js";
+import {
+  CallToolRequestSchema,
+  CallToolResultSchema,
+  McpError,
+} from "@modelcontextprotocol/sdk/types.js";
 
 /** One message of a prompt, as the gateway's tools take them. */
 export interface Message {
@@ -98,7 +105,10 @@
   private readonly tools = new Map<string, Tool>();
   private client: Promise<Client> | undefined;
 
-  constructor(private readonly url: string | URL, private readonly options: Options = {}) {}
+  constructor(
+    private readonly url: string | URL,
+    private readonly options: Options = {},
+  ) {}
 
   /** Registers a tool for the calls that begin from now on. */
   tool(name: string, tool: Tool): this {
@@ -109,7 +119,10 @@
   /** The tools of the gateway: its request classes. */
   async list(): Promise<{ name: string; description?: string }[]> {
     const listed = await (await this.session()).listTools();
-    return listed.tools.map((t) => ({ name: t.name, ...(t.description === undefined ? {} : { description: t.description }) }));
+    return listed.tools.map((t) => ({
+      name: t.name,
+      ...(t.description === undefined ? {} : { description: t.description }),
+    }));
   }
 
   /**
@@ -127,7 +140,10 @@
         if (!error.retryable || attempt >= (this.options.retries ?? 4) || ask.signal?.aborted) {
           throw error;
         }
-        const wait = Math.min(this.options.longestWait ?? 30 * SECOND, Math.max(error.retryAfter, FIRST_WAIT * 2 ** attempt));
+        const wait = Math.min(
+          this.options.longestWait ?? 30 * SECOND,
+          Math.max(error.retryAfter, FIRST_WAIT * 2 ** attempt),
+        );
         await sleep(wait, undefined, ask.signal === undefined ? {} : { signal: ask.signal });
         ask.onRestart?.();
       }
@@ -140,7 +156,9 @@
     this.client = undefined;
     if (open !== undefined) {
       const client = await open;
-      await (client.transport as StreamableHTTPClientTransport | undefined)?.terminateSession().catch(() => undefined);
+      await (client.transport as StreamableHTTPClientTransport | undefined)
+        ?.terminateSession()
+        .catch(() => undefined);
       await client.close();
     }
   }
@@ -158,13 +176,19 @@
     client.setRequestHandler(CallToolRequestSchema, async (request) => {
       const tool = this.tools.get(request.params.name);
       if (tool === undefined) {
-        return { content: [{ type: "text", text: `there is no tool ${request.params.name}` }], isError: true };
+        return {
+          content: [{ type: "text", text: `there is no tool ${request.params.name}` }],
+          isError: true,
+        };
       }
       try {
         const text = await tool.run(request.params.arguments ?? {});
         return { content: [{ type: "text", text }], isError: false };
       } catch (e) {
-        return { content: [{ type: "text", text: e instanceof Error ? e.message : String(e) }], isError: true };
+        return {
+          content: [{ type: "text", text: e instanceof Error ? e.message : String(e) }],
+          isError: true,
+        };
       }
     });
     const transport = new StreamableHTTPClientTransport(new URL(this.url), {
@@ -174,16 +198,27 @@
           await response.body?.cancel();
           throw new Busy(Number(response.headers.get("retry-after") ?? "1") * SECOND);
         }
-        if (init?.method !== "POST" || !response.headers.get("content-type")?.startsWith("text/event-stream")) {
+        if (
+          init?.method !== "POST" ||
+          !response.headers.get("content-type")?.startsWith("text/event-stream")
+        ) {
           return response;
         }
-        return resumed(response, (lastEventId) => {
-          const headers = new Headers(init.headers);
-          headers.delete("content-type");
-          headers.set("accept", "text/event-stream");
-          headers.set("last-event-id", lastEventId);
-          return fetch(input, { method: "GET", headers, ...(init.signal ? { signal: init.signal } : {}) });
-        }, init.signal);
+        return resumed(
+          response,
+          (lastEventId) => {
+            const headers = new Headers(init.headers);
+            headers.delete("content-type");
+            headers.set("accept", "text/event-stream");
+            headers.set("last-event-id", lastEventId);
+            return fetch(input, {
+              method: "GET",
+              headers,
+              ...(init.signal ? { signal: init.signal } : {}),
+            });
+          },
+          init.signal,
+        );
       },
     });
     await client.connect(transport);
@@ -201,7 +236,9 @@
     if (offered.length > 0) {
       args.tools = offered.map((t) => ({
         name: t,
-        ...(this.tools.get(t)?.description === undefined ? {} : { description: this.tools.get(t)?.description }),
+        ...(this.tools.get(t)?.description === undefined
+          ? {}
+          : { description: this.tools.get(t)?.description }),
         inputSchema: this.tools.get(t)?.inputSchema ?? { type: "object" },
       }));
     }
@@ -232,8 +269,19 @@
   /** What an attempt ended with, in one form. Only what provably was not taken is retryable without the gateway's word. */
   private told(e: unknown, key: string): CallError {
     if (e instanceof McpError) {
-      const data = (e.data ?? {}) as { retryable?: boolean; retryAfterMs?: number; became?: string };
-      return new CallError(e.message, e.code, data.retryable === true, data.retryAfterMs ?? 0, data.became, key);
+      const data = (e.data ?? {}) as {
+        retryable?: boolean;
+        retryAfterMs?: number;
+        became?: string;
+      };
+      return new CallError(
+        e.message,
+        e.code,
+        data.retryable === true,
+        data.retryAfterMs ?? 0,
+        data.became,
+        key,
+      );
     }
     if (e instanceof Busy) {
       return new CallError(e.message, UNAVAILABLE, true, e.retryAfter, undefined, key);
--- a/clients/typescript/src/resume.ts
+++ b/clients/typescript/src/resume.ts
@@ -12,7 +12,11 @@
  *
  * @param again asks for the stream behind an event
  */
-export function resumed(first: Response, again: (lastEventId: string) => Promise<Response>, signal: AbortSignal | null | undefined): Response {
+export function resumed(
+  first: Response,
+  again: (lastEventId: string) => Promise<Response>,
+  signal: AbortSignal | null | undefined,
+): Response {
   if (first.body === null) {
     return first;
   }
@@ -65,7 +69,11 @@
             await sleep(Math.min(MOST_WAIT, FIRST_WAIT * 2 ** tries++));
             next = await again(last).catch(() => undefined);
             if (next !== undefined && (next.status !== 200 || next.body === null)) {
-              controller.error(new Error(`the stream cannot be taken up again: status ${next.status}`, { cause: broken }));
+              controller.error(
+                new Error(`the stream cannot be taken up again: status ${next.status}`, {
+                  cause: broken,
+                }),
+              );
               return;
             }
           }
