--- /dev/null
+++ b/clients/typescript/eslint.config.js
@@ -0,0 +1,20 @@
+import eslint from "@eslint/js";
+import tseslint from "typescript-eslint";
+
+export default tseslint.config(
+  { ignores: ["dist/"] },
+  eslint.configs.recommended,
+  ...tseslint.configs.recommendedTypeChecked,
+  {
+    languageOptions: {
+      parserOptions: { projectService: { allowDefaultProject: ["eslint.config.js"] } },
+    },
+    rules: {
+      // The runner of node:test waits for the tests itself.
+      "@typescript-eslint/no-floating-promises": [
+        "error",
+        { allowForKnownSafeCalls: [{ from: "package", package: "node:test", name: "test" }] },
+      ],
+    },
+  },
+);
