--- a/policy/src/main/java/lemondock/policy/Control.java
+++ b/policy/src/main/java/lemondock/policy/Control.java
@@ -6,9 +6,9 @@
 import java.util.EnumSet;
 import java.util.HashMap;
 import java.util.Iterator;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
@@ -21,219 +21,118 @@
  *
  * <p>One instance a gateway, single-threaded. A request's life runs top to bottom: it is admitted
  * or parked, read (session table, else rendezvous hash), written (two draws), and ends with one
- * final answer. The five rules are guarded in one place each: the final answer in {@link #settle},
- * repeats in {@link #mayRepeat}, drains and cold servers in {@link #open}, and held state in {@link
- * #letGo}.
+ * final answer. The five rules are guarded in one place each: the final answer in {@link
+ * #complete}, repeats in {@link #mayRepeat}, drains and cold servers in {@link #mayReceive}, and
+ * held state in {@link #releaseIfIdle}.
  */
 public final class Control implements RequestRouter {
   // Times in microseconds, lengths in tokens, shares and factors without unit.
   // ---- session affinity
-  static final long SESSION_TTL =
+  static final long SESSION_TTL_MICROS =
       60_000_000L; // idle life of a session's entry, and of a known prefix
-  static final long REAP_EVERY = 5_000_000L; // between two rounds of the reaper
-  static final int LONG_UNKEPT = 1_500; // more unkept prompt than this is for readers only
-  static final int READ_OVERHEAD = 300; // added to each read for its fixed cost
-  static final int READERS_A_HOME =
+  static final long REAP_INTERVAL_MICROS = 5_000_000L; // between two rounds of the reaper
+  static final int LONG_READ_TOKENS = 1_500; // more unkept prompt than this is for readers only
+  static final int READ_OVERHEAD_TOKENS = 300; // added to each read for its fixed cost
+  static final int READERS_PER_PRIMARY =
       8; // a prefix has one home, and one more for each so many readers
-  static final double HOME_AIM_SHARE =
+  static final double PRIMARY_OBJECTIVE_SHARE =
       0.2; // a home is kept while its read takes this share of the aim,
-  static final double HOME_TIMES_BEST = 3.0; // or this many times the best reader's
-  static final double READ_AIM_SHARE =
+  static final double PRIMARY_TIMES_BEST = 3.0; // or this many times the best reader's
+  static final double READ_OBJECTIVE_SHARE =
       0.7; // a read must end within this share of what is left of the aim
   // ---- choice of a writer
-  static final double FAR_CLEARLY = 0.7; // a far writer wins only below this share of the near load
+  static final double REMOTE_LOAD_FACTOR =
+      0.7; // a far writer wins only below this share of the near load
   // ---- admission
-  static final double LATE_FIRST =
+  static final double LATE_FIRST_TOKEN_SHARE =
       0.2; // a first token past this share of the aim: the writer has too much
-  static final double PACE_FULL =
+  static final double SATURATED_PACE =
       0.9; // streams at this share of the wanted time: the writer has no room
-  static final double ROOM_CUT =
+  static final double DECREASE_FACTOR =
       2.0; // requests of room lost with each such sign; a prompt one gains one
-  static final double ROOM_IN_USE =
+  static final double INCREASE_UTILIZATION =
       0.5; // while more than this share of what is open to it is in use
-  static final double ROOM_START =
+  static final double INITIAL_SHARE =
       1.2; // in even shares of the memory: gateways use writers unevenly
-  static final long UNTOLD_MEMORY = 100_000L; // taken for a kind of server that tells none
-  static final double LESSER_SHARE = 0.8; // of the room, open to classes worth less than the best
+  static final double LOWER_PRIORITY_SHARE =
+      0.8; // of the room, open to classes worth less than the best
   static final double OVER_QUOTA_SHARE = 0.6; // of the room, open to a tenant beyond its quota
-  static final double PARK_SHARE = 0.5; // of the aim, the longest wait for room before a refusal
-  static final int MOST_PASSED = 8; // parked requests that one look passes over
-  static final long PARK_LOOK = 50_000L; // between two looks when nothing else happens
-  static final long RETRY_ADVICE = 500_000L; // to a refused client
-  static final long SHUTDOWN_MARGIN =
+  static final double MAX_QUEUE_OBJECTIVE_SHARE =
+      0.5; // of the aim, the longest wait for room before a refusal
+  static final int MAX_SKIPPED = 8; // parked requests that one look passes over
+  static final long SCAN_INTERVAL_MICROS = 50_000L; // between two looks when nothing else happens
+  static final long RETRY_AFTER_MICROS = 500_000L; // to a refused client
+  static final long SHUTDOWN_MARGIN_MICROS =
       300_000L; // before the kill, for last answers to reach their clients
   // ---- attempts
-  static final double PATIENCE_AIM_SHARE =
+  static final double TIMEOUT_OBJECTIVE_SHARE =
       0.9; // an attempt is overdue past this share of the aim's rest
-  static final double PATIENCE_TIMES = 2.0; // and after this many times what it should take,
-  static final double PATIENCE_WAITS = 5.0; // with this many times what its role's work waits now
-  static final double SUSPECT_SHARE = 0.8; // of the time to calling off: its answer may be lost
-  static final double RETRY_EARNED =
+  static final double TIMEOUT_EXPECTED_FACTOR =
+      2.0; // and after this many times what it should take,
+  static final double TIMEOUT_WAIT_FACTOR =
+      5.0; // with this many times what its role's work waits now
+  static final double SUSPECT_TIMEOUT_SHARE =
+      0.8; // of the time to calling off: its answer may be lost
+  static final double TOKENS_PER_REQUEST =
       0.3; // extra attempts for each request: no storm when all is slow
-  static final double RETRY_MOST = 5.0; // extra attempts saved up at most
+  static final double MAX_TOKENS = 5.0; // extra attempts saved up at most
   // ---- health
-  static final double OUTCOME_KEPT = 0.7; // weight of a server's older outcomes at each new one
-  static final double OUTCOME_PRIOR = 2.0; // outcomes of the role that stand in for unseen ones
-  static final double SUSPECT_FAILURES =
+  static final double OLDER_OUTCOMES_WEIGHT =
+      0.7; // weight of a server's older outcomes at each new one
+  static final double PRIOR_OUTCOMES = 2.0; // outcomes of the role that stand in for unseen ones
+  static final double EJECTION_EXCESS =
       0.3; // share of failures above the role's that makes a suspect
-  static final double TRIAL_FAILURES = 0.12; // above it one unanswered attempt at a time
+  static final double TRIAL_EXCESS = 0.12; // above it one unanswered attempt at a time
   static final double PACE_WEIGHT = 0.15; // of a new stream in a server's pace
   static final double WAIT_WEIGHT = 0.5; // of a new wait in a server's
-  static final double ROLE_WEIGHT = 0.1; // of a new outcome or wait in those of the role
   static final double FASTER_WEIGHT = 0.3; // of a quicker case in what a thing takes unhindered,
   static final double SLOWER_TIMES = 1.1; // and its growth at each slower one
-  static final double UNSEEN_PER_TOKEN = 100; // time to read a token, until reads have been seen
-  static final double UNSEEN_FIRST = 50_000; // the same for a first token at a writer
-  static final long FULL_WAIT =
+  static final long REJECTED_WAIT_MICROS =
       1_000_000L; // the wait that a server without a free place stands for
-  static final long FORGIVE = 8_000_000L; // outcomes fade by 1/e: a suspect is tried again
-  static final long WAIT_FADE = 10_000_000L; // waits fade by 1/e
+  static final long SCORE_DECAY_MICROS =
+      8_000_000L; // outcomes fade by 1/e: a suspect is tried again
+  static final long WAIT_DECAY_MICROS = 10_000_000L; // waits fade by 1/e
   // ---- cold servers
-  static final double COLD_CAUTION = 0.85; // of the rate that a cold server bears before it falls
-  static final double SPEED_LEAST = 0.1; // of a cold server, where the settings promise less
-  static final double WORK_LEAST =
+  static final double SAFETY_FACTOR = 0.85; // of the rate that a cold server bears before it falls
+  static final double MIN_SPEED = 0.1; // of a cold server, where the settings promise less
+  static final double MIN_REQUEST_COST =
       0.2; // of a mean request, what the smallest counts against a cold server
-  static final double COLD_LEAST =
+  static final double MIN_REQUESTS_PER_SECOND =
       1.0; // requests a second to a cold server from all gateways together
-  static final long RATE_MEMORY = 15_000_000L; // of the counts of answers and requests
 
-  enum Timer {
-    DEADLINE,
-    PARK,
-    REAP,
-    LOOK,
-    WATCH,
-    HELD
-  }
-
-  private static final Timer[] TIMERS = Timer.values();
   private static final Set<AttemptOutcome> NEVER_RAN =
       EnumSet.of(
           AttemptOutcome.REJECTED,
           AttemptOutcome.CONNECT_FAILED,
           AttemptOutcome.ABANDONED_BEFORE_SEND);
-  private static final Comparator<Flight> WORTH_THEN_AGE =
-      Comparator.<Flight>comparingDouble(f -> -f.cls.priorityWeight())
-          .thenComparing(f -> f.arrivedAt)
-          .thenComparing(f -> f.request.id());
+  private static final Comparator<InFlightRequest> PRIORITY_THEN_AGE =
+      Comparator.<InFlightRequest>comparingDouble(request -> -request.requestClass.priorityWeight())
+          .thenComparing(request -> request.arrivedAtMicros)
+          .thenComparing(InFlightRequest::id);
 
   private final RouterSettings settings;
   private final RouterHost host;
   private final SplittableRandom random;
-  private final Map<Long, Server> servers = new TreeMap<>();
-  private List<Server> readers = List.of(); // the ready ones, mixed servers among them
-  private List<Server> writers = List.of();
-  private final Map<Long, Flight> flights = new HashMap<>();
-  private final Map<Long, Session> sessions = new HashMap<>();
-  private final TreeSet<Flight> parked = new TreeSet<>(WORTH_THEN_AGE);
-  private final Map<ServerRole, RoleFigures> figures = new EnumMap<>(ServerRole.class);
-  private final List<Rate> tenantRates;
-  private final double[] newTokens; // usual in each class, 0 while unknown
+  private final Map<Long, ServerState> servers = new TreeMap<>();
+  private List<ServerState> readers = List.of(); // the ready ones, mixed servers among them
+  private List<ServerState> writers = List.of();
+  private final Map<Long, InFlightRequest> inFlight = new HashMap<>();
+  private final Map<Long, SessionEntry> sessions = new HashMap<>();
+  private final TreeSet<InFlightRequest> queue = new TreeSet<>(PRIORITY_THEN_AGE);
+  private final Map<ServerRole, RoleStatistics> statisticsByRole = new EnumMap<>(ServerRole.class);
+  private final List<DecayingCounter> tenantRates;
+  private final double[] usualNewTokens; // usual in each class, 0 while unknown
   private final boolean
       mixedFleet; // writers of two roles: the pace of one role sends work to the other
-  private double retries = RETRY_MOST;
-  private double meanTokens; // of a request, prompt and answer
-  private long tokensUnderWay;
-  private long tokensWriting;
-  private double room;
-  private boolean lookSet;
-  private long heldTimerAt = Long.MAX_VALUE;
+  private double retryTokens = MAX_TOKENS;
+  private double meanRequestTokens; // of a request, prompt and answer
+  private long tokensInFlight;
+  private long writeTokensInFlight;
+  private double capacityShare;
+  private boolean scanScheduled;
+  private long releaseTimerAt = Long.MAX_VALUE;
   private long killedAt = Long.MAX_VALUE;
-  private long now;
-
-  /** One server: what the list says and what this gateway has seen of it. */
-  private static final class Server {
-    ServerEntry info;
-    ServerLifecycle standing;
-    ServerKind kind;
-    RoleFigures role;
-    long readTokens;
-    long writeTokens;
-    double failed;
-    double worked;
-    double wait;
-    long waitAt;
-    long newestAnswered;
-    long answeredAt;
-    long scoredAt;
-    double pace;
-    final Rate answers = new Rate();
-    double credit;
-    long creditAt;
-    double rank; // for the request at hand
-    final Map<Long, Long> prefixes = new HashMap<>();
-    final LinkedHashSet<Attempt> unanswered = new LinkedHashSet<>();
-  }
-
-  private static final class Attempt {
-    Server server;
-    boolean reads;
-    boolean writes;
-    long sentAt;
-    long expected;
-    long overdueAt;
-    long lookedAt;
-    long tokens;
-    long unkept;
-    long readAtSend;
-    long writingAtSend;
-    long firstTook;
-    boolean ended;
-    boolean calledOff;
-    boolean failed;
-    boolean neverRan;
-  }
-
-  private static final class Flight {
-    RoutingRequest request;
-    RequestClass cls;
-    long arrivedAt;
-    long aim;
-    long answerTokens;
-    Server stateAt;
-    HeldState held;
-    Session session;
-    double luck;
-    boolean ended;
-    boolean streaming;
-    int out;
-    Attempt mayHaveRun;
-    final List<Attempt> attempts = new ArrayList<>();
-
-    long writeTokens() {
-      return request.promptTokens() + answerTokens;
-    }
-  }
-
-  /** Where a session's earlier turns were read. */
-  private record Session(long serverId, int keptTokens, long usedAt) {}
-
-  /** A fading count of events. */
-  private static final class Rate {
-    double count;
-    long at;
-
-    void add(long now) {
-      count = 1 + faded(count, now - at, RATE_MEMORY);
-      at = now;
-    }
-
-    double perSecond(long now) {
-      return faded(count, now - at, RATE_MEMORY) * 1e6 / RATE_MEMORY;
-    }
-  }
-
-  /** What all servers of one role have shown: the stand-in for what is not known of one. */
-  private static final class RoleFigures {
-    double warmRate;
-    long warmRateAt = Long.MIN_VALUE;
-    double perReadToken = UNSEEN_PER_TOKEN;
-    double firstToken = UNSEEN_FIRST;
-    double failing;
-    double pace;
-    double wait;
-    int waits;
-  }
+  private final DecisionClock clock = new DecisionClock();
 
   /**
    * One gateway's module, its seed the only chance; an IllegalArgumentException names bad settings.
@@ -246,18 +145,19 @@
         !settings.classes().isEmpty() && !settings.serverKinds().isEmpty(),
         "no classes or no kinds");
     require(settings.limits().maxAttempts() > 0, "no attempt is allowed");
-    for (RequestClass c : settings.classes()) {
+    for (RequestClass requestClass : settings.classes()) {
       require(
-          c.latencyObjectiveMicros() > 0 && c.deadlineMicros() >= c.latencyObjectiveMicros(),
+          requestClass.latencyObjectiveMicros() > 0
+              && requestClass.deadlineMicros() >= requestClass.latencyObjectiveMicros(),
           "a class's deadline lies before its aim");
     }
     for (ServerRole role : ServerRole.values()) {
-      figures.put(role, new RoleFigures());
+      statisticsByRole.put(role, new RoleStatistics());
     }
-    mixedFleet = settings.serverKinds().stream().anyMatch(k -> k.role() == ServerRole.MIXED);
-    newTokens = new double[settings.classes().size()];
-    room = Math.min(1, ROOM_START / Math.max(1, settings.gatewayCount()));
-    tenantRates = settings.tenants().stream().map(t -> new Rate()).toList();
+    mixedFleet = settings.serverKinds().stream().anyMatch(kind -> kind.role() == ServerRole.MIXED);
+    usualNewTokens = new double[settings.classes().size()];
+    capacityShare = Math.min(1, INITIAL_SHARE / Math.max(1, settings.gatewayCount()));
+    tenantRates = settings.tenants().stream().map(tenant -> new DecayingCounter()).toList();
   }
 
   private static void require(boolean holds, String what) {
@@ -268,171 +168,188 @@
 
   // ==== events
   @Override
-  public void started(long at) {
-    now = at;
-    host.setTimer(token(0, Timer.REAP), REAP_EVERY);
+  public void started(long nowMicros) {
+    clock.advanceTo(nowMicros);
+    host.setTimer(RequestTimer.REAP_SESSIONS.token(), REAP_INTERVAL_MICROS);
     if (settings.limits().pollsEndpointList()) {
       host.watchEndpoints();
     }
   }
 
   @Override
-  public void endpointsChanged(long at, EndpointListKind kind, List<ServerEntry> entries) {
-    now = at;
+  public void endpointsChanged(long nowMicros, EndpointListKind kind, List<ServerEntry> entries) {
+    clock.advanceTo(nowMicros);
     if (kind == EndpointListKind.FAILED) {
       host.watchEndpoints();
       return;
     }
     if (kind != EndpointListKind.CHANGES) {
-      servers.values().forEach(s -> s.standing = ServerLifecycle.GONE);
+      servers.values().forEach(server -> server.lifecycle = ServerLifecycle.GONE);
     }
-    figures.values().forEach(role -> role.warmRateAt = Long.MIN_VALUE);
-    entries.forEach(this::list);
-    servers.values().removeIf(s -> s.standing == ServerLifecycle.GONE && s.unanswered.isEmpty());
-    readers = readyBut(ServerRole.WRITER);
-    writers = readyBut(ServerRole.READER);
-    admitParked();
+    statisticsByRole.values().forEach(RoleStatistics::invalidateWarmRate);
+    entries.forEach(this::updateServer);
+    servers
+        .values()
+        .removeIf(
+            server ->
+                server.lifecycle == ServerLifecycle.GONE && server.unansweredAttempts.isEmpty());
+    readers = readyExceptRole(ServerRole.WRITER);
+    writers = readyExceptRole(ServerRole.READER);
+    dispatchQueued();
   }
 
   @Override
-  public void requestArrived(long at, RoutingRequest request) {
-    now = at;
-    Flight f = new Flight();
-    f.request = request;
-    f.cls = settings.classes().get(request.classId());
-    f.held = new HeldState(settings.rules().releaseWithinMicros());
-    f.arrivedAt = now;
-    f.luck = random.nextDouble();
-    f.aim =
-        f.cls.latencyObjectiveMicros()
-            + f.cls.objectiveMicrosPerThousandTokens() * request.promptTokens() / 1000;
-    f.answerTokens =
-        request.expectedWriteMicros() > 0 && f.cls.tokenIntervalObjectiveMicros() > 0
-            ? Math.max(1, request.expectedWriteMicros() / f.cls.tokenIntervalObjectiveMicros())
-            : Math.max(1, request.maxAnswerTokens() / 2);
-    flights.put(request.id(), f);
-    meanTokens += (meanTokens == 0 ? 1 : ROLE_WEIGHT) * (f.writeTokens() - meanTokens);
-    retries = Math.min(RETRY_MOST, retries + RETRY_EARNED);
-    if (request.tenantId() < tenantRates.size() && !request.clientRetry()) {
-      tenantRates.get(request.tenantId()).add(now);
-    }
-    long rest = Math.max(0, request.clientTimeoutMicros() - settings.timerResolutionMicros());
-    host.setTimer(token(request.id(), Timer.DEADLINE), rest);
-    if (endsLate(f)) {
-      settle(f, DecisionReason.SHUTTING_DOWN);
-    } else if (!admits(f) || !read(f)) {
-      park(f);
+  public void requestArrived(long nowMicros, RoutingRequest attributes) {
+    clock.advanceTo(nowMicros);
+    InFlightRequest request =
+        new InFlightRequest(
+            attributes,
+            settings.classes().get(attributes.classId()),
+            clock.nowMicros(),
+            new ReservedState(settings.rules().releaseWithinMicros()),
+            random.nextDouble());
+    inFlight.put(attributes.id(), request);
+    meanRequestTokens +=
+        (meanRequestTokens == 0 ? 1 : RoleStatistics.WEIGHT)
+            * (request.writeTokens() - meanRequestTokens);
+    retryTokens = Math.min(MAX_TOKENS, retryTokens + TOKENS_PER_REQUEST);
+    if (attributes.tenantId() < tenantRates.size() && !attributes.clientRetry()) {
+      tenantRates.get(attributes.tenantId()).add(clock.nowMicros());
+    }
+    long timeoutMicros =
+        Math.max(0, attributes.clientTimeoutMicros() - settings.timerResolutionMicros());
+    host.setTimer(RequestTimer.DEADLINE.token(attributes.id()), timeoutMicros);
+    if (endsAfterShutdown(request)) {
+      complete(request, DecisionReason.SHUTTING_DOWN);
+    } else if (!admits(request) || !dispatchRead(request)) {
+      enqueue(request);
     }
   }
 
   @Override
-  public void shutdownStarted(long at, long until) {
-    now = at;
-    killedAt = until;
-    long left = Math.max(0, until - SHUTDOWN_MARGIN - now); // none may be cut off without an answer
-    flights.keySet().forEach(id -> host.setTimer(token(id, Timer.DEADLINE), left));
+  public void shutdownStarted(long nowMicros, long killedAtMicros) {
+    clock.advanceTo(nowMicros);
+    killedAt = killedAtMicros;
+    long left =
+        Math.max(
+            0,
+            killedAtMicros
+                - SHUTDOWN_MARGIN_MICROS
+                - clock.nowMicros()); // none may be cut off without an answer
+    inFlight.keySet().forEach(id -> host.setTimer(RequestTimer.DEADLINE.token(id), left));
   }
 
   /**
    * Whether the longest answer, begun as late as may be, goes on at the wanted pace beyond the
    * kill.
    */
-  private boolean endsLate(Flight f) {
+  private boolean endsAfterShutdown(InFlightRequest request) {
     long longest =
-        f.request.clientTimeoutMicros()
-            + f.request.maxAnswerTokens() * f.cls.tokenIntervalObjectiveMicros();
-    return killedAt < Long.MAX_VALUE && now + longest > killedAt;
+        request.attributes.clientTimeoutMicros()
+            + request.attributes.maxAnswerTokens()
+                * request.requestClass.tokenIntervalObjectiveMicros();
+    return killedAt < Long.MAX_VALUE && clock.nowMicros() + longest > killedAt;
   }
 
   @Override
-  public void firstToken(long at, long requestId, int attempt, long serverId, long took) {
-    now = at;
-    Flight f = flights.get(requestId);
-    if (f == null || attempt >= f.attempts.size()) {
+  public void firstToken(
+      long nowMicros,
+      long requestId,
+      int attemptNumber,
+      long serverId,
+      long timeToFirstTokenMicros) {
+    clock.advanceTo(nowMicros);
+    InFlightRequest request = inFlight.get(requestId);
+    if (request == null || attemptNumber >= request.attempts.size()) {
       return;
     }
-    final Attempt a = f.attempts.get(attempt);
-    f.streaming = true;
-    f.stateAt = null;
-    f.held.taken();
-    a.firstTook = Math.max(1, took);
-    answered(a, true);
-    learnFirst(f, a, took);
-    if (a.reads) {
-      remember(f, a.server);
+    final Attempt attempt = request.attempts.get(attemptNumber);
+    request.streaming = true;
+    request.stateHolder = null;
+    request.reservedState.cleared();
+    attempt.timeToFirstTokenMicros = Math.max(1, timeToFirstTokenMicros);
+    recordAnswer(attempt, true);
+    recordFirstToken(request, attempt, timeToFirstTokenMicros);
+    if (attempt.reads()) {
+      remember(request, attempt.server);
     }
-    admitParked();
+    dispatchQueued();
   }
 
   @Override
-  public void attemptEnded(long at, AttemptResult o) {
-    now = at;
-    Flight f = flights.get(o.requestId());
-    if (f == null || o.attempt() >= f.attempts.size() || f.attempts.get(o.attempt()).ended) {
+  public void attemptEnded(long nowMicros, AttemptResult result) {
+    clock.advanceTo(nowMicros);
+    InFlightRequest request = inFlight.get(result.requestId());
+    if (request == null
+        || result.attempt() >= request.attempts.size()
+        || request.attempts.get(result.attempt()).ended) {
       return;
     }
-    Attempt a = f.attempts.get(o.attempt());
-    account(f, a, o);
-    f.ended |= o.requestEnded();
-    f.streaming &=
-        a.firstTook == 0; // a stream that ends without ending its request leaves it unanswered
-    if (o.outcome() == AttemptOutcome.PROMPT_READ) {
-      f.stateAt = a.server;
-      f.held.readAnswered(now);
-    } else if (o.outcome() == AttemptOutcome.OK || o.stateMissing()) {
-      f.held.taken();
-    } else if (a.reads && !a.writes) {
-      f.held.readFailed(now, a.neverRan);
+    Attempt attempt = request.attempts.get(result.attempt());
+    recordEnd(request, attempt, result);
+    request.ended |= result.requestEnded();
+    request.streaming &=
+        attempt.timeToFirstTokenMicros
+            == 0; // a stream that ends without ending its request leaves it unanswered
+    if (result.outcome() == AttemptOutcome.PROMPT_READ) {
+      request.stateHolder = attempt.server;
+      request.reservedState.readAnswered(clock.nowMicros());
+    } else if (result.outcome() == AttemptOutcome.OK || result.stateMissing()) {
+      request.reservedState.cleared();
+    } else if (attempt.reads() && !attempt.writes()) {
+      request.reservedState.readFailed(clock.nowMicros(), attempt.neverRan);
     } else {
-      f.held.writeFailed(now);
+      request.reservedState.writeFailed(clock.nowMicros());
     }
-    if (f.ended || f.streaming) {
-      letGo(f);
+    if (request.ended || request.streaming) {
+      releaseIfIdle(request);
     } else {
-      next(f);
-      awaitHeld(f);
+      continueRequest(request);
+      scheduleRelease(request);
     }
-    forget(f);
-    admitParked();
+    removeIfEnded(request);
+    dispatchQueued();
   }
 
   @Override
-  public void clientDisconnected(long at, long requestId) {
-    now = at;
-    Flight f = flights.get(requestId);
-    if (f != null && !f.ended) {
-      f.ended = true;
-      withdraw(f);
+  public void clientDisconnected(long nowMicros, long requestId) {
+    clock.advanceTo(nowMicros);
+    InFlightRequest request = inFlight.get(requestId);
+    if (request != null && !request.ended) {
+      request.ended = true;
+      cancelAttempts(request);
     }
   }
 
   @Override
-  public void timerFired(long at, long token) {
-    now = at;
-    Timer kind = TIMERS[(int) (token % TIMERS.length)];
-    Flight f = flights.get(token / TIMERS.length);
-    if (kind == Timer.REAP) {
+  public void timerFired(long nowMicros, long token) {
+    clock.advanceTo(nowMicros);
+    RequestTimer kind = RequestTimer.kindOf(token);
+    InFlightRequest request = inFlight.get(RequestTimer.requestIdOf(token));
+    if (kind == RequestTimer.REAP_SESSIONS) {
       reap();
-    } else if (kind == Timer.LOOK) {
-      lookSet = false;
-      admitParked();
-    } else if (kind == Timer.HELD) {
-      releaseWhatIsDue();
-    } else if (f == null || f.ended || f.streaming) {
+    } else if (kind == RequestTimer.QUEUE_SCAN) {
+      scanScheduled = false;
+      dispatchQueued();
+    } else if (kind == RequestTimer.STATE_RELEASE) {
+      releaseDue();
+    } else if (request == null || request.ended || request.streaming) {
       return;
-    } else if (kind == Timer.WATCH) {
-      lookAfter(f);
-    } else if (kind == Timer.DEADLINE || parked.contains(f)) {
-      settle(
-          f,
-          kind == Timer.DEADLINE ? DecisionReason.DEADLINE_EXCEEDED : DecisionReason.QUEUE_TIMEOUT);
+    } else if (kind == RequestTimer.ATTEMPT_TIMEOUT) {
+      attemptTimerFired(request);
+    } else if (kind == RequestTimer.DEADLINE || queue.contains(request)) {
+      complete(
+          request,
+          kind == RequestTimer.DEADLINE
+              ? DecisionReason.DEADLINE_EXCEEDED
+              : DecisionReason.QUEUE_TIMEOUT);
     }
   }
 
   // ==== the list of servers
-  private List<Server> readyBut(ServerRole role) {
+  private List<ServerState> readyExceptRole(ServerRole role) {
     return servers.values().stream()
-        .filter(s -> s.standing == ServerLifecycle.READY && s.kind.role() != role)
+        .filter(server -> server.isReady() && server.role() != role)
         .toList();
   }
 
@@ -440,19 +357,17 @@
    * A new process knows nothing and nothing is known of it; what is under way still counts for the
    * old.
    */
-  private void list(ServerEntry entry) {
+  private void updateServer(ServerEntry entry) {
     require(entry.kind() < settings.serverKinds().size(), "server of an unknown kind");
-    Server s = servers.get(entry.id());
-    if (s == null || s.info.startedAtMicros() != entry.startedAtMicros()) {
-      s = new Server();
-      s.kind = settings.serverKinds().get(entry.kind());
-      s.role = figures.get(s.kind.role());
-      s.credit = random.nextDouble();
-      s.creditAt = now;
-      servers.put(entry.id(), s);
+    ServerState server = servers.get(entry.id());
+    if (server == null || server.entry.startedAtMicros() != entry.startedAtMicros()) {
+      ServerKind kind = settings.serverKinds().get(entry.kind());
+      RoleStatistics statistics = statisticsByRole.get(kind.role());
+      server = new ServerState(kind, statistics, random.nextDouble(), clock.nowMicros());
+      servers.put(entry.id(), server);
     }
-    s.info = entry;
-    s.standing = entry.lifecycle();
+    server.entry = entry;
+    server.lifecycle = entry.lifecycle();
   }
 
   // ==== admission
@@ -462,72 +377,80 @@
    * sees each too rarely. Guards against overload, bursts, shared slowness and lost writers; could
    * harm where first tokens are late for another cause, until prompt ones let it grow back.
    */
-  private boolean admits(Flight f) {
-    return tokensUnderWay == 0
-        || tokensUnderWay + f.writeTokens() <= room * memory() * openShare(f);
+  private boolean admits(InFlightRequest request) {
+    return tokensInFlight == 0
+        || tokensInFlight + request.writeTokens()
+            <= capacityShare * memoryTokens() * allowedShare(request);
   }
 
-  private double memory() {
-    return Math.max(1, preferred(writers, this::healthy).stream().mapToLong(Control::memory).sum());
-  }
-
-  private static long memory(Server s) {
-    return s.kind.memoryTokens() > 0 ? s.kind.memoryTokens() : UNTOLD_MEMORY;
+  private double memoryTokens() {
+    return Math.max(
+        1, preferred(writers, this::isHealthy).stream().mapToLong(ServerState::memoryTokens).sum());
   }
 
   /**
    * Under pressure the classes of less worth, and tenants beyond their share, are turned away
    * first.
    */
-  private double openShare(Flight f) {
-    int tenant = f.request.tenantId();
+  private double allowedShare(InFlightRequest request) {
+    int tenant = request.attributes.tenantId();
     if (tenant < tenantRates.size()) {
       double quota = settings.tenants().get(tenant).quotaPerSecond();
-      if (quota > 0 && tenantRates.get(tenant).perSecond(now) * settings.gatewayCount() > quota) {
+      if (quota > 0
+          && tenantRates.get(tenant).perSecond(clock.nowMicros()) * settings.gatewayCount()
+              > quota) {
         return OVER_QUOTA_SHARE;
       }
     }
-    return settings.classes().stream().anyMatch(c -> c.priorityWeight() > f.cls.priorityWeight())
-        ? LESSER_SHARE
+    return settings.classes().stream()
+            .anyMatch(
+                requestClass ->
+                    requestClass.priorityWeight() > request.requestClass.priorityWeight())
+        ? LOWER_PRIORITY_SHARE
         : 1;
   }
 
   /** Waiting here costs no server anything and holds no state; it ends in time for another try. */
-  private void park(Flight f) {
-    parked.add(f);
-    host.trace(f.request.id(), DecisionReason.QUEUED);
+  private void enqueue(InFlightRequest request) {
+    queue.add(request);
+    host.trace(request.id(), DecisionReason.QUEUED);
     long wait =
-        Math.min((long) (f.aim * PARK_SHARE), f.request.clientTimeoutMicros() / 2)
-            - (now - f.arrivedAt);
-    host.setTimer(token(f.request.id(), Timer.PARK), Math.max(0, wait));
-    visitState();
+        Math.min(
+                (long) (request.objectiveMicros * MAX_QUEUE_OBJECTIVE_SHARE),
+                request.attributes.clientTimeoutMicros() / 2)
+            - (clock.nowMicros() - request.arrivedAtMicros);
+    host.setTimer(RequestTimer.QUEUE_TIMEOUT.token(request.id()), Math.max(0, wait));
+    scheduleScan();
   }
 
-  private void visitState() {
-    if (!lookSet && !parked.isEmpty()) {
-      lookSet = true;
-      host.setTimer(token(0, Timer.LOOK), PARK_LOOK);
+  private void scheduleScan() {
+    if (!scanScheduled && !queue.isEmpty()) {
+      scanScheduled = true;
+      host.setTimer(RequestTimer.QUEUE_SCAN.token(), SCAN_INTERVAL_MICROS);
     }
   }
 
   @Override
-  public void visitState(long at, RouterStateVisitor sight) {
-    now = Math.max(now, at);
-    servers.forEach((id, s) -> sight.server(id, s.kind.role(), s.standing, cold(s), healthy(s)));
-    sight.totals(parked.size(), tokensUnderWay, Math.round(room * memory()));
-  }
-
-  private void admitParked() {
-    Iterator<Flight> waiting = parked.iterator();
-    for (int passed = 0; waiting.hasNext() && passed < MOST_PASSED; ) {
-      Flight f = waiting.next();
-      if (admits(f) && read(f)) {
+  public void visitState(long nowMicros, RouterStateVisitor visitor) {
+    clock.advanceTo(Math.max(clock.nowMicros(), nowMicros));
+    servers.forEach(
+        (id, server) ->
+            visitor.server(
+                id, server.role(), server.lifecycle, isWarmingUp(server), isHealthy(server)));
+    visitor.totals(queue.size(), tokensInFlight, Math.round(capacityShare * memoryTokens()));
+  }
+
+  private void dispatchQueued() {
+    Iterator<InFlightRequest> waiting = queue.iterator();
+    for (int passed = 0; waiting.hasNext() && passed < MAX_SKIPPED; ) {
+      InFlightRequest request = waiting.next();
+      if (admits(request) && dispatchRead(request)) {
         waiting.remove();
       } else {
         passed++;
       }
     }
-    visitState();
+    scheduleScan();
   }
 
   // ==== the read
@@ -535,13 +458,15 @@
    * Sends the request to its reader; false if none can take it now, or, by chance, if it would be
    * late.
    */
-  private boolean read(Flight f) {
-    Option o = pickReader(f);
-    double left = (f.aim - (now - f.arrivedAt)) * READ_AIM_SHARE;
-    if (o == null || o.expected * f.luck > left) {
+  private boolean dispatchRead(InFlightRequest request) {
+    ReadOption option = select(request);
+    double left =
+        (request.objectiveMicros - (clock.nowMicros() - request.arrivedAtMicros))
+            * READ_OBJECTIVE_SHARE;
+    if (option == null || option.expectedMicros() * request.lateReadThreshold > left) {
       return false;
     }
-    send(f, o.server, true, o.server.kind.role() == ServerRole.MIXED, o.unkept, o.expected);
+    send(request, option.plan());
     return true;
   }
 
@@ -551,16 +476,22 @@
    * against a hot prefix, a slow or jammed reader and forgotten text; could harm by reading a text
    * twice too often.
    */
-  private Option pickReader(Flight f) {
-    List<Option> options = options(f);
-    double aimed = f.aim * HOME_AIM_SHARE;
-    if (options.stream().anyMatch(o -> o.suits && o.expected <= aimed)) {
-      options.removeIf(o -> !o.suits); // else readers are jammed and mixed servers help out
-    }
-    double best = options.stream().mapToDouble(o -> o.expected).min().orElse(0);
-    options.removeIf(o -> o.expected > Math.max(best * HOME_TIMES_BEST, aimed));
+  private ReadOption select(InFlightRequest request) {
+    List<ReadOption> options = rankedOptions(request);
+    double primaryMicros = request.objectiveMicros * PRIMARY_OBJECTIVE_SHARE;
+    if (options.stream()
+        .anyMatch(option -> option.suitable && option.expectedMicros() <= primaryMicros)) {
+      options.removeIf(
+          option -> !option.suitable); // else readers are jammed and mixed servers help out
+    }
+    double best = options.stream().mapToDouble(option -> option.expectedMicros()).min().orElse(0);
+    options.removeIf(
+        option -> option.expectedMicros() > Math.max(best * PRIMARY_TIMES_BEST, primaryMicros));
     return options.stream()
-        .filter(o -> f.session != null && f.session.serverId() == o.server.info.id())
+        .filter(
+            option ->
+                request.session.isPresent()
+                    && request.session.get().serverId() == option.server().id())
         .findFirst()
         .orElse(options.isEmpty() ? null : options.get(0));
   }
@@ -570,15 +501,19 @@
    * which is too much for one reader if popular; a session picks by its own hash, so that all
    * gateways pick alike.
    */
-  private List<Option> options(Flight f) {
-    f.session = sessions.get(f.request.sessionId());
-    List<Server> ranked = new ArrayList<>(candidates(f, readers));
-    rank(ranked, f.request.prefixId() != 0 ? f.request.prefixId() : f.request.sessionId());
-    int homes = Math.min(ranked.size(), 1 + ranked.size() / READERS_A_HOME);
-    rank(ranked.subList(0, homes), f.request.sessionId());
-    List<Option> options = new ArrayList<>();
-    for (Server s : ranked) {
-      options.add(option(f, s, options.size(), homes));
+  private List<ReadOption> rankedOptions(InFlightRequest request) {
+    request.session = Optional.ofNullable(sessions.get(request.attributes.sessionId()));
+    List<ServerState> ranked = new ArrayList<>(candidates(request, readers));
+    rankByHash(
+        ranked,
+        request.attributes.prefixId() != 0
+            ? request.attributes.prefixId()
+            : request.attributes.sessionId());
+    int primaryCount = Math.min(ranked.size(), 1 + ranked.size() / READERS_PER_PRIMARY);
+    rankByHash(ranked.subList(0, primaryCount), request.attributes.sessionId());
+    List<ReadOption> options = new ArrayList<>();
+    for (ServerState server : ranked) {
+      options.add(option(request, server, options.size(), primaryCount));
     }
     return options;
   }
@@ -587,13 +522,16 @@
    * Weighted rendezvous hashing: a cold server is first for its speed's part of the keys,
    * everywhere.
    */
-  private void rank(List<Server> some, long key) {
-    some.forEach(s -> s.rank = -Math.log(unit(mix(key ^ mix(s.info.id())))) / speed(s));
-    some.sort(Comparator.comparingDouble(s -> s.rank));
+  private void rankByHash(List<ServerState> some, long key) {
+    some.forEach(
+        server ->
+            server.hashRank =
+                -Math.log(unitInterval(mix(key ^ mix(server.id())))) / relativeSpeed(server));
+    some.sort(Comparator.comparingDouble(server -> server.hashRank));
   }
 
   /** A hash as a number between 0 and 1, neither of them, the smaller the larger the hash. */
-  private static double unit(long hash) {
+  private static double unitInterval(long hash) {
     return 1 - ((hash - Long.MIN_VALUE >>> 12) + 0.5) * 0x1p-52;
   }
 
@@ -601,26 +539,46 @@
    * A server that could read, the tokens that it has probably not kept, and what the read should
    * take.
    */
-  private record Option(Server server, long unkept, long expected, boolean suits) {}
+  private record ReadOption(AttemptPlan plan, boolean suitable) {
+    ServerState server() {
+      return plan.server();
+    }
+
+    long expectedMicros() {
+      return plan.expectedMicros();
+    }
+  }
 
   /**
    * A mixed server suits short reads only, and only while it has room to write the answer in place.
    */
-  private Option option(Flight f, Server s, int place, int homes) {
-    long unkept = unkept(s, f, place == 0, place < homes) + READ_OVERHEAD;
-    double reading = s.role.perReadToken * (s.readTokens + unkept) / speed(s);
-    return new Option(
-        s,
-        unkept,
-        (long) (waiting(s) + reading),
-        s.kind.role() == ServerRole.READER || unkept <= LONG_UNKEPT && hasRoom(s, f));
-  }
-
-  private boolean hasRoom(Server s, Flight f) {
-    double pace = mixedFleet ? Math.max(s.pace, s.role.pace) : s.pace;
-    return pace < PACE_FULL
-        && waiting(s) <= f.aim * LATE_FIRST
-        && (s.writeTokens == 0 || s.writeTokens + f.writeTokens() <= room * memory(s));
+  private ReadOption option(
+      InFlightRequest request, ServerState server, int rank, int primaryCount) {
+    long uncachedTokens =
+        uncachedTokens(server, request, rank == 0, rank < primaryCount) + READ_OVERHEAD_TOKENS;
+    double reading =
+        server.roleStatistics.microsPerReadToken
+            * (server.readTokensInFlight + uncachedTokens)
+            / relativeSpeed(server);
+    boolean mixed = server.role() == ServerRole.MIXED;
+    AttemptWork work = mixed ? AttemptWork.READ_AND_WRITE : AttemptWork.READ;
+    long expectedMicros = (long) (estimatedWaitMicros(server) + reading);
+    boolean suitable =
+        server.role() == ServerRole.READER
+            || uncachedTokens <= LONG_READ_TOKENS && hasCapacity(server, request);
+    return new ReadOption(new AttemptPlan(server, work, uncachedTokens, expectedMicros), suitable);
+  }
+
+  private boolean hasCapacity(ServerState server, InFlightRequest request) {
+    double pace =
+        mixedFleet
+            ? Math.max(server.streamPace, server.roleStatistics.streamPace)
+            : server.streamPace;
+    return pace < SATURATED_PACE
+        && estimatedWaitMicros(server) <= request.objectiveMicros * LATE_FIRST_TOKEN_SHARE
+        && (server.writeTokensInFlight == 0
+            || server.writeTokensInFlight + request.writeTokens()
+                <= capacityShare * server.memoryTokens());
   }
 
   private static long mix(long x) {
@@ -635,55 +593,77 @@
    * prefix at all of them, the session's earlier turns at the first, but for what is usually new in
    * the class. Not so at one that has started of late.
    */
-  private long unkept(Server s, Flight f, boolean first, boolean home) {
-    RoutingRequest r = f.request;
-    boolean settled = home && !cold(s);
+  private long uncachedTokens(
+      ServerState server, InFlightRequest request, boolean firstPrimary, boolean primary) {
+    RoutingRequest attributes = request.attributes;
+    boolean settled = primary && !isWarmingUp(server);
     long kept =
-        settled && r.prefixId() != 0 || s.prefixes.containsKey(r.prefixId()) ? r.prefixTokens() : 0;
-    if (f.session != null && f.session.serverId() == s.info.id()) {
-      kept = Math.max(kept, f.session.keptTokens());
+        settled && attributes.prefixId() != 0
+                || server.prefixUsedAtMicros.containsKey(attributes.prefixId())
+            ? attributes.prefixTokens()
+            : 0;
+    if (request.session.isPresent() && request.session.get().serverId() == server.id()) {
+      kept = Math.max(kept, request.session.get().cachedTokens());
     }
-    long unkept = Math.max(0, r.promptTokens() - kept);
-    double usual = newTokens[r.classId()];
-    return first && settled && usual > 0 ? Math.min(unkept, (long) usual) : unkept;
+    long uncachedTokens = Math.max(0, attributes.promptTokens() - kept);
+    double usual = usualNewTokens[attributes.classId()];
+    return firstPrimary && settled && usual > 0
+        ? Math.min(uncachedTokens, (long) usual)
+        : uncachedTokens;
   }
 
   /** Binds only after a read that succeeded, so that a silent server does not keep its sessions. */
-  private void remember(Flight f, Server s) {
-    RoutingRequest r = f.request;
-    if (r.sessionId() != 0) {
-      sessions.put(r.sessionId(), new Session(s.info.id(), r.promptTokens(), now));
+  private void remember(InFlightRequest request, ServerState server) {
+    RoutingRequest attributes = request.attributes;
+    if (attributes.sessionId() != 0) {
+      sessions.put(
+          attributes.sessionId(),
+          new SessionEntry(server.id(), attributes.promptTokens(), clock.nowMicros()));
     }
-    if (r.prefixId() != 0) {
-      s.prefixes.put(r.prefixId(), now);
+    if (attributes.prefixId() != 0) {
+      server.prefixUsedAtMicros.put(attributes.prefixId(), clock.nowMicros());
     }
   }
 
   private void reap() {
-    sessions.values().removeIf(s -> now - s.usedAt() > SESSION_TTL);
-    servers.values().forEach(s -> s.prefixes.values().removeIf(at -> now - at > SESSION_TTL));
+    sessions
+        .values()
+        .removeIf(entry -> clock.nowMicros() - entry.usedAtMicros() > SESSION_TTL_MICROS);
+    servers
+        .values()
+        .forEach(
+            entry ->
+                entry
+                    .prefixUsedAtMicros
+                    .values()
+                    .removeIf(
+                        usedAtMicros -> clock.nowMicros() - usedAtMicros > SESSION_TTL_MICROS));
     host.log(
-        tokensUnderWay
+        tokensInFlight
             + " tokens under way of room "
-            + Math.round(room * memory())
+            + Math.round(capacityShare * memoryTokens())
             + ", parked "
-            + parked.size()
+            + queue.size()
             + ", avoided "
-            + servers.values().stream().filter(s -> !healthy(s)).map(s -> s.info.id()).toList()
+            + servers.values().stream()
+                .filter(entry -> !isHealthy(entry))
+                .map(ServerState::id)
+                .toList()
             + ", reads wait us "
-            + (long) figures.get(ServerRole.READER).wait
+            + (long) statisticsByRole.get(ServerRole.READER).waitMicros
             + ", writes "
-            + (long) figures.get(ServerRole.WRITER).wait);
-    host.setTimer(token(0, Timer.REAP), REAP_EVERY);
+            + (long) statisticsByRole.get(ServerRole.WRITER).waitMicros);
+    host.setTimer(RequestTimer.REAP_SESSIONS.token(), REAP_INTERVAL_MICROS);
   }
 
   // ==== the write
-  private void write(Flight f) {
-    Server s = pickWriter(f);
-    if (s == null) {
-      settle(f, DecisionReason.NO_WRITER);
+  private void dispatchWrite(InFlightRequest request) {
+    ServerState server = selectWriter(request);
+    if (server == null) {
+      complete(request, DecisionReason.NO_WRITER);
     } else {
-      send(f, s, false, true, 0, (long) s.role.firstToken);
+      long expectedMicros = (long) server.roleStatistics.firstTokenMicros;
+      send(request, new AttemptPlan(server, AttemptWork.WRITE, 0, expectedMicros));
     }
   }
 
@@ -693,123 +673,134 @@
    * its states, by chance: of many gateways each sees few of their tokens and would always find
    * them idle.
    */
-  private Server pickWriter(Flight f) {
-    ServerEntry home = f.stateAt.info;
-    List<Server> able = preferred(candidates(f, writers), s -> hasRoom(s, f));
-    List<Server> zone = preferred(able, s -> s.info.zone() == home.zone());
-    List<Server> cell = zone.stream().filter(s -> s.info.cell() == home.cell()).toList();
+  private ServerState selectWriter(InFlightRequest request) {
+    ServerEntry reader = request.stateHolder.entry;
+    List<ServerState> able =
+        preferred(candidates(request, writers), server -> hasCapacity(server, request));
+    List<ServerState> zone = preferred(able, server -> server.entry.zone() == reader.zone());
+    List<ServerState> cell =
+        zone.stream().filter(server -> server.entry.cell() == reader.cell()).toList();
     if (cell.isEmpty()) {
-      return lesser(f, draw(zone), draw(zone));
+      return lessLoaded(request, draw(zone), draw(zone));
     }
-    if (random.nextDouble() * readerPart(home) * zone.size() >= cell.size()) {
-      return draw(preferred(zone, s -> s.info.cell() != home.cell()));
+    if (random.nextDouble() * readerShare(reader) * zone.size() >= cell.size()) {
+      return draw(preferred(zone, server -> server.entry.cell() != reader.cell()));
     }
-    return lesser(f, draw(cell), draw(zone));
+    return lessLoaded(request, draw(cell), draw(zone));
   }
 
   /** The cell's part of the readers of its zone. */
-  private double readerPart(ServerEntry home) {
-    List<Server> zone =
+  private double readerShare(ServerEntry reader) {
+    List<ServerState> zone =
         readers.stream()
-            .filter(s -> s.kind.role() == ServerRole.READER && s.info.zone() == home.zone())
+            .filter(
+                server ->
+                    server.role() == ServerRole.READER && server.entry.zone() == reader.zone())
             .toList();
-    return zone.stream().filter(s -> s.info.cell() == home.cell()).count()
+    return zone.stream().filter(server -> server.entry.cell() == reader.cell()).count()
         / Math.max(1.0, zone.size());
   }
 
-  private Server lesser(Flight f, Server near, Server far) {
-    double clearly = near == null || near.info.cell() == far.info.cell() ? 1 : FAR_CLEARLY;
-    return near == null || load(f, far) >= load(f, near) * clearly ? near : far;
+  private ServerState lessLoaded(InFlightRequest request, ServerState near, ServerState far) {
+    double clearly = near == null || near.entry.cell() == far.entry.cell() ? 1 : REMOTE_LOAD_FACTOR;
+    return near == null || load(request, far) >= load(request, near) * clearly ? near : far;
   }
 
-  private Server draw(List<Server> from) {
+  private ServerState draw(List<ServerState> from) {
     return from.isEmpty() ? null : from.get(random.nextInt(from.size()));
   }
 
-  private double load(Flight f, Server s) {
-    double tokens = (s.writeTokens + f.writeTokens()) * (1 + waiting(s) / (f.aim * LATE_FIRST));
-    return tokens / (s.info.weight() * speed(s));
+  private double load(InFlightRequest request, ServerState server) {
+    double tokens =
+        (server.writeTokensInFlight + request.writeTokens())
+            * (1
+                + estimatedWaitMicros(server) / (request.objectiveMicros * LATE_FIRST_TOKEN_SHARE));
+    return tokens / (server.entry.weight() * relativeSpeed(server));
   }
 
   // ==== attempts
   /**
    * After an attempt that left the request unanswered: write what was read, try again, or settle.
    */
-  private void next(Flight f) {
-    if (f.out > 0) {
+  private void continueRequest(InFlightRequest request) {
+    if (request.attemptsInFlight > 0) {
       return;
     }
-    Attempt last = f.attempts.get(f.attempts.size() - 1);
-    if (last.neverRan && f.held.isDue(now)) {
-      letGo(f); // writers that never come up: a further one would hold the state beyond its
+    Attempt last = request.lastAttempt();
+    if (last.neverRan && request.reservedState.isDue(clock.nowMicros())) {
+      releaseIfIdle(
+          request); // writers that never come up: a further one would hold the state beyond its
       // time
     }
-    boolean afresh = last.reads && f.stateAt != null;
+    boolean afresh = last.reads() && request.stateHolder != null;
     final boolean moved =
-        last.writes
+        last.writes()
             && !last.neverRan
-            && !firm(f, last)
-            && settings.limits().maxAttempts() - f.attempts.size() > 1;
+            && !isNonRepeatableWrite(request, last)
+            && settings.limits().maxAttempts() - request.attempts.size() > 1;
     if (!afresh) {
-      retries--;
+      retryTokens--;
     }
-    DecisionReason noFurther = noFurther(f, afresh);
+    DecisionReason noFurther = reasonToStop(request, afresh);
     if (noFurther != null) {
-      retries = Math.max(0, retries);
-      settle(f, noFurther);
+      retryTokens = Math.max(0, retryTokens);
+      complete(request, noFurther);
       return;
     }
     if (!afresh) {
-      host.trace(f.request.id(), DecisionReason.RETRY);
+      host.trace(request.id(), DecisionReason.RETRY);
     }
-    if (f.stateAt != null && !moved) {
-      write(f); // after a write that may have run the state is likely gone: read anew, then
+    if (request.stateHolder != null && !moved) {
+      dispatchWrite(
+          request); // after a write that may have run the state is likely gone: read anew, then
       // cheap
-    } else if (!read(f)) {
-      settle(f, DecisionReason.NO_READER);
+    } else if (!dispatchRead(request)) {
+      complete(request, DecisionReason.NO_READER);
     }
   }
 
   /** Why there may be no further attempt, null if there may. */
-  private DecisionReason noFurther(Flight f, boolean afresh) {
-    if (now - f.arrivedAt >= f.request.clientTimeoutMicros()) {
+  private DecisionReason reasonToStop(InFlightRequest request, boolean afresh) {
+    if (clock.nowMicros() - request.arrivedAtMicros >= request.attributes.clientTimeoutMicros()) {
       return DecisionReason.CLIENT_TIMEOUT;
     }
-    if (spent(f)) {
+    if (attemptsExhausted(request)) {
       return DecisionReason.ATTEMPTS_EXHAUSTED;
     }
-    return !afresh && retries < 0 ? DecisionReason.RETRY_BUDGET_EXHAUSTED : null;
+    return !afresh && retryTokens < 0 ? DecisionReason.RETRY_BUDGET_EXHAUSTED : null;
   }
 
   /** Whether too few attempts are left to reach an answer: a read and a write, or a write alone. */
-  private boolean spent(Flight f) {
-    return settings.limits().maxAttempts() - f.attempts.size() < (f.stateAt == null ? 2 : 1);
+  private boolean attemptsExhausted(InFlightRequest request) {
+    return settings.limits().maxAttempts() - request.attempts.size()
+        < (request.stateHolder == null ? 2 : 1);
   }
 
   /** A write that may not simply be tried again is never called off for being slow. */
-  private static boolean firm(Flight f, Attempt a) {
-    return a.writes && f.cls.idempotency() != Idempotency.IDEMPOTENT;
+  private static boolean isNonRepeatableWrite(InFlightRequest request, Attempt attempt) {
+    return attempt.writes() && request.requestClass.idempotency() != Idempotency.IDEMPOTENT;
   }
 
   /**
    * Rule 2: whether a further attempt at this server could be a second effect. A plain read has
    * none.
    */
-  private boolean mayRepeat(Flight f, Server s) {
-    if (f.mayHaveRun == null || f.cls.idempotency() == Idempotency.IDEMPOTENT) {
+  private boolean mayRepeat(InFlightRequest request, ServerState server) {
+    if (request.possibleEffect == null
+        || request.requestClass.idempotency() == Idempotency.IDEMPOTENT) {
       return true;
     }
-    ServerEntry first = f.mayHaveRun.server.info;
+    ServerEntry first = request.possibleEffect.server.entry;
     boolean inGroup =
-        switch (f.cls.deduplicationScope()) {
+        switch (request.requestClass.deduplicationScope()) {
           case ALL -> true;
-          case ZONE -> first.zone() == s.info.zone();
-          case CELL -> first.cell() == s.info.cell();
+          case ZONE -> first.zone() == server.entry.zone();
+          case CELL -> first.cell() == server.entry.cell();
         };
-    return f.cls.idempotency() == Idempotency.IDEMPOTENCY_KEY
+    return request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
         && inGroup
-        && now - f.mayHaveRun.sentAt
-            < f.cls.deduplicationWindowMicros() - settings.timerResolutionMicros();
+        && clock.nowMicros() - request.possibleEffect.sentAtMicros
+            < request.requestClass.deduplicationWindowMicros() - settings.timerResolutionMicros();
   }
 
   /**
@@ -818,111 +809,115 @@
    * credit, a mean request costs one, and each gateway starts at a random part of one: all of them
    * together make no burst.
    */
-  private boolean open(Server s) {
-    if (s.standing != ServerLifecycle.READY) {
+  private boolean mayReceive(ServerState server) {
+    if (!server.isReady()) {
       return false;
     }
-    if (!cold(s)) {
+    if (!isWarmingUp(server)) {
       return true;
     }
-    double part = speed(s) * settings.rules().overloadFactor() * COLD_CAUTION;
+    double part = relativeSpeed(server) * settings.rules().overloadFactor() * SAFETY_FACTOR;
     double earned =
-        Math.max(warmRate(s.role) * part, COLD_LEAST / Math.max(1, settings.gatewayCount()));
-    s.credit = Math.min(1, s.credit + earned * (now - s.creditAt) / 1e6);
-    s.creditAt = now;
-    return s.credit >= 1;
+        Math.max(
+            warmRate(server.roleStatistics) * part,
+            MIN_REQUESTS_PER_SECOND / Math.max(1, settings.gatewayCount()));
+    server.slowStartCredit =
+        Math.min(
+            1,
+            server.slowStartCredit
+                + earned * (clock.nowMicros() - server.slowStartCreditAtMicros) / 1e6);
+    server.slowStartCreditAtMicros = clock.nowMicros();
+    return server.slowStartCredit >= 1;
   }
 
   /**
    * Answers a second from a warm server of the role to this gateway; the last known where none is
    * warm.
    */
-  private double warmRate(RoleFigures role) {
-    if (role.warmRateAt != now) { // once an event, whatever the number of cold servers
-      role.warmRate =
+  private double warmRate(RoleStatistics role) {
+    if (role.warmRateComputedAtMicros
+        != clock.nowMicros()) { // once an event, whatever the number of cold servers
+      role.warmAnswersPerSecond =
           servers.values().stream()
-              .filter(p -> p.role == role && p.standing == ServerLifecycle.READY && !cold(p))
-              .mapToDouble(p -> p.answers.perSecond(now))
+              .filter(peer -> peer.roleStatistics == role && peer.isReady() && !isWarmingUp(peer))
+              .mapToDouble(peer -> peer.answerRate.perSecond(clock.nowMicros()))
               .average()
-              .orElse(role.warmRate);
-      role.warmRateAt = now;
+              .orElse(role.warmAnswersPerSecond);
+      role.warmRateComputedAtMicros = clock.nowMicros();
     }
-    return role.warmRate;
+    return role.warmAnswersPerSecond;
   }
 
-  private boolean cold(Server s) {
-    return s.info.startedAtMicros() > 0
-        && now - s.info.startedAtMicros() <= settings.rules().slowStartMicros();
+  private boolean isWarmingUp(ServerState server) {
+    return server.entry.startedAtMicros() > 0
+        && clock.nowMicros() - server.entry.startedAtMicros() <= settings.rules().slowStartMicros();
   }
 
   /** Its part of a warm server's speed: at first what the settings promise, growing evenly. */
-  private double speed(Server s) {
-    if (!cold(s)) {
+  private double relativeSpeed(ServerState server) {
+    if (!isWarmingUp(server)) {
       return 1;
     }
-    double least = Math.min(1, Math.max(SPEED_LEAST, settings.rules().slowStartInitialShare()));
+    double least = Math.min(1, Math.max(MIN_SPEED, settings.rules().slowStartInitialShare()));
     return least
-        + (1 - least) * (now - s.info.startedAtMicros()) / settings.rules().slowStartMicros();
-  }
-
-  /** The only place that sends; its callers pick among {@link #open} servers. */
-  private void send(Flight f, Server s, boolean reads, boolean writes, long unkept, long expected) {
-    Attempt a = new Attempt();
-    a.server = s;
-    a.reads = reads;
-    a.writes = writes;
-    a.sentAt = now;
-    a.expected = expected;
-    a.tokens = f.writeTokens();
-    tokensUnderWay += a.tokens;
-    if (reads) {
-      a.unkept = unkept;
-      s.readTokens += a.unkept;
-      a.readAtSend = s.readTokens;
-    }
-    if (writes) {
-      s.writeTokens += a.tokens;
-      tokensWriting += a.tokens;
-      a.writingAtSend = tokensWriting;
-      f.mayHaveRun = f.mayHaveRun == null ? a : f.mayHaveRun;
-    }
-    f.attempts.add(a);
-    f.out++;
-    s.unanswered.add(a);
-    s.credit -= Math.max(WORK_LEAST, a.tokens / meanTokens);
-    host.send(f.request.id(), s.info.id(), 0);
-    watch(f, a);
-    if (reads && !writes) {
-      f.held.readSent(now, suspectAfter(a));
-      awaitHeld(f);
+        + (1 - least)
+            * (clock.nowMicros() - server.entry.startedAtMicros())
+            / settings.rules().slowStartMicros();
+  }
+
+  /** The only place that sends; its callers pick among {@link #mayReceive} servers. */
+  private void send(InFlightRequest request, AttemptPlan plan) {
+    Attempt attempt = new Attempt(plan, clock.nowMicros(), request.writeTokens());
+    ServerState server = attempt.server;
+    tokensInFlight += attempt.tokens;
+    server.readTokensInFlight += attempt.uncachedTokens;
+    attempt.readQueueTokensAtSend = server.readTokensInFlight;
+    if (attempt.writes()) {
+      server.writeTokensInFlight += attempt.tokens;
+      writeTokensInFlight += attempt.tokens;
+      attempt.writeTokensInFlightAtSend = writeTokensInFlight;
+      request.possibleEffect = request.possibleEffect == null ? attempt : request.possibleEffect;
+    }
+    request.attempts.add(attempt);
+    request.attemptsInFlight++;
+    server.unansweredAttempts.add(attempt);
+    server.slowStartCredit -= Math.max(MIN_REQUEST_COST, attempt.tokens / meanRequestTokens);
+    host.send(request.id(), server.id(), 0);
+    startTimeout(request, attempt);
+    if (attempt.work == AttemptWork.READ) {
+      request.reservedState.readSent(clock.nowMicros(), suspectAfter(attempt));
+      scheduleRelease(request);
     }
   }
 
   /** A read without an answer for so long has likely lost it: soon it is called off. */
-  private long suspectAfter(Attempt a) {
-    return a.overdueAt > now ? (long) ((a.overdueAt - now) * SUSPECT_SHARE) : usual(a);
+  private long suspectAfter(Attempt attempt) {
+    return attempt.timeoutAtMicros > clock.nowMicros()
+        ? (long) ((attempt.timeoutAtMicros - clock.nowMicros()) * SUSPECT_TIMEOUT_SHARE)
+        : slowAfterMicros(attempt);
   }
 
   /** What an attempt may take before it is more than slow, by what its role's work waits now. */
-  private static long usual(Attempt a) {
-    return (long) (a.expected * PATIENCE_TIMES + a.server.role.wait * PATIENCE_WAITS);
-  }
-
-  /** Older work has come back from its server since that moment: its queue moves. */
-  private static boolean queueMoves(Attempt a, long since) {
-    return a.server.answeredAt > since && a.server.newestAnswered <= a.sentAt;
+  private static long slowAfterMicros(Attempt attempt) {
+    return (long)
+        (attempt.expectedMicros * TIMEOUT_EXPECTED_FACTOR
+            + attempt.server.roleStatistics.waitMicros * TIMEOUT_WAIT_FACTOR);
   }
 
   /**
    * Looks after an attempt once it has taken far longer than it should, each time after twice that.
    */
-  private void watch(Flight f, Attempt a) {
-    if (settings.limits().mayCancel() && !firm(f, a)) {
-      long before = f.attempts.stream().filter(b -> b.calledOff).count();
-      double base = before == 0 ? f.aim - (now - f.arrivedAt) : f.aim * (1L << before);
-      long patience = (long) Math.max(1, Math.max(base * PATIENCE_AIM_SHARE, usual(a)));
-      a.overdueAt = now + patience;
-      host.setTimer(token(f.request.id(), Timer.WATCH), patience);
+  private void startTimeout(InFlightRequest request, Attempt attempt) {
+    if (settings.limits().mayCancel() && !isNonRepeatableWrite(request, attempt)) {
+      long before = request.attempts.stream().filter(earlier -> earlier.timedOut).count();
+      double base =
+          before == 0
+              ? request.objectiveMicros - (clock.nowMicros() - request.arrivedAtMicros)
+              : request.objectiveMicros * (1L << before);
+      long patience =
+          (long) Math.max(1, Math.max(base * TIMEOUT_OBJECTIVE_SHARE, slowAfterMicros(attempt)));
+      attempt.timeoutAtMicros = clock.nowMicros() + patience;
+      host.setTimer(RequestTimer.ATTEMPT_TIMEOUT.token(request.id()), patience);
     }
   }
 
@@ -932,145 +927,157 @@
    * from a queue, and under plain load all waits grow. Could harm where one server is jammed: the
    * read is done twice.
    */
-  private void lookAfter(Flight f) {
-    int number = f.attempts.size() - 1;
-    Attempt a = f.attempts.get(number);
-    if (a.ended || firm(f, a) || now < a.overdueAt || spent(f) || retries < 1) {
+  private void attemptTimerFired(InFlightRequest request) {
+    int number = request.attempts.size() - 1;
+    Attempt attempt = request.attempts.get(number);
+    if (attempt.ended
+        || isNonRepeatableWrite(request, attempt)
+        || clock.nowMicros() < attempt.timeoutAtMicros
+        || attemptsExhausted(request)
+        || retryTokens < 1) {
       return;
     }
-    if (queueMoves(a, Math.max(a.sentAt, a.lookedAt))) {
-      a.lookedAt = now;
-      watch(f, a);
+    if (attempt.queueHasMovedSince(
+        Math.max(attempt.sentAtMicros, attempt.timeoutExtendedAtMicros))) {
+      attempt.timeoutExtendedAtMicros = clock.nowMicros();
+      startTimeout(request, attempt);
       return;
     }
-    a.calledOff = true;
-    host.trace(f.request.id(), DecisionReason.ATTEMPT_TIMEOUT);
-    waited(a.server, now - a.sentAt - a.expected);
-    host.cancel(f.request.id(), number);
+    attempt.timedOut = true;
+    host.trace(request.id(), DecisionReason.ATTEMPT_TIMEOUT);
+    recordWait(attempt.server, clock.nowMicros() - attempt.sentAtMicros - attempt.expectedMicros);
+    host.cancel(request.id(), number);
   }
 
   /** Books an attempt's end: tokens under way, health, and what it says of the server's speed. */
-  private void account(Flight f, Attempt a, AttemptResult o) {
-    a.ended = true;
-    a.neverRan = NEVER_RAN.contains(o.outcome());
-    a.failed = o.outcome() != AttemptOutcome.PROMPT_READ && !(a.calledOff && !a.writes);
-    f.out--;
-    if (a.writes) {
-      a.server.writeTokens -= a.tokens;
-      tokensWriting -= a.tokens;
-    }
-    tokensUnderWay -= a.tokens;
-    if (f.mayHaveRun == a && a.neverRan) {
-      f.mayHaveRun = null;
-    }
-    long unkept = Math.max(0, f.request.promptTokens() - o.cachedTokens());
-    if (a.reads
-        && (o.outcome() == AttemptOutcome.PROMPT_READ || o.outcome() == AttemptOutcome.OK)) {
-      learnNew(f.request.classId(), unkept);
-    }
-    switch (o.outcome()) {
+  private void recordEnd(InFlightRequest request, Attempt attempt, AttemptResult result) {
+    attempt.ended = true;
+    attempt.neverRan = NEVER_RAN.contains(result.outcome());
+    attempt.failed =
+        result.outcome() != AttemptOutcome.PROMPT_READ && !(attempt.timedOut && !attempt.writes());
+    request.attemptsInFlight--;
+    if (attempt.writes()) {
+      attempt.server.writeTokensInFlight -= attempt.tokens;
+      writeTokensInFlight -= attempt.tokens;
+    }
+    tokensInFlight -= attempt.tokens;
+    if (request.possibleEffect == attempt && attempt.neverRan) {
+      request.possibleEffect = null;
+    }
+    long uncachedTokens = Math.max(0, request.attributes.promptTokens() - result.cachedTokens());
+    if (attempt.reads()
+        && (result.outcome() == AttemptOutcome.PROMPT_READ
+            || result.outcome() == AttemptOutcome.OK)) {
+      recordUncached(request.attributes.classId(), uncachedTokens);
+    }
+    switch (result.outcome()) {
       case PROMPT_READ -> {
-        answered(a, true);
-        learnRead(a, unkept + READ_OVERHEAD, o.elapsedMicros());
-        remember(f, a.server);
+        recordAnswer(attempt, true);
+        recordRead(attempt, uncachedTokens + READ_OVERHEAD_TOKENS, result.elapsedMicros());
+        remember(request, attempt.server);
       }
       case OK -> {
-        answered(a, true);
-        learnPace(f, a, o.elapsedMicros());
+        recordAnswer(attempt, true);
+        recordStreamPace(request, attempt, result.elapsedMicros());
       }
       case REJECTED -> {
-        answered(a, null);
-        if (o.stateMissing()) {
-          f.stateAt = null;
+        recordAnswer(attempt, null);
+        if (result.stateMissing()) {
+          request.stateHolder = null;
         } else {
-          waited(a.server, FULL_WAIT);
-          room -= a.writes ? cut(a) : 0;
+          recordWait(attempt.server, REJECTED_WAIT_MICROS);
+          capacityShare -= attempt.writes() ? decrease(attempt) : 0;
         }
       }
-      case ABANDONED_BEFORE_SEND -> answered(a, null);
-      case CANCELLED -> answered(a, a.calledOff ? false : null);
-      default -> answered(a, false);
+      case ABANDONED_BEFORE_SEND -> recordAnswer(attempt, null);
+      case CANCELLED -> recordAnswer(attempt, attempt.timedOut ? false : null);
+      default -> recordAnswer(attempt, false);
     }
   }
 
   // ==== the end of a request
   /** Rule 1: the one final answer; a refusal only where trying again is harmless. */
-  private void settle(Flight f, DecisionReason reason) {
-    f.ended = true;
-    host.trace(f.request.id(), reason);
+  private void complete(InFlightRequest request, DecisionReason reason) {
+    request.ended = true;
+    host.trace(request.id(), reason);
     boolean harmless =
-        f.cls.idempotency() == Idempotency.IDEMPOTENT
-            || f.mayHaveRun == null && f.out == 0
-            || f.cls.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                && f.cls.deduplicationScope() == DeduplicationScope.ALL;
+        request.requestClass.idempotency() == Idempotency.IDEMPOTENT
+            || request.possibleEffect == null && request.attemptsInFlight == 0
+            || request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                && request.requestClass.deduplicationScope() == DeduplicationScope.ALL;
     if (harmless) {
-      long advice = Math.min(RETRY_ADVICE, settings.limits().maxRetryAfterMicros());
-      host.reject(f.request.id(), settings.limits().sendsRetryAfter() ? advice : 0);
+      long advice = Math.min(RETRY_AFTER_MICROS, settings.limits().maxRetryAfterMicros());
+      host.reject(request.id(), settings.limits().sendsRetryAfter() ? advice : 0);
     } else {
-      host.fail(f.request.id());
+      host.fail(request.id());
     }
-    withdraw(f);
+    cancelAttempts(request);
   }
 
   /** Ends the attempts that are still out and lets go of what is held. */
-  private void withdraw(Flight f) {
-    for (int i = 0; i < f.attempts.size(); i++) {
-      if (!f.attempts.get(i).ended && settings.limits().mayCancel() && !f.streaming) {
-        host.cancel(f.request.id(), i);
+  private void cancelAttempts(InFlightRequest request) {
+    for (int i = 0; i < request.attempts.size(); i++) {
+      if (!request.attempts.get(i).ended && settings.limits().mayCancel() && !request.streaming) {
+        host.cancel(request.id(), i);
       }
     }
-    letGo(f);
-    forget(f);
+    releaseIfIdle(request);
+    removeIfEnded(request);
   }
 
   /**
    * Rule 5: what is held is released at its request's end, and again when a late read leaves a
    * state.
    */
-  private void letGo(Flight f) {
-    if (f.held.mayHold() && f.out == 0) {
-      release(f);
+  private void releaseIfIdle(InFlightRequest request) {
+    if (request.reservedState.mayBeReserved() && request.attemptsInFlight == 0) {
+      release(request);
     }
   }
 
   /** Rule 5 while an attempt is out, which may never have arrived or whose answer may be lost. */
-  private void releaseWhatIsDue() {
-    heldTimerAt = now >= heldTimerAt ? Long.MAX_VALUE : heldTimerAt;
-    for (Flight f : flights.values()) {
-      if (f.held.isDue(now) && f.held.onlyReading() && hasMovedOfLate(f)) {
-        f.held.putOff(now);
-      } else if (f.held.isDue(now)) {
-        release(f);
+  private void releaseDue() {
+    releaseTimerAt = clock.nowMicros() >= releaseTimerAt ? Long.MAX_VALUE : releaseTimerAt;
+    for (InFlightRequest request : inFlight.values()) {
+      if (request.reservedState.isDue(clock.nowMicros())
+          && request.reservedState.onlyReading()
+          && queueMovedLately(request)) {
+        request.reservedState.postpone(clock.nowMicros());
+      } else if (request.reservedState.isDue(clock.nowMicros())) {
+        release(request);
       }
     }
-    flights.values().forEach(this::awaitHeld);
+    inFlight.values().forEach(this::scheduleRelease);
   }
 
   /** Whether the queue of the read that is out has moved in the latter half of the read's time. */
-  private boolean hasMovedOfLate(Flight f) {
-    Attempt read = f.attempts.get(f.attempts.size() - 1);
-    return queueMoves(read, read.sentAt + (now - read.sentAt) / 2);
+  private boolean queueMovedLately(InFlightRequest request) {
+    Attempt read = request.lastAttempt();
+    return read.queueHasMovedSince(read.sentAtMicros + (clock.nowMicros() - read.sentAtMicros) / 2);
   }
 
-  private void release(Flight f) {
-    host.trace(f.request.id(), DecisionReason.STATE_RELEASED);
-    host.releaseState(f.request.id());
-    f.stateAt = null;
-    f.held.released(now, f.attempts.stream().anyMatch(a -> a.writes && !a.ended));
+  private void release(InFlightRequest request) {
+    host.trace(request.id(), DecisionReason.STATE_RELEASED);
+    host.releaseState(request.id());
+    request.stateHolder = null;
+    request.reservedState.released(
+        clock.nowMicros(),
+        request.attempts.stream().anyMatch(attempt -> attempt.writes() && !attempt.ended));
   }
 
   /** One timer serves all requests: a timer cannot be cancelled, and would outlive most of them. */
-  private void awaitHeld(Flight f) {
-    if (f.held.dueAt() < heldTimerAt) {
-      heldTimerAt = f.held.dueAt();
-      host.setTimer(token(0, Timer.HELD), Math.max(1, heldTimerAt - now));
+  private void scheduleRelease(InFlightRequest request) {
+    if (request.reservedState.dueAtMicros() < releaseTimerAt) {
+      releaseTimerAt = request.reservedState.dueAtMicros();
+      host.setTimer(
+          RequestTimer.STATE_RELEASE.token(), Math.max(1, releaseTimerAt - clock.nowMicros()));
     }
   }
 
-  private void forget(Flight f) {
-    parked.remove(f);
-    if (f.ended && f.out == 0) {
-      flights.remove(f.request.id());
+  private void removeIfEnded(InFlightRequest request) {
+    queue.remove(request);
+    if (request.ended && request.attemptsInFlight == 0) {
+      inFlight.remove(request.id());
     }
   }
 
@@ -1078,15 +1085,18 @@
   /**
    * Ready servers that may take this request; the healthy that have not failed it yet, if any are.
    */
-  private List<Server> candidates(Flight f, List<Server> ready) {
-    List<Server> able = ready.stream().filter(s -> open(s) && mayRepeat(f, s)).toList();
+  private List<ServerState> candidates(InFlightRequest request, List<ServerState> ready) {
+    List<ServerState> able =
+        ready.stream().filter(server -> mayReceive(server) && mayRepeat(request, server)).toList();
     return preferred(
-        preferred(able, this::healthy),
-        s -> f.attempts.stream().noneMatch(a -> a.server == s && a.failed));
+        preferred(able, this::isHealthy),
+        server ->
+            request.attempts.stream()
+                .noneMatch(attempt -> attempt.server == server && attempt.failed));
   }
 
-  private static List<Server> preferred(List<Server> from, Predicate<Server> test) {
-    List<Server> some = from.stream().filter(test).toList();
+  private static List<ServerState> preferred(List<ServerState> from, Predicate<ServerState> test) {
+    List<ServerState> some = from.stream().filter(test).toList();
     return some.isEmpty() ? from : some;
   }
 
@@ -1096,43 +1106,58 @@
    * trial gets one attempt at a time. Could harm one whose requests fail for their own sake.
    * Slowness is no verdict.
    */
-  private boolean healthy(Server s) {
-    double beyond = failures(s) - s.role.failing;
-    return beyond < TRIAL_FAILURES || beyond < SUSPECT_FAILURES && s.unanswered.isEmpty();
+  private boolean isHealthy(ServerState server) {
+    double beyond = failureRate(server) - server.roleStatistics.failureRate;
+    return beyond < TRIAL_EXCESS || beyond < EJECTION_EXCESS && server.unansweredAttempts.isEmpty();
   }
 
-  private double failures(Server s) {
-    double failed = faded(s.failed, now - s.scoredAt, FORGIVE);
-    double worked = faded(s.worked, now - s.scoredAt, FORGIVE);
-    return (failed + OUTCOME_PRIOR * s.role.failing) / (failed + worked + OUTCOME_PRIOR);
-  }
-
-  private static double faded(double value, long age, long life) {
-    return value == 0
-        ? 0
-        : value * Math.exp(-(double) age / life); // most of a large fleet is unseen
+  private double failureRate(ServerState server) {
+    double failed =
+        ExponentialDecay.decay(
+            server.failureScore, clock.nowMicros() - server.scoredAtMicros, SCORE_DECAY_MICROS);
+    double worked =
+        ExponentialDecay.decay(
+            server.successScore, clock.nowMicros() - server.scoredAtMicros, SCORE_DECAY_MICROS);
+    return (failed + PRIOR_OUTCOMES * server.roleStatistics.failureRate)
+        / (failed + worked + PRIOR_OUTCOMES);
   }
 
   /** An attempt is no longer silent; good is null where its end says nothing of the server. */
-  private void answered(Attempt a, Boolean good) {
-    Server s = a.server;
-    boolean first = s.unanswered.remove(a);
-    s.readTokens -= first ? a.unkept : 0;
+  private void recordAnswer(Attempt attempt, Boolean good) {
+    ServerState server = attempt.server;
+    boolean first = server.unansweredAttempts.remove(attempt);
+    server.readTokensInFlight -= first ? attempt.uncachedTokens : 0;
     if (good == null) {
       return;
     }
-    s.role.failing += ROLE_WEIGHT * ((good ? 0 : 1) - s.role.failing);
+    server.roleStatistics.failureRate +=
+        RoleStatistics.WEIGHT * ((good ? 0 : 1) - server.roleStatistics.failureRate);
     if (first && good) {
-      s.answers.add(now);
-      s.role.warmRateAt = Long.MIN_VALUE;
-    }
-    s.failed = faded(s.failed, now - s.scoredAt, FORGIVE) * OUTCOME_KEPT + (good ? 0 : 1);
-    s.worked = faded(s.worked, now - s.scoredAt, FORGIVE) * OUTCOME_KEPT + (good ? 1 : 0);
-    s.pace = faded(s.pace, now - s.scoredAt, FORGIVE);
-    s.scoredAt = now;
+      server.answerRate.add(clock.nowMicros());
+      server.roleStatistics.invalidateWarmRate();
+    }
+    server.failureScore =
+        ExponentialDecay.decay(
+                    server.failureScore,
+                    clock.nowMicros() - server.scoredAtMicros,
+                    SCORE_DECAY_MICROS)
+                * OLDER_OUTCOMES_WEIGHT
+            + (good ? 0 : 1);
+    server.successScore =
+        ExponentialDecay.decay(
+                    server.successScore,
+                    clock.nowMicros() - server.scoredAtMicros,
+                    SCORE_DECAY_MICROS)
+                * OLDER_OUTCOMES_WEIGHT
+            + (good ? 1 : 0);
+    server.streamPace =
+        ExponentialDecay.decay(
+            server.streamPace, clock.nowMicros() - server.scoredAtMicros, SCORE_DECAY_MICROS);
+    server.scoredAtMicros = clock.nowMicros();
     if (good) {
-      s.answeredAt = now;
-      s.newestAnswered = Math.max(s.newestAnswered, a.sentAt);
+      server.lastAnswerAtMicros = clock.nowMicros();
+      server.newestAnsweredSentAtMicros =
+          Math.max(server.newestAnsweredSentAtMicros, attempt.sentAtMicros);
     }
   }
 
@@ -1141,38 +1166,49 @@
    * out and not overtaken. One sign for queues of others' work, slow machines, stalls and silence
    * alike.
    */
-  private double waiting(Server s) {
-    double seen = faded(s.wait, now - s.waitAt, WAIT_FADE);
-    for (Attempt a : s.unanswered) {
-      if (a.sentAt > s.newestAnswered) {
-        return Math.max(seen, now - a.sentAt - a.expected);
+  private double estimatedWaitMicros(ServerState server) {
+    double seen =
+        ExponentialDecay.decay(
+            server.waitMicros, clock.nowMicros() - server.waitUpdatedAtMicros, WAIT_DECAY_MICROS);
+    for (Attempt attempt : server.unansweredAttempts) {
+      if (attempt.sentAtMicros > server.newestAnsweredSentAtMicros) {
+        return Math.max(seen, clock.nowMicros() - attempt.sentAtMicros - attempt.expectedMicros);
       }
     }
     return seen;
   }
 
-  private void waited(Server s, double wait) {
-    double seen = faded(s.wait, now - s.waitAt, WAIT_FADE);
-    s.wait = seen + WAIT_WEIGHT * (Math.max(0, wait) - seen);
-    s.waitAt = now;
-    s.role.wait += Math.max(ROLE_WEIGHT, 1.0 / ++s.role.waits) * (Math.max(0, wait) - s.role.wait);
+  private void recordWait(ServerState server, double wait) {
+    double seen =
+        ExponentialDecay.decay(
+            server.waitMicros, clock.nowMicros() - server.waitUpdatedAtMicros, WAIT_DECAY_MICROS);
+    server.waitMicros = seen + WAIT_WEIGHT * (Math.max(0, wait) - seen);
+    server.waitUpdatedAtMicros = clock.nowMicros();
+    server.roleStatistics.waitMicros +=
+        Math.max(RoleStatistics.WEIGHT, 1.0 / ++server.roleStatistics.waitCount)
+            * (Math.max(0, wait) - server.roleStatistics.waitMicros);
   }
 
   /** What is usually new in a class, from what its reads had not kept. */
-  private void learnNew(int classId, long unkept) {
-    newTokens[classId] +=
-        (newTokens[classId] == 0 ? 1 : ROLE_WEIGHT) * (unkept - newTokens[classId]);
+  private void recordUncached(int classId, long uncachedTokens) {
+    usualNewTokens[classId] +=
+        (usualNewTokens[classId] == 0 ? 1 : RoleStatistics.WEIGHT)
+            * (uncachedTokens - usualNewTokens[classId]);
   }
 
-  private void learnRead(Attempt a, long unkept, long took) {
-    double work = a.readAtSend - a.unkept + unkept;
-    double speed = speed(a.server);
-    a.server.role.perReadToken = unhindered(a.server.role.perReadToken, took * speed / work);
-    waited(a.server, took - a.server.role.perReadToken * work / speed);
+  private void recordRead(Attempt attempt, long uncachedTokens, long elapsedMicros) {
+    double work = attempt.readQueueTokensAtSend - attempt.uncachedTokens + uncachedTokens;
+    double speed = relativeSpeed(attempt.server);
+    attempt.server.roleStatistics.microsPerReadToken =
+        trackMinimum(
+            attempt.server.roleStatistics.microsPerReadToken, elapsedMicros * speed / work);
+    recordWait(
+        attempt.server,
+        elapsedMicros - attempt.server.roleStatistics.microsPerReadToken * work / speed);
   }
 
   /** What a thing takes when nothing is in its way: falls quickly, rises slowly. */
-  private static double unhindered(double known, double seen) {
+  private static double trackMinimum(double known, double seen) {
     return seen < known
         ? known + FASTER_WEIGHT * (seen - known)
         : Math.min(seen, known * SLOWER_TIMES);
@@ -1182,18 +1218,20 @@
    * A first token that came late says that the writers have too much; one that never came may be
    * lost.
    */
-  private void learnFirst(Flight f, Attempt a, long took) {
-    RoleFigures role = a.server.role;
-    if (a.reads) {
-      learnRead(a, a.unkept, took);
+  private void recordFirstToken(
+      InFlightRequest request, Attempt attempt, long timeToFirstTokenMicros) {
+    RoleStatistics role = attempt.server.roleStatistics;
+    if (attempt.reads()) {
+      recordRead(attempt, attempt.uncachedTokens, timeToFirstTokenMicros);
     } else {
-      role.firstToken = unhindered(role.firstToken, took);
-      waited(a.server, took - role.firstToken);
+      role.firstTokenMicros = trackMinimum(role.firstTokenMicros, timeToFirstTokenMicros);
+      recordWait(attempt.server, timeToFirstTokenMicros - role.firstTokenMicros);
     }
-    if (took > f.aim * LATE_FIRST) {
-      room -= cut(a);
-    } else if (a.writingAtSend > room * memory() * openShare(f) * ROOM_IN_USE) {
-      room = Math.min(1, room + a.tokens / memory());
+    if (timeToFirstTokenMicros > request.objectiveMicros * LATE_FIRST_TOKEN_SHARE) {
+      capacityShare -= decrease(attempt);
+    } else if (attempt.writeTokensInFlightAtSend
+        > capacityShare * memoryTokens() * allowedShare(request) * INCREASE_UTILIZATION) {
+      capacityShare = Math.min(1, capacityShare + attempt.tokens / memoryTokens());
     }
   }
 
@@ -1201,23 +1239,21 @@
    * Streams nearly too slow: no room. Guards against reads in place, neighbours, slow machines
    * alike.
    */
-  private void learnPace(Flight f, Attempt a, long took) {
+  private void recordStreamPace(InFlightRequest request, Attempt attempt, long elapsedMicros) {
     double pace =
-        (took - a.firstTook) / Math.max(1.0, f.answerTokens * f.cls.tokenIntervalObjectiveMicros());
-    a.server.pace += PACE_WEIGHT * (pace - a.server.pace);
-    a.server.role.pace += ROLE_WEIGHT * (pace - a.server.role.pace);
+        (elapsedMicros - attempt.timeToFirstTokenMicros)
+            / Math.max(
+                1.0, request.answerTokens * request.requestClass.tokenIntervalObjectiveMicros());
+    attempt.server.streamPace += PACE_WEIGHT * (pace - attempt.server.streamPace);
+    attempt.server.roleStatistics.streamPace +=
+        RoleStatistics.WEIGHT * (pace - attempt.server.roleStatistics.streamPace);
   }
 
   /**
    * What a sign of too much takes off the room: some gains, so late writes settle at one in so
    * many.
    */
-  private double cut(Attempt a) {
-    return Math.min(room, ROOM_CUT * a.tokens / memory());
-  }
-
-  /** The token of a request's timer; request 0 stands for the module's own. */
-  static long token(long requestId, Timer kind) {
-    return requestId * TIMERS.length + kind.ordinal();
+  private double decrease(Attempt attempt) {
+    return Math.min(capacityShare, DECREASE_FACTOR * attempt.tokens / memoryTokens());
   }
 }
--- a/policy/src/main/java/lemondock/policy/RequestRouter.java
+++ b/policy/src/main/java/lemondock/policy/RequestRouter.java
@@ -18,7 +18,11 @@
 
   /** The answer of this attempt has begun to stream; the attempt now belongs to the client. */
   void firstToken(
-      long nowMicros, long requestId, int attempt, long serverId, long timeToFirstTokenMicros);
+      long nowMicros,
+      long requestId,
+      int attemptNumber,
+      long serverId,
+      long timeToFirstTokenMicros);
 
   /** An attempt has ended; exactly one for each {@link RouterHost#send}. */
   void attemptEnded(long nowMicros, AttemptResult result);
--- a/policy/src/main/java/lemondock/policy/HeldState.java
+++ b/policy/src/main/java/lemondock/policy/ReservedState.java
@@ -13,7 +13,7 @@
  * <p>Times are microseconds. The limit is the deployment's (release-within); the platform's slack
  * on top of it is for the release to arrive.
  */
-final class HeldState {
+final class ReservedState {
   /**
    * Part of the limit after which what may be held is released; the rest and the slack are for the
    * release to find a server.
@@ -24,54 +24,57 @@
    * The same that a write has at least to arrive where an earlier state of the request is still to
    * be released.
    */
-  static final double WRITE_SHARE = 0.3;
+  static final double REREAD_SHARE = 0.3;
 
   private static final long NEVER = Long.MAX_VALUE;
 
-  private final long limit;
+  private final long limitMicros;
 
   /** A read is under way: it may end at any moment, and its answer be lost. */
   private boolean reading;
 
   /** A read has answered that its state is held. */
-  private boolean known;
+  private boolean confirmed;
 
   /**
    * A read broke off, or a release was begun while a write was under way: whether anything is held
    * cannot be told.
    */
-  private boolean doubtful;
+  private boolean uncertain;
 
-  private long dueAt;
+  private long dueAtMicros;
 
   /** Nothing is held yet; a limit of 0 means that the deployment has none. */
-  HeldState(long limit) {
-    this.limit = limit;
+  ReservedState(long limitMicros) {
+    this.limitMicros = limitMicros;
   }
 
   /** A read was sent; without an answer after that time it is taken to have ended and lost it. */
-  void readSent(long now, long suspectAfter) {
-    if (!mayHold()) {
-      dueAt = now + Math.max(suspectAfter, share(RELEASE_SHARE));
+  void readSent(long nowMicros, long suspectAfterMicros) {
+    if (!mayBeReserved()) {
+      dueAtMicros = nowMicros + Math.max(suspectAfterMicros, share(RELEASE_SHARE));
     }
     reading = true;
   }
 
   /** A read has answered: its state is held. */
-  void readAnswered(long now) {
-    long latest = now + share(RELEASE_SHARE);
-    dueAt = onlyReading() ? latest : Math.min(latest, Math.max(dueAt, now + share(WRITE_SHARE)));
+  void readAnswered(long nowMicros) {
+    long latestMicros = nowMicros + share(RELEASE_SHARE);
+    dueAtMicros =
+        onlyReading()
+            ? latestMicros
+            : Math.min(latestMicros, Math.max(dueAtMicros, nowMicros + share(REREAD_SHARE)));
     reading = false;
-    known = true;
+    confirmed = true;
   }
 
   /**
    * A read ended without an answer: it may have ended well just then, unless it provably never ran.
    */
-  void readFailed(long now, boolean neverRan) {
+  void readFailed(long nowMicros, boolean neverRan) {
     reading = false;
     if (!neverRan) {
-      doubt(now);
+      markUncertain(nowMicros);
     }
   }
 
@@ -79,9 +82,9 @@
    * A write ended without an answer from the state. If a release was begun meanwhile, the state may
    * have waited for the write until now.
    */
-  void writeFailed(long now) {
-    if (doubtful) {
-      doubt(now);
+  void writeFailed(long nowMicros) {
+    if (uncertain) {
+      markUncertain(nowMicros);
     }
   }
 
@@ -89,54 +92,54 @@
    * The whole limit counts from here: another read may bring the answer within it, and the writer's
    * answer ends all that is held.
    */
-  private void doubt(long now) {
-    dueAt = known ? dueAt : now + limit;
-    doubtful = true;
+  private void markUncertain(long nowMicros) {
+    dueAtMicros = confirmed ? dueAtMicros : nowMicros + limitMicros;
+    uncertain = true;
   }
 
   /** A writer has answered from the state, or that there is none: nothing is held. */
-  void taken() {
+  void cleared() {
     reading = false;
-    known = false;
-    doubtful = false;
+    confirmed = false;
+    uncertain = false;
   }
 
   /**
    * A release was begun. A write under way may have arrived before it, and its state then waits for
    * it as before.
    */
-  void released(long now, boolean writing) {
-    known = false;
-    doubtful = writing;
-    dueAt = now + share(RELEASE_SHARE);
+  void released(long nowMicros, boolean writing) {
+    confirmed = false;
+    uncertain = writing;
+    dueAtMicros = nowMicros + share(RELEASE_SHARE);
   }
 
   /** Nothing speaks for a lost answer yet: looks again later. */
-  void putOff(long now) {
-    dueAt = now + share(RELEASE_SHARE);
+  void postpone(long nowMicros) {
+    dueAtMicros = nowMicros + share(RELEASE_SHARE);
   }
 
   private long share(double part) {
-    return (long) (limit * part);
+    return (long) (limitMicros * part);
   }
 
   /** Whether a read is under way and nothing else may be held. */
   boolean onlyReading() {
-    return reading && !known && !doubtful;
+    return reading && !confirmed && !uncertain;
   }
 
   /** Whether anything may be held. */
-  boolean mayHold() {
-    return reading || known || doubtful;
+  boolean mayBeReserved() {
+    return reading || confirmed || uncertain;
   }
 
   /** Whether what may be held has to be released now. */
-  boolean isDue(long now) {
-    return now >= dueAt();
+  boolean isDue(long nowMicros) {
+    return nowMicros >= dueAtMicros();
   }
 
   /** When what may be held has to be released; the end of time if nothing is. */
-  long dueAt() {
-    return mayHold() && limit > 0 ? dueAt : NEVER;
+  long dueAtMicros() {
+    return mayBeReserved() && limitMicros > 0 ? dueAtMicros : NEVER;
   }
 }
--- a/policy/src/test/java/lemondock/policy/ControlTest.java
+++ b/policy/src/test/java/lemondock/policy/ControlTest.java
@@ -78,7 +78,7 @@
    * until one of them releases it.
    */
   private void awaitRelease(long firstSetAt) {
-    long token = Control.token(0, Control.Timer.HELD);
+    long token = RequestTimer.STATE_RELEASE.token();
     long due = Long.MAX_VALUE;
     for (Action timer : host.of("timer")) {
       due = timer.id() == token ? Math.min(due, now + timer.value()) : due;
@@ -93,7 +93,7 @@
 
   private void heldTimer() {
     host.actions.clear();
-    control.timerFired(now, Control.token(0, Control.Timer.HELD));
+    control.timerFired(now, RequestTimer.STATE_RELEASE.token());
   }
 
   /**
@@ -214,10 +214,10 @@
     now += SECOND;
     end(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
     host.actions.clear();
-    control.timerFired(now, Control.token(2, Control.Timer.WATCH));
+    control.timerFired(now, RequestTimer.ATTEMPT_TIMEOUT.token(2));
     assertTrue(host.of("cancel").isEmpty(), "its queue moves");
     now += 4 * SECOND;
-    control.timerFired(now, Control.token(2, Control.Timer.WATCH));
+    control.timerFired(now, RequestTimer.ATTEMPT_TIMEOUT.token(2));
     assertEquals(1, host.of("cancel").size());
   }
 
@@ -349,7 +349,7 @@
         timers.stream().allMatch(t -> t.value() > 0 && t.value() < 3 * SECOND),
         "before the kill, but not at once: " + timers);
     host.actions.clear();
-    now += 3 * SECOND - Control.SHUTDOWN_MARGIN;
+    now += 3 * SECOND - Control.SHUTDOWN_MARGIN_MICROS;
     timers.forEach(t -> control.timerFired(now, t.id()));
     assertEquals(
         List.of(1L, 2L),
@@ -393,7 +393,7 @@
     for (long prefix = 1; other == 0 || other == first; prefix++) {
       other = serve(100 + prefix, 900 + prefix, prefix, 2000);
       if (other != first) {
-        now += Control.SESSION_TTL + SECOND;
+        now += Control.SESSION_TTL_MICROS + SECOND;
         control.timerFired(now, 2);
         assertEquals(other, ask(5000, SAFE, 500, prefix, 2500));
       }
@@ -416,7 +416,7 @@
   @Test
   void aMixedServerWritesInPlaceAndLongPromptsGoToReaders() {
     fleet(ready(3, MIXED, 0), ready(1, READER, 0), ready(11, WRITER, 0));
-    assertEquals(1, ask(1, SAFE, 1, 0, Control.LONG_UNKEPT + 500));
+    assertEquals(1, ask(1, SAFE, 1, 0, Control.LONG_READ_TOKENS + 500));
     boolean mixed = false;
     for (int i = 2; i < 30 && !mixed; i++) {
       if (ask(i, SAFE, i, 0, 200) == 3) {
@@ -477,7 +477,7 @@
     ask(1, ONCE, 1, 0, 1000);
     host.actions.clear();
     now += 4 * SECOND;
-    control.timerFired(now, Control.token(1, Control.Timer.DEADLINE));
+    control.timerFired(now, RequestTimer.DEADLINE.token(1));
     assertEquals(List.of("fail", "cancel"), names());
   }
 
@@ -527,7 +527,7 @@
     fleet(ready(11, WRITER, 0));
     assertEquals(0, ask(1, SAFE, 1, 0, 1000));
     now += SECOND;
-    control.timerFired(now, Control.token(1, Control.Timer.PARK));
+    control.timerFired(now, RequestTimer.QUEUE_TIMEOUT.token(1));
     assertEquals(1, host.of("refuse").size());
   }
 
@@ -554,7 +554,7 @@
     end(99, 0, 1, AttemptOutcome.PROMPT_READ, true);
     control.firstToken(now, 99, 0, 1, 10);
     control.clientDisconnected(now, 99);
-    control.timerFired(now, Control.token(99, Control.Timer.DEADLINE));
+    control.timerFired(now, RequestTimer.DEADLINE.token(99));
     assertTrue(host.actions.isEmpty());
   }
 
@@ -679,7 +679,7 @@
       end(id, 0, home, AttemptOutcome.ERROR, false);
     }
     assertNotEquals(home, ask(9, SAFE, 0, 77, 2000));
-    now += 4 * Control.FORGIVE;
+    now += 4 * Control.SCORE_DECAY_MICROS;
     assertEquals(home, ask(10, SAFE, 0, 77, 2000), "the prefix's home again");
   }
 
@@ -721,10 +721,10 @@
     final long home = ask(1, SAFE, 1, 77, 500);
     now += 620_000;
     host.actions.clear();
-    control.timerFired(now, Control.token(1, Control.Timer.WATCH));
+    control.timerFired(now, RequestTimer.ATTEMPT_TIMEOUT.token(1));
     assertTrue(host.of("cancel").isEmpty(), "not before its time");
     now += 310_000;
-    control.timerFired(now, Control.token(1, Control.Timer.WATCH));
+    control.timerFired(now, RequestTimer.ATTEMPT_TIMEOUT.token(1));
     assertEquals(List.of("cancel"), names());
     end(1, 0, home, AttemptOutcome.CANCELLED, false);
     assertFalse(host.actions.isEmpty(), "a lost read is tried again or answered");
@@ -741,7 +741,7 @@
     end(1, 0, home, AttemptOutcome.PROMPT_READ, false);
     now += 2 * SECOND;
     host.actions.clear();
-    control.timerFired(now, Control.token(2, Control.Timer.WATCH));
+    control.timerFired(now, RequestTimer.ATTEMPT_TIMEOUT.token(2));
     assertTrue(host.of("cancel").isEmpty());
   }
 
@@ -898,7 +898,7 @@
     end(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
     now += 300_000;
     host.actions.clear();
-    control.timerFired(now, Control.token(1, Control.Timer.WATCH));
+    control.timerFired(now, RequestTimer.ATTEMPT_TIMEOUT.token(1));
     assertTrue(host.of("cancel").isEmpty());
   }
 
