--- a/policy/src/main/java/lemondock/policy/Control.java
+++ b/policy/src/main/java/lemondock/policy/Control.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.Comparator;
-import java.util.EnumMap;
 import java.util.EnumSet;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -11,7 +10,6 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Predicate;
 
@@ -44,8 +42,6 @@
   static final double REMOTE_LOAD_FACTOR =
       0.7; // a far writer wins only below this share of the near load
   // ---- admission
-  static final double LATE_FIRST_TOKEN_SHARE =
-      0.2; // a first token past this share of the aim: the writer has too much
   static final double SATURATED_PACE =
       0.9; // streams at this share of the wanted time: the writer has no room
   static final double DECREASE_FACTOR =
@@ -77,28 +73,6 @@
       0.3; // extra attempts for each request: no storm when all is slow
   static final double MAX_TOKENS = 5.0; // extra attempts saved up at most
   // ---- health
-  static final double OLDER_OUTCOMES_WEIGHT =
-      0.7; // weight of a server's older outcomes at each new one
-  static final double PRIOR_OUTCOMES = 2.0; // outcomes of the role that stand in for unseen ones
-  static final double EJECTION_EXCESS =
-      0.3; // share of failures above the role's that makes a suspect
-  static final double TRIAL_EXCESS = 0.12; // above it one unanswered attempt at a time
-  static final double PACE_WEIGHT = 0.15; // of a new stream in a server's pace
-  static final double WAIT_WEIGHT = 0.5; // of a new wait in a server's
-  static final double FASTER_WEIGHT = 0.3; // of a quicker case in what a thing takes unhindered,
-  static final double SLOWER_TIMES = 1.1; // and its growth at each slower one
-  static final long REJECTED_WAIT_MICROS =
-      1_000_000L; // the wait that a server without a free place stands for
-  static final long SCORE_DECAY_MICROS =
-      8_000_000L; // outcomes fade by 1/e: a suspect is tried again
-  static final long WAIT_DECAY_MICROS = 10_000_000L; // waits fade by 1/e
-  // ---- cold servers
-  static final double SAFETY_FACTOR = 0.85; // of the rate that a cold server bears before it falls
-  static final double MIN_SPEED = 0.1; // of a cold server, where the settings promise less
-  static final double MIN_REQUEST_COST =
-      0.2; // of a mean request, what the smallest counts against a cold server
-  static final double MIN_REQUESTS_PER_SECOND =
-      1.0; // requests a second to a cold server from all gateways together
 
   private static final Set<AttemptOutcome> NEVER_RAN =
       EnumSet.of(
@@ -113,19 +87,15 @@
   private final RouterSettings settings;
   private final RouterHost host;
   private final SplittableRandom random;
-  private final Map<Long, ServerState> servers = new TreeMap<>();
-  private List<ServerState> readers = List.of(); // the ready ones, mixed servers among them
-  private List<ServerState> writers = List.of();
+  private final ServerModel servers;
   private final Map<Long, InFlightRequest> inFlight = new HashMap<>();
   private final Map<Long, SessionEntry> sessions = new HashMap<>();
   private final TreeSet<InFlightRequest> queue = new TreeSet<>(PRIORITY_THEN_AGE);
-  private final Map<ServerRole, RoleStatistics> statisticsByRole = new EnumMap<>(ServerRole.class);
   private final List<DecayingCounter> tenantRates;
   private final double[] usualNewTokens; // usual in each class, 0 while unknown
   private final boolean
       mixedFleet; // writers of two roles: the pace of one role sends work to the other
   private double retryTokens = MAX_TOKENS;
-  private double meanRequestTokens; // of a request, prompt and answer
   private long tokensInFlight;
   private long writeTokensInFlight;
   private double capacityShare;
@@ -151,9 +121,7 @@
               && requestClass.deadlineMicros() >= requestClass.latencyObjectiveMicros(),
           "a class's deadline lies before its aim");
     }
-    for (ServerRole role : ServerRole.values()) {
-      statisticsByRole.put(role, new RoleStatistics());
-    }
+    servers = ServerModel.create(settings, random, clock);
     mixedFleet = settings.serverKinds().stream().anyMatch(kind -> kind.role() == ServerRole.MIXED);
     usualNewTokens = new double[settings.classes().size()];
     capacityShare = Math.min(1, INITIAL_SHARE / Math.max(1, settings.gatewayCount()));
@@ -183,18 +151,7 @@
       host.watchEndpoints();
       return;
     }
-    if (kind != EndpointListKind.CHANGES) {
-      servers.values().forEach(server -> server.lifecycle = ServerLifecycle.GONE);
-    }
-    statisticsByRole.values().forEach(RoleStatistics::invalidateWarmRate);
-    entries.forEach(this::updateServer);
-    servers
-        .values()
-        .removeIf(
-            server ->
-                server.lifecycle == ServerLifecycle.GONE && server.unansweredAttempts.isEmpty());
-    readers = readyExceptRole(ServerRole.WRITER);
-    writers = readyExceptRole(ServerRole.READER);
+    servers.table().apply(kind, entries);
     dispatchQueued();
   }
 
@@ -209,9 +166,7 @@
             new ReservedState(settings.rules().releaseWithinMicros()),
             random.nextDouble());
     inFlight.put(attributes.id(), request);
-    meanRequestTokens +=
-        (meanRequestTokens == 0 ? 1 : RoleStatistics.WEIGHT)
-            * (request.writeTokens() - meanRequestTokens);
+    servers.slowStart().recordRequest(request.writeTokens());
     retryTokens = Math.min(MAX_TOKENS, retryTokens + TOKENS_PER_REQUEST);
     if (attributes.tenantId() < tenantRates.size() && !attributes.clientRetry()) {
       tenantRates.get(attributes.tenantId()).add(clock.nowMicros());
@@ -268,7 +223,7 @@
     request.stateHolder = null;
     request.reservedState.cleared();
     attempt.timeToFirstTokenMicros = Math.max(1, timeToFirstTokenMicros);
-    recordAnswer(attempt, true);
+    servers.recordAnswer(attempt, AttemptVerdict.SUCCESS);
     recordFirstToken(request, attempt, timeToFirstTokenMicros);
     if (attempt.reads()) {
       remember(request, attempt.server);
@@ -347,28 +302,6 @@
   }
 
   // ==== the list of servers
-  private List<ServerState> readyExceptRole(ServerRole role) {
-    return servers.values().stream()
-        .filter(server -> server.isReady() && server.role() != role)
-        .toList();
-  }
-
-  /**
-   * A new process knows nothing and nothing is known of it; what is under way still counts for the
-   * old.
-   */
-  private void updateServer(ServerEntry entry) {
-    require(entry.kind() < settings.serverKinds().size(), "server of an unknown kind");
-    ServerState server = servers.get(entry.id());
-    if (server == null || server.entry.startedAtMicros() != entry.startedAtMicros()) {
-      ServerKind kind = settings.serverKinds().get(entry.kind());
-      RoleStatistics statistics = statisticsByRole.get(kind.role());
-      server = new ServerState(kind, statistics, random.nextDouble(), clock.nowMicros());
-      servers.put(entry.id(), server);
-    }
-    server.entry = entry;
-    server.lifecycle = entry.lifecycle();
-  }
 
   // ==== admission
   /**
@@ -385,7 +318,10 @@
 
   private double memoryTokens() {
     return Math.max(
-        1, preferred(writers, this::isHealthy).stream().mapToLong(ServerState::memoryTokens).sum());
+        1,
+        preferred(servers.table().writers(), servers.outliers()::isHealthy).stream()
+            .mapToLong(ServerState::memoryTokens)
+            .sum());
   }
 
   /**
@@ -433,10 +369,11 @@
   @Override
   public void visitState(long nowMicros, RouterStateVisitor visitor) {
     clock.advanceTo(Math.max(clock.nowMicros(), nowMicros));
-    servers.forEach(
-        (id, server) ->
-            visitor.server(
-                id, server.role(), server.lifecycle, isWarmingUp(server), isHealthy(server)));
+    for (ServerState server : servers.table().all()) {
+      boolean warmingUp = servers.slowStart().isWarmingUp(server);
+      boolean healthy = servers.outliers().isHealthy(server);
+      visitor.server(server.id(), server.role(), server.lifecycle, warmingUp, healthy);
+    }
     visitor.totals(queue.size(), tokensInFlight, Math.round(capacityShare * memoryTokens()));
   }
 
@@ -503,7 +440,7 @@
    */
   private List<ReadOption> rankedOptions(InFlightRequest request) {
     request.session = Optional.ofNullable(sessions.get(request.attributes.sessionId()));
-    List<ServerState> ranked = new ArrayList<>(candidates(request, readers));
+    List<ServerState> ranked = new ArrayList<>(candidates(request, servers.table().readers()));
     rankByHash(
         ranked,
         request.attributes.prefixId() != 0
@@ -526,7 +463,8 @@
     some.forEach(
         server ->
             server.hashRank =
-                -Math.log(unitInterval(mix(key ^ mix(server.id())))) / relativeSpeed(server));
+                -Math.log(unitInterval(mix(key ^ mix(server.id()))))
+                    / servers.slowStart().relativeSpeed(server));
     some.sort(Comparator.comparingDouble(server -> server.hashRank));
   }
 
@@ -556,13 +494,9 @@
       InFlightRequest request, ServerState server, int rank, int primaryCount) {
     long uncachedTokens =
         uncachedTokens(server, request, rank == 0, rank < primaryCount) + READ_OVERHEAD_TOKENS;
-    double reading =
-        server.roleStatistics.microsPerReadToken
-            * (server.readTokensInFlight + uncachedTokens)
-            / relativeSpeed(server);
     boolean mixed = server.role() == ServerRole.MIXED;
     AttemptWork work = mixed ? AttemptWork.READ_AND_WRITE : AttemptWork.READ;
-    long expectedMicros = (long) (estimatedWaitMicros(server) + reading);
+    long expectedMicros = servers.latency().expectedReadMicros(server, uncachedTokens);
     boolean suitable =
         server.role() == ServerRole.READER
             || uncachedTokens <= LONG_READ_TOKENS && hasCapacity(server, request);
@@ -575,7 +509,8 @@
             ? Math.max(server.streamPace, server.roleStatistics.streamPace)
             : server.streamPace;
     return pace < SATURATED_PACE
-        && estimatedWaitMicros(server) <= request.objectiveMicros * LATE_FIRST_TOKEN_SHARE
+        && servers.latency().estimatedWaitMicros(server)
+            <= request.objectiveMicros * LatencyEstimator.LATE_FIRST_TOKEN_SHARE
         && (server.writeTokensInFlight == 0
             || server.writeTokensInFlight + request.writeTokens()
                 <= capacityShare * server.memoryTokens());
@@ -596,7 +531,7 @@
   private long uncachedTokens(
       ServerState server, InFlightRequest request, boolean firstPrimary, boolean primary) {
     RoutingRequest attributes = request.attributes;
-    boolean settled = primary && !isWarmingUp(server);
+    boolean settled = primary && !servers.slowStart().isWarmingUp(server);
     long kept =
         settled && attributes.prefixId() != 0
                 || server.prefixUsedAtMicros.containsKey(attributes.prefixId())
@@ -630,7 +565,8 @@
         .values()
         .removeIf(entry -> clock.nowMicros() - entry.usedAtMicros() > SESSION_TTL_MICROS);
     servers
-        .values()
+        .table()
+        .all()
         .forEach(
             entry ->
                 entry
@@ -645,14 +581,14 @@
             + ", parked "
             + queue.size()
             + ", avoided "
-            + servers.values().stream()
-                .filter(entry -> !isHealthy(entry))
+            + servers.table().all().stream()
+                .filter(entry -> !servers.outliers().isHealthy(entry))
                 .map(ServerState::id)
                 .toList()
             + ", reads wait us "
-            + (long) statisticsByRole.get(ServerRole.READER).waitMicros
+            + (long) servers.table().statistics(ServerRole.READER).waitMicros
             + ", writes "
-            + (long) statisticsByRole.get(ServerRole.WRITER).waitMicros);
+            + (long) servers.table().statistics(ServerRole.WRITER).waitMicros);
     host.setTimer(RequestTimer.REAP_SESSIONS.token(), REAP_INTERVAL_MICROS);
   }
 
@@ -676,48 +612,34 @@
   private ServerState selectWriter(InFlightRequest request) {
     ServerEntry reader = request.stateHolder.entry;
     List<ServerState> able =
-        preferred(candidates(request, writers), server -> hasCapacity(server, request));
+        preferred(
+            candidates(request, servers.table().writers()), server -> hasCapacity(server, request));
     List<ServerState> zone = preferred(able, server -> server.entry.zone() == reader.zone());
     List<ServerState> cell =
         zone.stream().filter(server -> server.entry.cell() == reader.cell()).toList();
     if (cell.isEmpty()) {
       return lessLoaded(request, draw(zone), draw(zone));
     }
-    if (random.nextDouble() * readerShare(reader) * zone.size() >= cell.size()) {
+    if (random.nextDouble() * servers.table().readerShareOfCell(reader) * zone.size()
+        >= cell.size()) {
       return draw(preferred(zone, server -> server.entry.cell() != reader.cell()));
     }
     return lessLoaded(request, draw(cell), draw(zone));
   }
 
-  /** The cell's part of the readers of its zone. */
-  private double readerShare(ServerEntry reader) {
-    List<ServerState> zone =
-        readers.stream()
-            .filter(
-                server ->
-                    server.role() == ServerRole.READER && server.entry.zone() == reader.zone())
-            .toList();
-    return zone.stream().filter(server -> server.entry.cell() == reader.cell()).count()
-        / Math.max(1.0, zone.size());
-  }
-
   private ServerState lessLoaded(InFlightRequest request, ServerState near, ServerState far) {
     double clearly = near == null || near.entry.cell() == far.entry.cell() ? 1 : REMOTE_LOAD_FACTOR;
-    return near == null || load(request, far) >= load(request, near) * clearly ? near : far;
+    return near == null
+            || servers.latency().writeLoad(request, far)
+                >= servers.latency().writeLoad(request, near) * clearly
+        ? near
+        : far;
   }
 
   private ServerState draw(List<ServerState> from) {
     return from.isEmpty() ? null : from.get(random.nextInt(from.size()));
   }
 
-  private double load(InFlightRequest request, ServerState server) {
-    double tokens =
-        (server.writeTokensInFlight + request.writeTokens())
-            * (1
-                + estimatedWaitMicros(server) / (request.objectiveMicros * LATE_FIRST_TOKEN_SHARE));
-    return tokens / (server.entry.weight() * relativeSpeed(server));
-  }
-
   // ==== attempts
   /**
    * After an attempt that left the request unanswered: write what was read, try again, or settle.
@@ -803,66 +725,9 @@
             < request.requestClass.deduplicationWindowMicros() - settings.timerResolutionMicros();
   }
 
-  /**
-   * Rules 3 and 4: whether anything may go to this server at all. A cold one bears its part of what
-   * a warm one answers to this gateway (what is turned away does not count). The part is earned as
-   * credit, a mean request costs one, and each gateway starts at a random part of one: all of them
-   * together make no burst.
-   */
+  /** Rules 3 and 4: whether anything may go to this server at all. */
   private boolean mayReceive(ServerState server) {
-    if (!server.isReady()) {
-      return false;
-    }
-    if (!isWarmingUp(server)) {
-      return true;
-    }
-    double part = relativeSpeed(server) * settings.rules().overloadFactor() * SAFETY_FACTOR;
-    double earned =
-        Math.max(
-            warmRate(server.roleStatistics) * part,
-            MIN_REQUESTS_PER_SECOND / Math.max(1, settings.gatewayCount()));
-    server.slowStartCredit =
-        Math.min(
-            1,
-            server.slowStartCredit
-                + earned * (clock.nowMicros() - server.slowStartCreditAtMicros) / 1e6);
-    server.slowStartCreditAtMicros = clock.nowMicros();
-    return server.slowStartCredit >= 1;
-  }
-
-  /**
-   * Answers a second from a warm server of the role to this gateway; the last known where none is
-   * warm.
-   */
-  private double warmRate(RoleStatistics role) {
-    if (role.warmRateComputedAtMicros
-        != clock.nowMicros()) { // once an event, whatever the number of cold servers
-      role.warmAnswersPerSecond =
-          servers.values().stream()
-              .filter(peer -> peer.roleStatistics == role && peer.isReady() && !isWarmingUp(peer))
-              .mapToDouble(peer -> peer.answerRate.perSecond(clock.nowMicros()))
-              .average()
-              .orElse(role.warmAnswersPerSecond);
-      role.warmRateComputedAtMicros = clock.nowMicros();
-    }
-    return role.warmAnswersPerSecond;
-  }
-
-  private boolean isWarmingUp(ServerState server) {
-    return server.entry.startedAtMicros() > 0
-        && clock.nowMicros() - server.entry.startedAtMicros() <= settings.rules().slowStartMicros();
-  }
-
-  /** Its part of a warm server's speed: at first what the settings promise, growing evenly. */
-  private double relativeSpeed(ServerState server) {
-    if (!isWarmingUp(server)) {
-      return 1;
-    }
-    double least = Math.min(1, Math.max(MIN_SPEED, settings.rules().slowStartInitialShare()));
-    return least
-        + (1 - least)
-            * (clock.nowMicros() - server.entry.startedAtMicros())
-            / settings.rules().slowStartMicros();
+    return server.isReady() && servers.slowStart().hasCredit(server);
   }
 
   /** The only place that sends; its callers pick among {@link #mayReceive} servers. */
@@ -870,8 +735,6 @@
     Attempt attempt = new Attempt(plan, clock.nowMicros(), request.writeTokens());
     ServerState server = attempt.server;
     tokensInFlight += attempt.tokens;
-    server.readTokensInFlight += attempt.uncachedTokens;
-    attempt.readQueueTokensAtSend = server.readTokensInFlight;
     if (attempt.writes()) {
       server.writeTokensInFlight += attempt.tokens;
       writeTokensInFlight += attempt.tokens;
@@ -880,8 +743,7 @@
     }
     request.attempts.add(attempt);
     request.attemptsInFlight++;
-    server.unansweredAttempts.add(attempt);
-    server.slowStartCredit -= Math.max(MIN_REQUEST_COST, attempt.tokens / meanRequestTokens);
+    servers.recordSent(attempt);
     host.send(request.id(), server.id(), 0);
     startTimeout(request, attempt);
     if (attempt.work == AttemptWork.READ) {
@@ -945,7 +807,7 @@
     }
     attempt.timedOut = true;
     host.trace(request.id(), DecisionReason.ATTEMPT_TIMEOUT);
-    recordWait(attempt.server, clock.nowMicros() - attempt.sentAtMicros - attempt.expectedMicros);
+    servers.latency().recordTimeout(attempt);
     host.cancel(request.id(), number);
   }
 
@@ -972,26 +834,30 @@
     }
     switch (result.outcome()) {
       case PROMPT_READ -> {
-        recordAnswer(attempt, true);
-        recordRead(attempt, uncachedTokens + READ_OVERHEAD_TOKENS, result.elapsedMicros());
+        servers.recordAnswer(attempt, AttemptVerdict.SUCCESS);
+        servers
+            .latency()
+            .recordRead(attempt, uncachedTokens + READ_OVERHEAD_TOKENS, result.elapsedMicros());
         remember(request, attempt.server);
       }
       case OK -> {
-        recordAnswer(attempt, true);
-        recordStreamPace(request, attempt, result.elapsedMicros());
+        servers.recordAnswer(attempt, AttemptVerdict.SUCCESS);
+        servers.latency().recordStreamPace(request, attempt, result.elapsedMicros());
       }
       case REJECTED -> {
-        recordAnswer(attempt, null);
+        servers.recordAnswer(attempt, AttemptVerdict.NEUTRAL);
         if (result.stateMissing()) {
           request.stateHolder = null;
         } else {
-          recordWait(attempt.server, REJECTED_WAIT_MICROS);
+          servers.latency().recordRejection(attempt.server);
           capacityShare -= attempt.writes() ? decrease(attempt) : 0;
         }
       }
-      case ABANDONED_BEFORE_SEND -> recordAnswer(attempt, null);
-      case CANCELLED -> recordAnswer(attempt, attempt.timedOut ? false : null);
-      default -> recordAnswer(attempt, false);
+      case ABANDONED_BEFORE_SEND -> servers.recordAnswer(attempt, AttemptVerdict.NEUTRAL);
+      case CANCELLED ->
+          servers.recordAnswer(
+              attempt, attempt.timedOut ? AttemptVerdict.FAILURE : AttemptVerdict.NEUTRAL);
+      default -> servers.recordAnswer(attempt, AttemptVerdict.FAILURE);
     }
   }
 
@@ -1089,7 +955,7 @@
     List<ServerState> able =
         ready.stream().filter(server -> mayReceive(server) && mayRepeat(request, server)).toList();
     return preferred(
-        preferred(able, this::isHealthy),
+        preferred(able, servers.outliers()::isHealthy),
         server ->
             request.attempts.stream()
                 .noneMatch(attempt -> attempt.server == server && attempt.failed));
@@ -1100,95 +966,6 @@
     return some.isEmpty() ? from : some;
   }
 
-  /**
-   * One judgement from outcomes: fast errors, a crash, lost answers, a cut link. The role's share
-   * of failures stands in for what was not seen and counts as normal. Scores fade; a server on
-   * trial gets one attempt at a time. Could harm one whose requests fail for their own sake.
-   * Slowness is no verdict.
-   */
-  private boolean isHealthy(ServerState server) {
-    double beyond = failureRate(server) - server.roleStatistics.failureRate;
-    return beyond < TRIAL_EXCESS || beyond < EJECTION_EXCESS && server.unansweredAttempts.isEmpty();
-  }
-
-  private double failureRate(ServerState server) {
-    double failed =
-        ExponentialDecay.decay(
-            server.failureScore, clock.nowMicros() - server.scoredAtMicros, SCORE_DECAY_MICROS);
-    double worked =
-        ExponentialDecay.decay(
-            server.successScore, clock.nowMicros() - server.scoredAtMicros, SCORE_DECAY_MICROS);
-    return (failed + PRIOR_OUTCOMES * server.roleStatistics.failureRate)
-        / (failed + worked + PRIOR_OUTCOMES);
-  }
-
-  /** An attempt is no longer silent; good is null where its end says nothing of the server. */
-  private void recordAnswer(Attempt attempt, Boolean good) {
-    ServerState server = attempt.server;
-    boolean first = server.unansweredAttempts.remove(attempt);
-    server.readTokensInFlight -= first ? attempt.uncachedTokens : 0;
-    if (good == null) {
-      return;
-    }
-    server.roleStatistics.failureRate +=
-        RoleStatistics.WEIGHT * ((good ? 0 : 1) - server.roleStatistics.failureRate);
-    if (first && good) {
-      server.answerRate.add(clock.nowMicros());
-      server.roleStatistics.invalidateWarmRate();
-    }
-    server.failureScore =
-        ExponentialDecay.decay(
-                    server.failureScore,
-                    clock.nowMicros() - server.scoredAtMicros,
-                    SCORE_DECAY_MICROS)
-                * OLDER_OUTCOMES_WEIGHT
-            + (good ? 0 : 1);
-    server.successScore =
-        ExponentialDecay.decay(
-                    server.successScore,
-                    clock.nowMicros() - server.scoredAtMicros,
-                    SCORE_DECAY_MICROS)
-                * OLDER_OUTCOMES_WEIGHT
-            + (good ? 1 : 0);
-    server.streamPace =
-        ExponentialDecay.decay(
-            server.streamPace, clock.nowMicros() - server.scoredAtMicros, SCORE_DECAY_MICROS);
-    server.scoredAtMicros = clock.nowMicros();
-    if (good) {
-      server.lastAnswerAtMicros = clock.nowMicros();
-      server.newestAnsweredSentAtMicros =
-          Math.max(server.newestAnsweredSentAtMicros, attempt.sentAtMicros);
-    }
-  }
-
-  /**
-   * How long work waits here beyond what it takes by itself, from what came back last or is still
-   * out and not overtaken. One sign for queues of others' work, slow machines, stalls and silence
-   * alike.
-   */
-  private double estimatedWaitMicros(ServerState server) {
-    double seen =
-        ExponentialDecay.decay(
-            server.waitMicros, clock.nowMicros() - server.waitUpdatedAtMicros, WAIT_DECAY_MICROS);
-    for (Attempt attempt : server.unansweredAttempts) {
-      if (attempt.sentAtMicros > server.newestAnsweredSentAtMicros) {
-        return Math.max(seen, clock.nowMicros() - attempt.sentAtMicros - attempt.expectedMicros);
-      }
-    }
-    return seen;
-  }
-
-  private void recordWait(ServerState server, double wait) {
-    double seen =
-        ExponentialDecay.decay(
-            server.waitMicros, clock.nowMicros() - server.waitUpdatedAtMicros, WAIT_DECAY_MICROS);
-    server.waitMicros = seen + WAIT_WEIGHT * (Math.max(0, wait) - seen);
-    server.waitUpdatedAtMicros = clock.nowMicros();
-    server.roleStatistics.waitMicros +=
-        Math.max(RoleStatistics.WEIGHT, 1.0 / ++server.roleStatistics.waitCount)
-            * (Math.max(0, wait) - server.roleStatistics.waitMicros);
-  }
-
   /** What is usually new in a class, from what its reads had not kept. */
   private void recordUncached(int classId, long uncachedTokens) {
     usualNewTokens[classId] +=
@@ -1196,38 +973,15 @@
             * (uncachedTokens - usualNewTokens[classId]);
   }
 
-  private void recordRead(Attempt attempt, long uncachedTokens, long elapsedMicros) {
-    double work = attempt.readQueueTokensAtSend - attempt.uncachedTokens + uncachedTokens;
-    double speed = relativeSpeed(attempt.server);
-    attempt.server.roleStatistics.microsPerReadToken =
-        trackMinimum(
-            attempt.server.roleStatistics.microsPerReadToken, elapsedMicros * speed / work);
-    recordWait(
-        attempt.server,
-        elapsedMicros - attempt.server.roleStatistics.microsPerReadToken * work / speed);
-  }
-
-  /** What a thing takes when nothing is in its way: falls quickly, rises slowly. */
-  private static double trackMinimum(double known, double seen) {
-    return seen < known
-        ? known + FASTER_WEIGHT * (seen - known)
-        : Math.min(seen, known * SLOWER_TIMES);
-  }
-
   /**
    * A first token that came late says that the writers have too much; one that never came may be
    * lost.
    */
   private void recordFirstToken(
       InFlightRequest request, Attempt attempt, long timeToFirstTokenMicros) {
-    RoleStatistics role = attempt.server.roleStatistics;
-    if (attempt.reads()) {
-      recordRead(attempt, attempt.uncachedTokens, timeToFirstTokenMicros);
-    } else {
-      role.firstTokenMicros = trackMinimum(role.firstTokenMicros, timeToFirstTokenMicros);
-      recordWait(attempt.server, timeToFirstTokenMicros - role.firstTokenMicros);
-    }
-    if (timeToFirstTokenMicros > request.objectiveMicros * LATE_FIRST_TOKEN_SHARE) {
+    servers.latency().recordFirstToken(attempt, timeToFirstTokenMicros);
+    if (timeToFirstTokenMicros
+        > request.objectiveMicros * LatencyEstimator.LATE_FIRST_TOKEN_SHARE) {
       capacityShare -= decrease(attempt);
     } else if (attempt.writeTokensInFlightAtSend
         > capacityShare * memoryTokens() * allowedShare(request) * INCREASE_UTILIZATION) {
@@ -1235,20 +989,6 @@
     }
   }
 
-  /**
-   * Streams nearly too slow: no room. Guards against reads in place, neighbours, slow machines
-   * alike.
-   */
-  private void recordStreamPace(InFlightRequest request, Attempt attempt, long elapsedMicros) {
-    double pace =
-        (elapsedMicros - attempt.timeToFirstTokenMicros)
-            / Math.max(
-                1.0, request.answerTokens * request.requestClass.tokenIntervalObjectiveMicros());
-    attempt.server.streamPace += PACE_WEIGHT * (pace - attempt.server.streamPace);
-    attempt.server.roleStatistics.streamPace +=
-        RoleStatistics.WEIGHT * (pace - attempt.server.roleStatistics.streamPace);
-  }
-
   /**
    * What a sign of too much takes off the room: some gains, so late writes settle at one in so
    * many.
--- /dev/null
+++ b/policy/src/main/java/lemondock/policy/LatencyEstimator.java
@@ -0,0 +1,151 @@
+package lemondock.policy;
+
+/**
+ * Learns how long work takes when nothing hinders it, and how long it waits in each server's queue
+ * beyond that. One sign stands for queues of other gateways' work, slow machines, stalls and
+ * silence alike. Times in microseconds.
+ */
+final class LatencyEstimator {
+  /**
+   * A first token that takes more than this share of the latency objective is late: the writer has
+   * too much.
+   */
+  static final double LATE_FIRST_TOKEN_SHARE = 0.2;
+
+  /** Wait that a server which rejects an attempt for want of capacity stands for. */
+  static final long REJECTED_WAIT_MICROS = 1_000_000L;
+
+  /** Weight of a new stream in a server's pace. */
+  private static final double PACE_WEIGHT = 0.15;
+
+  /** Weight of a new wait in a server's. */
+  private static final double WAIT_WEIGHT = 0.5;
+
+  /** Waits fall to 1/e in this time. */
+  private static final long WAIT_DECAY_MICROS = 10_000_000L;
+
+  /** Weight of a faster case in what work takes unhindered. */
+  private static final double FASTER_WEIGHT = 0.3;
+
+  /** Growth of what work takes unhindered at each slower case. */
+  private static final double SLOWER_FACTOR = 1.1;
+
+  private final SlowStart slowStart;
+  private final DecisionClock clock;
+
+  LatencyEstimator(SlowStart slowStart, DecisionClock clock) {
+    this.slowStart = slowStart;
+    this.clock = clock;
+  }
+
+  /**
+   * How long work waits here beyond what it takes by itself: from what came back last, or from the
+   * oldest attempt that is unanswered and not overtaken.
+   */
+  double estimatedWaitMicros(ServerState server) {
+    double seen = decayedWait(server);
+    for (Attempt attempt : server.unansweredAttempts) {
+      if (attempt.sentAtMicros > server.newestAnsweredSentAtMicros) {
+        return Math.max(seen, clock.nowMicros() - attempt.sentAtMicros - attempt.expectedMicros);
+      }
+    }
+    return seen;
+  }
+
+  /** What a read of so many tokens should take here, behind those already in the queue. */
+  long expectedReadMicros(ServerState server, long uncachedTokens) {
+    double readMicros =
+        server.roleStatistics.microsPerReadToken
+            * (server.readTokensInFlight + uncachedTokens)
+            / slowStart.relativeSpeed(server);
+    return (long) (estimatedWaitMicros(server) + readMicros);
+  }
+
+  /** Load of a writer with the request added: its tokens, weighted by wait, weight and speed. */
+  double writeLoad(InFlightRequest request, ServerState server) {
+    double lateMicros = request.objectiveMicros * LATE_FIRST_TOKEN_SHARE;
+    double tokens =
+        (server.writeTokensInFlight + request.writeTokens())
+            * (1 + estimatedWaitMicros(server) / lateMicros);
+    return tokens / (server.entry.weight() * slowStart.relativeSpeed(server));
+  }
+
+  /** An attempt has been answered, well or not. */
+  void recordAnswer(Attempt attempt, boolean success) {
+    ServerState server = attempt.server;
+    long now = clock.nowMicros();
+    long ageMicros = now - server.streamPaceUpdatedAtMicros;
+    server.streamPace =
+        ExponentialDecay.decay(server.streamPace, ageMicros, OutlierDetector.SCORE_DECAY_MICROS);
+    server.streamPaceUpdatedAtMicros = now;
+    if (success) {
+      server.lastAnswerAtMicros = now;
+      server.newestAnsweredSentAtMicros =
+          Math.max(server.newestAnsweredSentAtMicros, attempt.sentAtMicros);
+    }
+  }
+
+  /** An attempt that is cancelled now has waited at least so long. */
+  void recordTimeout(Attempt attempt) {
+    recordWait(attempt.server, clock.nowMicros() - attempt.sentAtMicros - attempt.expectedMicros);
+  }
+
+  /** The server rejected an attempt for want of capacity. */
+  void recordRejection(ServerState server) {
+    recordWait(server, REJECTED_WAIT_MICROS);
+  }
+
+  /** A read has ended; the tokens are those that the server really had to read. */
+  void recordRead(Attempt attempt, long uncachedTokens, long elapsedMicros) {
+    double queuedTokens = attempt.readQueueTokensAtSend - attempt.uncachedTokens + uncachedTokens;
+    double speed = slowStart.relativeSpeed(attempt.server);
+    RoleStatistics role = attempt.server.roleStatistics;
+    role.microsPerReadToken =
+        trackMinimum(role.microsPerReadToken, elapsedMicros * speed / queuedTokens);
+    recordWait(attempt.server, elapsedMicros - role.microsPerReadToken * queuedTokens / speed);
+  }
+
+  /** The first token of an answer has come. */
+  void recordFirstToken(Attempt attempt, long timeToFirstTokenMicros) {
+    if (attempt.reads()) {
+      recordRead(attempt, attempt.uncachedTokens, timeToFirstTokenMicros);
+      return;
+    }
+    RoleStatistics role = attempt.server.roleStatistics;
+    role.firstTokenMicros = trackMinimum(role.firstTokenMicros, timeToFirstTokenMicros);
+    recordWait(attempt.server, timeToFirstTokenMicros - role.firstTokenMicros);
+  }
+
+  /** A stream has ended: its time over the time that its class wants. */
+  void recordStreamPace(InFlightRequest request, Attempt attempt, long elapsedMicros) {
+    long wantedMicros = request.answerTokens * request.requestClass.tokenIntervalObjectiveMicros();
+    double pace = (elapsedMicros - attempt.timeToFirstTokenMicros) / Math.max(1.0, wantedMicros);
+    ServerState server = attempt.server;
+    server.streamPace += PACE_WEIGHT * (pace - server.streamPace);
+    server.roleStatistics.streamPace +=
+        RoleStatistics.WEIGHT * (pace - server.roleStatistics.streamPace);
+  }
+
+  private void recordWait(ServerState server, double waitMicros) {
+    double wait = Math.max(0, waitMicros);
+    double seen = decayedWait(server);
+    server.waitMicros = seen + WAIT_WEIGHT * (wait - seen);
+    server.waitUpdatedAtMicros = clock.nowMicros();
+    RoleStatistics role = server.roleStatistics;
+    role.waitCount++;
+    role.waitMicros +=
+        Math.max(RoleStatistics.WEIGHT, 1.0 / role.waitCount) * (wait - role.waitMicros);
+  }
+
+  private double decayedWait(ServerState server) {
+    long ageMicros = clock.nowMicros() - server.waitUpdatedAtMicros;
+    return ExponentialDecay.decay(server.waitMicros, ageMicros, WAIT_DECAY_MICROS);
+  }
+
+  /** Follows what work takes when nothing is in its way: falls quickly, rises slowly. */
+  private static double trackMinimum(double known, double seen) {
+    return seen < known
+        ? known + FASTER_WEIGHT * (seen - known)
+        : Math.min(seen, known * SLOWER_FACTOR);
+  }
+}
--- /dev/null
+++ b/policy/src/main/java/lemondock/policy/ServerTable.java
@@ -0,0 +1,99 @@
+package lemondock.policy;
+
+import java.util.Collection;
+import java.util.EnumMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+
+/** The servers of the endpoint list, with the state that this gateway keeps of each. */
+final class ServerTable {
+  private final List<ServerKind> kinds;
+  private final SplittableRandom random;
+  private final DecisionClock clock;
+  private final Map<Long, ServerState> servers = new TreeMap<>();
+  private final Map<ServerRole, RoleStatistics> statisticsByRole = new EnumMap<>(ServerRole.class);
+  private List<ServerState> readers = List.of();
+  private List<ServerState> writers = List.of();
+
+  ServerTable(List<ServerKind> kinds, SplittableRandom random, DecisionClock clock) {
+    this.kinds = kinds;
+    this.random = random;
+    this.clock = clock;
+    for (ServerRole role : ServerRole.values()) {
+      statisticsByRole.put(role, new RoleStatistics());
+    }
+  }
+
+  /** Applies an endpoint list or its changes; {@link EndpointListKind#FAILED} has none. */
+  void apply(EndpointListKind listKind, List<ServerEntry> entries) {
+    if (listKind != EndpointListKind.CHANGES) {
+      servers.values().forEach(server -> server.lifecycle = ServerLifecycle.GONE);
+    }
+    statisticsByRole.values().forEach(RoleStatistics::invalidateWarmRate);
+    entries.forEach(this::update);
+    servers.values().removeIf(ServerTable::isRemovable);
+    readers = readyServersExcept(ServerRole.WRITER);
+    writers = readyServersExcept(ServerRole.READER);
+  }
+
+  /**
+   * A new process at a known id starts from nothing; attempts in flight still count for the old
+   * one.
+   */
+  private void update(ServerEntry entry) {
+    if (entry.kind() >= kinds.size()) {
+      throw new IllegalArgumentException("server of an unknown kind");
+    }
+    ServerState server = servers.get(entry.id());
+    if (server == null || server.entry.startedAtMicros() != entry.startedAtMicros()) {
+      ServerKind kind = kinds.get(entry.kind());
+      RoleStatistics statistics = statisticsByRole.get(kind.role());
+      server = new ServerState(kind, statistics, random.nextDouble(), clock.nowMicros());
+      servers.put(entry.id(), server);
+    }
+    server.entry = entry;
+    server.lifecycle = entry.lifecycle();
+  }
+
+  private static boolean isRemovable(ServerState server) {
+    return server.lifecycle == ServerLifecycle.GONE && server.unansweredAttempts.isEmpty();
+  }
+
+  private List<ServerState> readyServersExcept(ServerRole role) {
+    return servers.values().stream()
+        .filter(server -> server.isReady() && server.role() != role)
+        .toList();
+  }
+
+  /** All servers known, by id. */
+  Collection<ServerState> all() {
+    return servers.values();
+  }
+
+  /** The ready servers that can read, mixed ones among them. */
+  List<ServerState> readers() {
+    return readers;
+  }
+
+  /** The ready servers that can write, mixed ones among them. */
+  List<ServerState> writers() {
+    return writers;
+  }
+
+  RoleStatistics statistics(ServerRole role) {
+    return statisticsByRole.get(role);
+  }
+
+  /** The part of the zone's readers, mixed servers left out, that stand in the entry's cell. */
+  double readerShareOfCell(ServerEntry entry) {
+    List<ServerState> zone =
+        readers.stream()
+            .filter(server -> server.role() == ServerRole.READER)
+            .filter(server -> server.entry.zone() == entry.zone())
+            .toList();
+    long cell = zone.stream().filter(server -> server.entry.cell() == entry.cell()).count();
+    return cell / Math.max(1.0, zone.size());
+  }
+}
--- a/policy/src/test/java/lemondock/policy/ControlTest.java
+++ b/policy/src/test/java/lemondock/policy/ControlTest.java
@@ -679,7 +679,7 @@
       end(id, 0, home, AttemptOutcome.ERROR, false);
     }
     assertNotEquals(home, ask(9, SAFE, 0, 77, 2000));
-    now += 4 * Control.SCORE_DECAY_MICROS;
+    now += 4 * OutlierDetector.SCORE_DECAY_MICROS;
     assertEquals(home, ask(10, SAFE, 0, 77, 2000), "the prefix's home again");
   }
 
