--- a/policy/src/main/java/lemondock/policy/Control.java
+++ b/policy/src/main/java/lemondock/policy/Control.java
@@ -42,17 +42,6 @@
   static final double REMOTE_LOAD_FACTOR =
       0.7; // a far writer wins only below this share of the near load
   // ---- admission
-  static final double SATURATED_PACE =
-      0.9; // streams at this share of the wanted time: the writer has no room
-  static final double DECREASE_FACTOR =
-      2.0; // requests of room lost with each such sign; a prompt one gains one
-  static final double INCREASE_UTILIZATION =
-      0.5; // while more than this share of what is open to it is in use
-  static final double INITIAL_SHARE =
-      1.2; // in even shares of the memory: gateways use writers unevenly
-  static final double LOWER_PRIORITY_SHARE =
-      0.8; // of the room, open to classes worth less than the best
-  static final double OVER_QUOTA_SHARE = 0.6; // of the room, open to a tenant beyond its quota
   static final double MAX_QUEUE_OBJECTIVE_SHARE =
       0.5; // of the aim, the longest wait for room before a refusal
   static final int MAX_SKIPPED = 8; // parked requests that one look passes over
@@ -91,14 +80,10 @@
   private final Map<Long, InFlightRequest> inFlight = new HashMap<>();
   private final Map<Long, SessionEntry> sessions = new HashMap<>();
   private final TreeSet<InFlightRequest> queue = new TreeSet<>(PRIORITY_THEN_AGE);
-  private final List<DecayingCounter> tenantRates;
+  private final AdmissionQuota quota;
+  private final AdaptiveCapacityLimit capacity;
   private final double[] usualNewTokens; // usual in each class, 0 while unknown
-  private final boolean
-      mixedFleet; // writers of two roles: the pace of one role sends work to the other
   private double retryTokens = MAX_TOKENS;
-  private long tokensInFlight;
-  private long writeTokensInFlight;
-  private double capacityShare;
   private boolean scanScheduled;
   private long releaseTimerAt = Long.MAX_VALUE;
   private long killedAt = Long.MAX_VALUE;
@@ -122,10 +107,9 @@
           "a class's deadline lies before its aim");
     }
     servers = ServerModel.create(settings, random, clock);
-    mixedFleet = settings.serverKinds().stream().anyMatch(kind -> kind.role() == ServerRole.MIXED);
     usualNewTokens = new double[settings.classes().size()];
-    capacityShare = Math.min(1, INITIAL_SHARE / Math.max(1, settings.gatewayCount()));
-    tenantRates = settings.tenants().stream().map(tenant -> new DecayingCounter()).toList();
+    quota = new AdmissionQuota(settings, clock);
+    capacity = new AdaptiveCapacityLimit(settings, servers, quota);
   }
 
   private static void require(boolean holds, String what) {
@@ -168,15 +152,13 @@
     inFlight.put(attributes.id(), request);
     servers.slowStart().recordRequest(request.writeTokens());
     retryTokens = Math.min(MAX_TOKENS, retryTokens + TOKENS_PER_REQUEST);
-    if (attributes.tenantId() < tenantRates.size() && !attributes.clientRetry()) {
-      tenantRates.get(attributes.tenantId()).add(clock.nowMicros());
-    }
+    quota.recordArrival(attributes);
     long timeoutMicros =
         Math.max(0, attributes.clientTimeoutMicros() - settings.timerResolutionMicros());
     host.setTimer(RequestTimer.DEADLINE.token(attributes.id()), timeoutMicros);
     if (endsAfterShutdown(request)) {
       complete(request, DecisionReason.SHUTTING_DOWN);
-    } else if (!admits(request) || !dispatchRead(request)) {
+    } else if (!capacity.admits(request) || !dispatchRead(request)) {
       enqueue(request);
     }
   }
@@ -224,7 +206,8 @@
     request.reservedState.cleared();
     attempt.timeToFirstTokenMicros = Math.max(1, timeToFirstTokenMicros);
     servers.recordAnswer(attempt, AttemptVerdict.SUCCESS);
-    recordFirstToken(request, attempt, timeToFirstTokenMicros);
+    servers.latency().recordFirstToken(attempt, timeToFirstTokenMicros);
+    capacity.recordFirstToken(request, attempt, timeToFirstTokenMicros);
     if (attempt.reads()) {
       remember(request, attempt.server);
     }
@@ -304,47 +287,6 @@
   // ==== the list of servers
 
   // ==== admission
-  /**
-   * Refuses before it costs work what the writers cannot take: tokens under way against the part of
-   * their memory that this gateway has learned to use; one figure for all, for one of many gateways
-   * sees each too rarely. Guards against overload, bursts, shared slowness and lost writers; could
-   * harm where first tokens are late for another cause, until prompt ones let it grow back.
-   */
-  private boolean admits(InFlightRequest request) {
-    return tokensInFlight == 0
-        || tokensInFlight + request.writeTokens()
-            <= capacityShare * memoryTokens() * allowedShare(request);
-  }
-
-  private double memoryTokens() {
-    return Math.max(
-        1,
-        preferred(servers.table().writers(), servers.outliers()::isHealthy).stream()
-            .mapToLong(ServerState::memoryTokens)
-            .sum());
-  }
-
-  /**
-   * Under pressure the classes of less worth, and tenants beyond their share, are turned away
-   * first.
-   */
-  private double allowedShare(InFlightRequest request) {
-    int tenant = request.attributes.tenantId();
-    if (tenant < tenantRates.size()) {
-      double quota = settings.tenants().get(tenant).quotaPerSecond();
-      if (quota > 0
-          && tenantRates.get(tenant).perSecond(clock.nowMicros()) * settings.gatewayCount()
-              > quota) {
-        return OVER_QUOTA_SHARE;
-      }
-    }
-    return settings.classes().stream()
-            .anyMatch(
-                requestClass ->
-                    requestClass.priorityWeight() > request.requestClass.priorityWeight())
-        ? LOWER_PRIORITY_SHARE
-        : 1;
-  }
 
   /** Waiting here costs no server anything and holds no state; it ends in time for another try. */
   private void enqueue(InFlightRequest request) {
@@ -374,14 +316,14 @@
       boolean healthy = servers.outliers().isHealthy(server);
       visitor.server(server.id(), server.role(), server.lifecycle, warmingUp, healthy);
     }
-    visitor.totals(queue.size(), tokensInFlight, Math.round(capacityShare * memoryTokens()));
+    visitor.totals(queue.size(), capacity.tokensInFlight(), capacity.capacityTokens());
   }
 
   private void dispatchQueued() {
     Iterator<InFlightRequest> waiting = queue.iterator();
     for (int passed = 0; waiting.hasNext() && passed < MAX_SKIPPED; ) {
       InFlightRequest request = waiting.next();
-      if (admits(request) && dispatchRead(request)) {
+      if (capacity.admits(request) && dispatchRead(request)) {
         waiting.remove();
       } else {
         passed++;
@@ -499,23 +441,10 @@
     long expectedMicros = servers.latency().expectedReadMicros(server, uncachedTokens);
     boolean suitable =
         server.role() == ServerRole.READER
-            || uncachedTokens <= LONG_READ_TOKENS && hasCapacity(server, request);
+            || uncachedTokens <= LONG_READ_TOKENS && capacity.hasCapacity(server, request);
     return new ReadOption(new AttemptPlan(server, work, uncachedTokens, expectedMicros), suitable);
   }
 
-  private boolean hasCapacity(ServerState server, InFlightRequest request) {
-    double pace =
-        mixedFleet
-            ? Math.max(server.streamPace, server.roleStatistics.streamPace)
-            : server.streamPace;
-    return pace < SATURATED_PACE
-        && servers.latency().estimatedWaitMicros(server)
-            <= request.objectiveMicros * LatencyEstimator.LATE_FIRST_TOKEN_SHARE
-        && (server.writeTokensInFlight == 0
-            || server.writeTokensInFlight + request.writeTokens()
-                <= capacityShare * server.memoryTokens());
-  }
-
   private static long mix(long x) {
     long z = x + 0x9E3779B97F4A7C15L;
     z = (z ^ (z >>> 30)) * 0xBF58476D1CE4E5B9L;
@@ -575,9 +504,9 @@
                     .removeIf(
                         usedAtMicros -> clock.nowMicros() - usedAtMicros > SESSION_TTL_MICROS));
     host.log(
-        tokensInFlight
+        capacity.tokensInFlight()
             + " tokens under way of room "
-            + Math.round(capacityShare * memoryTokens())
+            + capacity.capacityTokens()
             + ", parked "
             + queue.size()
             + ", avoided "
@@ -613,7 +542,8 @@
     ServerEntry reader = request.stateHolder.entry;
     List<ServerState> able =
         preferred(
-            candidates(request, servers.table().writers()), server -> hasCapacity(server, request));
+            candidates(request, servers.table().writers()),
+            server -> capacity.hasCapacity(server, request));
     List<ServerState> zone = preferred(able, server -> server.entry.zone() == reader.zone());
     List<ServerState> cell =
         zone.stream().filter(server -> server.entry.cell() == reader.cell()).toList();
@@ -733,18 +663,14 @@
   /** The only place that sends; its callers pick among {@link #mayReceive} servers. */
   private void send(InFlightRequest request, AttemptPlan plan) {
     Attempt attempt = new Attempt(plan, clock.nowMicros(), request.writeTokens());
-    ServerState server = attempt.server;
-    tokensInFlight += attempt.tokens;
+    capacity.recordSent(attempt);
     if (attempt.writes()) {
-      server.writeTokensInFlight += attempt.tokens;
-      writeTokensInFlight += attempt.tokens;
-      attempt.writeTokensInFlightAtSend = writeTokensInFlight;
       request.possibleEffect = request.possibleEffect == null ? attempt : request.possibleEffect;
     }
     request.attempts.add(attempt);
     request.attemptsInFlight++;
     servers.recordSent(attempt);
-    host.send(request.id(), server.id(), 0);
+    host.send(request.id(), attempt.server.id(), 0);
     startTimeout(request, attempt);
     if (attempt.work == AttemptWork.READ) {
       request.reservedState.readSent(clock.nowMicros(), suspectAfter(attempt));
@@ -818,11 +744,7 @@
     attempt.failed =
         result.outcome() != AttemptOutcome.PROMPT_READ && !(attempt.timedOut && !attempt.writes());
     request.attemptsInFlight--;
-    if (attempt.writes()) {
-      attempt.server.writeTokensInFlight -= attempt.tokens;
-      writeTokensInFlight -= attempt.tokens;
-    }
-    tokensInFlight -= attempt.tokens;
+    capacity.recordEnded(attempt);
     if (request.possibleEffect == attempt && attempt.neverRan) {
       request.possibleEffect = null;
     }
@@ -850,7 +772,7 @@
           request.stateHolder = null;
         } else {
           servers.latency().recordRejection(attempt.server);
-          capacityShare -= attempt.writes() ? decrease(attempt) : 0;
+          capacity.recordRejection(attempt);
         }
       }
       case ABANDONED_BEFORE_SEND -> servers.recordAnswer(attempt, AttemptVerdict.NEUTRAL);
@@ -961,7 +883,7 @@
                 .noneMatch(attempt -> attempt.server == server && attempt.failed));
   }
 
-  private static List<ServerState> preferred(List<ServerState> from, Predicate<ServerState> test) {
+  static List<ServerState> preferred(List<ServerState> from, Predicate<ServerState> test) {
     List<ServerState> some = from.stream().filter(test).toList();
     return some.isEmpty() ? from : some;
   }
@@ -972,28 +894,4 @@
         (usualNewTokens[classId] == 0 ? 1 : RoleStatistics.WEIGHT)
             * (uncachedTokens - usualNewTokens[classId]);
   }
-
-  /**
-   * A first token that came late says that the writers have too much; one that never came may be
-   * lost.
-   */
-  private void recordFirstToken(
-      InFlightRequest request, Attempt attempt, long timeToFirstTokenMicros) {
-    servers.latency().recordFirstToken(attempt, timeToFirstTokenMicros);
-    if (timeToFirstTokenMicros
-        > request.objectiveMicros * LatencyEstimator.LATE_FIRST_TOKEN_SHARE) {
-      capacityShare -= decrease(attempt);
-    } else if (attempt.writeTokensInFlightAtSend
-        > capacityShare * memoryTokens() * allowedShare(request) * INCREASE_UTILIZATION) {
-      capacityShare = Math.min(1, capacityShare + attempt.tokens / memoryTokens());
-    }
-  }
-
-  /**
-   * What a sign of too much takes off the room: some gains, so late writes settle at one in so
-   * many.
-   */
-  private double decrease(Attempt attempt) {
-    return Math.min(capacityShare, DECREASE_FACTOR * attempt.tokens / memoryTokens());
-  }
 }
