--- a/policy/src/main/java/lemondock/policy/Control.java
+++ b/policy/src/main/java/lemondock/policy/Control.java
@@ -4,13 +4,11 @@
 import java.util.Comparator;
 import java.util.EnumSet;
 import java.util.HashMap;
-import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.TreeSet;
 import java.util.function.Predicate;
 
 /**
@@ -42,10 +40,6 @@
   static final double REMOTE_LOAD_FACTOR =
       0.7; // a far writer wins only below this share of the near load
   // ---- admission
-  static final double MAX_QUEUE_OBJECTIVE_SHARE =
-      0.5; // of the aim, the longest wait for room before a refusal
-  static final int MAX_SKIPPED = 8; // parked requests that one look passes over
-  static final long SCAN_INTERVAL_MICROS = 50_000L; // between two looks when nothing else happens
   static final long RETRY_AFTER_MICROS = 500_000L; // to a refused client
   static final long SHUTDOWN_MARGIN_MICROS =
       300_000L; // before the kill, for last answers to reach their clients
@@ -68,10 +62,6 @@
           AttemptOutcome.REJECTED,
           AttemptOutcome.CONNECT_FAILED,
           AttemptOutcome.ABANDONED_BEFORE_SEND);
-  private static final Comparator<InFlightRequest> PRIORITY_THEN_AGE =
-      Comparator.<InFlightRequest>comparingDouble(request -> -request.requestClass.priorityWeight())
-          .thenComparing(request -> request.arrivedAtMicros)
-          .thenComparing(InFlightRequest::id);
 
   private final RouterSettings settings;
   private final RouterHost host;
@@ -79,12 +69,11 @@
   private final ServerModel servers;
   private final Map<Long, InFlightRequest> inFlight = new HashMap<>();
   private final Map<Long, SessionEntry> sessions = new HashMap<>();
-  private final TreeSet<InFlightRequest> queue = new TreeSet<>(PRIORITY_THEN_AGE);
+  private final AdmissionQueue queue;
   private final AdmissionQuota quota;
   private final AdaptiveCapacityLimit capacity;
   private final double[] usualNewTokens; // usual in each class, 0 while unknown
   private double retryTokens = MAX_TOKENS;
-  private boolean scanScheduled;
   private long releaseTimerAt = Long.MAX_VALUE;
   private long killedAt = Long.MAX_VALUE;
   private final DecisionClock clock = new DecisionClock();
@@ -108,6 +97,7 @@
     }
     servers = ServerModel.create(settings, random, clock);
     usualNewTokens = new double[settings.classes().size()];
+    queue = new AdmissionQueue(clock, host);
     quota = new AdmissionQuota(settings, clock);
     capacity = new AdaptiveCapacityLimit(settings, servers, quota);
   }
@@ -159,7 +149,7 @@
     if (endsAfterShutdown(request)) {
       complete(request, DecisionReason.SHUTTING_DOWN);
     } else if (!capacity.admits(request) || !dispatchRead(request)) {
-      enqueue(request);
+      queue.enqueue(request);
     }
   }
 
@@ -267,7 +257,7 @@
     if (kind == RequestTimer.REAP_SESSIONS) {
       reap();
     } else if (kind == RequestTimer.QUEUE_SCAN) {
-      scanScheduled = false;
+      queue.scanTimerFired();
       dispatchQueued();
     } else if (kind == RequestTimer.STATE_RELEASE) {
       releaseDue();
@@ -288,26 +278,6 @@
 
   // ==== admission
 
-  /** Waiting here costs no server anything and holds no state; it ends in time for another try. */
-  private void enqueue(InFlightRequest request) {
-    queue.add(request);
-    host.trace(request.id(), DecisionReason.QUEUED);
-    long wait =
-        Math.min(
-                (long) (request.objectiveMicros * MAX_QUEUE_OBJECTIVE_SHARE),
-                request.attributes.clientTimeoutMicros() / 2)
-            - (clock.nowMicros() - request.arrivedAtMicros);
-    host.setTimer(RequestTimer.QUEUE_TIMEOUT.token(request.id()), Math.max(0, wait));
-    scheduleScan();
-  }
-
-  private void scheduleScan() {
-    if (!scanScheduled && !queue.isEmpty()) {
-      scanScheduled = true;
-      host.setTimer(RequestTimer.QUEUE_SCAN.token(), SCAN_INTERVAL_MICROS);
-    }
-  }
-
   @Override
   public void visitState(long nowMicros, RouterStateVisitor visitor) {
     clock.advanceTo(Math.max(clock.nowMicros(), nowMicros));
@@ -320,16 +290,7 @@
   }
 
   private void dispatchQueued() {
-    Iterator<InFlightRequest> waiting = queue.iterator();
-    for (int passed = 0; waiting.hasNext() && passed < MAX_SKIPPED; ) {
-      InFlightRequest request = waiting.next();
-      if (capacity.admits(request) && dispatchRead(request)) {
-        waiting.remove();
-      } else {
-        passed++;
-      }
-    }
-    scheduleScan();
+    queue.scan(request -> capacity.admits(request) && dispatchRead(request));
   }
 
   // ==== the read
