--- a/policy/src/main/java/lemondock/policy/AdaptiveCapacityLimit.java
+++ b/policy/src/main/java/lemondock/policy/AdaptiveCapacityLimit.java
@@ -122,7 +122,7 @@
 
   private double memoryTokens() {
     List<ServerState> healthy =
-        Control.preferred(servers.table().writers(), servers.outliers()::isHealthy);
+        ServerEligibility.preferIfAny(servers.table().writers(), servers.outliers()::isHealthy);
     return Math.max(1, healthy.stream().mapToLong(ServerState::memoryTokens).sum());
   }
 }
--- a/policy/src/main/java/lemondock/policy/Control.java
+++ b/policy/src/main/java/lemondock/policy/Control.java
@@ -9,7 +9,6 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.function.Predicate;
 
 /**
  * Every decision of the router; its interface (types, events, actions) is {@code
@@ -18,8 +17,8 @@
  * <p>One instance a gateway, single-threaded. A request's life runs top to bottom: it is admitted
  * or parked, read (session table, else rendezvous hash), written (two draws), and ends with one
  * final answer. The five rules are guarded in one place each: the final answer in {@link
- * #complete}, repeats in {@link #mayRepeat}, drains and cold servers in {@link #mayReceive}, and
- * held state in {@link #releaseIfIdle}.
+ * #complete}, repeats in {@link RetryPolicy#mayRepeat}, drains and cold servers in {@link
+ * ServerEligibility}, and held state in {@link #releaseIfIdle}.
  */
 public final class Control implements RequestRouter {
   // Times in microseconds, lengths in tokens, shares and factors without unit.
@@ -44,18 +43,6 @@
   static final long SHUTDOWN_MARGIN_MICROS =
       300_000L; // before the kill, for last answers to reach their clients
   // ---- attempts
-  static final double TIMEOUT_OBJECTIVE_SHARE =
-      0.9; // an attempt is overdue past this share of the aim's rest
-  static final double TIMEOUT_EXPECTED_FACTOR =
-      2.0; // and after this many times what it should take,
-  static final double TIMEOUT_WAIT_FACTOR =
-      5.0; // with this many times what its role's work waits now
-  static final double SUSPECT_TIMEOUT_SHARE =
-      0.8; // of the time to calling off: its answer may be lost
-  static final double TOKENS_PER_REQUEST =
-      0.3; // extra attempts for each request: no storm when all is slow
-  static final double MAX_TOKENS = 5.0; // extra attempts saved up at most
-  // ---- health
 
   private static final Set<AttemptOutcome> NEVER_RAN =
       EnumSet.of(
@@ -73,7 +60,9 @@
   private final AdmissionQuota quota;
   private final AdaptiveCapacityLimit capacity;
   private final double[] usualNewTokens; // usual in each class, 0 while unknown
-  private double retryTokens = MAX_TOKENS;
+  private final RetryPolicy retryPolicy;
+  private final AttemptTimeouts timeouts;
+  private final ServerEligibility eligibility;
   private long releaseTimerAt = Long.MAX_VALUE;
   private long killedAt = Long.MAX_VALUE;
   private final DecisionClock clock = new DecisionClock();
@@ -100,6 +89,10 @@
     queue = new AdmissionQueue(clock, host);
     quota = new AdmissionQuota(settings, clock);
     capacity = new AdaptiveCapacityLimit(settings, servers, quota);
+    retryPolicy = new RetryPolicy(settings, clock);
+    boolean mayCancel = settings.limits().mayCancel();
+    timeouts = new AttemptTimeouts(mayCancel, clock, host, retryPolicy, servers.latency());
+    eligibility = new ServerEligibility(servers, retryPolicy);
   }
 
   private static void require(boolean holds, String what) {
@@ -141,7 +134,7 @@
             random.nextDouble());
     inFlight.put(attributes.id(), request);
     servers.slowStart().recordRequest(request.writeTokens());
-    retryTokens = Math.min(MAX_TOKENS, retryTokens + TOKENS_PER_REQUEST);
+    retryPolicy.recordArrival();
     quota.recordArrival(attributes);
     long timeoutMicros =
         Math.max(0, attributes.clientTimeoutMicros() - settings.timerResolutionMicros());
@@ -264,7 +257,7 @@
     } else if (request == null || request.ended || request.streaming) {
       return;
     } else if (kind == RequestTimer.ATTEMPT_TIMEOUT) {
-      attemptTimerFired(request);
+      timeouts.timerFired(request);
     } else if (kind == RequestTimer.DEADLINE || queue.contains(request)) {
       complete(
           request,
@@ -343,7 +336,7 @@
    */
   private List<ReadOption> rankedOptions(InFlightRequest request) {
     request.session = Optional.ofNullable(sessions.get(request.attributes.sessionId()));
-    List<ServerState> ranked = new ArrayList<>(candidates(request, servers.table().readers()));
+    List<ServerState> ranked = new ArrayList<>(eligibility.readers(request));
     rankByHash(
         ranked,
         request.attributes.prefixId() != 0
@@ -502,10 +495,10 @@
   private ServerState selectWriter(InFlightRequest request) {
     ServerEntry reader = request.stateHolder.entry;
     List<ServerState> able =
-        preferred(
-            candidates(request, servers.table().writers()),
-            server -> capacity.hasCapacity(server, request));
-    List<ServerState> zone = preferred(able, server -> server.entry.zone() == reader.zone());
+        ServerEligibility.preferIfAny(
+            eligibility.writers(request), server -> capacity.hasCapacity(server, request));
+    List<ServerState> zone =
+        ServerEligibility.preferIfAny(able, server -> server.entry.zone() == reader.zone());
     List<ServerState> cell =
         zone.stream().filter(server -> server.entry.cell() == reader.cell()).toList();
     if (cell.isEmpty()) {
@@ -513,7 +506,8 @@
     }
     if (random.nextDouble() * servers.table().readerShareOfCell(reader) * zone.size()
         >= cell.size()) {
-      return draw(preferred(zone, server -> server.entry.cell() != reader.cell()));
+      return draw(
+          ServerEligibility.preferIfAny(zone, server -> server.entry.cell() != reader.cell()));
     }
     return lessLoaded(request, draw(cell), draw(zone));
   }
@@ -545,83 +539,24 @@
           request); // writers that never come up: a further one would hold the state beyond its
       // time
     }
-    boolean afresh = last.reads() && request.stateHolder != null;
-    final boolean moved =
-        last.writes()
-            && !last.neverRan
-            && !isNonRepeatableWrite(request, last)
-            && settings.limits().maxAttempts() - request.attempts.size() > 1;
-    if (!afresh) {
-      retryTokens--;
-    }
-    DecisionReason noFurther = reasonToStop(request, afresh);
-    if (noFurther != null) {
-      retryTokens = Math.max(0, retryTokens);
-      complete(request, noFurther);
+    boolean retry = !last.reads() || request.stateHolder == null;
+    boolean readAnew = retryPolicy.mayHaveConsumedState(request, last);
+    Optional<DecisionReason> refusal = retryPolicy.takeFurtherAttempt(request, retry);
+    if (refusal.isPresent()) {
+      complete(request, refusal.get());
       return;
     }
-    if (!afresh) {
+    if (retry) {
       host.trace(request.id(), DecisionReason.RETRY);
     }
-    if (request.stateHolder != null && !moved) {
-      dispatchWrite(
-          request); // after a write that may have run the state is likely gone: read anew, then
-      // cheap
+    if (request.stateHolder != null && !readAnew) {
+      dispatchWrite(request);
     } else if (!dispatchRead(request)) {
       complete(request, DecisionReason.NO_READER);
     }
   }
 
-  /** Why there may be no further attempt, null if there may. */
-  private DecisionReason reasonToStop(InFlightRequest request, boolean afresh) {
-    if (clock.nowMicros() - request.arrivedAtMicros >= request.attributes.clientTimeoutMicros()) {
-      return DecisionReason.CLIENT_TIMEOUT;
-    }
-    if (attemptsExhausted(request)) {
-      return DecisionReason.ATTEMPTS_EXHAUSTED;
-    }
-    return !afresh && retryTokens < 0 ? DecisionReason.RETRY_BUDGET_EXHAUSTED : null;
-  }
-
-  /** Whether too few attempts are left to reach an answer: a read and a write, or a write alone. */
-  private boolean attemptsExhausted(InFlightRequest request) {
-    return settings.limits().maxAttempts() - request.attempts.size()
-        < (request.stateHolder == null ? 2 : 1);
-  }
-
-  /** A write that may not simply be tried again is never called off for being slow. */
-  private static boolean isNonRepeatableWrite(InFlightRequest request, Attempt attempt) {
-    return attempt.writes() && request.requestClass.idempotency() != Idempotency.IDEMPOTENT;
-  }
-
-  /**
-   * Rule 2: whether a further attempt at this server could be a second effect. A plain read has
-   * none.
-   */
-  private boolean mayRepeat(InFlightRequest request, ServerState server) {
-    if (request.possibleEffect == null
-        || request.requestClass.idempotency() == Idempotency.IDEMPOTENT) {
-      return true;
-    }
-    ServerEntry first = request.possibleEffect.server.entry;
-    boolean inGroup =
-        switch (request.requestClass.deduplicationScope()) {
-          case ALL -> true;
-          case ZONE -> first.zone() == server.entry.zone();
-          case CELL -> first.cell() == server.entry.cell();
-        };
-    return request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
-        && inGroup
-        && clock.nowMicros() - request.possibleEffect.sentAtMicros
-            < request.requestClass.deduplicationWindowMicros() - settings.timerResolutionMicros();
-  }
-
-  /** Rules 3 and 4: whether anything may go to this server at all. */
-  private boolean mayReceive(ServerState server) {
-    return server.isReady() && servers.slowStart().hasCredit(server);
-  }
-
-  /** The only place that sends; its callers pick among {@link #mayReceive} servers. */
+  /** The only place that sends; its callers pick among {@link ServerEligibility} candidates. */
   private void send(InFlightRequest request, AttemptPlan plan) {
     Attempt attempt = new Attempt(plan, clock.nowMicros(), request.writeTokens());
     capacity.recordSent(attempt);
@@ -632,72 +567,13 @@
     request.attemptsInFlight++;
     servers.recordSent(attempt);
     host.send(request.id(), attempt.server.id(), 0);
-    startTimeout(request, attempt);
+    timeouts.start(request, attempt);
     if (attempt.work == AttemptWork.READ) {
-      request.reservedState.readSent(clock.nowMicros(), suspectAfter(attempt));
+      request.reservedState.readSent(clock.nowMicros(), timeouts.suspectAfterMicros(attempt));
       scheduleRelease(request);
     }
   }
 
-  /** A read without an answer for so long has likely lost it: soon it is called off. */
-  private long suspectAfter(Attempt attempt) {
-    return attempt.timeoutAtMicros > clock.nowMicros()
-        ? (long) ((attempt.timeoutAtMicros - clock.nowMicros()) * SUSPECT_TIMEOUT_SHARE)
-        : slowAfterMicros(attempt);
-  }
-
-  /** What an attempt may take before it is more than slow, by what its role's work waits now. */
-  private static long slowAfterMicros(Attempt attempt) {
-    return (long)
-        (attempt.expectedMicros * TIMEOUT_EXPECTED_FACTOR
-            + attempt.server.roleStatistics.waitMicros * TIMEOUT_WAIT_FACTOR);
-  }
-
-  /**
-   * Looks after an attempt once it has taken far longer than it should, each time after twice that.
-   */
-  private void startTimeout(InFlightRequest request, Attempt attempt) {
-    if (settings.limits().mayCancel() && !isNonRepeatableWrite(request, attempt)) {
-      long before = request.attempts.stream().filter(earlier -> earlier.timedOut).count();
-      double base =
-          before == 0
-              ? request.objectiveMicros - (clock.nowMicros() - request.arrivedAtMicros)
-              : request.objectiveMicros * (1L << before);
-      long patience =
-          (long) Math.max(1, Math.max(base * TIMEOUT_OBJECTIVE_SHARE, slowAfterMicros(attempt)));
-      attempt.timeoutAtMicros = clock.nowMicros() + patience;
-      host.setTimer(RequestTimer.ATTEMPT_TIMEOUT.token(request.id()), patience);
-    }
-  }
-
-  /**
-   * Calls off an overdue attempt, so that the next server is tried. Overdue is judged by what work
-   * at all servers of the role waits: one gateway cannot tell a lost answer, a stall or a cut link
-   * from a queue, and under plain load all waits grow. Could harm where one server is jammed: the
-   * read is done twice.
-   */
-  private void attemptTimerFired(InFlightRequest request) {
-    int number = request.attempts.size() - 1;
-    Attempt attempt = request.attempts.get(number);
-    if (attempt.ended
-        || isNonRepeatableWrite(request, attempt)
-        || clock.nowMicros() < attempt.timeoutAtMicros
-        || attemptsExhausted(request)
-        || retryTokens < 1) {
-      return;
-    }
-    if (attempt.queueHasMovedSince(
-        Math.max(attempt.sentAtMicros, attempt.timeoutExtendedAtMicros))) {
-      attempt.timeoutExtendedAtMicros = clock.nowMicros();
-      startTimeout(request, attempt);
-      return;
-    }
-    attempt.timedOut = true;
-    host.trace(request.id(), DecisionReason.ATTEMPT_TIMEOUT);
-    servers.latency().recordTimeout(attempt);
-    host.cancel(request.id(), number);
-  }
-
   /** Books an attempt's end: tokens under way, health, and what it says of the server's speed. */
   private void recordEnd(InFlightRequest request, Attempt attempt, AttemptResult result) {
     attempt.ended = true;
@@ -831,23 +707,6 @@
   }
 
   // ==== health
-  /**
-   * Ready servers that may take this request; the healthy that have not failed it yet, if any are.
-   */
-  private List<ServerState> candidates(InFlightRequest request, List<ServerState> ready) {
-    List<ServerState> able =
-        ready.stream().filter(server -> mayReceive(server) && mayRepeat(request, server)).toList();
-    return preferred(
-        preferred(able, servers.outliers()::isHealthy),
-        server ->
-            request.attempts.stream()
-                .noneMatch(attempt -> attempt.server == server && attempt.failed));
-  }
-
-  static List<ServerState> preferred(List<ServerState> from, Predicate<ServerState> test) {
-    List<ServerState> some = from.stream().filter(test).toList();
-    return some.isEmpty() ? from : some;
-  }
 
   /** What is usually new in a class, from what its reads had not kept. */
   private void recordUncached(int classId, long uncachedTokens) {
