--- a/policy/src/main/java/lemondock/policy/Control.java
+++ b/policy/src/main/java/lemondock/policy/Control.java
@@ -17,8 +17,8 @@
  * <p>One instance a gateway, single-threaded. A request's life runs top to bottom: it is admitted
  * or parked, read (session table, else rendezvous hash), written (two draws), and ends with one
  * final answer. The five rules are guarded in one place each: the final answer in {@link
- * #complete}, repeats in {@link RetryPolicy#mayRepeat}, drains and cold servers in {@link
- * ServerEligibility}, and held state in {@link #releaseIfIdle}.
+ * RequestCompletion}, repeats in {@link RetryPolicy#mayRepeat}, drains and cold servers in {@link
+ * ServerEligibility}, and held state in {@link StateReleasePolicy}.
  */
 public final class Control implements RequestRouter {
   // Times in microseconds, lengths in tokens, shares and factors without unit.
@@ -39,7 +39,6 @@
   static final double REMOTE_LOAD_FACTOR =
       0.7; // a far writer wins only below this share of the near load
   // ---- admission
-  static final long RETRY_AFTER_MICROS = 500_000L; // to a refused client
   static final long SHUTDOWN_MARGIN_MICROS =
       300_000L; // before the kill, for last answers to reach their clients
   // ---- attempts
@@ -63,7 +62,8 @@
   private final RetryPolicy retryPolicy;
   private final AttemptTimeouts timeouts;
   private final ServerEligibility eligibility;
-  private long releaseTimerAt = Long.MAX_VALUE;
+  private final StateReleasePolicy stateReleases;
+  private final RequestCompletion completion;
   private long killedAt = Long.MAX_VALUE;
   private final DecisionClock clock = new DecisionClock();
 
@@ -93,6 +93,8 @@
     boolean mayCancel = settings.limits().mayCancel();
     timeouts = new AttemptTimeouts(mayCancel, clock, host, retryPolicy, servers.latency());
     eligibility = new ServerEligibility(servers, retryPolicy);
+    stateReleases = new StateReleasePolicy(clock, host, inFlight.values());
+    completion = new RequestCompletion(settings.limits(), host, stateReleases, queue, inFlight);
   }
 
   private static void require(boolean holds, String what) {
@@ -140,7 +142,7 @@
         Math.max(0, attributes.clientTimeoutMicros() - settings.timerResolutionMicros());
     host.setTimer(RequestTimer.DEADLINE.token(attributes.id()), timeoutMicros);
     if (endsAfterShutdown(request)) {
-      complete(request, DecisionReason.SHUTTING_DOWN);
+      completion.complete(request, DecisionReason.SHUTTING_DOWN);
     } else if (!capacity.admits(request) || !dispatchRead(request)) {
       queue.enqueue(request);
     }
@@ -185,8 +187,7 @@
     }
     final Attempt attempt = request.attempts.get(attemptNumber);
     request.streaming = true;
-    request.stateHolder = null;
-    request.reservedState.cleared();
+    stateReleases.firstToken(request);
     attempt.timeToFirstTokenMicros = Math.max(1, timeToFirstTokenMicros);
     servers.recordAnswer(attempt, AttemptVerdict.SUCCESS);
     servers.latency().recordFirstToken(attempt, timeToFirstTokenMicros);
@@ -212,23 +213,14 @@
     request.streaming &=
         attempt.timeToFirstTokenMicros
             == 0; // a stream that ends without ending its request leaves it unanswered
-    if (result.outcome() == AttemptOutcome.PROMPT_READ) {
-      request.stateHolder = attempt.server;
-      request.reservedState.readAnswered(clock.nowMicros());
-    } else if (result.outcome() == AttemptOutcome.OK || result.stateMissing()) {
-      request.reservedState.cleared();
-    } else if (attempt.reads() && !attempt.writes()) {
-      request.reservedState.readFailed(clock.nowMicros(), attempt.neverRan);
-    } else {
-      request.reservedState.writeFailed(clock.nowMicros());
-    }
+    stateReleases.attemptEnded(request, attempt, result);
     if (request.ended || request.streaming) {
-      releaseIfIdle(request);
+      stateReleases.releaseIfIdle(request);
     } else {
       continueRequest(request);
-      scheduleRelease(request);
+      stateReleases.schedule(request);
     }
-    removeIfEnded(request);
+    completion.forgetIfEnded(request);
     dispatchQueued();
   }
 
@@ -237,8 +229,7 @@
     clock.advanceTo(nowMicros);
     InFlightRequest request = inFlight.get(requestId);
     if (request != null && !request.ended) {
-      request.ended = true;
-      cancelAttempts(request);
+      completion.abandon(request);
     }
   }
 
@@ -253,13 +244,13 @@
       queue.scanTimerFired();
       dispatchQueued();
     } else if (kind == RequestTimer.STATE_RELEASE) {
-      releaseDue();
+      stateReleases.timerFired();
     } else if (request == null || request.ended || request.streaming) {
       return;
     } else if (kind == RequestTimer.ATTEMPT_TIMEOUT) {
       timeouts.timerFired(request);
     } else if (kind == RequestTimer.DEADLINE || queue.contains(request)) {
-      complete(
+      completion.complete(
           request,
           kind == RequestTimer.DEADLINE
               ? DecisionReason.DEADLINE_EXCEEDED
@@ -479,7 +470,7 @@
   private void dispatchWrite(InFlightRequest request) {
     ServerState server = selectWriter(request);
     if (server == null) {
-      complete(request, DecisionReason.NO_WRITER);
+      completion.complete(request, DecisionReason.NO_WRITER);
     } else {
       long expectedMicros = (long) server.roleStatistics.firstTokenMicros;
       send(request, new AttemptPlan(server, AttemptWork.WRITE, 0, expectedMicros));
@@ -535,15 +526,14 @@
     }
     Attempt last = request.lastAttempt();
     if (last.neverRan && request.reservedState.isDue(clock.nowMicros())) {
-      releaseIfIdle(
-          request); // writers that never come up: a further one would hold the state beyond its
-      // time
+      // Writers that never come up: a further one would hold the state beyond its time.
+      stateReleases.releaseIfIdle(request);
     }
     boolean retry = !last.reads() || request.stateHolder == null;
     boolean readAnew = retryPolicy.mayHaveConsumedState(request, last);
     Optional<DecisionReason> refusal = retryPolicy.takeFurtherAttempt(request, retry);
     if (refusal.isPresent()) {
-      complete(request, refusal.get());
+      completion.complete(request, refusal.get());
       return;
     }
     if (retry) {
@@ -552,7 +542,7 @@
     if (request.stateHolder != null && !readAnew) {
       dispatchWrite(request);
     } else if (!dispatchRead(request)) {
-      complete(request, DecisionReason.NO_READER);
+      completion.complete(request, DecisionReason.NO_READER);
     }
   }
 
@@ -569,8 +559,7 @@
     host.send(request.id(), attempt.server.id(), 0);
     timeouts.start(request, attempt);
     if (attempt.work == AttemptWork.READ) {
-      request.reservedState.readSent(clock.nowMicros(), timeouts.suspectAfterMicros(attempt));
-      scheduleRelease(request);
+      stateReleases.readSent(request, timeouts.suspectAfterMicros(attempt));
     }
   }
 
@@ -605,9 +594,7 @@
       }
       case REJECTED -> {
         servers.recordAnswer(attempt, AttemptVerdict.NEUTRAL);
-        if (result.stateMissing()) {
-          request.stateHolder = null;
-        } else {
+        if (!result.stateMissing()) {
           servers.latency().recordRejection(attempt.server);
           capacity.recordRejection(attempt);
         }
@@ -621,90 +608,6 @@
   }
 
   // ==== the end of a request
-  /** Rule 1: the one final answer; a refusal only where trying again is harmless. */
-  private void complete(InFlightRequest request, DecisionReason reason) {
-    request.ended = true;
-    host.trace(request.id(), reason);
-    boolean harmless =
-        request.requestClass.idempotency() == Idempotency.IDEMPOTENT
-            || request.possibleEffect == null && request.attemptsInFlight == 0
-            || request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                && request.requestClass.deduplicationScope() == DeduplicationScope.ALL;
-    if (harmless) {
-      long advice = Math.min(RETRY_AFTER_MICROS, settings.limits().maxRetryAfterMicros());
-      host.reject(request.id(), settings.limits().sendsRetryAfter() ? advice : 0);
-    } else {
-      host.fail(request.id());
-    }
-    cancelAttempts(request);
-  }
-
-  /** Ends the attempts that are still out and lets go of what is held. */
-  private void cancelAttempts(InFlightRequest request) {
-    for (int i = 0; i < request.attempts.size(); i++) {
-      if (!request.attempts.get(i).ended && settings.limits().mayCancel() && !request.streaming) {
-        host.cancel(request.id(), i);
-      }
-    }
-    releaseIfIdle(request);
-    removeIfEnded(request);
-  }
-
-  /**
-   * Rule 5: what is held is released at its request's end, and again when a late read leaves a
-   * state.
-   */
-  private void releaseIfIdle(InFlightRequest request) {
-    if (request.reservedState.mayBeReserved() && request.attemptsInFlight == 0) {
-      release(request);
-    }
-  }
-
-  /** Rule 5 while an attempt is out, which may never have arrived or whose answer may be lost. */
-  private void releaseDue() {
-    releaseTimerAt = clock.nowMicros() >= releaseTimerAt ? Long.MAX_VALUE : releaseTimerAt;
-    for (InFlightRequest request : inFlight.values()) {
-      if (request.reservedState.isDue(clock.nowMicros())
-          && request.reservedState.onlyReading()
-          && queueMovedLately(request)) {
-        request.reservedState.postpone(clock.nowMicros());
-      } else if (request.reservedState.isDue(clock.nowMicros())) {
-        release(request);
-      }
-    }
-    inFlight.values().forEach(this::scheduleRelease);
-  }
-
-  /** Whether the queue of the read that is out has moved in the latter half of the read's time. */
-  private boolean queueMovedLately(InFlightRequest request) {
-    Attempt read = request.lastAttempt();
-    return read.queueHasMovedSince(read.sentAtMicros + (clock.nowMicros() - read.sentAtMicros) / 2);
-  }
-
-  private void release(InFlightRequest request) {
-    host.trace(request.id(), DecisionReason.STATE_RELEASED);
-    host.releaseState(request.id());
-    request.stateHolder = null;
-    request.reservedState.released(
-        clock.nowMicros(),
-        request.attempts.stream().anyMatch(attempt -> attempt.writes() && !attempt.ended));
-  }
-
-  /** One timer serves all requests: a timer cannot be cancelled, and would outlive most of them. */
-  private void scheduleRelease(InFlightRequest request) {
-    if (request.reservedState.dueAtMicros() < releaseTimerAt) {
-      releaseTimerAt = request.reservedState.dueAtMicros();
-      host.setTimer(
-          RequestTimer.STATE_RELEASE.token(), Math.max(1, releaseTimerAt - clock.nowMicros()));
-    }
-  }
-
-  private void removeIfEnded(InFlightRequest request) {
-    queue.remove(request);
-    if (request.ended && request.attemptsInFlight == 0) {
-      inFlight.remove(request.id());
-    }
-  }
 
   // ==== health
 
--- /dev/null
+++ b/policy/src/main/java/lemondock/policy/StateReleasePolicy.java
@@ -0,0 +1,109 @@
+package lemondock.policy;
+
+import java.util.Collection;
+
+/**
+ * Guards rule 5: what readers hold, or may hold, for a request is taken by a writer or released in
+ * time. {@link ReservedState} says when; this class follows the attempts and asks for the release.
+ */
+final class StateReleasePolicy {
+  private static final long NEVER = Long.MAX_VALUE;
+
+  private final DecisionClock clock;
+  private final RouterHost host;
+  private final Collection<InFlightRequest> inFlight;
+  private long timerAtMicros = NEVER;
+
+  /** The requests are a view of those in flight, which the owner keeps up to date. */
+  StateReleasePolicy(DecisionClock clock, RouterHost host, Collection<InFlightRequest> inFlight) {
+    this.clock = clock;
+    this.host = host;
+    this.inFlight = inFlight;
+  }
+
+  /** A plain read was sent; without an answer by then it is taken to have ended and lost it. */
+  void readSent(InFlightRequest request, long suspectAfterMicros) {
+    request.reservedState.readSent(clock.nowMicros(), suspectAfterMicros);
+    schedule(request);
+  }
+
+  /** A writer has begun to answer: nothing is held any more. */
+  void firstToken(InFlightRequest request) {
+    request.stateHolder = null;
+    request.reservedState.cleared();
+  }
+
+  /** An attempt has ended. */
+  void attemptEnded(InFlightRequest request, Attempt attempt, AttemptResult result) {
+    if (result.outcome() == AttemptOutcome.REJECTED && result.stateMissing()) {
+      request.stateHolder = null;
+    }
+    if (result.outcome() == AttemptOutcome.PROMPT_READ) {
+      request.stateHolder = attempt.server;
+      request.reservedState.readAnswered(clock.nowMicros());
+    } else if (result.outcome() == AttemptOutcome.OK || result.stateMissing()) {
+      request.reservedState.cleared();
+    } else if (attempt.work == AttemptWork.READ) {
+      request.reservedState.readFailed(clock.nowMicros(), attempt.neverRan);
+    } else {
+      request.reservedState.writeFailed(clock.nowMicros());
+    }
+  }
+
+  /** Releases at the end of a request, and again when a late read leaves a state. */
+  void releaseIfIdle(InFlightRequest request) {
+    if (request.reservedState.mayBeReserved() && request.attemptsInFlight == 0) {
+      release(request);
+    }
+  }
+
+  /** Releases what is due while an attempt is in flight that may be lost, or whose answer may. */
+  void timerFired() {
+    long now = clock.nowMicros();
+    if (now >= timerAtMicros) {
+      timerAtMicros = NEVER;
+    }
+    for (InFlightRequest request : inFlight) {
+      if (request.reservedState.isDue(now)) {
+        releaseOrPostpone(request);
+      }
+    }
+    inFlight.forEach(this::schedule);
+  }
+
+  private void releaseOrPostpone(InFlightRequest request) {
+    if (request.reservedState.onlyReading() && queueHasMovedLately(request.lastAttempt())) {
+      request.reservedState.postpone(clock.nowMicros());
+    } else {
+      release(request);
+    }
+  }
+
+  /** Whether the queue of the read has moved in the latter half of the read's time. */
+  private boolean queueHasMovedLately(Attempt read) {
+    long halfMicros = (clock.nowMicros() - read.sentAtMicros) / 2;
+    return read.queueHasMovedSince(read.sentAtMicros + halfMicros);
+  }
+
+  private void release(InFlightRequest request) {
+    host.trace(request.id(), DecisionReason.STATE_RELEASED);
+    host.releaseState(request.id());
+    request.stateHolder = null;
+    boolean writing =
+        request.attempts.stream().anyMatch(attempt -> attempt.writes() && !attempt.ended);
+    request.reservedState.released(clock.nowMicros(), writing);
+  }
+
+  /**
+   * Sets the timer if the request's state is due before it. One timer serves all requests: a timer
+   * cannot be cancelled, and would outlive most of them.
+   */
+  void schedule(InFlightRequest request) {
+    long dueAtMicros = request.reservedState.dueAtMicros();
+    if (dueAtMicros < timerAtMicros) {
+      timerAtMicros = dueAtMicros;
+      long delayMicros = Math.max(1, dueAtMicros - clock.nowMicros());
+      host.setTimer(RequestTimer.STATE_RELEASE.token(), delayMicros);
+    }
+  }
+}
