--- a/cli/src/main/java/lemondock/cli/CatalogueCommand.java
+++ b/cli/src/main/java/lemondock/cli/CatalogueEmulatorCommand.java
@@ -10,12 +10,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs a stand-in for a service catalogue. */
+/** Runs an emulated service catalogue. */
 @Command(
     name = "catalogue",
     mixinStandardHelpOptions = true,
-    description = "Runs a stand-in for the part of Consul's API that lists services.")
-final class CatalogueCommand implements Callable<Integer> {
+    description = "Runs an emulator of the part of Consul's API that lists services.")
+final class CatalogueEmulatorCommand implements Callable<Integer> {
   @Option(
       names = "--config",
       required = true,
@@ -28,14 +28,14 @@
 
   @Override
   public Integer call() throws Exception {
-    Logs.set("text", "info");
+    Logging.configure("text", "info");
     JsonNode root = SettingsFile.read(config);
     Settings settings =
         SettingsFile.bind(
             config.toString(),
             root,
-            "catalogue.schema.json",
-            CatalogueCommand.class,
+            "catalogue-emulator.schema.json",
+            CatalogueEmulatorCommand.class,
             Settings.class);
     Node node = new Node("catalogue", 1);
     CatalogueEmulator catalogue = node.ask(() -> new CatalogueEmulator(node.loop(), Tap.NONE));
@@ -45,8 +45,8 @@
             + catalogue.address().getHostString()
             + ":"
             + catalogue.address().getPort());
-    Stops.onSignal(() -> {});
-    Stops.await(Long.MAX_VALUE);
+    ShutdownSignal.beforeExit(() -> {});
+    ShutdownSignal.await(Long.MAX_VALUE);
     return 0;
   }
 }
--- a/cli/src/main/java/lemondock/cli/CollectorCommand.java
+++ b/cli/src/main/java/lemondock/cli/CollectorEmulatorCommand.java
@@ -8,25 +8,25 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Stand-ins for carbon and collectd. */
+/** Runs emulators of carbon and collectd. */
 @Command(
     name = "collector",
     mixinStandardHelpOptions = true,
     description =
-        "Runs stand-ins for carbon (plaintext) and collectd on loopback that print the"
+        "Runs emulators of carbon (plaintext) and collectd on loopback that print the"
             + " newest worth they are told.")
-final class CollectorCommand implements Callable<Integer> {
+final class CollectorEmulatorCommand implements Callable<Integer> {
   @Option(
       names = "--graphite",
       description = "Port for Graphite's plaintext protocol.",
       defaultValue = "2003")
-  private int graphite;
+  private int graphitePort;
 
   @Option(
       names = "--collectd",
       description = "Port for collectd's network protocol.",
       defaultValue = "25826")
-  private int collectd;
+  private int collectdPort;
 
   @Option(
       names = "--seconds",
@@ -37,8 +37,8 @@
   @Override
   public Integer call() throws Exception {
     try (GraphiteListener plain =
-            new GraphiteListener(graphite, false, GraphiteListener.Fault.NONE);
-        CollectdListener binary = new CollectdListener(collectd, Map.of(), 1)) {
+            new GraphiteListener(graphitePort, false, GraphiteListener.Fault.NONE);
+        CollectdListener binary = new CollectdListener(collectdPort, Map.of(), 1)) {
       System.out.println("ready graphite " + plain.port() + " collectd " + binary.port());
       long until = seconds == 0 ? Long.MAX_VALUE : System.nanoTime() + seconds * 1_000_000_000L;
       while (System.nanoTime() < until) {
--- a/cli/src/main/java/lemondock/cli/DemoCommand.java
+++ b/cli/src/main/java/lemondock/cli/DemoCommand.java
@@ -52,7 +52,7 @@
 
   @Override
   public Integer call() throws Exception {
-    Logs.set("text", level);
+    Logging.configure("text", level);
     List<GatewaySettings.ClassSettings> classes =
         Presets.gateway("model", 0, 1, "north", 1, "127.0.0.1:1", s -> {}).classes();
     ScenarioFleet fleet = new ScenarioFleet(classes, 1);
@@ -95,13 +95,13 @@
               + fleet.reporting(gateway).statusAddress().getPort());
     }
     System.err.println("the second gateway is at http://127.0.0.1:" + second + "/mcp");
-    Stops.onSignal(
+    ShutdownSignal.beforeExit(
         () -> {
           for (String gateway : fleet.gateways()) {
             fleet.stopGateway(gateway);
           }
         });
-    Stops.await(seconds > 0 ? seconds : Long.MAX_VALUE);
+    ShutdownSignal.await(seconds > 0 ? seconds : Long.MAX_VALUE);
     return 0;
   }
 
--- a/cli/src/main/java/lemondock/cli/StandinCommand.java
+++ b/cli/src/main/java/lemondock/cli/EmulatorCommand.java
@@ -20,13 +20,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs stand-ins for model servers. */
+/** Runs emulated engines (readers and writers). */
 @Command(
-    name = "standin",
+    name = "emulator",
     mixinStandardHelpOptions = true,
-    description = "Runs stand-ins for model servers, registered with a catalogue if one is named.")
-final class StandinCommand implements Callable<Integer> {
-  private static final long MICROS = 1_000_000;
+    description = "Runs emulated engines, registered with a catalogue if one is named.")
+final class EmulatorCommand implements Callable<Integer> {
+  private static final long SECOND_MICROS = 1_000_000;
   private static final int STOP_WAIT_MS = 300;
 
   @Option(
@@ -36,43 +36,47 @@
       description = "Settings (JSON).")
   private Path config;
 
-  /** The settings of a process of stand-ins. */
+  /** The settings of a process of emulated engines. */
   record Settings(List<EngineSettings> engines) {}
 
   @Override
   public Integer call() throws Exception {
-    Logs.set("text", "info");
+    Logging.configure("text", "info");
     Settings settings =
         SettingsFile.bind(
             config.toString(),
             SettingsFile.read(config),
-            "standin.schema.json",
-            StandinCommand.class,
+            "emulator.schema.json",
+            EmulatorCommand.class,
             Settings.class);
     Node node = new Node("standins", 2);
     HttpClient client =
         new HttpClient(
             node.loop(),
             node.network(),
-            new HttpClient.Options(HttpLimits.DEFAULT, 1024, 8, MICROS, MICROS));
-    List<Runnable> leaving = new ArrayList<>();
+            new HttpClient.Options(HttpLimits.DEFAULT, 1024, 8, SECOND_MICROS, SECOND_MICROS));
+    List<Runnable> deregistrations = new ArrayList<>();
     long started = System.currentTimeMillis();
-    for (EngineSettings e : settings.engines()) {
+    for (EngineSettings engineSettings : settings.engines()) {
       EngineEmulator engine =
           node.ask(
               () ->
                   new EngineEmulator(
-                      node.loop(), node.network(), e, e.name().hashCode(), Tap.NONE));
+                      node.loop(),
+                      node.network(),
+                      engineSettings,
+                      engineSettings.name().hashCode(),
+                      Tap.NONE));
       engine.start(node.network());
       System.out.println(
           "ready "
-              + e.name()
+              + engineSettings.name()
               + " "
               + engine.address().getHostString()
               + ":"
               + engine.address().getPort());
-      if (e.catalogue() != null) {
-        InetSocketAddress at = SettingsFile.address(e.catalogue());
+      if (engineSettings.catalogue() != null) {
+        InetSocketAddress at = SettingsFile.address(engineSettings.catalogue());
         node.loop()
             .execute(
                 () ->
@@ -80,32 +84,39 @@
                         client,
                         at,
                         "/v1/agent/service/register",
-                        registration(e, engine, started)));
-        leaving.add(() -> put(client, at, "/v1/agent/service/deregister/" + e.name(), new byte[0]));
+                        registration(engineSettings, engine, started)));
+        deregistrations.add(
+            () ->
+                put(
+                    client,
+                    at,
+                    "/v1/agent/service/deregister/" + engineSettings.name(),
+                    new byte[0]));
       }
     }
-    Stops.onSignal(
+    ShutdownSignal.beforeExit(
         () -> {
-          node.loop().execute(() -> leaving.forEach(Runnable::run));
+          node.loop().execute(() -> deregistrations.forEach(Runnable::run));
           Thread.sleep(STOP_WAIT_MS);
         });
-    Stops.await(Long.MAX_VALUE);
+    ShutdownSignal.await(Long.MAX_VALUE);
     return 0;
   }
 
-  private static byte[] registration(EngineSettings e, EngineEmulator engine, long started) {
+  private static byte[] registration(
+      EngineSettings settings, EngineEmulator engine, long startedAtMs) {
     ObjectNode body =
         JsonNodeFactory.instance
             .objectNode()
-            .put("ID", e.name())
+            .put("ID", settings.name())
             .put("Name", "engines")
             .put("Address", engine.address().getHostString())
             .put("Port", engine.address().getPort());
     body.putObject("Meta")
-        .put("kind", e.kind().isEmpty() ? e.role() : e.kind())
-        .put("zone", e.zone())
-        .put("rack", e.rack())
-        .put("started", Long.toString(started));
+        .put("kind", settings.kind().isEmpty() ? settings.role() : settings.kind())
+        .put("zone", settings.zone())
+        .put("rack", settings.rack())
+        .put("started", Long.toString(startedAtMs));
     return body.toString().getBytes(StandardCharsets.UTF_8);
   }
 
--- a/cli/src/main/java/lemondock/cli/GatewayCommand.java
+++ b/cli/src/main/java/lemondock/cli/GatewayCommand.java
@@ -38,7 +38,7 @@
   @Override
   public Integer call() throws Exception {
     GatewaySettings settings = SettingsFile.gateway(config);
-    Logs.set(settings.log().format(), settings.log().level());
+    Logging.configure(settings.log().format(), settings.log().level());
     ThreadLoop loop =
         new ThreadLoop(
             "lemondock-loop",
@@ -62,7 +62,7 @@
         new Reporting(settings, gateway.tally(), host.environment(), ProcessMeters.registry());
     gateway.start();
     reporting.start(gateway.address());
-    Stops.onSignal(
+    ShutdownSignal.beforeExit(
         () -> {
           try {
             gateway
@@ -91,7 +91,7 @@
               + ":"
               + reporting.statusAddress().getPort());
     }
-    Stops.await(Long.MAX_VALUE);
+    ShutdownSignal.await(Long.MAX_VALUE);
     return 0;
   }
 }
--- a/cli/src/main/java/lemondock/cli/JsonLines.java
+++ b/cli/src/main/java/lemondock/cli/JsonLogEncoder.java
@@ -10,7 +10,7 @@
 import org.slf4j.event.KeyValuePair;
 
 /** A line of JSON for each event: the finished message and the named fields beside it. */
-final class JsonLines extends EncoderBase<ILoggingEvent> {
+final class JsonLogEncoder extends EncoderBase<ILoggingEvent> {
   @Override
   public byte[] headerBytes() {
     return new byte[0];
--- a/cli/src/main/java/lemondock/cli/Lemondock.java
+++ b/cli/src/main/java/lemondock/cli/Lemondock.java
@@ -17,24 +17,26 @@
     name = "lemondock",
     mixinStandardHelpOptions = true,
     versionProvider = Lemondock.Version.class,
-    description = "A router for language-model serving with reads and writes on separate engines.",
+    description =
+        "A router for language-model serving with prefill and decode on separate engines.",
     subcommands = {
       GatewayCommand.class,
-      StandinCommand.class,
-      CatalogueCommand.class,
+      EmulatorCommand.class,
+      CatalogueEmulatorCommand.class,
       ConfigCommand.class,
       DemoCommand.class,
-      BadDayCommand.class,
+      ScenarioCommand.class,
       StatusCommand.class,
-      TallyCommand.class,
       MetricsCommand.class,
       PutvalCommand.class,
-      CollectorCommand.class,
-      PlatformCommand.class,
-      Lemondock.NodeCommand.class,
-      Lemondock.WireHostCommand.class
+      CollectorEmulatorCommand.class,
+      PlatformEmulatorCommand.class,
+      Lemondock.PlatformGatewayCommand.class,
+      Lemondock.SimulatorAdapterCommand.class
     })
 public final class Lemondock implements Callable<Integer> {
+  private static final String[] WIRE_HOST_ARGUMENTS = {"wirehost"};
+
   /** Tells the version. */
   static final class Version implements CommandLine.IVersionProvider {
     @Override
@@ -45,23 +47,43 @@
 
   /** Runs the program. */
   public static void main(String[] args) throws IOException, InterruptedException {
-    if (args.length == 1 && args[0].equals("wirehost")) {
-      WireHost.main(args); // the simulator's adapter starts with nothing around it
+    // These two start without the command line around them, as their callers start them.
+    if (args.length == 1 && isCommand(args[0], "simulator-adapter", "wirehost")) {
+      WireHost.main(WIRE_HOST_ARGUMENTS);
       return;
     }
-    if (args.length > 0 && args[0].equals("node")) {
-      PlatformMain.main(
-          Arrays.copyOfRange(
-              args, 1, args.length)); // as the platform starts it, by bin/lemondock-platform
+    if (args.length > 0 && isCommand(args[0], "platform-gateway", "node")) {
+      PlatformMain.main(Arrays.copyOfRange(args, 1, args.length));
       return;
     }
+    System.exit(commandLine().execute(args));
+  }
+
+  private static boolean isCommand(String argument, String name, String earlierName) {
+    return argument.equals(name) || argument.equals(earlierName);
+  }
+
+  /** The command line with all commands; earlier names of commands work and are not listed. */
+  static CommandLine commandLine() {
     CommandLine line = new CommandLine(new Lemondock());
+    addHidden(line, "bad-day", new ScenarioCommand());
+    addHidden(line, "standin", new EmulatorCommand());
+    addHidden(line, "tally", new MetricsDumpCommand());
+    addHidden(line, "platform", new PlatformEmulatorCommand());
+    addHidden(line, "node", new PlatformGatewayCommand());
+    addHidden(line, "wirehost", new SimulatorAdapterCommand());
     line.setExecutionExceptionHandler(
         (e, command, parsed) -> {
           command.getErr().println("lemondock: " + (e.getMessage() == null ? e : e.getMessage()));
           return 2;
         });
-    System.exit(line.execute(args));
+    return line;
+  }
+
+  private static void addHidden(CommandLine line, String earlierName, Object command) {
+    CommandLine subcommand = new CommandLine(command);
+    subcommand.getCommandSpec().usageMessage().hidden(true);
+    line.addSubcommand(earlierName, subcommand);
   }
 
   @Override
@@ -72,11 +94,11 @@
 
   /** Shown in the help; {@link #main} runs it without the command line. */
   @Command(
-      name = "node",
+      name = "platform-gateway",
       description =
           "One gateway of the platform, told all by the file that ROUTER_CONFIG or CONFIG"
               + " names.")
-  static final class NodeCommand implements Callable<Integer> {
+  static final class PlatformGatewayCommand implements Callable<Integer> {
     @Parameters(arity = "0..1", paramLabel = "CONFIG")
     private String config;
 
@@ -89,12 +111,12 @@
 
   /** Shown in the help; {@link #main} runs it without the command line. */
   @Command(
-      name = "wirehost",
+      name = "simulator-adapter",
       description = "The decisions on the simulator's wire (standard input and output).")
-  static final class WireHostCommand implements Callable<Integer> {
+  static final class SimulatorAdapterCommand implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
-      WireHost.main(new String[] {"wirehost"});
+      WireHost.main(WIRE_HOST_ARGUMENTS);
       return 0;
     }
   }
--- a/cli/src/main/java/lemondock/cli/Logs.java
+++ b/cli/src/main/java/lemondock/cli/Logging.java
@@ -9,15 +9,16 @@
 import ch.qos.logback.core.encoder.Encoder;
 import org.slf4j.LoggerFactory;
 
-/** Sets up the log on standard error: JSON lines or plain text. */
-final class Logs {
-  private Logs() {}
+/** Configures the log on standard error: JSON lines or plain text. */
+final class Logging {
+  private Logging() {}
 
-  static void set(String format, String level) {
+  /** Replaces all appenders; {@code format} is "json" or "text". */
+  static void configure(String format, String level) {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
     Encoder<ILoggingEvent> encoder;
     if (format.equals("json")) {
-      encoder = new JsonLines();
+      encoder = new JsonLogEncoder();
     } else {
       PatternLayoutEncoder text = new PatternLayoutEncoder();
       text.setPattern("%d{HH:mm:ss.SSS} %-5level [%thread] %logger{0}: %msg %kvp%n");
--- a/cli/src/main/java/lemondock/cli/MetricsCommand.java
+++ b/cli/src/main/java/lemondock/cli/MetricsCommand.java
@@ -5,11 +5,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Prints what a gateway reports. */
+/** Lists the metrics that a gateway reports. */
 @Command(
     name = "metrics",
     mixinStandardHelpOptions = true,
-    description = "Lists all metrics (docs/METRICS.md is this page).")
+    description = "Lists all metrics (docs/METRICS.md is this page).",
+    subcommands = MetricsDumpCommand.class)
 final class MetricsCommand implements Callable<Integer> {
   @Option(
       names = "--types-db",
--- a/cli/src/main/java/lemondock/cli/TallyCommand.java
+++ b/cli/src/main/java/lemondock/cli/MetricsDumpCommand.java
@@ -11,14 +11,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Prints a gateway's own count. */
+/** Prints the current or final values of all metrics of a gateway. */
 @Command(
-    name = "tally",
+    name = "dump",
     mixinStandardHelpOptions = true,
     description =
-        "Prints a gateway's own count as JSON: of a running one, or the final one from its"
-            + " reporting.tallyFile.")
-final class TallyCommand implements Callable<Integer> {
+        "Prints all metrics of a gateway as JSON: the current ones of a running gateway, or the"
+            + " final ones from its reporting.tallyFile.")
+final class MetricsDumpCommand implements Callable<Integer> {
   @Parameters(
       paramLabel = "HOST:PORT",
       arity = "0..1",
@@ -28,7 +28,7 @@
   @Option(
       names = "--file",
       paramLabel = "FILE",
-      description = "The final tally that a stopped gateway wrote.")
+      description = "The final metrics that a stopped gateway wrote.")
   private Path file;
 
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -41,7 +41,7 @@
     }
     JsonNode tally =
         file == null
-            ? Asks.get(gateway, "/tally")
+            ? StatusClient.get(gateway, "/tally")
             : new ObjectMapper().readTree(Files.readAllBytes(file));
     System.out.println(tally.toPrettyString());
     return 0;
--- a/cli/src/main/java/lemondock/cli/PlatformCommand.java
+++ b/cli/src/main/java/lemondock/cli/PlatformEmulatorCommand.java
@@ -8,20 +8,20 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs a stand-in for the platform that {@code lemondock node} serves on. */
+/** Runs an emulated platform for {@code lemondock platform-gateway}. */
 @Command(
-    name = "platform",
+    name = "platform-emulator",
     mixinStandardHelpOptions = true,
     description =
-        "Runs stand-in readers, writers and discovery for 'lemondock node', and writes the"
-            + " configuration of one.")
-final class PlatformCommand implements Callable<Integer> {
+        "Runs emulated readers, writers and discovery for 'lemondock platform-gateway', and"
+            + " writes the configuration of one.")
+final class PlatformEmulatorCommand implements Callable<Integer> {
   @Option(
       names = "--config-out",
       required = true,
       paramLabel = "FILE",
       description = "Where the gateway's configuration goes.")
-  private Path out;
+  private Path configFile;
 
   @Option(
       names = "--listen",
@@ -46,14 +46,14 @@
 
   @Override
   public Integer call() throws Exception {
-    Logs.set("text", "info");
+    Logging.configure("text", "info");
     Node node = new Node("platform", 1);
     Platform platform = node.ask(() -> new Platform(node.loop(), node.network()));
     platform.start(readers, writers);
-    Files.writeString(out, platform.config(listen).toPrettyString());
-    System.out.println("ready: bin/lemondock-platform " + out);
-    Stops.onSignal(() -> {});
-    Stops.await(Long.MAX_VALUE);
+    Files.writeString(configFile, platform.config(listen).toPrettyString());
+    System.out.println("ready: bin/lemondock-platform " + configFile);
+    ShutdownSignal.beforeExit(() -> {});
+    ShutdownSignal.await(Long.MAX_VALUE);
     return 0;
   }
 }
--- a/cli/src/main/java/lemondock/cli/PutvalCommand.java
+++ b/cli/src/main/java/lemondock/cli/PutvalCommand.java
@@ -55,7 +55,7 @@
         TimeUnit.MILLISECONDS.sleep(millis);
       }
       try {
-        print(Asks.get(gateway, "/tally"), millis);
+        print(StatusClient.get(gateway, "/tally"), millis);
       } catch (IOException e) {
         System.err.println(
             "lemondock: " + e.getMessage()); // collectd logs it; the next time may work
--- a/cli/src/main/java/lemondock/cli/BadDayCommand.java
+++ b/cli/src/main/java/lemondock/cli/ScenarioCommand.java
@@ -13,33 +13,33 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Plays scripted days and judges them. */
+/** Plays fault scenarios, from a script or drawn from a seed, and checks the five rules. */
 @Command(
-    name = "bad-day",
+    name = "scenario",
     mixinStandardHelpOptions = true,
     description =
-        "Plays a scripted day on loopback sockets; exits with 1 if one of the five rules"
+        "Plays a fault scenario on loopback sockets; exits with 1 if one of the five rules"
             + " was broken.")
-final class BadDayCommand implements Callable<Integer> {
+final class ScenarioCommand implements Callable<Integer> {
   @Option(
       names = "--script",
       paramLabel = "FILE",
-      description = "The day (JSON); without it one is drawn from the seed.")
+      description = "The scenario (JSON); without it one is drawn from the seed.")
   private Path script;
 
   @Option(
       names = "--seed",
       defaultValue = "1",
-      description = "Draws the traffic and, without a script, the troubles.")
+      description = "Draws the traffic and, without a script, the faults.")
   private long seed;
 
   @Option(
       names = "--seeds",
       defaultValue = "1",
-      description = "Plays so many days, from the seed on.")
+      description = "Number of scenarios to play, from the seed on.")
   private int seeds;
 
-  @Option(names = "--seconds", defaultValue = "12", description = "Length of a drawn day.")
+  @Option(names = "--seconds", defaultValue = "12", description = "Length of a drawn scenario.")
   private double seconds;
 
   @Option(
@@ -60,14 +60,18 @@
   @Option(names = "--log", defaultValue = "error", description = "error, warn, info or debug.")
   private String level;
 
+  private boolean reportsDiffered;
+
   @Override
   public Integer call() throws Exception {
-    Logs.set("text", level);
+    Logging.configure("text", level);
     List<FaultScenario.Result> results = new ArrayList<>();
-    for (long s = seed; s < seed + seeds; s++) {
+    for (long current = seed; current < seed + seeds; current++) {
       DayScript day =
-          script == null ? DayScript.draw(s, seconds) : DayScript.read(script).seeded(s);
-      results.add(reports ? reported(day) : new FaultScenario(day).play());
+          script == null
+              ? DayScript.draw(current, seconds)
+              : DayScript.read(script).seeded(current);
+      results.add(reports ? playWithReports(day) : new FaultScenario(day).play());
       System.out.println(Verdict.line(results.get(results.size() - 1)));
     }
     Files.createDirectories(out);
@@ -75,12 +79,11 @@
     Files.writeString(out.resolve("verdict.html"), Verdict.page(results));
     System.out.println(
         "verdict: " + out.resolve("verdict.json") + ", " + out.resolve("verdict.html"));
-    return results.stream().allMatch(r -> r.finding().kept()) && !differed ? 0 : 1;
+    return results.stream().allMatch(result -> result.finding().kept()) && !reportsDiffered ? 0 : 1;
   }
 
-  private boolean differed;
-
-  private FaultScenario.Result reported(DayScript day) throws InterruptedException, IOException {
+  private FaultScenario.Result playWithReports(DayScript day)
+      throws InterruptedException, IOException {
     try (ReportCheck check = new ReportCheck()) {
       FaultScenario.Result result = new FaultScenario(day).reporting(check).play();
       System.out.println(
@@ -90,7 +93,7 @@
               + (check.differences().isEmpty()
                   ? "all agree"
                   : "DIFFERENT: " + check.differences()));
-      differed |= !check.differences().isEmpty();
+      reportsDiffered |= !check.differences().isEmpty();
       return result;
     }
   }
--- a/cli/src/main/java/lemondock/cli/Stops.java
+++ b/cli/src/main/java/lemondock/cli/ShutdownSignal.java
@@ -3,20 +3,19 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/**
- * Waits for the signals that stop a process (SIGTERM, SIGINT) and lets it finish its work first.
- */
-final class Stops {
+/** Finishes work when the process is told to stop by SIGTERM or SIGINT. */
+final class ShutdownSignal {
   private static final CountDownLatch STOPPED = new CountDownLatch(1);
 
-  private Stops() {}
+  private ShutdownSignal() {}
 
-  /** Something to do before the process ends. */
+  /** Work to finish before the process exits. */
   interface Task {
     void run() throws InterruptedException;
   }
 
-  static void onSignal(Task task) {
+  /** Runs the task on SIGTERM or SIGINT, on a thread of its own; the process exits after it. */
+  static void beforeExit(Task task) {
     Runtime.getRuntime()
         .addShutdownHook(
             new Thread(
@@ -31,7 +30,7 @@
                 "lemondock-stop"));
   }
 
-  /** Waits for a signal, or so many seconds. */
+  /** Blocks until the task of {@link #beforeExit} is done, or for {@code seconds}. */
   static void await(long seconds) throws InterruptedException {
     if (seconds == Long.MAX_VALUE) {
       STOPPED.await();
--- a/cli/src/main/java/lemondock/cli/StatusCommand.java
+++ b/cli/src/main/java/lemondock/cli/StatusCommand.java
@@ -57,7 +57,7 @@
     List<String> silent = new ArrayList<>();
     for (String gateway : gateways) {
       try {
-        answers.add(Asks.get(gateway, "/status"));
+        answers.add(StatusClient.get(gateway, "/status"));
       } catch (IOException e) {
         silent.add(e.getMessage());
       }
--- a/cli/src/test/java/lemondock/cli/JsonLinesTest.java
+++ b/cli/src/test/java/lemondock/cli/JsonLogEncoderTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.event.KeyValuePair;
 
-class JsonLinesTest {
+class JsonLogEncoderTest {
   @Test
   void aLineHasTheFinishedMessageAndNamedFields() throws IOException {
     LoggingEvent event =
@@ -25,7 +25,7 @@
             new IllegalStateException("broken"),
             new Object[] {3, "\"five\""});
     event.addKeyValuePair(new KeyValuePair("server", "south-writer-1"));
-    String text = new String(new JsonLines().encode(event), StandardCharsets.UTF_8);
+    String text = new String(new JsonLogEncoder().encode(event), StandardCharsets.UTF_8);
     assertEquals(1, text.lines().count());
     JsonNode line = new ObjectMapper().readTree(text);
     assertEquals("3 of\n\"five\"", line.get("message").textValue());
--- a/cli/src/test/java/lemondock/cli/ProgramTest.java
+++ b/cli/src/test/java/lemondock/cli/ProgramTest.java
@@ -1,6 +1,7 @@
 package lemondock.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.modelcontextprotocol.client.transport.HttpClientStreamableHttpTransport;
@@ -157,10 +158,23 @@
         .body();
   }
 
+  @Test
+  void earlierNamesOfCommandsStillWork() throws IOException, InterruptedException {
+    assertEquals(run(0, "scenario", "--help"), run(0, "bad-day", "--help"));
+    assertEquals(run(0, "emulator", "--help"), run(0, "standin", "--help"));
+    assertEquals(
+        run(0, "metrics", "dump", "--help"),
+        run(0, "tally", "--help").replace("lemondock dump", "lemondock metrics dump"));
+    assertEquals(run(0, "platform-emulator", "--help"), run(0, "platform", "--help"));
+    assertTrue(run(2, "node", "a", "b").contains("usage: lemondock platform-gateway [CONFIG]"));
+  }
+
   @Test
   void versionHelpAndWrongUse() throws IOException, InterruptedException {
     assertTrue(run(0, "--version").startsWith("lemondock "));
-    assertTrue(run(0, "--help").contains("bad-day"));
+    String help = run(0, "--help");
+    assertTrue(help.contains("scenario"));
+    assertFalse(help.contains("bad-day"), "earlier names are not listed");
     assertTrue(run(2, "nonsense").contains("nonsense"));
     assertTrue(
         run(2, "gateway", "--config", folder.resolve("none").toString())
@@ -318,7 +332,7 @@
     try {
       processes.add(start("", "catalogue", "--config", folder.resolve("c.json").toString()));
       awaitLine(processes.get(0), "ready ");
-      processes.add(start("", "standin", "--config", folder.resolve("s.json").toString()));
+      processes.add(start("", "emulator", "--config", folder.resolve("s.json").toString()));
       awaitLine(processes.get(1), "ready ");
       processes.add(
           start("ulimit -n 200; ", "gateway", "--config", folder.resolve("g.json").toString()));
--- a/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
+++ b/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
@@ -22,7 +22,6 @@
 import lemondock.scenario.ScenarioFleet;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import picocli.CommandLine;
 
 /** What the command line tells of reports. */
 class ReportCommandsTest {
@@ -33,7 +32,7 @@
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     System.setOut(new PrintStream(bytes, true, StandardCharsets.UTF_8));
     try {
-      return new CommandLine(new Lemondock()).execute(args);
+      return Lemondock.commandLine().execute(args);
     } finally {
       System.setOut(before);
       out = bytes.toString(StandardCharsets.UTF_8);
@@ -82,7 +81,7 @@
       assertEquals(0, run("status", address, "127.0.0.1:" + Presets.freePort()));
       assertTrue(out.startsWith("NO ANSWER"), out);
       assertEquals(2, run("status", "127.0.0.1:" + Presets.freePort()));
-      assertEquals(0, run("tally", address));
+      assertEquals(0, run("metrics", "dump", address));
       JsonNode tally = new ObjectMapper().readTree(out);
       assertEquals(false, tally.get("final").booleanValue());
       Received received = new Received();
@@ -96,13 +95,13 @@
                   n -> n.startsWith("till/lemondock-gw-") && n.endsWith("/lemondock_gateway")),
           received.newest().keySet().toString());
       JsonNode last = fleet.stopGateway("gw");
-      assertEquals(0, run("tally", "--file", file.toString()));
+      assertEquals(0, run("metrics", "dump", "--file", file.toString()));
       assertEquals(
           last.get("tally").get("requests"),
           new ObjectMapper().readTree(out).get("tally").get("requests"));
       assertEquals(true, new ObjectMapper().readTree(out).get("final").booleanValue());
     }
-    assertEquals(2, run("tally"));
+    assertEquals(2, run("metrics", "dump"));
   }
 
   @Test
