--- a/gateway/src/test/java/lemondock/gateway/WallsTest.java
+++ b/gateway/src/test/java/lemondock/gateway/WallsTest.java
@@ -76,10 +76,10 @@
           .callMethod(System.class, "currentTimeMillis");
 
   @ArchTest
-  static final ArchRule THE_BOOK_OF_CALLS_DOES_NO_IO =
+  static final ArchRule THE_IDEMPOTENCY_STORE_DOES_NO_IO =
       noClasses()
           .that()
-          .haveSimpleNameStartingWith("CallBook")
+          .haveSimpleNameStartingWith("IdempotencyStore")
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage("java.net..", "java.nio.channels..", "java.nio.file..");
