--- a/benchmark/src/main/java/lemondock/benchmark/Affinity.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Affinity.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicLongArray;
-import lemondock.dispatch.RequestDispatcher;
+import lemondock.dispatch.RouterFactory;
 import lemondock.emulator.EngineSettings;
 import lemondock.emulator.Tap;
 import lemondock.gateway.Gateway;
@@ -50,9 +50,9 @@
    * The module as it is, and one to which each leg is a conversation of its own without a shared
    * beginning.
    */
-  private static RequestDispatcher.ModuleMaker maker(boolean anew, AtomicLongArray kept) {
+  private static RouterFactory maker(boolean anew, AtomicLongArray kept) {
     return (settings, seed, host) -> {
-      RequestRouter module = Gateway.MODULE.make(settings, seed, host);
+      RequestRouter module = Gateway.MODULE.create(settings, seed, host);
       AtomicLong sessions = new AtomicLong(1);
       return (RequestRouter)
           Proxy.newProxyInstance(
--- /dev/null
+++ b/dispatch/src/main/java/lemondock/dispatch/AttemptLifecycle.java
@@ -0,0 +1,265 @@
+package lemondock.dispatch;
+
+import java.util.List;
+import java.util.Optional;
+import lemondock.net.Loop;
+import lemondock.overload.StallMonitor;
+import lemondock.policy.AttemptOutcome;
+import lemondock.policy.AttemptResult;
+import lemondock.policy.ServerKind;
+import lemondock.policy.ServerRole;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The life cycle of attempts: sent to an engine, cancelled, timed out, streaming, ended. Each
+ * attempt that the router asks for gets exactly one {@link AttemptResult}. Loop thread only.
+ */
+final class AttemptLifecycle<P, S, C extends StreamChunk> {
+  private static final Logger LOG = LoggerFactory.getLogger(AttemptLifecycle.class);
+
+  private final Loop loop;
+  private final EnginePort<P, S, C> engines;
+  private final EndpointRegistry endpoints;
+  private final StallMonitor stallMonitor;
+  private final AttemptMetrics metrics;
+  private final String idPrefix;
+  private final List<ServerRole> roles;
+  private final DispatchCounters counters;
+  private final RouterEvents<P, S, C> events;
+  private final RequestTable<P, S, C> requests;
+  private final ReservedStateReleaser<P, S, C> states;
+
+  AttemptLifecycle(
+      DispatcherEnvironment<P, S, C> environment,
+      DispatcherOptions options,
+      DispatchCounters counters,
+      RouterEvents<P, S, C> events,
+      RequestTable<P, S, C> requests) {
+    this.loop = environment.loop();
+    this.engines = environment.engines();
+    this.endpoints = environment.endpoints();
+    this.stallMonitor = environment.stallMonitor();
+    this.metrics = environment.metrics();
+    this.idPrefix = options.attemptIdPrefix();
+    this.roles = options.routerSettings().kinds().stream().map(ServerKind::role).toList();
+    this.counters = counters;
+    this.events = events;
+    this.requests = requests;
+    this.states = new ReservedStateReleaser<>(loop, engines, metrics, counters);
+  }
+
+  /** Sends a request to a server. {@code timeoutMicros} 0: without a time-out. */
+  void send(InFlightRequest<P, S, C> request, long serverId, long timeoutMicros) {
+    EngineAttempt<P, S, C> attempt = add(request, serverId);
+    if (request.ended || attempt.target.isEmpty()) {
+      endOnNextTurn(
+          attempt,
+          AttemptEnd.of(AttemptOutcome.MOOT, "the request has ended or the server is not known"));
+      return;
+    }
+    LOG.debug(
+        "request {}: attempt {} goes to {}", request.id, attempt.number, attempt.endpoint().name());
+    sendToEngine(attempt, attempt.target.get());
+    if (timeoutMicros > 0) {
+      attempt.timeout = loop.schedule(timeoutMicros, () -> timedOut(attempt));
+    }
+  }
+
+  private EngineAttempt<P, S, C> add(InFlightRequest<P, S, C> request, long serverId) {
+    Optional<EngineAttempt.Target> target =
+        endpoints
+            .find(serverId)
+            .map(
+                endpoint ->
+                    new EngineAttempt.Target(endpoint, roles.get(endpoints.kindIndex(endpoint))));
+    EngineAttempt<P, S, C> attempt =
+        new EngineAttempt<>(
+            this,
+            request,
+            serverId,
+            target,
+            new EngineAttempt.AttemptOrigin(idPrefix, loop.now(), stallMonitor.stalled()));
+    request.attempts.add(attempt);
+    request.attemptsInFlight++;
+    counters.attempts++;
+    target.ifPresent(to -> metrics.attemptSent(to.role(), to.endpoint().zone()));
+    return attempt;
+  }
+
+  private void sendToEngine(EngineAttempt<P, S, C> attempt, EngineAttempt.Target target) {
+    InFlightRequest<P, S, C> request = attempt.request;
+    Optional<ReservedState<S>> state = request.newestState();
+    if (target.role() == ServerRole.READER) {
+      request.lastPrefill = attempt;
+      attempt.handle = engines.prefill(target.endpoint(), attempt.id, request.request, attempt);
+    } else if (target.role() == ServerRole.WRITER && state.isEmpty()) {
+      endOnNextTurn(
+          attempt,
+          new AttemptEnd(AttemptOutcome.FULL, 0, true, "there is no state to decode from"));
+    } else {
+      attempt.state = state.orElse(null);
+      attempt.handle = startOutput(attempt, target.endpoint(), state);
+      if (request.outputPaused) {
+        attempt.handle.pause();
+      }
+    }
+  }
+
+  private AttemptHandle startOutput(
+      EngineAttempt<P, S, C> attempt, Endpoint endpoint, Optional<ReservedState<S>> state) {
+    DispatchedRequest<P> request = attempt.request.request;
+    return state.isPresent()
+        ? engines.decode(endpoint, attempt.id, request, state.get().state(), attempt)
+        : engines.prefillAndDecode(endpoint, attempt.id, request, attempt);
+  }
+
+  private void timedOut(EngineAttempt<P, S, C> attempt) {
+    if (!attempt.ended && !attempt.isStreaming()) {
+      abort(attempt);
+      end(attempt, AttemptEnd.of(AttemptOutcome.TIMEOUT, "no answer in time"));
+    }
+  }
+
+  /** The router cancels an attempt; one whose output the client gets goes on. */
+  void cancel(InFlightRequest<P, S, C> request, int number) {
+    if (number >= request.attempts.size()) {
+      return;
+    }
+    EngineAttempt<P, S, C> attempt = request.attempts.get(number);
+    if (!attempt.ended && !attempt.isStreaming() && !attempt.cancelled) {
+      attempt.cancelled = true;
+      abort(attempt);
+      endOnNextTurn(attempt, AttemptEnd.of(AttemptOutcome.CANCELLED, "cancelled"));
+    }
+  }
+
+  /** The client has cancelled the request whose output it got. */
+  void cancelStream(EngineAttempt<P, S, C> attempt) {
+    attempt.handle.cancel();
+    endOnNextTurn(
+        attempt, AttemptEnd.of(AttemptOutcome.CANCELLED, "the client cancelled the request"));
+  }
+
+  /** Closes the connection; what a prefill may have reserved is released with it. */
+  private void abort(EngineAttempt<P, S, C> attempt) {
+    if (attempt.handle != null) {
+      attempt.handle.cancel();
+      if (attempt.isPrefill()) {
+        releaseUncertain(attempt);
+      }
+    }
+  }
+
+  private void releaseUncertain(EngineAttempt<P, S, C> prefill) {
+    engines.releaseUncertain(prefill.endpoint(), prefill.id, prefill.request.request.prompt());
+  }
+
+  /** The router asks to release what is reserved for the request and no attempt uses. */
+  void releaseStates(InFlightRequest<P, S, C> request) {
+    states.release(request);
+  }
+
+  void prefillCompleted(EngineAttempt<P, S, C> attempt, S state, int cachedTokens) {
+    if (attempt.ended) {
+      return;
+    }
+    InFlightRequest<P, S, C> request = attempt.request;
+    Endpoint endpoint = attempt.endpoint();
+    states.reserved(request, new ReservedState<>(endpoint, attempt.id, state, loop.now()));
+    LOG.debug("request {}: state reserved at {}", request.id, endpoint.name());
+    end(attempt, new AttemptEnd(AttemptOutcome.READ, cachedTokens, false, ""));
+  }
+
+  /** The first output of a request: from now on its client gets this attempt's output. */
+  void firstTokenReceived(EngineAttempt<P, S, C> attempt) {
+    InFlightRequest<P, S, C> request = attempt.request;
+    request.streamingAttempt = attempt;
+    if (states.fetched(request, attempt.state)) {
+      LOG.debug("request {}: state fetched by {}", request.id, attempt.endpoint().name());
+    }
+    states.supersedeAll(request);
+    events.raise(
+        request,
+        (router, nowMicros) ->
+            router.firstToken(
+                nowMicros, request.id, attempt.number, attempt.serverId, elapsedMicros(attempt)));
+  }
+
+  /** Ends an attempt, but not within the event that led to it. */
+  private void endOnNextTurn(EngineAttempt<P, S, C> attempt, AttemptEnd end) {
+    loop.execute(() -> end(attempt, end));
+  }
+
+  /** The one place where an attempt ends. */
+  void end(EngineAttempt<P, S, C> attempt, AttemptEnd end) {
+    if (attempt.ended) {
+      return;
+    }
+    InFlightRequest<P, S, C> request = attempt.request;
+    attempt.ended = true;
+    attempt.timeout.cancel();
+    request.attemptsInFlight--;
+    AttemptOutcome outcome = end.outcome();
+    if (attempt.isPrefill()
+        && (outcome == AttemptOutcome.RESET || outcome == AttemptOutcome.ERROR)) {
+      releaseUncertain(attempt);
+    }
+    attempt.target.ifPresent(
+        target -> metrics.attemptEnded(target.role(), target.endpoint().zone(), outcome));
+    boolean endsRequest = attempt.isStreaming() || outcome == AttemptOutcome.OK;
+    final boolean firstEnd = endsRequest && !request.ended;
+    request.ended |= endsRequest;
+    logUnlessSuccessful(attempt, end);
+    if (end.stateMissing() && attempt.state != null) {
+      states.missing(request, attempt.state);
+    }
+    AttemptResult result = result(attempt, end);
+    events.raise(request, (router, nowMicros) -> router.outcome(nowMicros, result));
+    if (firstEnd) {
+      notifyListener(request, end);
+    }
+    requests.removeIfFinished(request);
+  }
+
+  private AttemptResult result(EngineAttempt<P, S, C> attempt, AttemptEnd end) {
+    return new AttemptResult(
+        attempt.request.id,
+        attempt.number,
+        attempt.serverId,
+        end.outcome(),
+        elapsedMicros(attempt),
+        attempt.request.ended,
+        end.cachedTokens(),
+        end.stateMissing());
+  }
+
+  private void notifyListener(InFlightRequest<P, S, C> request, AttemptEnd end) {
+    if (end.outcome() == AttemptOutcome.OK) {
+      counters.completed++;
+      request.listener.completed();
+    } else {
+      counters.interrupted++;
+      request.listener.interrupted(end.cause());
+    }
+  }
+
+  private void logUnlessSuccessful(EngineAttempt<P, S, C> attempt, AttemptEnd end) {
+    AttemptOutcome outcome = end.outcome();
+    if (outcome != AttemptOutcome.OK && outcome != AttemptOutcome.READ && LOG.isDebugEnabled()) {
+      LOG.atDebug()
+          .addKeyValue("request", attempt.id)
+          .addKeyValue("server", attempt.target.map(t -> t.endpoint().name()).orElse("?"))
+          .addKeyValue("ending", outcome)
+          .addKeyValue("why", end.cause())
+          .log("an attempt failed");
+    }
+  }
+
+  /** The time since an attempt was sent, without the time for which this process stalled. */
+  private long elapsedMicros(EngineAttempt<P, S, C> attempt) {
+    stallMonitor.notice(loop.now());
+    long stalledMicros = stallMonitor.stalled() - attempt.stalledMicrosBefore;
+    return Math.max(0, loop.now() - attempt.sentAtMicros - stalledMicros);
+  }
+}
--- a/dispatch/src/main/java/lemondock/dispatch/AttemptMetrics.java
+++ b/dispatch/src/main/java/lemondock/dispatch/AttemptMetrics.java
@@ -1,5 +1,6 @@
 package lemondock.dispatch;
 
+import java.util.Optional;
 import java.util.function.LongFunction;
 import lemondock.policy.AttemptOutcome;
 import lemondock.policy.DecisionReason;
@@ -8,33 +9,37 @@
 import lemondock.policy.ServerRole;
 
 /**
- * Counts what becomes of attempts and states, for reports; the methods that are not overridden
- * count nothing.
+ * Receives what is to be counted of attempts and reserved states; methods that are not overridden
+ * count nothing. Loop thread only; times are microseconds.
  */
 public interface AttemptMetrics {
   /** Counts nothing. */
   AttemptMetrics NONE = new AttemptMetrics() {};
 
   /** An attempt was sent to a server of that role and zone. */
-  default void sent(ServerRole role, String zone) {}
+  default void attemptSent(ServerRole role, String zone) {}
 
   /** An attempt has ended. */
-  default void attemptEnded(ServerRole role, String zone, AttemptOutcome ending) {}
+  default void attemptEnded(ServerRole role, String zone, AttemptOutcome outcome) {}
 
-  /** A state waits in that zone. */
-  default void stateMade(String zone) {}
+  /** A state was reserved at a server of that zone. */
+  default void stateReserved(String zone) {}
 
-  /** A state was fetched after waiting so many microseconds. */
-  default void stateFetched(String zone, long waited) {}
+  /** A reserved state was fetched by the server that decodes from it. */
+  default void stateFetched(String zone, long reservedMicros) {}
 
-  /** A state was let go after waiting so many microseconds. */
-  default void stateLetGo(String zone, long waited) {}
+  /** A reserved state was released unused. */
+  default void stateReleased(String zone, long reservedMicros) {}
 
-  /** The module did something with a request for that reason. */
-  default void decided(DecisionReason reason) {}
+  /** The router gave that reason for a decision on a request. */
+  default void decisionMade(DecisionReason reason) {}
 
-  /** Takes what the module tells of its view. */
-  default RouterStateVisitor look(LongFunction<String> zoneOf) {
+  /**
+   * A visitor that records the router's state.
+   *
+   * @param zoneOf the zone of a server by its number, empty if the server is not known
+   */
+  default RouterStateVisitor stateVisitor(LongFunction<Optional<String>> zoneOf) {
     return new RouterStateVisitor() {
       @Override
       public void server(
--- a/dispatch/src/main/java/lemondock/dispatch/Endpoint.java
+++ b/dispatch/src/main/java/lemondock/dispatch/Endpoint.java
@@ -4,9 +4,12 @@
 import lemondock.policy.ServerLifecycle;
 
 /**
- * One server as a list states it, with names where the module has numbers.
+ * A server as an endpoint list states it; the router knows servers, zones and kinds by numbers.
  *
- * @param startedAt milliseconds since the epoch of its process's start, 0 if long ago or not told
+ * @param kind name of the server's kind in the settings
+ * @param weight share of the load relative to other servers
+ * @param startedAtMillis start of the server's process in milliseconds since the epoch, 0 if long
+ *     ago or not listed
  */
 public record Endpoint(
     String name,
@@ -14,6 +17,6 @@
     String kind,
     String zone,
     String rack,
-    ServerLifecycle standing,
+    ServerLifecycle lifecycle,
     double weight,
-    long startedAt) {}
+    long startedAtMillis) {}
--- a/dispatch/src/main/java/lemondock/dispatch/EndpointRegistry.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EndpointRegistry.java
@@ -1,99 +1,120 @@
 package lemondock.dispatch;
 
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.IdentityHashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.ToLongFunction;
 import lemondock.policy.EndpointListKind;
 import lemondock.policy.ServerEntry;
 import lemondock.policy.ServerLifecycle;
 
 /**
- * Turns lists with names into what the module hears: numbers, changes where changes suffice, starts
- * on the module's own clock. No I/O and no clock. A server's number is a hash of its name and
- * address, so that it is the same at every gateway and in every life; the module's rendezvous hash
- * rests on that.
+ * Translates endpoint lists, which name servers, into the router's terms: numbers, only the changes
+ * where these suffice, and start times on the router's clock. A server's number is a hash of its
+ * name and address, so that all gateways have the same number for it, also after a restart; the
+ * router's rendezvous hashing depends on that. Does no I/O and reads no clock. Loop thread only.
  */
 public final class EndpointRegistry {
-  private static final int MOST_GONE = 4_096;
+  private static final int MAX_REMOVED_ENDPOINTS = 4_096;
 
   private final List<String> kinds;
-  private final Map<String, Integer> zones = new HashMap<>();
-  private final Map<String, Integer> racks = new HashMap<>();
-  private final Map<Long, Listed> listed = new HashMap<>();
+  private final ToLongFunction<Endpoint> idOf;
+  private final Map<String, Integer> zoneNumbers = new HashMap<>();
+  private final Map<String, Integer> rackNumbers = new HashMap<>();
+  private final Map<Long, RegisteredEndpoint> listed = new HashMap<>();
 
   /**
-   * The same by the very entries that were listed: one that comes again unchanged costs no hash and
-   * no comparison.
+   * The listed endpoints by identity: one that comes again as the same object costs neither a hash
+   * nor a comparison.
    */
-  private final Map<Endpoint, Listed> listedByEntry = new IdentityHashMap<>();
-
-  private final Map<Long, Listed> gone = new LinkedHashMap<>();
-  private final ToLongFunction<Endpoint> ids;
-  private final ServerStartTimes starts = new ServerStartTimes();
-  private boolean told;
-
-  /** A server as listed last, with its start on the module's clock. */
-  private record Listed(Endpoint entry, ServerEntry server) {}
+  private final Map<Endpoint, RegisteredEndpoint> listedByIdentity = new IdentityHashMap<>();
 
   /**
-   * What the module is to hear of one list; {@code skipped} tells of entries that cannot be used.
+   * Endpoints that left the list, the one that left first first; attempts may still refer to them.
    */
-  public record News(EndpointListKind kind, List<ServerEntry> servers, List<String> skipped) {}
+  private final Map<Long, RegisteredEndpoint> removed = new LinkedHashMap<>();
+
+  private final ServerStartTimes startTimes = new ServerStartTimes();
+  private boolean fullListReported;
 
-  /** Makes an empty membership for kinds of servers in the order of the settings. */
+  /** An endpoint as last listed, and as the router was told of it. */
+  private record RegisteredEndpoint(Endpoint endpoint, ServerEntry server) {}
+
+  /** Makes an empty registry for the kinds of servers in the order of the settings. */
   public EndpointRegistry(List<String> kinds) {
-    this(kinds, EndpointRegistry::id);
+    this(kinds, EndpointRegistry::hashOfNameAndAddress);
   }
 
   /**
-   * The same where a server's number comes otherwise, as where gateways reach one server at
-   * addresses of their own.
+   * Makes an empty registry with another numbering of servers, as where each gateway reaches a
+   * server at an address of its own.
    */
-  public EndpointRegistry(List<String> kinds, ToLongFunction<Endpoint> ids) {
+  public EndpointRegistry(List<String> kinds, ToLongFunction<Endpoint> idOf) {
     this.kinds = List.copyOf(kinds);
-    this.ids = ids;
+    this.idOf = idOf;
   }
 
   /**
-   * A whole list has come. The first one, and a cached one, is told whole; later ones as changes,
-   * which may be none.
+   * Takes a full list. The first one, and a cached one, is reported in full; later ones as changes,
+   * of which there may be none.
    *
-   * @param now microseconds of the module's clock
-   * @param wall milliseconds since the epoch at that moment
+   * @param nowMicros the router's clock
+   * @param wallMillis milliseconds since the epoch at that moment
    */
-  public News update(List<Endpoint> entries, boolean cached, long now, long wall) {
-    starts.clock(now, wall);
+  public EndpointUpdate update(
+      List<Endpoint> endpoints, boolean cached, long nowMicros, long wallMillis) {
+    startTimes.setClocks(nowMicros, wallMillis);
     List<String> skipped = new ArrayList<>();
-    Map<Long, Listed> next = new LinkedHashMap<>();
-    for (Endpoint entry : entries) {
-      Listed unchanged = listedByEntry.get(entry);
+    Map<Long, RegisteredEndpoint> next = registerAll(endpoints, skipped);
+    boolean full = cached || !fullListReported;
+    List<ServerEntry> servers = serversToReport(next, full);
+    next.keySet().forEach(removed::remove);
+    if (!cached) {
+      fullListReported = true;
+      startTimes.listReceived();
+    }
+    return new EndpointUpdate(kindOfUpdate(cached, full), servers, skipped);
+  }
+
+  private static EndpointListKind kindOfUpdate(boolean cached, boolean full) {
+    if (cached) {
+      return EndpointListKind.CACHED;
+    }
+    return full ? EndpointListKind.WHOLE : EndpointListKind.CHANGES;
+  }
+
+  private Map<Long, RegisteredEndpoint> registerAll(
+      List<Endpoint> endpoints, List<String> skipped) {
+    Map<Long, RegisteredEndpoint> next = new LinkedHashMap<>();
+    for (Endpoint endpoint : endpoints) {
+      RegisteredEndpoint unchanged = listedByIdentity.get(endpoint);
       if (unchanged != null && next.putIfAbsent(unchanged.server().id(), unchanged) == null) {
         continue;
       }
-      int kind = kinds.indexOf(entry.kind());
+      int kind = kinds.indexOf(endpoint.kind());
       if (kind < 0) {
-        skipped.add(entry.name() + ": kind " + entry.kind() + " is not in the settings");
-      } else if (entry.standing() != ServerLifecycle.GONE) {
-        long id = ids.applyAsLong(entry);
-        if (next.put(id, listed(id, kind, entry)) != null) {
-          skipped.add(entry.name() + ": listed twice under " + entry.address());
+        skipped.add(endpoint.name() + ": kind " + endpoint.kind() + " is not in the settings");
+      } else if (endpoint.lifecycle() != ServerLifecycle.GONE) {
+        long id = idOf.applyAsLong(endpoint);
+        if (next.put(id, register(id, kind, endpoint)) != null) {
+          skipped.add(endpoint.name() + ": listed twice under " + endpoint.address());
         }
       }
     }
-    boolean whole = cached || !told;
+    return next;
+  }
+
+  /** Replaces the list and says what of it the router has to hear. */
+  private List<ServerEntry> serversToReport(Map<Long, RegisteredEndpoint> next, boolean full) {
     List<ServerEntry> servers = new ArrayList<>();
     next.forEach(
         (id, current) -> {
-          Listed before = listed.get(id);
-          if (whole
+          RegisteredEndpoint before = listed.get(id);
+          if (full
               || before == null
               || before != current && !before.server().equals(current.server())) {
             servers.add(current.server());
@@ -102,119 +123,109 @@
     listed.forEach(
         (id, before) -> {
           if (!next.containsKey(id)) {
-            remember(id, before);
-            if (!whole) {
-              servers.add(standing(before.server(), ServerLifecycle.GONE));
+            rememberRemoved(id, before);
+            if (!full) {
+              servers.add(withLifecycle(before.server(), ServerLifecycle.GONE));
             }
           }
         });
     listed.clear();
     listed.putAll(next);
-    listedByEntry.clear();
-    next.values().forEach(current -> listedByEntry.put(current.entry(), current));
-    next.keySet().forEach(gone::remove);
-    told |= !cached;
-    if (!cached) {
-      starts.heard();
-    }
-    return new News(
-        cached
-            ? EndpointListKind.CACHED
-            : whole ? EndpointListKind.WHOLE : EndpointListKind.CHANGES,
-        servers,
-        skipped);
+    listedByIdentity.clear();
+    next.values().forEach(current -> listedByIdentity.put(current.endpoint(), current));
+    return servers;
   }
 
-  /**
-   * Says that the next list is to be told whole, as after a break in which changes may have been
-   * missed.
-   */
-  public void forgetChanges() {
-    told = false;
+  /** Reports the next list in full, as after a failure in which changes may have been missed. */
+  public void requireFullUpdate() {
+    fullListReported = false;
   }
 
   /**
-   * The server of that number, also for some time after it has left the list; null if it was never
-   * listed.
+   * The endpoint of that number, also for some time after it has left the list; empty if it was
+   * never listed.
    */
-  public Endpoint entry(long id) {
-    Listed known = listed.getOrDefault(id, gone.get(id));
-    return known == null ? null : known.entry();
+  public Optional<Endpoint> find(long id) {
+    return Optional.ofNullable(registered(id)).map(RegisteredEndpoint::endpoint);
   }
 
-  /** What the last list said of the server of that number; gone if it is not on it. */
-  public ServerLifecycle standing(long id) {
-    Listed now = listed.get(id);
-    return now == null ? ServerLifecycle.GONE : now.entry().standing();
+  private RegisteredEndpoint registered(long id) {
+    return listed.getOrDefault(id, removed.get(id));
   }
 
-  private static ServerEntry standing(ServerEntry s, ServerLifecycle standing) {
+  /** The lifecycle state that the last list gave the server; GONE if it is not listed. */
+  public ServerLifecycle lifecycle(long id) {
+    RegisteredEndpoint current = listed.get(id);
+    return current == null ? ServerLifecycle.GONE : current.endpoint().lifecycle();
+  }
+
+  private static ServerEntry withLifecycle(ServerEntry server, ServerLifecycle lifecycle) {
     return new ServerEntry(
-        s.id(), s.zone(), s.kind(), s.cell(), standing, s.weight(), s.startedAt());
+        server.id(),
+        server.zone(),
+        server.kind(),
+        server.cell(),
+        lifecycle,
+        server.weight(),
+        server.startedAt());
   }
 
-  /** The place in the settings of a known server's kind. */
-  public int kind(long id) {
-    return kinds.indexOf(entry(id).kind());
+  /** The index of an endpoint's kind in the settings. */
+  public int kindIndex(Endpoint endpoint) {
+    return kinds.indexOf(endpoint.kind());
   }
 
-  /** Servers listed now. */
+  /** Number of endpoints listed now. */
   public int size() {
     return listed.size();
   }
 
-  /** The entries listed now. */
-  public List<Endpoint> entries() {
-    return listed.values().stream().map(Listed::entry).toList();
+  /** The endpoints listed now. */
+  public List<Endpoint> endpoints() {
+    return listed.values().stream().map(RegisteredEndpoint::endpoint).toList();
   }
 
   /**
-   * The start is put on the module's clock once and kept, also while a server is off the list: a
-   * start that moves means a new process.
+   * A start time is converted once and kept, also while the server is off the list: a start time
+   * that changes means a new process.
    */
-  private Listed listed(long id, int kind, Endpoint entry) {
-    Listed before = listed.getOrDefault(id, gone.get(id));
-    boolean same = before != null && before.entry().startedAt() == entry.startedAt();
-    long startedAt =
-        same
+  private RegisteredEndpoint register(long id, int kind, Endpoint endpoint) {
+    RegisteredEndpoint before = registered(id);
+    boolean sameProcess =
+        before != null && before.endpoint().startedAtMillis() == endpoint.startedAtMillis();
+    long startedAtMicros =
+        sameProcess
             ? before.server().startedAt()
-            : starts.started(entry.startedAt(), listed.containsKey(id));
-    return new Listed(
-        entry,
+            : startTimes.toRouterMicros(endpoint.startedAtMillis(), listed.containsKey(id));
+    return new RegisteredEndpoint(
+        endpoint,
         new ServerEntry(
             id,
-            number(zones, entry.zone()),
+            numberOf(endpoint.zone(), zoneNumbers),
             kind,
-            number(racks, entry.zone() + "/" + entry.rack()),
-            entry.standing(),
-            entry.weight(),
-            startedAt));
+            numberOf(endpoint.zone() + "/" + endpoint.rack(), rackNumbers),
+            endpoint.lifecycle(),
+            endpoint.weight(),
+            startedAtMicros));
   }
 
-  private void remember(long id, Listed before) {
-    gone.put(id, before);
-    if (gone.size() > MOST_GONE) {
-      gone.remove(gone.keySet().iterator().next());
+  private void rememberRemoved(long id, RegisteredEndpoint endpoint) {
+    removed.put(id, endpoint);
+    if (removed.size() > MAX_REMOVED_ENDPOINTS) {
+      removed.remove(removed.keySet().iterator().next());
     }
   }
 
-  private static int number(Map<String, Integer> numbers, String name) {
+  private static int numberOf(String name, Map<String, Integer> numbers) {
     return numbers.computeIfAbsent(name, n -> numbers.size());
   }
 
-  private static long id(Endpoint entry) {
-    return hash(
-        entry.name() + "@" + entry.address().getHostString() + ":" + entry.address().getPort());
-  }
-
-  /** A number that hardly any two texts share, the same everywhere and never 0. */
-  public static long hash(String text) {
-    try {
-      byte[] digest =
-          MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
-      return Math.max(1, ByteBuffer.wrap(digest).getLong() & Long.MAX_VALUE);
-    } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java has SHA-256", e);
-    }
+  private static long hashOfNameAndAddress(Endpoint endpoint) {
+    return StableHash.of(
+        endpoint.name()
+            + "@"
+            + endpoint.address().getHostString()
+            + ":"
+            + endpoint.address().getPort());
   }
 }
--- a/dispatch/src/main/java/lemondock/dispatch/EnginePort.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EnginePort.java
@@ -4,98 +4,75 @@
 import lemondock.policy.AttemptOutcome;
 
 /**
- * The port to the engines. An adapter turns what the ledger asks for into a protocol's messages and
- * says what came back; it decides nothing. Loop thread only.
+ * The port to the engines. An adapter turns calls into messages of the engines' protocol and
+ * reports the replies; it makes no decisions. Loop thread only.
  *
- * @param <P> what an engine gets: the request as the client's side made it
- * @param <S> how a protocol names a state that waits at a reader
- * @param <C> an event of a stream
+ * @param <P> the prompt that an engine gets
+ * @param <S> how the engines' protocol names a state that is reserved at a prefill server
+ * @param <C> an event of the output stream
  */
 public interface EnginePort<P, S, C extends StreamChunk> {
-  /** Asks a server to read; {@code name} is the attempt's own and never used again. */
-  Work read(Endpoint server, String name, DispatchedRequest<P> spec, Attempt<S, C> attempt);
-
-  /** Asks a server to write from a state, or, where that is null, to read and write. */
-  Work write(
-      Endpoint server, String name, DispatchedRequest<P> spec, S state, Attempt<S, C> attempt);
-
-  /** Lets go of the state that the read of that name left at a server. */
-  void release(Endpoint at, String name, P prompt);
+  /** Asks a server to read the prompt; {@code attemptId} is unique and never used again. */
+  AttemptHandle prefill(
+      Endpoint server,
+      String attemptId,
+      DispatchedRequest<P> request,
+      AttemptListener<S, C> listener);
+
+  /** Asks a server to write the answer from a state that a prefill has reserved. */
+  AttemptHandle decode(
+      Endpoint server,
+      String attemptId,
+      DispatchedRequest<P> request,
+      S state,
+      AttemptListener<S, C> listener);
+
+  /** Asks a server of a mixed kind to read the prompt and to write the answer. */
+  AttemptHandle prefillAndDecode(
+      Endpoint server,
+      String attemptId,
+      DispatchedRequest<P> request,
+      AttemptListener<S, C> listener);
+
+  /** Releases the state that the prefill of that id has reserved at a server. */
+  void release(Endpoint endpoint, String attemptId, P prompt);
 
   /**
-   * Attempts of the request are under way, or a read has ended without an answer: releases whatever
-   * is held for the request and no attempt waits for, and leaves the attempts alone. False, and
-   * nothing is done, in a protocol that cannot say this; there states go by the name of their read
-   * alone. {@code ended}: the request has ended, and what servers still do for it comes to nothing.
+   * Releases whatever is reserved for the request and no attempt waits for, and leaves its attempts
+   * alone: attempts are in flight, or a prefill has ended without a reply. False, with nothing
+   * done, in a protocol that cannot say this; there states are released by their attempt's id.
+   *
+   * @param requestEnded whether the request has ended, so that what servers still do for it is of
+   *     no use
    */
-  default boolean releaseIdle(Endpoint at, String name, P prompt, boolean ended) {
+  default boolean releaseIdle(Endpoint endpoint, String attemptId, P prompt, boolean requestEnded) {
     return false;
   }
 
   /**
-   * Another state is used, or this one was not found: it is of no use, though its request goes on.
-   * An adapter whose protocol names states by the request must not release it now, for that would
-   * take the one in use along.
+   * A state is of no use though its request goes on: another state is used, or this one was not
+   * found. An adapter whose protocol names states by the request must not release it now, for that
+   * would release the state in use as well.
    */
-  default void supersede(Endpoint at, String name, P prompt) {
-    release(at, name, prompt);
+  default void releaseSuperseded(Endpoint endpoint, String attemptId, P prompt) {
+    release(endpoint, attemptId, prompt);
   }
 
   /**
-   * A read of that name may have left a state, now or soon: it was given up or broke while it was
-   * under way. The adapter sees to it that nothing stays held, at once or, where a protocol names
-   * states by the request, with {@link #releaseIdle}.
+   * A prefill that was cancelled or broke may have reserved a state, now or soon. The adapter sees
+   * to it that nothing stays reserved: at once or, where a protocol names states by the request, by
+   * {@link #releaseIdle}.
    */
-  void doubt(Endpoint at, String name, P prompt);
+  void releaseUncertain(Endpoint endpoint, String attemptId, P prompt);
 
-  /** What a request without a whole response proves of its attempt. */
-  static AttemptOutcome ending(HttpClient.Failure failure) {
+  /** The outcome of an attempt whose HTTP request got no complete response. */
+  static AttemptOutcome outcomeOf(HttpClient.Failure failure) {
     return switch (failure) {
       case NOT_SENT -> AttemptOutcome.CONNECT_FAILED;
       case NO_ROOM ->
-          AttemptOutcome.MOOT; // the server is not to be blamed for what this gateway lacks
+          AttemptOutcome.MOOT; // this gateway lacks a connection; the server is not at fault
       case BROKEN -> AttemptOutcome.RESET;
       case MALFORMED -> AttemptOutcome.ERROR;
     };
   }
-
-  /** An attempt under way. */
-  interface Work {
-    /** Breaks it off; nothing more is heard of it. */
-    void cancel();
-
-    /** Takes no more of the answer until {@link #resume}, which slows the engine. */
-    default void pause() {}
-
-    /** Takes the answer again. */
-    default void resume() {}
-
-    /** Plain pieces go this way from now on, if the adapter can tell them. */
-    default void by(Lane way) {}
-  }
-
-  /** Where plain pieces of a stream that runs go without the loop. */
-  interface Lane {
-    /**
-     * Takes a piece of text, good until this returns, on an I/O thread; false if it cannot just
-     * now, then the loop gets it.
-     *
-     * @param answerTokens tokens of the leg so far, -1 if not told
-     */
-    boolean take(CharSequence text, int answerTokens);
-  }
-
-  /**
-   * What becomes of an attempt: a read or pieces of an answer, and, after all but a read, one end.
-   */
-  interface Attempt<S, C extends StreamChunk> {
-    /** The prompt was read; the state waits at the reader. */
-    default void read(S state, int cachedTokens) {}
-
-    /** An event of the answer. */
-    default void chunk(C chunk) {}
-
-    /** The end: OK after a whole stream; the module's word for any other. */
-    void ended(AttemptOutcome ending, boolean stateMissing, String what);
-  }
 }
--- a/dispatch/src/main/java/lemondock/dispatch/RequestListener.java
+++ b/dispatch/src/main/java/lemondock/dispatch/RequestListener.java
@@ -1,28 +1,36 @@
 package lemondock.dispatch;
 
+import java.util.Optional;
+
 /**
- * What becomes of it. One of {@link #served}, {@link #broke}, {@link #refused} and {@link #failed}
- * ends it, unless it is left; nothing follows. Called on the loop, never from within a call to the
- * ledger.
+ * Hears what becomes of a submitted request. Exactly one of {@link #completed}, {@link
+ * #interrupted}, {@link #rejected} and {@link #failed} ends it, and nothing follows; a request that
+ * was cancelled by {@link RequestDispatcher#cancelRequest} hears nothing more. Called on the loop
+ * thread, never from within a call to the dispatcher.
+ *
+ * @param <C> an event of the output stream
  */
 public interface RequestListener<C extends StreamChunk> {
-  /** A piece of the answer. */
+  /** An event of the output stream. */
   void chunk(C chunk);
 
-  /** Where plain pieces of the running stream may go without the loop; null if they may not. */
-  default EnginePort.Lane lane() {
-    return null;
+  /**
+   * Where plain text of the running stream may be written without the loop; asked once, after the
+   * first event. Empty if all of it has to come as events.
+   */
+  default Optional<DirectOutput> directOutput() {
+    return Optional.empty();
   }
 
-  /** The answer is whole. */
-  void served();
+  /** The answer is complete. */
+  void completed();
 
-  /** The answer broke after pieces of it had come. */
-  void broke(String what);
+  /** The stream broke after its first event. */
+  void interrupted(String cause);
 
-  /** It was turned away and had no effect; trying again is harmless. 0: no advice when. */
-  void refused(long retryAfterMicros);
+  /** The request was rejected and had no effect; a retry is safe. 0: no Retry-After is advised. */
+  void rejected(long retryAfterMicros);
 
-  /** It was given up, with nothing promised of what may have run. */
+  /** The request failed before its first event; an engine may have run it. */
   void failed();
 }
--- /dev/null
+++ b/dispatch/src/main/java/lemondock/dispatch/RequestTable.java
@@ -0,0 +1,40 @@
+package lemondock.dispatch;
+
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+
+/**
+ * The requests in flight, by their ids. Its size is bounded by what the front ends admit. Loop
+ * thread only.
+ */
+final class RequestTable<P, S, C extends StreamChunk> {
+  private final Map<Long, InFlightRequest<P, S, C>> requests = new HashMap<>();
+  private long nextId = 1;
+
+  InFlightRequest<P, S, C> add(DispatchedRequest<P> request, RequestListener<C> listener) {
+    InFlightRequest<P, S, C> added = new InFlightRequest<>(nextId++, request, listener);
+    requests.put(added.id, added);
+    return added;
+  }
+
+  Optional<InFlightRequest<P, S, C>> find(long id) {
+    return Optional.ofNullable(requests.get(id));
+  }
+
+  Collection<InFlightRequest<P, S, C>> all() {
+    return requests.values();
+  }
+
+  int size() {
+    return requests.size();
+  }
+
+  /** Removes a request that has ended, once none of its attempts is in flight. */
+  void removeIfFinished(InFlightRequest<P, S, C> request) {
+    if (request.ended && request.attemptsInFlight == 0) {
+      requests.remove(request.id);
+    }
+  }
+}
--- a/dispatch/src/main/java/lemondock/dispatch/StreamChunk.java
+++ b/dispatch/src/main/java/lemondock/dispatch/StreamChunk.java
@@ -1,10 +1,10 @@
 package lemondock.dispatch;
 
-/** One event of a writer's stream, as far as the ledger cares. */
+/** One event of an engine's output stream, as far as the dispatcher reads it. */
 public interface StreamChunk {
-  /** Whether the engine has produced something with it: the first such one begins the answer. */
-  boolean carries();
+  /** Whether the engine has produced output with it; the first such event is the first token. */
+  boolean hasOutput();
 
-  /** Prompt tokens found kept, -1 if not told here. */
+  /** Prompt tokens that the engine found cached, -1 if this event does not say. */
   int cachedTokens();
 }
--- a/dispatch/src/main/java/lemondock/dispatch/StreamIdleTimeout.java
+++ b/dispatch/src/main/java/lemondock/dispatch/StreamIdleTimeout.java
@@ -4,69 +4,76 @@
 import lemondock.overload.StallMonitor;
 
 /**
- * Watches a stream that has begun: one that says nothing for too long is broken. Not while nobody
- * takes it, and not for time in which this process stood still: what came in meanwhile is heard
- * first. Loop thread only, but for {@link #heard}.
+ * The idle timeout of an output stream that has begun. Time while the stream is paused does not
+ * count, nor time for which this process stalled: data that arrived meanwhile is read first. Loop
+ * thread only, but for {@link #dataReceived}.
  */
 public final class StreamIdleTimeout {
-  private static final long LEAST = 1_000;
+  private static final long SHORTEST_TIMER_MICROS = 1_000;
 
   private final Loop loop;
-  private final StallMonitor lateness;
-  private final long most;
-  private final Runnable broken;
+  private final StallMonitor stallMonitor;
+  private final long timeoutMicros;
+  private final Runnable onTimeout;
   private Loop.Timer timer = () -> {};
   private boolean paused;
-  private volatile long heardAt;
 
-  /** Runs {@code broken} once a stream was silent for {@code most} microseconds. */
-  public StreamIdleTimeout(Loop loop, StallMonitor lateness, long most, Runnable broken) {
+  /** Written by any thread that receives data. */
+  private volatile long lastDataAtMicros;
+
+  /** Runs {@code onTimeout} once the stream was idle for {@code timeoutMicros}. */
+  public StreamIdleTimeout(
+      Loop loop, StallMonitor stallMonitor, long timeoutMicros, Runnable onTimeout) {
     this.loop = loop;
-    this.lateness = lateness;
-    this.most = most;
-    this.broken = broken;
+    this.stallMonitor = stallMonitor;
+    this.timeoutMicros = timeoutMicros;
+    this.onTimeout = onTimeout;
   }
 
-  /** Something came; any thread. */
-  public void heard() {
-    heardAt = loop.now();
+  /** Data was received; any thread. */
+  public void dataReceived() {
+    lastDataAtMicros = loop.now();
   }
 
-  /** Nobody takes the stream until {@link #resume}. */
+  /** The stream is not read until {@link #resume}. */
   public void pause() {
     paused = true;
   }
 
-  /** It is taken again. */
+  /** The stream is read again. */
   public void resume() {
     paused = false;
-    heard();
+    dataReceived();
   }
 
-  /** Begins to watch; once, after the first word was {@link #heard}. */
-  public void watch() {
+  /** Starts the timeout; called once, after the first {@link #dataReceived}. */
+  public void start() {
     timer =
         loop.schedule(
-            Math.max(LEAST, heardAt + most - loop.now()),
-            () -> {
-              lateness.notice(loop.now());
-              long putOff = lateness.putOff(loop.now());
-              if (putOff > 0) {
-                heardAt = Math.max(heardAt, loop.now() - most + putOff);
-              }
-              if (paused) {
-                heard();
-              }
-              if (loop.now() - heardAt >= most) {
-                broken.run();
-              } else {
-                watch();
-              }
-            });
+            Math.max(SHORTEST_TIMER_MICROS, lastDataAtMicros + timeoutMicros - loop.now()),
+            this::check);
+  }
+
+  private void check() {
+    stallMonitor.notice(loop.now());
+    long graceMicros = stallMonitor.putOff(loop.now());
+    if (graceMicros > 0) {
+      lastDataAtMicros = Math.max(lastDataAtMicros, loop.now() - timeoutMicros + graceMicros);
+    }
+    if (paused) {
+      dataReceived();
+    }
+    if (loop.now() - lastDataAtMicros >= timeoutMicros) {
+      onTimeout.run();
+    } else {
+      start();
+    }
   }
 
-  /** Ends the watch: a timer that is left to run out would hold all that it knows until then. */
-  public void end() {
+  /**
+   * Stops the timeout: a timer that is left to expire would keep its stream in memory until then.
+   */
+  public void stop() {
     timer.cancel();
   }
 }
--- a/dispatch/src/test/java/lemondock/dispatch/StreamIdleTimeoutTest.java
+++ b/dispatch/src/test/java/lemondock/dispatch/StreamIdleTimeoutTest.java
@@ -7,57 +7,58 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** When a stream that says nothing is broken, on a clock moved by hand. */
+/** The idle timeout of an output stream, on a clock that the test moves. */
 class StreamIdleTimeoutTest {
   private static final long SECOND = 1_000_000;
 
   private final ManualLoop loop = new ManualLoop(SECOND);
-  private final StallMonitor lateness = new StallMonitor(SECOND / 10, 3 * SECOND / 10, SECOND / 20);
-  private int broken;
-  private final StreamIdleTimeout silence =
-      new StreamIdleTimeout(loop, lateness, 4 * SECOND, () -> broken++);
+  private final StallMonitor stallMonitor =
+      new StallMonitor(SECOND / 10, 3 * SECOND / 10, SECOND / 20);
+  private int timeouts;
+  private final StreamIdleTimeout idleTimeout =
+      new StreamIdleTimeout(loop, stallMonitor, 4 * SECOND, () -> timeouts++);
 
   @BeforeEach
-  void begin() {
+  void startTimeout() {
     tick();
-    silence.heard();
-    silence.watch();
+    idleTimeout.dataReceived();
+    idleTimeout.start();
   }
 
   private void tick() {
-    loop.schedule(lateness.ticked(loop.now()) - loop.now(), this::tick);
+    loop.schedule(stallMonitor.ticked(loop.now()) - loop.now(), this::tick);
   }
 
   @Test
-  void whatIsHeardPutsItOffAndItIsBrokenOnce() {
+  void dataPostponesTheTimeoutWhichComesOnce() {
     loop.move(3 * SECOND);
-    silence.heard();
+    idleTimeout.dataReceived();
     loop.move(3 * SECOND);
-    assertEquals(0, broken);
+    assertEquals(0, timeouts);
     loop.move(10 * SECOND);
-    assertEquals(1, broken);
+    assertEquals(1, timeouts);
   }
 
   @Test
-  void noSilenceWhileNobodyTakesItNorOnceItHasEnded() {
-    silence.pause();
+  void noTimeoutWhileThePausedStreamIsNotReadNorAfterStop() {
+    idleTimeout.pause();
     loop.move(20 * SECOND);
-    silence.resume();
+    idleTimeout.resume();
     loop.move(3 * SECOND);
-    assertEquals(0, broken);
-    silence.end();
+    assertEquals(0, timeouts);
+    idleTimeout.stop();
     loop.move(20 * SECOND);
-    assertEquals(0, broken);
+    assertEquals(0, timeouts);
   }
 
   @Test
-  void afterAStallOfTheProcessWhatCameMeanwhileIsHeardFirst() {
+  void afterAStallOfTheProcessArrivedDataIsReadBeforeTheTimeout() {
     loop.standStill(10 * SECOND);
-    assertEquals(0, broken);
-    silence.heard();
+    assertEquals(0, timeouts);
+    idleTimeout.dataReceived();
     loop.move(3 * SECOND);
-    assertEquals(0, broken);
+    assertEquals(0, timeouts);
     loop.move(2 * SECOND);
-    assertEquals(1, broken);
+    assertEquals(1, timeouts);
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/Gateway.java
+++ b/gateway/src/main/java/lemondock/gateway/Gateway.java
@@ -14,9 +14,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
+import lemondock.dispatch.DispatchCounts;
+import lemondock.dispatch.DispatcherEnvironment;
+import lemondock.dispatch.DispatcherOptions;
 import lemondock.dispatch.Endpoint;
 import lemondock.dispatch.EndpointRegistry;
+import lemondock.dispatch.EndpointUpdate;
 import lemondock.dispatch.RequestDispatcher;
+import lemondock.dispatch.RouterFactory;
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.core.CallService;
 import lemondock.gateway.core.IdempotencyGuard;
@@ -96,11 +101,7 @@
    *
    * @param maker makes the module; {@link #MODULE} but for tests of the auditor
    */
-  public Gateway(
-      Host host,
-      GatewaySettings settings,
-      PromptReader prompts,
-      RequestDispatcher.ModuleMaker maker) {
+  public Gateway(Host host, GatewaySettings settings, PromptReader prompts, RouterFactory maker) {
     this.loop = host.loop();
     this.network = host.network();
     this.disk = host.disk();
@@ -139,16 +140,14 @@
     this.pressure = new ResourcePressure(settings.overload().toPressure());
     this.ledger =
         new RequestDispatcher<>(
-            loop,
-            new EngineClient(loop, engineClient, engines, agent, lateness),
-            members,
-            settings.toModule(),
-            seed,
-            settings.name() + "-" + life,
-            maker,
-            list::watch,
-            tally,
-            lateness);
+            new DispatcherEnvironment<>(
+                loop,
+                new EngineClient(loop, engineClient, engines, agent, lateness),
+                members,
+                lateness,
+                tally),
+            new DispatcherOptions(
+                settings.name() + "-" + life, maker, settings.toModule(), seed, list::watch));
     this.calls = new CallService(loop, ledger, settings, tally, lateness);
     this.front =
         new McpFront(
@@ -177,7 +176,7 @@
   }
 
   /** The module of the project. */
-  public static final RequestDispatcher.ModuleMaker MODULE = Control::new;
+  public static final RouterFactory MODULE = Control::new;
 
   private static String sessionId(SecureRandom random) {
     byte[] bytes = new byte[24];
@@ -236,8 +235,8 @@
                 @Override
                 public void failed(String what) {
                   LOG.atWarn().addKeyValue("why", what).log("the list of servers cannot be had");
-                  members.forgetChanges();
-                  ledger.servers(EndpointListKind.FAILED, List.of());
+                  members.requireFullUpdate();
+                  ledger.updateEndpoints(EndpointListKind.FAILED, List.of());
                 }
               });
         });
@@ -307,14 +306,14 @@
   private void look() {
     tally.inHand(
         calls.size(),
-        ledger.size(),
+        ledger.requestsInFlight(),
         front.sessions(),
         front.streams(),
         calls.toolsWaiting(),
         members.size(),
         (loop.now() - startedAt) / SECOND);
     tally.limit(admission.share(), lateness.stalls(), lateness.stalled());
-    ledger.look();
+    ledger.recordRouterState();
     onDisk(
         () -> { // counting handles reads a directory
           double memory = machine.memory();
@@ -363,7 +362,7 @@
   }
 
   /** What the ledger has counted; loop thread only. */
-  public RequestDispatcher.Counts counts() {
+  public DispatchCounts counts() {
     return ledger.counts();
   }
 
@@ -374,7 +373,7 @@
 
   /** Requests that the ledger still keeps; loop thread only. */
   public int legsUnderWay() {
-    return ledger.size();
+    return ledger.requestsInFlight();
   }
 
   /** Servers listed; loop thread only. */
@@ -388,7 +387,7 @@
   }
 
   private void hear(List<Endpoint> entries, boolean cached) {
-    EndpointRegistry.News news = members.update(entries, cached, loop.now(), loop.wallMillis());
+    EndpointUpdate news = members.update(entries, cached, loop.now(), loop.wallMillis());
     news.skipped()
         .forEach(
             s ->
@@ -401,7 +400,7 @@
           .addKeyValue("listed", members.size())
           .addKeyValue("kind", news.kind())
           .log("list of servers");
-      ledger.servers(news.kind(), news.servers());
+      ledger.updateEndpoints(news.kind(), news.servers());
     }
   }
 
@@ -434,8 +433,8 @@
   private String notReady() {
     boolean reads = false;
     boolean writes = false;
-    for (Endpoint entry : members.entries()) {
-      if (entry.standing() == ServerLifecycle.READY) {
+    for (Endpoint entry : members.endpoints()) {
+      if (entry.lifecycle() == ServerLifecycle.READY) {
         String role =
             settings.kinds().stream()
                 .filter(k -> k.name().equals(entry.kind()))
@@ -471,7 +470,7 @@
         () -> {
           tally.inHand(
               calls.size(),
-              ledger.size(),
+              ledger.requestsInFlight(),
               front.sessions(),
               front.streams(),
               calls.toolsWaiting(),
@@ -498,7 +497,7 @@
   private void writeCache() {
     String cache = settings.discovery().cache();
     if (cache != null) {
-      byte[] text = Listing.toFile(members.entries());
+      byte[] text = Listing.toFile(members.endpoints());
       onDisk(
           () -> {
             try {
--- a/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
@@ -20,7 +20,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import lemondock.dispatch.EndpointRegistry;
+import lemondock.dispatch.StableHash;
 import lemondock.gateway.settings.GatewaySettings;
 
 /**
@@ -150,7 +150,7 @@
       }
       tokens += here;
     }
-    long prefix = prefixTokens == 0 ? 0 : EndpointRegistry.hash(opening.toString());
+    long prefix = prefixTokens == 0 ? 0 : StableHash.of(opening.toString());
     return new Prompt(
         classId, messages, tools, names, maxTokens, conversation, tokens, prefix, prefixTokens);
   }
--- a/gateway/src/main/java/lemondock/gateway/core/CallService.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CallService.java
@@ -8,12 +8,13 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
+import lemondock.dispatch.DirectOutput;
 import lemondock.dispatch.DispatchedRequest;
-import lemondock.dispatch.EndpointRegistry;
-import lemondock.dispatch.EnginePort;
 import lemondock.dispatch.RequestDispatcher;
 import lemondock.dispatch.RequestListener;
+import lemondock.dispatch.StableHash;
 import lemondock.gateway.answer.Answer;
 import lemondock.gateway.answer.Prompt;
 import lemondock.gateway.answer.ToolCall;
@@ -294,19 +295,19 @@
 
     @Override
     public void leave() {
-      ledger.leave(leg);
+      ledger.cancelRequest(leg);
     }
 
     /** Takes no more of the answer until {@link #resume}. */
     public void pause() {
       paused = true;
-      ledger.pause(leg);
+      ledger.pauseOutput(leg);
     }
 
     /** Takes the answer again. */
     public void resume() {
       paused = false;
-      ledger.resume(leg);
+      ledger.resumeOutput(leg);
     }
 
     private void cut(String why) {
@@ -341,9 +342,9 @@
               sink.shard(),
               body);
       legs++;
-      leg = ledger.open(spec, new Listener());
+      leg = ledger.submit(spec, new Listener());
       if (paused) {
-        ledger.pause(leg);
+        ledger.pauseOutput(leg);
       }
     }
 
@@ -502,7 +503,7 @@
     }
 
     /** Hands a leg's events to the answer. */
-    private final class Listener implements RequestListener<Chunk>, EnginePort.Lane {
+    private final class Listener implements RequestListener<Chunk>, DirectOutput {
       @Override
       public void chunk(Chunk chunk) {
         synchronized (sink.lock()) {
@@ -511,8 +512,8 @@
       }
 
       @Override
-      public EnginePort.Lane lane() {
-        return this;
+      public Optional<DirectOutput> directOutput() {
+        return Optional.of(this);
       }
 
       /**
@@ -520,7 +521,7 @@
        * of it.
        */
       @Override
-      public boolean take(CharSequence text, int answerTokens) {
+      public boolean offer(CharSequence text, int answerTokens) {
         if (text.length() > MOST_DIRECT) {
           return false;
         }
@@ -530,21 +531,21 @@
       }
 
       @Override
-      public void served() {
+      public void completed() {
         synchronized (sink.lock()) {
           answer.served();
         }
       }
 
       @Override
-      public void broke(String what) {
+      public void interrupted(String cause) {
         synchronized (sink.lock()) {
-          answer.broke(what);
+          answer.broke(cause);
         }
       }
 
       @Override
-      public void refused(long retryAfterMicros) {
+      public void rejected(long retryAfterMicros) {
         synchronized (sink.lock()) {
           answer.refused(retryAfterMicros);
         }
@@ -586,7 +587,7 @@
    * named.
    */
   public static long sessionKey(String conversation, String fallback) {
-    return EndpointRegistry.hash(
+    return StableHash.of(
         conversation != null ? "conversation " + conversation : "call " + fallback);
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/count/GatewayTally.java
+++ b/gateway/src/main/java/lemondock/gateway/count/GatewayTally.java
@@ -182,7 +182,7 @@
   // ==== attempts and states
 
   /** An attempt is made at a server. */
-  public void sent(ServerRole role, String zone) {
+  public void attemptSent(ServerRole role, String zone) {
     recorder.count(byServer(attempts, Metrics.ATTEMPTS, role, zone).slot(SENT));
   }
 
@@ -211,7 +211,7 @@
   }
 
   /** A read left a state at a server of the zone. */
-  public void stateMade(String zone) {
+  public void stateReserved(String zone) {
     state(zone, 0, 1, -1);
   }
 
@@ -221,7 +221,7 @@
   }
 
   /** A state was let go unused after so many microseconds. */
-  public void stateLetGo(String zone, long waited) {
+  public void stateReleased(String zone, long waited) {
     state(zone, 2, -1, waited);
   }
 
@@ -277,14 +277,15 @@
   }
 
   /** Takes a look at the module; {@code zones} names the zone of a server's number, or null. */
-  public RouterStateVisitor look(java.util.function.LongFunction<String> zoneOf) {
+  public RouterStateVisitor stateVisitor(
+      java.util.function.LongFunction<java.util.Optional<String>> zoneOf) {
     Map<Series, long[]> sums = new HashMap<>();
     servers.values().forEach(byZone -> byZone.values().forEach(s -> sums.put(s, new long[4])));
     return new RouterStateVisitor() {
       @Override
       public void server(
           long id, ServerRole role, ServerLifecycle standing, boolean cold, boolean healthy) {
-        String zone = zoneOf.apply(id);
+        String zone = zoneOf.apply(id).orElse(null);
         if (zone != null) {
           long[] sum =
               sums.computeIfAbsent(
--- a/gateway/src/main/java/lemondock/gateway/discovery/Listing.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/Listing.java
@@ -67,9 +67,9 @@
           .put("kind", e.kind())
           .put("zone", e.zone())
           .put("rack", e.rack())
-          .put("standing", e.standing().name().toLowerCase(Locale.ROOT))
+          .put("standing", e.lifecycle().name().toLowerCase(Locale.ROOT))
           .put("weight", e.weight())
-          .put("startedAt", e.startedAt());
+          .put("startedAt", e.startedAtMillis());
     }
     return root.toPrettyString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
   }
--- a/gateway/src/main/java/lemondock/gateway/engine/Chunk.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/Chunk.java
@@ -35,7 +35,7 @@
   public record CallPiece(int index, String id, String name, String arguments) {}
 
   @Override
-  public boolean carries() {
+  public boolean hasOutput() {
     return !text.isEmpty() || !calls.isEmpty() || finish != null;
   }
 
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
@@ -3,6 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.net.InetSocketAddress;
+import lemondock.dispatch.AttemptHandle;
+import lemondock.dispatch.AttemptListener;
+import lemondock.dispatch.DirectOutput;
 import lemondock.dispatch.DispatchedRequest;
 import lemondock.dispatch.Endpoint;
 import lemondock.dispatch.EnginePort;
@@ -18,7 +21,7 @@
 
 /**
  * The ledger's port to engines that speak the OpenAI API: carries reads, writes and aborts. Every
- * read and write ends by exactly one {@code ended} or a cancel.
+ * read and write ends by exactly one {@code attemptEnded} or a cancel.
  */
 public final class EngineClient implements EnginePort<ObjectNode, JsonNode, Chunk> {
   private static final int ABORT_TRIES = 3;
@@ -47,30 +50,48 @@
   }
 
   @Override
-  public Work read(
+  public AttemptHandle prefill(
       Endpoint server,
-      String requestId,
-      DispatchedRequest<ObjectNode> spec,
-      Attempt<JsonNode, Chunk> attempt) {
+      String attemptId,
+      DispatchedRequest<ObjectNode> request,
+      AttemptListener<JsonNode, Chunk> attempt) {
     InetSocketAddress to = server.address();
     return client.send(
             to,
             post(
                 to,
                 EngineProtocol.COMPLETIONS,
-                requestId,
-                EngineProtocol.read(spec.prompt(), requestId)),
+                attemptId,
+                EngineProtocol.read(request.prompt(), attemptId)),
             new Reading(attempt))
         ::cancel;
   }
 
   @Override
-  public Work write(
+  public AttemptHandle decode(
       Endpoint server,
-      String requestId,
-      DispatchedRequest<ObjectNode> spec,
+      String attemptId,
+      DispatchedRequest<ObjectNode> request,
       JsonNode transfer,
-      Attempt<JsonNode, Chunk> attempt) {
+      AttemptListener<JsonNode, Chunk> listener) {
+    return write(server, attemptId, request, transfer, listener);
+  }
+
+  @Override
+  public AttemptHandle prefillAndDecode(
+      Endpoint server,
+      String attemptId,
+      DispatchedRequest<ObjectNode> request,
+      AttemptListener<JsonNode, Chunk> listener) {
+    return write(server, attemptId, request, null, listener);
+  }
+
+  private Writing write(
+      Endpoint server,
+      String attemptId,
+      DispatchedRequest<ObjectNode> request,
+      JsonNode transfer,
+      AttemptListener<JsonNode, Chunk> attempt) {
     InetSocketAddress to = server.address();
     Writing writing = new Writing(attempt);
     writing.call =
@@ -79,25 +100,26 @@
             post(
                 to,
                 EngineProtocol.COMPLETIONS,
-                requestId,
-                EngineProtocol.write(spec.prompt(), requestId, transfer, spec.maxTokens())),
-            spec.shard(),
+                attemptId,
+                EngineProtocol.write(
+                    request.prompt(), attemptId, transfer, request.maxAnswerTokens())),
+            request.clientShard(),
             writing);
     return writing;
   }
 
   /** Lets go of a request and of what is kept for it; tried again if it cannot be said at once. */
   @Override
-  public void release(Endpoint at, String requestId, ObjectNode prompt) {
-    abort(at.address(), requestId, ABORT_TRIES);
+  public void release(Endpoint endpoint, String attemptId, ObjectNode prompt) {
+    abort(endpoint.address(), attemptId, ABORT_TRIES);
   }
 
   /**
    * Each attempt has a name of its own here, so that what it may have left is let go of at once.
    */
   @Override
-  public void doubt(Endpoint at, String requestId, ObjectNode prompt) {
-    release(at, requestId, prompt);
+  public void releaseUncertain(Endpoint endpoint, String attemptId, ObjectNode prompt) {
+    release(endpoint, attemptId, prompt);
   }
 
   private void abort(InetSocketAddress at, String requestId, int tries) {
@@ -136,9 +158,9 @@
   }
 
   private static final class Reading extends HttpClient.Keeping {
-    private final Attempt<JsonNode, Chunk> attempt;
+    private final AttemptListener<JsonNode, Chunk> attempt;
 
-    Reading(Attempt<JsonNode, Chunk> attempt) {
+    Reading(AttemptListener<JsonNode, Chunk> attempt) {
       this.attempt = attempt;
     }
 
@@ -146,20 +168,20 @@
     public void done() {
       if (status() != 200) {
         EngineProtocol.Refusal refusal = EngineProtocol.refusal(status(), body());
-        attempt.ended(refusal.ending(), refusal.stateMissing(), refusal.what());
+        attempt.attemptEnded(refusal.ending(), refusal.stateMissing(), refusal.what());
         return;
       }
       EngineProtocol.ReadReply reply = EngineProtocol.readReply(body());
       if (reply.problem() != null) {
-        attempt.ended(AttemptOutcome.ERROR, false, reply.problem());
+        attempt.attemptEnded(AttemptOutcome.ERROR, false, reply.problem());
       } else {
-        attempt.read(reply.transfer(), reply.cachedTokens());
+        attempt.prefillCompleted(reply.transfer(), reply.cachedTokens());
       }
     }
 
     @Override
     public void failed(HttpClient.Failure failure, String what) {
-      attempt.ended(EnginePort.ending(failure), false, what);
+      attempt.attemptEnded(EnginePort.outcomeOf(failure), false, what);
     }
   }
 
@@ -167,18 +189,18 @@
    * A write under way. A stream that was begun and then stays silent is broken after the settings'
    * time.
    */
-  public final class Writing extends HttpClient.Keeping implements Work {
-    private final Attempt<JsonNode, Chunk> attempt;
+  public final class Writing extends HttpClient.Keeping implements AttemptHandle {
+    private final AttemptListener<JsonNode, Chunk> attempt;
     private HttpClient.Call call;
     private boolean finished;
     private boolean over;
     private boolean watched;
     private final StreamIdleTimeout quiet =
         new StreamIdleTimeout(loop, lateness, silence, this::silent);
-    private volatile Lane lane;
+    private volatile DirectOutput directOutput;
     private final PlainPiece plain = new PlainPiece();
 
-    private Writing(Attempt<JsonNode, Chunk> attempt) {
+    private Writing(AttemptListener<JsonNode, Chunk> attempt) {
       this.attempt = attempt;
     }
 
@@ -196,19 +218,19 @@
 
     /** What is more than plain text still comes as an event. */
     @Override
-    public void by(Lane way) {
-      lane = way;
+    public void setDirectOutput(DirectOutput output) {
+      directOutput = output;
     }
 
     @Override
     public boolean direct(byte[] data, int length) {
-      Lane way = lane;
-      if (way == null
+      DirectOutput output = directOutput;
+      if (output == null
           || !plain.take(data, length)
-          || !way.take(plain.text(), plain.answerTokens())) {
+          || !output.offer(plain.text(), plain.answerTokens())) {
         return false;
       }
-      quiet.heard();
+      quiet.dataReceived();
       return true;
     }
 
@@ -223,9 +245,9 @@
      * then.
      */
     private void over() {
-      lane = null;
+      directOutput = null;
       over = true;
-      quiet.end();
+      quiet.stop();
     }
 
     @Override
@@ -237,10 +259,10 @@
     public void event(Object mapped) {
       Chunk chunk = (Chunk) mapped;
       if (over
-          || finished && !chunk.carries() && chunk.error() == null && chunk.answerTokens() < 0) {
+          || finished && !chunk.hasOutput() && chunk.error() == null && chunk.answerTokens() < 0) {
         return;
       }
-      quiet.heard();
+      quiet.dataReceived();
       if (status() != 200 || chunk.error() != null) {
         call.cancel();
         end(
@@ -249,10 +271,10 @@
         return;
       }
       finished |= chunk.finish() != null;
-      attempt.chunk(chunk);
-      if (!watched && !over && chunk.carries()) {
+      attempt.chunkReceived(chunk);
+      if (!watched && !over && chunk.hasOutput()) {
         watched = true;
-        quiet.watch();
+        quiet.start();
       }
     }
 
@@ -266,7 +288,7 @@
       if (status() != 200) {
         EngineProtocol.Refusal refusal = EngineProtocol.refusal(status(), body());
         over();
-        attempt.ended(refusal.ending(), refusal.stateMissing(), refusal.what());
+        attempt.attemptEnded(refusal.ending(), refusal.stateMissing(), refusal.what());
       } else if (finished) {
         end(AttemptOutcome.OK, "");
       } else {
@@ -279,14 +301,14 @@
       if (finished) {
         end(AttemptOutcome.OK, ""); // all of the answer had come; only the closing mark was lost
       } else {
-        end(EnginePort.ending(failure), what);
+        end(EnginePort.outcomeOf(failure), what);
       }
     }
 
     private void end(AttemptOutcome ending, String what) {
       if (!over) {
         over();
-        attempt.ended(ending, false, what);
+        attempt.attemptEnded(ending, false, what);
       }
     }
   }
--- a/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
+++ b/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
@@ -15,6 +15,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import lemondock.dispatch.DispatchedRequest;
+import lemondock.dispatch.DispatcherEnvironment;
+import lemondock.dispatch.DispatcherOptions;
 import lemondock.dispatch.Endpoint;
 import lemondock.dispatch.EndpointRegistry;
 import lemondock.dispatch.RequestDispatcher;
@@ -190,19 +192,17 @@
             false);
     ledger =
         new RequestDispatcher<>(
-            loop,
-            engines,
-            members,
-            settings,
-            1,
-            "t",
-            (s, seed, h) -> {
-              host = h;
-              return new Told();
-            },
-            () -> {},
-            new GatewayTally(someSettings()),
-            lateness);
+            new DispatcherEnvironment<>(
+                loop, engines, members, lateness, new GatewayTally(someSettings())),
+            new DispatcherOptions(
+                "t",
+                (s, seed, h) -> {
+                  host = h;
+                  return new Told();
+                },
+                settings,
+                1,
+                () -> {}));
   }
 
   private static GatewaySettings someSettings() {
@@ -222,7 +222,7 @@
   }
 
   private long open() {
-    return ledger.open(
+    return ledger.submit(
         new DispatchedRequest<>(
             0,
             0,
@@ -243,17 +243,17 @@
           }
 
           @Override
-          public void served() {
+          public void completed() {
             heard.add("served");
           }
 
           @Override
-          public void broke(String what) {
+          public void interrupted(String cause) {
             heard.add("broke");
           }
 
           @Override
-          public void refused(long retryAfterMicros) {
+          public void rejected(long retryAfterMicros) {
             heard.add("refused");
           }
 
@@ -314,7 +314,7 @@
             + "0\r\n\r\n");
     assertEquals(List.of("request " + id, "READ 0", "first 1", "OK 1 ended"), told);
     assertEquals(List.of("'a'", "''", "served"), heard.stream().distinct().toList());
-    assertEquals(0, ledger.size());
+    assertEquals(0, ledger.requestsInFlight());
     assertEquals(0, aborts());
   }
 
@@ -389,7 +389,7 @@
     loop.run();
     assertEquals("RESET 1 ended", told.get(told.size() - 1));
     assertEquals(List.of("'a'", "broke"), heard);
-    assertEquals(0, ledger.size());
+    assertEquals(0, ledger.requestsInFlight());
   }
 
   @Test
@@ -411,20 +411,20 @@
   void aClientThatLeavesHearsNothingAndHoldsNothing() {
     long id = open();
     send(id, reader).answer(READ);
-    ledger.leave(id);
+    ledger.cancelRequest(id);
     host.release(id);
     loop.run();
     assertEquals(List.of(), heard);
-    assertEquals(0, ledger.size());
+    assertEquals(0, ledger.requestsInFlight());
     long streaming = open();
     send(streaming, reader).answer(READ);
     Line write = send(streaming, writer);
     write.answer(STREAM + token("a"));
-    ledger.leave(streaming);
+    ledger.cancelRequest(streaming);
     loop.run();
     assertTrue(write.isClosed());
     assertEquals("CANCELLED 1 ended", told.get(told.size() - 1));
-    assertEquals(0, ledger.size());
+    assertEquals(0, ledger.requestsInFlight());
     assertEquals(List.of("'a'"), heard);
   }
 
@@ -432,13 +432,13 @@
   void aNewStateLetsTheOldOneGo() {
     long id = open();
     send(id, reader).answer(READ);
-    long before = ledger.counts().releases;
+    long before = ledger.counts().releases();
     send(id, reader).answer(READ);
-    assertEquals(before + 1, ledger.counts().releases);
+    assertEquals(before + 1, ledger.counts().releases());
     host.release(id);
-    assertEquals(before + 2, ledger.counts().releases);
+    assertEquals(before + 2, ledger.counts().releases());
     host.release(id);
-    assertEquals(before + 2, ledger.counts().releases);
+    assertEquals(before + 2, ledger.counts().releases());
   }
 
   @Test
@@ -447,7 +447,7 @@
     send(id, reader).answer(READ);
     send(id, writer);
     host.release(id);
-    assertEquals(0, ledger.counts().releases);
+    assertEquals(0, ledger.counts().releases());
   }
 
   @Test
@@ -456,11 +456,11 @@
     faulty = true;
     open();
     assertEquals(List.of("failed"), heard);
-    assertEquals(1, ledger.size());
+    assertEquals(1, ledger.requestsInFlight());
     faulty = false;
     host.refuse(before, 0);
-    ledger.servers(EndpointListKind.CHANGES, List.of());
-    assertEquals(0, ledger.size());
+    ledger.updateEndpoints(EndpointListKind.CHANGES, List.of());
+    assertEquals(0, ledger.requestsInFlight());
   }
 
   @Test
@@ -469,9 +469,9 @@
     host.refuse(id, 5);
     host.refuse(id, 5);
     host.fail(id);
-    ledger.servers(
+    ledger.updateEndpoints(
         EndpointListKind.CHANGES, List.of()); // the next event carries out what was decided
     assertEquals(List.of("refused"), heard);
-    assertEquals(0, ledger.size());
+    assertEquals(0, ledger.requestsInFlight());
   }
 }
--- a/gateway/src/test/java/lemondock/gateway/count/CallCountTest.java
+++ b/gateway/src/test/java/lemondock/gateway/count/CallCountTest.java
@@ -148,17 +148,17 @@
 
   @Test
   void statesAndAttemptsAreCountedByWhere() {
-    tally.stateMade("south");
-    tally.stateMade("south");
-    tally.stateMade("south");
+    tally.stateReserved("south");
+    tally.stateReserved("south");
+    tally.stateReserved("south");
     tally.stateFetched("south", 7 * MS);
-    tally.stateLetGo("south", 9 * MS);
-    tally.sent(ServerRole.WRITER, "south");
+    tally.stateReleased("south", 9 * MS);
+    tally.attemptSent(ServerRole.WRITER, "south");
     for (AttemptOutcome ending : AttemptOutcome.values()) {
       tally.attemptEnded(ServerRole.WRITER, "south", ending);
     }
     for (int i = 0; i < 200; i++) {
-      tally.sent(ServerRole.READER, "zone" + i);
+      tally.attemptSent(ServerRole.READER, "zone" + i);
     }
     Snapshot s = tally.tally().snapshot(true);
     assertEquals("3 1 1 1", row(s, Metrics.HELD, List.of("south"), 1));
--- a/gateway/src/test/java/lemondock/gateway/discovery/MembershipTest.java
+++ b/gateway/src/test/java/lemondock/gateway/discovery/MembershipTest.java
@@ -12,6 +12,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import lemondock.dispatch.Endpoint;
 import lemondock.dispatch.EndpointRegistry;
+import lemondock.dispatch.EndpointUpdate;
+import lemondock.dispatch.StableHash;
 import lemondock.policy.EndpointListKind;
 import lemondock.policy.ServerEntry;
 import lemondock.policy.ServerLifecycle;
@@ -37,7 +39,7 @@
         startedAt);
   }
 
-  private EndpointRegistry.News hear(Endpoint... entries) {
+  private EndpointUpdate hear(Endpoint... entries) {
     return members.update(List.of(entries), false, NOW, WALL);
   }
 
@@ -49,13 +51,13 @@
                 entry("a", "reader", ServerLifecycle.READY, 0),
                 entry("b", "writer", ServerLifecycle.READY, 0))
             .kind());
-    EndpointRegistry.News none =
+    EndpointUpdate none =
         hear(
             entry("a", "reader", ServerLifecycle.READY, 0),
             entry("b", "writer", ServerLifecycle.READY, 0));
     assertEquals(EndpointListKind.CHANGES, none.kind());
     assertEquals(List.of(), none.servers());
-    EndpointRegistry.News drain = hear(entry("a", "reader", ServerLifecycle.DRAINING, 0));
+    EndpointUpdate drain = hear(entry("a", "reader", ServerLifecycle.DRAINING, 0));
     assertEquals(
         List.of(ServerLifecycle.DRAINING, ServerLifecycle.GONE),
         drain.servers().stream().map(ServerEntry::standing).toList());
@@ -70,7 +72,7 @@
             List.of("reader", "writer"),
             server -> {
               numbered.incrementAndGet();
-              return EndpointRegistry.hash(server.name());
+              return StableHash.of(server.name());
             });
     List<Endpoint> listed = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
@@ -187,7 +189,7 @@
   @Test
   void afterABreakTheListIsToldWhole() {
     hear(entry("a", "reader", ServerLifecycle.READY, 0));
-    members.forgetChanges();
+    members.requireFullUpdate();
     assertEquals(
         EndpointListKind.WHOLE, hear(entry("a", "reader", ServerLifecycle.READY, 0)).kind());
     assertEquals(EndpointListKind.CACHED, members.update(List.of(), true, NOW, WALL).kind());
@@ -244,7 +246,7 @@
 
   @Test
   void whatCannotBeUsedIsPassedOverAndNamed() {
-    EndpointRegistry.News news =
+    EndpointUpdate news =
         hear(
             entry("a", "painter", ServerLifecycle.READY, 0),
             entry("b", "reader", ServerLifecycle.READY, 0),
@@ -258,7 +260,7 @@
   void aServerThatLeftCanStillBeToldToLetGo() {
     long id = hear(entry("a", "reader", ServerLifecycle.READY, 0)).servers().get(0).id();
     hear();
-    assertEquals("a", members.entry(id).name());
+    assertEquals("a", members.find(id).orElseThrow().name());
     assertEquals(0, members.size());
   }
 
@@ -271,10 +273,10 @@
             + "{\"Service\":{\"ID\":\"w2\",\"Address\":\"127.0.0.2\",\"Port\":81,\"Meta\":{\"kind\":\"writer\"}},"
             + "\"Checks\":[{\"CheckID\":\"tcp\",\"Status\":\"critical\"}]}]";
     List<Endpoint> entries = Listing.ofConsul(text.getBytes(StandardCharsets.UTF_8));
-    assertEquals(ServerLifecycle.DRAINING, entries.get(0).standing());
+    assertEquals(ServerLifecycle.DRAINING, entries.get(0).lifecycle());
     assertEquals(3, entries.get(0).weight());
-    assertEquals(12, entries.get(0).startedAt());
-    assertEquals(ServerLifecycle.GONE, entries.get(1).standing());
+    assertEquals(12, entries.get(0).startedAtMillis());
+    assertEquals(ServerLifecycle.GONE, entries.get(1).lifecycle());
   }
 
   @Test
--- a/scenario/src/main/java/lemondock/scenario/FaultScenario.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultScenario.java
@@ -19,7 +19,7 @@
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
 import java.util.stream.Stream;
-import lemondock.dispatch.RequestDispatcher;
+import lemondock.dispatch.RouterFactory;
 import lemondock.emulator.EngineSettings;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
@@ -58,7 +58,7 @@
   private static final double SETTLE_SECONDS = 4.5;
 
   private final DayScript script;
-  private final RequestDispatcher.ModuleMaker maker;
+  private final RouterFactory maker;
   private final SplittableRandom random;
   private final List<CallRecord> calls = Collections.synchronizedList(new ArrayList<>());
   private final List<Talk> talks = new ArrayList<>();
@@ -121,7 +121,7 @@
   }
 
   /** Makes a day; the gateways decide by what {@code maker} makes. */
-  public FaultScenario(DayScript script, RequestDispatcher.ModuleMaker maker) {
+  public FaultScenario(DayScript script, RouterFactory maker) {
     this.script = script;
     this.maker = maker;
     this.random = new SplittableRandom(script.seed() * 31 + 7);
--- a/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.UnaryOperator;
-import lemondock.dispatch.RequestDispatcher;
+import lemondock.dispatch.RouterFactory;
 import lemondock.emulator.CatalogueEmulator;
 import lemondock.emulator.EngineEmulator;
 import lemondock.emulator.EngineSettings;
@@ -84,7 +84,7 @@
 
   private static final class Front {
     private GatewaySettings settings;
-    private RequestDispatcher.ModuleMaker maker;
+    private RouterFactory maker;
     private Node node;
     private Pausable network;
     private DiskFolder durable;
@@ -256,7 +256,7 @@
   }
 
   /** Starts a gateway; its settings must name {@link #catalogueAddress}. */
-  public void addGateway(GatewaySettings settings, RequestDispatcher.ModuleMaker maker) {
+  public void addGateway(GatewaySettings settings, RouterFactory maker) {
     Front front = new Front();
     front.settings = settings;
     front.maker = maker;
--- a/scenario/src/test/java/lemondock/scenario/Bench.java
+++ b/scenario/src/test/java/lemondock/scenario/Bench.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import lemondock.dispatch.RequestDispatcher;
+import lemondock.dispatch.RouterFactory;
 import lemondock.emulator.EngineSettings;
 import lemondock.emulator.Tap;
 import lemondock.gateway.Gateway;
@@ -40,7 +40,7 @@
    * "overload": gateway, engines and clients share this process, and a machine that is slow for a
    * moment is not what most tests are about.
    */
-  Bench(Consumer<ObjectNode> own, RequestDispatcher.ModuleMaker maker, EngineSettings... engines) {
+  Bench(Consumer<ObjectNode> own, RouterFactory maker, EngineSettings... engines) {
     Consumer<ObjectNode> changes =
         settings -> {
           settings.putObject("overload").put("refuse", false);
--- a/scenario/src/test/java/lemondock/scenario/SabotageTest.java
+++ b/scenario/src/test/java/lemondock/scenario/SabotageTest.java
@@ -8,7 +8,7 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.function.UnaryOperator;
-import lemondock.dispatch.RequestDispatcher;
+import lemondock.dispatch.RouterFactory;
 import lemondock.gateway.Gateway;
 import lemondock.policy.Control;
 import lemondock.policy.Idempotency;
@@ -72,7 +72,7 @@
   }
 
   /** A module that hears a changed list; null leaves a server out. */
-  private static RequestDispatcher.ModuleMaker deaf(UnaryOperator<ServerEntry> heard) {
+  private static RouterFactory deaf(UnaryOperator<ServerEntry> heard) {
     return (settings, seed, host) -> {
       Control control = new Control(settings, seed, host);
       return (RequestRouter)
@@ -93,7 +93,7 @@
     };
   }
 
-  private static Set<Integer> broken(DayScript script, RequestDispatcher.ModuleMaker maker)
+  private static Set<Integer> broken(DayScript script, RouterFactory maker)
       throws InterruptedException {
     return new FaultScenario(script, maker).play().finding().broken();
   }
