--- a/dispatch/src/main/java/lemondock/dispatch/AttemptLifecycle.java
+++ b/dispatch/src/main/java/lemondock/dispatch/AttemptLifecycle.java
@@ -42,7 +42,7 @@
     this.stallMonitor = environment.stallMonitor();
     this.metrics = environment.metrics();
     this.idPrefix = options.attemptIdPrefix();
-    this.roles = options.routerSettings().kinds().stream().map(ServerKind::role).toList();
+    this.roles = options.routerSettings().serverKinds().stream().map(ServerKind::role).toList();
     this.counters = counters;
     this.events = events;
     this.requests = requests;
@@ -55,7 +55,9 @@
     if (request.ended || attempt.target.isEmpty()) {
       endOnNextTurn(
           attempt,
-          AttemptEnd.of(AttemptOutcome.MOOT, "the request has ended or the server is not known"));
+          AttemptEnd.of(
+              AttemptOutcome.ABANDONED_BEFORE_SEND,
+              "the request has ended or the server is not known"));
       return;
     }
     LOG.debug(
@@ -96,7 +98,7 @@
     } else if (target.role() == ServerRole.WRITER && state.isEmpty()) {
       endOnNextTurn(
           attempt,
-          new AttemptEnd(AttemptOutcome.FULL, 0, true, "there is no state to decode from"));
+          new AttemptEnd(AttemptOutcome.REJECTED, 0, true, "there is no state to decode from"));
     } else {
       attempt.state = state.orElse(null);
       attempt.handle = startOutput(attempt, target.endpoint(), state);
@@ -168,7 +170,7 @@
     Endpoint endpoint = attempt.endpoint();
     states.reserved(request, new ReservedState<>(endpoint, attempt.id, state, loop.now()));
     LOG.debug("request {}: state reserved at {}", request.id, endpoint.name());
-    end(attempt, new AttemptEnd(AttemptOutcome.READ, cachedTokens, false, ""));
+    end(attempt, new AttemptEnd(AttemptOutcome.PROMPT_READ, cachedTokens, false, ""));
   }
 
   /** The first output of a request: from now on its client gets this attempt's output. */
@@ -215,7 +217,7 @@
       states.missing(request, attempt.state);
     }
     AttemptResult result = result(attempt, end);
-    events.raise(request, (router, nowMicros) -> router.outcome(nowMicros, result));
+    events.raise(request, (router, nowMicros) -> router.attemptEnded(nowMicros, result));
     if (firstEnd) {
       notifyListener(request, end);
     }
@@ -246,7 +248,9 @@
 
   private void logUnlessSuccessful(EngineAttempt<P, S, C> attempt, AttemptEnd end) {
     AttemptOutcome outcome = end.outcome();
-    if (outcome != AttemptOutcome.OK && outcome != AttemptOutcome.READ && LOG.isDebugEnabled()) {
+    if (outcome != AttemptOutcome.OK
+        && outcome != AttemptOutcome.PROMPT_READ
+        && LOG.isDebugEnabled()) {
       LOG.atDebug()
           .addKeyValue("request", attempt.id)
           .addKeyValue("server", attempt.target.map(t -> t.endpoint().name()).orElse("?"))
--- a/dispatch/src/main/java/lemondock/dispatch/EndpointRegistry.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EndpointRegistry.java
@@ -84,7 +84,7 @@
     if (cached) {
       return EndpointListKind.CACHED;
     }
-    return full ? EndpointListKind.WHOLE : EndpointListKind.CHANGES;
+    return full ? EndpointListKind.FULL_LIST : EndpointListKind.CHANGES;
   }
 
   private Map<Long, RegisteredEndpoint> registerAll(
@@ -167,7 +167,7 @@
         server.cell(),
         lifecycle,
         server.weight(),
-        server.startedAt());
+        server.startedAtMicros());
   }
 
   /** The index of an endpoint's kind in the settings. */
@@ -195,7 +195,7 @@
         before != null && before.endpoint().startedAtMillis() == endpoint.startedAtMillis();
     long startedAtMicros =
         sameProcess
-            ? before.server().startedAt()
+            ? before.server().startedAtMicros()
             : startTimes.toRouterMicros(endpoint.startedAtMillis(), listed.containsKey(id));
     return new RegisteredEndpoint(
         endpoint,
--- a/dispatch/src/main/java/lemondock/dispatch/EnginePort.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EnginePort.java
@@ -70,7 +70,8 @@
     return switch (failure) {
       case NOT_SENT -> AttemptOutcome.CONNECT_FAILED;
       case NO_ROOM ->
-          AttemptOutcome.MOOT; // this gateway lacks a connection; the server is not at fault
+          AttemptOutcome
+              .ABANDONED_BEFORE_SEND; // this gateway lacks a connection; the server is not at fault
       case BROKEN -> AttemptOutcome.RESET;
       case MALFORMED -> AttemptOutcome.ERROR;
     };
--- a/dispatch/src/main/java/lemondock/dispatch/RequestDispatcher.java
+++ b/dispatch/src/main/java/lemondock/dispatch/RequestDispatcher.java
@@ -62,7 +62,7 @@
     InFlightRequest<P, S, C> added = requests.add(request, listener);
     counters.requests++;
     RoutingRequest routingRequest = routingRequest(added.id, request);
-    events.raise(added, (router, nowMicros) -> router.request(nowMicros, routingRequest));
+    events.raise(added, (router, nowMicros) -> router.requestArrived(nowMicros, routingRequest));
     return added.id;
   }
 
@@ -93,7 +93,7 @@
   private void cancel(InFlightRequest<P, S, C> request) {
     request.ended = true;
     counters.cancelled++;
-    events.raise(request, (router, nowMicros) -> router.clientLeft(nowMicros, request.id));
+    events.raise(request, (router, nowMicros) -> router.clientDisconnected(nowMicros, request.id));
     request.openStream().ifPresent(attempts::cancelStream);
     requests.removeIfFinished(request);
   }
@@ -110,12 +110,12 @@
 
   /** Reports an update of the endpoint list, or that the list is not available, to the router. */
   public void updateEndpoints(EndpointListKind kind, List<ServerEntry> servers) {
-    events.raise((router, nowMicros) -> router.servers(nowMicros, kind, servers));
+    events.raise((router, nowMicros) -> router.endpointsChanged(nowMicros, kind, servers));
   }
 
   /** This gateway shuts down and may be killed at that time of the loop's clock. */
   public void shuttingDown(long killedAtMicros) {
-    events.raise((router, nowMicros) -> router.shuttingDown(nowMicros, killedAtMicros));
+    events.raise((router, nowMicros) -> router.shutdownStarted(nowMicros, killedAtMicros));
   }
 
   /** Records the router's state in the metrics. */
@@ -125,7 +125,7 @@
 
   /** Shows the router's state to a visitor. */
   public void visitRouterState(RouterStateVisitor visitor) {
-    events.router().look(loop.now(), visitor);
+    events.router().visitState(loop.now(), visitor);
   }
 
   /** Calls the consumer for each attempt in flight at a known server. */
@@ -159,7 +159,7 @@
     if (graceMicros > 0) {
       loop.schedule(graceMicros, () -> timerDue(token));
     } else {
-      events.raise((router, nowMicros) -> router.timer(nowMicros, token));
+      events.raise((router, nowMicros) -> router.timerFired(nowMicros, token));
     }
   }
 
@@ -170,13 +170,13 @@
     }
 
     @Override
-    public void send(long requestId, long serverId, long timeout) {
-      find(requestId).ifPresent(request -> attempts.send(request, serverId, timeout));
+    public void send(long requestId, long serverId, long timeoutMicros) {
+      find(requestId).ifPresent(request -> attempts.send(request, serverId, timeoutMicros));
     }
 
     @Override
-    public void refuse(long requestId, long retryAfter) {
-      find(requestId).ifPresent(request -> events.reject(request, retryAfter));
+    public void reject(long requestId, long retryAfterMicros) {
+      find(requestId).ifPresent(request -> events.reject(request, retryAfterMicros));
     }
 
     @Override
@@ -190,17 +190,17 @@
     }
 
     @Override
-    public void release(long requestId) {
+    public void releaseState(long requestId) {
       find(requestId).ifPresent(attempts::releaseStates);
     }
 
     @Override
-    public void timer(long token, long delay) {
-      loop.schedule(delay, () -> timerDue(token));
+    public void setTimer(long token, long delayMicros) {
+      loop.schedule(delayMicros, () -> timerDue(token));
     }
 
     @Override
-    public void watchServers() {
+    public void watchEndpoints() {
       startEndpointWatch.run();
     }
 
