--- a/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
+++ b/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
@@ -15,6 +15,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import lemondock.dispatch.DispatchedRequest;
+import lemondock.dispatch.DispatcherEnvironment;
+import lemondock.dispatch.DispatcherOptions;
 import lemondock.dispatch.Endpoint;
 import lemondock.dispatch.EndpointRegistry;
 import lemondock.dispatch.RequestDispatcher;
@@ -94,13 +96,14 @@
   /** A module that only writes down what it is told. */
   private final class Told implements RequestRouter {
     @Override
-    public void started(long now) {}
+    public void started(long nowMicros) {}
 
     @Override
-    public void endpointsChanged(long now, EndpointListKind kind, List<ServerEntry> entries) {}
+    public void endpointsChanged(
+        long nowMicros, EndpointListKind kind, List<ServerEntry> servers) {}
 
     @Override
-    public void requestArrived(long now, RoutingRequest request) {
+    public void requestArrived(long nowMicros, RoutingRequest request) {
       told.add("request " + request.id());
       if (faulty) {
         throw new IllegalStateException("a defect");
@@ -108,28 +111,29 @@
     }
 
     @Override
-    public void firstToken(long now, long requestId, int attempt, long serverId, long took) {
+    public void firstToken(
+        long nowMicros, long requestId, int attempt, long serverId, long elapsedMicros) {
       told.add("first " + attempt);
     }
 
     @Override
-    public void attemptEnded(long now, AttemptResult o) {
-      lastTook = o.elapsedMicros();
+    public void attemptEnded(long nowMicros, AttemptResult result) {
+      lastTook = result.elapsedMicros();
       told.add(
-          o.outcome()
+          result.outcome()
               + " "
-              + o.attempt()
-              + (o.requestEnded() ? " ended" : "")
-              + (o.stateMissing() ? " missing" : ""));
+              + result.attempt()
+              + (result.requestEnded() ? " ended" : "")
+              + (result.stateMissing() ? " missing" : ""));
     }
 
     @Override
-    public void clientDisconnected(long now, long requestId) {
+    public void clientDisconnected(long nowMicros, long requestId) {
       told.add("left");
     }
 
     @Override
-    public void timerFired(long now, long token) {
+    public void timerFired(long nowMicros, long token) {
       told.add("timer " + token);
     }
   }
@@ -190,19 +194,17 @@
             false);
     ledger =
         new RequestDispatcher<>(
-            loop,
-            engines,
-            members,
-            settings,
-            1,
-            "t",
-            (s, seed, h) -> {
-              host = h;
-              return new Told();
-            },
-            () -> {},
-            new GatewayTally(someSettings()),
-            lateness);
+            new DispatcherEnvironment<>(
+                loop, engines, members, lateness, new GatewayTally(someSettings())),
+            new DispatcherOptions(
+                "t",
+                (s, seed, h) -> {
+                  host = h;
+                  return new Told();
+                },
+                settings,
+                1,
+                () -> {}));
   }
 
   private static GatewaySettings someSettings() {
@@ -222,7 +224,7 @@
   }
 
   private long open() {
-    return ledger.open(
+    return ledger.submit(
         new DispatchedRequest<>(
             0,
             0,
@@ -243,17 +245,17 @@
           }
 
           @Override
-          public void served() {
+          public void completed() {
             heard.add("served");
           }
 
           @Override
-          public void broke(String what) {
+          public void interrupted(String cause) {
             heard.add("broke");
           }
 
           @Override
-          public void refused(long retryAfterMicros) {
+          public void rejected(long retryAfterMicros) {
             heard.add("refused");
           }
 
@@ -314,7 +316,7 @@
             + "0\r\n\r\n");
     assertEquals(List.of("request " + id, "PROMPT_READ 0", "first 1", "OK 1 ended"), told);
     assertEquals(List.of("'a'", "''", "served"), heard.stream().distinct().toList());
-    assertEquals(0, ledger.size());
+    assertEquals(0, ledger.requestsInFlight());
     assertEquals(0, aborts());
   }
 
@@ -366,7 +368,7 @@
     lateness.ticked(loop.now());
     long id = open();
     final Line read = send(id, reader);
-    host.setTimer(7, 200_000); // the module wants to look whether the read is overdue
+    host.setTimer(7, 200_000); // the router is to check whether the prefill is overdue
     loop.move(50_000);
     loop.standStill(3_000_000);
     assertEquals(List.of("request " + id), told, "nothing is judged before the sockets were heard");
@@ -389,7 +391,7 @@
     loop.run();
     assertEquals("RESET 1 ended", told.get(told.size() - 1));
     assertEquals(List.of("'a'", "broke"), heard);
-    assertEquals(0, ledger.size());
+    assertEquals(0, ledger.requestsInFlight());
   }
 
   @Test
@@ -411,20 +413,20 @@
   void aClientThatLeavesHearsNothingAndHoldsNothing() {
     long id = open();
     send(id, reader).answer(READ);
-    ledger.leave(id);
+    ledger.cancelRequest(id);
     host.releaseState(id);
     loop.run();
     assertEquals(List.of(), heard);
-    assertEquals(0, ledger.size());
+    assertEquals(0, ledger.requestsInFlight());
     long streaming = open();
     send(streaming, reader).answer(READ);
     Line write = send(streaming, writer);
     write.answer(STREAM + token("a"));
-    ledger.leave(streaming);
+    ledger.cancelRequest(streaming);
     loop.run();
     assertTrue(write.isClosed());
     assertEquals("CANCELLED 1 ended", told.get(told.size() - 1));
-    assertEquals(0, ledger.size());
+    assertEquals(0, ledger.requestsInFlight());
     assertEquals(List.of("'a'"), heard);
   }
 
@@ -432,13 +434,13 @@
   void aNewStateLetsTheOldOneGo() {
     long id = open();
     send(id, reader).answer(READ);
-    long before = ledger.counts().releases;
+    long before = ledger.counts().releases();
     send(id, reader).answer(READ);
-    assertEquals(before + 1, ledger.counts().releases);
+    assertEquals(before + 1, ledger.counts().releases());
     host.releaseState(id);
-    assertEquals(before + 2, ledger.counts().releases);
+    assertEquals(before + 2, ledger.counts().releases());
     host.releaseState(id);
-    assertEquals(before + 2, ledger.counts().releases);
+    assertEquals(before + 2, ledger.counts().releases());
   }
 
   @Test
@@ -447,7 +449,7 @@
     send(id, reader).answer(READ);
     send(id, writer);
     host.releaseState(id);
-    assertEquals(0, ledger.counts().releases);
+    assertEquals(0, ledger.counts().releases());
   }
 
   @Test
@@ -456,11 +458,11 @@
     faulty = true;
     open();
     assertEquals(List.of("failed"), heard);
-    assertEquals(1, ledger.size());
+    assertEquals(1, ledger.requestsInFlight());
     faulty = false;
     host.reject(before, 0);
-    ledger.servers(EndpointListKind.CHANGES, List.of());
-    assertEquals(0, ledger.size());
+    ledger.updateEndpoints(EndpointListKind.CHANGES, List.of());
+    assertEquals(0, ledger.requestsInFlight());
   }
 
   @Test
@@ -469,9 +471,9 @@
     host.reject(id, 5);
     host.reject(id, 5);
     host.fail(id);
-    ledger.servers(
+    ledger.updateEndpoints(
         EndpointListKind.CHANGES, List.of()); // the next event carries out what was decided
     assertEquals(List.of("refused"), heard);
-    assertEquals(0, ledger.size());
+    assertEquals(0, ledger.requestsInFlight());
   }
 }
