--- a/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
+++ b/gateway/src/test/java/lemondock/gateway/core/RequestDispatcherTest.java
@@ -46,14 +46,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The ledger's contract with the module, on a clock and a network that the test moves by hand. */
-class LedgerTest {
-  /** One connection; what was written to it is text, and the test answers by hand. */
-  private final class Line extends ScriptedConnection {
+/** The dispatcher's contract with the router, on a clock and a network that the test moves. */
+class RequestDispatcherTest {
+  /** A connection to an engine; the test reads what was written and sends the replies. */
+  private final class EngineConnection extends ScriptedConnection {
     private final InetSocketAddress to;
     private final StringBuilder written = new StringBuilder();
 
-    Line(InetSocketAddress to, Handler handler) {
+    EngineConnection(InetSocketAddress to, Handler handler) {
       super(loop, to, handler);
       this.to = to;
     }
@@ -80,21 +80,22 @@
   }
 
   private final ManualLoop loop = new ManualLoop(1_000_000);
-  private final ScriptedNetwork<Line> network = new ScriptedNetwork<>(loop, Line::new);
-  private final List<Line> lines = network.connections();
-  private final List<String> told = new ArrayList<>();
-  private final List<String> heard = new ArrayList<>();
+  private final ScriptedNetwork<EngineConnection> network =
+      new ScriptedNetwork<>(loop, EngineConnection::new);
+  private final List<EngineConnection> connections = network.connections();
+  private final List<String> routerEvents = new ArrayList<>();
+  private final List<String> listenerEvents = new ArrayList<>();
   private RouterHost host;
-  private RequestDispatcher<ObjectNode, JsonNode, Chunk> ledger;
+  private RequestDispatcher<ObjectNode, JsonNode, Chunk> dispatcher;
   private long reader;
   private long writer;
-  private boolean faulty;
+  private boolean routerThrows;
 
-  private final StallMonitor lateness = new StallMonitor(100_000, 300_000, 50_000);
-  private long lastTook;
+  private final StallMonitor stallMonitor = new StallMonitor(100_000, 300_000, 50_000);
+  private long lastElapsedMicros;
 
-  /** A module that only writes down what it is told. */
-  private final class Told implements RequestRouter {
+  /** A router that decides nothing and records its events. */
+  private final class RecordingRouter implements RequestRouter {
     @Override
     public void started(long nowMicros) {}
 
@@ -104,22 +105,22 @@
 
     @Override
     public void requestArrived(long nowMicros, RoutingRequest request) {
-      told.add("request " + request.id());
-      if (faulty) {
-        throw new IllegalStateException("a defect");
+      routerEvents.add("request " + request.id());
+      if (routerThrows) {
+        throw new IllegalStateException("a defect of the router");
       }
     }
 
     @Override
     public void firstToken(
         long nowMicros, long requestId, int attempt, long serverId, long elapsedMicros) {
-      told.add("first " + attempt);
+      routerEvents.add("first " + attempt);
     }
 
     @Override
     public void attemptEnded(long nowMicros, AttemptResult result) {
-      lastTook = result.elapsedMicros();
-      told.add(
+      lastElapsedMicros = result.elapsedMicros();
+      routerEvents.add(
           result.outcome()
               + " "
               + result.attempt()
@@ -129,20 +130,20 @@
 
     @Override
     public void clientDisconnected(long nowMicros, long requestId) {
-      told.add("left");
+      routerEvents.add("left");
     }
 
     @Override
     public void timerFired(long nowMicros, long token) {
-      told.add("timer " + token);
+      routerEvents.add("timer " + token);
     }
   }
 
   @BeforeEach
-  void make() {
-    EndpointRegistry members = new EndpointRegistry(List.of("reader", "writer"));
+  void createDispatcher() {
+    EndpointRegistry endpoints = new EndpointRegistry(List.of("reader", "writer"));
     List<ServerEntry> servers =
-        members
+        endpoints
             .update(
                 List.of(
                     new Endpoint(
@@ -178,7 +179,7 @@
             client,
             new GatewaySettings.Engines("m", 250, 1000, 100, 10, 1000, 1000, null),
             "test",
-            lateness);
+            stallMonitor);
     RouterSettings settings =
         new RouterSettings(
             0,
@@ -192,22 +193,22 @@
             null,
             true,
             false);
-    ledger =
+    dispatcher =
         new RequestDispatcher<>(
             new DispatcherEnvironment<>(
-                loop, engines, members, lateness, new GatewayTally(someSettings())),
+                loop, engines, endpoints, stallMonitor, new GatewayTally(minimalSettings())),
             new DispatcherOptions(
                 "t",
                 (s, seed, h) -> {
                   host = h;
-                  return new Told();
+                  return new RecordingRouter();
                 },
                 settings,
                 1,
                 () -> {}));
   }
 
-  private static GatewaySettings someSettings() {
+  private static GatewaySettings minimalSettings() {
     try {
       return SettingsFile.gateway(
           "t",
@@ -223,8 +224,8 @@
     }
   }
 
-  private long open() {
-    return ledger.submit(
+  private long submit() {
+    return dispatcher.submit(
         new DispatchedRequest<>(
             0,
             0,
@@ -241,35 +242,35 @@
         new RequestListener<>() {
           @Override
           public void chunk(Chunk chunk) {
-            heard.add("'" + chunk.text() + "'");
+            listenerEvents.add("'" + chunk.text() + "'");
           }
 
           @Override
           public void completed() {
-            heard.add("served");
+            listenerEvents.add("completed");
           }
 
           @Override
           public void interrupted(String cause) {
-            heard.add("broke");
+            listenerEvents.add("interrupted");
           }
 
           @Override
           public void rejected(long retryAfterMicros) {
-            heard.add("refused");
+            listenerEvents.add("rejected");
           }
 
           @Override
           public void failed() {
-            heard.add("failed");
+            listenerEvents.add("failed");
           }
         });
   }
 
-  private Line send(long id, long server) {
+  private EngineConnection send(long id, long server) {
     host.send(id, server, 0);
     loop.run();
-    return lines.get(lines.size() - 1);
+    return connections.get(connections.size() - 1);
   }
 
   private static String ok(String body) {
@@ -279,8 +280,8 @@
         + body;
   }
 
-  private static final String READ = ok("{\"kv_transfer_params\":{\"x\":1}}");
-  private static final String STREAM =
+  private static final String PREFILL_REPLY = ok("{\"kv_transfer_params\":{\"x\":1}}");
+  private static final String STREAM_HEAD =
       "HTTP/1.1 200 OK\r\n"
           + "content-type: text/event-stream\r\n"
           + "transfer-encoding: chunked\r\n\r\n";
@@ -294,8 +295,8 @@
     return event("{\"choices\":[{\"delta\":{\"content\":\"" + text + "\"}}]}");
   }
 
-  private long aborts() {
-    return lines.stream()
+  private long abortsSent() {
+    return connections.stream()
         .filter(
             l ->
                 l.written.toString().startsWith("POST /abort_request")
@@ -304,176 +305,178 @@
   }
 
   @Test
-  void aWholeRequest() {
-    long id = open();
-    send(id, reader).answer(READ);
-    Line write = send(id, writer);
-    assertTrue(write.written.toString().contains("\"kv_transfer_params\":{\"x\":1}"));
-    write.answer(STREAM + token("a"));
-    write.answer(
+  void aCompleteRequestRunsPrefillThenDecode() {
+    long id = submit();
+    send(id, reader).answer(PREFILL_REPLY);
+    EngineConnection decode = send(id, writer);
+    assertTrue(decode.written.toString().contains("\"kv_transfer_params\":{\"x\":1}"));
+    decode.answer(STREAM_HEAD + token("a"));
+    decode.answer(
         event("{\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}")
             + event("[DONE]")
             + "0\r\n\r\n");
-    assertEquals(List.of("request " + id, "PROMPT_READ 0", "first 1", "OK 1 ended"), told);
-    assertEquals(List.of("'a'", "''", "served"), heard.stream().distinct().toList());
-    assertEquals(0, ledger.requestsInFlight());
-    assertEquals(0, aborts());
+    assertEquals(List.of("request " + id, "PROMPT_READ 0", "first 1", "OK 1 ended"), routerEvents);
+    assertEquals(List.of("'a'", "''", "completed"), listenerEvents.stream().distinct().toList());
+    assertEquals(0, dispatcher.requestsInFlight());
+    assertEquals(0, abortsSent());
   }
 
   @Test
-  void eachSendGetsOneOutcomeWhoeverComesFirst() {
-    long id = open();
-    Line read = send(id, reader);
+  void everyAttemptHasOneOutcomeWhetherCancelOrReplyComesFirst() {
+    long id = submit();
+    EngineConnection prefill = send(id, reader);
     host.cancel(id, 0);
     host.cancel(id, 0);
-    read.answer(READ); // it was on its way
-    read.cut();
+    prefill.answer(PREFILL_REPLY); // it was on its way
+    prefill.cut();
     loop.run();
-    assertEquals(List.of("request " + id, "CANCELLED 0"), told);
-    assertEquals(1, aborts()); // what the read may have left is let go
-    Line second = send(id, reader);
-    second.answer(READ);
+    assertEquals(List.of("request " + id, "CANCELLED 0"), routerEvents);
+    assertEquals(1, abortsSent()); // what the prefill may have reserved is released
+    EngineConnection second = send(id, reader);
+    second.answer(PREFILL_REPLY);
     host.cancel(id, 1);
     loop.run();
-    assertEquals("PROMPT_READ 1", told.get(2));
-    assertEquals(3, told.size());
+    assertEquals("PROMPT_READ 1", routerEvents.get(2));
+    assertEquals(3, routerEvents.size());
   }
 
   @Test
-  void whatWasNeverSentIsSaidSo() {
-    long id = open();
+  void attemptsThatWereNeverSentAreReportedAsSuch() {
+    long id = submit();
     host.send(id, 999, 0);
     host.send(id, writer, 0);
     loop.run();
-    assertEquals(List.of("request " + id, "ABANDONED_BEFORE_SEND 0", "REJECTED 1 missing"), told);
-    assertEquals(0, lines.size());
+    assertEquals(
+        List.of("request " + id, "ABANDONED_BEFORE_SEND 0", "REJECTED 1 missing"), routerEvents);
+    assertEquals(0, connections.size());
     host.fail(id);
     loop.run();
-    assertEquals(1, told.stream().filter(t -> t.startsWith("request")).count());
+    assertEquals(1, routerEvents.stream().filter(t -> t.startsWith("request")).count());
   }
 
   @Test
   void brokenConnectionsAreResetsUnlessNothingWasSent() {
-    long id = open();
+    long id = submit();
     send(id, reader).cut();
     host.send(id, reader, 0);
-    lines.get(lines.size() - 1).end(new IOException("refused"));
+    connections.get(connections.size() - 1).end(new IOException("refused"));
     loop.dropFirst(); // the connection that never came up
     loop.run();
-    assertEquals(List.of("request " + id, "RESET 0", "CONNECT_FAILED 1"), told);
+    assertEquals(List.of("request " + id, "RESET 0", "CONNECT_FAILED 1"), routerEvents);
   }
 
   @Test
-  void aStallOfTheProcessIsNotTheEnginesAndWhatCameMeanwhileIsHeardFirst() {
-    lateness.ticked(loop.now());
-    long id = open();
-    final Line read = send(id, reader);
+  void aStallOfTheProcessIsNotCountedAndArrivedDataIsReadBeforeTimersFire() {
+    stallMonitor.ticked(loop.now());
+    long id = submit();
+    final EngineConnection prefill = send(id, reader);
     host.setTimer(7, 200_000); // the router is to check whether the prefill is overdue
     loop.move(50_000);
     loop.standStill(3_000_000);
-    assertEquals(List.of("request " + id), told, "nothing is judged before the sockets were heard");
-    read.answer(READ);
+    assertEquals(
+        List.of("request " + id), routerEvents, "no timer fires before the sockets were read");
+    prefill.answer(PREFILL_REPLY);
     loop.move(60_000);
-    assertEquals(List.of("request " + id, "PROMPT_READ 0", "timer 7"), told);
+    assertEquals(List.of("request " + id, "PROMPT_READ 0", "timer 7"), routerEvents);
     assertTrue(
-        lastTook >= 50_000 && lastTook <= 160_000,
-        "took " + lastTook + " us, of which the process stood still 3 s");
+        lastElapsedMicros >= 50_000 && lastElapsedMicros <= 160_000,
+        "took " + lastElapsedMicros + " us, of which the process stood still 3 s");
   }
 
   @Test
-  void aStreamThatBreaksEndsItsRequestOnce() {
-    long id = open();
-    send(id, reader).answer(READ);
-    Line write = send(id, writer);
-    write.answer(STREAM + token("a"));
-    write.cut();
+  void anInterruptedStreamEndsItsRequestOnce() {
+    long id = submit();
+    send(id, reader).answer(PREFILL_REPLY);
+    EngineConnection decode = send(id, writer);
+    decode.answer(STREAM_HEAD + token("a"));
+    decode.cut();
     host.fail(id);
     loop.run();
-    assertEquals("RESET 1 ended", told.get(told.size() - 1));
-    assertEquals(List.of("'a'", "broke"), heard);
-    assertEquals(0, ledger.requestsInFlight());
+    assertEquals("RESET 1 ended", routerEvents.get(routerEvents.size() - 1));
+    assertEquals(List.of("'a'", "interrupted"), listenerEvents);
+    assertEquals(0, dispatcher.requestsInFlight());
   }
 
   @Test
-  void aSilentStreamIsBrokenOff() {
-    long id = open();
-    send(id, reader).answer(READ);
-    Line write = send(id, writer);
-    write.answer(STREAM + token("a"));
+  void anIdleStreamIsInterrupted() {
+    long id = submit();
+    send(id, reader).answer(PREFILL_REPLY);
+    EngineConnection decode = send(id, writer);
+    decode.answer(STREAM_HEAD + token("a"));
     loop.move(60_000);
-    write.answer(token("b"));
+    decode.answer(token("b"));
     loop.move(90_000);
-    assertEquals(List.of("'a'", "'b'"), heard);
+    assertEquals(List.of("'a'", "'b'"), listenerEvents);
     loop.move(20_000);
-    assertEquals(List.of("'a'", "'b'", "broke"), heard);
-    assertTrue(write.isClosed());
+    assertEquals(List.of("'a'", "'b'", "interrupted"), listenerEvents);
+    assertTrue(decode.isClosed());
   }
 
   @Test
-  void aClientThatLeavesHearsNothingAndHoldsNothing() {
-    long id = open();
-    send(id, reader).answer(READ);
-    ledger.cancelRequest(id);
+  void aCancelledRequestHearsNothingMoreAndReservesNothing() {
+    long id = submit();
+    send(id, reader).answer(PREFILL_REPLY);
+    dispatcher.cancelRequest(id);
     host.releaseState(id);
     loop.run();
-    assertEquals(List.of(), heard);
-    assertEquals(0, ledger.requestsInFlight());
-    long streaming = open();
-    send(streaming, reader).answer(READ);
-    Line write = send(streaming, writer);
-    write.answer(STREAM + token("a"));
-    ledger.cancelRequest(streaming);
+    assertEquals(List.of(), listenerEvents);
+    assertEquals(0, dispatcher.requestsInFlight());
+    long streaming = submit();
+    send(streaming, reader).answer(PREFILL_REPLY);
+    EngineConnection decode = send(streaming, writer);
+    decode.answer(STREAM_HEAD + token("a"));
+    dispatcher.cancelRequest(streaming);
     loop.run();
-    assertTrue(write.isClosed());
-    assertEquals("CANCELLED 1 ended", told.get(told.size() - 1));
-    assertEquals(0, ledger.requestsInFlight());
-    assertEquals(List.of("'a'"), heard);
+    assertTrue(decode.isClosed());
+    assertEquals("CANCELLED 1 ended", routerEvents.get(routerEvents.size() - 1));
+    assertEquals(0, dispatcher.requestsInFlight());
+    assertEquals(List.of("'a'"), listenerEvents);
   }
 
   @Test
-  void aNewStateLetsTheOldOneGo() {
-    long id = open();
-    send(id, reader).answer(READ);
-    long before = ledger.counts().releases();
-    send(id, reader).answer(READ);
-    assertEquals(before + 1, ledger.counts().releases());
+  void aNewStateSupersedesTheOldOne() {
+    long id = submit();
+    send(id, reader).answer(PREFILL_REPLY);
+    long before = dispatcher.counts().releases();
+    send(id, reader).answer(PREFILL_REPLY);
+    assertEquals(before + 1, dispatcher.counts().releases());
     host.releaseState(id);
-    assertEquals(before + 2, ledger.counts().releases());
+    assertEquals(before + 2, dispatcher.counts().releases());
     host.releaseState(id);
-    assertEquals(before + 2, ledger.counts().releases());
+    assertEquals(before + 2, dispatcher.counts().releases());
   }
 
   @Test
-  void nothingIsReleasedWhileAnAttemptIsOut() {
-    long id = open();
-    send(id, reader).answer(READ);
+  void nothingIsReleasedWhileAnAttemptIsInFlight() {
+    long id = submit();
+    send(id, reader).answer(PREFILL_REPLY);
     send(id, writer);
     host.releaseState(id);
-    assertEquals(0, ledger.counts().releases());
+    assertEquals(0, dispatcher.counts().releases());
   }
 
   @Test
-  void aDefectOfTheModuleFailsItsRequestAndNoOther() {
-    final long before = open();
-    faulty = true;
-    open();
-    assertEquals(List.of("failed"), heard);
-    assertEquals(1, ledger.requestsInFlight());
-    faulty = false;
+  void anExceptionOfTheRouterFailsOnlyItsRequest() {
+    final long before = submit();
+    routerThrows = true;
+    submit();
+    assertEquals(List.of("failed"), listenerEvents);
+    assertEquals(1, dispatcher.requestsInFlight());
+    routerThrows = false;
     host.reject(before, 0);
-    ledger.updateEndpoints(EndpointListKind.CHANGES, List.of());
-    assertEquals(0, ledger.requestsInFlight());
+    dispatcher.updateEndpoints(EndpointListKind.CHANGES, List.of());
+    assertEquals(0, dispatcher.requestsInFlight());
   }
 
   @Test
-  void anEndIsToldOnce() {
-    long id = open();
+  void aFinalAnswerIsDeliveredOnce() {
+    long id = submit();
     host.reject(id, 5);
     host.reject(id, 5);
     host.fail(id);
-    ledger.updateEndpoints(
+    dispatcher.updateEndpoints(
         EndpointListKind.CHANGES, List.of()); // the next event carries out what was decided
-    assertEquals(List.of("refused"), heard);
-    assertEquals(0, ledger.requestsInFlight());
+    assertEquals(List.of("rejected"), listenerEvents);
+    assertEquals(0, dispatcher.requestsInFlight());
   }
 }
