--- /dev/null
+++ b/idempotency/src/test/java/lemondock/idempotency/StoredLogTest.java
@@ -0,0 +1,139 @@
+package lemondock.idempotency;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Arrays;
+import java.util.List;
+import lemondock.idempotency.IdempotencyStore.Fate;
+import lemondock.idempotency.IdempotencyStore.Relayed;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Restores from logs that the build of commit 6ec0bf3 wrote; see the README beside them. */
+class StoredLogTest {
+  private static final long RETENTION_MILLIS = 3_600_000;
+  private static final IdempotencyStore.Settings SETTINGS =
+      new IdempotencyStore.Settings(1_000, RETENTION_MILLIS);
+  private static final String NON_ASCII_KEY = "Bestellung äöü 漢字";
+
+  /** Bytes of a record's length and checksum. */
+  private static final int RECORD_HEADER_BYTES = 8;
+
+  /** Bytes of the last record of {@code appended/log-1}: a type and three texts with lengths. */
+  private static final int LAST_RECORD_BYTES =
+      1 + 4 + "unfinished".length() + 4 + "1/b".length() + 4 + "order".length();
+
+  private static final int LAST_FRAME_BYTES = RECORD_HEADER_BYTES + LAST_RECORD_BYTES;
+  private static final int RECORDS_OF_APPENDED = 19;
+
+  @TempDir private Path folder;
+  private IdempotencyStore store;
+
+  @BeforeEach
+  void createStore() {
+    store = new IdempotencyStore(SETTINGS, 0);
+  }
+
+  private static byte[] fixture(String name) throws IOException {
+    String resource = "log-written-by-6ec0bf3/" + name;
+    try (InputStream in = StoredLogTest.class.getResourceAsStream(resource)) {
+      return in.readAllBytes();
+    }
+  }
+
+  private AppendLog.Found restore(String file, byte[] content) throws IOException {
+    Files.write(folder.resolve(file), content);
+    try (DiskFolder files = new DiskFolder(folder);
+        AppendLog log = new AppendLog(files)) {
+      return log.open(store::replay);
+    }
+  }
+
+  private void assertFinishedCallsOfAppended() {
+    assertEquals(Fate.SERVED, store.fate("completed", 0));
+    assertEquals(Fate.NEVER_RAN, store.fate("never-ran", 0));
+    assertEquals(Fate.MAY_HAVE_RUN, store.fate("may-have-run", 0));
+    assertEquals(Fate.SERVED, store.fate("with-tools", 0));
+    assertEquals(Fate.SERVED, store.fate("retried", 0));
+    assertEquals(Fate.SERVED, store.fate(NON_ASCII_KEY, 0));
+    assertEquals(
+        List.of(new Relayed("1/a", "stock", true), new Relayed("2/a", "price €", false)),
+        store.relayed("with-tools"));
+    assertEquals(Fate.UNKNOWN, store.fate("never-seen", 0));
+  }
+
+  @Test
+  void restoresTheFateAndTheToolCallsOfEveryCall() throws IOException {
+    AppendLog.Found found = restore("log-1", fixture("appended/log-1"));
+    assertEquals(new AppendLog.Found(RECORDS_OF_APPENDED, 0, "log-1"), found);
+    assertEquals(7, store.size());
+    assertFinishedCallsOfAppended();
+    assertEquals(Fate.MAY_HAVE_RUN, store.fate("unfinished", 0), "its gateway died before its end");
+    assertEquals(List.of(new Relayed("1/b", "order", false)), store.relayed("unfinished"));
+  }
+
+  @Test
+  void aRestoredCallExpiresOneRetentionAfterTheRestart() throws IOException {
+    restore("log-1", fixture("appended/log-1"));
+    for (String key : List.of("completed", "may-have-run", "unfinished", NON_ASCII_KEY)) {
+      Fate before = store.fate(key, 0);
+      assertEquals(before, store.fate(key, RETENTION_MILLIS), key);
+      assertEquals(Fate.UNKNOWN, store.fate(key, RETENTION_MILLIS + 1), key);
+    }
+  }
+
+  @Test
+  void theAgeThatACompactedLogTellsCountsTowardsTheExpiry() throws IOException {
+    AppendLog.Found found = restore("log-2", fixture("compacted/log-2"));
+    assertEquals(new AppendLog.Found(7, 0, "log-2"), found);
+    assertEquals(3, store.size());
+    assertEquals(List.of(new Relayed("1/a", "stock", true)), store.relayed("old"));
+    assertExpiresAfter("old", Fate.SERVED, RETENTION_MILLIS - 900_000);
+    assertExpiresAfter("younger", Fate.MAY_HAVE_RUN, RETENTION_MILLIS - 300_000);
+    assertExpiresAfter("after-compaction", Fate.SERVED, RETENTION_MILLIS);
+  }
+
+  private void assertExpiresAfter(String key, Fate fate, long millis) {
+    assertEquals(fate, store.fate(key, millis), key);
+    assertEquals(Fate.UNKNOWN, store.fate(key, millis + 1), key);
+  }
+
+  @Test
+  void aLogWhoseLastRecordIsCutOffAnywhereRestoresAllBeforeIt() throws IOException {
+    byte[] whole = fixture("appended/log-1");
+    int lastFrameAt = whole.length - LAST_FRAME_BYTES;
+    for (int length = lastFrameAt; length < whole.length; length++) {
+      createStore();
+      AppendLog.Found found = restore("log-1", Arrays.copyOf(whole, length));
+      assertEquals(
+          new AppendLog.Found(RECORDS_OF_APPENDED - 1, length - lastFrameAt, "log-1"), found);
+      assertEquals(7, store.size(), "cut to " + length);
+      assertFinishedCallsOfAppended();
+      assertEquals(Fate.MAY_HAVE_RUN, store.fate("unfinished", 0));
+      assertEquals(List.of(), store.relayed("unfinished"), "its tool call is what was cut off");
+      assertEquals(lastFrameAt, Files.size(folder.resolve("log-1")), "the rest is cut off");
+    }
+  }
+
+  @Test
+  void aRestoredLogIsContinued() throws IOException {
+    Files.write(folder.resolve("log-1"), fixture("appended/log-1"));
+    try (DiskFolder files = new DiskFolder(folder);
+        AppendLog log = new AppendLog(files)) {
+      log.open(store::replay);
+      log.write(List.of(store.taken("never-ran", 10), store.ended("never-ran", Fate.SERVED)));
+    }
+    createStore();
+    try (DiskFolder files = new DiskFolder(folder);
+        AppendLog log = new AppendLog(files)) {
+      log.open(store::replay);
+    }
+    assertEquals(Fate.SERVED, store.fate("never-ran", 0));
+    assertEquals(Fate.SERVED, store.fate("completed", 0));
+  }
+}
