--- a/dispatch/src/main/java/lemondock/dispatch/RequestDispatcher.java
+++ b/dispatch/src/main/java/lemondock/dispatch/RequestDispatcher.java
@@ -357,8 +357,8 @@
    * time.
    */
   private void due(long token) {
-    lateness.notice(loop.now());
-    long putOff = lateness.putOff(loop.now());
+    lateness.detectStall(loop.now());
+    long putOff = lateness.remainingGraceMicros(loop.now());
     if (putOff > 0) {
       loop.schedule(putOff, () -> due(token));
     } else {
@@ -368,8 +368,9 @@
 
   /** What an attempt took, without the time for which this process did not run. */
   private long took(Attempt attempt) {
-    lateness.notice(loop.now());
-    return Math.max(0, loop.now() - attempt.sentAt - (lateness.stalled() - attempt.stalledBefore));
+    lateness.detectStall(loop.now());
+    return Math.max(
+        0, loop.now() - attempt.sentAt - (lateness.totalStallMicros() - attempt.stalledBefore));
   }
 
   @Override
@@ -396,7 +397,7 @@
     private final long serverId;
     private final Endpoint server;
     private final long sentAt;
-    private final long stalledBefore = lateness.stalled();
+    private final long stalledBefore = lateness.totalStallMicros();
     private final String requestId;
     private EnginePort.Work work;
     private Held<S> state;
--- a/dispatch/src/main/java/lemondock/dispatch/StreamIdleTimeout.java
+++ b/dispatch/src/main/java/lemondock/dispatch/StreamIdleTimeout.java
@@ -49,8 +49,8 @@
         loop.schedule(
             Math.max(LEAST, heardAt + most - loop.now()),
             () -> {
-              lateness.notice(loop.now());
-              long putOff = lateness.putOff(loop.now());
+              lateness.detectStall(loop.now());
+              long putOff = lateness.remainingGraceMicros(loop.now());
               if (putOff > 0) {
                 heardAt = Math.max(heardAt, loop.now() - most + putOff);
               }
--- a/dispatch/src/test/java/lemondock/dispatch/StreamIdleTimeoutTest.java
+++ b/dispatch/src/test/java/lemondock/dispatch/StreamIdleTimeoutTest.java
@@ -25,7 +25,7 @@
   }
 
   private void tick() {
-    loop.schedule(lateness.ticked(loop.now()) - loop.now(), this::tick);
+    loop.schedule(lateness.onTick(loop.now()) - loop.now(), this::tick);
   }
 
   @Test
--- a/gateway/src/main/java/lemondock/gateway/Gateway.java
+++ b/gateway/src/main/java/lemondock/gateway/Gateway.java
@@ -215,7 +215,7 @@
     loop.execute(
         () -> {
           startedAt = loop.now();
-          watchLag(lateness.ticked(loop.now()));
+          watchLag(lateness.onTick(loop.now()));
           watchWait();
           watchQueue(new WorkersProbe(loop, workers), 1);
           for (int i = 0; i < Math.min(probes.size(), settings.ioThreads()); i++) {
@@ -253,7 +253,7 @@
         due - loop.now(),
         () -> {
           tally.lag(loop.now() - due);
-          watchLag(lateness.ticked(loop.now()));
+          watchLag(lateness.onTick(loop.now()));
         });
   }
 
@@ -262,9 +262,11 @@
     long asked = machine.paused();
     long waiting =
         probe.ask(
-            wait -> admission.waited(loop.now(), queue, wait - pausedSince(pausedAt[queue], wait)));
+            wait ->
+                admission.recordDelay(
+                    loop.now(), queue, wait - pausedSince(pausedAt[queue], wait)));
     if (waiting > 0) {
-      admission.waiting(queue, waiting - pausedSince(pausedAt[queue], waiting));
+      admission.recordOngoingDelay(queue, waiting - pausedSince(pausedAt[queue], waiting));
     } else {
       pausedAt[queue] = asked;
     }
@@ -285,7 +287,7 @@
    * nothing waits.
    */
   private long waitLook() {
-    return admission.calm() ? CALM_LOOK : WAIT_LOOK;
+    return admission.isRelaxed() ? CALM_LOOK : WAIT_LOOK;
   }
 
   /**
@@ -298,7 +300,7 @@
     loop.execute(
         () -> {
           long wait = loop.now() - posted;
-          admission.waited(loop.now(), 0, wait - pausedSince(asked, wait));
+          admission.recordDelay(loop.now(), 0, wait - pausedSince(asked, wait));
           loop.schedule(Math.max(0, waitLook() - wait), this::watchWait);
         });
   }
@@ -313,7 +315,7 @@
         calls.toolsWaiting(),
         members.size(),
         (loop.now() - startedAt) / SECOND);
-    tally.limit(admission.share(), lateness.stalls(), lateness.stalled());
+    tally.limit(admission.admittedShare(), lateness.stallCount(), lateness.totalStallMicros());
     ledger.look();
     onDisk(
         () -> { // counting handles reads a directory
@@ -336,16 +338,16 @@
   }
 
   private void press(double memory, double handles) {
-    final ResourcePressure.Resource before = pressure.shortest();
-    pressure.saw(loop.now(), memory, handles);
-    admission.pressed(loop.now(), pressure.scale());
-    if (pressure.refreshes(loop.now(), REFRESH_EVERY)) {
+    final ResourcePressure.Resource before = pressure.scarcest();
+    pressure.update(loop.now(), memory, handles);
+    admission.limitByResources(loop.now(), pressure.admittedShare());
+    if (pressure.takeMemoryRefresh(loop.now(), REFRESH_EVERY)) {
       onDisk(machine::refreshMemory);
     }
-    if (pressure.shortest() != before) {
+    if (pressure.scarcest() != before) {
       LOG.atWarn()
           .addKeyValue("gateway", settings.name())
-          .addKeyValue("short", pressure.shortest())
+          .addKeyValue("short", pressure.scarcest())
           .addKeyValue("memory", memory)
           .addKeyValue("handles", handles)
           .log("what is short has changed");
--- a/gateway/src/main/java/lemondock/gateway/core/CallService.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CallService.java
@@ -396,7 +396,7 @@
       count.delivered(loop.now());
       if (gradient != null && !begun) {
         begun = true;
-        gradient.sample(loop.now() - takenAt, open.size());
+        gradient.recordFirstToken(loop.now() - takenAt, open.size());
       }
       sink.deliver(piece, tokens);
     }
@@ -456,8 +456,8 @@
           loop.schedule(
               after,
               () -> {
-                lateness.notice(loop.now());
-                long putOff = lateness.putOff(loop.now());
+                lateness.detectStall(loop.now());
+                long putOff = lateness.remainingGraceMicros(loop.now());
                 if (putOff > 0) { // the result may wait at the socket
                   limit(call, putOff);
                   return;
--- a/gateway/src/main/java/lemondock/gateway/front/CallIntake.java
+++ b/gateway/src/main/java/lemondock/gateway/front/CallIntake.java
@@ -103,7 +103,7 @@
     if (classId < 0 || gate.admits(value(classId), chance())) {
       return null;
     }
-    long retryAfter = gate.retryAfter(chance());
+    long retryAfter = gate.retryAfterMicros(chance());
     return new HttpServer.Refusal(
         wholeSeconds(retryAfter),
         "application/json",
@@ -141,8 +141,8 @@
         .refuse()) { // before the prompt is tokenized, which is the work of letting it in
       Admission.Gate gate = admission.gate();
       if (!asked && !gate.admits(value, chance())
-          || repeat(params) && !gate.admitsRepeat(chance())) {
-        return new Refused(classId, gate.retryAfter(chance()));
+          || repeat(params) && !gate.admitsRetry(chance())) {
+        return new Refused(classId, gate.retryAfterMicros(chance()));
       }
     }
     JsonNode key = params.path("_meta").get("lemondock/key");
@@ -174,7 +174,7 @@
 
   private double value(int classId) {
     GatewaySettings.ClassSettings c = settings.classes().get(classId);
-    return Admission.value(c.worth(), GatewaySettings.micros(c.aimMs()));
+    return Admission.priority(c.worth(), GatewaySettings.micros(c.aimMs()));
   }
 
   /** A number from 0 up to 1, each time another; any thread. */
@@ -187,15 +187,15 @@
 
   /** Tells the admission of a call that arrived, let in or not; on the loop. */
   void arrived(int classId, boolean repeat) {
-    admission.arrived(value(classId), repeat);
+    admission.recordArrival(value(classId), repeat);
   }
 
   /** When a client that asks for a new session may come back, empty if it is let in now. */
   OptionalLong newcomerRefused() {
     Admission.Gate gate = admission.gate();
-    return !settings.overload().refuse() || gate.admitsNewcomer(chance())
+    return !settings.overload().refuse() || gate.admitsNewSession(chance())
         ? OptionalLong.empty()
-        : OptionalLong.of(gate.retryAfter(chance()));
+        : OptionalLong.of(gate.retryAfterMicros(chance()));
   }
 
   /** Advice on when to come back in whole seconds, as in a header field. */
--- a/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
+++ b/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
@@ -363,7 +363,7 @@
 
   @Test
   void aStallOfTheProcessIsNotTheEnginesAndWhatCameMeanwhileIsHeardFirst() {
-    lateness.ticked(loop.now());
+    lateness.onTick(loop.now());
     long id = open();
     final Line read = send(id, reader);
     host.timer(7, 200_000); // the module wants to look whether the read is overdue
--- a/overload/src/main/java/lemondock/overload/Admission.java
+++ b/overload/src/main/java/lemondock/overload/Admission.java
@@ -3,230 +3,283 @@
 import java.util.Arrays;
 
 /**
- * What to let in when the gateway itself is at its limit. Its first sign of overload is the time
- * for which work waits in one of its queues, for the decision context or for the thread of a shard:
- * when even the shortest wait of an interval is above the target, work comes faster than it is done
- * (Nichols and Jacobson, "Controlling Queue Delay", 2012); a single long wait says nothing. How
- * fast that wait grows tells by how much: the share let in falls to what can be done, less what
- * works off the wait, and rises again slowly at first, then fast. Which requests make up the share
- * goes by worth and urgency, not by who came first, with a threshold over those seen lately (as
- * WeChat's DAGOR: Zhou et al., SoCC 2018), so a less valuable request is refused before a more
- * valuable one. Repeats are let in within a {@link RetryBudget} while the share is cut. What else
- * is short tells a {@link ResourcePressure}, whose scale is a factor on the share.
+ * Admission control for a gateway that is itself overloaded. Its first sign of overload is the
+ * queueing delay of work, for the decision context or for the thread of a shard: when even the
+ * shortest delay of an interval is above the target, work arrives faster than it is done (Nichols
+ * and Jacobson, "Controlling Queue Delay", 2012); a single long delay says nothing. How fast the
+ * delay grows tells by how much: the admitted share falls to what can be done, less what works off
+ * the queue, and rises again slowly at first, then fast. Which requests make up the share goes by
+ * priority, not by order of arrival, with a threshold over the priorities seen lately (as WeChat's
+ * DAGOR: Zhou et al., SoCC 2018), so a request of lower priority is rejected before one of higher
+ * priority. Retries are admitted within a {@link RetryBudget} while the share is reduced. Shortage
+ * of memory and file handles is told by a {@link ResourcePressure}, whose share is a factor on this
+ * one.
  *
- * <p>No clock, no I/O. One thread decides; {@link Gate} is a picture of the decision that any
- * thread may ask.
+ * <p>No clock, no I/O. One thread decides; {@link Gate} is an immutable snapshot of the decision
+ * that any thread may ask.
  */
 public final class Admission {
-  private static final int SEEN = 512;
-  private static final double GROWTH_GROWS = 1.2;
-  private static final double MOST_GROWTH = 0.5;
-  private static final double LEAST_LOAD = 0.2;
-  private static final double MOST_FOR_DRAIN = 0.8;
+  private static final int RECENT_PRIORITIES = 512;
+  private static final double GROWTH_ACCELERATION = 1.2;
+  private static final double MAX_GROWTH = 0.5;
+  private static final double MIN_LOAD = 0.2;
+  private static final double MAX_DRAIN_PART = 0.8;
+
+  /** Weight of the latency objective in a priority: it only orders requests of equal weight. */
+  private static final double URGENCY_WEIGHT = 1e-3;
+
+  private static final double MICROS_PER_SECOND = 1e6;
+
+  /** The base Retry-After grows by one part in so many of the time that the overload lasts. */
+  private static final int OVERLOAD_PER_RETRY_AFTER = 4;
+
+  private static final int RELAXED_PART_OF_TARGET = 4;
 
   private final Settings settings;
-  private final double[] seen = new double[SEEN];
-  private int seenCount;
-  private int next;
-  private final RetryBudget budget;
-  private double share = 1;
-  private double scale = 1;
-  private double repeats = 1;
-  private long intervalSince = Long.MIN_VALUE;
-  private final long[] shortest;
-  private final long[] waiting;
-  private long lastShortest;
+  private final RetryBudget retryBudget;
+
+  /** Ring buffer of the priorities of the requests that arrived last. */
+  private final double[] recentPriorities = new double[RECENT_PRIORITIES];
+
+  private int recentCount;
+  private int nextRecent;
+
+  /** Shortest completed delay of each queue in this interval; MAX_VALUE if none completed. */
+  private final long[] shortestDelays;
+
+  /** Latest reported delay of work that still waits, by queue; 0 if none was reported. */
+  private final long[] ongoingDelays;
+
+  private long intervalStart = Long.MIN_VALUE;
+  private long lastDelay;
+  private double delayShare = 1;
+  private double resourceShare = 1;
+  private double retryShare = 1;
   private double growth;
-  private long overSince;
+  private long overloadedSince;
+
+  /** Written by the deciding thread, read by any. */
   private volatile Gate gate = Gate.OPEN;
 
   /**
-   * How it decides; times in microseconds.
+   * Parameters; times in microseconds.
    *
-   * @param target wait for the context that is still good
-   * @param interval over which the shortest wait is taken
-   * @param drain time in which a wait above the target is to be worked off
-   * @param step part of itself by which the share grows after a good one; a fifth more after each
-   *     further one
-   * @param least share that is let in however bad it is: without any, nothing would show that it is
-   *     over
-   * @param advice when to come back, at the least; grows with how long the overload lasts
-   * @param mostAdvice and at the most
-   * @param repeats what repeated calls may come in for new ones
+   * @param targetDelayMicros queueing delay that is still good
+   * @param intervalMicros over which the shortest delay is taken
+   * @param drainMicros time in which a delay above the target is to be worked off
+   * @param growthStep part of itself by which the share grows after a good interval; a fifth more
+   *     after each further one
+   * @param minShare share that is admitted in any overload: without any traffic, nothing would show
+   *     that the overload has ended
+   * @param minRetryAfterMicros lower bound of the base Retry-After, which grows with the duration
+   *     of the overload
+   * @param maxRetryAfterMicros upper bound of the base Retry-After
+   * @param retryBudget how many retries may be admitted for new calls
    */
   public record Settings(
-      long target,
-      long interval,
-      long drain,
-      double step,
-      double least,
-      long advice,
-      long mostAdvice,
-      RetryBudget.Settings repeats) {}
+      long targetDelayMicros,
+      long intervalMicros,
+      long drainMicros,
+      double growthStep,
+      double minShare,
+      long minRetryAfterMicros,
+      long maxRetryAfterMicros,
+      RetryBudget.Settings retryBudget) {}
 
   /**
-   * What is let in now. Values above the threshold are, those at it by chance, those below it are
-   * not; of repeats only that share is asked for its value at all.
+   * What is admitted now. Requests with a priority above the threshold are admitted, those at it by
+   * chance, those below it are rejected. A retry is first checked against the share of retries.
    *
-   * @param newcomers share of new sessions that is let in
+   * @param threshold priority
+   * @param shareAtThreshold share of the requests at the threshold that is admitted
+   * @param retryShare share of retries that is within the retry budget
+   * @param newSessionShare share of new sessions that is admitted
+   * @param baseRetryAfterMicros base of the Retry-After of rejected requests
    */
   public record Gate(
-      double threshold, double shareAtThreshold, double repeats, double newcomers, long advice) {
-    /** Lets all in. */
+      double threshold,
+      double shareAtThreshold,
+      double retryShare,
+      double newSessionShare,
+      long baseRetryAfterMicros) {
+    /** Admits everything. */
     public static final Gate OPEN = new Gate(Double.NEGATIVE_INFINITY, 1, 1, 1, 0);
 
-    /** Whether a request of that value is let in; {@code chance} is drawn from 0 up to 1. */
-    public boolean admits(double value, double chance) {
-      return value > threshold || value == threshold && chance < shareAtThreshold;
+    /** Whether a request of that priority is admitted; {@code random} is drawn from [0, 1). */
+    public boolean admits(double priority, double random) {
+      return priority > threshold || priority == threshold && random < shareAtThreshold;
     }
 
-    /** Whether a repeated call is within the budget. */
-    public boolean admitsRepeat(double chance) {
-      return chance < repeats;
+    /** Whether a retry is within the budget; {@code random} is drawn from [0, 1). */
+    public boolean admitsRetry(double random) {
+      return random < retryShare;
     }
 
     /**
-     * Whether a new session is let in: it has no worth yet, and its calls come on top of those that
-     * are refused.
+     * Whether a new session is admitted; {@code random} is drawn from [0, 1). It has no priority
+     * yet, and its calls come on top of those that are rejected.
      */
-    public boolean admitsNewcomer(double chance) {
-      return chance < newcomers;
+    public boolean admitsNewSession(double random) {
+      return random < newSessionShare;
     }
 
     /**
-     * When to come back, spread over twice the advice so that those refused together do not return
-     * together.
+     * Retry-After in microseconds, from half of the base up to twice the base, so that clients that
+     * were rejected together do not return together; {@code random} is drawn from [0, 1).
      */
-    public long retryAfter(double chance) {
-      return (long) (advice * (0.5 + 1.5 * chance));
+    public long retryAfterMicros(double random) {
+      return (long) (baseRetryAfterMicros * (0.5 + 1.5 * random));
     }
   }
 
-  /** Makes one that lets all in; it hears of so many queues. */
+  /** Makes one that admits everything and takes delays of so many queues. */
   public Admission(Settings settings, int queues) {
-    this.shortest = new long[queues];
-    Arrays.fill(shortest, Long.MAX_VALUE);
-    this.waiting = new long[queues];
+    this.shortestDelays = new long[queues];
+    Arrays.fill(shortestDelays, Long.MAX_VALUE);
+    this.ongoingDelays = new long[queues];
     this.settings = settings;
-    this.growth = settings.step();
-    this.budget = new RetryBudget(settings.repeats());
+    this.growth = settings.growthStep();
+    this.retryBudget = new RetryBudget(settings.retryBudget());
   }
 
   /**
-   * The value of a request: its worth, and among equals the one with less time left to lose first.
+   * The priority of a request: the weight of its class, and among equal weights the shorter latency
+   * objective first.
    *
-   * @param worth of its class
-   * @param aim time (microseconds) within which the first token is wanted
+   * @param weight priority weight of its class
+   * @param latencyObjectiveMicros time within which the first token is wanted
    */
-  public static double value(double worth, long aim) {
-    return worth + 1e-3 / (1 + aim / 1e6);
+  public static double priority(double weight, long latencyObjectiveMicros) {
+    return weight + URGENCY_WEIGHT / (1 + latencyObjectiveMicros / MICROS_PER_SECOND);
   }
 
-  /** A request arrived, let in or not; {@code repeat} says that its client asked before. */
-  public void arrived(double value, boolean repeat) {
-    budget.arrived(repeat);
-    seen[next] = value;
-    next = (next + 1) % SEEN;
-    seenCount = Math.min(SEEN, seenCount + 1);
+  /** A request arrived, whether it is admitted or not. */
+  public void recordArrival(double priority, boolean retry) {
+    retryBudget.recordArrival(retry);
+    recentPriorities[nextRecent] = priority;
+    nextRecent = (nextRecent + 1) % RECENT_PRIORITIES;
+    recentCount = Math.min(RECENT_PRIORITIES, recentCount + 1);
   }
 
-  /** A piece of work waited in the queue of that number for so long. */
-  public void waited(long now, int queue, long micros) {
-    shortest[queue] = Math.min(shortest[queue], micros);
-    if (intervalSince == Long.MIN_VALUE) {
-      intervalSince = now;
-    } else if (now - intervalSince >= settings.interval()) {
-      judge(now);
+  /** A piece of work has left the queue of that index after so long in it. */
+  public void recordDelay(long nowMicros, int queue, long delayMicros) {
+    shortestDelays[queue] = Math.min(shortestDelays[queue], delayMicros);
+    if (intervalStart == Long.MIN_VALUE) {
+      intervalStart = nowMicros;
+    } else if (nowMicros - intervalStart >= settings.intervalMicros()) {
+      endInterval(nowMicros);
     }
   }
 
   /**
-   * A piece of work has been waiting in that queue for so long and still does. That is no wait yet
-   * but the least that it will be, so it counts only if none ended in the interval.
+   * A piece of work has been in that queue for so long and still is. That is only a lower bound of
+   * its delay, so it counts only if no delay of the queue completed in the interval.
    */
-  public void waiting(int queue, long micros) {
-    waiting[queue] = micros;
+  public void recordOngoingDelay(int queue, long delayMicros) {
+    ongoingDelays[queue] = delayMicros;
   }
 
-  /** The worst of the queues counts: whatever has to pass all of them waits there. */
-  private void judge(long now) {
-    final double before = share;
-    long shortest = 0;
-    for (int i = 0; i < this.shortest.length; i++) {
-      shortest =
-          Math.max(shortest, this.shortest[i] != Long.MAX_VALUE ? this.shortest[i] : waiting[i]);
-      this.shortest[i] = Long.MAX_VALUE;
-      waiting[i] = 0;
-    }
-    if (shortest <= settings.target()) {
-      share = Math.min(1, share * (1 + growth));
-      growth = Math.min(MOST_GROWTH, growth * GROWTH_GROWS);
+  private void endInterval(long nowMicros) {
+    final double before = delayShare;
+    long delay = takeWorstDelay();
+    if (delay <= settings.targetDelayMicros()) {
+      delayShare = Math.min(1, delayShare * (1 + growth));
+      growth = Math.min(MAX_GROWTH, growth * GROWTH_ACCELERATION);
     } else {
-      double load =
-          Math.max(LEAST_LOAD, 1 + (double) (shortest - lastShortest) / (now - intervalSince));
-      double forDrain =
-          Math.min(MOST_FOR_DRAIN, (double) (shortest - settings.target()) / settings.drain());
-      overSince = share == 1 ? now : overSince;
-      share = Math.max(settings.least(), Math.min(1, share / load * (1 - forDrain)));
-      growth = settings.step();
+      reduceShare(nowMicros, delay);
+    }
+    lastDelay = delay;
+    intervalStart = nowMicros;
+    retryShare =
+        retryBudget.admittedShare(
+            nowMicros); // also while all is admitted, so that old counts decay
+    if (delayShare != before || delayShare < 1 || resourceShare < 1) {
+      updateGate(nowMicros);
     }
-    lastShortest = shortest;
-    intervalSince = now;
-    repeats = budget.share(now); // also while all is let in, so that old counts fade
-    if (share != before || share < 1 || scale < 1) {
-      shut(now);
+  }
+
+  /** The worst of the queues counts: whatever has to pass all of them waits there. */
+  private long takeWorstDelay() {
+    long worst = 0;
+    for (int i = 0; i < shortestDelays.length; i++) {
+      boolean completed = shortestDelays[i] != Long.MAX_VALUE;
+      worst = Math.max(worst, completed ? shortestDelays[i] : ongoingDelays[i]);
+      shortestDelays[i] = Long.MAX_VALUE;
+      ongoingDelays[i] = 0;
     }
+    return worst;
+  }
+
+  /** Falls to what can be done, less what drains the queue. */
+  private void reduceShare(long nowMicros, long delayMicros) {
+    double load =
+        Math.max(MIN_LOAD, 1 + (double) (delayMicros - lastDelay) / (nowMicros - intervalStart));
+    double drainPart =
+        Math.min(
+            MAX_DRAIN_PART,
+            (double) (delayMicros - settings.targetDelayMicros()) / settings.drainMicros());
+    overloadedSince = delayShare == 1 ? nowMicros : overloadedSince;
+    delayShare = Math.max(settings.minShare(), Math.min(1, delayShare / load * (1 - drainPart)));
+    growth = settings.growthStep();
   }
 
-  /** What is short of memory and handles lets in this share at the most; 0 lets nothing in. */
-  public void pressed(long now, double mostShare) {
-    if (mostShare != scale) {
-      overSince = scale == 1 && share == 1 ? now : overSince;
-      scale = mostShare;
-      shut(now);
+  /** Memory and file handles allow this share at most, from 0 (nothing) to 1 (everything). */
+  public void limitByResources(long nowMicros, double maxShare) {
+    if (maxShare != resourceShare) {
+      overloadedSince = resourceShare == 1 && delayShare == 1 ? nowMicros : overloadedSince;
+      resourceShare = maxShare;
+      updateGate(nowMicros);
     }
   }
 
-  private void shut(long now) {
-    gate = share() == 1 ? Gate.OPEN : gate(now);
+  private void updateGate(long nowMicros) {
+    gate = admittedShare() == 1 ? Gate.OPEN : reducedGate(nowMicros);
   }
 
-  /** The threshold above which the share of what was seen lately lies. */
-  private Gate gate(long now) {
-    long advice = Math.min(settings.mostAdvice(), settings.advice() + (now - overSince) / 4);
-    if (share() == 0) {
-      return new Gate(Double.POSITIVE_INFINITY, 0, 0, 0, advice);
+  private Gate reducedGate(long nowMicros) {
+    long retryAfter =
+        Math.min(
+            settings.maxRetryAfterMicros(),
+            settings.minRetryAfterMicros()
+                + (nowMicros - overloadedSince) / OVERLOAD_PER_RETRY_AFTER);
+    if (admittedShare() == 0) {
+      return new Gate(Double.POSITIVE_INFINITY, 0, 0, 0, retryAfter);
     }
-    if (seenCount == 0) {
-      return new Gate(Double.NEGATIVE_INFINITY, 1, repeats, share(), advice);
+    if (recentCount == 0) {
+      return new Gate(Double.NEGATIVE_INFINITY, 1, retryShare, admittedShare(), retryAfter);
     }
-    double[] sorted = Arrays.copyOf(seen, seenCount);
+    return gateByRecentPriorities(retryAfter);
+  }
+
+  /** Sets the threshold so that the admitted share of the recent requests lies above it. */
+  private Gate gateByRecentPriorities(long retryAfter) {
+    double[] sorted = Arrays.copyOf(recentPriorities, recentCount);
     Arrays.sort(sorted);
-    double wanted = share() * seenCount;
-    double threshold =
-        sorted[(int) Math.min(seenCount - 1, Math.max(0, Math.floor(seenCount - wanted)))];
+    double wanted = admittedShare() * recentCount;
+    int index = (int) Math.min(recentCount - 1, Math.max(0, Math.floor(recentCount - wanted)));
+    double threshold = sorted[index];
     int above = 0;
     int at = 0;
-    for (double value : sorted) {
-      above += value > threshold ? 1 : 0;
-      at += value == threshold ? 1 : 0;
+    for (double priority : sorted) {
+      above += priority > threshold ? 1 : 0;
+      at += priority == threshold ? 1 : 0;
     }
-    return new Gate(
-        threshold, Math.max(0, Math.min(1, (wanted - above) / at)), repeats, share(), advice);
+    double shareAtThreshold = Math.max(0, Math.min(1, (wanted - above) / at));
+    return new Gate(threshold, shareAtThreshold, retryShare, admittedShare(), retryAfter);
   }
 
-  /** What is let in now; any thread. */
+  /** What is admitted now; any thread. */
   public Gate gate() {
     return gate;
   }
 
-  /** Whether all is let in and the last interval's shortest wait was far below the target. */
-  public boolean calm() {
-    return share == 1 && lastShortest < settings.target() / 4;
+  /** Whether everything is admitted and the last interval's delay was far below the target. */
+  public boolean isRelaxed() {
+    return delayShare == 1 && lastDelay < settings.targetDelayMicros() / RELAXED_PART_OF_TARGET;
   }
 
-  /** The share let in. */
-  public double share() {
-    return share * scale;
+  /** The share of requests that is admitted, 0 to 1. */
+  public double admittedShare() {
+    return delayShare * resourceShare;
   }
 }
--- a/overload/src/main/java/lemondock/overload/ResourcePressure.java
+++ b/overload/src/main/java/lemondock/overload/ResourcePressure.java
@@ -1,17 +1,19 @@
 package lemondock.overload;
 
 /**
- * How much may be let in by what the process has left of memory and file handles. What ends a
- * process when it is used up must not be used up by newcomers: from a soft part on the share falls
- * with what is left, and at the hard part nothing new is let in, so that what runs can end (Envoy's
- * overload manager scales its actions so). It falls at once and rises slowly, because what was just
- * let in has not taken its part yet. No clock, no I/O; one thread.
+ * Which share of the traffic memory and file handles allow. What ends a process when it is used up
+ * must not be used up by new requests: from a soft limit on the share falls with what is left, and
+ * at the hard limit nothing new is admitted, so that what runs can end (Envoy's overload manager
+ * scales its actions so). It falls at once and rises slowly, because what was just admitted has not
+ * taken its part yet. No clock, no I/O; one thread.
  */
 public final class ResourcePressure {
+  private static final double MICROS_PER_SECOND = 1e6;
+
   private final Settings settings;
-  private double scale = 1;
-  private long seenAt = Long.MIN_VALUE;
-  private Resource shortest = Resource.NONE;
+  private double admittedShare = 1;
+  private long updatedAt = Long.MIN_VALUE;
+  private Resource scarcest = Resource.NONE;
   private long refreshedAt = Long.MIN_VALUE / 2;
 
   /** What can run out. */
@@ -22,58 +24,65 @@
   }
 
   /**
-   * How it decides.
+   * Parameters.
    *
-   * @param soft part of a resource in use from which on less is let in
-   * @param hard part at which nothing new is
-   * @param rise by how much the share grows a second, at the most, once there is more again
+   * @param softLimit used part of a resource from which on less is admitted
+   * @param hardLimit used part from which on nothing new is admitted
+   * @param risePerSecond by how much the share grows at most once there is more again
    */
-  public record Settings(double soft, double hard, double rise) {}
+  public record Settings(double softLimit, double hardLimit, double risePerSecond) {}
 
-  /** Makes one that has seen nothing and lets all in. */
+  /** Makes one that has seen nothing and admits everything. */
   public ResourcePressure(Settings settings) {
     this.settings = settings;
   }
 
   /**
-   * Hears what is in use, as parts of what there is; what cannot be told is given as 0.
+   * Takes what is in use, as parts (0 to 1) of what there is; 0 where that is not known.
    *
-   * @param now microseconds
+   * @param nowMicros time of the figures
    */
-  public void saw(long now, double memory, double handles) {
-    shortest =
-        Math.max(memory, handles) <= settings.soft()
-            ? Resource.NONE
-            : memory >= handles ? Resource.MEMORY : Resource.HANDLES;
-    double left =
-        (settings.hard() - Math.max(memory, handles)) / (settings.hard() - settings.soft());
+  public void update(long nowMicros, double memoryUsed, double handlesUsed) {
+    double used = Math.max(memoryUsed, handlesUsed);
+    if (used <= settings.softLimit()) {
+      scarcest = Resource.NONE;
+    } else {
+      scarcest = memoryUsed >= handlesUsed ? Resource.MEMORY : Resource.HANDLES;
+    }
+    double left = (settings.hardLimit() - used) / (settings.hardLimit() - settings.softLimit());
     double wanted = Math.max(0, Math.min(1, left));
-    double most =
-        seenAt == Long.MIN_VALUE ? 1 : scale + settings.rise() * Math.max(0, now - seenAt) / 1e6;
-    scale = Math.min(wanted, most);
-    seenAt = now;
+    admittedShare = Math.min(wanted, maxShareByRise(nowMicros));
+    updatedAt = nowMicros;
+  }
+
+  private double maxShareByRise(long nowMicros) {
+    if (updatedAt == Long.MIN_VALUE) {
+      return 1;
+    }
+    return admittedShare
+        + settings.risePerSecond() * Math.max(0, nowMicros - updatedAt) / MICROS_PER_SECOND;
   }
 
   /**
-   * Whether memory should be looked at anew: what is told of it is as old as the last collection,
-   * and where nothing is let in there may not be another one. At most once in that time
-   * (microseconds).
+   * Whether the caller should refresh the figure of memory, by a garbage collection: the figure is
+   * as old as the last collection, and where nothing is admitted there may not be another one. True
+   * at most once in {@code minIntervalMicros}.
    */
-  public boolean refreshes(long now, long every) {
-    if (shortest != Resource.MEMORY || now - refreshedAt < every) {
+  public boolean takeMemoryRefresh(long nowMicros, long minIntervalMicros) {
+    if (scarcest != Resource.MEMORY || nowMicros - refreshedAt < minIntervalMicros) {
       return false;
     }
-    refreshedAt = now;
+    refreshedAt = nowMicros;
     return true;
   }
 
-  /** The share of what comes that may be let in, 0 to 1. */
-  public double scale() {
-    return scale;
+  /** The share of the traffic that may be admitted, 0 to 1. */
+  public double admittedShare() {
+    return admittedShare;
   }
 
-  /** What is short now. */
-  public Resource shortest() {
-    return shortest;
+  /** The resource that is short now. */
+  public Resource scarcest() {
+    return scarcest;
   }
 }
--- a/overload/src/main/java/lemondock/overload/RetryBudget.java
+++ b/overload/src/main/java/lemondock/overload/RetryBudget.java
@@ -1,52 +1,54 @@
 package lemondock.overload;
 
 /**
- * How many repeated calls may come in for the new ones that do. A client that was refused comes
- * again, and where each refusal brings back a call the load grows by being refused; so repeats get
- * a budget: a part of the calls that were new, and some a second besides, so that a client of a
- * quiet gateway may always try again (Finagle's RetryBudget, kept at the server: its clients are
- * strangers). Counts fade, half of them each {@code halfLife}. No clock, no I/O; one thread.
+ * How many retries are admitted for the new calls that arrive. A client that was rejected comes
+ * again, and where each rejection brings back a call the load grows by being rejected; so retries
+ * get a budget: a part of the calls that were new, and some a second besides, so that a client of a
+ * quiet gateway may always retry (Finagle's RetryBudget, kept at the server: its clients are
+ * strangers). Counts decay by half each {@code halfLifeMicros}. No clock, no I/O; one thread.
  */
 public final class RetryBudget {
+  private static final double MICROS_PER_SECOND = 1e6;
+
   private final Settings settings;
-  private double firsts;
-  private double repeats;
-  private long fadedAt = Long.MIN_VALUE;
+  private double newCalls;
+  private double retries;
+  private long decayedAt = Long.MIN_VALUE;
 
   /**
-   * How it decides.
+   * Parameters.
    *
-   * @param part repeats that each new call pays for
-   * @param floor repeats a second that need no new call
-   * @param halfLife microseconds in which half of what was counted is forgotten
+   * @param retriesPerNewCall retries that each new call pays for
+   * @param retriesPerSecond retries a second that need no new call
+   * @param halfLifeMicros time in which half of the counts decays
    */
-  public record Settings(double part, double floor, long halfLife) {}
+  public record Settings(double retriesPerNewCall, double retriesPerSecond, long halfLifeMicros) {}
 
   /** Makes one that has counted nothing. */
   public RetryBudget(Settings settings) {
     this.settings = settings;
   }
 
-  /** A call arrived, let in or not; {@code repeat} says that its client asked before. */
-  public void arrived(boolean repeat) {
-    if (repeat) {
-      repeats++;
+  /** A call arrived, whether it is admitted or not. */
+  public void recordArrival(boolean retry) {
+    if (retry) {
+      retries++;
     } else {
-      firsts++;
+      newCalls++;
     }
   }
 
-  /** The share of repeats that is within the budget now, 0 to 1. */
-  public double share(long now) {
-    if (fadedAt != Long.MIN_VALUE) {
-      double kept = Math.pow(0.5, (double) (now - fadedAt) / settings.halfLife());
-      firsts *= kept;
-      repeats *= kept;
+  /** The share of retries that is within the budget now, 0 to 1. */
+  public double admittedShare(long nowMicros) {
+    if (decayedAt != Long.MIN_VALUE) {
+      double decay = Math.pow(0.5, (double) (nowMicros - decayedAt) / settings.halfLifeMicros());
+      newCalls *= decay;
+      retries *= decay;
     }
-    fadedAt = now;
-    double seconds =
-        settings.halfLife() / 1e6 / Math.log(2); // what a steady rate adds up to under this fading
-    double budget = settings.part() * firsts + settings.floor() * seconds;
-    return repeats <= budget ? 1 : budget / repeats;
+    decayedAt = nowMicros;
+    // what a steady rate of one a second adds up to under this decay
+    double seconds = settings.halfLifeMicros() / MICROS_PER_SECOND / Math.log(2);
+    double budget = settings.retriesPerNewCall() * newCalls + settings.retriesPerSecond() * seconds;
+    return retries <= budget ? 1 : budget / retries;
   }
 }
--- a/overload/src/main/java/lemondock/overload/StallMonitor.java
+++ b/overload/src/main/java/lemondock/overload/StallMonitor.java
@@ -1,76 +1,76 @@
 package lemondock.overload;
 
 /**
- * How late the gateway itself is, told by a tick that it should run at a fixed pace. It keeps two
- * things apart that look alike from within: engines that are slow, and a process that did not run
- * (stopped, swapped out, collecting garbage, starved of processors). Time for which it did not run
- * is nobody's fault: it is taken off what attempts took, and what is judged by time waits until
- * what came in meanwhile was heard. No clock, no I/O; one thread.
+ * Detects that the gateway process itself did not run, by a tick that should run at a fixed pace.
+ * It keeps two things apart that look alike from within: engines that are slow, and a process that
+ * did not run (stopped, swapped out, collecting garbage, starved of processors). Stalled time is
+ * nobody's fault: it is taken off the duration of attempts, and time-outs are postponed until what
+ * arrived during the stall was read. No clock, no I/O; one thread. Times are microseconds.
  */
 public final class StallMonitor {
-  private final long tick;
-  private final long least;
-  private final long grace;
-  private long due;
+  private final long tickMicros;
+  private final long minStallMicros;
+  private final long graceMicros;
+  private long nextTickAt;
   private boolean ticking;
-  private long stalled;
-  private long judgeFrom = Long.MIN_VALUE;
-  private long stalls;
-  private long longest;
+  private long totalStallMicros;
+  private long graceEndsAt = Long.MIN_VALUE;
+  private long stallCount;
+  private long longestStallMicros;
 
   /**
-   * Times in microseconds.
+   * Makes one that begins with the first tick.
    *
-   * @param tick between two ticks
-   * @param least lateness of a tick that counts as a stall
-   * @param grace after a stall, for what is waiting at the sockets to be heard
+   * @param tickMicros time between two ticks
+   * @param minStallMicros smallest delay of a tick that counts as a stall
+   * @param graceMicros time after a stall in which what waits at the sockets is read
    */
-  public StallMonitor(long tick, long least, long grace) {
-    this.tick = tick;
-    this.least = least;
-    this.grace = grace;
+  public StallMonitor(long tickMicros, long minStallMicros, long graceMicros) {
+    this.tickMicros = tickMicros;
+    this.minStallMicros = minStallMicros;
+    this.graceMicros = graceMicros;
   }
 
-  /** A tick runs; tells when the next is due. */
-  public long ticked(long now) {
-    notice(now);
+  /** The tick runs; returns the time at which the next one is due. */
+  public long onTick(long nowMicros) {
+    detectStall(nowMicros);
     ticking = true;
-    due = now + tick;
-    return due;
+    nextTickAt = nowMicros + tickMicros;
+    return nextTickAt;
   }
 
   /**
-   * Anything runs. A stall is noticed by whatever runs first after it, which need not be the tick;
-   * the tick then finds that it was counted.
+   * To be called before anything is judged by time: a stall is detected by whatever runs first
+   * after it, which need not be the tick; the tick then finds that the stall was counted.
    */
-  public void notice(long now) {
-    long late = ticking ? now - due : 0;
-    if (late >= least) {
-      stalled += late;
-      stalls++;
-      longest = Math.max(longest, late);
-      judgeFrom = now + grace;
-      due = now;
+  public void detectStall(long nowMicros) {
+    long late = ticking ? nowMicros - nextTickAt : 0;
+    if (late >= minStallMicros) {
+      totalStallMicros += late;
+      stallCount++;
+      longestStallMicros = Math.max(longestStallMicros, late);
+      graceEndsAt = nowMicros + graceMicros;
+      nextTickAt = nowMicros;
     }
   }
 
-  /** Time for which the process did not run so far; differences of it are what counts. */
-  public long stalled() {
-    return stalled;
+  /** Time for which the process did not run since the start; only differences of it matter. */
+  public long totalStallMicros() {
+    return totalStallMicros;
   }
 
-  /** How long to put off judging anything by time; 0 if it may be judged now. */
-  public long putOff(long now) {
-    return judgeFrom > now ? judgeFrom - now : 0;
+  /** How long to postpone a judgement by time, as a time-out; 0 if it may be made now. */
+  public long remainingGraceMicros(long nowMicros) {
+    return graceEndsAt > nowMicros ? graceEndsAt - nowMicros : 0;
   }
 
-  /** Stalls so far. */
-  public long stalls() {
-    return stalls;
+  /** Stalls since the start. */
+  public long stallCount() {
+    return stallCount;
   }
 
-  /** The longest stall so far. */
-  public long longest() {
-    return longest;
+  /** The longest stall since the start. */
+  public long longestStallMicros() {
+    return longestStallMicros;
   }
 }
