--- /dev/null
+++ b/dispatch/src/main/java/lemondock/dispatch/EngineCall.java
@@ -0,0 +1,129 @@
+package lemondock.dispatch;
+
+import lemondock.net.Loop;
+import lemondock.net.http.HttpClient;
+import lemondock.overload.StallMonitor;
+import lemondock.policy.AttemptOutcome;
+
+/**
+ * One attempt as an HTTP request to an engine, whatever the engine's protocol: it ends exactly
+ * once, by a cancel or by telling its listener, and nothing is told afterwards. A stream that has
+ * begun and then stays silent is broken off. Loop thread only, but for {@link #dataReceived}.
+ *
+ * @param <S> how a protocol names a reserved state
+ * @param <C> an event of a stream
+ */
+public abstract class EngineCall<S, C extends StreamChunk> extends HttpClient.Keeping
+    implements EnginePort.Work {
+  private final EnginePort.Attempt<S, C> listener;
+  private final StreamIdleTimeout idleTimeout;
+  private HttpClient.Call httpCall;
+  private boolean streamBegun;
+  private boolean ended;
+
+  /**
+   * Makes a call that is not sent yet.
+   *
+   * @param maxSilenceMicros time without an event after which a stream is broken off
+   */
+  protected EngineCall(
+      EnginePort.Attempt<S, C> listener,
+      Loop loop,
+      StallMonitor stallMonitor,
+      long maxSilenceMicros) {
+    this.listener = listener;
+    this.idleTimeout =
+        new StreamIdleTimeout(
+            loop,
+            stallMonitor,
+            maxSilenceMicros,
+            () -> breakOff(AttemptOutcome.RESET, silenceMessage()));
+  }
+
+  /** Must be called once, with what {@link HttpClient#send} gave for this receiver. */
+  public final void sentAs(HttpClient.Call call) {
+    httpCall = call;
+  }
+
+  /** Says in an outcome that the stream stayed silent. */
+  protected abstract String silenceMessage();
+
+  /** Called when the call ends, before its listener hears of it. */
+  protected void onEnd() {}
+
+  @Override
+  public final void cancel() {
+    markEnded();
+    onCancel();
+    httpCall.cancel();
+  }
+
+  /** Called when the dispatcher cancels the call. */
+  protected void onCancel() {}
+
+  @Override
+  public final void pause() {
+    idleTimeout.pause();
+    httpCall.pause();
+  }
+
+  @Override
+  public final void resume() {
+    idleTimeout.resume();
+    httpCall.resume();
+  }
+
+  /** Whether nothing more may be told. */
+  protected final boolean hasEnded() {
+    return ended;
+  }
+
+  /** Whether the stream's first event with output was told. */
+  protected final boolean hasStreamBegun() {
+    return streamBegun;
+  }
+
+  /** The stream is not silent; any thread. */
+  protected final void dataReceived() {
+    idleTimeout.heard();
+  }
+
+  /** Tells an event of the stream; from the first one with output on the stream is watched. */
+  protected final void forward(C chunk) {
+    dataReceived();
+    listener.chunk(chunk);
+    if (!streamBegun && !ended && chunk.carries()) {
+      streamBegun = true;
+      idleTimeout.watch();
+    }
+  }
+
+  /** Ends the call: the engine has read the prompt. */
+  protected final void endWithState(S state, int cachedTokens) {
+    if (!ended) {
+      markEnded();
+      listener.read(state, cachedTokens);
+    }
+  }
+
+  /** Ends the call. */
+  protected final void end(AttemptOutcome outcome, boolean stateMissing, String message) {
+    if (!ended) {
+      markEnded();
+      listener.ended(outcome, stateMissing, message);
+    }
+  }
+
+  /** Ends the call and takes nothing more from the engine. */
+  protected final void breakOff(AttemptOutcome outcome, String message) {
+    httpCall.cancel();
+    end(outcome, false, message);
+  }
+
+  /** A timer that is left to run out would keep the whole call in memory until then. */
+  private void markEnded() {
+    onEnd();
+    ended = true;
+    idleTimeout.end();
+  }
+}
