--- a/dispatch/src/main/java/lemondock/dispatch/EngineCall.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EngineCall.java
@@ -14,8 +14,8 @@
  * @param <C> an event of a stream
  */
 public abstract class EngineCall<S, C extends StreamChunk> extends HttpClient.Keeping
-    implements EnginePort.Work {
-  private final EnginePort.Attempt<S, C> listener;
+    implements AttemptHandle {
+  private final AttemptListener<S, C> listener;
   private final StreamIdleTimeout idleTimeout;
   private HttpClient.Call httpCall;
   private boolean streamBegun;
@@ -27,10 +27,7 @@
    * @param maxSilenceMicros time without an event after which a stream is broken off
    */
   protected EngineCall(
-      EnginePort.Attempt<S, C> listener,
-      Loop loop,
-      StallMonitor stallMonitor,
-      long maxSilenceMicros) {
+      AttemptListener<S, C> listener, Loop loop, StallMonitor stallMonitor, long maxSilenceMicros) {
     this.listener = listener;
     this.idleTimeout =
         new StreamIdleTimeout(
@@ -85,16 +82,16 @@
 
   /** The stream is not silent; any thread. */
   protected final void dataReceived() {
-    idleTimeout.heard();
+    idleTimeout.dataReceived();
   }
 
   /** Tells an event of the stream; from the first one with output on the stream is watched. */
   protected final void forward(C chunk) {
     dataReceived();
-    listener.chunk(chunk);
-    if (!streamBegun && !ended && chunk.carries()) {
+    listener.chunkReceived(chunk);
+    if (!streamBegun && !ended && chunk.hasOutput()) {
       streamBegun = true;
-      idleTimeout.watch();
+      idleTimeout.start();
     }
   }
 
@@ -102,7 +99,7 @@
   protected final void endWithState(S state, int cachedTokens) {
     if (!ended) {
       markEnded();
-      listener.read(state, cachedTokens);
+      listener.prefillCompleted(state, cachedTokens);
     }
   }
 
@@ -110,7 +107,7 @@
   protected final void end(AttemptOutcome outcome, boolean stateMissing, String message) {
     if (!ended) {
       markEnded();
-      listener.ended(outcome, stateMissing, message);
+      listener.attemptEnded(outcome, stateMissing, message);
     }
   }
 
@@ -124,6 +121,6 @@
   private void markEnded() {
     onEnd();
     ended = true;
-    idleTimeout.end();
+    idleTimeout.stop();
   }
 }
