--- a/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
@@ -8,8 +8,8 @@
 import lemondock.dispatch.DirectOutput;
 import lemondock.dispatch.DispatchedRequest;
 import lemondock.dispatch.Endpoint;
+import lemondock.dispatch.EngineCall;
 import lemondock.dispatch.EnginePort;
-import lemondock.dispatch.StreamIdleTimeout;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.Loop;
 import lemondock.net.http.Headers;
@@ -21,7 +21,7 @@
 
 /**
  * The ledger's port to engines that speak the OpenAI API: carries reads, writes and aborts. Every
- * read and write ends by exactly one {@code attemptEnded} or a cancel.
+ * attempt ends exactly once, by an outcome or by a cancel.
  */
 public final class EngineClient implements EnginePort<ObjectNode, JsonNode, Chunk> {
   private static final int ABORT_TRIES = 3;
@@ -94,7 +94,7 @@
       AttemptListener<JsonNode, Chunk> attempt) {
     InetSocketAddress to = server.address();
     Writing writing = new Writing(attempt);
-    writing.call =
+    writing.sentAs(
         client.send(
             to,
             post(
@@ -104,7 +104,7 @@
                 EngineProtocol.write(
                     request.prompt(), attemptId, transfer, request.maxAnswerTokens())),
             request.clientShard(),
-            writing);
+            writing));
     return writing;
   }
 
@@ -189,31 +189,23 @@
    * A write under way. A stream that was begun and then stays silent is broken after the settings'
    * time.
    */
-  public final class Writing extends HttpClient.Keeping implements AttemptHandle {
-    private final AttemptListener<JsonNode, Chunk> attempt;
-    private HttpClient.Call call;
+  public final class Writing extends EngineCall<JsonNode, Chunk> {
     private boolean finished;
-    private boolean over;
-    private boolean watched;
-    private final StreamIdleTimeout quiet =
-        new StreamIdleTimeout(loop, lateness, silence, this::silent);
     private volatile DirectOutput directOutput;
     private final PlainPiece plain = new PlainPiece();
 
-    private Writing(AttemptListener<JsonNode, Chunk> attempt) {
-      this.attempt = attempt;
+    private Writing(AttemptListener<JsonNode, Chunk> listener) {
+      super(listener, loop, lateness, silence);
     }
 
     @Override
-    public void pause() {
-      quiet.pause();
-      call.pause();
+    protected String silenceMessage() {
+      return "the stream stayed silent for " + silence / 1_000 + " ms";
     }
 
     @Override
-    public void resume() {
-      quiet.resume();
-      call.resume();
+    protected void onEnd() {
+      directOutput = null;
     }
 
     /** What is more than plain text still comes as an event. */
@@ -230,26 +222,10 @@
           || !output.offer(plain.text(), plain.answerTokens())) {
         return false;
       }
-      quiet.dataReceived();
+      dataReceived();
       return true;
     }
 
-    @Override
-    public void cancel() {
-      over();
-      call.cancel();
-    }
-
-    /**
-     * Nothing may hold it any more: a timer that is left to run out would keep the whole call until
-     * then.
-     */
-    private void over() {
-      directOutput = null;
-      over = true;
-      quiet.stop();
-    }
-
     @Override
     public Object map(SseEvent event) {
       return EngineProtocol.chunk(event.data());
@@ -258,57 +234,39 @@
     @Override
     public void event(Object mapped) {
       Chunk chunk = (Chunk) mapped;
-      if (over
+      if (hasEnded()
           || finished && !chunk.hasOutput() && chunk.error() == null && chunk.answerTokens() < 0) {
         return;
       }
-      quiet.dataReceived();
-      if (status() != 200 || chunk.error() != null) {
-        call.cancel();
-        end(
-            AttemptOutcome.ERROR,
-            status() != 200 ? "status " + status() + " with an event stream" : chunk.error());
-        return;
-      }
-      finished |= chunk.finish() != null;
-      attempt.chunkReceived(chunk);
-      if (!watched && !over && chunk.hasOutput()) {
-        watched = true;
-        quiet.start();
+      if (status() != 200) {
+        breakOff(AttemptOutcome.ERROR, "status " + status() + " with an event stream");
+      } else if (chunk.error() != null) {
+        breakOff(AttemptOutcome.ERROR, chunk.error());
+      } else {
+        finished |= chunk.finish() != null;
+        forward(chunk);
       }
     }
 
-    private void silent() {
-      call.cancel();
-      end(AttemptOutcome.RESET, "the stream stayed silent for " + silence / 1_000 + " ms");
-    }
-
     @Override
     public void done() {
       if (status() != 200) {
         EngineProtocol.Refusal refusal = EngineProtocol.refusal(status(), body());
-        over();
-        attempt.attemptEnded(refusal.ending(), refusal.stateMissing(), refusal.what());
+        end(refusal.ending(), refusal.stateMissing(), refusal.what());
       } else if (finished) {
-        end(AttemptOutcome.OK, "");
+        end(AttemptOutcome.OK, false, "");
       } else {
-        end(AttemptOutcome.RESET, "the stream ended without a finish_reason");
+        end(AttemptOutcome.RESET, false, "the stream ended without a finish_reason");
       }
     }
 
     @Override
     public void failed(HttpClient.Failure failure, String what) {
       if (finished) {
-        end(AttemptOutcome.OK, ""); // all of the answer had come; only the closing mark was lost
+        // all of the answer had come; only the closing mark was lost
+        end(AttemptOutcome.OK, false, "");
       } else {
-        end(EnginePort.outcomeOf(failure), what);
-      }
-    }
-
-    private void end(AttemptOutcome ending, String what) {
-      if (!over) {
-        over();
-        attempt.attemptEnded(ending, false, what);
+        end(EnginePort.outcomeOf(failure), false, what);
       }
     }
   }
