--- a/gateway/src/test/java/lemondock/gateway/core/RequestDispatcherTest.java
+++ b/gateway/src/test/java/lemondock/gateway/core/RequestDispatcherTest.java
@@ -367,7 +367,7 @@
 
   @Test
   void aStallOfTheProcessIsNotCountedAndArrivedDataIsReadBeforeTimersFire() {
-    stallMonitor.ticked(loop.now());
+    stallMonitor.onTick(loop.now());
     long id = submit();
     final EngineConnection prefill = send(id, reader);
     host.setTimer(7, 200_000); // the router is to check whether the prefill is overdue
