--- a/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
+++ b/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
@@ -115,7 +115,7 @@
                 "requests": 20}], "servers": [{"role": "reader", "zone": "south", "ready": 1, "away": 2, "cold": 0,
                 "avoided": 1}], "report": [{"destination": "g", "waiting": 7, "dropped": 3}]}\
                 """);
-    String text = StatusCommand.text(List.of(answer), List.of());
+    String text = StatusPage.render(List.of(answer), List.of());
     assertTrue(
         text.startsWith(
             "FALLEN     day-close in north: 60 % of 20 requests of the last seconds" + " lost"),
