--- a/dispatch/src/main/java/lemondock/dispatch/EngineCall.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EngineCall.java
@@ -7,8 +7,9 @@
 
 /**
  * One attempt as an HTTP request to an engine, whatever the engine's protocol: it ends exactly
- * once, by a cancel or by telling its listener, and nothing is told afterwards. A stream that has
- * begun and then stays silent is broken off. Loop thread only, but for {@link #dataReceived}.
+ * once, by a cancel or by an outcome for its listener, and the listener hears nothing afterwards. A
+ * stream that has begun and then stays silent is broken off. Loop thread only, but for {@link
+ * #dataReceived}.
  *
  * @param <S> how a protocol names a reserved state
  * @param <C> an event of a stream
@@ -45,7 +46,7 @@
   /** Says in an outcome that the stream stayed silent. */
   protected abstract String silenceMessage();
 
-  /** Called when the call ends, before its listener hears of it. */
+  /** Called when the call ends, before its listener hears of it; must not throw. */
   protected void onEnd() {}
 
   @Override
@@ -70,12 +71,12 @@
     httpCall.resume();
   }
 
-  /** Whether nothing more may be told. */
+  /** Whether the call has ended, so that its listener must hear nothing more. */
   protected final boolean hasEnded() {
     return ended;
   }
 
-  /** Whether the stream's first event with output was told. */
+  /** Whether the listener has had the stream's first event with output. */
   protected final boolean hasStreamBegun() {
     return streamBegun;
   }
@@ -85,7 +86,9 @@
     idleTimeout.dataReceived();
   }
 
-  /** Tells an event of the stream; from the first one with output on the stream is watched. */
+  /**
+   * Passes an event of the stream to the listener; the idle time-out runs from the first output.
+   */
   protected final void forward(C chunk) {
     dataReceived();
     listener.chunkReceived(chunk);
