--- a/benchmark/src/main/java/lemondock/benchmark/Ledgers.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Ledgers.java
@@ -13,6 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import lemondock.idempotency.AppendLog;
+import lemondock.idempotency.CallStatus;
 import lemondock.idempotency.DiskFolder;
 import lemondock.idempotency.GroupCommit;
 import lemondock.idempotency.IdempotencyStore;
@@ -127,12 +128,12 @@
                 return;
               }
               committer.append(
-                  book.taken(key, loop.now() / 1_000),
+                  book.callStarted(key, loop.now() / 1_000),
                   failure -> {
                     waits.recordValue((System.nanoTime() - from) / 1_000);
-                    failed.addAndGet(failure == null ? 0 : 1);
+                    failed.addAndGet(failure.isPresent() ? 1 : 0);
                     committer.append(
-                        book.ended(key, IdempotencyStore.Fate.SERVED), later -> done.countDown());
+                        book.callEnded(key, CallStatus.COMPLETED), later -> done.countDown());
                   });
             });
       }
@@ -164,10 +165,10 @@
       List<byte[]> batch = new ArrayList<>();
       for (int i = 0; i < calls; i++) {
         String key = "3f1c9a52-0000-4000-8000-" + i;
-        batch.add(book.taken(key, System.currentTimeMillis()));
-        batch.add(book.relayed(key, "1/call_0_0", "stock"));
-        batch.add(book.answered(key, "1/call_0_0"));
-        batch.add(book.ended(key, IdempotencyStore.Fate.SERVED));
+        batch.add(book.callStarted(key, System.currentTimeMillis()));
+        batch.add(book.toolCallRelayed(key, "1/call_0_0", "stock"));
+        batch.add(book.toolCallAnswered(key, "1/call_0_0"));
+        batch.add(book.callEnded(key, CallStatus.COMPLETED));
         if (batch.size() > 10_000) {
           log.write(batch);
           batch.clear();
--- a/gateway/src/main/java/lemondock/gateway/core/CallService.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CallService.java
@@ -23,7 +23,8 @@
 import lemondock.gateway.count.GatewayTally;
 import lemondock.gateway.engine.Chunk;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.idempotency.IdempotencyStore;
+import lemondock.idempotency.CallStatus;
+import lemondock.idempotency.RelayedToolCall;
 import lemondock.net.Loop;
 import lemondock.overload.GradientLimit;
 import lemondock.overload.StallMonitor;
@@ -149,18 +150,17 @@
   }
 
   /**
-   * What became of an earlier call under the client's key; null where nothing keeps the call from
-   * running.
+   * What became of an earlier call under the client's key, if that keeps this call from running.
    */
-  public IdempotencyStore.Fate known(Prompt prompt, String key) {
-    IdempotencyStore.Fate fate =
-        guarded(prompt, key) ? guard.fate(key) : IdempotencyStore.Fate.UNKNOWN;
-    return fate.mayRun() ? null : fate;
+  public Optional<CallStatus> blockingStatus(Prompt prompt, String key) {
+    return guarded(prompt, key)
+        ? Optional.of(guard.status(key)).filter(status -> !status.mayRun())
+        : Optional.empty();
   }
 
   /** Tool calls that were relayed for an earlier call under that key. */
-  public List<IdempotencyStore.Relayed> relayed(String key) {
-    return guard.relayed(key);
+  public List<RelayedToolCall> relayedToolCalls(String key) {
+    return guard.relayedToolCalls(key);
   }
 
   private boolean guarded(Prompt prompt, String key) {
@@ -172,7 +172,7 @@
   /**
    * Takes a call. {@code session} is the key of its conversation; {@code tenant} is for the counts,
    * null if unnamed. {@code key} is the client's own for this call and its repeats, null if it gave
-   * none; {@link #known} was asked.
+   * none; {@link #blockingStatus} was asked.
    */
   public Call start(
       Prompt prompt, long session, String tenant, boolean clientRepeat, String key, Sink sink) {
@@ -183,7 +183,7 @@
     if (call.key == null) {
       call.begin();
     } else {
-      guard.taken(
+      guard.callStarted(
           call.key,
           durable -> {
             if (call.answer.state() == Answer.State.ENDED) {
@@ -277,7 +277,7 @@
         toolsWaiting--;
         count.answered();
         if (key != null) {
-          guard.answered(key, remembered(callId));
+          guard.toolCallAnswered(key, remembered(callId));
         }
       }
       synchronized (sink.lock()) {
@@ -418,7 +418,7 @@
         sink.relay(call);
         return;
       }
-      guard.relayed(
+      guard.toolCallRelayed(
           key,
           remembered(call.id()),
           call.name(),
@@ -489,13 +489,13 @@
       open.remove(this);
       waits(false);
       if (key != null) {
-        guard.ended(
+        guard.callEnded(
             key,
             ending.end() == Answer.End.SERVED
-                ? IdempotencyStore.Fate.SERVED
+                ? CallStatus.COMPLETED
                 : ending.end() == Answer.End.REFUSED || !begunLegs
-                    ? IdempotencyStore.Fate.NEVER_RAN
-                    : IdempotencyStore.Fate.MAY_HAVE_RUN);
+                    ? CallStatus.NEVER_RAN
+                    : CallStatus.MAY_HAVE_RUN);
       }
       if (!quiet) {
         sink.ended(ending);
--- a/gateway/src/main/java/lemondock/gateway/front/PostReply.java
+++ b/gateway/src/main/java/lemondock/gateway/front/PostReply.java
@@ -9,13 +9,13 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
+import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import lemondock.gateway.answer.Prompt;
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.core.CallService;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.idempotency.IdempotencyStore;
+import lemondock.idempotency.CallStatus;
 import lemondock.net.Loop;
 import lemondock.net.http.Headers;
 import lemondock.net.http.HttpServer;
@@ -175,29 +175,30 @@
    */
   private boolean known(Message.Request request, Prompt prompt) {
     String key = CallIntake.onceKey(request.params());
-    IdempotencyStore.Fate fate = services.calls().known(prompt, key);
-    if (fate == null) {
+    Optional<CallStatus> blocking = services.calls().blockingStatus(prompt, key);
+    if (blocking.isEmpty()) {
       return false;
     }
-    boolean again = fate == IdempotencyStore.Fate.UNDER_WAY || fate == IdempotencyStore.Fate.FULL;
+    CallStatus status = blocking.get();
+    boolean again = status == CallStatus.IN_PROGRESS || status == CallStatus.STORE_FULL;
     ObjectNode data =
         JsonNodeFactory.instance
             .objectNode()
             .put("retryable", again)
-            .put("became", fate.name().toLowerCase(Locale.ROOT));
+            .put("became", status.protocolName());
     ArrayNode told = data.putArray("relayed");
     services
         .calls()
-        .relayed(key)
+        .relayedToolCalls(key)
         .forEach(r -> told.addObject().put("tool", r.tool()).put("answered", r.answered()));
     done(
         JsonRpc.error(
             request.id(),
             again ? Mcp.LIMIT : Mcp.FAILED,
-            switch (fate) {
-              case UNDER_WAY -> "a call under that key is under way";
-              case SERVED -> "the call under that key was served";
-              case FULL -> "no more calls can be remembered at present";
+            switch (status) {
+              case IN_PROGRESS -> "a call under that key is under way";
+              case COMPLETED -> "the call under that key was served";
+              case STORE_FULL -> "no more calls can be remembered at present";
               default -> "the call under that key may have run";
             },
             data));
--- a/idempotency/src/main/java/lemondock/idempotency/AppendLog.java
+++ b/idempotency/src/main/java/lemondock/idempotency/AppendLog.java
@@ -2,149 +2,138 @@
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
-import java.util.zip.CRC32C;
 
 /**
- * Records in a file that only grows, each with its length and checksum (as LevelDB's log, without
- * its blocks). What {@link #write} has returned from is found again by the next {@link #open},
- * whatever happens to the process; what it has not may be or not, but never in part. {@link
- * #restart} bounds the size: a new file begins with all that still matters and takes the old one's
- * place. Blocks; one thread at a time.
+ * A write-ahead log: records in a file that is only appended to, each with its length and checksum.
+ * What {@link #write} has returned from is found again by the next {@link #open}, whatever happens
+ * to the process; what it has not may be found or not, but never in part. {@link #compact} bounds
+ * the size: a new file begins with all that still matters and replaces the old one. Blocks; one
+ * thread at a time.
  */
 public final class AppendLog implements AutoCloseable {
   /** The longest record, in bytes. */
-  public static final int MOST_RECORD = 1 << 20;
+  public static final int MAX_RECORD_BYTES = 1 << 20;
 
-  private static final byte[] MAGIC = "LDLOG001".getBytes(StandardCharsets.US_ASCII);
-  private static final String NAME = "log-";
-  private static final String NEXT = "next";
-  private static final int HEAD = 8;
-  private static final int MOST_EMPTY_WRITES = 8;
+  private static final String NAME_PREFIX = "log-";
+  private static final String NEXT_FILE = "next";
+  private static final int MAX_EMPTY_WRITES = 8;
 
   private final FileSystemPort files;
-  private long number;
+
+  /** Number of the current file; 0 before there is one. */
+  private long fileNumber;
+
+  /** Bytes of the current file that hold complete records. */
   private long length;
 
-  /** What is behind {@link #length} in the file is not known: a write failed. */
-  private boolean torn;
+  /** A write has failed: it is not known what is behind {@link #length} in the file. */
+  private boolean tailUncertain;
 
   /**
-   * A new file may have taken this one's place in the folder, and the folder may not be durable: a
-   * rename or a sync has failed.
+   * A rename or a sync of the directory has failed: a new file may have replaced this one, and the
+   * directory may not be durable.
    */
-  private boolean replacing;
+  private boolean replacementUncertain;
 
   private long replacementLength;
-  private FileSystemPort.Out out;
+
+  /** Null while no file is open. */
+  private FileSystemPort.AppendFile out;
 
   /**
-   * What an opening found.
+   * What {@link #open} has found.
    *
-   * @param records read
-   * @param dropped bytes behind the last whole record, which were cut off
-   * @param file the log's name
+   * @param records complete records
+   * @param truncatedBytes bytes behind them, which were cut off
+   * @param file name of the log's file
    */
-  public record Found(long records, long dropped, String file) {}
+  public record OpenResult(long records, long truncatedBytes, String file) {}
 
-  /** A log in that folder, not open yet. */
+  /** A log in that directory, not open yet. */
   public AppendLog(FileSystemPort files) {
     this.files = files;
   }
 
-  /** Reads all records, cuts off what is not whole behind them, and makes ready to write. */
-  public Found open(Consumer<ByteBuffer> records) throws IOException {
-    List<String> names = files.names();
-    number =
-        names.stream()
-            .filter(n -> n.matches(NAME + "\\d{1,18}"))
-            .mapToLong(n -> Long.parseLong(n.substring(NAME.length())))
-            .max()
-            .orElse(0);
-    if (number == 0) {
-      restart(List.of());
-      return new Found(0, 0, name());
-    }
-    byte[] all = files.read(name());
-    if (all.length < MAGIC.length || !Arrays.equals(all, 0, MAGIC.length, MAGIC, 0, MAGIC.length)) {
-      throw new IOException(
-          name()
-              + ": expected a log that begins with "
-              + new String(MAGIC, StandardCharsets.US_ASCII)
-              + ", found "
-              + all.length
-              + " bytes of something else");
-    }
-    ByteBuffer bytes = ByteBuffer.wrap(all).position(MAGIC.length);
-    long count = 0;
-    while (true) {
-      int at = bytes.position();
-      ByteBuffer record = next(bytes);
-      if (record == null) {
-        length = at;
-        break;
-      }
-      records.accept(record);
-      count++;
-    }
-    long dropped = all.length - length;
-    if (dropped > 0) {
-      files.truncate(name(), length);
-    }
-    out = files.append(name());
-    for (String name : names) {
-      if (!name.equals(name()) && (name.equals(NEXT) || name.startsWith(NAME))) {
-        files.delete(name); // a restart that was cut short leaves one of them
-      }
-    }
-    return new Found(count, dropped, name());
+  /**
+   * Reads all records, cuts off what is incomplete behind them, and makes ready to write.
+   *
+   * @throws LogFormatException if the newest file is not a log
+   */
+  public OpenResult open(Consumer<ByteBuffer> consumer) throws IOException {
+    List<String> names = files.fileNames();
+    fileNumber = newestFileNumber(names);
+    if (fileNumber == 0) {
+      compact(List.of());
+      return new OpenResult(0, 0, currentFile());
+    }
+    byte[] content = files.read(currentFile());
+    final long records = readRecords(content, consumer);
+    long truncatedBytes = content.length - length;
+    if (truncatedBytes > 0) {
+      files.truncate(currentFile(), length);
+    }
+    out = files.append(currentFile());
+    deleteLeftovers(names);
+    return new OpenResult(records, truncatedBytes, currentFile());
   }
 
-  /** The next whole record, null if there is none. */
-  private static ByteBuffer next(ByteBuffer bytes) {
-    if (bytes.remaining() < HEAD) {
-      return null;
-    }
-    int size = bytes.getInt();
-    int sum = bytes.getInt();
-    if (size <= 0 || size > MOST_RECORD || size > bytes.remaining()) {
-      return null;
-    }
-    ByteBuffer record = bytes.slice(bytes.position(), size);
-    CRC32C crc = new CRC32C();
-    crc.update(record.duplicate());
-    if ((int) crc.getValue() != sum) {
-      return null;
+  private static long newestFileNumber(List<String> names) {
+    return names.stream()
+        .filter(name -> name.matches(NAME_PREFIX + "\\d{1,18}"))
+        .mapToLong(name -> Long.parseLong(name.substring(NAME_PREFIX.length())))
+        .max()
+        .orElse(0);
+  }
+
+  /** Sets {@link #length} to the end of the last complete record. */
+  private long readRecords(byte[] content, Consumer<ByteBuffer> consumer) throws IOException {
+    ByteBuffer bytes = LogFrames.contentOf(currentFile(), content);
+    long records = 0;
+    length = bytes.position();
+    Optional<ByteBuffer> record = LogFrames.next(bytes);
+    while (record.isPresent()) {
+      consumer.accept(record.get());
+      records++;
+      length = bytes.position();
+      record = LogFrames.next(bytes);
+    }
+    return records;
+  }
+
+  /** A compaction that was interrupted leaves a file. */
+  private void deleteLeftovers(List<String> names) throws IOException {
+    for (String name : names) {
+      if (!name.equals(currentFile()) && (name.equals(NEXT_FILE) || name.startsWith(NAME_PREFIX))) {
+        files.delete(name);
+      }
     }
-    bytes.position(bytes.position() + size);
-    return record;
   }
 
-  private String name() {
-    return nameOf(number);
+  private String currentFile() {
+    return nameOf(fileNumber);
   }
 
   private static String nameOf(long number) {
-    return NAME + number;
+    return NAME_PREFIX + number;
   }
 
   /**
-   * Writes records together and makes them durable; one that fails leaves the log as it was before,
-   * as far as readers see.
+   * Writes records together and makes them durable; a failure leaves the log as it was before, as
+   * far as readers see.
    */
   public void write(List<byte[]> records) throws IOException {
-    if (torn || replacing || out == null) {
-      mend();
+    if (tailUncertain || replacementUncertain || out == null) {
+      recover();
     }
-    ByteBuffer bytes = framed(records, 0);
+    ByteBuffer bytes = LogFrames.frames(records);
     final int size = bytes.remaining();
-    torn = true;
-    put(out, bytes);
+    tailUncertain = true;
+    writeFully(out, bytes);
     out.sync();
-    torn = false;
+    tailUncertain = false;
     length += size;
   }
 
@@ -152,88 +141,71 @@
    * After a failure: goes on in the file that the next {@link #open} would find, and cuts off what
    * a write may have left there.
    */
-  private void mend() throws IOException {
+  private void recover() throws IOException {
     close();
-    if (replacing) {
-      replaced();
-    }
-    files.truncate(name(), length);
-    out = files.append(name());
-    torn = false;
-  }
-
-  private static ByteBuffer framed(List<byte[]> records, int before) {
-    int size = before;
-    for (byte[] record : records) {
-      if (record.length == 0 || record.length > MOST_RECORD) {
-        throw new IllegalArgumentException("a record of " + record.length + " bytes");
-      }
-      size += HEAD + record.length;
-    }
-    ByteBuffer bytes = ByteBuffer.allocate(size).position(before);
-    for (byte[] record : records) {
-      CRC32C crc = new CRC32C();
-      crc.update(record);
-      bytes.putInt(record.length).putInt((int) crc.getValue()).put(record);
+    if (replacementUncertain) {
+      finishReplacement();
     }
-    return bytes.flip().position(before);
+    files.truncate(currentFile(), length);
+    out = files.append(currentFile());
+    tailUncertain = false;
   }
 
-  private static void put(FileSystemPort.Out to, ByteBuffer bytes) throws IOException {
-    int empty = 0;
+  private static void writeFully(FileSystemPort.AppendFile file, ByteBuffer bytes)
+      throws IOException {
+    int emptyWrites = 0;
     while (bytes.hasRemaining()) {
       int before = bytes.remaining();
-      to.write(bytes);
-      empty = bytes.remaining() < before ? 0 : empty + 1;
-      if (empty == MOST_EMPTY_WRITES) {
+      file.write(bytes);
+      emptyWrites = bytes.remaining() < before ? 0 : emptyWrites + 1;
+      if (emptyWrites == MAX_EMPTY_WRITES) {
         throw new IOException("the file takes no more bytes");
       }
     }
   }
 
   /**
-   * Begins a new file with these records, which stand for all before; the old one is removed when
+   * Begins a new file with these records, which replace all before; the old file is deleted once
    * the new one is durable.
    */
-  public void restart(List<byte[]> records) throws IOException {
-    files.delete(NEXT);
-    ByteBuffer bytes = framed(records, MAGIC.length);
-    bytes.position(0).put(MAGIC).position(0);
+  public void compact(List<byte[]> records) throws IOException {
+    files.delete(NEXT_FILE);
+    ByteBuffer bytes = LogFrames.file(records);
     int size = bytes.remaining();
-    try (FileSystemPort.Out next = files.append(NEXT)) {
-      put(next, bytes);
+    try (FileSystemPort.AppendFile next = files.append(NEXT_FILE)) {
+      writeFully(next, bytes);
       next.sync();
     }
     replacementLength = size;
-    replacing = true;
-    files.rename(NEXT, nameOf(number + 1));
+    replacementUncertain = true;
+    files.rename(NEXT_FILE, nameOf(fileNumber + 1));
     close();
-    replaced();
-    torn = false;
-    out = files.append(name());
+    finishReplacement();
+    tailUncertain = false;
+    out = files.append(currentFile());
   }
 
   /**
-   * Goes over to the new file if it is there. Nothing more is written before the folder is durable:
-   * the next life must find the very file that the last records went to.
+   * Goes over to the new file if it is there. Nothing more is written before the directory is
+   * durable: the next process must find the very file that the last records went to.
    */
-  private void replaced() throws IOException {
-    boolean there = files.names().contains(nameOf(number + 1));
-    files.syncFolder();
-    replacing = false;
-    if (!there) {
+  private void finishReplacement() throws IOException {
+    boolean replaced = files.fileNames().contains(nameOf(fileNumber + 1));
+    files.syncDirectory();
+    replacementUncertain = false;
+    if (!replaced) {
       return;
     }
-    String old = name();
-    boolean had = number > 0;
-    number++;
+    String oldFile = currentFile();
+    boolean hadFile = fileNumber > 0;
+    fileNumber++;
     length = replacementLength;
-    if (had) {
-      files.delete(old);
+    if (hadFile) {
+      files.delete(oldFile);
     }
   }
 
-  /** Bytes of the file. */
+  /** Bytes of the current file that hold complete records. */
   public long length() {
     return length;
   }
--- a/idempotency/src/main/java/lemondock/idempotency/DiskFolder.java
+++ b/idempotency/src/main/java/lemondock/idempotency/DiskFolder.java
@@ -11,46 +11,48 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the file system, for one process at a time. */
+/** A directory of the file system, locked for one process at a time. */
 public final class DiskFolder implements FileSystemPort, AutoCloseable {
-  private static final String LOCK = "lock";
+  private static final String LOCK_FILE = "lock";
 
   private final Path folder;
   private final FileChannel lock;
 
   /**
-   * Makes the folder if there is none.
+   * Creates the directory if it does not exist, and locks it.
    *
-   * @throws IOException also if another process has it
+   * @throws IOException also if another process has locked it
    */
   public DiskFolder(Path folder) throws IOException {
     this.folder = Files.createDirectories(folder);
     this.lock =
-        FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        FileChannel.open(
+            folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     try {
       if (lock.tryLock() != null) {
         return;
       }
     } catch (OverlappingFileLockException e) {
-      // this process has it
+      // this process has locked it
     }
     lock.close();
     throw new IOException(
         folder + ": expected a folder of one's own, found one that another gateway uses");
   }
 
-  /** Lets others have the folder. */
+  /** Unlocks the directory. */
   @Override
   public void close() throws IOException {
     lock.close();
   }
 
   @Override
-  public List<String> names() throws IOException {
-    try (Stream<Path> all = Files.list(folder)) {
-      return all.filter(Files::isRegularFile)
-          .map(p -> p.getFileName().toString())
-          .filter(n -> !n.equals(LOCK))
+  public List<String> fileNames() throws IOException {
+    try (Stream<Path> entries = Files.list(folder)) {
+      return entries
+          .filter(Files::isRegularFile)
+          .map(path -> path.getFileName().toString())
+          .filter(name -> !name.equals(LOCK_FILE))
           .sorted()
           .toList();
     }
@@ -62,14 +64,14 @@
   }
 
   @Override
-  public Out append(String name) throws IOException {
+  public AppendFile append(String name) throws IOException {
     FileChannel channel =
         FileChannel.open(
             folder.resolve(name),
             StandardOpenOption.CREATE,
             StandardOpenOption.WRITE,
             StandardOpenOption.APPEND);
-    return new Out() {
+    return new AppendFile() {
       @Override
       public void write(ByteBuffer bytes) throws IOException {
         channel.write(bytes);
@@ -110,7 +112,7 @@
   }
 
   @Override
-  public void syncFolder() throws IOException {
+  public void syncDirectory() throws IOException {
     try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
       channel.force(true);
     }
--- a/idempotency/src/main/java/lemondock/idempotency/FileSystemPort.java
+++ b/idempotency/src/main/java/lemondock/idempotency/FileSystemPort.java
@@ -5,33 +5,33 @@
 import java.util.List;
 
 /**
- * One folder of files, as a log needs it; a simulation puts its own here, with its own faults. May
- * block.
+ * The files of one directory, as a log needs them; simulations with faults of their own implement
+ * it too. Calls may block.
  */
 public interface FileSystemPort {
-  /** Names in the folder. */
-  List<String> names() throws IOException;
+  /** The names of the directory's files. */
+  List<String> fileNames() throws IOException;
 
-  /** The whole of a file. */
+  /** The content of a file. */
   byte[] read(String name) throws IOException;
 
-  /** Opens a file to write behind what it holds; makes it if there is none. */
-  Out append(String name) throws IOException;
+  /** Opens a file to append to it; creates it if it does not exist. */
+  AppendFile append(String name) throws IOException;
 
-  /** Cuts a file to that length. */
+  /** Cuts a file to that length, in bytes. */
   void truncate(String name, long length) throws IOException;
 
-  /** Gives a file another name, in one step, in place of any that has it. */
+  /** Renames a file atomically; replaces a file that has the new name. */
   void rename(String from, String to) throws IOException;
 
-  /** Removes a file. */
+  /** Deletes a file if it exists. */
   void delete(String name) throws IOException;
 
-  /** Makes names durable: files made, renamed and removed. */
-  void syncFolder() throws IOException;
+  /** Makes it durable which files were created, renamed and deleted. */
+  void syncDirectory() throws IOException;
 
-  /** A file open for writing. */
-  interface Out extends AutoCloseable {
+  /** A file that is open for appending. */
+  interface AppendFile extends AutoCloseable {
     /** Writes some of the bytes, perhaps not all; advances the buffer by as many. */
     void write(ByteBuffer bytes) throws IOException;
 
--- a/idempotency/src/main/java/lemondock/idempotency/GroupCommit.java
+++ b/idempotency/src/main/java/lemondock/idempotency/GroupCommit.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.Consumer;
@@ -10,66 +11,71 @@
 
 /**
  * Group commit: records that come while others are written go out together next, with one sync for
- * all. Called in one context, which hears there whether a record is durable; files are written by
- * {@code disk}. What waits is bounded.
+ * all. Called on one thread, which hears there whether a record is durable; files are written by
+ * another executor. The queue is bounded.
  */
 public final class GroupCommit {
   private final AppendLog log;
-  private final Executor context;
+  private final Executor caller;
   private final Executor disk;
   private final Settings settings;
   private final Supplier<List<byte[]>> snapshot;
-  private List<byte[]> records = new ArrayList<>();
-  private List<Consumer<IOException>> waiting = new ArrayList<>();
-  private boolean writing;
+
+  // The caller's thread only.
+  private List<byte[]> queuedRecords = new ArrayList<>();
+  private List<Consumer<Optional<IOException>>> queuedCallbacks = new ArrayList<>();
+  private boolean commitInProgress;
   private long commits;
 
-  /** Length of the log at which it begins anew; disk's side once it runs. */
-  private volatile long restartAt;
+  /** Length at which the log is compacted; written by the disk executor. */
+  private volatile long compactAtBytes;
 
-  private volatile long length;
+  /** Length of the log; written by the disk executor. */
+  private volatile long logLength;
 
   /**
-   * How it commits.
+   * The bounds.
    *
-   * @param most records that wait
-   * @param mostBytes of the log; when it is longer it begins anew, and again when it has doubled
+   * @param maxQueuedRecords records that may wait for the disk
+   * @param compactAtBytes length of the log at which it is compacted, and again when it has doubled
    *     since
    */
-  public record Settings(int most, long mostBytes) {}
+  public record Settings(int maxQueuedRecords, long compactAtBytes) {}
 
   /**
-   * Makes one.
+   * Makes a group commit for an open log.
    *
-   * @param context where it is called and calls back
-   * @param snapshot all records that a log which begins anew needs, at the moment it is called
+   * @param caller the thread on which it is called and calls back
+   * @param disk where files are written
+   * @param snapshot all records that a compacted log needs, at the moment of the call; called on
+   *     the caller's thread
    */
   public GroupCommit(
       AppendLog log,
-      Executor context,
+      Executor caller,
       Executor disk,
       Settings settings,
       Supplier<List<byte[]>> snapshot) {
     this.log = log;
-    this.context = context;
+    this.caller = caller;
     this.disk = disk;
     this.settings = settings;
     this.snapshot = snapshot;
-    this.restartAt = settings.mostBytes();
+    this.compactAtBytes = settings.compactAtBytes();
   }
 
-  /** Has a record written; {@code done} hears null once it is durable, or why it is not. */
-  public void append(byte[] record, Consumer<IOException> done) {
-    if (records.size() >= settings.most()) {
-      context.execute(
-          () ->
-              done.accept(
-                  new IOException("more than " + settings.most() + " records wait for the disk")));
+  /** Commits a record; the callback hears nothing once it is durable, or why it is not. */
+  public void append(byte[] record, Consumer<Optional<IOException>> callback) {
+    if (queuedRecords.size() >= settings.maxQueuedRecords()) {
+      IOException failure =
+          new IOException(
+              "more than " + settings.maxQueuedRecords() + " records wait for the disk");
+      caller.execute(() -> callback.accept(Optional.of(failure)));
       return;
     }
-    records.add(record);
-    waiting.add(done);
-    write();
+    queuedRecords.add(record);
+    queuedCallbacks.add(callback);
+    commitQueued();
   }
 
   /** Commits so far; each is one sync. */
@@ -77,44 +83,53 @@
     return commits;
   }
 
-  private void write() {
-    if (writing || records.isEmpty()) {
+  private void commitQueued() {
+    if (commitInProgress || queuedRecords.isEmpty()) {
       return;
     }
-    writing = true;
-    List<byte[]> batch = records;
-    List<Consumer<IOException>> told = waiting;
-    records = new ArrayList<>();
-    waiting = new ArrayList<>();
-    // the book has all of the batch already, so what begins anew needs none of it besides
-    List<byte[]> anew = length >= restartAt ? snapshot.get() : null;
+    commitInProgress = true;
+    List<byte[]> batch = queuedRecords;
+    List<Consumer<Optional<IOException>>> callbacks = queuedCallbacks;
+    queuedRecords = new ArrayList<>();
+    queuedCallbacks = new ArrayList<>();
+    // a snapshot has all of the batch already: the store changes before its records are queued
+    Optional<List<byte[]>> compacted =
+        logLength >= compactAtBytes ? Optional.of(snapshot.get()) : Optional.empty();
     try {
       disk.execute(
           () -> {
-            IOException failure = null;
-            try {
-              if (anew != null) {
-                log.restart(anew);
-                restartAt = Math.max(settings.mostBytes(), 2 * log.length());
-              } else {
-                log.write(batch);
-              }
-              length = log.length();
-            } catch (IOException | RuntimeException e) {
-              failure = e instanceof IOException io ? io : new IOException(e);
-            }
-            IOException result = failure;
-            context.execute(() -> wrote(told, result));
+            Optional<IOException> failure = write(batch, compacted);
+            caller.execute(() -> committed(callbacks, failure));
           });
     } catch (RejectedExecutionException e) {
-      context.execute(() -> wrote(told, new IOException("too much waits for the disk", e)));
+      IOException failure = new IOException("the disk's queue is full", e);
+      caller.execute(() -> committed(callbacks, Optional.of(failure)));
+    }
+  }
+
+  /** On the disk executor. */
+  private Optional<IOException> write(List<byte[]> batch, Optional<List<byte[]>> compacted) {
+    try {
+      if (compacted.isPresent()) {
+        log.compact(compacted.get());
+        compactAtBytes = Math.max(settings.compactAtBytes(), 2 * log.length());
+      } else {
+        log.write(batch);
+      }
+      logLength = log.length();
+      return Optional.empty();
+    } catch (IOException e) {
+      return Optional.of(e);
+    } catch (RuntimeException e) {
+      return Optional.of(new IOException(e));
     }
   }
 
-  private void wrote(List<Consumer<IOException>> told, IOException failure) {
-    writing = false;
+  private void committed(
+      List<Consumer<Optional<IOException>>> callbacks, Optional<IOException> failure) {
+    commitInProgress = false;
     commits++;
-    told.forEach(t -> t.accept(failure));
-    write();
+    callbacks.forEach(callback -> callback.accept(failure));
+    commitQueued();
   }
 }
--- a/idempotency/src/main/java/lemondock/idempotency/IdempotencyStore.java
+++ b/idempotency/src/main/java/lemondock/idempotency/IdempotencyStore.java
@@ -1,11 +1,6 @@
 package lemondock.idempotency;
 
-import java.io.ByteArrayOutputStream;
-import java.io.DataOutputStream;
-import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
@@ -13,255 +8,228 @@
 import java.util.Map;
 
 /**
- * What became of calls that must not run twice, by the keys that their clients gave them. A call is
- * in the book before anything of it is sent anywhere, so one that is there without an end may have
- * run, whatever else was lost. It decides whether a call that comes under a known key may run; each
- * change is also a record, and the records read again make the same book. No I/O, no clock; one
- * thread.
+ * The status of calls that must not run twice, by the idempotency keys that their clients gave
+ * them. A call is in the store before anything of it is sent anywhere, so one that is there without
+ * an end may have run, whatever else was lost. The store decides whether a call that comes under a
+ * known key may run. Each change is also a record, and replaying the records restores the store.
+ * Does no I/O and reads no clock; one thread.
  */
 public final class IdempotencyStore {
-  private static final byte TAKEN = 1;
-  private static final byte RELAYED = 2;
-  private static final byte ANSWERED = 3;
-  private static final byte ENDED = 4;
+  /** Bounds what a call takes in memory and in a snapshot; further tool calls are not kept. */
+  private static final int MAX_RELAYED_TOOL_CALLS = 256;
 
-  /** What only stands in the book is about so long for each call beside its texts. */
-  private static final int MOST_RELAYED = 256;
-
-  /** A longer age is a wall time in milliseconds, which records of earlier versions have. */
-  private static final long LONGEST_AGE = 1_000_000_000_000L;
+  /** A longer age is a wall-clock time in milliseconds, which records of earlier versions have. */
+  private static final long LONGEST_AGE_MILLIS = 1_000_000_000_000L;
 
   private final Settings settings;
-  private final long begun;
-  private final Map<String, Entry> entries = new LinkedHashMap<>();
+  private final long createdAtMillis;
+
+  /** By the start of the calls, the oldest first. */
+  private final Map<String, StoredCall> calls = new LinkedHashMap<>();
 
   /**
-   * How much is kept.
+   * How much is remembered.
    *
-   * @param most calls
-   * @param keep milliseconds for which an ended call is remembered; one without an end is, too,
-   *     from its beginning
+   * @param maxCalls how many calls
+   * @param retentionMillis how long an ended call is remembered, and one without an end that an
+   *     earlier process has started; both counted from the start of the call
    */
-  public record Settings(int most, long keep) {}
-
-  /** What became of a call. */
-  public enum Fate {
-    /** Nothing is known of it: it may run. */
-    UNKNOWN,
-    /** It was refused, and nothing of it ran: it may run. */
-    NEVER_RAN,
-    /** It is under way at this gateway. */
-    UNDER_WAY,
-    /** It was answered whole. */
-    SERVED,
-    /** It ended, or this gateway did, and it may have run. */
-    MAY_HAVE_RUN,
-    /**
-     * The book is full of calls that cannot be forgotten yet; nothing is known, and it may not run.
-     */
-    FULL;
-
-    /** Whether a call of this fate may run. */
-    public boolean mayRun() {
-      return this == UNKNOWN || this == NEVER_RAN;
+  public record Settings(int maxCalls, long retentionMillis) {}
+
+  private static final class StoredCall {
+    private final long startedAtMillis;
+    private final boolean startedHere;
+    private CallStatus status;
+    private final Map<String, RelayedToolCall> toolCalls = new LinkedHashMap<>();
+
+    StoredCall(long startedAtMillis, boolean startedHere) {
+      this.startedAtMillis = startedAtMillis;
+      this.startedHere = startedHere;
+      this.status = startedHere ? CallStatus.IN_PROGRESS : CallStatus.MAY_HAVE_RUN;
     }
-  }
 
-  /** A tool call that was relayed to the client, and whether its result came. */
-  public record Relayed(String id, String tool, boolean answered) {}
-
-  private static final class Entry {
-    private final long takenAt;
-    private final boolean here;
-    private Fate fate;
-    private final Map<String, Relayed> relayed = new LinkedHashMap<>();
-
-    Entry(long takenAt, boolean here) {
-      this.takenAt = takenAt;
-      this.here = here;
-      this.fate = here ? Fate.UNDER_WAY : Fate.MAY_HAVE_RUN;
+    /** Whether a record of the start without one of the end says the same. */
+    boolean isSaidByItsStart() {
+      return status == CallStatus.IN_PROGRESS || status == CallStatus.MAY_HAVE_RUN && !startedHere;
     }
   }
 
-  /** An empty book whose clock begins at 0. */
+  /** An empty store whose clock starts at 0. */
   public IdempotencyStore(Settings settings) {
     this(settings, 0);
   }
 
   /**
-   * An empty book.
+   * An empty store.
    *
-   * @param now milliseconds of a clock that never goes back nor steps, and may begin anywhere in
-   *     each life of the process. Time between two lives does not count: what is known from an
-   *     earlier life is remembered longer, never shorter, than the settings say
+   * @param nowMillis a clock that neither goes back nor steps, and may start anywhere in each
+   *     process. Time between two processes does not count: what an earlier process has recorded is
+   *     remembered longer, never shorter, than the settings say
    */
-  public IdempotencyStore(Settings settings, long now) {
+  public IdempotencyStore(Settings settings, long nowMillis) {
     this.settings = settings;
-    this.begun = now;
+    this.createdAtMillis = nowMillis;
   }
 
-  /** What became of the call under that key; {@code now} is milliseconds of the book's clock. */
-  public Fate fate(String key, long now) {
-    Entry entry = entries.get(key);
-    if (entry != null && forgotten(entry, now)) {
-      entries.remove(key);
-      entry = null;
+  /** The status of the call under that key; {@code nowMillis} is the store's clock. */
+  public CallStatus status(String key, long nowMillis) {
+    StoredCall call = calls.get(key);
+    if (call != null && isExpired(call, nowMillis)) {
+      calls.remove(key);
+      call = null;
     }
-    if (entry != null) {
-      return entry.fate;
+    if (call != null) {
+      return call.status;
     }
-    return entries.size() < settings.most() || makeRoom(now) ? Fate.UNKNOWN : Fate.FULL;
+    return calls.size() < settings.maxCalls() || makeRoom(nowMillis)
+        ? CallStatus.UNKNOWN
+        : CallStatus.STORE_FULL;
   }
 
-  private boolean forgotten(Entry entry, long now) {
-    return now - entry.takenAt > settings.keep() && entry.fate != Fate.UNDER_WAY;
+  private boolean isExpired(StoredCall call, long nowMillis) {
+    return nowMillis - call.startedAtMillis > settings.retentionMillis()
+        && call.status != CallStatus.IN_PROGRESS;
+  }
+
+  private void removeExpired(long nowMillis) {
+    calls.values().removeIf(call -> isExpired(call, nowMillis));
   }
 
   /**
-   * Forgets what is old enough, or else the oldest that never ran: nothing is lost by forgetting
-   * that.
+   * Removes expired calls, or else the oldest that never ran: forgetting that one loses nothing.
    */
-  private boolean makeRoom(long now) {
-    entries.values().removeIf(e -> forgotten(e, now));
-    if (entries.size() >= settings.most()) {
-      for (Iterator<Entry> all = entries.values().iterator(); all.hasNext(); ) {
-        if (all.next().fate == Fate.NEVER_RAN) {
-          all.remove();
-          return true;
-        }
-      }
-    }
-    return entries.size() < settings.most();
+  private boolean makeRoom(long nowMillis) {
+    removeExpired(nowMillis);
+    return calls.size() < settings.maxCalls() || removeOldestThatNeverRan();
   }
 
-  /** Tool calls relayed for the call under that key. */
-  public List<Relayed> relayed(String key) {
-    Entry entry = entries.get(key);
-    return entry == null ? List.of() : List.copyOf(entry.relayed.values());
+  private boolean removeOldestThatNeverRan() {
+    for (Iterator<StoredCall> oldestFirst = calls.values().iterator(); oldestFirst.hasNext(); ) {
+      if (oldestFirst.next().status == CallStatus.NEVER_RAN) {
+        oldestFirst.remove();
+        return true;
+      }
+    }
+    return false;
   }
 
-  /** A tool call is to be relayed; its record must be durable before it is. */
-  public byte[] relayed(String key, String id, String tool) {
-    Entry entry = entries.get(key);
-    if (entry != null && entry.relayed.size() < MOST_RELAYED) {
-      entry.relayed.put(id, new Relayed(id, tool, false));
-    }
-    return record(RELAYED, key, id, tool);
+  /** The tool calls that were relayed for the call under that key. */
+  public List<RelayedToolCall> relayedToolCalls(String key) {
+    StoredCall call = calls.get(key);
+    return call == null ? List.of() : List.copyOf(call.toolCalls.values());
   }
 
-  /** Calls in the book. */
+  /** Number of calls in the store. */
   public int size() {
-    return entries.size();
+    return calls.size();
   }
 
-  // ==== changes; each gives its record
+  // Changes; each returns its record.
 
-  /** A call that may run is taken; its record must be durable before anything of it is sent. */
-  public byte[] taken(String key, long now) {
-    if (!fate(key, now).mayRun()) {
+  /**
+   * A call starts; its record must be durable before anything of the call is sent.
+   *
+   * @throws IllegalStateException if the call may not run
+   */
+  public byte[] callStarted(String key, long nowMillis) {
+    if (!status(key, nowMillis).mayRun()) {
       throw new IllegalStateException("the call " + key + " may not run");
     }
-    entries.remove(key); // a new attempt is as young as its beginning
-    entries.put(key, new Entry(now, true));
-    return record(TAKEN, key, "0", "");
+    put(key, new StoredCall(nowMillis, true));
+    return new CallRecord.Started(key, 0).encode();
   }
 
-  /** A relayed call's result has come. */
-  public byte[] answered(String key, String id) {
-    Entry entry = entries.get(key);
-    if (entry != null) {
-      entry.relayed.computeIfPresent(id, (i, r) -> new Relayed(i, r.tool(), true));
-    }
-    return record(ANSWERED, key, id, "");
+  private void put(String key, StoredCall call) {
+    calls.remove(key); // a retry is as young as its own start
+    calls.put(key, call);
   }
 
-  /** The call has ended; {@code fate} is SERVED, NEVER_RAN or MAY_HAVE_RUN. */
-  public byte[] ended(String key, Fate fate) {
-    if (fate == Fate.UNDER_WAY || fate == Fate.UNKNOWN || fate == Fate.FULL) {
-      throw new IllegalArgumentException("no end: " + fate);
-    }
-    Entry entry = entries.get(key);
-    if (entry != null) {
-      entry.fate = fate;
-    }
-    return record(ENDED, key, fate.name(), "");
+  /** A tool call is to be relayed; its record must be durable before it is. */
+  public byte[] toolCallRelayed(String key, String id, String tool) {
+    return apply(new CallRecord.ToolCallRelayed(key, id, tool)).encode();
   }
 
-  // ==== records
+  /** The result of a relayed tool call has come. */
+  public byte[] toolCallAnswered(String key, String id) {
+    return apply(new CallRecord.ToolCallAnswered(key, id)).encode();
+  }
 
-  private static byte[] record(byte type, String key, String first, String second) {
-    try {
-      ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-      DataOutputStream out = new DataOutputStream(bytes);
-      out.writeByte(type);
-      for (String text : new String[] {key, first, second}) {
-        byte[] utf8 = text.getBytes(StandardCharsets.UTF_8);
-        out.writeInt(utf8.length);
-        out.write(utf8);
-      }
-      return bytes.toByteArray();
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
+  /**
+   * The call has ended.
+   *
+   * @param status COMPLETED, NEVER_RAN or MAY_HAVE_RUN
+   */
+  public byte[] callEnded(String key, CallStatus status) {
+    return apply(new CallRecord.Ended(key, status)).encode();
+  }
+
+  private CallRecord apply(CallRecord.ToolCallRelayed record) {
+    StoredCall call = calls.get(record.key());
+    if (call != null && call.toolCalls.size() < MAX_RELAYED_TOOL_CALLS) {
+      call.toolCalls.put(record.id(), new RelayedToolCall(record.id(), record.tool(), false));
+    }
+    return record;
+  }
+
+  private CallRecord apply(CallRecord.ToolCallAnswered record) {
+    StoredCall call = calls.get(record.key());
+    if (call != null) {
+      call.toolCalls.computeIfPresent(
+          record.id(), (id, toolCall) -> new RelayedToolCall(id, toolCall.tool(), true));
     }
+    return record;
   }
 
-  private static String text(ByteBuffer from) {
-    byte[] bytes = new byte[from.getInt()];
-    from.get(bytes);
-    return new String(bytes, StandardCharsets.UTF_8);
+  private CallRecord apply(CallRecord.Ended record) {
+    StoredCall call = calls.get(record.key());
+    if (call != null) {
+      call.status = record.status();
+    }
+    return record;
   }
 
+  // Records of earlier processes, and for later ones.
+
   /**
-   * Takes in a record of an earlier life; in their order they make the book as it was, but that
-   * nothing is under way any more.
+   * Applies a record of an earlier process; in their order they restore the store, but that no call
+   * is in progress any more.
    *
-   * @throws IllegalArgumentException if it is none: the log holds something else, or that of a
-   *     later version
+   * @throws InvalidRecordException if it is none: the log holds something else, or that of a later
+   *     version
    */
-  public void replay(ByteBuffer record) {
-    try {
-      byte type = record.get();
-      String key = text(record);
-      String first = text(record);
-      String second = text(record);
-      switch (type) {
-        case TAKEN -> {
-          entries.remove(key);
-          long age = Long.parseLong(first);
-          entries.put(key, new Entry(begun - (age < LONGEST_AGE ? age : 0), false));
-        }
-        case RELAYED -> relayed(key, first, second);
-        case ANSWERED -> answered(key, first);
-        case ENDED -> ended(key, Fate.valueOf(first));
-        default -> throw new IllegalArgumentException("type " + type);
-      }
-    } catch (RuntimeException e) {
-      throw new IllegalArgumentException("not a record of a call: " + e, e);
+  public void replay(ByteBuffer bytes) {
+    CallRecord record = CallRecord.decode(bytes);
+    if (record instanceof CallRecord.Started started) {
+      long ageMillis = started.ageMillis() < LONGEST_AGE_MILLIS ? started.ageMillis() : 0;
+      put(started.key(), new StoredCall(createdAtMillis - ageMillis, false));
+    } else if (record instanceof CallRecord.ToolCallRelayed relayed) {
+      apply(relayed);
+    } else if (record instanceof CallRecord.ToolCallAnswered answered) {
+      apply(answered);
+    } else if (record instanceof CallRecord.Ended ended) {
+      apply(ended);
     }
   }
 
-  /** All records that the book needs, for a log to begin anew with. */
-  public List<byte[]> snapshot(long now) {
-    List<byte[]> all = new ArrayList<>();
-    entries.values().removeIf(e -> forgotten(e, now));
-    entries.forEach(
-        (key, entry) -> {
-          all.add(record(TAKEN, key, Long.toString(now - entry.takenAt), ""));
-          entry
-              .relayed
-              .values()
-              .forEach(
-                  r -> {
-                    all.add(record(RELAYED, key, r.id(), r.tool()));
-                    if (r.answered()) {
-                      all.add(record(ANSWERED, key, r.id(), ""));
-                    }
-                  });
-          if (!entry.here && entry.fate == Fate.MAY_HAVE_RUN || entry.fate == Fate.UNDER_WAY) {
-            return; // a beginning without an end says just that
-          }
-          all.add(record(ENDED, key, entry.fate.name(), ""));
-        });
-    return all;
+  /** All records that restore the store, for a compacted log to begin with. */
+  public List<byte[]> snapshot(long nowMillis) {
+    removeExpired(nowMillis);
+    List<byte[]> records = new ArrayList<>();
+    calls.forEach((key, call) -> addRecords(key, call, nowMillis, records));
+    return records;
+  }
+
+  private static void addRecords(
+      String key, StoredCall call, long nowMillis, List<byte[]> records) {
+    records.add(new CallRecord.Started(key, nowMillis - call.startedAtMillis).encode());
+    for (RelayedToolCall toolCall : call.toolCalls.values()) {
+      records.add(new CallRecord.ToolCallRelayed(key, toolCall.id(), toolCall.tool()).encode());
+      if (toolCall.answered()) {
+        records.add(new CallRecord.ToolCallAnswered(key, toolCall.id()).encode());
+      }
+    }
+    if (!call.isSaidByItsStart()) {
+      records.add(new CallRecord.Ended(key, call.status).encode());
+    }
   }
 }
--- /dev/null
+++ b/idempotency/src/main/java/lemondock/idempotency/RelayedToolCall.java
@@ -0,0 +1,9 @@
+package lemondock.idempotency;
+
+/**
+ * A tool call that was relayed to the client.
+ *
+ * @param id unique within its call
+ * @param answered whether its result has come
+ */
+public record RelayedToolCall(String id, String tool, boolean answered) {}
--- a/idempotency/src/test/java/lemondock/idempotency/SimulatedFolder.java
+++ b/idempotency/src/test/java/lemondock/idempotency/SimulatedFolder.java
@@ -108,7 +108,7 @@
   }
 
   @Override
-  public List<String> names() {
+  public List<String> fileNames() {
     return List.copyOf(names.keySet());
   }
 
@@ -121,7 +121,7 @@
   }
 
   @Override
-  public Out append(String name) {
+  public AppendFile append(String name) {
     step();
     Content content =
         names.computeIfAbsent(
@@ -131,7 +131,7 @@
               unsynced.add(() -> durable.put(n, made));
               return made;
             });
-    return new Out() {
+    return new AppendFile() {
       @Override
       public void write(ByteBuffer bytes) throws IOException {
         int count = (int) Math.min(Math.min(bytes.remaining(), pieces), room);
@@ -200,7 +200,7 @@
   }
 
   @Override
-  public void syncFolder() throws IOException {
+  public void syncDirectory() throws IOException {
     step();
     if (folderFailures > 0) {
       folderFailures--;
--- a/idempotency/src/test/java/lemondock/idempotency/StoredLogTest.java
+++ b/idempotency/src/test/java/lemondock/idempotency/StoredLogTest.java
@@ -8,8 +8,6 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.List;
-import lemondock.idempotency.IdempotencyStore.Fate;
-import lemondock.idempotency.IdempotencyStore.Relayed;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -46,7 +44,7 @@
     }
   }
 
-  private AppendLog.Found restore(String file, byte[] content) throws IOException {
+  private AppendLog.OpenResult restore(String file, byte[] content) throws IOException {
     Files.write(folder.resolve(file), content);
     try (DiskFolder files = new DiskFolder(folder);
         AppendLog log = new AppendLog(files)) {
@@ -55,52 +53,56 @@
   }
 
   private void assertFinishedCallsOfAppended() {
-    assertEquals(Fate.SERVED, store.fate("completed", 0));
-    assertEquals(Fate.NEVER_RAN, store.fate("never-ran", 0));
-    assertEquals(Fate.MAY_HAVE_RUN, store.fate("may-have-run", 0));
-    assertEquals(Fate.SERVED, store.fate("with-tools", 0));
-    assertEquals(Fate.SERVED, store.fate("retried", 0));
-    assertEquals(Fate.SERVED, store.fate(NON_ASCII_KEY, 0));
+    assertEquals(CallStatus.COMPLETED, store.status("completed", 0));
+    assertEquals(CallStatus.NEVER_RAN, store.status("never-ran", 0));
+    assertEquals(CallStatus.MAY_HAVE_RUN, store.status("may-have-run", 0));
+    assertEquals(CallStatus.COMPLETED, store.status("with-tools", 0));
+    assertEquals(CallStatus.COMPLETED, store.status("retried", 0));
+    assertEquals(CallStatus.COMPLETED, store.status(NON_ASCII_KEY, 0));
     assertEquals(
-        List.of(new Relayed("1/a", "stock", true), new Relayed("2/a", "price €", false)),
-        store.relayed("with-tools"));
-    assertEquals(Fate.UNKNOWN, store.fate("never-seen", 0));
+        List.of(
+            new RelayedToolCall("1/a", "stock", true),
+            new RelayedToolCall("2/a", "price €", false)),
+        store.relayedToolCalls("with-tools"));
+    assertEquals(CallStatus.UNKNOWN, store.status("never-seen", 0));
   }
 
   @Test
-  void restoresTheFateAndTheToolCallsOfEveryCall() throws IOException {
-    AppendLog.Found found = restore("log-1", fixture("appended/log-1"));
-    assertEquals(new AppendLog.Found(RECORDS_OF_APPENDED, 0, "log-1"), found);
+  void restoresTheStatusAndTheToolCallsOfEveryCall() throws IOException {
+    AppendLog.OpenResult opened = restore("log-1", fixture("appended/log-1"));
+    assertEquals(new AppendLog.OpenResult(RECORDS_OF_APPENDED, 0, "log-1"), opened);
     assertEquals(7, store.size());
     assertFinishedCallsOfAppended();
-    assertEquals(Fate.MAY_HAVE_RUN, store.fate("unfinished", 0), "its gateway died before its end");
-    assertEquals(List.of(new Relayed("1/b", "order", false)), store.relayed("unfinished"));
+    assertEquals(
+        CallStatus.MAY_HAVE_RUN, store.status("unfinished", 0), "its gateway died before its end");
+    assertEquals(
+        List.of(new RelayedToolCall("1/b", "order", false)), store.relayedToolCalls("unfinished"));
   }
 
   @Test
   void aRestoredCallExpiresOneRetentionAfterTheRestart() throws IOException {
     restore("log-1", fixture("appended/log-1"));
     for (String key : List.of("completed", "may-have-run", "unfinished", NON_ASCII_KEY)) {
-      Fate before = store.fate(key, 0);
-      assertEquals(before, store.fate(key, RETENTION_MILLIS), key);
-      assertEquals(Fate.UNKNOWN, store.fate(key, RETENTION_MILLIS + 1), key);
+      CallStatus before = store.status(key, 0);
+      assertEquals(before, store.status(key, RETENTION_MILLIS), key);
+      assertEquals(CallStatus.UNKNOWN, store.status(key, RETENTION_MILLIS + 1), key);
     }
   }
 
   @Test
   void theAgeThatACompactedLogTellsCountsTowardsTheExpiry() throws IOException {
-    AppendLog.Found found = restore("log-2", fixture("compacted/log-2"));
-    assertEquals(new AppendLog.Found(7, 0, "log-2"), found);
+    AppendLog.OpenResult opened = restore("log-2", fixture("compacted/log-2"));
+    assertEquals(new AppendLog.OpenResult(7, 0, "log-2"), opened);
     assertEquals(3, store.size());
-    assertEquals(List.of(new Relayed("1/a", "stock", true)), store.relayed("old"));
-    assertExpiresAfter("old", Fate.SERVED, RETENTION_MILLIS - 900_000);
-    assertExpiresAfter("younger", Fate.MAY_HAVE_RUN, RETENTION_MILLIS - 300_000);
-    assertExpiresAfter("after-compaction", Fate.SERVED, RETENTION_MILLIS);
+    assertEquals(List.of(new RelayedToolCall("1/a", "stock", true)), store.relayedToolCalls("old"));
+    assertExpiresAfter("old", CallStatus.COMPLETED, RETENTION_MILLIS - 900_000);
+    assertExpiresAfter("younger", CallStatus.MAY_HAVE_RUN, RETENTION_MILLIS - 300_000);
+    assertExpiresAfter("after-compaction", CallStatus.COMPLETED, RETENTION_MILLIS);
   }
 
-  private void assertExpiresAfter(String key, Fate fate, long millis) {
-    assertEquals(fate, store.fate(key, millis), key);
-    assertEquals(Fate.UNKNOWN, store.fate(key, millis + 1), key);
+  private void assertExpiresAfter(String key, CallStatus status, long millis) {
+    assertEquals(status, store.status(key, millis), key);
+    assertEquals(CallStatus.UNKNOWN, store.status(key, millis + 1), key);
   }
 
   @Test
@@ -109,13 +111,14 @@
     int lastFrameAt = whole.length - LAST_FRAME_BYTES;
     for (int length = lastFrameAt; length < whole.length; length++) {
       createStore();
-      AppendLog.Found found = restore("log-1", Arrays.copyOf(whole, length));
+      AppendLog.OpenResult opened = restore("log-1", Arrays.copyOf(whole, length));
       assertEquals(
-          new AppendLog.Found(RECORDS_OF_APPENDED - 1, length - lastFrameAt, "log-1"), found);
+          new AppendLog.OpenResult(RECORDS_OF_APPENDED - 1, length - lastFrameAt, "log-1"), opened);
       assertEquals(7, store.size(), "cut to " + length);
       assertFinishedCallsOfAppended();
-      assertEquals(Fate.MAY_HAVE_RUN, store.fate("unfinished", 0));
-      assertEquals(List.of(), store.relayed("unfinished"), "its tool call is what was cut off");
+      assertEquals(CallStatus.MAY_HAVE_RUN, store.status("unfinished", 0));
+      assertEquals(
+          List.of(), store.relayedToolCalls("unfinished"), "its tool call is what was cut off");
       assertEquals(lastFrameAt, Files.size(folder.resolve("log-1")), "the rest is cut off");
     }
   }
@@ -126,14 +129,17 @@
     try (DiskFolder files = new DiskFolder(folder);
         AppendLog log = new AppendLog(files)) {
       log.open(store::replay);
-      log.write(List.of(store.taken("never-ran", 10), store.ended("never-ran", Fate.SERVED)));
+      log.write(
+          List.of(
+              store.callStarted("never-ran", 10),
+              store.callEnded("never-ran", CallStatus.COMPLETED)));
     }
     createStore();
     try (DiskFolder files = new DiskFolder(folder);
         AppendLog log = new AppendLog(files)) {
       log.open(store::replay);
     }
-    assertEquals(Fate.SERVED, store.fate("never-ran", 0));
-    assertEquals(Fate.SERVED, store.fate("completed", 0));
+    assertEquals(CallStatus.COMPLETED, store.status("never-ran", 0));
+    assertEquals(CallStatus.COMPLETED, store.status("completed", 0));
   }
 }
--- a/scenario/src/test/java/lemondock/scenario/FaultScenarioTest.java
+++ b/scenario/src/test/java/lemondock/scenario/FaultScenarioTest.java
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public List<String> names() {
+    public List<String> fileNames() {
       return List.of();
     }
   }
--- a/scenario/src/test/java/lemondock/scenario/ForwardingFiles.java
+++ b/scenario/src/test/java/lemondock/scenario/ForwardingFiles.java
@@ -10,10 +10,10 @@
   private final FileSystemPort files;
 
   /** The same for an open file. */
-  static class ForwardingOut implements Out {
-    private final Out out;
+  static class ForwardingOut implements AppendFile {
+    private final AppendFile out;
 
-    ForwardingOut(Out out) {
+    ForwardingOut(AppendFile out) {
       this.out = out;
     }
 
@@ -38,8 +38,8 @@
   }
 
   @Override
-  public List<String> names() throws IOException {
-    return files.names();
+  public List<String> fileNames() throws IOException {
+    return files.fileNames();
   }
 
   @Override
@@ -48,7 +48,7 @@
   }
 
   @Override
-  public Out append(String name) throws IOException {
+  public AppendFile append(String name) throws IOException {
     return files.append(name);
   }
 
@@ -68,7 +68,7 @@
   }
 
   @Override
-  public void syncFolder() throws IOException {
-    files.syncFolder();
+  public void syncDirectory() throws IOException {
+    files.syncDirectory();
   }
 }
--- a/scenario/src/test/java/lemondock/scenario/HaltingGateway.java
+++ b/scenario/src/test/java/lemondock/scenario/HaltingGateway.java
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public Out append(String name) throws IOException {
+    public AppendFile append(String name) throws IOException {
       return new ForwardingOut(super.append(name)) {
         @Override
         public void write(ByteBuffer bytes) throws IOException {
@@ -117,9 +117,9 @@
     }
 
     @Override
-    public void syncFolder() throws IOException {
+    public void syncDirectory() throws IOException {
       step();
-      super.syncFolder();
+      super.syncDirectory();
     }
   }
 }
--- a/scenario/src/test/java/lemondock/scenario/OnceTest.java
+++ b/scenario/src/test/java/lemondock/scenario/OnceTest.java
@@ -171,7 +171,7 @@
     }
 
     @Override
-    public Out append(String name) throws IOException {
+    public AppendFile append(String name) throws IOException {
       return new ForwardingOut(super.append(name)) {
         @Override
         public void sync() throws IOException {
