--- a/dispatch/src/main/java/lemondock/dispatch/StreamIdleTimeout.java
+++ b/dispatch/src/main/java/lemondock/dispatch/StreamIdleTimeout.java
@@ -55,8 +55,8 @@
   }
 
   private void check() {
-    stallMonitor.notice(loop.now());
-    long graceMicros = stallMonitor.putOff(loop.now());
+    stallMonitor.detectStall(loop.now());
+    long graceMicros = stallMonitor.remainingGraceMicros(loop.now());
     if (graceMicros > 0) {
       lastDataAtMicros = Math.max(lastDataAtMicros, loop.now() - timeoutMicros + graceMicros);
     }
