--- a/gateway/src/main/java/lemondock/gateway/Gateway.java
+++ b/gateway/src/main/java/lemondock/gateway/Gateway.java
@@ -14,9 +14,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
+import lemondock.dispatch.DispatchCounts;
+import lemondock.dispatch.DispatcherEnvironment;
+import lemondock.dispatch.DispatcherOptions;
 import lemondock.dispatch.Endpoint;
 import lemondock.dispatch.EndpointRegistry;
+import lemondock.dispatch.EndpointUpdate;
 import lemondock.dispatch.RequestDispatcher;
+import lemondock.dispatch.RouterFactory;
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.core.CallService;
 import lemondock.gateway.core.IdempotencyGuard;
@@ -96,11 +101,7 @@
    *
    * @param maker makes the module; {@link #MODULE} but for tests of the auditor
    */
-  public Gateway(
-      Host host,
-      GatewaySettings settings,
-      PromptReader prompts,
-      RequestDispatcher.ModuleMaker maker) {
+  public Gateway(Host host, GatewaySettings settings, PromptReader prompts, RouterFactory maker) {
     this.loop = host.loop();
     this.network = host.network();
     this.disk = host.disk();
@@ -139,16 +140,14 @@
     this.pressure = new ResourcePressure(settings.overload().toPressure());
     this.ledger =
         new RequestDispatcher<>(
-            loop,
-            new EngineClient(loop, engineClient, engines, agent, lateness),
-            members,
-            settings.toModule(),
-            seed,
-            settings.name() + "-" + life,
-            maker,
-            list::watch,
-            tally,
-            lateness);
+            new DispatcherEnvironment<>(
+                loop,
+                new EngineClient(loop, engineClient, engines, agent, lateness),
+                members,
+                lateness,
+                tally),
+            new DispatcherOptions(
+                settings.name() + "-" + life, maker, settings.toModule(), seed, list::watch));
     this.calls = new CallService(loop, ledger, settings, tally, lateness);
     this.front =
         new McpFront(
@@ -177,7 +176,7 @@
   }
 
   /** The module of the project. */
-  public static final RequestDispatcher.ModuleMaker MODULE = Control::new;
+  public static final RouterFactory MODULE = Control::new;
 
   private static String sessionId(SecureRandom random) {
     byte[] bytes = new byte[24];
@@ -215,7 +214,7 @@
     loop.execute(
         () -> {
           startedAt = loop.now();
-          watchLag(lateness.ticked(loop.now()));
+          watchLag(lateness.onTick(loop.now()));
           watchWait();
           watchQueue(new WorkersProbe(loop, workers), 1);
           for (int i = 0; i < Math.min(probes.size(), settings.ioThreads()); i++) {
@@ -236,8 +235,8 @@
                 @Override
                 public void failed(String what) {
                   LOG.atWarn().addKeyValue("why", what).log("the list of servers cannot be had");
-                  members.forgetChanges();
-                  ledger.servers(EndpointListKind.FAILED, List.of());
+                  members.requireFullUpdate();
+                  ledger.updateEndpoints(EndpointListKind.FAILED, List.of());
                 }
               });
         });
@@ -253,7 +252,7 @@
         due - loop.now(),
         () -> {
           tally.lag(loop.now() - due);
-          watchLag(lateness.ticked(loop.now()));
+          watchLag(lateness.onTick(loop.now()));
         });
   }
 
@@ -262,9 +261,11 @@
     long asked = machine.paused();
     long waiting =
         probe.ask(
-            wait -> admission.waited(loop.now(), queue, wait - pausedSince(pausedAt[queue], wait)));
+            wait ->
+                admission.recordDelay(
+                    loop.now(), queue, wait - pausedSince(pausedAt[queue], wait)));
     if (waiting > 0) {
-      admission.waiting(queue, waiting - pausedSince(pausedAt[queue], waiting));
+      admission.recordOngoingDelay(queue, waiting - pausedSince(pausedAt[queue], waiting));
     } else {
       pausedAt[queue] = asked;
     }
@@ -285,7 +286,7 @@
    * nothing waits.
    */
   private long waitLook() {
-    return admission.calm() ? CALM_LOOK : WAIT_LOOK;
+    return admission.isRelaxed() ? CALM_LOOK : WAIT_LOOK;
   }
 
   /**
@@ -298,7 +299,7 @@
     loop.execute(
         () -> {
           long wait = loop.now() - posted;
-          admission.waited(loop.now(), 0, wait - pausedSince(asked, wait));
+          admission.recordDelay(loop.now(), 0, wait - pausedSince(asked, wait));
           loop.schedule(Math.max(0, waitLook() - wait), this::watchWait);
         });
   }
@@ -307,14 +308,14 @@
   private void look() {
     tally.inHand(
         calls.size(),
-        ledger.size(),
+        ledger.requestsInFlight(),
         front.sessions(),
         front.streams(),
         calls.toolsWaiting(),
         members.size(),
         (loop.now() - startedAt) / SECOND);
-    tally.limit(admission.share(), lateness.stalls(), lateness.stalled());
-    ledger.look();
+    tally.limit(admission.admittedShare(), lateness.stallCount(), lateness.totalStallMicros());
+    ledger.recordRouterState();
     onDisk(
         () -> { // counting handles reads a directory
           double memory = machine.memory();
@@ -336,16 +337,16 @@
   }
 
   private void press(double memory, double handles) {
-    final ResourcePressure.Resource before = pressure.shortest();
-    pressure.saw(loop.now(), memory, handles);
-    admission.pressed(loop.now(), pressure.scale());
-    if (pressure.refreshes(loop.now(), REFRESH_EVERY)) {
+    final ResourcePressure.Resource before = pressure.scarcest();
+    pressure.update(loop.now(), memory, handles);
+    admission.limitByResources(loop.now(), pressure.admittedShare());
+    if (pressure.takeMemoryRefresh(loop.now(), REFRESH_EVERY)) {
       onDisk(machine::refreshMemory);
     }
-    if (pressure.shortest() != before) {
+    if (pressure.scarcest() != before) {
       LOG.atWarn()
           .addKeyValue("gateway", settings.name())
-          .addKeyValue("short", pressure.shortest())
+          .addKeyValue("short", pressure.scarcest())
           .addKeyValue("memory", memory)
           .addKeyValue("handles", handles)
           .log("what is short has changed");
@@ -363,7 +364,7 @@
   }
 
   /** What the ledger has counted; loop thread only. */
-  public RequestDispatcher.Counts counts() {
+  public DispatchCounts counts() {
     return ledger.counts();
   }
 
@@ -374,7 +375,7 @@
 
   /** Requests that the ledger still keeps; loop thread only. */
   public int legsUnderWay() {
-    return ledger.size();
+    return ledger.requestsInFlight();
   }
 
   /** Servers listed; loop thread only. */
@@ -388,7 +389,7 @@
   }
 
   private void hear(List<Endpoint> entries, boolean cached) {
-    EndpointRegistry.News news = members.update(entries, cached, loop.now(), loop.wallMillis());
+    EndpointUpdate news = members.update(entries, cached, loop.now(), loop.wallMillis());
     news.skipped()
         .forEach(
             s ->
@@ -401,7 +402,7 @@
           .addKeyValue("listed", members.size())
           .addKeyValue("kind", news.kind())
           .log("list of servers");
-      ledger.servers(news.kind(), news.servers());
+      ledger.updateEndpoints(news.kind(), news.servers());
     }
   }
 
@@ -434,8 +435,8 @@
   private String notReady() {
     boolean reads = false;
     boolean writes = false;
-    for (Endpoint entry : members.entries()) {
-      if (entry.standing() == ServerLifecycle.READY) {
+    for (Endpoint entry : members.endpoints()) {
+      if (entry.lifecycle() == ServerLifecycle.READY) {
         String role =
             settings.kinds().stream()
                 .filter(k -> k.name().equals(entry.kind()))
@@ -471,7 +472,7 @@
         () -> {
           tally.inHand(
               calls.size(),
-              ledger.size(),
+              ledger.requestsInFlight(),
               front.sessions(),
               front.streams(),
               calls.toolsWaiting(),
@@ -498,7 +499,7 @@
   private void writeCache() {
     String cache = settings.discovery().cache();
     if (cache != null) {
-      byte[] text = Listing.toFile(members.entries());
+      byte[] text = Listing.toFile(members.endpoints());
       onDisk(
           () -> {
             try {
--- a/gateway/src/main/java/lemondock/gateway/core/CallService.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CallService.java
@@ -8,12 +8,13 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
+import lemondock.dispatch.DirectOutput;
 import lemondock.dispatch.DispatchedRequest;
-import lemondock.dispatch.EndpointRegistry;
-import lemondock.dispatch.EnginePort;
 import lemondock.dispatch.RequestDispatcher;
 import lemondock.dispatch.RequestListener;
+import lemondock.dispatch.StableHash;
 import lemondock.gateway.answer.Answer;
 import lemondock.gateway.answer.Prompt;
 import lemondock.gateway.answer.ToolCall;
@@ -22,7 +23,8 @@
 import lemondock.gateway.count.GatewayTally;
 import lemondock.gateway.engine.Chunk;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.idempotency.IdempotencyStore;
+import lemondock.idempotency.CallStatus;
+import lemondock.idempotency.RelayedToolCall;
 import lemondock.net.Loop;
 import lemondock.overload.GradientLimit;
 import lemondock.overload.StallMonitor;
@@ -148,18 +150,17 @@
   }
 
   /**
-   * What became of an earlier call under the client's key; null where nothing keeps the call from
-   * running.
+   * What became of an earlier call under the client's key, if that keeps this call from running.
    */
-  public IdempotencyStore.Fate known(Prompt prompt, String key) {
-    IdempotencyStore.Fate fate =
-        guarded(prompt, key) ? guard.fate(key) : IdempotencyStore.Fate.UNKNOWN;
-    return fate.mayRun() ? null : fate;
+  public Optional<CallStatus> blockingStatus(Prompt prompt, String key) {
+    return guarded(prompt, key)
+        ? Optional.of(guard.status(key)).filter(status -> !status.mayRun())
+        : Optional.empty();
   }
 
   /** Tool calls that were relayed for an earlier call under that key. */
-  public List<IdempotencyStore.Relayed> relayed(String key) {
-    return guard.relayed(key);
+  public List<RelayedToolCall> relayedToolCalls(String key) {
+    return guard.relayedToolCalls(key);
   }
 
   private boolean guarded(Prompt prompt, String key) {
@@ -171,7 +172,7 @@
   /**
    * Takes a call. {@code session} is the key of its conversation; {@code tenant} is for the counts,
    * null if unnamed. {@code key} is the client's own for this call and its repeats, null if it gave
-   * none; {@link #known} was asked.
+   * none; {@link #blockingStatus} was asked.
    */
   public Call start(
       Prompt prompt, long session, String tenant, boolean clientRepeat, String key, Sink sink) {
@@ -182,7 +183,7 @@
     if (call.key == null) {
       call.begin();
     } else {
-      guard.taken(
+      guard.callStarted(
           call.key,
           durable -> {
             if (call.answer.state() == Answer.State.ENDED) {
@@ -276,7 +277,7 @@
         toolsWaiting--;
         count.answered();
         if (key != null) {
-          guard.answered(key, remembered(callId));
+          guard.toolCallAnswered(key, remembered(callId));
         }
       }
       synchronized (sink.lock()) {
@@ -294,19 +295,19 @@
 
     @Override
     public void leave() {
-      ledger.leave(leg);
+      ledger.cancelRequest(leg);
     }
 
     /** Takes no more of the answer until {@link #resume}. */
     public void pause() {
       paused = true;
-      ledger.pause(leg);
+      ledger.pauseOutput(leg);
     }
 
     /** Takes the answer again. */
     public void resume() {
       paused = false;
-      ledger.resume(leg);
+      ledger.resumeOutput(leg);
     }
 
     private void cut(String why) {
@@ -341,9 +342,9 @@
               sink.shard(),
               body);
       legs++;
-      leg = ledger.open(spec, new Listener());
+      leg = ledger.submit(spec, new Listener());
       if (paused) {
-        ledger.pause(leg);
+        ledger.pauseOutput(leg);
       }
     }
 
@@ -396,7 +397,7 @@
       count.delivered(loop.now());
       if (gradient != null && !begun) {
         begun = true;
-        gradient.sample(loop.now() - takenAt, open.size());
+        gradient.recordFirstToken(loop.now() - takenAt, open.size());
       }
       sink.deliver(piece, tokens);
     }
@@ -417,7 +418,7 @@
         sink.relay(call);
         return;
       }
-      guard.relayed(
+      guard.toolCallRelayed(
           key,
           remembered(call.id()),
           call.name(),
@@ -456,8 +457,8 @@
           loop.schedule(
               after,
               () -> {
-                lateness.notice(loop.now());
-                long putOff = lateness.putOff(loop.now());
+                lateness.detectStall(loop.now());
+                long putOff = lateness.remainingGraceMicros(loop.now());
                 if (putOff > 0) { // the result may wait at the socket
                   limit(call, putOff);
                   return;
@@ -488,13 +489,13 @@
       open.remove(this);
       waits(false);
       if (key != null) {
-        guard.ended(
+        guard.callEnded(
             key,
             ending.end() == Answer.End.SERVED
-                ? IdempotencyStore.Fate.SERVED
+                ? CallStatus.COMPLETED
                 : ending.end() == Answer.End.REFUSED || !begunLegs
-                    ? IdempotencyStore.Fate.NEVER_RAN
-                    : IdempotencyStore.Fate.MAY_HAVE_RUN);
+                    ? CallStatus.NEVER_RAN
+                    : CallStatus.MAY_HAVE_RUN);
       }
       if (!quiet) {
         sink.ended(ending);
@@ -502,7 +503,7 @@
     }
 
     /** Hands a leg's events to the answer. */
-    private final class Listener implements RequestListener<Chunk>, EnginePort.Lane {
+    private final class Listener implements RequestListener<Chunk>, DirectOutput {
       @Override
       public void chunk(Chunk chunk) {
         synchronized (sink.lock()) {
@@ -511,8 +512,8 @@
       }
 
       @Override
-      public EnginePort.Lane lane() {
-        return this;
+      public Optional<DirectOutput> directOutput() {
+        return Optional.of(this);
       }
 
       /**
@@ -520,7 +521,7 @@
        * of it.
        */
       @Override
-      public boolean take(CharSequence text, int answerTokens) {
+      public boolean offer(CharSequence text, int answerTokens) {
         if (text.length() > MOST_DIRECT) {
           return false;
         }
@@ -530,21 +531,21 @@
       }
 
       @Override
-      public void served() {
+      public void completed() {
         synchronized (sink.lock()) {
           answer.served();
         }
       }
 
       @Override
-      public void broke(String what) {
+      public void interrupted(String cause) {
         synchronized (sink.lock()) {
-          answer.broke(what);
+          answer.broke(cause);
         }
       }
 
       @Override
-      public void refused(long retryAfterMicros) {
+      public void rejected(long retryAfterMicros) {
         synchronized (sink.lock()) {
           answer.refused(retryAfterMicros);
         }
@@ -586,7 +587,7 @@
    * named.
    */
   public static long sessionKey(String conversation, String fallback) {
-    return EndpointRegistry.hash(
+    return StableHash.of(
         conversation != null ? "conversation " + conversation : "call " + fallback);
   }
 }
