--- a/policy/src/main/java/lemondock/policy/AttemptTimeouts.java
+++ b/policy/src/main/java/lemondock/policy/AttemptTimeouts.java
@@ -7,13 +7,13 @@
  * jammed: the prompt is read twice.
  */
 final class AttemptTimeouts {
-  /** An attempt is overdue past this share of what is left of the latency objective */
+  /** Share of what is left of the latency objective, after which an attempt may be overdue. */
   private static final double OBJECTIVE_SHARE = 0.9;
 
-  /** and past this many times what it should take, */
+  /** Times what an attempt should take, after which it may be overdue; both bounds must pass. */
   private static final double EXPECTED_FACTOR = 2.0;
 
-  /** with this many times what work of its role waits now. */
+  /** Times what work of the role waits now, added to the latter bound. */
   private static final double ROLE_WAIT_FACTOR = 5.0;
 
   /** Share of the timeout after which the answer of a read is suspected to be lost. */
--- a/policy/src/main/java/lemondock/policy/Control.java
+++ b/policy/src/main/java/lemondock/policy/Control.java
@@ -196,6 +196,7 @@
       case DEADLINE ->
           unansweredRequest(token)
               .ifPresent(request -> completion.complete(request, DecisionReason.DEADLINE_EXCEEDED));
+      default -> throw new IllegalStateException("no handler for the timer " + token);
     }
   }
 
--- a/policy/src/main/java/lemondock/policy/ReaderSelector.java
+++ b/policy/src/main/java/lemondock/policy/ReaderSelector.java
@@ -20,10 +20,10 @@
   /** A prefix has one primary, and one more for each so many readers. */
   private static final int READERS_PER_PRIMARY = 8;
 
-  /** A primary is taken while its read takes no more than this share of the latency objective, */
+  /** Share of the latency objective that a primary's read may take in any case. */
   private static final double PRIMARY_OBJECTIVE_SHARE = 0.2;
 
-  /** or than this many times the best reader's. */
+  /** Times the best reader's expected read that a primary's may take. */
   private static final double PRIMARY_BEST_FACTOR = 3.0;
 
   private final ServerEligibility eligibility;
