--- a/policy/src/test/java/lemondock/policy/ReadmeExampleTest.java
+++ b/policy/src/test/java/lemondock/policy/ReadmeExampleTest.java
@@ -10,21 +10,26 @@
 class ReadmeExampleTest {
   @Test
   void theExampleOfTheReadmeServesARequest() {
-    Recorder host = new Recorder();
-    RequestRouter router = new Control(Recorder.settings(4, true), 1, host);
+    RecordingHost host = new RecordingHost();
+    RequestRouter router = new Control(RecordingHost.settings(4, true), 1, host);
     long now = 1_000_000;
     router.started(now);
     router.endpointsChanged(
         now,
         EndpointListKind.FULL_LIST,
-        List.of(Recorder.ready(1, Recorder.READER, 0), Recorder.ready(2, Recorder.WRITER, 0)));
-    router.requestArrived(now, Recorder.request(7, Recorder.SAFE, 5, 0, 900));
+        List.of(
+            RecordingHost.readyServer(1, RecordingHost.READER, 0),
+            RecordingHost.readyServer(2, RecordingHost.WRITER, 0)));
+    router.requestArrived(
+        now, RecordingHost.newRequest(7, RecordingHost.IDEMPOTENT_CLASS, 5, 0, 900));
     router.attemptEnded(
         now + 1000, new AttemptResult(7, 0, 1, AttemptOutcome.PROMPT_READ, 1000, false, 0, false));
     router.firstToken(now + 2000, 7, 1, 2, 1000);
     router.attemptEnded(
         now + 3000, new AttemptResult(7, 1, 2, AttemptOutcome.OK, 2000, true, 0, false));
-    assertEquals(List.of(1L, 2L), host.of("send").stream().map(Recorder.Action::server).toList());
-    assertTrue(host.of("fail").isEmpty() && host.of("refuse").isEmpty());
+    assertEquals(
+        List.of(1L, 2L),
+        host.actionsNamed("send").stream().map(RecordingHost.Action::server).toList());
+    assertTrue(host.actionsNamed("fail").isEmpty() && host.actionsNamed("reject").isEmpty());
   }
 }
--- a/policy/src/test/java/lemondock/policy/Recorder.java
+++ b/policy/src/test/java/lemondock/policy/RecordingHost.java
@@ -7,7 +7,7 @@
  * A host that writes down every action, and makers of small settings, servers and requests for
  * tests.
  */
-final class Recorder implements RouterHost {
+final class RecordingHost implements RouterHost {
   /** One action; what it does not have is zero. */
   record Action(String name, long id, long server, long value) {}
 
@@ -15,21 +15,21 @@
   static final int READER = 0;
   static final int WRITER = 1;
   static final int MIXED = 2;
-  static final int SAFE = 0;
-  static final int ONCE = 1;
-  static final int KEYED = 2;
+  static final int IDEMPOTENT_CLASS = 0;
+  static final int NON_IDEMPOTENT_CLASS = 1;
+  static final int IDEMPOTENCY_KEY_CLASS = 2;
 
   final List<Action> actions = new ArrayList<>();
 
   /** The actions since the last call. */
-  List<Action> take() {
+  List<Action> takeActions() {
     List<Action> taken = actions.stream().filter(a -> !a.name().equals("log")).toList();
     actions.clear();
     return taken;
   }
 
   /** The actions of one name since the last call of take. */
-  List<Action> of(String name) {
+  List<Action> actionsNamed(String name) {
     return actions.stream().filter(a -> a.name().equals(name)).toList();
   }
 
@@ -40,7 +40,7 @@
 
   @Override
   public void reject(long requestId, long retryAfter) {
-    actions.add(new Action("refuse", requestId, 0, retryAfter));
+    actions.add(new Action("reject", requestId, 0, retryAfter));
   }
 
   @Override
@@ -126,23 +126,25 @@
         false);
   }
 
-  static ServerEntry server(long id, int kind, int cell, ServerLifecycle standing, long startedAt) {
-    return new ServerEntry(id, cell / 2, kind, cell, standing, 1, startedAt);
+  static ServerEntry newServer(
+      long id, int kind, int cell, ServerLifecycle lifecycle, long startedAtMicros) {
+    return new ServerEntry(id, cell / 2, kind, cell, lifecycle, 1, startedAtMicros);
   }
 
-  static ServerEntry ready(long id, int kind, int cell) {
-    return server(id, kind, cell, ServerLifecycle.READY, 0);
+  static ServerEntry readyServer(long id, int kind, int cell) {
+    return newServer(id, kind, cell, ServerLifecycle.READY, 0);
   }
 
-  static RoutingRequest request(long id, int cls, long session, long prefix, int prompt) {
+  static RoutingRequest newRequest(
+      long id, int classId, long session, long prefix, int promptTokens) {
     return new RoutingRequest(
         id,
-        cls,
+        classId,
         0,
         session,
         prefix,
-        prompt,
-        prefix == 0 ? 0 : prompt * 3 / 4,
+        promptTokens,
+        prefix == 0 ? 0 : promptTokens * 3 / 4,
         200,
         4 * SECOND,
         0,
--- a/policy/src/test/java/lemondock/policy/RulesTest.java
+++ b/policy/src/test/java/lemondock/policy/RulesTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
-import lemondock.policy.Recorder.Action;
+import lemondock.policy.RecordingHost.Action;
 import org.junit.jupiter.api.Test;
 
 /** Random but legal events, rare orders among them, against the five rules. */
@@ -22,7 +22,7 @@
   private static final int MANY_GATEWAYS = 200;
 
   /** One attempt as the world sees it. */
-  private static final class Try {
+  private static final class AttemptRecord {
     long server;
     boolean writes;
     boolean started;
@@ -30,54 +30,55 @@
   }
 
   /** One request as the world sees it. */
-  private static final class Asked {
+  private static final class RequestRecord {
     RoutingRequest request;
     long deadline;
-    boolean over;
+    boolean ended;
     boolean stateHeld;
-    final List<Try> tries = new ArrayList<>();
+    final List<AttemptRecord> attempts = new ArrayList<>();
 
-    boolean quiet() {
-      return tries.stream().allMatch(t -> t.ended != null);
+    boolean hasNoAttemptInFlight() {
+      return attempts.stream().allMatch(t -> t.ended != null);
     }
   }
 
-  private final class World {
-    final Random chance;
+  private final class Simulation {
+    final Random random;
     final RouterSettings settings;
-    final Recorder host = new Recorder();
+    final RecordingHost host = new RecordingHost();
     final Control control;
     final Map<Long, ServerEntry> servers = new HashMap<>();
-    final Map<Long, Asked> asked = new HashMap<>();
-    final PriorityQueue<long[]> timers = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
+    final Map<Long, RequestRecord> requests = new HashMap<>();
+    final PriorityQueue<long[]> timers =
+        new PriorityQueue<>((request, b) -> Long.compare(request[0], b[0]));
     final List<Action> trace = new ArrayList<>();
-    final Map<Long, List<Long>> coldSends = new HashMap<>();
-    long now = 50 * Recorder.SECOND;
+    final Map<Long, List<Long>> slowStartSends = new HashMap<>();
+    long now = 50 * RecordingHost.SECOND;
     final int fleet;
     long nextId = 1;
 
-    World(long seed) {
+    Simulation(long seed) {
       this(seed, 0, 2);
     }
 
     /**
      * A world with so many servers (0: four to nine) and so many gateways, of which this is one.
      */
-    World(long seed, int size, int gateways) {
-      chance = new Random(seed);
-      settings = Recorder.settings(2 + chance.nextInt(4), chance.nextBoolean(), gateways);
-      fleet = size > 0 ? size : 4 + chance.nextInt(6);
+    Simulation(long seed, int size, int gateways) {
+      random = new Random(seed);
+      settings = RecordingHost.settings(2 + random.nextInt(4), random.nextBoolean(), gateways);
+      fleet = size > 0 ? size : 4 + random.nextInt(6);
       control = new Control(settings, seed, host);
       control.started(now);
       List<ServerEntry> list = new ArrayList<>();
       for (int i = 0; i < fleet; i++) {
-        list.add(Recorder.ready(100 + i, i % 3, chance.nextInt(4)));
+        list.add(RecordingHost.readyServer(100 + i, i % 3, random.nextInt(4)));
       }
-      tell(EndpointListKind.CACHED, list);
+      changeEndpoints(EndpointListKind.CACHED, list);
     }
 
-    void tell(EndpointListKind kind, List<ServerEntry> list) {
-      list.forEach(s -> servers.put(s.id(), s));
+    void changeEndpoints(EndpointListKind kind, List<ServerEntry> list) {
+      list.forEach(server -> servers.put(server.id(), server));
       control.endpointsChanged(now, kind, list);
       check();
     }
@@ -87,110 +88,127 @@
         step();
       }
       List<ServerEntry> gone =
-          servers.values().stream().sorted((a, b) -> Long.compare(a.id(), b.id())).toList();
+          servers.values().stream()
+              .sorted((request, b) -> Long.compare(request.id(), b.id()))
+              .toList();
       now += 1000;
-      while (!asked.isEmpty() && asked.values().stream().anyMatch(a -> !a.over || !a.quiet())) {
+      while (!requests.isEmpty()
+          && requests.values().stream()
+              .anyMatch(request -> !request.ended || !request.hasNoAttemptInFlight())) {
         now += 5000;
-        ripe();
-        asked.values().stream()
-            .filter(a -> !a.quiet())
+        fireDueTimers();
+        requests.values().stream()
+            .filter(request -> !request.hasNoAttemptInFlight())
             .sorted(this::byId)
             .toList()
             .forEach(this::finishOne);
       }
       assertNotNull(gone);
-      asked.values().forEach(a -> assertTrue(a.over && !a.stateHeld, "left pinned or unanswered"));
+      requests
+          .values()
+          .forEach(
+              request ->
+                  assertTrue(request.ended && !request.stateHeld, "left pinned or unanswered"));
     }
 
-    int byId(Asked a, Asked b) {
-      return Long.compare(a.request.id(), b.request.id());
+    int byId(RequestRecord request, RequestRecord b) {
+      return Long.compare(request.request.id(), b.request.id());
     }
 
     void step() {
-      now += chance.nextInt(20_000);
-      ripe();
-      int what = chance.nextInt(100);
-      if (what < 40) {
-        ask();
-      } else if (what < 90) {
-        any().ifPresent(this::finishOne);
-      } else if (what < 93) {
-        any().ifPresent(this::leave);
+      now += random.nextInt(20_000);
+      fireDueTimers();
+      int event = random.nextInt(100);
+      if (event < 40) {
+        submitRequest();
+      } else if (event < 90) {
+        anyWithAttemptInFlight().ifPresent(this::finishOne);
+      } else if (event < 93) {
+        anyWithAttemptInFlight().ifPresent(this::leave);
       } else {
         change();
       }
     }
 
-    java.util.Optional<Asked> any() {
-      List<Asked> open =
-          asked.values().stream().filter(a -> !a.quiet()).sorted(this::byId).toList();
+    java.util.Optional<RequestRecord> anyWithAttemptInFlight() {
+      List<RequestRecord> open =
+          requests.values().stream()
+              .filter(request -> !request.hasNoAttemptInFlight())
+              .sorted(this::byId)
+              .toList();
       return open.isEmpty()
           ? java.util.Optional.empty()
-          : java.util.Optional.of(open.get(chance.nextInt(open.size())));
+          : java.util.Optional.of(open.get(random.nextInt(open.size())));
     }
 
-    void ask() {
-      Asked a = new Asked();
-      a.request =
-          Recorder.request(
+    void submitRequest() {
+      RequestRecord request = new RequestRecord();
+      request.request =
+          RecordingHost.newRequest(
               nextId++,
-              chance.nextInt(3),
-              1 + chance.nextInt(20),
-              chance.nextInt(5),
-              200 + chance.nextInt(4000));
-      a.deadline = now + a.request.clientTimeoutMicros();
-      asked.put(a.request.id(), a);
-      control.requestArrived(now, a.request);
+              random.nextInt(3),
+              1 + random.nextInt(20),
+              random.nextInt(5),
+              200 + random.nextInt(4000));
+      request.deadline = now + request.request.clientTimeoutMicros();
+      requests.put(request.request.id(), request);
+      control.requestArrived(now, request.request);
       check();
     }
 
-    void leave(Asked a) {
-      if (!a.over && a.tries.stream().noneMatch(t -> t.started)) {
-        a.over = true;
-        control.clientDisconnected(now, a.request.id());
+    void leave(RequestRecord request) {
+      if (!request.ended && request.attempts.stream().noneMatch(attempt -> attempt.started)) {
+        request.ended = true;
+        control.clientDisconnected(now, request.request.id());
         check();
       }
     }
 
-    void ripe() {
+    void fireDueTimers() {
       while (!timers.isEmpty() && timers.peek()[0] <= now) {
         control.timerFired(now, timers.poll()[1]);
         check();
       }
-      asked
+      requests
           .values()
           .forEach(
-              a ->
+              request ->
                   assertTrue(
-                      a.over
-                          || a.tries.stream().anyMatch(t -> t.started)
-                          || now <= a.deadline + settings.rules().answerSlackMicros() + 20_000,
+                      request.ended
+                          || request.attempts.stream().anyMatch(attempt -> attempt.started)
+                          || now
+                              <= request.deadline + settings.rules().answerSlackMicros() + 20_000,
                       "unanswered after its deadline"));
     }
 
-    void finishOne(Asked a) {
-      for (int i = 0; i < a.tries.size(); i++) {
-        Try t = a.tries.get(i);
-        if (t.ended == null) {
-          finish(a, i, t);
+    void finishOne(RequestRecord request) {
+      for (int i = 0; i < request.attempts.size(); i++) {
+        AttemptRecord attempt = request.attempts.get(i);
+        if (attempt.ended == null) {
+          finish(request, i, attempt);
           return;
         }
       }
     }
 
-    void finish(Asked a, int number, Try t) {
-      if (t.started) {
-        end(a, number, t, chance.nextInt(10) == 0 ? AttemptOutcome.RESET : AttemptOutcome.OK, true);
+    void finish(RequestRecord request, int number, AttemptRecord attempt) {
+      if (attempt.started) {
+        end(
+            request,
+            number,
+            attempt,
+            random.nextInt(10) == 0 ? AttemptOutcome.RESET : AttemptOutcome.OK,
+            true);
         return;
       }
-      int luck = chance.nextInt(20);
-      if (luck < 13 && !t.writes) {
-        a.stateHeld = true;
-        end(a, number, t, AttemptOutcome.PROMPT_READ, a.over);
-      } else if (luck < 13 && !a.over) {
-        t.started = true;
-        a.stateHeld = false;
-        control.firstToken(now, a.request.id(), number, t.server, 10_000);
+      int luck = random.nextInt(20);
+      if (luck < 13 && !attempt.writes) {
+        request.stateHeld = true;
+        end(request, number, attempt, AttemptOutcome.PROMPT_READ, request.ended);
+      } else if (luck < 13 && !request.ended) {
+        attempt.started = true;
+        request.stateHeld = false;
+        control.firstToken(now, request.request.id(), number, attempt.server, 10_000);
         check();
       } else {
         AttemptOutcome[] bad = {
@@ -201,28 +219,37 @@
           AttemptOutcome.RESET,
           AttemptOutcome.CANCELLED
         };
-        end(a, number, t, bad[chance.nextInt(bad.length)], a.over);
+        end(request, number, attempt, bad[random.nextInt(bad.length)], request.ended);
       }
     }
 
-    void end(Asked a, int number, Try t, AttemptOutcome ending, boolean last) {
-      t.ended = ending;
-      a.over |= last;
+    void end(
+        RequestRecord request,
+        int number,
+        AttemptRecord attempt,
+        AttemptOutcome outcome,
+        boolean last) {
+      attempt.ended = outcome;
+      request.ended |= last;
       control.attemptEnded(
-          now, new AttemptResult(a.request.id(), number, t.server, ending, 20_000, last, 0, false));
+          now,
+          new AttemptResult(
+              request.request.id(), number, attempt.server, outcome, 20_000, last, 0, false));
       check();
-      assertTrue(!a.stateHeld || !a.quiet(), "a state is held and no attempt is out");
+      assertTrue(
+          !request.stateHeld || !request.hasNoAttemptInFlight(),
+          "a state is held and no attempt is out");
     }
 
     void change() {
-      long id = 100 + chance.nextInt(Math.max(10, fleet));
+      long id = 100 + random.nextInt(Math.max(10, fleet));
       ServerEntry old = servers.get(id);
-      ServerLifecycle standing = ServerLifecycle.values()[chance.nextInt(3)];
-      boolean restart = old == null || chance.nextInt(3) == 0;
-      tell(
+      ServerLifecycle standing = ServerLifecycle.values()[random.nextInt(3)];
+      boolean restart = old == null || random.nextInt(3) == 0;
+      changeEndpoints(
           EndpointListKind.CHANGES,
           List.of(
-              Recorder.server(
+              RecordingHost.newServer(
                   id,
                   (int) ((id - 100) % 3),
                   old == null ? 1 : old.cell(),
@@ -231,69 +258,69 @@
     }
 
     void check() {
-      List<Action> done = host.take();
+      List<Action> done = host.takeActions();
       trace.addAll(done);
       for (Action action : done) {
         if (action.name().equals("timer")) {
           timers.add(new long[] {now + Math.max(1, action.value()), action.id()});
         } else if (action.name().equals("send")) {
-          sent(asked.get(action.id()), action);
+          sent(requests.get(action.id()), action);
         } else if (action.name().equals("release")) {
-          asked.get(action.id()).stateHeld = false;
-        } else if (action.name().equals("refuse") || action.name().equals("fail")) {
-          answered(asked.get(action.id()), action.name());
+          requests.get(action.id()).stateHeld = false;
+        } else if (action.name().equals("reject") || action.name().equals("fail")) {
+          answered(requests.get(action.id()), action.name());
         }
       }
     }
 
-    void sent(Asked a, Action action) {
-      assertTrue(!a.over, "sent after the final answer");
-      assertTrue(a.tries.size() < settings.limits().maxAttempts(), "too many attempts");
-      assertTrue(a.quiet(), "two attempts at once");
-      ServerEntry s = servers.get(action.server());
-      assertEquals(ServerLifecycle.READY, s.lifecycle(), "sent to a server that is not ready");
-      assertTrue(maySend(a, s), "a second effect");
-      Try t = new Try();
-      t.server = s.id();
-      t.writes = s.kind() != Recorder.READER;
-      a.tries.add(t);
-      cold(s);
+    void sent(RequestRecord request, Action action) {
+      assertTrue(!request.ended, "sent after the final answer");
+      assertTrue(request.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
+      assertTrue(request.hasNoAttemptInFlight(), "two attempts at once");
+      ServerEntry server = servers.get(action.server());
+      assertEquals(ServerLifecycle.READY, server.lifecycle(), "sent to a server that is not ready");
+      assertTrue(maySend(request, server), "a second effect");
+      AttemptRecord attempt = new AttemptRecord();
+      attempt.server = server.id();
+      attempt.writes = server.kind() != RecordingHost.READER;
+      request.attempts.add(attempt);
+      checkSlowStart(server);
     }
 
-    boolean mayHaveRun(Try t) {
-      return t.writes
-          && t.ended != AttemptOutcome.REJECTED
-          && t.ended != AttemptOutcome.CONNECT_FAILED
-          && t.ended != AttemptOutcome.PROMPT_READ;
+    boolean mayHaveRun(AttemptRecord attempt) {
+      return attempt.writes
+          && attempt.ended != AttemptOutcome.REJECTED
+          && attempt.ended != AttemptOutcome.CONNECT_FAILED
+          && attempt.ended != AttemptOutcome.PROMPT_READ;
     }
 
-    boolean maySend(Asked a, ServerEntry s) {
-      Idempotency repeat = settings.classes().get(a.request.classId()).idempotency();
+    boolean maySend(RequestRecord request, ServerEntry server) {
+      Idempotency repeat = settings.classes().get(request.request.classId()).idempotency();
       return repeat == Idempotency.IDEMPOTENT
-          || a.tries.stream()
+          || request.attempts.stream()
               .filter(this::mayHaveRun)
               .allMatch(
-                  t ->
+                  attempt ->
                       repeat == Idempotency.IDEMPOTENCY_KEY
-                          && servers.get(t.server).cell() == s.cell());
+                          && servers.get(attempt.server).cell() == server.cell());
     }
 
-    void answered(Asked a, String how) {
-      assertTrue(!a.over, "answered twice");
-      a.over = true;
-      Idempotency repeat = settings.classes().get(a.request.classId()).idempotency();
+    void answered(RequestRecord request, String answer) {
+      assertTrue(!request.ended, "answered twice");
+      request.ended = true;
+      Idempotency repeat = settings.classes().get(request.request.classId()).idempotency();
       assertTrue(
-          how.equals("fail")
+          answer.equals("fail")
               || repeat == Idempotency.IDEMPOTENT
-              || a.tries.stream().noneMatch(this::mayHaveRun),
+              || request.attempts.stream().noneMatch(this::mayHaveRun),
           "refused though it may have run");
     }
 
     /** At 50 requests a second over all, a cold server never gets an even share of them all. */
-    void cold(ServerEntry s) {
-      if (s.startedAtMicros() > 0
-          && now - s.startedAtMicros() < settings.rules().slowStartMicros()) {
-        List<Long> sends = coldSends.computeIfAbsent(s.id(), x -> new ArrayList<>());
+    void checkSlowStart(ServerEntry server) {
+      if (server.startedAtMicros() > 0
+          && now - server.startedAtMicros() < settings.rules().slowStartMicros()) {
+        List<Long> sends = slowStartSends.computeIfAbsent(server.id(), x -> new ArrayList<>());
         sends.add(now);
         long window = settings.rules().overloadWindowMicros();
         sends.removeIf(at -> now - at > window);
@@ -306,9 +333,9 @@
   void theRulesHoldWhateverHappens() {
     int answered = 0;
     for (int seed = 0; seed < RUNS; seed++) {
-      World world = new World(seed);
-      world.run();
-      answered += world.asked.size();
+      Simulation simulation = new Simulation(seed);
+      simulation.run();
+      answered += simulation.requests.size();
     }
     assertTrue(answered > RUNS * 300, "the test asks enough");
   }
@@ -320,16 +347,16 @@
   @Test
   void theRulesHoldInALargeFleetWithManyGateways() {
     for (int seed = 0; seed < LARGE_RUNS; seed++) {
-      World world = new World(1000 + seed, LARGE_FLEET, MANY_GATEWAYS);
-      world.run();
-      assertTrue(world.asked.size() > 300, "the test asks enough");
+      Simulation simulation = new Simulation(1000 + seed, LARGE_FLEET, MANY_GATEWAYS);
+      simulation.run();
+      assertTrue(simulation.requests.size() > 300, "the test asks enough");
     }
   }
 
   @Test
   void equalEventsGiveEqualActions() {
-    World one = new World(42);
-    World two = new World(42);
+    Simulation one = new Simulation(42);
+    Simulation two = new Simulation(42);
     one.run();
     two.run();
     assertEquals(one.trace, two.trace);
--- a/policy/src/test/java/lemondock/policy/SlowStartTest.java
+++ b/policy/src/test/java/lemondock/policy/SlowStartTest.java
@@ -1,6 +1,6 @@
 package lemondock.policy;
 
-import static lemondock.policy.Recorder.SECOND;
+import static lemondock.policy.RecordingHost.SECOND;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayDeque;
@@ -40,7 +40,7 @@
 
   /**
    * A fleet; {@code told} is what the modules are told of cold servers, the readers keep to the
-   * settings of {@link Recorder}.
+   * settings of {@link RecordingHost}.
    */
   private static final class Fleet {
     private final PriorityQueue<Event> events =
@@ -53,7 +53,7 @@
     private final List<Gateway> gateways = new ArrayList<>();
     private final Map<Long, Long> freeAt = new HashMap<>();
     private final Map<Long, ArrayDeque<Sent>> window = new HashMap<>();
-    private final ServiceRules rules = Recorder.settings(4, true).rules();
+    private final ServiceRules rules = RecordingHost.settings(4, true).rules();
     private final double load;
     private final int sessions;
     private long now;
@@ -79,10 +79,10 @@
     void run() {
       List<ServerEntry> servers = new ArrayList<>();
       for (int i = 1; i <= READERS; i++) {
-        servers.add(Recorder.ready(i, Recorder.READER, 0));
+        servers.add(RecordingHost.readyServer(i, RecordingHost.READER, 0));
       }
-      servers.add(Recorder.ready(WRITER, Recorder.WRITER, 0));
-      servers.add(Recorder.ready(WRITER + 1, Recorder.WRITER, 0));
+      servers.add(RecordingHost.readyServer(WRITER, RecordingHost.WRITER, 0));
+      servers.add(RecordingHost.readyServer(WRITER + 1, RecordingHost.WRITER, 0));
       gateways.forEach(
           g -> {
             g.module.started(now);
@@ -94,9 +94,11 @@
           () -> {
             List<ServerEntry> changes = new ArrayList<>();
             for (int i = 1; i <= REPLACED; i++) {
-              changes.add(Recorder.server(i, Recorder.READER, 0, ServerLifecycle.GONE, 0));
               changes.add(
-                  Recorder.server(1_000 + i, Recorder.READER, 0, ServerLifecycle.READY, now));
+                  RecordingHost.newServer(i, RecordingHost.READER, 0, ServerLifecycle.GONE, 0));
+              changes.add(
+                  RecordingHost.newServer(
+                      1_000 + i, RecordingHost.READER, 0, ServerLifecycle.READY, now));
             }
             gateways.forEach(
                 g ->
@@ -156,7 +158,7 @@
       private final Map<Long, int[]> open = new HashMap<>(); // attempts and prompt
 
       Gateway(ServiceRules told, int count, long seed, double times) {
-        RouterSettings s = Recorder.settings(4, true, count);
+        RouterSettings s = RecordingHost.settings(4, true, count);
         module =
             new Control(
                 new RouterSettings(
@@ -186,7 +188,8 @@
               open.put(id, new int[] {0, prompt});
               module.requestArrived(
                   now,
-                  Recorder.request(id, Recorder.SAFE, 1 + random.nextInt(sessions), 0, prompt));
+                  RecordingHost.newRequest(
+                      id, RecordingHost.IDEMPOTENT_CLASS, 1 + random.nextInt(sessions), 0, prompt));
               arrive();
             });
       }
@@ -250,7 +253,7 @@
   }
 
   private static ServiceRules rules(double coldShare, double factor) {
-    ServiceRules r = Recorder.settings(4, true).rules();
+    ServiceRules r = RecordingHost.settings(4, true).rules();
     return new ServiceRules(
         r.answerSlackMicros(),
         r.drainGraceMicros(),
@@ -263,7 +266,7 @@
 
   @Test
   void allGatewaysTogetherKeepToTheBudgetOfAColdServer() {
-    ServiceRules r = Recorder.settings(4, true).rules();
+    ServiceRules r = RecordingHost.settings(4, true).rules();
     for (int gateways : new int[] {3, 30, 100}) {
       for (int seed = 1; seed <= 4; seed++) {
         for (int sessions : new int[] {MANY, ONE}) {
