--- a/simulator/src/main/java/lemondock/simulator/MalformedInputException.java
+++ b/simulator/src/main/java/lemondock/simulator/MalformedInputException.java
@@ -1,10 +1,10 @@
 package lemondock.simulator;
 
 /** Input that does not follow the wire; the message says what and where. */
-final class Malformed extends IllegalArgumentException {
+final class MalformedInputException extends IllegalArgumentException {
   private static final long serialVersionUID = 1L;
 
-  Malformed(String message) {
+  MalformedInputException(String message) {
     super(message);
   }
 }
--- a/simulator/src/main/java/lemondock/simulator/Reply.java
+++ b/simulator/src/main/java/lemondock/simulator/Reply.java
@@ -27,15 +27,15 @@
   private final ByteArrayOutputStream records = new ByteArrayOutputStream();
   private final ByteArrayOutputStream tail = new ByteArrayOutputStream();
   private int count;
-  private long behalf = -1;
+  private long currentInstance = -1;
 
   /** The actions of one instance, written into this reply. */
   RouterHost hostFor(long instance) {
     return new InstanceHost(instance);
   }
 
-  void broken(long instance, String text) {
-    words(instance, BROKEN, text);
+  void reportFailure(long instance, String text) {
+    addText(instance, BROKEN, text);
   }
 
   byte[] frame() {
@@ -47,14 +47,14 @@
     records.reset();
     tail.reset();
     count = 0;
-    behalf = -1;
+    currentInstance = -1;
     return bytes;
   }
 
   private ByteBuffer action(long instance, int code) {
-    if (behalf != instance) {
-      behalf = instance;
-      add(record(ON_BEHALF).putInt((int) instance));
+    if (currentInstance != instance) {
+      currentInstance = instance;
+      addRecord(record(ON_BEHALF).putInt((int) instance));
     }
     return record(code);
   }
@@ -63,14 +63,14 @@
     return ByteBuffer.allocate(ACTION_BYTES).order(ByteOrder.LITTLE_ENDIAN).put((byte) code);
   }
 
-  private void add(ByteBuffer record) {
+  private void addRecord(ByteBuffer record) {
     records.writeBytes(record.array());
     count++;
   }
 
-  private void words(long instance, int code, String text) {
+  private void addText(long instance, int code, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    add(action(instance, code).putInt(tail.size()).putInt(bytes.length));
+    addRecord(action(instance, code).putInt(tail.size()).putInt(bytes.length));
     tail.writeBytes(bytes);
   }
 
@@ -87,7 +87,7 @@
 
     @Override
     public void send(long requestId, long serverId, long timeout) {
-      add(
+      addRecord(
           action(instance, FORWARD)
               .putLong(requestId)
               .putInt((int) serverId)
@@ -96,37 +96,37 @@
 
     @Override
     public void reject(long requestId, long retryAfter) {
-      add(action(instance, NOT_NOW).putLong(requestId).putDouble(millis(retryAfter)));
+      addRecord(action(instance, NOT_NOW).putLong(requestId).putDouble(millis(retryAfter)));
     }
 
     @Override
     public void fail(long requestId) {
-      add(action(instance, FAIL).putLong(requestId));
+      addRecord(action(instance, FAIL).putLong(requestId));
     }
 
     @Override
     public void cancel(long requestId, int attempt) {
-      add(action(instance, CALL_OFF).putLong(requestId).putShort((short) attempt));
+      addRecord(action(instance, CALL_OFF).putLong(requestId).putShort((short) attempt));
     }
 
     @Override
     public void releaseState(long requestId) {
-      add(action(instance, DROP_STATE).putLong(requestId));
+      addRecord(action(instance, DROP_STATE).putLong(requestId));
     }
 
     @Override
     public void setTimer(long token, long delay) {
-      add(action(instance, SET_ALARM).putLong(token).putDouble(millis(delay)));
+      addRecord(action(instance, SET_ALARM).putLong(token).putDouble(millis(delay)));
     }
 
     @Override
     public void watchEndpoints() {
-      add(action(instance, KEEP_INFORMED).put((byte) 1));
+      addRecord(action(instance, KEEP_INFORMED).put((byte) 1));
     }
 
     @Override
     public void log(String line) {
-      words(instance, WRITE_LOG, line);
+      addText(instance, WRITE_LOG, line);
     }
   }
 }
--- a/simulator/src/main/java/lemondock/simulator/SettingsText.java
+++ b/simulator/src/main/java/lemondock/simulator/SettingsText.java
@@ -33,7 +33,7 @@
       }
       int equals = line.indexOf('=');
       if (equals < 1) {
-        throw new Malformed("setting without a name or value: " + line.strip());
+        throw new MalformedInputException("setting without a name or value: " + line.strip());
       }
       values.put(line.substring(0, equals).strip(), line.substring(equals + 1).strip());
     }
@@ -58,10 +58,10 @@
       if (Double.isFinite(number)) {
         return number;
       }
-    } catch (NumberFormatException e) {
+    } catch (NumberFormatException exception) {
       // reported below, together with what is not finite
     }
-    throw new Malformed("setting " + name + ": not a number: " + value);
+    throw new MalformedInputException("setting " + name + ": not a number: " + value);
   }
 
   private RouterSettings settings() {
@@ -80,22 +80,23 @@
   }
 
   private List<RequestClass> classes() {
-    List<String> stretch = list("specifics.aim-us-per-1000-prompt-tokens");
-    List<String> pace = list("specifics.token-aim-ms");
+    List<String> objectiveStretch = listOf("specifics.aim-us-per-1000-prompt-tokens");
+    List<String> tokenIntervals = listOf("specifics.token-aim-ms");
     List<RequestClass> classes = new ArrayList<>();
     for (int i = 0; i < count("classes.count"); i++) {
-      String at = "classes." + i + ".";
+      String prefix = "classes." + i + ".";
       classes.add(
           new RequestClass(
-              micros(at + "goal-time-ms"),
-              Math.round(item(stretch, i, "specifics.aim-us-per-1000-prompt-tokens")),
-              micros(at + "deadline-ms"),
-              number(at + "credit"),
-              number(at + "late-worth"),
-              repeat(at + "repeat"),
-              group(at + "group"),
-              micros(at + "repeat-window-ms"),
-              Math.round(item(pace, i, "specifics.token-aim-ms") * WireHost.MICROS_PER_MILLI)));
+              micros(prefix + "goal-time-ms"),
+              Math.round(item(objectiveStretch, i, "specifics.aim-us-per-1000-prompt-tokens")),
+              micros(prefix + "deadline-ms"),
+              number(prefix + "credit"),
+              number(prefix + "late-worth"),
+              idempotency(prefix + "repeat"),
+              deduplicationScope(prefix + "group"),
+              micros(prefix + "repeat-window-ms"),
+              Math.round(
+                  item(tokenIntervals, i, "specifics.token-aim-ms") * WireHost.MICROS_PER_MILLI)));
     }
     return List.copyOf(classes);
   }
@@ -109,8 +110,8 @@
   }
 
   private List<ServerKind> kinds() {
-    List<String> roles = list("specifics.duty-by-kind");
-    List<String> memory = list("specifics.memory-tokens");
+    List<String> roles = listOf("specifics.duty-by-kind");
+    List<String> memory = listOf("specifics.memory-tokens");
     List<ServerKind> kinds = new ArrayList<>();
     for (int i = 0; i < roles.size(); i++) {
       ServerRole role =
@@ -119,7 +120,8 @@
             case "write" -> ServerRole.WRITER;
             case "both" -> ServerRole.MIXED;
             default ->
-                throw new Malformed("setting specifics.duty-by-kind: unknown role " + roles.get(i));
+                throw new MalformedInputException(
+                    "setting specifics.duty-by-kind: unknown role " + roles.get(i));
           };
       kinds.add(new ServerKind(role, Math.round(item(memory, i, "specifics.memory-tokens"))));
     }
@@ -150,23 +152,25 @@
         micros("specifics.release-within-ms"));
   }
 
-  private Idempotency repeat(String name) {
+  private Idempotency idempotency(String name) {
     String value = values.getOrDefault(name, "");
     return switch (value) {
       case "repeatable" -> Idempotency.IDEMPOTENT;
       case "by_key" -> Idempotency.IDEMPOTENCY_KEY;
       case "once" -> Idempotency.NON_IDEMPOTENT;
-      default -> throw new Malformed("setting " + name + ": unknown effect '" + value + "'");
+      default ->
+          throw new MalformedInputException("setting " + name + ": unknown effect '" + value + "'");
     };
   }
 
-  private DeduplicationScope group(String name) {
+  private DeduplicationScope deduplicationScope(String name) {
     String value = values.getOrDefault(name, "all");
     return switch (value) {
       case "all" -> DeduplicationScope.ALL;
       case "zone" -> DeduplicationScope.ZONE;
       case "cell" -> DeduplicationScope.CELL;
-      default -> throw new Malformed("setting " + name + ": unknown group '" + value + "'");
+      default ->
+          throw new MalformedInputException("setting " + name + ": unknown group '" + value + "'");
     };
   }
 
@@ -175,7 +179,9 @@
     return switch (value) {
       case "true", "1" -> true;
       case "false", "0", "" -> false;
-      default -> throw new Malformed("setting " + name + ": neither true nor false: " + value);
+      default ->
+          throw new MalformedInputException(
+              "setting " + name + ": neither true nor false: " + value);
     };
   }
 
@@ -186,7 +192,7 @@
   private int count(String name) {
     double count = number(name);
     if (count < 0 || count != Math.rint(count) || count > Short.MAX_VALUE) {
-      throw new Malformed("setting " + name + ": not a count: " + values.get(name));
+      throw new MalformedInputException("setting " + name + ": not a count: " + values.get(name));
     }
     return (int) count;
   }
@@ -200,7 +206,7 @@
     return index < items.size() ? parse(items.get(index), name) : 0;
   }
 
-  private List<String> list(String name) {
+  private List<String> listOf(String name) {
     String value = values.getOrDefault(name, "");
     return value.isEmpty() ? List.of() : List.of(value.split(","));
   }
--- a/simulator/src/main/java/lemondock/simulator/WireHost.java
+++ b/simulator/src/main/java/lemondock/simulator/WireHost.java
@@ -30,7 +30,7 @@
   private static final int HEADER_BYTES = 16;
   private static final int EVENT_BYTES = 64;
   private static final int ENTRY_BYTES = 23;
-  private static final AttemptOutcome[] ENDINGS = {
+  private static final AttemptOutcome[] OUTCOMES = {
     AttemptOutcome.OK,
     AttemptOutcome.ERROR,
     AttemptOutcome.REJECTED,
@@ -40,7 +40,7 @@
     AttemptOutcome.CANCELLED,
     AttemptOutcome.ABANDONED_BEFORE_SEND
   };
-  private static final int READ_CODE = 102;
+  private static final int PROMPT_READ_CODE = 102;
   private static final int READY = 2;
   private static final int DRAINING = 0;
   private static final int GONE = 3;
@@ -68,7 +68,7 @@
   private static final int ACCEPT = 130;
 
   private final Map<Long, Control> instances = new HashMap<>();
-  private final Map<Integer, List<ServerEntry>> sheets = new HashMap<>();
+  private final Map<Integer, List<ServerEntry>> endpointLists = new HashMap<>();
   private final Reply reply = new Reply();
   private long frames;
 
@@ -80,8 +80,8 @@
     }
     try {
       new WireHost().run(new BufferedInputStream(System.in, 1 << 16), System.out);
-    } catch (Malformed e) {
-      System.err.println("lemondock: " + e.getMessage());
+    } catch (MalformedInputException exception) {
+      System.err.println("lemondock: " + exception.getMessage());
       System.exit(2);
     }
   }
@@ -93,211 +93,217 @@
         header = in.readNBytes(HEADER_BYTES)) {
       frames++;
       if (header.length < HEADER_BYTES) {
-        throw new Malformed(where() + "input ends within the header");
+        throw new MalformedInputException(location() + "input ends within the header");
       }
-      ByteBuffer head = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
-      long length = head.getInt() & 0xffffffffL;
-      long count = head.getInt() & 0xffffffffL;
-      double clock = head.getDouble();
-      if (!Double.isFinite(clock)) {
-        throw new Malformed(where() + "the clock is not a number");
+      ByteBuffer headerFields = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
+      long length = headerFields.getInt() & 0xffffffffL;
+      long count = headerFields.getInt() & 0xffffffffL;
+      double clockMillis = headerFields.getDouble();
+      if (!Double.isFinite(clockMillis)) {
+        throw new MalformedInputException(location() + "the clock is not a number");
       }
       if (count * EVENT_BYTES > length || length > Integer.MAX_VALUE - HEADER_BYTES) {
-        throw new Malformed(where() + count + " records do not fit into " + length + " bytes");
+        throw new MalformedInputException(
+            location() + count + " records do not fit into " + length + " bytes");
       }
       byte[] body = in.readNBytes((int) length);
       if (body.length < length) {
-        throw new Malformed(
-            where() + "input ends after " + body.length + " of " + length + " bytes");
+        throw new MalformedInputException(
+            location() + "input ends after " + body.length + " of " + length + " bytes");
       }
-      batch(ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN), (int) count, micros(clock));
+      processBatch(
+          ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN), (int) count, micros(clockMillis));
       out.write(reply.frame());
       out.flush();
     }
   }
 
-  private void batch(ByteBuffer body, int count, long now) {
+  private void processBatch(ByteBuffer body, int count, long nowMicros) {
     long instance = -1;
     for (int i = 0; i < count; i++) {
-      int at = i * EVENT_BYTES;
-      int code = body.get(at) & 0xff;
+      int offset = i * EVENT_BYTES;
+      int code = body.get(offset) & 0xff;
       if (code == TO) {
-        instance = unsigned(body, at + 1);
+        instance = unsigned(body, offset + 1);
       } else if (code == DIRECTORY) {
-        directory(body, at, count * EVENT_BYTES);
+        readEndpointList(body, offset, count * EVENT_BYTES);
       } else if (instance < 0) {
-        throw new Malformed(where() + "record " + i + " comes before any 'to'");
+        throw new MalformedInputException(location() + "record " + i + " comes before any 'to'");
       } else if (code == POWER_OFF) {
         instances.remove(instance);
       } else if (code == INIT) {
-        start(body, at, count * EVENT_BYTES, instance, now);
+        startInstance(body, offset, count * EVENT_BYTES, instance, nowMicros);
       } else {
-        deliver(body, at, code, instance, now);
+        deliver(body, offset, code, instance, nowMicros);
       }
     }
   }
 
-  private void start(ByteBuffer body, int at, int tail, long instance, long now) {
-    RouterSettings settings = SettingsText.parse(text(body, at + 9, tail));
+  private void startInstance(
+      ByteBuffer body, int offset, int tailOffset, long instance, long nowMicros) {
+    RouterSettings settings = SettingsText.parse(readText(body, offset + 9, tailOffset));
     try {
-      Control control = new Control(settings, body.getLong(at + 1), reply.hostFor(instance));
+      Control control = new Control(settings, body.getLong(offset + 1), reply.hostFor(instance));
       instances.put(instance, control);
-      control.started(now);
-    } catch (IllegalArgumentException e) {
-      throw new Malformed("settings: " + e.getMessage());
-    } catch (RuntimeException e) {
-      reply.broken(instance, describe(e));
+      control.started(nowMicros);
+    } catch (IllegalArgumentException exception) {
+      throw new MalformedInputException("settings: " + exception.getMessage());
+    } catch (RuntimeException exception) {
+      reply.reportFailure(instance, describe(exception));
     }
   }
 
-  private void deliver(ByteBuffer body, int at, int code, long instance, long now) {
+  private void deliver(ByteBuffer body, int offset, int code, long instance, long nowMicros) {
     Control control = instances.get(instance);
     if (control == null) {
-      throw new Malformed(
-          where() + "event " + code + " for instance " + instance + ", not started");
+      throw new MalformedInputException(
+          location() + "event " + code + " for instance " + instance + ", not started");
     }
-    Runnable event = event(control, body, at, code, now);
+    Runnable event = event(control, body, offset, code, nowMicros);
     try {
       event.run();
-    } catch (RuntimeException e) {
-      reply.broken(instance, describe(e));
+    } catch (RuntimeException exception) {
+      reply.reportFailure(instance, describe(exception));
     }
   }
 
-  private Runnable event(Control control, ByteBuffer body, int at, int code, long now) {
+  private Runnable event(Control control, ByteBuffer body, int offset, int code, long nowMicros) {
     switch (code) {
       case FLEET:
-        EndpointListKind kind = listKind(body.get(at + 1) & 0xff);
-        List<ServerEntry> entries = kind == EndpointListKind.FAILED ? List.of() : sheet(body, at);
-        return () -> control.endpointsChanged(now, kind, entries);
+        EndpointListKind kind = listKind(body.get(offset + 1) & 0xff);
+        List<ServerEntry> entries =
+            kind == EndpointListKind.FAILED ? List.of() : endpointList(body, offset);
+        return () -> control.endpointsChanged(nowMicros, kind, entries);
       case ACCEPT:
-        RoutingRequest request = request(body, at);
-        return () -> control.requestArrived(now, request);
+        RoutingRequest request = readRequest(body, offset);
+        return () -> control.requestArrived(nowMicros, request);
       case ACK_FIRST:
         return () ->
             control.firstToken(
-                now,
-                body.getLong(at + 1),
-                body.getShort(at + 9) & 0xffff,
-                unsigned(body, at + 11),
-                micros(body.getDouble(at + 15)));
+                nowMicros,
+                body.getLong(offset + 1),
+                body.getShort(offset + 9) & 0xffff,
+                unsigned(body, offset + 11),
+                micros(body.getDouble(offset + 15)));
       case REPLY:
-        AttemptResult outcome = outcome(body, at);
-        return () -> control.attemptEnded(now, outcome);
+        AttemptResult outcome = readOutcome(body, offset);
+        return () -> control.attemptEnded(nowMicros, outcome);
       case TIMED_OUT_CLIENT:
-        return () -> control.clientDisconnected(now, body.getLong(at + 1));
+        return () -> control.clientDisconnected(nowMicros, body.getLong(offset + 1));
       case RING:
-        return () -> control.timerFired(now, body.getLong(at + 1));
+        return () -> control.timerFired(nowMicros, body.getLong(offset + 1));
       case HELD_NOTE, PING_RESULT, NEIGHBOUR_SAYS:
         return () -> {}; // answers to places, probes and messages: the module asks for none
       default:
-        throw new Malformed(where() + "unknown event code " + code);
+        throw new MalformedInputException(location() + "unknown event code " + code);
     }
   }
 
-  private List<ServerEntry> sheet(ByteBuffer body, int at) {
-    List<ServerEntry> entries = sheets.get(body.getInt(at + 6));
+  private List<ServerEntry> endpointList(ByteBuffer body, int offset) {
+    List<ServerEntry> entries = endpointLists.get(body.getInt(offset + 6));
     if (entries == null) {
-      throw new Malformed(where() + "list " + body.getInt(at + 6) + " was never given");
+      throw new MalformedInputException(
+          location() + "list " + body.getInt(offset + 6) + " was never given");
     }
     return entries;
   }
 
-  private void directory(ByteBuffer body, int at, int tail) {
-    long start = tail + unsigned(body, at + 5);
-    long count = unsigned(body, at + 9);
+  private void readEndpointList(ByteBuffer body, int offset, int tailOffset) {
+    long start = tailOffset + unsigned(body, offset + 5);
+    long count = unsigned(body, offset + 9);
     if (start + count * ENTRY_BYTES > body.limit()) {
-      throw new Malformed(where() + "a list reaches past the end of the frame");
+      throw new MalformedInputException(location() + "a list reaches past the end of the frame");
     }
     List<ServerEntry> entries = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      entries.add(entry(body, (int) start + i * ENTRY_BYTES));
+      entries.add(readEntry(body, (int) start + i * ENTRY_BYTES));
     }
-    sheets.put(body.getInt(at + 1), List.copyOf(entries));
+    endpointLists.put(body.getInt(offset + 1), List.copyOf(entries));
   }
 
-  private ServerEntry entry(ByteBuffer body, int at) {
-    int code = body.get(at + 10) & 0xff;
-    ServerLifecycle standing =
+  private ServerEntry readEntry(ByteBuffer body, int offset) {
+    int code = body.get(offset + 10) & 0xff;
+    ServerLifecycle lifecycle =
         switch (code) {
           case READY -> ServerLifecycle.READY;
           case DRAINING -> ServerLifecycle.DRAINING;
           case GONE -> ServerLifecycle.GONE;
-          default -> throw new Malformed(where() + "unknown server condition " + code);
+          default ->
+              throw new MalformedInputException(location() + "unknown server condition " + code);
         };
     return new ServerEntry(
-        unsigned(body, at),
-        body.getShort(at + 4) & 0xffff,
-        body.getShort(at + 6) & 0xffff,
-        body.getShort(at + 8) & 0xffff,
-        standing,
-        body.getFloat(at + 11),
-        micros(body.getDouble(at + 15)));
+        unsigned(body, offset),
+        body.getShort(offset + 4) & 0xffff,
+        body.getShort(offset + 6) & 0xffff,
+        body.getShort(offset + 8) & 0xffff,
+        lifecycle,
+        body.getFloat(offset + 11),
+        micros(body.getDouble(offset + 15)));
   }
 
-  private static RoutingRequest request(ByteBuffer body, int at) {
-    int flags = body.get(at + 59) & 0xff;
+  private static RoutingRequest readRequest(ByteBuffer body, int offset) {
+    int flags = body.get(offset + 59) & 0xff;
     return new RoutingRequest(
-        body.getLong(at + 1),
-        body.getShort(at + 9) & 0xffff,
-        body.getInt(at + 11),
-        body.getLong(at + 15),
-        body.getLong(at + 39),
-        Math.round(body.getFloat(at + 47)),
-        Math.round(body.getFloat(at + 51)),
-        Math.round(body.getFloat(at + 55)),
-        micros(body.getDouble(at + 23)),
-        (flags & 1) != 0 ? micros(body.getDouble(at + 31)) : 0,
+        body.getLong(offset + 1),
+        body.getShort(offset + 9) & 0xffff,
+        body.getInt(offset + 11),
+        body.getLong(offset + 15),
+        body.getLong(offset + 39),
+        Math.round(body.getFloat(offset + 47)),
+        Math.round(body.getFloat(offset + 51)),
+        Math.round(body.getFloat(offset + 55)),
+        micros(body.getDouble(offset + 23)),
+        (flags & 1) != 0 ? micros(body.getDouble(offset + 31)) : 0,
         (flags & 2) != 0,
         (flags & 16) != 0);
   }
 
-  private AttemptResult outcome(ByteBuffer body, int at) {
-    int code = body.getShort(at + 10) & 0xffff;
-    if (code != READ_CODE && code >= ENDINGS.length) {
-      throw new Malformed(where() + "unknown outcome " + code);
+  private AttemptResult readOutcome(ByteBuffer body, int offset) {
+    int code = body.getShort(offset + 10) & 0xffff;
+    if (code != PROMPT_READ_CODE && code >= OUTCOMES.length) {
+      throw new MalformedInputException(location() + "unknown outcome " + code);
     }
-    AttemptOutcome ending = code == READ_CODE ? AttemptOutcome.PROMPT_READ : ENDINGS[code];
-    boolean counts = ending == AttemptOutcome.PROMPT_READ || ending == AttemptOutcome.OK;
-    int detail = body.getInt(at + 26);
+    AttemptOutcome outcome = code == PROMPT_READ_CODE ? AttemptOutcome.PROMPT_READ : OUTCOMES[code];
+    boolean counts = outcome == AttemptOutcome.PROMPT_READ || outcome == AttemptOutcome.OK;
+    int detail = body.getInt(offset + 26);
     return new AttemptResult(
-        body.getLong(at + 1),
-        body.getShort(at + 20) & 0xffff,
-        unsigned(body, at + 22),
-        ending,
-        micros(body.getDouble(at + 12)),
-        body.get(at + 9) != 0,
+        body.getLong(offset + 1),
+        body.getShort(offset + 20) & 0xffff,
+        unsigned(body, offset + 22),
+        outcome,
+        micros(body.getDouble(offset + 12)),
+        body.get(offset + 9) != 0,
         counts ? detail : 0,
-        ending == AttemptOutcome.REJECTED && detail == 1);
+        outcome == AttemptOutcome.REJECTED && detail == 1);
   }
 
   private EndpointListKind listKind(int code) {
     if (code >= LIST_KINDS.length) {
-      throw new Malformed(where() + "unknown kind of list " + code);
+      throw new MalformedInputException(location() + "unknown kind of list " + code);
     }
     return LIST_KINDS[code];
   }
 
-  private String text(ByteBuffer body, int at, int tail) {
-    long start = tail + unsigned(body, at);
-    long length = unsigned(body, at + 4);
+  private String readText(ByteBuffer body, int offset, int tailOffset) {
+    long start = tailOffset + unsigned(body, offset);
+    long length = unsigned(body, offset + 4);
     if (start + length > body.limit()) {
-      throw new Malformed(where() + "a text reaches past the end of the frame");
+      throw new MalformedInputException(location() + "a text reaches past the end of the frame");
     }
     return new String(body.array(), (int) start, (int) length, StandardCharsets.UTF_8);
   }
 
-  private String where() {
+  private String location() {
     return "frame " + frames + ": ";
   }
 
-  private static String describe(RuntimeException e) {
-    StackTraceElement[] trace = e.getStackTrace();
-    return e + (trace.length > 0 ? " at " + trace[0] : "");
+  private static String describe(RuntimeException exception) {
+    StackTraceElement[] trace = exception.getStackTrace();
+    return exception + (trace.length > 0 ? " at " + trace[0] : "");
   }
 
-  private static long unsigned(ByteBuffer body, int at) {
-    return body.getInt(at) & 0xffffffffL;
+  private static long unsigned(ByteBuffer body, int offset) {
+    return body.getInt(offset) & 0xffffffffL;
   }
 
   private static long micros(double millis) {
--- a/simulator/src/test/java/lemondock/simulator/WireHostTest.java
+++ b/simulator/src/test/java/lemondock/simulator/WireHostTest.java
@@ -110,7 +110,7 @@
   }
 
   private static String refusal(byte[]... frames) {
-    return assertThrows(Malformed.class, () -> play(frames)).getMessage();
+    return assertThrows(MalformedInputException.class, () -> play(frames)).getMessage();
   }
 
   @Test
