--- a/benchmark/src/main/java/lemondock/benchmark/Affinity.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Affinity.java
@@ -23,6 +23,7 @@
 import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.http.HttpClient;
+import lemondock.net.http.HttpClientOptions;
 import lemondock.net.http.HttpLimits;
 import lemondock.policy.AttemptResult;
 import lemondock.policy.RequestRouter;
@@ -161,7 +162,7 @@
           new HttpClient(
               clients.loop(),
               clients.network(),
-              new HttpClient.Options(HttpLimits.DEFAULT, 1 << 20, 2_000, 1_000_000, 15_000_000));
+              new HttpClientOptions(HttpLimits.DEFAULT, 1 << 20, 2_000, 1_000_000, 15_000_000));
       CountDownLatch done = new CountDownLatch(CALLS);
       AtomicInteger number = new AtomicInteger();
       for (int i = 0; i < AT_A_TIME; i++) {
--- a/benchmark/src/main/java/lemondock/benchmark/Ledgers.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Ledgers.java
@@ -17,7 +17,7 @@
 import lemondock.idempotency.GroupCommit;
 import lemondock.idempotency.IdempotencyStore;
 import lemondock.net.nio.ThreadLoop;
-import lemondock.net.nio.Workers;
+import lemondock.net.nio.WorkerPool;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -92,7 +92,7 @@
   private static double[] run(Path folder, double rate, int seconds, boolean kept)
       throws Exception {
     ThreadLoop loop = new ThreadLoop("ledger", Throwable::printStackTrace);
-    ExecutorService disk = Workers.of(1, 64, "disk");
+    ExecutorService disk = WorkerPool.create(1, 64, "disk");
     Histogram waits = new Histogram(3);
     Duration cpu;
     long commits = 0;
--- a/benchmark/src/main/java/lemondock/benchmark/Load.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Load.java
@@ -10,9 +10,12 @@
 import java.util.function.Supplier;
 import lemondock.net.http.Headers;
 import lemondock.net.http.HttpClient;
+import lemondock.net.http.HttpClientOptions;
 import lemondock.net.http.HttpEncoder;
 import lemondock.net.http.HttpEvent;
 import lemondock.net.http.HttpLimits;
+import lemondock.net.http.RequestFailure;
+import lemondock.net.http.ResponseReceiver;
 import lemondock.net.sse.SseEvent;
 import lemondock.scenario.Node;
 import org.HdrHistogram.ConcurrentHistogram;
@@ -40,7 +43,7 @@
           new HttpClient(
               node.loop(),
               node.network(),
-              new HttpClient.Options(
+              new HttpClientOptions(
                   new HttpLimits(8_192, 32_768, 100, 1L << 40),
                   1 << 20,
                   connections,
@@ -69,21 +72,21 @@
                       .send(
                           new InetSocketAddress("127.0.0.1", port),
                           HttpEncoder.request("POST", "/mcp", headers(), body),
-                          new HttpClient.Receiver() {
+                          new ResponseReceiver() {
                             @Override
-                            public void head(HttpEvent.ResponseHead head) {
+                            public void onHead(HttpEvent.ResponseHead head) {
                               synchronized (ids) {
                                 ids.add(head.headers().get("mcp-session-id"));
                               }
                             }
 
                             @Override
-                            public void done() {
+                            public void onComplete() {
                               done.countDown();
                             }
 
                             @Override
-                            public void failed(HttpClient.Failure failure, String what) {
+                            public void onFailure(RequestFailure failure, String what) {
                               failures.incrementAndGet();
                               done.countDown();
                             }
@@ -141,7 +144,7 @@
 
   /** Sends a call; the receiver is made when it goes out. */
   void send(
-      int number, int port, String session, byte[] body, Supplier<HttpClient.Receiver> receiver) {
+      int number, int port, String session, byte[] body, Supplier<ResponseReceiver> receiver) {
     int at = number % nodes.size();
     Headers headers = headers();
     headers.add("mcp-session-id", session);
@@ -180,18 +183,18 @@
                       new InetSocketAddress("127.0.0.1", port),
                       HttpEncoder.request(
                           "POST", session == null ? "/v1/chat/completions" : "/mcp", headers, body),
-                      new HttpClient.Receiver() {
+                      new ResponseReceiver() {
                         private boolean heard;
 
                         @Override
-                        public void head(HttpEvent.ResponseHead head) {
+                        public void onHead(HttpEvent.ResponseHead head) {
                           if (head.status() != 200) {
                             failures.incrementAndGet();
                           }
                         }
 
                         @Override
-                        public Object map(SseEvent event) {
+                        public Object mapEvent(SseEvent event) {
                           String word =
                               word(
                                   event.data(),
@@ -213,7 +216,7 @@
                         }
 
                         @Override
-                        public void event(Object mapped) {
+                        public void onEvent(Object mapped) {
                           if (!heard && !mapped.equals("")) {
                             heard = true;
                             first.recordValue(Math.min(59 * MICROS, node.loop().now() - begun));
@@ -221,12 +224,12 @@
                         }
 
                         @Override
-                        public void done() {
+                        public void onComplete() {
                           done.countDown();
                         }
 
                         @Override
-                        public void failed(HttpClient.Failure failure, String what) {
+                        public void onFailure(RequestFailure failure, String what) {
                           failures.incrementAndGet();
                           done.countDown();
                         }
--- a/benchmark/src/main/java/lemondock/benchmark/Overload.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Overload.java
@@ -17,7 +17,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLongArray;
 import java.util.function.Supplier;
-import lemondock.net.http.HttpClient;
+import lemondock.net.http.RequestFailure;
+import lemondock.net.http.ResponseReceiver;
 import lemondock.net.sse.SseEvent;
 
 /**
@@ -159,7 +160,7 @@
     return outcome;
   }
 
-  private static final class Heard implements HttpClient.Receiver {
+  private static final class Heard implements ResponseReceiver {
     private final Outcome outcome;
     private final int classId;
     private final int slot;
@@ -177,7 +178,7 @@
     }
 
     @Override
-    public Object map(SseEvent event) {
+    public Object mapEvent(SseEvent event) {
       return event.data().contains("\"error\"")
           ? "error"
           : event.data().contains("\"result\"")
@@ -186,7 +187,7 @@
     }
 
     @Override
-    public void event(Object mapped) {
+    public void onEvent(Object mapped) {
       if (mapped.equals("token") && first == 0) {
         first = System.nanoTime() / 1_000;
       }
@@ -195,7 +196,7 @@
     }
 
     @Override
-    public void done() {
+    public void onComplete() {
       long now = System.nanoTime() / 1_000;
       if (whole && first - sent <= AIM[classId] && now - first <= MICROS) {
         outcome.good.incrementAndGet(classId);
@@ -210,7 +211,7 @@
     }
 
     @Override
-    public void failed(HttpClient.Failure failure, String what) {
+    public void onFailure(RequestFailure failure, String what) {
       if (first == 0) {
         outcome.refused.incrementAndGet();
       } else {
--- a/benchmark/src/main/java/lemondock/benchmark/Roles.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Roles.java
@@ -46,7 +46,7 @@
 import lemondock.gateway.reporting.Reporting;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsFile;
-import lemondock.net.nio.Workers;
+import lemondock.net.nio.WorkerPool;
 import lemondock.scenario.Node;
 
 /**
@@ -92,7 +92,7 @@
                 node.loop(),
                 node.network(),
                 Runnable::run,
-                Workers.of(
+                WorkerPool.create(
                     settings.overload().heavyThreads(), settings.overload().heavyQueue(), "worker"),
                 new ThisProcess(),
                 null),
--- a/benchmark/src/main/java/lemondock/benchmark/ToolCalls.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ToolCalls.java
@@ -18,8 +18,11 @@
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.http.Headers;
 import lemondock.net.http.HttpClient;
+import lemondock.net.http.HttpClientOptions;
 import lemondock.net.http.HttpEncoder;
 import lemondock.net.http.HttpLimits;
+import lemondock.net.http.RequestFailure;
+import lemondock.net.http.ResponseReceiver;
 import lemondock.scenario.McpClient;
 import lemondock.scenario.Node;
 import lemondock.scenario.Presets;
@@ -62,7 +65,7 @@
           new HttpClient(
               clients.loop(),
               clients.network(),
-              new HttpClient.Options(HttpLimits.DEFAULT, 1 << 20, 2_000, 1_000_000, 15_000_000));
+              new HttpClientOptions(HttpLimits.DEFAULT, 1 << 20, 2_000, 1_000_000, 15_000_000));
       InetSocketAddress engine = fleet.engine("m").address();
       for (int round = -1; round < rounds; round++) { // the first warms up
         for (int way = 0; way < 2; way++) {
@@ -218,14 +221,14 @@
             "/v1/chat/completions",
             Headers.of("host", "x", "user-agent", "direct", "content-type", "application/json"),
             body.toString().getBytes(StandardCharsets.UTF_8)),
-        new HttpClient.Receiver() {
+        new ResponseReceiver() {
           @Override
-          public void done() {
+          public void onComplete() {
             then.run();
           }
 
           @Override
-          public void failed(HttpClient.Failure failure, String what) {
+          public void onFailure(RequestFailure failure, String what) {
             System.err.println("the engine: " + failure + ", " + what); // the latch says the rest
           }
         });
--- a/cli/src/main/java/lemondock/cli/GatewayCommand.java
+++ b/cli/src/main/java/lemondock/cli/GatewayCommand.java
@@ -17,7 +17,7 @@
 import lemondock.idempotency.DiskFolder;
 import lemondock.net.nio.AsyncNetwork;
 import lemondock.net.nio.ThreadLoop;
-import lemondock.net.nio.Workers;
+import lemondock.net.nio.WorkerPool;
 import org.slf4j.LoggerFactory;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -48,8 +48,8 @@
         new Host(
             loop,
             network,
-            Workers.of(1, DISK_QUEUE, "lemondock-disk"),
-            Workers.of(
+            WorkerPool.create(1, DISK_QUEUE, "lemondock-disk"),
+            WorkerPool.create(
                 settings.overload().heavyThreads(),
                 settings.overload().heavyQueue(),
                 "lemondock-worker"),
--- a/cli/src/main/java/lemondock/cli/StandinCommand.java
+++ b/cli/src/main/java/lemondock/cli/StandinCommand.java
@@ -14,8 +14,11 @@
 import lemondock.gateway.settings.SettingsFile;
 import lemondock.net.http.Headers;
 import lemondock.net.http.HttpClient;
+import lemondock.net.http.HttpClientOptions;
 import lemondock.net.http.HttpEncoder;
 import lemondock.net.http.HttpLimits;
+import lemondock.net.http.RequestFailure;
+import lemondock.net.http.ResponseReceiver;
 import lemondock.scenario.Node;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -54,7 +57,7 @@
         new HttpClient(
             node.loop(),
             node.network(),
-            new HttpClient.Options(HttpLimits.DEFAULT, 1024, 8, MICROS, MICROS));
+            new HttpClientOptions(HttpLimits.DEFAULT, 1024, 8, MICROS, MICROS));
     List<Runnable> leaving = new ArrayList<>();
     long started = System.currentTimeMillis();
     for (EngineSettings e : settings.engines()) {
@@ -117,12 +120,12 @@
             path,
             Headers.of("host", to.getHostString(), "content-type", "application/json"),
             body),
-        new HttpClient.Receiver() {
+        new ResponseReceiver() {
           @Override
-          public void done() {}
+          public void onComplete() {}
 
           @Override
-          public void failed(HttpClient.Failure failure, String what) {
+          public void onFailure(RequestFailure failure, String what) {
             System.err.println("lemondock: the catalogue cannot be told: " + what);
           }
         });
--- a/dispatch/src/main/java/lemondock/dispatch/EnginePort.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EnginePort.java
@@ -1,6 +1,6 @@
 package lemondock.dispatch;
 
-import lemondock.net.http.HttpClient;
+import lemondock.net.http.RequestFailure;
 import lemondock.policy.AttemptOutcome;
 
 /**
@@ -49,12 +49,12 @@
   void doubt(Endpoint at, String name, P prompt);
 
   /** What a request without a whole response proves of its attempt. */
-  static AttemptOutcome ending(HttpClient.Failure failure) {
+  static AttemptOutcome ending(RequestFailure failure) {
     return switch (failure) {
       case NOT_SENT -> AttemptOutcome.CONNECT_FAILED;
-      case NO_ROOM ->
+      case LOCAL_LIMIT_REACHED ->
           AttemptOutcome.MOOT; // the server is not to be blamed for what this gateway lacks
-      case BROKEN -> AttemptOutcome.RESET;
+      case CONNECTION_LOST -> AttemptOutcome.RESET;
       case MALFORMED -> AttemptOutcome.ERROR;
     };
   }
--- a/dispatch/src/test/java/lemondock/dispatch/StreamIdleTimeoutTest.java
+++ b/dispatch/src/test/java/lemondock/dispatch/StreamIdleTimeoutTest.java
@@ -30,34 +30,34 @@
 
   @Test
   void whatIsHeardPutsItOffAndItIsBrokenOnce() {
-    loop.move(3 * SECOND);
+    loop.advance(3 * SECOND);
     silence.heard();
-    loop.move(3 * SECOND);
+    loop.advance(3 * SECOND);
     assertEquals(0, broken);
-    loop.move(10 * SECOND);
+    loop.advance(10 * SECOND);
     assertEquals(1, broken);
   }
 
   @Test
   void noSilenceWhileNobodyTakesItNorOnceItHasEnded() {
     silence.pause();
-    loop.move(20 * SECOND);
+    loop.advance(20 * SECOND);
     silence.resume();
-    loop.move(3 * SECOND);
+    loop.advance(3 * SECOND);
     assertEquals(0, broken);
     silence.end();
-    loop.move(20 * SECOND);
+    loop.advance(20 * SECOND);
     assertEquals(0, broken);
   }
 
   @Test
   void afterAStallOfTheProcessWhatCameMeanwhileIsHeardFirst() {
-    loop.standStill(10 * SECOND);
+    loop.pauseFor(10 * SECOND);
     assertEquals(0, broken);
     silence.heard();
-    loop.move(3 * SECOND);
+    loop.advance(3 * SECOND);
     assertEquals(0, broken);
-    loop.move(2 * SECOND);
+    loop.advance(2 * SECOND);
     assertEquals(1, broken);
   }
 }
--- a/emulator/src/main/java/lemondock/emulator/CatalogueEmulator.java
+++ b/emulator/src/main/java/lemondock/emulator/CatalogueEmulator.java
@@ -15,15 +15,18 @@
 import lemondock.net.Loop;
 import lemondock.net.Network;
 import lemondock.net.http.Headers;
+import lemondock.net.http.HttpExchange;
 import lemondock.net.http.HttpLimits;
 import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpServerOptions;
+import lemondock.net.http.HttpService;
 
 /**
  * A stand-in for the part of Consul's HTTP API that lists services: health of a service with
  * blocking queries, and the agent's register, deregister and maintenance. It has one node and no
  * checks but maintenance.
  */
-public final class CatalogueEmulator implements HttpServer.Service {
+public final class CatalogueEmulator implements HttpService {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final long MICROS = 1_000;
   private static final long SECOND = 1_000_000;
@@ -53,7 +56,7 @@
     }
   }
 
-  private record Waiting(HttpServer.Exchange exchange, String service, String gateway) {}
+  private record Waiting(HttpExchange exchange, String service, String gateway) {}
 
   /** Makes an empty catalogue. */
   public CatalogueEmulator(Loop loop, Tap tap) {
@@ -62,7 +65,7 @@
     this.server =
         new HttpServer(
             loop,
-            new HttpServer.Options(
+            new HttpServerOptions(
                 HttpLimits.DEFAULT,
                 4_096,
                 64 * 1024 * 1024,
@@ -126,7 +129,7 @@
   }
 
   @Override
-  public void serve(HttpServer.Exchange exchange) {
+  public void serve(HttpExchange exchange) {
     String path = exchange.request().path();
     String method = exchange.request().method();
     if (failing) {
@@ -141,14 +144,14 @@
     } else if (method.equals("PUT") && path.startsWith("/v1/agent/service/maintenance/")) {
       maintenance(
           path.substring("/v1/agent/service/maintenance/".length()),
-          "true".equals(exchange.request().parameter("enable")));
+          "true".equals(exchange.request().queryParameter("enable")));
       exchange.respond(200, new Headers(), new byte[0]);
     } else {
       exchange.respond(404, new Headers(), new byte[0]);
     }
   }
 
-  private void health(HttpServer.Exchange exchange, String service) {
+  private void health(HttpExchange exchange, String service) {
     String agent = String.valueOf(exchange.request().headers().get("user-agent"));
     int open = agent.indexOf('(');
     Waiting one =
@@ -158,15 +161,15 @@
             open >= 0 && agent.endsWith(")")
                 ? agent.substring(open + 1, agent.length() - 1)
                 : agent);
-    long asked = number(exchange.request().parameter("index"));
+    long asked = number(exchange.request().queryParameter("index"));
     if (asked < index) {
       tell(one);
       return;
     }
     waiting.add(one);
-    exchange.onGone(() -> waiting.remove(one));
+    exchange.onDisconnect(() -> waiting.remove(one));
     loop.schedule(
-        waitOf(exchange.request().parameter("wait")),
+        waitOf(exchange.request().queryParameter("wait")),
         () -> {
           if (waiting.remove(one)) {
             tell(one);
@@ -236,7 +239,7 @@
             all.toString().getBytes(StandardCharsets.UTF_8));
   }
 
-  private void register(HttpServer.Exchange exchange) {
+  private void register(HttpExchange exchange) {
     JsonNode body;
     try {
       body = MAPPER.readTree(exchange.request().body());
--- a/emulator/src/main/java/lemondock/emulator/EngineEmulator.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineEmulator.java
@@ -17,10 +17,17 @@
 import lemondock.net.Network;
 import lemondock.net.http.Headers;
 import lemondock.net.http.HttpClient;
+import lemondock.net.http.HttpClientOptions;
 import lemondock.net.http.HttpEncoder;
 import lemondock.net.http.HttpEvent;
+import lemondock.net.http.HttpExchange;
 import lemondock.net.http.HttpLimits;
+import lemondock.net.http.HttpRequest;
 import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpServerOptions;
+import lemondock.net.http.HttpService;
+import lemondock.net.http.RequestFailure;
+import lemondock.net.http.ResponseReceiver;
 import lemondock.net.sse.SseEvent;
 
 /**
@@ -29,7 +36,7 @@
  * tells a {@link Tap} what passed on its sockets. It is no model of an engine's inner workings.
  * States move by a call of its own between stand-ins.
  */
-public final class EngineEmulator implements HttpServer.Service {
+public final class EngineEmulator implements HttpService {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final int CHARS_A_TOKEN = 4;
   private static final int MOST_KEPT = 4_096;
@@ -75,11 +82,11 @@
         new HttpClient(
             loop,
             network,
-            new HttpClient.Options(HttpLimits.DEFAULT, 1024, 256, SECOND / 4, 15 * SECOND));
+            new HttpClientOptions(HttpLimits.DEFAULT, 1024, 256, SECOND / 4, 15 * SECOND));
     this.server =
         new HttpServer(
             loop,
-            new HttpServer.Options(
+            new HttpServerOptions(
                 new HttpLimits(8 * 1024, 32 * 1024, 100, 64L * 1024 * 1024),
                 20_000,
                 512L * 1024 * 1024,
@@ -157,7 +164,7 @@
   // ==== requests
 
   @Override
-  public Object prepare(HttpServer.Request request) {
+  public Object prepare(HttpRequest request) {
     try {
       return MAPPER.readTree(request.body());
     } catch (IOException e) {
@@ -166,7 +173,7 @@
   }
 
   @Override
-  public void serve(HttpServer.Exchange exchange) {
+  public void serve(HttpExchange exchange) {
     if (dead) {
       exchange.abort();
       return;
@@ -188,7 +195,7 @@
     }
   }
 
-  private void complete(HttpServer.Exchange exchange, JsonNode body) {
+  private void complete(HttpExchange exchange, JsonNode body) {
     JsonNode transfer = body.path("kv_transfer_params");
     boolean read = transfer.path("do_remote_decode").asBoolean(false);
     boolean fromState = transfer.path("do_remote_prefill").asBoolean(false);
@@ -200,7 +207,7 @@
         job.gateway,
         job.tokens,
         Integer.toString(body.path("messages").size()));
-    exchange.onGone(job::gone);
+    exchange.onDisconnect(job::gone);
     if (faults.raw != null && faults.hit()) {
       hear(Tap.What.BROKEN, job.id, job.mark, job.gateway, 0, "raw");
       exchange.begin(200, Headers.of("content-type", "text/event-stream"));
@@ -246,7 +253,7 @@
   }
 
   private final class Job {
-    private final HttpServer.Exchange exchange;
+    private final HttpExchange exchange;
     private final JsonNode body;
     private final boolean read;
     private final JsonNode transfer;
@@ -265,7 +272,7 @@
     private boolean stamped;
     private double pace;
 
-    Job(HttpServer.Exchange exchange, JsonNode body, boolean read, JsonNode transfer) {
+    Job(HttpExchange exchange, JsonNode body, boolean read, JsonNode transfer) {
       this.exchange = exchange;
       this.body = body;
       this.read = read;
@@ -424,21 +431,21 @@
               "/standin/state",
               Headers.of("host", host, "content-type", "application/json"),
               ask),
-          new HttpClient.Receiver() {
+          new ResponseReceiver() {
             private int status;
 
             @Override
-            public void head(HttpEvent.ResponseHead head) {
+            public void onHead(HttpEvent.ResponseHead head) {
               status = head.status();
             }
 
             @Override
-            public void done() {
+            public void onComplete() {
               fetched(status == 200);
             }
 
             @Override
-            public void failed(HttpClient.Failure failure, String what) {
+            public void onFailure(RequestFailure failure, String what) {
               fetched(false);
             }
           });
@@ -473,7 +480,7 @@
       stamped = Script.says(body.path("messages"), "stamp each word");
       pace = Script.says(body.path("messages"), "without pause") ? 0 : settings.tokenMs();
       exchange.begin(200, Headers.of("content-type", "text/event-stream; charset=utf-8"));
-      exchange.onDrained(
+      exchange.onWriteQueueDrained(
           () -> {
             if (paused) {
               paused = false;
@@ -518,7 +525,7 @@
         String piece = stamped ? " " + loop.now() : leg.pieces().get(at);
         at++;
         event("{\"content\":" + JsonNodeFactory.instance.textNode(piece) + "}", null, at);
-        if (exchange.pending() > HIGH_MARK) {
+        if (exchange.pendingBytes() > HIGH_MARK) {
           paused = true;
         } else {
           after(pace, this::token);
@@ -608,7 +615,7 @@
 
   // ==== states
 
-  private void giveState(HttpServer.Exchange exchange, JsonNode body) {
+  private void giveState(HttpExchange exchange, JsonNode body) {
     String id = body.path("request_id").asText("");
     State state = states.remove(id);
     if (state == null) {
@@ -620,7 +627,7 @@
     exchange.respond(200, new Headers(), new byte[0]);
   }
 
-  private void abort(HttpServer.Exchange exchange, JsonNode body) {
+  private void abort(HttpExchange exchange, JsonNode body) {
     String id = body.path("rid").asText("");
     hear(Tap.What.ABORT, id, "", "", 0, "");
     drop(id, "abort");
@@ -643,7 +650,7 @@
     }
   }
 
-  private static void error(HttpServer.Exchange exchange, int status, String code, String what) {
+  private static void error(HttpExchange exchange, int status, String code, String what) {
     ObjectNode body = JsonNodeFactory.instance.objectNode();
     body.putObject("error").put("message", what).put("type", "standin").put("code", code);
     exchange.respond(status, Headers.of("content-type", "application/json"), bytes(body));
--- a/emulator/src/main/java/lemondock/emulator/Platform.java
+++ b/emulator/src/main/java/lemondock/emulator/Platform.java
@@ -11,8 +11,12 @@
 import lemondock.net.Loop;
 import lemondock.net.Network;
 import lemondock.net.http.Headers;
+import lemondock.net.http.HttpExchange;
 import lemondock.net.http.HttpLimits;
+import lemondock.net.http.HttpRequest;
 import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpServerOptions;
+import lemondock.net.http.HttpService;
 
 /**
  * A stand-in for the platform that {@code lemondock node} serves on: readers, writers and
@@ -58,11 +62,11 @@
     discovery = serve(this::list);
   }
 
-  private InetSocketAddress serve(HttpServer.Service service) throws IOException {
+  private InetSocketAddress serve(HttpService service) throws IOException {
     HttpServer server =
         new HttpServer(
             loop,
-            new HttpServer.Options(
+            new HttpServerOptions(
                 HttpLimits.DEFAULT, 1_024, 64L << 20, 15 * SECOND, 10 * SECOND, 30 * SECOND),
             service);
     server.start(network, new InetSocketAddress("127.0.0.1", 0));
@@ -120,9 +124,9 @@
     return config;
   }
 
-  private void list(HttpServer.Exchange exchange) {
-    String since = exchange.request().parameter("since");
-    String wait = exchange.request().parameter("timeout_ms");
+  private void list(HttpExchange exchange) {
+    String since = exchange.request().queryParameter("since");
+    String wait = exchange.request().queryParameter("timeout_ms");
     ObjectNode answer =
         JsonNodeFactory.instance.objectNode().put("version", 1).put("full", since == null);
     answer.set("servers", since == null ? servers : JsonNodeFactory.instance.arrayNode());
@@ -132,8 +136,8 @@
         () -> exchange.respond(200, Headers.of("content-type", "application/json"), body));
   }
 
-  private void answer(HttpServer.Exchange exchange, boolean reads) {
-    HttpServer.Request request = exchange.request();
+  private void answer(HttpExchange exchange, boolean reads) {
+    HttpRequest request = exchange.request();
     if (request.path().startsWith("/state/")) {
       states.remove(request.path().substring("/state/".length()));
       exchange.respond(204, new Headers(), NOTHING);
@@ -162,7 +166,7 @@
     }
   }
 
-  private void token(HttpServer.Exchange exchange, int number) {
+  private void token(HttpExchange exchange, int number) {
     loop.schedule(
         TOKEN,
         () -> {
@@ -185,7 +189,7 @@
                         + "data: [DONE]\n\n")
                     .getBytes(StandardCharsets.UTF_8));
             exchange.finish();
-          } else if (exchange.open()) {
+          } else if (exchange.isOpen()) {
             token(exchange, number + 1);
           }
         });
--- a/exporter/src/main/java/lemondock/exporter/Environment.java
+++ b/exporter/src/main/java/lemondock/exporter/Environment.java
@@ -5,7 +5,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.DoubleSupplier;
 import lemondock.net.Connection;
-import lemondock.net.Datagrams;
+import lemondock.net.DatagramSender;
 import lemondock.net.Loop;
 import lemondock.net.Network;
 
@@ -23,7 +23,7 @@
 public record Environment(
     Loop loop,
     Network network,
-    Datagrams.Opener datagrams,
+    DatagramSender.Opener datagrams,
     BiConsumer<Path, Connection.Handler> unix,
     Dialer.Resolver resolver,
     Executor disk,
--- a/exporter/src/main/java/lemondock/exporter/StreamDestination.java
+++ b/exporter/src/main/java/lemondock/exporter/StreamDestination.java
@@ -122,7 +122,7 @@
       return;
     }
     watch();
-    while (connection != null && connection.pending() <= HIGH) {
+    while (connection != null && connection.pendingBytes() <= HIGH) {
       if (current == null) {
         cursor.keep(options.most());
         current = cursor.next();
@@ -151,8 +151,8 @@
 
   /** Breaks off a connection that takes nothing. */
   private void watch() {
-    long flushed = connection.flushed();
-    if (flushed != progress || connection.pending() == 0) {
+    long flushed = connection.flushedBytes();
+    if (flushed != progress || connection.pendingBytes() == 0) {
       up |= flushed > 0;
       progress = flushed;
       progressAt = loop.now();
@@ -183,14 +183,14 @@
   }
 
   @Override
-  public void ended() {
+  public void inputEnded() {
     if (connection != null) {
       connection.abort(); // it will read no more
     }
   }
 
   @Override
-  public void drained() {
+  public void writeQueueDrained() {
     pump();
   }
 
--- a/exporter/src/main/java/lemondock/exporter/collectd/DatagramDestination.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/DatagramDestination.java
@@ -9,7 +9,7 @@
 import lemondock.exporter.Destination;
 import lemondock.exporter.Dialer;
 import lemondock.exporter.SnapshotRing;
-import lemondock.net.Datagrams;
+import lemondock.net.DatagramSender;
 import lemondock.net.Loop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -31,14 +31,14 @@
   private final String host;
   private final int port;
   private final Dialer.Resolver resolver;
-  private final Datagrams.Opener opener;
+  private final DatagramSender.Opener opener;
   private final Packets packets;
   private final SnapshotRing.Cursor cursor;
   private final int most;
   private final long wait;
   private final Figures figures = new Figures();
   private final ArrayDeque<ByteBuffer> notices = new ArrayDeque<>();
-  private Datagrams socket;
+  private DatagramSender socket;
   private boolean resolving;
   private boolean pausing;
   private boolean stopped;
@@ -60,7 +60,7 @@
       String host,
       int port,
       Dialer.Resolver resolver,
-      Datagrams.Opener opener,
+      DatagramSender.Opener opener,
       Packets packets,
       SnapshotRing ring,
       int most,
--- a/exporter/src/main/java/lemondock/exporter/host/ReportHost.java
+++ b/exporter/src/main/java/lemondock/exporter/host/ReportHost.java
@@ -14,8 +14,8 @@
 import lemondock.exporter.Environment;
 import lemondock.net.nio.AsyncNetwork;
 import lemondock.net.nio.ThreadLoop;
-import lemondock.net.nio.UdpDatagrams;
-import lemondock.net.nio.UnixConnector;
+import lemondock.net.nio.UdpDatagramSender;
+import lemondock.net.nio.UnixDomainConnector;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -51,11 +51,11 @@
 
   /** What reports are given. */
   public Environment environment() {
-    UnixConnector unix = new UnixConnector(loop);
+    UnixDomainConnector unix = new UnixDomainConnector(loop);
     return new Environment(
         loop,
         network,
-        UdpDatagrams::open,
+        UdpDatagramSender::open,
         unix::connect,
         this::resolve,
         slow,
--- a/exporter/src/test/java/lemondock/exporter/DestinationsTest.java
+++ b/exporter/src/test/java/lemondock/exporter/DestinationsTest.java
@@ -25,7 +25,7 @@
 import lemondock.metrics.Snapshot;
 import lemondock.metrics.Tally;
 import lemondock.net.Connection;
-import lemondock.net.Datagrams;
+import lemondock.net.DatagramSender;
 import lemondock.net.time.ManualLoop;
 import org.junit.jupiter.api.Test;
 
@@ -81,7 +81,7 @@
       taken.append(queued, 0, bytes);
       queued.delete(0, bytes);
       if (high && queued.length() <= 16 * 1024) {
-        loop.execute(handler::drained);
+        loop.execute(handler::writeQueueDrained);
       }
       if (ending && queued.isEmpty()) {
         cut(null);
@@ -96,12 +96,12 @@
     }
 
     @Override
-    public long pending() {
+    public long pendingBytes() {
       return queued.length();
     }
 
     @Override
-    public long flushed() {
+    public long flushedBytes() {
       return taken.length();
     }
 
@@ -119,7 +119,7 @@
     }
 
     @Override
-    public InetSocketAddress peer() {
+    public InetSocketAddress remoteAddress() {
       return null;
     }
 
@@ -160,7 +160,7 @@
   private void seconds(int many) {
     for (int i = 0; i < many; i++) {
       counter.count(count.first());
-      loop.move(SECOND);
+      loop.advance(SECOND);
     }
   }
 
@@ -173,7 +173,7 @@
       d.start();
     }
     reporter.start();
-    loop.run();
+    loop.runTasks();
   }
 
   @Test
@@ -240,7 +240,7 @@
     seconds(1);
     lines.get(0).take(15); // part of a line
     lines.get(0).cut(new IOException("reset"));
-    loop.run();
+    loop.runTasks();
     seconds(3);
     List<String> again = lines.get(1).counts();
     assertEquals(at(1014, 14), again.get(again.size() - 1));
@@ -273,7 +273,7 @@
   void aClockSetBackKeepsTheOrderOfStamps() {
     go(stream("a", true));
     seconds(5);
-    loop.stepWall(-3_600_000);
+    loop.stepWallClock(-3_600_000);
     seconds(20);
     List<Long> stamps =
         lines.get(0).counts().stream().map(l -> Long.parseLong(l.split(" ")[1])).toList();
@@ -292,9 +292,9 @@
       List<Object> events = new ArrayList<>();
       line.handler.decode(ByteBuffer.wrap(new byte[4096]), events);
       line.handler.received(events);
-      loop.run();
+      loop.runTasks();
       assertEquals(before, line.reads, "read on only after a pause");
-      loop.move(20_000);
+      loop.advance(20_000);
       assertEquals(before + 1, line.reads);
     }
     assertEquals(409_600, it.figures().ignored);
@@ -307,11 +307,11 @@
     counter.count(count.first());
     List<Snapshot> last = new ArrayList<>();
     reporter.finish(SECOND, last::add);
-    loop.run();
+    loop.runTasks();
     assertEquals(List.of(), last);
     assertTrue(
         lines.get(0).ending && lines.get(2).ending, "the others are closed in order at once");
-    loop.move(SECOND);
+    loop.advance(SECOND);
     assertEquals(1, last.size());
     assertEquals(3, last.get(0).value(COUNT, "n", List.of()));
     assertEquals(at(1002, 3), lines.get(0).counts().get(2));
@@ -327,7 +327,7 @@
     refuses = false;
     List<Snapshot> last = new ArrayList<>();
     reporter.finish(SECOND, last::add);
-    loop.run();
+    loop.runTasks();
     assertEquals(1, last.size());
     assertEquals(4, lines.get(0).counts().size());
   }
@@ -362,10 +362,10 @@
           public void received(List<Object> events) {}
 
           @Override
-          public void ended() {}
+          public void inputEnded() {}
 
           @Override
-          public void drained() {}
+          public void writeQueueDrained() {}
 
           @Override
           public void closed(IOException cause) {
@@ -373,9 +373,9 @@
           }
         };
     dialer.dial(handler);
-    loop.move(2 * SECOND);
+    loop.advance(2 * SECOND);
     asked.get(0).accept(new InetSocketAddress("127.0.0.1", 1)); // too late: no second word
-    loop.run();
+    loop.runTasks();
     assertEquals(List.of("the name slow was not found in time"), heard);
   }
 
@@ -398,7 +398,7 @@
             (host, port, found, failed) -> found.accept(new InetSocketAddress("127.0.0.1", port)),
             to -> {
               opened++;
-              return new Datagrams() {
+              return new DatagramSender() {
                 @Override
                 public boolean send(ByteBuffer packet) throws IOException {
                   if (unreachable) {
@@ -432,19 +432,19 @@
     }
     final DatagramDestination it = datagrams();
     reporter.start();
-    loop.move(SECOND);
+    loop.advance(SECOND);
     int first = sent.size();
     assertTrue(first > 0 && first <= 16, "at once: " + first);
-    loop.move(SECOND / 2);
+    loop.advance(SECOND / 2);
     final int whole = sent.size();
     assertEquals(1, it.figures().snapshots);
     assertTrue(sent.stream().allMatch(p -> p.remaining() <= 1024));
     room = 3;
-    loop.move(SECOND);
+    loop.advance(SECOND);
     assertEquals(whole + 3, sent.size());
     assertTrue(it.figures().lost > 0);
     room = Integer.MAX_VALUE;
-    loop.move(SECOND / 4);
+    loop.advance(SECOND / 4);
     assertEquals(2, it.figures().snapshots, "goes on where it stood");
     assertEquals(2 * whole, sent.size());
   }
--- a/gateway/src/main/java/lemondock/gateway/Gateway.java
+++ b/gateway/src/main/java/lemondock/gateway/Gateway.java
@@ -31,11 +31,14 @@
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsFile;
 import lemondock.idempotency.FileSystemPort;
+import lemondock.net.DelayProbe;
 import lemondock.net.Loop;
 import lemondock.net.Network;
 import lemondock.net.http.HttpClient;
+import lemondock.net.http.HttpClientOptions;
 import lemondock.net.http.HttpLimits;
 import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpServerOptions;
 import lemondock.overload.Admission;
 import lemondock.overload.ResourcePressure;
 import lemondock.overload.StallMonitor;
@@ -116,7 +119,7 @@
         new HttpClient(
             loop,
             network,
-            new HttpClient.Options(
+            new HttpClientOptions(
                 new HttpLimits(
                     8 * 1024, 32 * 1024, 100, Math.max(engines.maxReplyBytes(), 64L * 1024 * 1024)),
                 engines.maxEventBytes(),
@@ -164,7 +167,7 @@
     this.server =
         new HttpServer(
             loop,
-            new HttpServer.Options(
+            new HttpServerOptions(
                 new HttpLimits(8 * 1024, 32 * 1024, 100, f.maxBodyBytes()),
                 (int) Math.min(f.maxConnections(), machine.mostHandles() * CLIENTS_HANDLES),
                 f.maxBodiesBytes(),
@@ -195,7 +198,7 @@
         new HttpClient(
             loop,
             network,
-            new HttpClient.Options(
+            new HttpClientOptions(
                 new HttpLimits(8 * 1024, 32 * 1024, 100, CATALOGUE_BYTES),
                 1024,
                 4,
@@ -210,7 +213,7 @@
       calls.guard(IdempotencyGuard.open(durable, settings.durable(), loop, disk));
     }
     List<Endpoint> cached = readCache();
-    List<Network.Probe> probes = network.probes();
+    List<DelayProbe> probes = network.delayProbes();
     server.start(network, SettingsFile.address(settings.front().listen()));
     loop.execute(
         () -> {
@@ -258,10 +261,10 @@
   }
 
   /** Up to a hundred times a second, how long what comes to a queue waits in it. */
-  private void watchQueue(Network.Probe probe, int queue) {
+  private void watchQueue(DelayProbe probe, int queue) {
     long asked = machine.paused();
     long waiting =
-        probe.ask(
+        probe.measure(
             wait -> admission.waited(loop.now(), queue, wait - pausedSince(pausedAt[queue], wait)));
     if (waiting > 0) {
       admission.waiting(queue, waiting - pausedSince(pausedAt[queue], waiting));
--- a/gateway/src/main/java/lemondock/gateway/WorkersProbe.java
+++ b/gateway/src/main/java/lemondock/gateway/WorkersProbe.java
@@ -3,11 +3,11 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.LongConsumer;
+import lemondock.net.DelayProbe;
 import lemondock.net.Loop;
-import lemondock.net.Network;
 
 /** Tells how long a task waits in the workers' queue. Loop thread only. */
-final class WorkersProbe implements Network.Probe {
+final class WorkersProbe implements DelayProbe {
   private final Loop loop;
   private final Executor workers;
   private boolean waiting;
@@ -21,7 +21,7 @@
   }
 
   @Override
-  public long ask(LongConsumer waited) {
+  public long measure(LongConsumer waited) {
     if (waiting) {
       return Math.max(1, loop.now() - postedAt);
     }
--- a/gateway/src/main/java/lemondock/gateway/discovery/ConsulList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/ConsulList.java
@@ -5,9 +5,12 @@
 import lemondock.dispatch.Endpoint;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.Loop;
+import lemondock.net.http.BufferingReceiver;
 import lemondock.net.http.Headers;
+import lemondock.net.http.HttpCall;
 import lemondock.net.http.HttpClient;
 import lemondock.net.http.HttpEncoder;
+import lemondock.net.http.RequestFailure;
 
 /**
  * Follows a service in a catalogue by Consul's health API with blocking queries: each query names
@@ -29,7 +32,7 @@
   private long index;
   private long backOff;
   private boolean stopped;
-  private HttpClient.Call call;
+  private HttpCall call;
   private Loop.Timer timer = () -> {};
 
   /** Makes a follower; {@code agent} is what the catalogue sees as User-Agent. */
@@ -114,9 +117,9 @@
     timer = loop.schedule(backOff, this::query);
   }
 
-  private final class Answer extends HttpClient.Keeping {
+  private final class Answer extends BufferingReceiver {
     @Override
-    public void done() {
+    public void onComplete() {
       timer.cancel();
       if (status() != 200) {
         ConsulList.this.failed("the catalogue answered " + status());
@@ -145,7 +148,7 @@
     }
 
     @Override
-    public void failed(HttpClient.Failure failure, String what) {
+    public void onFailure(RequestFailure failure, String what) {
       ConsulList.this.failed(what);
     }
   }
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
@@ -9,9 +9,13 @@
 import lemondock.dispatch.StreamIdleTimeout;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.Loop;
+import lemondock.net.http.BufferingReceiver;
 import lemondock.net.http.Headers;
+import lemondock.net.http.HttpCall;
 import lemondock.net.http.HttpClient;
 import lemondock.net.http.HttpEncoder;
+import lemondock.net.http.RequestFailure;
+import lemondock.net.http.ResponseReceiver;
 import lemondock.net.sse.SseEvent;
 import lemondock.overload.StallMonitor;
 import lemondock.policy.AttemptOutcome;
@@ -104,12 +108,12 @@
     client.send(
         at,
         post(at, EngineProtocol.ABORT, requestId, EngineProtocol.abort(requestId)),
-        new HttpClient.Receiver() {
+        new ResponseReceiver() {
           @Override
-          public void done() {}
+          public void onComplete() {}
 
           @Override
-          public void failed(HttpClient.Failure failure, String what) {
+          public void onFailure(RequestFailure failure, String what) {
             if (tries > 1) {
               loop.schedule(ABORT_AGAIN, () -> abort(at, requestId, tries - 1));
             }
@@ -135,7 +139,7 @@
     return HttpEncoder.request("POST", path, headers, body);
   }
 
-  private static final class Reading extends HttpClient.Keeping {
+  private static final class Reading extends BufferingReceiver {
     private final Attempt<JsonNode, Chunk> attempt;
 
     Reading(Attempt<JsonNode, Chunk> attempt) {
@@ -143,7 +147,7 @@
     }
 
     @Override
-    public void done() {
+    public void onComplete() {
       if (status() != 200) {
         EngineProtocol.Refusal refusal = EngineProtocol.refusal(status(), body());
         attempt.ended(refusal.ending(), refusal.stateMissing(), refusal.what());
@@ -158,7 +162,7 @@
     }
 
     @Override
-    public void failed(HttpClient.Failure failure, String what) {
+    public void onFailure(RequestFailure failure, String what) {
       attempt.ended(EnginePort.ending(failure), false, what);
     }
   }
@@ -167,9 +171,9 @@
    * A write under way. A stream that was begun and then stays silent is broken after the settings'
    * time.
    */
-  public final class Writing extends HttpClient.Keeping implements Work {
+  public final class Writing extends BufferingReceiver implements Work {
     private final Attempt<JsonNode, Chunk> attempt;
-    private HttpClient.Call call;
+    private HttpCall call;
     private boolean finished;
     private boolean over;
     private boolean watched;
@@ -201,7 +205,7 @@
     }
 
     @Override
-    public boolean direct(byte[] data, int length) {
+    public boolean consumeInPlace(byte[] data, int length) {
       Lane way = lane;
       if (way == null
           || !plain.take(data, length)
@@ -229,12 +233,12 @@
     }
 
     @Override
-    public Object map(SseEvent event) {
+    public Object mapEvent(SseEvent event) {
       return EngineProtocol.chunk(event.data());
     }
 
     @Override
-    public void event(Object mapped) {
+    public void onEvent(Object mapped) {
       Chunk chunk = (Chunk) mapped;
       if (over
           || finished && !chunk.carries() && chunk.error() == null && chunk.answerTokens() < 0) {
@@ -262,7 +266,7 @@
     }
 
     @Override
-    public void done() {
+    public void onComplete() {
       if (status() != 200) {
         EngineProtocol.Refusal refusal = EngineProtocol.refusal(status(), body());
         over();
@@ -275,7 +279,7 @@
     }
 
     @Override
-    public void failed(HttpClient.Failure failure, String what) {
+    public void onFailure(RequestFailure failure, String what) {
       if (finished) {
         end(AttemptOutcome.OK, ""); // all of the answer had come; only the closing mark was lost
       } else {
--- a/gateway/src/main/java/lemondock/gateway/front/AccessCheck.java
+++ b/gateway/src/main/java/lemondock/gateway/front/AccessCheck.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.regex.Pattern;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpRequest;
 
 /**
  * Checks the Host and Origin header fields of requests, against DNS rebinding: a page of another
@@ -31,7 +31,7 @@
   }
 
   /** Why the request is not allowed here, null if it is. */
-  String forbidden(HttpServer.Request request) {
+  String forbidden(HttpRequest request) {
     String host = request.headers().get("host");
     if (host != null
         && !settings.allowedHosts().contains("*")
--- a/gateway/src/main/java/lemondock/gateway/front/CallIntake.java
+++ b/gateway/src/main/java/lemondock/gateway/front/CallIntake.java
@@ -15,11 +15,12 @@
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.core.CallService;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpRejection;
+import lemondock.net.http.HttpRequest;
 import lemondock.overload.Admission;
 import lemondock.rpc.JsonRpc;
+import lemondock.rpc.JsonRpcMessage;
 import lemondock.rpc.Mcp;
-import lemondock.rpc.Message;
 
 /**
  * Reads requests before they reach the loop: parses their messages, has the admission decide on
@@ -39,7 +40,7 @@
   private final AtomicLong chances = new AtomicLong();
 
   /** A request's messages, and what was made of each call among them. */
-  record Prepared(JsonRpc.Parsed parsed, Map<Message, Reading> readings) {}
+  record Prepared(JsonRpc.Parsed parsed, Map<JsonRpcMessage, Reading> readings) {}
 
   /** What was made of a call. */
   sealed interface Reading permits Accepted, Malformed, Refused {}
@@ -69,18 +70,18 @@
                 front.maxDepth(),
                 front.maxBatch(),
                 (int) Math.min(Integer.MAX_VALUE, front.maxBodyBytes()),
-                JsonRpc.Limits.DEFAULT.numberLength()));
+                JsonRpc.Limits.DEFAULT.maxNumberLength()));
   }
 
   /** Parses a request and reads the prompts of its calls. */
-  Prepared prepare(HttpServer.Request request) {
+  Prepared prepare(HttpRequest request) {
     boolean asked =
         request.body().length >= settings.overload().heavyBytes()
             && Peek.tool(request.body()) != null;
     JsonRpc.Parsed parsed = rpc.parse(request.body());
-    Map<Message, Reading> made = new HashMap<>();
-    for (Message message : parsed.messages()) {
-      if (message instanceof Message.Request call && call.method().equals(Mcp.TOOLS_CALL)) {
+    Map<JsonRpcMessage, Reading> made = new HashMap<>();
+    for (JsonRpcMessage message : parsed.messages()) {
+      if (message instanceof JsonRpcMessage.Request call && call.method().equals(Mcp.TOOLS_CALL)) {
         made.put(message, read(call.params(), asked && !parsed.batch()));
       }
     }
@@ -91,7 +92,7 @@
    * Before a large call is even parsed, where its tool can be seen at a glance: {@link #read} then
    * asks no second time.
    */
-  HttpServer.Refusal turnsAway(HttpServer.Request request) {
+  HttpRejection turnsAway(HttpRequest request) {
     Admission.Gate gate = admission.gate();
     if (gate == Admission.Gate.OPEN
         || !settings.overload().refuse()
@@ -104,7 +105,7 @@
       return null;
     }
     long retryAfter = gate.retryAfter(chance());
-    return new HttpServer.Refusal(
+    return new HttpRejection(
         wholeSeconds(retryAfter),
         "application/json",
         bytes(refusal(NullNode.instance, retryAfter)),
@@ -118,7 +119,7 @@
   static ObjectNode refusal(JsonNode id, long retryAfter) {
     return JsonRpc.error(
         id,
-        Mcp.REFUSED,
+        Mcp.REJECTED,
         "refused: the gateway is at its limit",
         JsonNodeFactory.instance
             .objectNode()
@@ -207,7 +208,7 @@
    * Whom the client says it calls for; it only names a row of the reports until tenants prove who
    * they are.
    */
-  static String tenant(Message.Request request) {
+  static String tenant(JsonRpcMessage.Request request) {
     return request.params().path("_meta").path("lemondock/tenant").asText(null);
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/front/FrontAnswers.java
+++ b/gateway/src/main/java/lemondock/gateway/front/FrontAnswers.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.charset.StandardCharsets;
 import lemondock.net.http.Headers;
-import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpExchange;
 import lemondock.rpc.JsonRpc;
 
 /** The short answers of the MCP front. */
@@ -11,7 +11,7 @@
   private FrontAnswers() {}
 
   /** Answers with a line of text. */
-  static void text(HttpServer.Exchange exchange, int status, String what) {
+  static void text(HttpExchange exchange, int status, String what) {
     exchange.respond(
         status,
         Headers.of("content-type", "text/plain; charset=utf-8"),
@@ -19,7 +19,7 @@
   }
 
   /** Answers with a JSON-RPC error. */
-  static void error(HttpServer.Exchange exchange, int status, JsonNode id, int code, String what) {
+  static void error(HttpExchange exchange, int status, JsonNode id, int code, String what) {
     exchange.respond(
         status,
         Headers.of("content-type", "application/json"),
--- a/gateway/src/main/java/lemondock/gateway/front/McpCall.java
+++ b/gateway/src/main/java/lemondock/gateway/front/McpCall.java
@@ -154,7 +154,7 @@
         this,
         switch (ending.end()) {
           case SERVED -> JsonRpc.result(id, result(ending));
-          case REFUSED -> JsonRpc.error(id, Mcp.REFUSED, ending.what(), data(ending, true));
+          case REFUSED -> JsonRpc.error(id, Mcp.REJECTED, ending.what(), data(ending, true));
           default -> JsonRpc.error(id, Mcp.FAILED, ending.what(), data(ending, safe));
         });
   }
--- a/gateway/src/main/java/lemondock/gateway/front/McpFront.java
+++ b/gateway/src/main/java/lemondock/gateway/front/McpFront.java
@@ -21,11 +21,14 @@
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.Loop;
 import lemondock.net.http.Headers;
-import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpExchange;
+import lemondock.net.http.HttpRejection;
+import lemondock.net.http.HttpRequest;
+import lemondock.net.http.HttpService;
 import lemondock.overload.Admission;
 import lemondock.rpc.JsonRpc;
+import lemondock.rpc.JsonRpcMessage;
 import lemondock.rpc.Mcp;
-import lemondock.rpc.Message;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -33,7 +36,7 @@
  * The clients' front: the Model Context Protocol over Streamable HTTP. It speaks the protocol and
  * keeps sessions; what becomes of a call is decided behind {@link CallService}.
  */
-public final class McpFront implements HttpServer.Service {
+public final class McpFront implements HttpService {
   private static final Logger LOG = LoggerFactory.getLogger(McpFront.class);
   private static final String PATH = "/mcp";
   private static final byte[] NOTHING = new byte[0];
@@ -123,30 +126,30 @@
   // ==== on I/O threads
 
   @Override
-  public boolean servesContent() {
+  public boolean needsBodyToServe() {
     return false;
   }
 
   @Override
-  public Object prepare(HttpServer.Request request) {
+  public Object prepare(HttpRequest request) {
     return request.method().equals("POST") ? intake.prepare(request) : null;
   }
 
   @Override
-  public int glance() {
+  public int earlyRejectionBytes() {
     return Peek.FAR;
   }
 
   @Override
-  public HttpServer.Refusal turnsAway(HttpServer.Request request) {
+  public HttpRejection rejectEarly(HttpRequest request) {
     return intake.turnsAway(request);
   }
 
   // ==== requests
 
   @Override
-  public void serve(HttpServer.Exchange exchange) {
-    HttpServer.Request request = exchange.request();
+  public void serve(HttpExchange exchange) {
+    HttpRequest request = exchange.request();
     String forbidden = access.forbidden(request);
     if (forbidden != null) {
       text(exchange, 403, forbidden);
@@ -169,7 +172,7 @@
   }
 
   /** What a load balancer asks: 200, or 503 and why not. */
-  private static void probe(HttpServer.Exchange exchange, String why) {
+  private static void probe(HttpExchange exchange, String why) {
     if (exchange.request().method().equals("GET") || exchange.request().method().equals("HEAD")) {
       text(exchange, why.isEmpty() ? 200 : 503, why.isEmpty() ? "ok" : why);
     } else {
@@ -177,7 +180,7 @@
     }
   }
 
-  private void post(HttpServer.Exchange exchange) {
+  private void post(HttpExchange exchange) {
     Headers headers = exchange.request().headers();
     String type = headers.get("content-type");
     if (type == null || !type.split(";")[0].strip().equalsIgnoreCase("application/json")) {
@@ -194,13 +197,13 @@
       return;
     }
     CallIntake.Prepared prepared = (CallIntake.Prepared) exchange.prepared();
-    List<Message> messages = prepared.parsed().messages();
-    if (!prepared.parsed().batch() && messages.get(0) instanceof Message.Invalid invalid) {
-      error(exchange, 400, invalid.id(), invalid.code(), invalid.what());
+    List<JsonRpcMessage> messages = prepared.parsed().messages();
+    if (!prepared.parsed().batch() && messages.get(0) instanceof JsonRpcMessage.Invalid invalid) {
+      error(exchange, 400, invalid.id(), invalid.code(), invalid.reason());
       return;
     }
     if (!prepared.parsed().batch()
-        && messages.get(0) instanceof Message.Request first
+        && messages.get(0) instanceof JsonRpcMessage.Request first
         && first.method().equals(Mcp.INITIALIZE)) {
       initialize(exchange, first);
       return;
@@ -222,7 +225,7 @@
   }
 
   private static boolean accepts(Headers headers, String type) {
-    for (String value : headers.all("accept")) {
+    for (String value : headers.getAll("accept")) {
       for (String part : value.split(",")) {
         String range = part.split(";")[0].strip().toLowerCase(Locale.ROOT);
         if (range.equals(type) || range.equals("*/*") || range.equals(type.split("/")[0] + "/*")) {
@@ -237,7 +240,7 @@
    * The session that a request names, in the version it speaks; null if that was answered with an
    * error.
    */
-  private McpSession session(HttpServer.Exchange exchange) {
+  private McpSession session(HttpExchange exchange) {
     Headers headers = exchange.request().headers();
     String spoken = headers.get(Mcp.VERSION_HEADER);
     if (spoken != null && !Mcp.VERSIONS.contains(spoken)) {
@@ -271,7 +274,7 @@
     return session;
   }
 
-  private void initialize(HttpServer.Exchange exchange, Message.Request request) {
+  private void initialize(HttpExchange exchange, JsonRpcMessage.Request request) {
     JsonNode asked = request.params() == null ? null : request.params().get("protocolVersion");
     if (asked == null || !asked.isTextual()) {
       error(
@@ -321,7 +324,7 @@
         bytes(JsonRpc.result(request.id(), result)));
   }
 
-  private void delete(HttpServer.Exchange exchange) {
+  private void delete(HttpExchange exchange) {
     McpSession session = session(exchange);
     if (session != null) {
       end(session, "the client ended the session");
@@ -346,7 +349,7 @@
   /**
    * The client's side of a stream: a new one for what the server says by itself, or one that broke.
    */
-  private void get(HttpServer.Exchange exchange) {
+  private void get(HttpExchange exchange) {
     if (!accepts(exchange.request().headers(), "text/event-stream")) {
       text(exchange, 406, "expected accept: text/event-stream");
       return;
@@ -388,7 +391,7 @@
     stream.open(exchange, session.id, false);
   }
 
-  private void resume(HttpServer.Exchange exchange, McpSession session, String last) {
+  private void resume(HttpExchange exchange, McpSession session, String last) {
     if (last.matches("[0-9]{1,18}-[0-9]{1,18}")) {
       String[] parts = last.split("-");
       Stream stream = session.streams.get(Long.parseLong(parts[0]));
@@ -405,21 +408,18 @@
   // ==== messages
 
   private void messages(
-      HttpServer.Exchange exchange,
-      McpSession session,
-      CallIntake.Prepared prepared,
-      boolean stream) {
-    List<Message.Request> requests = new ArrayList<>();
+      HttpExchange exchange, McpSession session, CallIntake.Prepared prepared, boolean stream) {
+    List<JsonRpcMessage.Request> requests = new ArrayList<>();
     List<ObjectNode> ready = new ArrayList<>();
-    for (Message message : prepared.parsed().messages()) {
-      if (message instanceof Message.Request request) {
+    for (JsonRpcMessage message : prepared.parsed().messages()) {
+      if (message instanceof JsonRpcMessage.Request request) {
         requests.add(request);
-      } else if (message instanceof Message.Notification notification) {
+      } else if (message instanceof JsonRpcMessage.Notification notification) {
         notified(session, notification);
-      } else if (message instanceof Message.Response response) {
+      } else if (message instanceof JsonRpcMessage.Response response) {
         responded(session, response);
-      } else if (message instanceof Message.Invalid invalid) {
-        ready.add(JsonRpc.error(invalid.id(), invalid.code(), invalid.what(), null));
+      } else if (message instanceof JsonRpcMessage.Invalid invalid) {
+        ready.add(JsonRpc.error(invalid.id(), invalid.code(), invalid.reason(), null));
       }
     }
     if (requests.isEmpty() && ready.isEmpty()) {
@@ -428,13 +428,13 @@
     }
     PostReply.Shape shape = new PostReply.Shape(prepared.parsed().batch(), stream, requests.size());
     PostReply reply = new PostReply(replies, exchange, session, shape, ready);
-    for (Message.Request request : requests) {
+    for (JsonRpcMessage.Request request : requests) {
       reply.take(request, prepared.readings().get(request));
     }
     reply.flush();
   }
 
-  private void notified(McpSession session, Message.Notification notification) {
+  private void notified(McpSession session, JsonRpcMessage.Notification notification) {
     if (notification.method().equals(Mcp.CANCELLED) && notification.params() != null) {
       JsonNode id = notification.params().get("requestId");
       McpCall call = id == null ? null : session.calls.get(id.toString());
@@ -448,7 +448,7 @@
   }
 
   /** A response to a call that the gateway relayed. What nobody waits for is logged and dropped. */
-  private void responded(McpSession session, Message.Response response) {
+  private void responded(McpSession session, JsonRpcMessage.Response response) {
     McpSession.Relayed relayed =
         response.id().isTextual() ? session.relayed.remove(response.id().textValue()) : null;
     boolean taken =
--- a/gateway/src/main/java/lemondock/gateway/front/PostReply.java
+++ b/gateway/src/main/java/lemondock/gateway/front/PostReply.java
@@ -18,10 +18,10 @@
 import lemondock.idempotency.IdempotencyStore;
 import lemondock.net.Loop;
 import lemondock.net.http.Headers;
-import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpExchange;
 import lemondock.rpc.JsonRpc;
+import lemondock.rpc.JsonRpcMessage;
 import lemondock.rpc.Mcp;
-import lemondock.rpc.Message;
 
 /**
  * What is answered to one POST: a JSON text, or an event stream as soon as a call is among its
@@ -29,7 +29,7 @@
  */
 final class PostReply implements McpCall.Reply, Stream.Owner {
   private final Services services;
-  private final HttpServer.Exchange exchange;
+  private final HttpExchange exchange;
   private final McpSession session;
   private final Shape shape;
   private final List<ObjectNode> ready;
@@ -58,7 +58,7 @@
   /** Makes the answer to one POST; {@code ready} holds what is answered already. */
   PostReply(
       Services services,
-      HttpServer.Exchange exchange,
+      HttpExchange exchange,
       McpSession session,
       Shape shape,
       List<ObjectNode> ready) {
@@ -74,7 +74,7 @@
    * Answers a request at once or begins its call; {@code reading} is what was made of a call, null
    * for other methods.
    */
-  void take(Message.Request request, CallIntake.Reading reading) {
+  void take(JsonRpcMessage.Request request, CallIntake.Reading reading) {
     if (!request.method().equals(Mcp.TOOLS_CALL)) {
       done(answer(request));
     } else if (reading instanceof CallIntake.Malformed malformed) {
@@ -90,7 +90,7 @@
     }
   }
 
-  private ObjectNode answer(Message.Request request) {
+  private ObjectNode answer(JsonRpcMessage.Request request) {
     return switch (request.method()) {
       case Mcp.PING -> JsonRpc.result(request.id(), JsonNodeFactory.instance.objectNode());
       case Mcp.TOOLS_LIST -> {
@@ -113,7 +113,7 @@
     };
   }
 
-  private void call(Message.Request request, Prompt prompt) {
+  private void call(JsonRpcMessage.Request request, Prompt prompt) {
     String problem = null;
     int code = Mcp.LIMIT;
     if (session.calls.containsKey(request.id().toString())) {
@@ -162,9 +162,12 @@
               GatewaySettings.micros(services.settings().front().keepAliveMs()),
               this);
       session.streams.put(stream.number(), stream);
-      stream.open(exchange, session.id, session.version.compareTo(Mcp.PRIMED_SINCE) >= 0);
+      stream.open(
+          exchange,
+          session.id,
+          session.version.compareTo(Mcp.FIRST_VERSION_WITH_PRIMING_EVENT) >= 0);
     } else if (stream == null) {
-      exchange.onGone(() -> leaveAll("the client's connection is gone"));
+      exchange.onDisconnect(() -> leaveAll("the client's connection is gone"));
     }
     start(request, prompt);
   }
@@ -173,7 +176,7 @@
    * Whether an earlier call under the client's key keeps this one from running; the client was told
    * what became of it.
    */
-  private boolean known(Message.Request request, Prompt prompt) {
+  private boolean known(JsonRpcMessage.Request request, Prompt prompt) {
     String key = CallIntake.onceKey(request.params());
     IdempotencyStore.Fate fate = services.calls().known(prompt, key);
     if (fate == null) {
@@ -204,7 +207,7 @@
     return true;
   }
 
-  private void start(Message.Request request, Prompt prompt) {
+  private void start(JsonRpcMessage.Request request, Prompt prompt) {
     JsonNode token = request.params().path("_meta").get("progressToken");
     McpCall call =
         new McpCall(
--- a/gateway/src/main/java/lemondock/gateway/front/Progress.java
+++ b/gateway/src/main/java/lemondock/gateway/front/Progress.java
@@ -42,11 +42,11 @@
 
   /** Adds the message of one piece; no line end is in it. */
   void write(int tokens, CharSequence piece, OutBuffer out) {
-    out.add(head).number(tokens).add(MIDDLE);
+    out.add(head).addDecimal(tokens).add(MIDDLE);
     for (int at = 0; at < piece.length(); ) {
       char c = piece.charAt(at);
       if (c >= SHORT.length || c >= ' ' && SHORT[c] == 0) {
-        at = out.character(piece, at);
+        at = out.addCharacterAt(piece, at);
         continue;
       }
       out.add('\\');
--- a/gateway/src/main/java/lemondock/gateway/front/Stream.java
+++ b/gateway/src/main/java/lemondock/gateway/front/Stream.java
@@ -4,7 +4,7 @@
 import lemondock.net.Loop;
 import lemondock.net.OutBuffer;
 import lemondock.net.http.Headers;
-import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpExchange;
 import lemondock.net.sse.SseEvent;
 
 /**
@@ -32,7 +32,7 @@
   private final long window;
   private final long keepAlive;
   private final Owner owner;
-  private HttpServer.Exchange exchange;
+  private HttpExchange exchange;
   private Loop.Timer limit = () -> {};
   private Loop.Timer beat = () -> {};
   private boolean finished;
@@ -72,7 +72,7 @@
    * Begins the stream on the connection of its request; a primer gives the client an id before any
    * event.
    */
-  synchronized void open(HttpServer.Exchange first, String session, boolean primer) {
+  synchronized void open(HttpExchange first, String session, boolean primer) {
     attach(first, session);
     if (primer) {
       send(null);
@@ -82,12 +82,12 @@
   /**
    * Goes on over another connection behind the event of that number; false if that cannot be done.
    */
-  synchronized boolean resume(HttpServer.Exchange next, String session, long lastSeen) {
+  synchronized boolean resume(HttpExchange next, String session, long lastSeen) {
     if (!log.keeps(lastSeen) || closed) {
       return false;
     }
     if (exchange != null) {
-      HttpServer.Exchange before = exchange;
+      HttpExchange before = exchange;
       exchange = null;
       before.abort(); // one connection at a time: the newer one wins
     }
@@ -102,7 +102,7 @@
     return true;
   }
 
-  private void attach(HttpServer.Exchange to, String session) {
+  private void attach(HttpExchange to, String session) {
     limit.cancel();
     exchange = to;
     Headers headers =
@@ -116,8 +116,8 @@
     if (session != null) {
       headers.add("mcp-session-id", session);
     }
-    to.onGone(() -> lost(to));
-    to.onDrained(this::unslow);
+    to.onDisconnect(() -> lost(to));
+    to.onWriteQueueDrained(this::unslow);
     to.begin(200, headers);
     heartbeat();
   }
@@ -142,14 +142,14 @@
    * thread before it sends, since slowing down is for the loop.
    */
   synchronized boolean flows() {
-    return exchange != null && !finished && !slowed && exchange.pending() <= HIGH_MARK - ROOM;
+    return exchange != null && !finished && !slowed && exchange.pendingBytes() <= HIGH_MARK - ROOM;
   }
 
   /** Sends an event whose data is a message; null sends an empty one, for its id alone. */
   synchronized void send(String data) {
     if (!finished) {
       begin(data != null);
-      out.text(
+      out.addUtf8(
           data == null ? "" : data); // JSON on one line: what this program writes has no line ends
       // outside of strings
       end();
@@ -170,16 +170,16 @@
     if (message) {
       out.add(TYPE);
     }
-    out.add(ID).number(number).add('-').number(log.nextNumber()).add(DATA);
+    out.add(ID).addDecimal(number).add('-').addDecimal(log.nextNumber()).add(DATA);
   }
 
   private void end() {
     out.add('\n').add('\n');
-    log.append(out.array(), out.from(), out.length());
+    log.append(out.array(), out.offset(), out.length());
     if (exchange != null) {
       exchange.send(out);
       log.markSent();
-      if (exchange.pending() > HIGH_MARK) {
+      if (exchange.pendingBytes() > HIGH_MARK) {
         slow();
       }
     } else if (log.full()) {
@@ -202,7 +202,7 @@
 
   private void complete() {
     beat.cancel();
-    HttpServer.Exchange last = exchange;
+    HttpExchange last = exchange;
     exchange = null;
     last.finish();
     limit = loop.schedule(window, () -> over(true));
@@ -211,7 +211,7 @@
   /** Ends the stream at once, wherever it stands. */
   synchronized void close() {
     if (!closed) {
-      HttpServer.Exchange last = exchange;
+      HttpExchange last = exchange;
       exchange = null;
       finished = true;
       if (last != null) {
@@ -221,7 +221,7 @@
     }
   }
 
-  private synchronized void lost(HttpServer.Exchange by) {
+  private synchronized void lost(HttpExchange by) {
     if (exchange == by) {
       exchange = null;
       beat.cancel();
--- a/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
@@ -41,8 +41,10 @@
 import lemondock.metrics.Snapshot;
 import lemondock.net.Loop;
 import lemondock.net.http.Headers;
+import lemondock.net.http.HttpExchange;
 import lemondock.net.http.HttpLimits;
 import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpServerOptions;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -145,7 +147,7 @@
       status =
           new HttpServer(
               loop,
-              new HttpServer.Options(
+              new HttpServerOptions(
                   HttpLimits.DEFAULT,
                   STATUS_CONNECTIONS,
                   1 << 20,
@@ -363,7 +365,7 @@
 
   // ==== what people ask
 
-  private void serve(HttpServer.Exchange exchange) {
+  private void serve(HttpExchange exchange) {
     ObjectNode answer =
         switch (exchange.request().path()) {
           case "/status" -> status();
--- a/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
+++ b/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
@@ -26,6 +26,7 @@
 import lemondock.gateway.settings.SettingsException;
 import lemondock.gateway.settings.SettingsFile;
 import lemondock.net.http.HttpClient;
+import lemondock.net.http.HttpClientOptions;
 import lemondock.net.http.HttpLimits;
 import lemondock.net.testing.ScriptedConnection;
 import lemondock.net.testing.ScriptedNetwork;
@@ -58,12 +59,12 @@
 
     void answer(String text) {
       receive(text);
-      loop.run();
+      loop.runTasks();
     }
 
     void cut() {
       end(new IOException("cut"));
-      loop.run();
+      loop.runTasks();
     }
 
     @Override
@@ -72,7 +73,7 @@
     }
 
     @Override
-    public long flushed() {
+    public long flushedBytes() {
       return written.length();
     }
   }
@@ -167,7 +168,7 @@
     writer = servers.get(1).id();
     HttpClient client =
         new HttpClient(
-            loop, network, new HttpClient.Options(HttpLimits.DEFAULT, 10_000, 10, 1_000, 1 << 30));
+            loop, network, new HttpClientOptions(HttpLimits.DEFAULT, 10_000, 10, 1_000, 1 << 30));
     EngineClient engines =
         new EngineClient(
             loop,
@@ -266,7 +267,7 @@
 
   private Line send(long id, long server) {
     host.send(id, server, 0);
-    loop.run();
+    loop.runTasks();
     return lines.get(lines.size() - 1);
   }
 
@@ -326,13 +327,13 @@
     host.cancel(id, 0);
     read.answer(READ); // it was on its way
     read.cut();
-    loop.run();
+    loop.runTasks();
     assertEquals(List.of("request " + id, "CANCELLED 0"), told);
     assertEquals(1, aborts()); // what the read may have left is let go
     Line second = send(id, reader);
     second.answer(READ);
     host.cancel(id, 1);
-    loop.run();
+    loop.runTasks();
     assertEquals("READ 1", told.get(2));
     assertEquals(3, told.size());
   }
@@ -342,11 +343,11 @@
     long id = open();
     host.send(id, 999, 0);
     host.send(id, writer, 0);
-    loop.run();
+    loop.runTasks();
     assertEquals(List.of("request " + id, "MOOT 0", "FULL 1 missing"), told);
     assertEquals(0, lines.size());
     host.fail(id);
-    loop.run();
+    loop.runTasks();
     assertEquals(1, told.stream().filter(t -> t.startsWith("request")).count());
   }
 
@@ -356,8 +357,8 @@
     send(id, reader).cut();
     host.send(id, reader, 0);
     lines.get(lines.size() - 1).end(new IOException("refused"));
-    loop.dropFirst(); // the connection that never came up
-    loop.run();
+    loop.dropNextTask(); // the connection that never came up
+    loop.runTasks();
     assertEquals(List.of("request " + id, "RESET 0", "CONNECT_FAILED 1"), told);
   }
 
@@ -367,11 +368,11 @@
     long id = open();
     final Line read = send(id, reader);
     host.timer(7, 200_000); // the module wants to look whether the read is overdue
-    loop.move(50_000);
-    loop.standStill(3_000_000);
+    loop.advance(50_000);
+    loop.pauseFor(3_000_000);
     assertEquals(List.of("request " + id), told, "nothing is judged before the sockets were heard");
     read.answer(READ);
-    loop.move(60_000);
+    loop.advance(60_000);
     assertEquals(List.of("request " + id, "READ 0", "timer 7"), told);
     assertTrue(
         lastTook >= 50_000 && lastTook <= 160_000,
@@ -386,7 +387,7 @@
     write.answer(STREAM + token("a"));
     write.cut();
     host.fail(id);
-    loop.run();
+    loop.runTasks();
     assertEquals("RESET 1 ended", told.get(told.size() - 1));
     assertEquals(List.of("'a'", "broke"), heard);
     assertEquals(0, ledger.size());
@@ -398,11 +399,11 @@
     send(id, reader).answer(READ);
     Line write = send(id, writer);
     write.answer(STREAM + token("a"));
-    loop.move(60_000);
+    loop.advance(60_000);
     write.answer(token("b"));
-    loop.move(90_000);
+    loop.advance(90_000);
     assertEquals(List.of("'a'", "'b'"), heard);
-    loop.move(20_000);
+    loop.advance(20_000);
     assertEquals(List.of("'a'", "'b'", "broke"), heard);
     assertTrue(write.isClosed());
   }
@@ -413,7 +414,7 @@
     send(id, reader).answer(READ);
     ledger.leave(id);
     host.release(id);
-    loop.run();
+    loop.runTasks();
     assertEquals(List.of(), heard);
     assertEquals(0, ledger.size());
     long streaming = open();
@@ -421,7 +422,7 @@
     Line write = send(streaming, writer);
     write.answer(STREAM + token("a"));
     ledger.leave(streaming);
-    loop.run();
+    loop.runTasks();
     assertTrue(write.isClosed());
     assertEquals("CANCELLED 1 ended", told.get(told.size() - 1));
     assertEquals(0, ledger.size());
--- a/net/src/main/java/lemondock/net/Connection.java
+++ b/net/src/main/java/lemondock/net/Connection.java
@@ -25,29 +25,29 @@
    * The same from any thread. On an I/O thread the bytes go out when the batch at hand is decoded,
    * with all others of that batch. Whoever calls it sees to the order of its own writes.
    */
-  default void writeNow(ByteBuffer bytes) {
+  default void writeFromAnyThread(ByteBuffer bytes) {
     write(bytes);
   }
 
   /** The same for bytes that stay the caller's: they are copied before this returns. */
-  default void writeNow(byte[] bytes, int from, int length) {
-    writeNow(ByteBuffer.wrap(java.util.Arrays.copyOfRange(bytes, from, from + length)));
+  default void writeFromAnyThread(byte[] bytes, int from, int length) {
+    writeFromAnyThread(ByteBuffer.wrap(java.util.Arrays.copyOfRange(bytes, from, from + length)));
   }
 
   /** Bytes queued that the operating system has not taken yet. */
-  long pending();
+  long pendingBytes();
 
   /**
    * Bytes that the operating system has taken so far; tells a stalled peer from a slow one. Once
    * {@link Handler#closed} is called it is final: what lies beyond it never left.
    */
-  long flushed();
+  long flushedBytes();
 
   /**
    * Bytes that a system call was begun for, taken by it or not; any thread. What lies beyond has
    * certainly not left. Connections that cannot tell say that all may have.
    */
-  default long offered() {
+  default long offeredBytes() {
     return Long.MAX_VALUE;
   }
 
@@ -83,11 +83,11 @@
   }
 
   /** The far end; null if it is not known any more. */
-  InetSocketAddress peer();
+  InetSocketAddress remoteAddress();
 
   /**
-   * What a connection tells its owner. Each method but {@link #decode} and {@link #readsOn} is
-   * called on the loop.
+   * What a connection tells its owner. Each method but {@link #decode} and {@link #continueReading}
+   * is called on the loop.
    */
   interface Handler {
     /** The connection is up; nothing is read until {@link Connection#read}. */
@@ -104,7 +104,7 @@
      * Whether to read on at once after a batch that gave no events for the loop; on an I/O thread,
      * like {@link #decode}. Where it says no the loop hears of the empty batch and decides.
      */
-    default boolean readsOn() {
+    default boolean continueReading() {
       return false;
     }
 
@@ -112,10 +112,10 @@
     void received(List<Object> events);
 
     /** The peer will send no more; writing may still be possible. */
-    void ended();
+    void inputEnded();
 
     /** The queue has fallen to its low mark after having been above its high mark. */
-    void drained();
+    void writeQueueDrained();
 
     /**
      * The connection is closed, or never came up; called exactly once, last. Null after an orderly
--- a/net/src/main/java/lemondock/net/Datagrams.java
+++ b/net/src/main/java/lemondock/net/DatagramSender.java
@@ -6,7 +6,7 @@
 import java.nio.ByteBuffer;
 
 /** Sends datagrams to one peer and hears nothing from it but that nobody is there. */
-public interface Datagrams extends Closeable {
+public interface DatagramSender extends Closeable {
   /**
    * Sends one packet, whole or not at all, without waiting.
    *
@@ -22,6 +22,6 @@
   /** Where such senders come from. */
   interface Opener {
     /** A sender to an address. */
-    Datagrams open(InetSocketAddress to) throws IOException;
+    DatagramSender open(InetSocketAddress to) throws IOException;
   }
 }
--- a/net/src/main/java/lemondock/net/Network.java
+++ b/net/src/main/java/lemondock/net/Network.java
@@ -3,7 +3,6 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
-import java.util.function.LongConsumer;
 import java.util.function.Supplier;
 
 /** Where connections come from. */
@@ -11,10 +10,12 @@
   /**
    * Accepts connections, each with a handler of its own.
    *
-   * @param most connections open at a time over this listener; further ones are closed as they come
+   * @param maxConnections connections open at a time over this listener; further ones are closed as
+   *     they come
    * @throws IOException if the address cannot be taken
    */
-  Listener listen(InetSocketAddress address, int most, Supplier<Connection.Handler> handlers)
+  Listener listen(
+      InetSocketAddress address, int maxConnections, Supplier<Connection.Handler> handlers)
       throws IOException;
 
   /**
@@ -30,7 +31,7 @@
    * Connection#shard}.
    */
   default void connect(
-      InetSocketAddress address, long timeoutMicros, int near, Connection.Handler handler) {
+      InetSocketAddress address, long timeoutMicros, int shard, Connection.Handler handler) {
     connect(address, timeoutMicros, handler);
   }
 
@@ -38,22 +39,10 @@
    * Ways to learn how long what comes to a socket waits for its thread, one for each; empty where
    * nothing waits. Opens sockets, so call it off the loop, once.
    */
-  default List<Probe> probes() throws IOException {
+  default List<DelayProbe> delayProbes() throws IOException {
     return List.of();
   }
 
-  /** Tells how late a thread is. */
-  interface Probe {
-    /**
-     * Has the thread come to something new, unless the last such thing still waits. Loop thread
-     * only.
-     *
-     * @param waited hears, on the loop, how many microseconds that took
-     * @return for how many microseconds the last one has been waiting, 0 if it does not any more
-     */
-    long ask(LongConsumer waited);
-  }
-
   /** An open port. */
   interface Listener {
     /** The address taken; tells the port where 0 was asked for. */
--- a/net/src/main/java/lemondock/net/OutBuffer.java
+++ b/net/src/main/java/lemondock/net/OutBuffer.java
@@ -9,29 +9,29 @@
  */
 public final class OutBuffer {
   /** Bytes kept in front: enough for the head of a chunk of any length. */
-  public static final int ROOM = 16;
+  public static final int FRAME_HEAD_BYTES = 16;
 
   private static final int KEPT = 1_024;
   private static final int MOST_DIGITS = 20;
 
   private final int usual;
   private byte[] bytes;
-  private int from = ROOM;
-  private int end = ROOM;
+  private int offset = FRAME_HEAD_BYTES;
+  private int end = FRAME_HEAD_BYTES;
 
   /** Makes an empty one for messages of so many bytes; a longer one makes it grow. */
   public OutBuffer(int usual) {
     this.usual = usual;
-    this.bytes = new byte[ROOM + usual];
+    this.bytes = new byte[FRAME_HEAD_BYTES + usual];
   }
 
   /** Empties it; memory that a single large message took is let go. */
   public OutBuffer reset() {
-    if (bytes.length > KEPT + ROOM && bytes.length > usual + ROOM) {
-      bytes = new byte[ROOM + usual];
+    if (bytes.length > KEPT + FRAME_HEAD_BYTES && bytes.length > usual + FRAME_HEAD_BYTES) {
+      bytes = new byte[FRAME_HEAD_BYTES + usual];
     }
-    from = ROOM;
-    end = ROOM;
+    offset = FRAME_HEAD_BYTES;
+    end = FRAME_HEAD_BYTES;
     return this;
   }
 
@@ -44,13 +44,13 @@
   }
 
   /** Where it begins in {@link #array}. */
-  public int from() {
-    return from;
+  public int offset() {
+    return offset;
   }
 
   /** How many bytes it holds. */
   public int length() {
-    return end - from;
+    return end - offset;
   }
 
   /** Adds one byte. */
@@ -74,7 +74,7 @@
   }
 
   /** Adds a number that is not negative, in decimal. */
-  public OutBuffer number(long value) {
+  public OutBuffer addDecimal(long value) {
     reserve(MOST_DIGITS);
     int digits = 1;
     for (long rest = value / 10; rest > 0; rest /= 10) {
@@ -93,7 +93,7 @@
    * Adds the character at an index of a text in UTF-8, both halves of a pair at once; gives the
    * index of the next one.
    */
-  public int character(CharSequence text, int at) {
+  public int addCharacterAt(CharSequence text, int at) {
     char c = text.charAt(at);
     reserve(4);
     if (c < 0x80) {
@@ -121,21 +121,21 @@
   }
 
   /** Adds a text in UTF-8. */
-  public OutBuffer text(CharSequence text) {
+  public OutBuffer addUtf8(CharSequence text) {
     for (int at = 0; at < text.length(); ) {
-      at = character(text, at);
+      at = addCharacterAt(text, at);
     }
     return this;
   }
 
   /** Makes it one chunk of HTTP/1.1 content. */
-  public OutBuffer chunked() {
+  public OutBuffer frameAsChunk() {
     int remaining = length();
-    bytes[--from] = '\n';
-    bytes[--from] = '\r';
+    bytes[--offset] = '\n';
+    bytes[--offset] = '\r';
     do {
       int digit = remaining & 0xf;
-      bytes[--from] = (byte) (digit < 10 ? '0' + digit : 'a' + digit - 10);
+      bytes[--offset] = (byte) (digit < 10 ? '0' + digit : 'a' + digit - 10);
       remaining >>>= 4;
     } while (remaining > 0);
     return add('\r').add('\n');
--- /dev/null
+++ b/net/src/main/java/lemondock/net/http/ConnectionPool.java
@@ -0,0 +1,125 @@
+package lemondock.net.http;
+
+import java.net.InetSocketAddress;
+import java.util.ArrayDeque;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Iterator;
+import java.util.Map;
+import java.util.Set;
+
+/** The connections of one {@link HttpClient}, by address. Loop thread only. */
+final class ConnectionPool {
+  /** In place of a shard's number: a connection of any shard will do. */
+  static final int ANY_SHARD = -1;
+
+  private final Map<InetSocketAddress, AddressPool> addressPools = new HashMap<>();
+
+  /** All connections, coming up, in use or idle. */
+  private final Set<ClientConnection> connections = new HashSet<>();
+
+  /** The connections to one address. */
+  static final class AddressPool {
+    private final InetSocketAddress address;
+
+    /** Idle connections, the one used last at the end. */
+    private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
+
+    private int connections;
+
+    private AddressPool(InetSocketAddress address) {
+      this.address = address;
+    }
+
+    InetSocketAddress address() {
+      return address;
+    }
+
+    /** Connections to this address, coming up, in use or idle. */
+    int connections() {
+      return connections;
+    }
+
+    /**
+     * Takes the idle connection that was used last, of that shard if there is one.
+     *
+     * @param anyShard whether one of another shard will do as well
+     * @return null if there is none
+     */
+    ClientConnection takeIdle(int shard, boolean anyShard) {
+      ClientConnection last = idle.peekLast();
+      if (last == null || shard == ANY_SHARD || anyShard || last.shard() == shard) {
+        return idle.pollLast();
+      }
+      for (Iterator<ClientConnection> it = idle.descendingIterator(); it.hasNext(); ) {
+        ClientConnection connection = it.next();
+        if (connection.shard() == shard) {
+          it.remove();
+          return connection;
+        }
+      }
+      return null;
+    }
+
+    void addIdle(ClientConnection connection) {
+      idle.add(connection);
+    }
+
+    void removeIdle(ClientConnection connection) {
+      idle.remove(connection);
+    }
+  }
+
+  AddressPool forAddress(InetSocketAddress address) {
+    return addressPools.computeIfAbsent(address, AddressPool::new);
+  }
+
+  void add(ClientConnection connection) {
+    connection.addressPool().connections++;
+    connections.add(connection);
+  }
+
+  /** Forgets a connection that is closed. */
+  void remove(ClientConnection connection) {
+    AddressPool addressPool = connection.addressPool();
+    addressPool.connections--;
+    connections.remove(connection);
+    addressPool.removeIdle(connection);
+    if (addressPool.connections == 0 && addressPool.idle.isEmpty()) {
+      addressPools.remove(addressPool.address, addressPool);
+    }
+  }
+
+  /** Closes the connection that has been unused for longest; false if all are in use. */
+  boolean evictOldestIdle() {
+    ClientConnection oldest = null;
+    for (AddressPool addressPool : addressPools.values()) {
+      ClientConnection first = addressPool.idle.peekFirst();
+      if (first != null && (oldest == null || first.idleSinceMicros() < oldest.idleSinceMicros())) {
+        oldest = first;
+      }
+    }
+    if (oldest != null) {
+      oldest.evict();
+    }
+    return oldest != null;
+  }
+
+  /** Connections to all addresses, coming up, in use or idle. */
+  int connections() {
+    return connections.size();
+  }
+
+  boolean hasIdle(InetSocketAddress address) {
+    AddressPool addressPool = addressPools.get(address);
+    return addressPool != null && !addressPool.idle.isEmpty();
+  }
+
+  Map<InetSocketAddress, Integer> requestsByAddress() {
+    Map<InetSocketAddress, Integer> requests = new HashMap<>();
+    connections.stream()
+        .filter(ClientConnection::hasCall)
+        .forEach(connection -> requests.merge(connection.address(), 1, Integer::sum));
+    return requests;
+  }
+}
--- a/net/src/main/java/lemondock/net/http/Headers.java
+++ b/net/src/main/java/lemondock/net/http/Headers.java
@@ -35,7 +35,7 @@
   }
 
   /** All values of that name. */
-  public List<String> all(String name) {
+  public List<String> getAll(String name) {
     List<String> found = new ArrayList<>();
     String wanted = name.toLowerCase(Locale.ROOT);
     for (int i = 0; i < names.size(); i++) {
@@ -47,8 +47,8 @@
   }
 
   /** Whether a comma separated list field holds the token, without regard to case. */
-  public boolean lists(String name, String token) {
-    for (String value : all(name)) {
+  public boolean containsToken(String name, String token) {
+    for (String value : getAll(name)) {
       for (String part : value.split(",")) {
         if (part.strip().equalsIgnoreCase(token)) {
           return true;
--- a/net/src/main/java/lemondock/net/http/HttpDecoder.java
+++ b/net/src/main/java/lemondock/net/http/HttpDecoder.java
@@ -4,6 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
+import lemondock.net.http.HttpDecoder.ContentSink;
 
 /**
  * Reads HTTP/1.1 messages (RFC 9112) from bytes split anywhere; no I/O. Framing is taken strictly:
@@ -40,10 +41,10 @@
   private long body;
   private boolean headRequest;
   private boolean begunTold;
-  private Content content = bytes -> {};
+  private ContentSink content = bytes -> {};
 
   /** Takes pieces of content where they lie. */
-  public interface Content {
+  public interface ContentSink {
     /**
      * The next piece, framing taken off; it is only there until this returns. All events before it
      * have been added.
@@ -57,12 +58,12 @@
   }
 
   /** A decoder for a server's side. */
-  public static HttpDecoder ofRequests(HttpLimits limits) {
+  public static HttpDecoder forRequests(HttpLimits limits) {
     return new HttpDecoder(true, limits);
   }
 
   /** A decoder for a client's side. */
-  public static HttpDecoder ofResponses(HttpLimits limits) {
+  public static HttpDecoder forResponses(HttpLimits limits) {
     return new HttpDecoder(false, limits);
   }
 
@@ -72,7 +73,7 @@
   }
 
   /** Has content go there; without it content is dropped. */
-  public HttpDecoder contentTo(Content taker) {
+  public HttpDecoder withContentSink(ContentSink taker) {
     content = taker;
     return this;
   }
@@ -178,13 +179,13 @@
       } else {
         require(b != '\n', 400, "a line feed without a carriage return");
         require(b != 0, 400, "a NUL in a head");
-        if (lineLength >= limits.line()) {
+        if (lineLength >= limits.maxLineBytes()) {
           throw new Refused(
               state == State.START && requests ? 414 : 431,
-              "a line is longer than " + limits.line() + " bytes");
+              "a line is longer than " + limits.maxLineBytes() + " bytes");
         }
         if (lineLength == line.length) {
-          line = Arrays.copyOf(line, Math.min(limits.line(), line.length * 2));
+          line = Arrays.copyOf(line, Math.min(limits.maxLineBytes(), line.length * 2));
         }
         line[lineLength++] = b;
       }
@@ -250,24 +251,26 @@
   private void countHeader() {
     headerBytes += lineLength;
     require(
-        headerBytes <= limits.headerBytes(),
+        headerBytes <= limits.maxHeaderBytes(),
         431,
-        "header fields of over " + limits.headerBytes() + " bytes");
+        "header fields of over " + limits.maxHeaderBytes() + " bytes");
     require(
-        headers.size() < limits.headers(), 431, "more than " + limits.headers() + " header fields");
+        headers.size() < limits.maxHeaderFields(),
+        431,
+        "more than " + limits.maxHeaderFields() + " header fields");
   }
 
   private void head(List<? super HttpEvent> out) {
     int status = requests ? 0 : Integer.parseInt(start[1]);
     boolean old = (requests ? start[2] : start[0]).equals("HTTP/1.0");
     boolean keep =
-        !headers.lists("connection", "close")
-            && (!old || headers.lists("connection", "keep-alive"));
+        !headers.containsToken("connection", "close")
+            && (!old || headers.containsToken("connection", "keep-alive"));
     boolean chunked = chunked(old);
     long length = length();
     require(!chunked || length < 0, 400, "both a length and chunks");
     if (requests) {
-      require(old || headers.all("host").size() == 1, 400, "not one Host field");
+      require(old || headers.getAll("host").size() == 1, 400, "not one Host field");
       out.add(new HttpEvent.RequestHead(start[0], start[1], old ? 0 : 1, headers, keep));
     } else if (status < 200) {
       require(status != 101, 502, "an upgrade that was not asked for");
@@ -283,7 +286,9 @@
       state = State.CHUNK_SIZE;
     } else if (length > 0) {
       require(
-          length <= limits.body(), 413, "content of " + length + " bytes, over " + limits.body());
+          length <= limits.maxBodyBytes(),
+          413,
+          "content of " + length + " bytes, over " + limits.maxBodyBytes());
       left = length;
       state = State.FIXED;
     } else if (requests || length == 0) {
@@ -298,7 +303,7 @@
   }
 
   private boolean chunked(boolean old) {
-    List<String> codings = headers.all("transfer-encoding");
+    List<String> codings = headers.getAll("transfer-encoding");
     if (codings.isEmpty()) {
       return false;
     }
@@ -311,7 +316,7 @@
   }
 
   private long length() {
-    List<String> lengths = headers.all("content-length");
+    List<String> lengths = headers.getAll("content-length");
     if (lengths.isEmpty()) {
       return -1;
     }
@@ -335,9 +340,9 @@
       require(rest.isEmpty() || rest.startsWith(";"), 400, "a chunk size that is not a number");
     }
     require(
-        size <= limits.body() - body,
+        size <= limits.maxBodyBytes() - body,
         413,
-        "a chunk of " + size + " bytes, over " + limits.body() + " in all");
+        "a chunk of " + size + " bytes, over " + limits.maxBodyBytes() + " in all");
     forgetLine();
     left = size;
     state = size == 0 ? State.TRAILERS : State.CHUNK;
@@ -346,8 +351,8 @@
   private int data(ByteBuffer in, long most) {
     int count = (int) Math.min(in.remaining(), most);
     body += count;
-    if (body > limits.body()) {
-      throw new Refused(413, "content of over " + limits.body() + " bytes");
+    if (body > limits.maxBodyBytes()) {
+      throw new Refused(413, "content of over " + limits.maxBodyBytes() + " bytes");
     }
     int limit = in.limit();
     int end = in.position() + count;
--- a/net/src/main/java/lemondock/net/http/HttpEncoder.java
+++ b/net/src/main/java/lemondock/net/http/HttpEncoder.java
@@ -7,7 +7,7 @@
 
 /** Writes HTTP/1.1 messages as bytes; no I/O. */
 public final class HttpEncoder {
-  private static final int LINE_END = 2;
+  private static final int LINE_END_BYTES = 2;
   private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
   private static final Map<Integer, String> REASONS =
       Map.ofEntries(
@@ -33,21 +33,24 @@
 
   private HttpEncoder() {}
 
-  /** A whole response. */
+  /** A whole response; adds the content-length. */
   public static ByteBuffer response(int status, Headers headers, byte[] body) {
     Headers all = copy(headers).add("content-length", Integer.toString(body.length));
-    return join(
-        head("HTTP/1.1 " + status + " " + REASONS.getOrDefault(status, "Status"), all), body);
+    return join(head(statusLine(status), all), body);
   }
 
-  /** The head of a response whose content follows in chunks. */
+  /** The head of a response whose content follows in chunks; adds the transfer-encoding. */
   public static ByteBuffer chunkedHead(int status, Headers headers) {
     Headers all = copy(headers).add("transfer-encoding", "chunked");
-    return ByteBuffer.wrap(
-        head("HTTP/1.1 " + status + " " + REASONS.getOrDefault(status, "Status"), all));
+    return ByteBuffer.wrap(head(statusLine(status), all));
   }
 
-  /** A whole request. */
+  /** The head of a response whose content lasts until the connection is closed. */
+  public static ByteBuffer headUntilClose(int status, Headers headers) {
+    return ByteBuffer.wrap(head(statusLine(status), headers));
+  }
+
+  /** A whole request; adds the content-length if there is content or the method is POST. */
   public static ByteBuffer request(String method, String target, Headers headers, byte[] body) {
     Headers all = copy(headers);
     if (body.length > 0 || method.equals("POST")) {
@@ -58,8 +61,8 @@
 
   /** One chunk of content that is not empty. */
   public static ByteBuffer chunk(byte[] bytes) {
-    OutBuffer framed = new OutBuffer(bytes.length + LINE_END).add(bytes).chunked();
-    return ByteBuffer.wrap(framed.array(), framed.from(), framed.length());
+    OutBuffer framed = new OutBuffer(bytes.length + LINE_END_BYTES).add(bytes).frameAsChunk();
+    return ByteBuffer.wrap(framed.array(), framed.offset(), framed.length());
   }
 
   /** The end of content in chunks. */
@@ -67,6 +70,10 @@
     return ByteBuffer.wrap(LAST_CHUNK);
   }
 
+  private static String statusLine(int status) {
+    return "HTTP/1.1 " + status + " " + REASONS.getOrDefault(status, "Status");
+  }
+
   private static Headers copy(Headers headers) {
     Headers all = new Headers();
     for (int i = 0; i < headers.size(); i++) {
@@ -75,8 +82,8 @@
     return all;
   }
 
-  private static byte[] head(String start, Headers headers) {
-    return (start + "\r\n" + headers + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
+  private static byte[] head(String startLine, Headers headers) {
+    return (startLine + "\r\n" + headers + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
   }
 
   private static ByteBuffer join(byte[] head, byte[] body) {
--- a/net/src/main/java/lemondock/net/http/HttpEvent.java
+++ b/net/src/main/java/lemondock/net/http/HttpEvent.java
@@ -2,15 +2,16 @@
 
 /**
  * What an {@link HttpDecoder} finds in a byte stream, in this order for each message: head, end;
- * the content goes elsewhere between them ({@link HttpDecoder#contentTo}). {@link Began} comes
- * between them where bytes end within a message.
+ * the content goes elsewhere between them ({@link HttpDecoder#withContentSink}). {@link Began}
+ * comes between them where bytes end within a message.
  */
 public sealed interface HttpEvent {
   /** A message has begun and is not complete; once a message, so that its time can be limited. */
   record Began() implements HttpEvent {}
 
   /** Request line and header fields; {@code minor} is the minor version of HTTP/1. */
-  record RequestHead(String method, String target, int minor, Headers headers, boolean keepAlive)
+  record RequestHead(
+      String method, String target, int minorVersion, Headers headers, boolean keepAlive)
       implements HttpEvent {}
 
   /** Status line and header fields of a final response. */
@@ -24,5 +25,5 @@
    *
    * @param status what a server should answer
    */
-  record Malformed(int status, String what) implements HttpEvent {}
+  record Malformed(int status, String reason) implements HttpEvent {}
 }
--- a/net/src/main/java/lemondock/net/http/HttpLimits.java
+++ b/net/src/main/java/lemondock/net/http/HttpLimits.java
@@ -8,7 +8,8 @@
  * @param headers header fields of a message
  * @param body bytes of a message's content
  */
-public record HttpLimits(int line, int headerBytes, int headers, long body) {
+public record HttpLimits(
+    int maxLineBytes, int maxHeaderBytes, int maxHeaderFields, long maxBodyBytes) {
   /** Limits for peers that are not known. */
   public static final HttpLimits DEFAULT =
       new HttpLimits(8 * 1024, 32 * 1024, 100, 4 * 1024 * 1024);
--- /dev/null
+++ b/net/src/main/java/lemondock/net/http/HttpRequest.java
@@ -0,0 +1,37 @@
+package lemondock.net.http;
+
+/**
+ * A complete request as a server received it.
+ *
+ * @param method such as {@code GET}, as sent
+ * @param target the request target: path and query, not decoded
+ * @param headers all header fields
+ * @param body the content with its framing removed; empty if there is none
+ */
+public record HttpRequest(String method, String target, Headers headers, byte[] body) {
+  private static final byte[] NO_BODY = new byte[0];
+
+  /** The target up to its query. */
+  public String path() {
+    int query = target.indexOf('?');
+    return query < 0 ? target : target.substring(0, query);
+  }
+
+  /** The first value of a query parameter, not decoded; null if there is none. */
+  public String queryParameter(String name) {
+    int query = target.indexOf('?');
+    if (query < 0) {
+      return null;
+    }
+    for (String pair : target.substring(query + 1).split("&")) {
+      if (pair.startsWith(name + "=")) {
+        return pair.substring(name.length() + 1);
+      }
+    }
+    return null;
+  }
+
+  HttpRequest withoutBody() {
+    return new HttpRequest(method, target, headers, NO_BODY);
+  }
+}
--- a/net/src/main/java/lemondock/net/nio/AsyncConnection.java
+++ b/net/src/main/java/lemondock/net/nio/AsyncConnection.java
@@ -130,7 +130,7 @@
   }
 
   @Override
-  public InetSocketAddress peer() {
+  public InetSocketAddress remoteAddress() {
     return peer;
   }
 
@@ -170,7 +170,7 @@
             if (lingering) {
               finish(null);
             } else if (!closed) {
-              handler.ended();
+              handler.inputEnded();
             }
           });
       return;
@@ -194,7 +194,7 @@
     boolean readsOn;
     try {
       handler.decode(readBuffer.flip(), events);
-      readsOn = events.isEmpty() && handler.readsOn();
+      readsOn = events.isEmpty() && handler.continueReading();
     } catch (RuntimeException
         | Error e) { // what escapes would end the shard's thread and leave its sockets
       // unheard
@@ -249,14 +249,14 @@
   }
 
   @Override
-  public void writeNow(ByteBuffer bytes) {
+  public void writeFromAnyThread(ByteBuffer bytes) {
     if (queued(bytes)) {
       flushSoon();
     }
   }
 
   @Override
-  public void writeNow(byte[] bytes, int from, int length) {
+  public void writeFromAnyThread(byte[] bytes, int from, int length) {
     if (closed || closeWhenFlushed || length == 0) {
       return;
     }
@@ -405,11 +405,11 @@
       loop.executeHere(
           () -> {
             if (tell && !closed) {
-              handler.drained();
+              handler.writeQueueDrained();
             }
-            if (closeWhenFlushed && pending() == 0) {
+            if (closeWhenFlushed && pendingBytes() == 0) {
               linger();
-            } else if (idleCloseWaits && pending() == 0 && !closed) {
+            } else if (idleCloseWaits && pendingBytes() == 0 && !closed) {
               endUnlessReading();
             }
           });
@@ -417,21 +417,21 @@
   }
 
   @Override
-  public long pending() {
+  public long pendingBytes() {
     synchronized (queue) {
       return pending;
     }
   }
 
   @Override
-  public long flushed() {
+  public long flushedBytes() {
     synchronized (queue) {
       return flushed;
     }
   }
 
   @Override
-  public long offered() {
+  public long offeredBytes() {
     synchronized (queue) {
       return offered;
     }
@@ -443,7 +443,7 @@
       return;
     }
     closeWhenFlushed = true;
-    if (pending() == 0) {
+    if (pendingBytes() == 0) {
       linger();
     }
   }
@@ -460,7 +460,7 @@
     }
     idleCloseWaits = true;
     idleCloseLingers = lingers;
-    if (pending() == 0) {
+    if (pendingBytes() == 0) {
       endUnlessReading();
     }
   }
--- a/net/src/main/java/lemondock/net/nio/AsyncNetwork.java
+++ b/net/src/main/java/lemondock/net/nio/AsyncNetwork.java
@@ -15,9 +15,10 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.Supplier;
 import lemondock.net.Connection;
+import lemondock.net.DelayProbe;
+import lemondock.net.LocalResourcesExhaustedException;
 import lemondock.net.Loop;
 import lemondock.net.Network;
-import lemondock.net.NoRoomException;
 
 /**
  * Connections on the JDK's asynchronous socket channels. Each I/O thread has a channel group of its
@@ -48,7 +49,7 @@
   private int nextGroup;
   private final Set<AsyncConnection> open = new HashSet<>();
   private final Set<Port> ports = new HashSet<>();
-  private final List<ShardProbe> probes = new CopyOnWriteArrayList<>();
+  private final List<ShardDelayProbe> probes = new CopyOnWriteArrayList<>();
 
   /** Makes a network whose callbacks come in the given loop's context, with so many I/O threads. */
   public AsyncNetwork(ThreadLoop loop, int threads) throws IOException {
@@ -138,7 +139,9 @@
     } catch (IOException | ShutdownChannelGroupException e) {
       loop.execute(
           () ->
-              handler.closed(new NoRoomException("no socket can be opened: " + e.getMessage(), e)));
+              handler.closed(
+                  new LocalResourcesExhaustedException(
+                      "no socket can be opened: " + e.getMessage(), e)));
       return;
     }
     AsyncConnection socket = new AsyncConnection(loop, channel, shard, handler, open::remove);
@@ -178,10 +181,10 @@
   }
 
   @Override
-  public List<Probe> probes() throws IOException {
-    List<Probe> all = new ArrayList<>();
+  public List<DelayProbe> delayProbes() throws IOException {
+    List<DelayProbe> all = new ArrayList<>();
     for (AsynchronousChannelGroup group : groups) {
-      ShardProbe probe = new ShardProbe(loop, group);
+      ShardDelayProbe probe = new ShardDelayProbe(loop, group);
       probes.add(probe);
       all.add(probe);
     }
@@ -200,7 +203,7 @@
   /** Ends the threads; connections still open break. */
   @Override
   public void close() throws IOException {
-    probes.forEach(ShardProbe::close);
+    probes.forEach(ShardDelayProbe::close);
     for (AsynchronousChannelGroup group : groups) {
       group.shutdownNow();
     }
--- a/net/src/main/java/lemondock/net/nio/ChannelSupport.java
+++ b/net/src/main/java/lemondock/net/nio/ChannelSupport.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.net.BindException;
 import java.nio.channels.Channel;
-import lemondock.net.NoRoomException;
+import lemondock.net.LocalResourcesExhaustedException;
 
 /** What the classes of this package do alike with channels of the JDK. */
 final class ChannelSupport {
@@ -23,7 +23,8 @@
    */
   static IOException asIo(Throwable cause) {
     return cause instanceof BindException
-        ? new NoRoomException("no local address or port: " + cause.getMessage(), cause)
+        ? new LocalResourcesExhaustedException(
+            "no local address or port: " + cause.getMessage(), cause)
         : cause instanceof IOException io ? io : new IOException(cause);
   }
 }
--- a/net/src/main/java/lemondock/net/nio/Combiner.java
+++ b/net/src/main/java/lemondock/net/nio/FlatCombiner.java
@@ -10,7 +10,7 @@
  * task is left behind. Who hands one in either gets the context, or somebody has it who looks at
  * the inbox again after giving it up.
  */
-final class Combiner {
+final class FlatCombiner {
   private final ConcurrentLinkedQueue<Runnable> inbox = new ConcurrentLinkedQueue<>();
   private final AtomicReference<Thread> owner = new AtomicReference<>();
 
--- a/net/src/main/java/lemondock/net/nio/ShardProbe.java
+++ b/net/src/main/java/lemondock/net/nio/ShardDelayProbe.java
@@ -15,13 +15,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.function.LongConsumer;
-import lemondock.net.Network;
+import lemondock.net.DelayProbe;
 
 /**
  * A loopback connection to itself: a byte put in at one end waits at the other like what clients
  * send. The kernel's list of ready sockets is in order of coming.
  */
-final class ShardProbe implements Network.Probe, CompletionHandler<Integer, Void> {
+final class ShardDelayProbe implements DelayProbe, CompletionHandler<Integer, Void> {
   private static final long CONNECT_SECONDS = 10;
 
   private final ThreadLoop loop;
@@ -33,7 +33,7 @@
   private boolean waiting;
   private LongConsumer told;
 
-  ShardProbe(ThreadLoop loop, AsynchronousChannelGroup group) throws IOException {
+  ShardDelayProbe(ThreadLoop loop, AsynchronousChannelGroup group) throws IOException {
     this.loop = loop;
     end = AsynchronousSocketChannel.open(group);
     try (ServerSocketChannel port = ServerSocketChannel.open()) {
@@ -56,7 +56,7 @@
   }
 
   @Override
-  public long ask(LongConsumer waited) {
+  public long measure(LongConsumer waited) {
     if (waiting) {
       return Math.max(1, loop.now() - sentAt);
     }
--- a/net/src/main/java/lemondock/net/nio/ThreadLoop.java
+++ b/net/src/main/java/lemondock/net/nio/ThreadLoop.java
@@ -11,7 +11,7 @@
 /**
  * A loop on the machine's clock: one context, but no thread of its own for most of its work.
  * Whoever brings a task from an I/O thread runs it there and then if the context is free, and
- * whoever has the context runs what others bring meanwhile ({@link Combiner}). So a token that
+ * whoever has the context runs what others bring meanwhile ({@link FlatCombiner}). So a token that
  * comes in is decoded, handled and written by one thread, with no wake-up. A thread of the loop's
  * own runs timers and what other threads hand over, and takes over from an I/O thread that has run
  * tasks for too long.
@@ -32,7 +32,7 @@
   private static final long NEVER = Long.MAX_VALUE;
 
   /** The context; everything below that is not volatile belongs to whoever has it. */
-  private final Combiner context = new Combiner();
+  private final FlatCombiner context = new FlatCombiner();
 
   private final ArrayDeque<Runnable> turnEnds = new ArrayDeque<>();
   private final ArrayList<Runnable> outside = new ArrayList<>();
@@ -101,7 +101,7 @@
   }
 
   /** Timers that are set: each holds what its task holds. In the context only. */
-  public int timers() {
+  public int pendingTimers() {
     return wheel.size();
   }
 
@@ -162,7 +162,7 @@
     } finally {
       after = outside.isEmpty() ? List.of() : List.copyOf(outside);
       outside.clear();
-      boolean sooner = Thread.currentThread() != thread && wheel.nextDue() < wakesAt;
+      boolean sooner = Thread.currentThread() != thread && wheel.nextDueMicros() < wakesAt;
       context.leave();
       // what came in during the turn relied on this thread to look again, which it does after
       // the tasks below: one of them may take long
@@ -185,7 +185,7 @@
       }
       turn(BATCH);
       if (context.isEmpty() && context.enter()) {
-        long due = wheel.nextDue();
+        long due = wheel.nextDueMicros();
         wakesAt = due;
         context.leave();
         long wait = due == NEVER ? NEVER : (due - now()) * 1_000;
--- a/net/src/main/java/lemondock/net/nio/UdpDatagrams.java
+++ b/net/src/main/java/lemondock/net/nio/UdpDatagramSender.java
@@ -4,18 +4,18 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.channels.DatagramChannel;
-import lemondock.net.Datagrams;
+import lemondock.net.DatagramSender;
 
 /** Datagrams over UDP; the channel is connected, so that a peer's "port unreachable" is heard. */
-public final class UdpDatagrams implements Datagrams {
+public final class UdpDatagramSender implements DatagramSender {
   private final DatagramChannel channel;
 
-  private UdpDatagrams(DatagramChannel channel) {
+  private UdpDatagramSender(DatagramChannel channel) {
     this.channel = channel;
   }
 
   /** A sender to an address. */
-  public static UdpDatagrams open(InetSocketAddress to) throws IOException {
+  public static UdpDatagramSender open(InetSocketAddress to) throws IOException {
     DatagramChannel channel = DatagramChannel.open();
     try {
       channel.configureBlocking(false);
@@ -24,7 +24,7 @@
       channel.close();
       throw e instanceof IOException io ? io : new IOException(e);
     }
-    return new UdpDatagrams(channel);
+    return new UdpDatagramSender(channel);
   }
 
   @Override
--- a/net/src/main/java/lemondock/net/nio/UnixConnector.java
+++ b/net/src/main/java/lemondock/net/nio/UnixDomainConnector.java
@@ -18,7 +18,7 @@
  * asynchronous channels for them, so these do not block and are looked after by a timer of the
  * loop, and only while there is something to do.
  */
-public final class UnixConnector {
+public final class UnixDomainConnector {
   private static final long LOOK = 5_000;
   private static final long HIGH_MARK = 64 * 1024;
   private static final long LOW_MARK = 16 * 1024;
@@ -27,7 +27,7 @@
   private final Loop loop;
 
   /** Makes a connector whose handlers are called on the loop. */
-  public UnixConnector(Loop loop) {
+  public UnixDomainConnector(Loop loop) {
     this.loop = loop;
   }
 
@@ -131,7 +131,7 @@
       }
       if (wasHigh && pending <= LOW_MARK) {
         wasHigh = false;
-        handler.drained();
+        handler.writeQueueDrained();
       }
     }
 
@@ -140,7 +140,7 @@
       int count = channel.read(bytes);
       if (count < 0) {
         wantsRead = false;
-        handler.ended();
+        handler.inputEnded();
       } else if (count > 0) {
         wantsRead = false;
         List<Object> events = new ArrayList<>();
@@ -150,12 +150,12 @@
     }
 
     @Override
-    public long pending() {
+    public long pendingBytes() {
       return pending;
     }
 
     @Override
-    public long flushed() {
+    public long flushedBytes() {
       return flushed;
     }
 
@@ -186,7 +186,7 @@
     }
 
     @Override
-    public InetSocketAddress peer() {
+    public InetSocketAddress remoteAddress() {
       return null;
     }
   }
--- a/net/src/main/java/lemondock/net/nio/Workers.java
+++ b/net/src/main/java/lemondock/net/nio/WorkerPool.java
@@ -9,11 +9,11 @@
  * Threads for what takes long, with a bounded queue: what does not fit is refused by the caller, at
  * once.
  */
-public final class Workers {
-  private Workers() {}
+public final class WorkerPool {
+  private WorkerPool() {}
 
   /** So many threads, started as they are needed, and places in their queue. */
-  public static ExecutorService of(int threads, int queue, String name) {
+  public static ExecutorService create(int threads, int queue, String name) {
     return new ThreadPoolExecutor(
         threads,
         threads,
--- a/net/src/main/java/lemondock/net/sse/SseDecoder.java
+++ b/net/src/main/java/lemondock/net/sse/SseDecoder.java
@@ -21,19 +21,6 @@
   private String type = "";
   private String id;
 
-  /** Takes events where they lie. */
-  public interface Taker {
-    /**
-     * One event. The array is the decoder's own and only good until this returns.
-     *
-     * @param id the last event id in force, null if none was given
-     * @param type {@code message} unless named
-     * @param data holds the data lines, joined by line feeds, in UTF-8
-     * @param length how many bytes of it count
-     */
-    void event(String id, String type, byte[] data, int length);
-  }
-
   /** Makes a decoder; {@code most} bounds the bytes of a line and of an event's data. */
   public SseDecoder(int most) {
     this.most = most;
@@ -44,7 +31,7 @@
    *
    * @throws IllegalArgumentException if a line or an event exceeds the bound
    */
-  public void decode(ByteBuffer in, Taker out) {
+  public void decode(ByteBuffer in, SseEventSink out) {
     while (in.hasRemaining()) {
       int from = in.position();
       int at = from;
@@ -83,7 +70,7 @@
             bytes, Math.min(Math.max(most, needed), Math.max(needed, bytes.length * 2)));
   }
 
-  private void line(Taker out) {
+  private void line(SseEventSink out) {
     int from = first && begins(0, MARK) ? MARK.length : 0;
     int end = length;
     first = false;
@@ -133,7 +120,7 @@
     } // comments, retry and what is not known
   }
 
-  private void dispatch(Taker out) {
+  private void dispatch(SseEventSink out) {
     final int count = dataLength;
     final boolean whole = hasData;
     final String named = type.isEmpty() ? "message" : type;
@@ -141,7 +128,7 @@
     hasData = false;
     type = "";
     if (whole) {
-      out.event(id, named, data, count);
+      out.accept(id, named, data, count);
     }
     data = data.length > KEPT ? new byte[512] : data;
   }
--- a/net/src/main/java/lemondock/net/time/ManualLoop.java
+++ b/net/src/main/java/lemondock/net/time/ManualLoop.java
@@ -32,7 +32,7 @@
   }
 
   /** Sets the wall clock forward or back, as a person or a time server may. */
-  public void stepWall(long millis) {
+  public void stepWallClock(long millis) {
     wallAhead += millis;
   }
 
@@ -53,12 +53,12 @@
   }
 
   /** Drops the task handed over first of those that have not run: it is lost. */
-  public void dropFirst() {
+  public void dropNextTask() {
     tasks.removeFirst();
   }
 
   /** Runs what was handed over, and what that hands over. */
-  public void run() {
+  public void runTasks() {
     for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
       task.run();
     }
@@ -68,22 +68,22 @@
    * Lets time pass during which nothing runs, as when the process is stopped; what fell due runs
    * late, all at once.
    */
-  public void standStill(long micros) {
+  public void pauseFor(long micros) {
     now += micros;
     wheel.advance(now);
-    run();
+    runTasks();
   }
 
   /** Moves time on, stopping at each tick with something due. */
-  public void move(long micros) {
+  public void advance(long micros) {
     long until = now + micros;
-    while (wheel.nextDue() <= until && wheel.nextDue() != Long.MAX_VALUE) {
-      now = Math.max(now, wheel.nextDue());
+    while (wheel.nextDueMicros() <= until && wheel.nextDueMicros() != Long.MAX_VALUE) {
+      now = Math.max(now, wheel.nextDueMicros());
       wheel.advance(now);
-      run();
+      runTasks();
     }
     now = until;
     wheel.advance(now);
-    run();
+    runTasks();
   }
 }
--- a/net/src/main/java/lemondock/net/time/TimerWheel.java
+++ b/net/src/main/java/lemondock/net/time/TimerWheel.java
@@ -106,7 +106,7 @@
    * The moment (microseconds) at which something may be due next; Long.MAX_VALUE if no timer is
    * set.
    */
-  public long nextDue() {
+  public long nextDueMicros() {
     long next = nextTick();
     return next == Long.MAX_VALUE ? next : next * resolution;
   }
--- a/net/src/test/java/lemondock/net/http/HttpClientTest.java
+++ b/net/src/test/java/lemondock/net/http/HttpClientTest.java
@@ -25,7 +25,7 @@
       new HttpClient(
           loop,
           network,
-          new HttpClient.Options(HttpLimits.DEFAULT, 1_000, 10, 1_000, 1_000_000, 2, 10_000));
+          new HttpClientOptions(HttpLimits.DEFAULT, 1_000, 10, 1_000, 1_000_000, 2, 10_000));
 
   private final class Line extends ScriptedConnection {
     private int requests;
@@ -38,7 +38,7 @@
 
     void answer() {
       receive("HTTP/1.1 204 No Content\r\n\r\n");
-      loop.run();
+      loop.runTasks();
     }
 
     @Override
@@ -48,27 +48,27 @@
     }
 
     @Override
-    public long flushed() {
+    public long flushedBytes() {
       return taken;
     }
   }
 
-  private final HttpClient.Receiver receiver =
-      new HttpClient.Receiver() {
+  private final ResponseReceiver receiver =
+      new ResponseReceiver() {
         @Override
-        public void done() {
+        public void onComplete() {
           heard.add("done");
         }
 
         @Override
-        public void failed(HttpClient.Failure failure, String what) {
+        public void onFailure(RequestFailure failure, String what) {
           heard.add(failure.toString());
         }
       };
 
   private void send(InetSocketAddress to) {
     client.send(to, HttpEncoder.request("GET", "/", new Headers(), new byte[0]), receiver);
-    loop.run();
+    loop.runTasks();
   }
 
   @Test
@@ -77,7 +77,7 @@
     lines.get(0).answer();
     send(A);
     assertEquals(2, lines.size());
-    loop.move(11_000);
+    loop.advance(11_000);
     lines.get(1).answer();
     send(A);
     assertEquals(2, lines.get(0).requests);
@@ -88,37 +88,37 @@
     send(A);
     send(A);
     send(B);
-    assertEquals(List.of("NO_ROOM"), heard);
+    assertEquals(List.of("LOCAL_LIMIT_REACHED"), heard);
     lines.get(1).answer();
-    loop.move(11_000);
+    loop.advance(11_000);
     lines.get(0).answer();
-    loop.move(11_000);
+    loop.advance(11_000);
     send(B);
     assertEquals(3, lines.size());
     assertEquals(List.of(false, true), List.of(lines.get(0).isClosed(), lines.get(1).isClosed()));
-    assertEquals(2, client.connections());
+    assertEquals(2, client.openConnections());
   }
 
   @Test
   void aRequestWhoseLastByteWasNotTakenProvablyNeverRan() throws IOException {
     send(A);
     lines.get(0).answer();
-    loop.move(11_000);
+    loop.advance(11_000);
     lines.get(0).takes = false;
     send(A);
     lines.get(0).abort();
-    loop.run();
+    loop.runTasks();
     send(A);
     lines.get(1).abort();
-    loop.run();
-    assertEquals(List.of("done", "NOT_SENT", "BROKEN"), heard);
+    loop.runTasks();
+    assertEquals(List.of("done", "NOT_SENT", "CONNECTION_LOST"), heard);
   }
 
   @Test
   void anUnusedConnectionThatBringsBytesIsNotUsedAgain() throws IOException {
     send(A);
     lines.get(0).answer();
-    loop.move(11_000);
+    loop.advance(11_000);
     lines.get(0).answer();
     send(A);
     assertEquals(2, lines.size());
@@ -135,12 +135,12 @@
         },
         receiver);
     assertEquals(List.of(), heard);
-    loop.run();
+    loop.runTasks();
     assertEquals(List.of("made"), heard);
     lines.get(0).answer();
-    loop.move(11_000);
+    loop.advance(11_000);
     client.send(A, () -> null, receiver);
-    loop.run();
+    loop.runTasks();
     assertEquals(List.of("made", "done", "NOT_SENT"), heard);
     assertEquals(1, lines.get(0).requests);
     send(A);
--- a/net/src/test/java/lemondock/net/http/HttpDecoderTest.java
+++ b/net/src/test/java/lemondock/net/http/HttpDecoderTest.java
@@ -26,11 +26,11 @@
 
   private static List<Object> requests(String text) {
     return decode(
-        HttpDecoder.ofRequests(SMALL), text.getBytes(StandardCharsets.ISO_8859_1), text.length());
+        HttpDecoder.forRequests(SMALL), text.getBytes(StandardCharsets.ISO_8859_1), text.length());
   }
 
   private static List<Object> responses(String text, boolean ends) {
-    HttpDecoder decoder = HttpDecoder.ofResponses(SMALL);
+    HttpDecoder decoder = HttpDecoder.forResponses(SMALL);
     List<Object> events =
         decode(decoder, text.getBytes(StandardCharsets.ISO_8859_1), text.length());
     if (ends) {
@@ -41,7 +41,7 @@
 
   private static List<Object> decode(HttpDecoder decoder, byte[] bytes, int step) {
     List<Object> events = new ArrayList<>();
-    decoder.contentTo(
+    decoder.withContentSink(
         piece -> {
           byte[] copy = new byte[piece.remaining()];
           piece.get(copy);
@@ -95,10 +95,10 @@
                 + "0\r\n"
                 + "T: u\r\n\r\n")
             .getBytes(StandardCharsets.ISO_8859_1);
-    String whole = joined(decode(HttpDecoder.ofRequests(SMALL), bytes, bytes.length));
+    String whole = joined(decode(HttpDecoder.forRequests(SMALL), bytes, bytes.length));
     assertTrue(whole.contains("hello|End") && whole.contains("abcde|End"), whole);
     for (int step = 1; step < bytes.length; step++) {
-      assertEquals(whole, joined(decode(HttpDecoder.ofRequests(SMALL), bytes, step)));
+      assertEquals(whole, joined(decode(HttpDecoder.forRequests(SMALL), bytes, step)));
     }
   }
 
@@ -204,8 +204,8 @@
   void whatTwoCouldReadDifferentlyIsRefused(String text, int status, String word) {
     String bytes = text.replace("\\r", "\r").replace("\\n", "\n").replace("\\u0001", "\u0001");
     HttpEvent.Malformed refused = refused(requests(bytes));
-    assertEquals(status, refused.status(), refused.what());
-    assertTrue(refused.what().contains(word), refused.what());
+    assertEquals(status, refused.status(), refused.reason());
+    assertTrue(refused.reason().contains(word), refused.reason());
   }
 
   @Test
@@ -280,7 +280,7 @@
     mixed.writeBytes(bytes);
     mixed.write(base, 0, base.length);
     for (HttpDecoder decoder :
-        List.of(HttpDecoder.ofRequests(SMALL), HttpDecoder.ofResponses(SMALL))) {
+        List.of(HttpDecoder.forRequests(SMALL), HttpDecoder.forResponses(SMALL))) {
       List<Object> events = decode(decoder, mixed.toByteArray(), 1 + random.nextInt(20));
       decoder.end(events);
       long refusals = events.stream().filter(e -> e instanceof HttpEvent.Malformed).count();
@@ -297,7 +297,7 @@
     byte[] bytes = new byte[out.remaining()];
     out.get(bytes);
     List<Object> events =
-        decode(HttpDecoder.ofRequests(SMALL), bytes, 1 + new Random(seed).nextInt(30));
+        decode(HttpDecoder.forRequests(SMALL), bytes, 1 + new Random(seed).nextInt(30));
     ByteArrayOutputStream got = new ByteArrayOutputStream();
     events.forEach(
         e -> {
--- a/net/src/test/java/lemondock/net/http/HttpServerTest.java
+++ b/net/src/test/java/lemondock/net/http/HttpServerTest.java
@@ -42,7 +42,7 @@
     server =
         new HttpServer(
             loop,
-            new HttpServer.Options(
+            new HttpServerOptions(
                 HttpLimits.DEFAULT,
                 10,
                 ROOM,
@@ -51,23 +51,23 @@
                 10_000_000,
                 1_024,
                 Runnable::run),
-            new HttpServer.Service() {
+            new HttpService() {
               @Override
-              public int glance() {
+              public int earlyRejectionBytes() {
                 return GLANCE;
               }
 
               @Override
-              public HttpServer.Refusal turnsAway(HttpServer.Request request) {
+              public HttpRejection rejectEarly(HttpRequest request) {
                 glances.add(request.body().length);
                 return request.body()[0] != 'x'
                     ? null
-                    : new HttpServer.Refusal(
+                    : new HttpRejection(
                         7, "text/plain", "no".getBytes(StandardCharsets.US_ASCII), () -> {});
               }
 
               @Override
-              public void serve(HttpServer.Exchange exchange) {
+              public void serve(HttpExchange exchange) {
                 exchange.respond(
                     200,
                     new Headers(),
@@ -220,8 +220,8 @@
     }
   }
 
-  private static HttpServer.Options readsPast() {
-    return new HttpServer.Options(
+  private static HttpServerOptions readsPast() {
+    return new HttpServerOptions(
         HttpLimits.DEFAULT,
         10,
         ROOM,
@@ -243,7 +243,7 @@
             loop,
             readsPast(),
             exchange -> {
-              exchange.onGone(gone::countDown);
+              exchange.onDisconnect(gone::countDown);
               served.countDown();
             });
     holding.start(network, new InetSocketAddress("127.0.0.1", 0));
--- a/net/src/test/java/lemondock/net/nio/IdleCloseTest.java
+++ b/net/src/test/java/lemondock/net/nio/IdleCloseTest.java
@@ -13,8 +13,12 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import lemondock.net.http.Headers;
+import lemondock.net.http.HttpExchange;
 import lemondock.net.http.HttpLimits;
+import lemondock.net.http.HttpRequest;
 import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpServerOptions;
+import lemondock.net.http.HttpService;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -44,7 +48,7 @@
     server =
         new HttpServer(
             loop,
-            new HttpServer.Options(
+            new HttpServerOptions(
                 new HttpLimits(1000, 2000, 20, 10_000),
                 4,
                 15_000,
@@ -55,15 +59,15 @@
                 Runnable::run,
                 FIRST,
                 true),
-            new HttpServer.Service() {
+            new HttpService() {
               @Override
-              public Object prepare(HttpServer.Request request) {
+              public Object prepare(HttpRequest request) {
                 decoded.release();
                 return null;
               }
 
               @Override
-              public void serve(HttpServer.Exchange exchange) {
+              public void serve(HttpExchange exchange) {
                 exchange.respond(200, new Headers(), "ok".getBytes(StandardCharsets.US_ASCII));
               }
             });
--- a/net/src/test/java/lemondock/net/nio/ServerClientTest.java
+++ b/net/src/test/java/lemondock/net/nio/ServerClientTest.java
@@ -17,12 +17,20 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import lemondock.net.DelayProbe;
 import lemondock.net.http.Headers;
 import lemondock.net.http.HttpClient;
+import lemondock.net.http.HttpClientOptions;
 import lemondock.net.http.HttpEncoder;
 import lemondock.net.http.HttpEvent;
+import lemondock.net.http.HttpExchange;
 import lemondock.net.http.HttpLimits;
+import lemondock.net.http.HttpRequest;
 import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpServerOptions;
+import lemondock.net.http.HttpService;
+import lemondock.net.http.RequestFailure;
+import lemondock.net.http.ResponseReceiver;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -35,7 +43,7 @@
   private AsyncNetwork network;
   private HttpServer server;
   private final AtomicInteger gone = new AtomicInteger();
-  private volatile HttpServer.Exchange held;
+  private volatile HttpExchange held;
 
   @BeforeEach
   void start() throws IOException {
@@ -44,9 +52,9 @@
     server =
         new HttpServer(
             loop,
-            new HttpServer.Options(LIMITS, 5, 15_000, 300_000, 200_000, 300_000),
+            new HttpServerOptions(LIMITS, 5, 15_000, 300_000, 200_000, 300_000),
             exchange -> {
-              exchange.onGone(gone::incrementAndGet);
+              exchange.onDisconnect(gone::incrementAndGet);
               switch (exchange.request().path()) {
                 case "/hold" -> held = exchange;
                 case "/flood" -> {
@@ -185,20 +193,20 @@
         new java.net.ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       HttpClient client =
           new HttpClient(
-              loop, network, new HttpClient.Options(LIMITS, 1_000, 5, 1_000_000, 1_000_000));
+              loop, network, new HttpClientOptions(LIMITS, 1_000, 5, 1_000_000, 1_000_000));
       loop.execute(
           () ->
               client.send(
                   new InetSocketAddress(InetAddress.getLoopbackAddress(), deaf.getLocalPort()),
                   HttpEncoder.request("POST", "/", Headers.of("host", "h"), new byte[size]),
-                  new HttpClient.Receiver() {
+                  new ResponseReceiver() {
                     @Override
-                    public void done() {
+                    public void onComplete() {
                       ends.add("done");
                     }
 
                     @Override
-                    public void failed(HttpClient.Failure failure, String what) {
+                    public void onFailure(RequestFailure failure, String what) {
                       ends.add(failure.toString());
                     }
                   }));
@@ -213,7 +221,7 @@
   @Test
   void onlyARequestThatLeftWholeMayHaveRun() throws Exception {
     assertEquals("NOT_SENT", failureAtReset(64 << 20));
-    assertEquals("BROKEN", failureAtReset(1_000));
+    assertEquals("CONNECTION_LOST", failureAtReset(1_000));
   }
 
   @Test
@@ -273,36 +281,36 @@
 
   private HttpClient client() {
     return new HttpClient(
-        loop, network, new HttpClient.Options(LIMITS, 1000, 2, 300_000, 5_000_000));
+        loop, network, new HttpClientOptions(LIMITS, 1000, 2, 300_000, 5_000_000));
   }
 
   /** Writes down what a receiver hears, as one text. */
-  private static final class Heard implements HttpClient.Receiver {
+  private static final class Heard implements ResponseReceiver {
     private final StringBuilder text = new StringBuilder();
     private final CompletableFuture<String> end = new CompletableFuture<>();
 
     @Override
-    public void head(HttpEvent.ResponseHead head) {
+    public void onHead(HttpEvent.ResponseHead head) {
       text.append(head.status());
     }
 
     @Override
-    public void event(Object mapped) {
+    public void onEvent(Object mapped) {
       text.append(' ').append(((lemondock.net.sse.SseEvent) mapped).data());
     }
 
     @Override
-    public void body(byte[] bytes) {
+    public void onBody(byte[] bytes) {
       text.append(' ').append(new String(bytes, StandardCharsets.UTF_8));
     }
 
     @Override
-    public void done() {
+    public void onComplete() {
       end.complete(text + " done");
     }
 
     @Override
-    public void failed(HttpClient.Failure failure, String what) {
+    public void onFailure(RequestFailure failure, String what) {
       end.complete(text + " " + failure);
     }
   }
@@ -325,7 +333,7 @@
     assertEquals("200 a b done", send(client, server.address().getPort(), "/events"));
     assertEquals("200 /y0 done", send(client, server.address().getPort(), "/y"));
     CompletableFuture<Integer> open = new CompletableFuture<>();
-    loop.execute(() -> open.complete(client.connections()));
+    loop.execute(() -> open.complete(client.openConnections()));
     assertEquals(1, open.get(10, TimeUnit.SECONDS));
   }
 
@@ -362,12 +370,12 @@
     }
     HttpClient client = client();
     assertEquals(" NOT_SENT", send(client, closed, "/"));
-    assertEquals(" BROKEN", send(client, answering("", 10), "/"));
+    assertEquals(" CONNECTION_LOST", send(client, answering("", 10), "/"));
     assertEquals(
-        "200 BROKEN",
+        "200 CONNECTION_LOST",
         send(client, answering("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 10), "/"));
     assertEquals(
-        "200 BROKEN",
+        "200 CONNECTION_LOST",
         send(
             client,
             answering("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", 10),
@@ -396,7 +404,7 @@
     await(
         () -> {
           CompletableFuture<Integer> open = new CompletableFuture<>();
-          loop.execute(() -> open.complete(client.connections()));
+          loop.execute(() -> open.complete(client.openConnections()));
           return open.join() == 0;
         });
     assertEquals(
@@ -431,7 +439,7 @@
           loop.execute(
               () ->
                   idle.complete(
-                      client.hasIdle(
+                      client.hasIdleConnection(
                           new InetSocketAddress("127.0.0.1", listening.getLocalPort()))));
           assertEquals(false, idle.get(10, TimeUnit.SECONDS), surplus);
         }
@@ -471,20 +479,20 @@
               client.send(
                   new InetSocketAddress("127.0.0.1", listening.getLocalPort()),
                   HttpEncoder.request("GET", "/2", Headers.of("host", "a"), new byte[0]),
-                  new HttpClient.Receiver() {
+                  new ResponseReceiver() {
                     @Override
-                    public Object map(lemondock.net.sse.SseEvent event) {
+                    public Object mapEvent(lemondock.net.sse.SseEvent event) {
                       decoded.release();
                       return event;
                     }
 
                     @Override
-                    public void done() {
+                    public void onComplete() {
                       end.complete("done");
                     }
 
                     @Override
-                    public void failed(HttpClient.Failure failure, String what) {
+                    public void onFailure(RequestFailure failure, String what) {
                       end.complete(failure + " " + what);
                     }
                   });
@@ -521,7 +529,7 @@
               HttpEncoder.request("GET", "/hold", Headers.of("host", "a"), new byte[0]),
               second);
         });
-    assertEquals(" NO_ROOM", send(client, server.address().getPort(), "/third"));
+    assertEquals(" LOCAL_LIMIT_REACHED", send(client, server.address().getPort(), "/third"));
   }
 
   @Test
@@ -529,7 +537,7 @@
     HttpServer roomy =
         new HttpServer(
             loop,
-            new HttpServer.Options(
+            new HttpServerOptions(
                 new HttpLimits(1000, 2000, 20, 100_000),
                 50,
                 100_000,
@@ -591,9 +599,9 @@
                     super.decode(bytes, events);
                   }
                 });
-    List<lemondock.net.Network.Probe> probes = network.probes();
+    List<DelayProbe> probes = network.delayProbes();
     assertEquals(2, probes.size());
-    for (lemondock.net.Network.Probe probe : probes) {
+    for (DelayProbe probe : probes) {
       assertTrue(waited(probe) < 5_000_000);
     }
     try (Socket socket = new Socket("127.0.0.1", port.address().getPort())) {
@@ -605,15 +613,15 @@
     }
   }
 
-  private long asked(lemondock.net.Network.Probe probe) {
+  private long asked(DelayProbe probe) {
     CompletableFuture<Long> told = new CompletableFuture<>();
-    loop.execute(() -> told.complete(probe.ask(w -> {})));
+    loop.execute(() -> told.complete(probe.measure(w -> {})));
     return told.join();
   }
 
-  private long waited(lemondock.net.Network.Probe probe) throws Exception {
+  private long waited(DelayProbe probe) throws Exception {
     CompletableFuture<Long> told = new CompletableFuture<>();
-    loop.execute(() -> probe.ask(told::complete));
+    loop.execute(() -> probe.measure(told::complete));
     return told.get(10, TimeUnit.SECONDS);
   }
 
@@ -623,7 +631,7 @@
     HttpServer heavy =
         new HttpServer(
             loop,
-            new HttpServer.Options(
+            new HttpServerOptions(
                 LIMITS,
                 50,
                 100_000,
@@ -636,14 +644,14 @@
                     throw new java.util.concurrent.RejectedExecutionException();
                   }
                 }),
-            new HttpServer.Service() {
+            new HttpService() {
               @Override
-              public Object prepare(HttpServer.Request request) {
+              public Object prepare(HttpRequest request) {
                 return "prepared " + request.body().length;
               }
 
               @Override
-              public void serve(HttpServer.Exchange exchange) {
+              public void serve(HttpExchange exchange) {
                 exchange.respond(
                     200,
                     new Headers(),
@@ -722,10 +730,10 @@
     }
 
     @Override
-    public void ended() {}
+    public void inputEnded() {}
 
     @Override
-    public void drained() {}
+    public void writeQueueDrained() {}
 
     @Override
     public void closed(IOException cause) {}
--- a/net/src/test/java/lemondock/net/nio/SharedStateTest.java
+++ b/net/src/test/java/lemondock/net/nio/SharedStateTest.java
@@ -1,6 +1,6 @@
 package lemondock.net.nio;
 
-import lemondock.net.http.Budget;
+import lemondock.net.http.ByteBudget;
 import org.jetbrains.kotlinx.lincheck.LinChecker;
 import org.jetbrains.kotlinx.lincheck.annotations.Operation;
 import org.jetbrains.kotlinx.lincheck.annotations.Validate;
@@ -11,7 +11,7 @@
 class SharedStateTest {
   /** Tasks from I/O threads, as {@link ThreadLoop#executeHere} hands them in. */
   public static class Tasks {
-    private final Combiner context = new Combiner();
+    private final FlatCombiner context = new FlatCombiner();
     private int inside;
     private int most;
     private int run;
@@ -50,29 +50,31 @@
 
   /** Bytes of requests, taken on I/O threads and given back by the loop. */
   public static class Bytes {
-    private final Budget budget = new Budget(10);
+    private final ByteBudget budget = new ByteBudget(10);
     private volatile boolean over;
 
     @Operation
     public void takeAndGive() {
-      if (budget.take(6)) {
-        over |= budget.used() > 10 + 6 + 6; // others may have asked in vain and not taken it back
+      if (budget.tryReserve(6)) {
+        over |=
+            budget.reservedBytes()
+                > 10 + 6 + 6; // others may have asked in vain and not taken it back
         // yet
-        budget.give(6);
+        budget.release(6);
       }
     }
 
     @Operation
     public void takeWithinAndGive() {
-      if (budget.takeWithin(0.5, 4)) {
-        budget.give(4);
+      if (budget.tryReserveWithin(0.5, 4)) {
+        budget.release(4);
       }
     }
 
     @Validate
     public void allIsGivenBack() {
-      if (budget.used() != 0 || over) {
-        throw new IllegalStateException("used " + budget.used());
+      if (budget.reservedBytes() != 0 || over) {
+        throw new IllegalStateException("used " + budget.reservedBytes());
       }
     }
   }
--- a/net/src/test/java/lemondock/net/sse/SseTest.java
+++ b/net/src/test/java/lemondock/net/sse/SseTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 class SseTest {
-  private static final SseDecoder.Taker NOBODY = (id, type, data, length) -> {};
+  private static final SseEventSink NOBODY = (id, type, data, length) -> {};
 
   private static List<SseEvent> decode(byte[] bytes, int step) {
     SseDecoder decoder = new SseDecoder(10_000);
--- a/net/src/test/java/lemondock/net/testing/ScriptedConnection.java
+++ b/net/src/test/java/lemondock/net/testing/ScriptedConnection.java
@@ -53,7 +53,7 @@
   public void read() {}
 
   @Override
-  public long pending() {
+  public long pendingBytes() {
     return 0;
   }
 
@@ -68,7 +68,7 @@
   }
 
   @Override
-  public InetSocketAddress peer() {
+  public InetSocketAddress remoteAddress() {
     return peer;
   }
 }
--- a/net/src/test/java/lemondock/net/time/TimerWheelTest.java
+++ b/net/src/test/java/lemondock/net/time/TimerWheelTest.java
@@ -54,7 +54,7 @@
         }
         assertEquals(wanted, fired);
         assertEquals(heap.size(), wheel.size());
-        assertTrue(heap.isEmpty() || wheel.nextDue() <= heap.peek().tick() * 1000);
+        assertTrue(heap.isEmpty() || wheel.nextDueMicros() <= heap.peek().tick() * 1000);
       }
     }
   }
@@ -73,7 +73,7 @@
     assertEquals(List.of("first"), fired);
     wheel.advance(6_000);
     assertEquals(List.of("first", "second"), fired);
-    assertEquals(Long.MAX_VALUE, wheel.nextDue());
+    assertEquals(Long.MAX_VALUE, wheel.nextDueMicros());
   }
 
   @Test
--- a/rpc/src/main/java/lemondock/rpc/JsonRpc.java
+++ b/rpc/src/main/java/lemondock/rpc/JsonRpc.java
@@ -32,24 +32,24 @@
   private final int batch;
 
   /** What one text may hold. */
-  public record Limits(int depth, int batch, int stringLength, int numberLength) {
+  public record Limits(int maxDepth, int maxBatch, int maxStringLength, int maxNumberLength) {
     /** Limits for peers that are not known. */
     public static final Limits DEFAULT = new Limits(64, 50, 2 * 1024 * 1024, 100);
   }
 
   /** One text: a single message or a batch; an unreadable text is one {@link Message.Invalid}. */
-  public record Parsed(boolean batch, List<Message> messages) {}
+  public record Parsed(boolean batch, List<JsonRpcMessage> messages) {}
 
   /** Makes a reader with limits. */
   public JsonRpc(Limits limits) {
-    this.batch = limits.batch();
+    this.batch = limits.maxBatch();
     JsonFactory factory =
         JsonFactory.builder()
             .streamReadConstraints(
                 StreamReadConstraints.builder()
-                    .maxNestingDepth(limits.depth())
-                    .maxStringLength(limits.stringLength())
-                    .maxNumberLength(limits.numberLength())
+                    .maxNestingDepth(limits.maxDepth())
+                    .maxStringLength(limits.maxStringLength())
+                    .maxNumberLength(limits.maxNumberLength())
                     .build())
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
@@ -63,30 +63,33 @@
     try {
       root = mapper.readTree(text);
     } catch (JsonProcessingException e) {
-      return one(new Message.Invalid(NullNode.instance, PARSE_ERROR, "Parse error" + where(e)));
+      return one(
+          new JsonRpcMessage.Invalid(NullNode.instance, PARSE_ERROR, "Parse error" + where(e)));
     } catch (IOException e) {
-      return one(new Message.Invalid(NullNode.instance, PARSE_ERROR, "Parse error: not UTF-8"));
+      return one(
+          new JsonRpcMessage.Invalid(NullNode.instance, PARSE_ERROR, "Parse error: not UTF-8"));
     }
     if (root == null || root.isMissingNode()) {
       return one(
-          new Message.Invalid(NullNode.instance, PARSE_ERROR, "Parse error: the text is empty"));
+          new JsonRpcMessage.Invalid(
+              NullNode.instance, PARSE_ERROR, "Parse error: the text is empty"));
     }
     if (!root.isArray()) {
       return one(message(root));
     }
     if (root.isEmpty() || root.size() > batch) {
       return one(
-          new Message.Invalid(
+          new JsonRpcMessage.Invalid(
               NullNode.instance,
               INVALID_REQUEST,
               "Invalid Request: a batch holds 1 to " + batch + " messages, not " + root.size()));
     }
-    List<Message> messages = new ArrayList<>();
+    List<JsonRpcMessage> messages = new ArrayList<>();
     root.forEach(node -> messages.add(message(node)));
     return new Parsed(true, messages);
   }
 
-  private static Parsed one(Message message) {
+  private static Parsed one(JsonRpcMessage message) {
     return new Parsed(false, List.of(message));
   }
 
@@ -97,7 +100,7 @@
     return place + ": " + (what.length() > 200 ? what.substring(0, 200) + "..." : what);
   }
 
-  private static Message message(JsonNode node) {
+  private static JsonRpcMessage message(JsonNode node) {
     if (!node.isObject()) {
       return invalid(NullNode.instance, "a message is an object");
     }
@@ -128,7 +131,7 @@
       return invalid(known, "member 'params' is neither object nor array");
     }
     if (id == null) {
-      return new Message.Notification(method.textValue(), params);
+      return new JsonRpcMessage.Notification(method.textValue(), params);
     }
     if (!usable) {
       return invalid(
@@ -137,14 +140,14 @@
               + MOST_ID
               + " characters");
     }
-    return new Message.Request(id, method.textValue(), params);
+    return new JsonRpcMessage.Request(id, method.textValue(), params);
   }
 
   private static ObjectNode message() {
     return JsonNodeFactory.instance.objectNode().put("jsonrpc", "2.0");
   }
 
-  private static Message response(JsonNode node, JsonNode id, boolean usable) {
+  private static JsonRpcMessage response(JsonNode node, JsonNode id, boolean usable) {
     JsonNode result = node.get("result");
     JsonNode error = node.get("error");
     if (result == null && error == null) {
@@ -162,11 +165,11 @@
     if (!usable && !(error != null && (id == null || id.isNull()))) {
       return invalid(NullNode.instance, "a response without the id of its call");
     }
-    return new Message.Response(id == null ? NullNode.instance : id, result, error);
+    return new JsonRpcMessage.Response(id == null ? NullNode.instance : id, result, error);
   }
 
-  private static Message.Invalid invalid(JsonNode id, String what) {
-    return new Message.Invalid(id, INVALID_REQUEST, "Invalid Request: " + what);
+  private static JsonRpcMessage.Invalid invalid(JsonNode id, String what) {
+    return new JsonRpcMessage.Invalid(id, INVALID_REQUEST, "Invalid Request: " + what);
   }
 
   /** A response with a result. */
--- a/rpc/src/main/java/lemondock/rpc/Message.java
+++ b/rpc/src/main/java/lemondock/rpc/JsonRpcMessage.java
@@ -3,16 +3,16 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /** One JSON-RPC 2.0 message, or why a text is none. */
-public sealed interface Message {
+public sealed interface JsonRpcMessage {
   /** A call that wants a response; the id is a string or a number. */
-  record Request(JsonNode id, String method, JsonNode params) implements Message {}
+  record Request(JsonNode id, String method, JsonNode params) implements JsonRpcMessage {}
 
   /** A call that wants no response; params may be null. */
-  record Notification(String method, JsonNode params) implements Message {}
+  record Notification(String method, JsonNode params) implements JsonRpcMessage {}
 
   /** The answer to a call: a result or an error, the other being null. */
-  record Response(JsonNode id, JsonNode result, JsonNode error) implements Message {}
+  record Response(JsonNode id, JsonNode result, JsonNode error) implements JsonRpcMessage {}
 
   /** Not a message; {@code id} is the id to answer with, JSON null if none could be told. */
-  record Invalid(JsonNode id, int code, String what) implements Message {}
+  record Invalid(JsonNode id, int code, String reason) implements JsonRpcMessage {}
 }
--- a/rpc/src/main/java/lemondock/rpc/Mcp.java
+++ b/rpc/src/main/java/lemondock/rpc/Mcp.java
@@ -8,13 +8,13 @@
   public static final List<String> VERSIONS = List.of("2025-11-25", "2025-06-18", "2025-03-26");
 
   /** What a request without a version header speaks, by the transport's specification. */
-  public static final String UNTOLD_VERSION = "2025-03-26";
+  public static final String DEFAULT_VERSION = "2025-03-26";
 
   /** The only version with batches. */
   public static final String BATCH_VERSION = "2025-03-26";
 
   /** The first version whose streams begin with an empty event that carries an id. */
-  public static final String PRIMED_SINCE = "2025-11-25";
+  public static final String FIRST_VERSION_WITH_PRIMING_EVENT = "2025-11-25";
 
   public static final String SESSION_HEADER = "mcp-session-id";
   public static final String VERSION_HEADER = "mcp-protocol-version";
@@ -29,7 +29,7 @@
   public static final String TOOLS_CALL = "tools/call";
 
   /** The router took the call and turned it away: trying again is harmless. */
-  public static final int REFUSED = -32010;
+  public static final int REJECTED = -32010;
 
   /** The call failed; it may have had its effect. */
   public static final int FAILED = -32011;
--- a/rpc/src/test/java/lemondock/rpc/JsonRpcTest.java
+++ b/rpc/src/test/java/lemondock/rpc/JsonRpcTest.java
@@ -21,7 +21,7 @@
     return rpc.parse(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  private Message one(String text) {
+  private JsonRpcMessage one(String text) {
     return parse(text).messages().get(0);
   }
 
@@ -30,14 +30,15 @@
     assertEquals(
         "sum",
         assertInstanceOf(
-                Message.Request.class,
+                JsonRpcMessage.Request.class,
                 one("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"sum\",\"params\":[1]}"))
             .method());
-    assertInstanceOf(Message.Notification.class, one("{\"jsonrpc\":\"2.0\",\"method\":\"n\"}"));
     assertInstanceOf(
-        Message.Response.class, one("{\"jsonrpc\":\"2.0\",\"id\":\"a\",\"result\":null}"));
+        JsonRpcMessage.Notification.class, one("{\"jsonrpc\":\"2.0\",\"method\":\"n\"}"));
     assertInstanceOf(
-        Message.Response.class,
+        JsonRpcMessage.Response.class, one("{\"jsonrpc\":\"2.0\",\"id\":\"a\",\"result\":null}"));
+    assertInstanceOf(
+        JsonRpcMessage.Response.class,
         one("{\"jsonrpc\":\"2.0\",\"id\":null,\"error\":{\"code\":1,\"message\":\"x\"}}"));
   }
 
@@ -69,9 +70,9 @@
         "{\"jsonrpc\":\"2.0\",\"result\":7} ~ -32600 ~ null",
       })
   void whatIsNoMessageGetsTheSpecifiedCode(String text, int code, String id) {
-    Message.Invalid invalid =
-        assertInstanceOf(Message.Invalid.class, one(text == null ? "" : text));
-    assertEquals(code, invalid.code(), invalid.what());
+    JsonRpcMessage.Invalid invalid =
+        assertInstanceOf(JsonRpcMessage.Invalid.class, one(text == null ? "" : text));
+    assertEquals(code, invalid.code(), invalid.reason());
     assertEquals(id, invalid.id().toString());
   }
 
@@ -82,8 +83,11 @@
             "[{\"jsonrpc\":\"2.0\",\"method\":\"n\"},1,{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"m\"}]");
     assertTrue(parsed.batch());
     assertEquals(
-        List.of(Message.Notification.class, Message.Invalid.class, Message.Request.class),
-        parsed.messages().stream().<Class<?>>map(Message::getClass).toList());
+        List.of(
+            JsonRpcMessage.Notification.class,
+            JsonRpcMessage.Invalid.class,
+            JsonRpcMessage.Request.class),
+        parsed.messages().stream().<Class<?>>map(JsonRpcMessage::getClass).toList());
     assertFalse(parse("{\"jsonrpc\":\"2.0\",\"method\":\"n\"}").batch());
   }
 
@@ -112,13 +116,15 @@
   void whatIsWrittenIsReadBack() {
     JsonNodeFactory f = JsonNodeFactory.instance;
     assertInstanceOf(
-        Message.Request.class,
+        JsonRpcMessage.Request.class,
         one(JsonRpc.request(f.numberNode(1), "m", f.objectNode()).toString()));
-    assertInstanceOf(Message.Notification.class, one(JsonRpc.notification("m", null).toString()));
     assertInstanceOf(
-        Message.Response.class, one(JsonRpc.result(f.textNode("a"), f.objectNode()).toString()));
+        JsonRpcMessage.Notification.class, one(JsonRpc.notification("m", null).toString()));
+    assertInstanceOf(
+        JsonRpcMessage.Response.class,
+        one(JsonRpc.result(f.textNode("a"), f.objectNode()).toString()));
     assertInstanceOf(
-        Message.Response.class,
+        JsonRpcMessage.Response.class,
         one(JsonRpc.error(f.nullNode(), 1, "x", f.objectNode()).toString()));
   }
 }
--- a/scenario/src/main/java/lemondock/scenario/FaultScenario.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultScenario.java
@@ -25,6 +25,7 @@
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.idempotency.FileSystemPort;
 import lemondock.net.http.HttpClient;
+import lemondock.net.http.HttpClientOptions;
 import lemondock.net.http.HttpLimits;
 
 /**
@@ -254,7 +255,7 @@
         new HttpClient(
             clientNode.loop(),
             clientNode.network(),
-            new HttpClient.Options(HttpLimits.DEFAULT, 1 << 20, 5_000, 500_000, 15_000_000));
+            new HttpClientOptions(HttpLimits.DEFAULT, 1 << 20, 5_000, 500_000, 15_000_000));
     int number = 0;
     for (String zone : script.zones()) {
       for (int i = 0; i < script.gatewaysPerZone(); i++) {
--- a/scenario/src/main/java/lemondock/scenario/McpClient.java
+++ b/scenario/src/main/java/lemondock/scenario/McpClient.java
@@ -11,13 +11,16 @@
 import java.util.function.Consumer;
 import lemondock.net.Loop;
 import lemondock.net.http.Headers;
+import lemondock.net.http.HttpCall;
 import lemondock.net.http.HttpClient;
 import lemondock.net.http.HttpEncoder;
 import lemondock.net.http.HttpEvent;
+import lemondock.net.http.RequestFailure;
+import lemondock.net.http.ResponseReceiver;
 import lemondock.net.sse.SseEvent;
 import lemondock.rpc.JsonRpc;
+import lemondock.rpc.JsonRpcMessage;
 import lemondock.rpc.Mcp;
-import lemondock.rpc.Message;
 
 /**
  * A client of the Streamable HTTP transport that writes down what it sees. One session; loop thread
@@ -147,22 +150,22 @@
     params.putObject("clientInfo").put("name", "rehearsal").put("version", "1");
     post(
         JsonRpc.request(JsonNodeFactory.instance.numberNode(0), Mcp.INITIALIZE, params),
-        new HttpClient.Receiver() {
+        new ResponseReceiver() {
           private String id;
 
           @Override
-          public void head(HttpEvent.ResponseHead head) {
+          public void onHead(HttpEvent.ResponseHead head) {
             openStatus = head.status();
             id = head.status() == 200 ? head.headers().get(Mcp.SESSION_HEADER) : null;
           }
 
           @Override
-          public void done() {
+          public void onComplete() {
             opened(id);
           }
 
           @Override
-          public void failed(HttpClient.Failure failure, String what) {
+          public void onFailure(RequestFailure failure, String what) {
             opened(null);
           }
         });
@@ -189,7 +192,7 @@
     session = null;
   }
 
-  private HttpClient.Call post(JsonNode message, HttpClient.Receiver receiver) {
+  private HttpCall post(JsonNode message, ResponseReceiver receiver) {
     Headers headers =
         Headers.of(
             "host",
@@ -208,12 +211,12 @@
         receiver);
   }
 
-  private static class Quiet implements HttpClient.Receiver {
+  private static class Quiet implements ResponseReceiver {
     @Override
-    public void done() {}
+    public void onComplete() {}
 
     @Override
-    public void failed(HttpClient.Failure failure, String what) {}
+    public void onFailure(RequestFailure failure, String what) {}
   }
 
   /**
@@ -225,12 +228,12 @@
   }
 
   /** One call under way. */
-  public final class Call implements HttpClient.Receiver {
+  public final class Call implements ResponseReceiver {
     private final Ask ask;
     private final int id = nextId++;
     private final Consumer<Call> then;
     private final CallRecord seen;
-    private final HttpClient.Call http;
+    private final HttpCall http;
     private boolean told;
 
     private Call(Ask ask, Consumer<Call> then) {
@@ -296,7 +299,7 @@
     }
 
     @Override
-    public void head(HttpEvent.ResponseHead head) {
+    public void onHead(HttpEvent.ResponseHead head) {
       if (head.status() == 404) {
         seen.notTaken = true;
         reset();
@@ -308,7 +311,7 @@
     }
 
     @Override
-    public void body(byte[] bytes) {
+    public void onBody(byte[] bytes) {
       if (seen.notTaken) {
         return;
       }
@@ -316,7 +319,7 @@
     }
 
     @Override
-    public void event(Object mapped) {
+    public void onEvent(Object mapped) {
       SseEvent event = (SseEvent) mapped;
       if (!event.data().isEmpty()) {
         take(event.data());
@@ -324,16 +327,17 @@
     }
 
     private void take(String json) {
-      Message message = RPC.parse(json.getBytes(StandardCharsets.UTF_8)).messages().get(0);
+      JsonRpcMessage message = RPC.parse(json.getBytes(StandardCharsets.UTF_8)).messages().get(0);
       if (seen.endedAt != 0) {
         seen.afterEnd++;
-      } else if (message instanceof Message.Notification n && n.method().equals(Mcp.PROGRESS)) {
+      } else if (message instanceof JsonRpcMessage.Notification n
+          && n.method().equals(Mcp.PROGRESS)) {
         progress(n.params());
-      } else if (message instanceof Message.Request r && r.method().equals(Mcp.TOOLS_CALL)) {
+      } else if (message instanceof JsonRpcMessage.Request r && r.method().equals(Mcp.TOOLS_CALL)) {
         tool(r);
-      } else if (message instanceof Message.Response r && r.id().asInt(-1) == id) {
+      } else if (message instanceof JsonRpcMessage.Response r && r.id().asInt(-1) == id) {
         response(r);
-      } else if (!(message instanceof Message.Notification)) {
+      } else if (!(message instanceof JsonRpcMessage.Notification)) {
         seen.oddities.add("unexpected message " + json);
       }
     }
@@ -348,7 +352,7 @@
       seen.streamed.append(params.path("message").asText());
     }
 
-    private void tool(Message.Request request) {
+    private void tool(JsonRpcMessage.Request request) {
       seen.firstAt = seen.firstAt == 0 ? loop.now() : seen.firstAt;
       seen.toolCalls.add(
           request.params().path("name").asText() + request.params().path("arguments"));
@@ -376,7 +380,7 @@
       }
     }
 
-    private void response(Message.Response response) {
+    private void response(JsonRpcMessage.Response response) {
       seen.responses++;
       seen.endedAt = loop.now();
       if (response.error() != null) {
@@ -390,16 +394,16 @@
     }
 
     @Override
-    public void done() {
+    public void onComplete() {
       over();
     }
 
     @Override
-    public void failed(HttpClient.Failure failure, String what) {
+    public void onFailure(RequestFailure failure, String what) {
       if (seen.endedAt == 0) {
         seen.brokeAt = loop.now();
         seen.notTaken |=
-            failure == HttpClient.Failure.NOT_SENT || failure == HttpClient.Failure.NO_ROOM;
+            failure == RequestFailure.NOT_SENT || failure == RequestFailure.LOCAL_LIMIT_REACHED;
       }
       reset();
       over();
--- a/scenario/src/main/java/lemondock/scenario/Pausable.java
+++ b/scenario/src/main/java/lemondock/scenario/Pausable.java
@@ -7,6 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import lemondock.net.Connection;
+import lemondock.net.DelayProbe;
 import lemondock.net.Loop;
 import lemondock.net.Network;
 
@@ -82,8 +83,8 @@
   }
 
   @Override
-  public List<Probe> probes() throws IOException {
-    return network.probes();
+  public List<DelayProbe> delayProbes() throws IOException {
+    return network.delayProbes();
   }
 
   /** What comes on I/O threads waits; the rest comes on the loop, which waits itself. */
@@ -106,8 +107,8 @@
     }
 
     @Override
-    public boolean readsOn() {
-      return handler.readsOn();
+    public boolean continueReading() {
+      return handler.continueReading();
     }
 
     @Override
@@ -116,13 +117,13 @@
     }
 
     @Override
-    public void ended() {
-      handler.ended();
+    public void inputEnded() {
+      handler.inputEnded();
     }
 
     @Override
-    public void drained() {
-      handler.drained();
+    public void writeQueueDrained() {
+      handler.writeQueueDrained();
     }
 
     @Override
--- a/scenario/src/main/java/lemondock/scenario/ScenarioAuditor.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioAuditor.java
@@ -582,7 +582,7 @@
                   ? "left"
                   : c.served()
                       ? "served"
-                      : c.errorCode == Mcp.REFUSED
+                      : c.errorCode == Mcp.REJECTED
                           ? "refused"
                           : c.errorCode != 0 ? "failed" : "broken off";
       counts.merge(ending, 1, Integer::sum);
--- a/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
@@ -35,7 +35,7 @@
 import lemondock.idempotency.FileSystemPort;
 import lemondock.metrics.Snapshot;
 import lemondock.net.nio.ThreadLoop;
-import lemondock.net.nio.Workers;
+import lemondock.net.nio.WorkerPool;
 
 /**
  * Gateways, engines and a catalogue in one process, over real loopback sockets. Each gateway and
@@ -58,7 +58,7 @@
   private final List<Killed> killed = Collections.synchronizedList(new ArrayList<>());
   private final List<Stood> stood = Collections.synchronizedList(new ArrayList<>());
   private final PromptReader prompts;
-  private final ExecutorService workers = Workers.of(2, WORKERS_QUEUE, "rehearsal-worker");
+  private final ExecutorService workers = WorkerPool.create(2, WORKERS_QUEUE, "rehearsal-worker");
   private UnaryOperator<FileSystemPort> files = f -> f;
   private Machine machine = Machine.UNKNOWN; // one process holds all gateways: it is no one's own
   private long seed;
@@ -268,7 +268,7 @@
   public void startGateway(String name) {
     Front front = fronts.get(name);
     front.node = new Node(name, front.settings.ioThreads());
-    front.disk = Workers.of(1, DISK_QUEUE, name + "-disk");
+    front.disk = WorkerPool.create(1, DISK_QUEUE, name + "-disk");
     front.network = new Pausable(front.node.network(), front.node.loop());
     try {
       front.durable =
--- a/scenario/src/test/java/lemondock/scenario/Bench.java
+++ b/scenario/src/test/java/lemondock/scenario/Bench.java
@@ -16,6 +16,7 @@
 import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.http.HttpClient;
+import lemondock.net.http.HttpClientOptions;
 import lemondock.net.http.HttpLimits;
 
 /** A small fleet with one gateway and a client, for tests. */
@@ -28,7 +29,7 @@
       new HttpClient(
           clients.loop(),
           clients.network(),
-          new HttpClient.Options(HttpLimits.DEFAULT, 1 << 20, 2_000, 1_000_000, 15_000_000));
+          new HttpClientOptions(HttpLimits.DEFAULT, 1 << 20, 2_000, 1_000_000, 15_000_000));
   final GatewaySettings settings;
 
   Bench(Consumer<ObjectNode> changes, EngineSettings... engines) {
--- a/scenario/src/test/java/lemondock/scenario/HaltingGateway.java
+++ b/scenario/src/test/java/lemondock/scenario/HaltingGateway.java
@@ -12,7 +12,7 @@
 import lemondock.gateway.settings.SettingsFile;
 import lemondock.idempotency.DiskFolder;
 import lemondock.idempotency.FileSystemPort;
-import lemondock.net.nio.Workers;
+import lemondock.net.nio.WorkerPool;
 
 /**
  * A process with a gateway that ends at once, as by kill -9, at a given step of what it does to its
@@ -40,8 +40,8 @@
             new Host(
                 node.loop(),
                 node.network(),
-                Workers.of(1, DISK_QUEUE, "disk"),
-                Workers.of(
+                WorkerPool.create(1, DISK_QUEUE, "disk"),
+                WorkerPool.create(
                     settings.overload().heavyThreads(), settings.overload().heavyQueue(), "worker"),
                 new ThisProcess(),
                 folder),
--- a/scenario/src/test/java/lemondock/scenario/HardCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/HardCasesTest.java
@@ -184,7 +184,7 @@
       }
       CallRecord lost = bench.call(Bench.ask("m1", LONG, Tools.ANSWER));
       assertOneEnd(lost);
-      assertEquals(Mcp.REFUSED, lost.errorCode);
+      assertEquals(Mcp.REJECTED, lost.errorCode);
       assertTrue(lost.retryable);
       for (String reader : List.of("r1", "r2")) {
         fault(bench, reader, f -> f.dropStates = false);
@@ -200,7 +200,7 @@
       bench.fleet.crash("r", 0);
       CallRecord seen = bench.call(Bench.ask("m", LONG, Tools.ANSWER));
       assertOneEnd(seen);
-      assertEquals(Mcp.REFUSED, seen.errorCode);
+      assertEquals(Mcp.REJECTED, seen.errorCode);
       assertTrue(seen.retryable);
     }
   }
@@ -217,7 +217,7 @@
                 return null;
               });
       assertTrue(bench.fleet.awaitServers(Bench.GATEWAY, 0, 5_000));
-      assertEquals(Mcp.REFUSED, bench.call(Bench.ask("m1", LONG, Tools.ANSWER)).errorCode);
+      assertEquals(Mcp.REJECTED, bench.call(Bench.ask("m1", LONG, Tools.ANSWER)).errorCode);
       bench.fleet.crash("r", 0);
       bench.fleet.crash("w", 0);
       bench.fleet.addEngine(Bench.reader("r9"));
@@ -245,7 +245,7 @@
       Bench.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
       bench.fleet.drain("w1", true);
       assertEquals(words(200), Bench.get(done).seen().finalText); // what runs may end
-      assertEquals(Mcp.REFUSED, bench.call(Bench.ask("m2", LONG, Tools.ANSWER)).errorCode);
+      assertEquals(Mcp.REJECTED, bench.call(Bench.ask("m2", LONG, Tools.ANSWER)).errorCode);
       assertEquals(0, bench.events(Tap.What.WRITE, "m2").size());
     }
   }
@@ -264,7 +264,7 @@
       CallRecord seen = bench.call(Bench.ask("m1", LONG, Tools.ANSWER));
       assertOneEnd(seen);
       assertTrue(
-          seen.errorCode == Mcp.REFUSED || seen.errorCode == Mcp.FAILED, "code " + seen.errorCode);
+          seen.errorCode == Mcp.REJECTED || seen.errorCode == Mcp.FAILED, "code " + seen.errorCode);
       long took = TimeUnit.MICROSECONDS.toMillis(seen.endedAt - seen.calledAt);
       assertTrue(took < 2_000, "after " + took + " ms");
       faults(
@@ -465,7 +465,7 @@
         CallRecord seen = Bench.get(call).seen();
         assertOneEnd(seen);
         assertTrue(
-            seen.served() ? seen.finalText.equals(words(5)) : seen.errorCode <= Mcp.REFUSED,
+            seen.served() ? seen.finalText.equals(words(5)) : seen.errorCode <= Mcp.REJECTED,
             seen.finalText);
       }
       bench.awaitIdle();
@@ -586,7 +586,7 @@
                                 "late" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
                     .seen();
             refused.set(seen);
-            return seen.errorCode == Mcp.REFUSED
+            return seen.errorCode == Mcp.REJECTED
                 && bench.events(Tap.What.READ, seen.mark).isEmpty();
           });
       tooMuch.set(false);
--- a/scenario/src/test/java/lemondock/scenario/OnceTest.java
+++ b/scenario/src/test/java/lemondock/scenario/OnceTest.java
@@ -109,7 +109,7 @@
               });
       assertTrue(bench.fleet.awaitServers(Bench.GATEWAY, 0, 10_000));
       assertEquals(
-          Mcp.REFUSED,
+          Mcp.REJECTED,
           call(session, "sale-lookup", "k2", "m2", "answer in 5 words")
               .end()
               .at("/error/code")
@@ -193,7 +193,7 @@
       TalkingClient session = new TalkingClient(bench.port);
       disk[0].goodSyncs = 0;
       JsonNode refused = call(session, "sale-lookup", "k1", "m1", "answer in 5 words").end();
-      assertEquals(Mcp.REFUSED, refused.at("/error/code").asInt(), refused.toString());
+      assertEquals(Mcp.REJECTED, refused.at("/error/code").asInt(), refused.toString());
       assertTrue(
           refused.at("/error/data/retryable").asBoolean()
               && bench.events(Tap.What.READ, "m1").isEmpty());
--- a/scenario/src/test/java/lemondock/scenario/OwnLimitTest.java
+++ b/scenario/src/test/java/lemondock/scenario/OwnLimitTest.java
@@ -248,7 +248,7 @@
                                   "m" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
                       .seen()
                       .errorCode
-                  == Mcp.REFUSED);
+                  == Mcp.REJECTED);
       Bench.await(
           "the counts are judged", () -> !Bench.get(bench.begin(known, repeat)).seen().served());
       int first = 0;
@@ -353,7 +353,7 @@
                               Bench.ask(
                                   "m" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
                       .seen());
-              return refused.get().errorCode == Mcp.REFUSED;
+              return refused.get().errorCode == Mcp.REJECTED;
             });
         assertTrue(refused.get().retryable && refused.get().retryAfterMs > 0);
         assertTrue(bench.events(Tap.What.READ, refused.get().mark).isEmpty());
--- a/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
+++ b/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
@@ -127,7 +127,7 @@
               .seen()
               .tokens);
       bench.awaitIdle();
-      int before = node.ask(node.loop()::timers);
+      int before = node.ask(node.loop()::pendingTimers);
       for (int i = 0; i < calls; i += 10) {
         List<CompletableFuture<McpClient.Call>> some = new ArrayList<>();
         for (int j = 0; j < 10; j++) {
@@ -139,7 +139,7 @@
         some.forEach(one -> assertTrue(Bench.get(one).seen().served()));
       }
       bench.awaitIdle();
-      int perCall = (node.ask(node.loop()::timers) - before) / calls;
+      int perCall = (node.ask(node.loop()::pendingTimers) - before) / calls;
       assertTrue(
           perCall <= 3,
           "the module's own, for its deadline and each attempt, hold a number each; found"
