--- a/net/src/main/java/lemondock/net/http/HttpDecoder.java
+++ b/net/src/main/java/lemondock/net/http/HttpDecoder.java
@@ -4,7 +4,6 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
-import lemondock.net.http.HttpDecoder.ContentSink;
 
 /**
  * Reads HTTP/1.1 messages (RFC 9112) from bytes split anywhere; no I/O. Framing is taken strictly:
