--- a/net/src/main/java/lemondock/net/nio/ChannelSupport.java
+++ b/net/src/main/java/lemondock/net/nio/ChannelSupport.java
@@ -5,23 +5,24 @@
 import java.nio.channels.Channel;
 import lemondock.net.LocalResourcesExhaustedException;
 
-/** What the classes of this package do alike with channels of the JDK. */
+/** Helpers for channels of the JDK. Any thread. */
 final class ChannelSupport {
   private ChannelSupport() {}
 
+  /** Closes a channel that is given up in any case; a failure to do so loses nothing. */
   static void closeQuietly(Channel channel) {
     try {
       channel.close();
     } catch (IOException e) {
-      // nothing is lost: the channel is given up in any case
+      // given up in any case
     }
   }
 
   /**
-   * A cause as the connection's owner hears it; what is wanting on this side says nothing about the
-   * peer.
+   * A cause as the connection's owner hears it: a lack of something on this side says nothing about
+   * the peer.
    */
-  static IOException asIo(Throwable cause) {
+  static IOException toIoException(Throwable cause) {
     return cause instanceof BindException
         ? new LocalResourcesExhaustedException(
             "no local address or port: " + cause.getMessage(), cause)
--- a/net/src/main/java/lemondock/net/nio/FlatCombiner.java
+++ b/net/src/main/java/lemondock/net/nio/FlatCombiner.java
@@ -4,11 +4,12 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * One context that has no thread: tasks are handed in by any thread and run by whoever has it (flat
- * combining: Hendler, Incze, Shavit and Tzafrir, 2010). Two promises rest on the order of steps
- * here, and Lincheck goes through the interleavings: never two threads have it at a time, and no
- * task is left behind. Who hands one in either gets the context, or somebody has it who looks at
- * the inbox again after giving it up.
+ * One execution context without a thread of its own: tasks are handed in by any thread and run by
+ * whoever has the context (flat combining: Hendler, Incze, Shavit and Tzafrir, 2010). Two
+ * guarantees rest on the order of steps here, and a Lincheck test goes through the interleavings:
+ * never do two threads have the context at a time, and no task is left behind. A thread that hands
+ * one in either gets the context, or somebody has it who looks at the inbox again after giving it
+ * up. Any thread, unless a method says otherwise.
  */
 final class FlatCombiner {
   private final ConcurrentLinkedQueue<Runnable> inbox = new ConcurrentLinkedQueue<>();
@@ -20,12 +21,12 @@
   }
 
   /** Whether somebody has the context, who will look at the inbox again. */
-  boolean taken() {
+  boolean isTaken() {
     return owner.get() != null;
   }
 
   /** Whether the caller has it. */
-  boolean mine() {
+  boolean isMine() {
     return owner.get() == Thread.currentThread();
   }
 
@@ -39,25 +40,27 @@
     owner.set(null);
   }
 
+  /** Whether no task waits. */
   boolean isEmpty() {
     return inbox.isEmpty();
   }
 
-  /** The next task; only with the context. */
+  /** The next task, null if there is none; only with the context. */
   Runnable poll() {
     return inbox.poll();
   }
 
   /**
-   * Runs turns while there is work and the context is free. A turn has the context when it is
-   * called, and leaves it.
+   * Runs turns while there is work and the context is free.
    *
-   * @return false if so many turns were run and there is work left: somebody else must be woken for
-   *     it
+   * @param maxTurns how many at most
+   * @param turn has the context when it is called, and leaves it
+   * @return false if so many turns were run and there is work left: another thread must be woken
+   *     for it
    */
-  boolean combine(int turns, Runnable turn) {
+  boolean combine(int maxTurns, Runnable turn) {
     for (int done = 0; !inbox.isEmpty(); done++) {
-      if (done == turns) {
+      if (done == maxTurns) {
         return false;
       }
       if (!enter()) {
--- a/net/src/main/java/lemondock/net/nio/IoThread.java
+++ b/net/src/main/java/lemondock/net/nio/IoThread.java
@@ -2,16 +2,19 @@
 
 import java.util.ArrayList;
 
-/** A thread of one shard. */
+/** The I/O thread of one shard. All state is this thread's alone. */
 final class IoThread extends Thread {
+  /** Places in the list of a batch's events; most batches give none. */
   static final int EVENTS = 4;
+
   private final int shard;
 
+  // I/O thread only, each from here on:
   /** Sockets written to while the batch at hand is decoded. */
-  private final ArrayList<AsyncConnection> written = new ArrayList<>();
+  private final ArrayList<SocketWriter> written = new ArrayList<>();
 
-  /** Empty, for the next batch; most batches give no events. */
-  private ArrayList<Object> spare = new ArrayList<>(EVENTS);
+  /** Events of the batch at hand; empty before it is decoded. */
+  private ArrayList<Object> batchEvents = new ArrayList<>(EVENTS);
 
   IoThread(Runnable task, int shard) {
     super(task, "lemondock-io-" + shard);
@@ -25,28 +28,26 @@
 
   /** The calling thread if it is one of these, else null. */
   static IoThread current() {
-    return Thread.currentThread() instanceof IoThread io ? io : null;
-  }
-
-  /** An empty list for the events of a batch. */
-  ArrayList<Object> events() {
-    return spare;
+    return Thread.currentThread() instanceof IoThread thread ? thread : null;
   }
 
-  /** The list given last is in use from now on. */
-  void eventsTaken() {
-    spare = new ArrayList<>(EVENTS);
+  /** An empty list for the events of a batch; a new one comes only where it was used. */
+  ArrayList<Object> batchEvents() {
+    return batchEvents;
   }
 
-  /** Has the connection written to when the batch at hand is decoded. */
-  void writesAfterBatch(AsyncConnection connection) {
-    written.add(connection);
+  /** Has the socket written to when the batch at hand is decoded. */
+  void flushAfterBatch(SocketWriter writer) {
+    written.add(writer);
   }
 
-  /** Writes what the batch at hand led to. */
-  void flushWritten() {
+  /** The batch at hand is decoded: writes what it led to. */
+  void batchDecoded() {
+    if (!batchEvents.isEmpty()) {
+      batchEvents = new ArrayList<>(EVENTS); // the loop has the last one
+    }
     for (int i = 0; i < written.size(); i++) {
-      written.get(i).flushAfterBatch();
+      written.get(i).batchDecoded();
     }
     written.clear();
   }
--- /dev/null
+++ b/net/src/main/java/lemondock/net/nio/PolledConnection.java
@@ -0,0 +1,151 @@
+package lemondock.net.nio;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.channels.SocketChannel;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+import lemondock.net.Connection;
+import lemondock.net.Loop;
+
+/** A connection over a channel that does not block, polled by a timer. Loop thread only. */
+final class PolledConnection implements Connection {
+  private static final long POLL_INTERVAL_MICROS = 5_000;
+  private static final long HIGH_MARK_BYTES = 64 * 1024;
+  private static final long LOW_MARK_BYTES = 16 * 1024;
+  private static final int READ_BYTES = 4 * 1024;
+
+  private final Loop loop;
+  private final SocketChannel channel;
+  private final Handler handler;
+
+  // Loop thread only, each from here on:
+  private final ArrayDeque<ByteBuffer> queue = new ArrayDeque<>();
+  private boolean pollScheduled;
+  private boolean wantsRead;
+  private boolean closing;
+  private boolean closed;
+  private boolean aboveHighMark;
+  private long pendingBytes;
+  private long flushedBytes;
+
+  PolledConnection(Loop loop, SocketChannel channel, Handler handler) {
+    this.loop = loop;
+    this.channel = channel;
+    this.handler = handler;
+  }
+
+  @Override
+  public void read() {
+    wantsRead = true;
+    pollLater();
+  }
+
+  @Override
+  public void write(ByteBuffer bytes) {
+    if (!closed && !closing && bytes.hasRemaining()) {
+      queue.add(bytes);
+      pendingBytes += bytes.remaining();
+      aboveHighMark |= pendingBytes > HIGH_MARK_BYTES;
+      pollLater();
+    }
+  }
+
+  private void pollLater() {
+    if (!pollScheduled && !closed) {
+      pollScheduled = true;
+      loop.schedule(POLL_INTERVAL_MICROS, this::poll);
+    }
+  }
+
+  private void poll() {
+    pollScheduled = false;
+    if (closed) {
+      return;
+    }
+    try {
+      flush();
+      if (wantsRead) {
+        readBatch();
+      }
+    } catch (IOException e) {
+      finish(e);
+      return;
+    }
+    if (closing && queue.isEmpty()) {
+      finish(null);
+    } else if (!queue.isEmpty() || wantsRead) {
+      pollLater();
+    }
+  }
+
+  private void flush() throws IOException {
+    while (!queue.isEmpty()) {
+      int count = channel.write(queue.peek());
+      pendingBytes -= count;
+      flushedBytes += count;
+      if (queue.peek().hasRemaining()) {
+        break;
+      }
+      queue.poll();
+    }
+    if (aboveHighMark && pendingBytes <= LOW_MARK_BYTES) {
+      aboveHighMark = false;
+      handler.writeQueueDrained();
+    }
+  }
+
+  private void readBatch() throws IOException {
+    ByteBuffer bytes = ByteBuffer.allocate(READ_BYTES);
+    int count = channel.read(bytes);
+    if (count < 0) {
+      wantsRead = false;
+      handler.inputEnded();
+    } else if (count > 0) {
+      wantsRead = false;
+      List<Object> events = new ArrayList<>();
+      handler.decode(bytes.flip(), events);
+      handler.received(events);
+    }
+  }
+
+  @Override
+  public long pendingBytes() {
+    return pendingBytes;
+  }
+
+  @Override
+  public long flushedBytes() {
+    return flushedBytes;
+  }
+
+  @Override
+  public void close() {
+    closing = true;
+    wantsRead = false;
+    pollLater();
+  }
+
+  @Override
+  public void abort() {
+    finish(null);
+  }
+
+  private void finish(IOException cause) {
+    if (!closed) {
+      closed = true;
+      queue.clear();
+      pendingBytes = 0;
+      ChannelSupport.closeQuietly(channel);
+      loop.execute(() -> handler.closed(cause));
+    }
+  }
+
+  /** Null: a Unix domain socket has no internet address. */
+  @Override
+  public InetSocketAddress remoteAddress() {
+    return null;
+  }
+}
--- a/net/src/main/java/lemondock/net/nio/ShardDelayProbe.java
+++ b/net/src/main/java/lemondock/net/nio/ShardDelayProbe.java
@@ -18,32 +18,40 @@
 import lemondock.net.DelayProbe;
 
 /**
- * A loopback connection to itself: a byte put in at one end waits at the other like what clients
- * send. The kernel's list of ready sockets is in order of coming.
+ * Measures the delay of a shard's I/O thread by a loopback connection to itself: a byte written at
+ * one end waits at the other like what clients send, for the kernel's list of ready sockets is in
+ * order of coming.
  */
 final class ShardDelayProbe implements DelayProbe, CompletionHandler<Integer, Void> {
   private static final long CONNECT_SECONDS = 10;
 
   private final ThreadLoop loop;
-  private final AsynchronousSocketChannel end;
-  private final SocketChannel other;
-  private final ByteBuffer out = ByteBuffer.allocate(1);
-  private final ByteBuffer in = ByteBuffer.allocate(1);
-  private volatile long sentAt;
+  private final AsynchronousSocketChannel shardEnd;
+  private final SocketChannel loopEnd;
+  private final ByteBuffer outBuffer = ByteBuffer.allocate(1);
+  private final ByteBuffer inBuffer = ByteBuffer.allocate(1);
+
+  /** Set on the loop, read on any thread. */
+  private volatile long sentAtMicros;
+
+  // Loop thread only, each from here on:
+  /** A byte was sent and the shard's thread has not come to it. */
   private boolean waiting;
-  private LongConsumer told;
+
+  /** Hears of the byte under way. */
+  private LongConsumer onDelay;
 
   ShardDelayProbe(ThreadLoop loop, AsynchronousChannelGroup group) throws IOException {
     this.loop = loop;
-    end = AsynchronousSocketChannel.open(group);
+    shardEnd = AsynchronousSocketChannel.open(group);
     try (ServerSocketChannel port = ServerSocketChannel.open()) {
       port.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1);
-      Future<Void> connected = end.connect(port.getLocalAddress());
-      other = port.accept();
+      Future<Void> connected = shardEnd.connect(port.getLocalAddress());
+      loopEnd = port.accept();
       connected.get(CONNECT_SECONDS, TimeUnit.SECONDS);
-      other.configureBlocking(false);
-      other.setOption(StandardSocketOptions.TCP_NODELAY, true);
-      if (!other.getRemoteAddress().equals(end.getLocalAddress())) {
+      loopEnd.configureBlocking(false);
+      loopEnd.setOption(StandardSocketOptions.TCP_NODELAY, true);
+      if (!loopEnd.getRemoteAddress().equals(shardEnd.getLocalAddress())) {
         throw new IOException("somebody else came to the port of a probe");
       }
     } catch (ExecutionException | TimeoutException e) {
@@ -52,20 +60,20 @@
       Thread.currentThread().interrupt();
       throw new IOException(e);
     }
-    end.read(in, null, this);
+    shardEnd.read(inBuffer, null, this);
   }
 
   @Override
-  public long measure(LongConsumer waited) {
+  public long measure(LongConsumer onDelayMicros) {
     if (waiting) {
-      return Math.max(1, loop.now() - sentAt);
+      return Math.max(1, loop.now() - sentAtMicros);
     }
     waiting = true;
-    told = waited;
-    sentAt = loop.now();
-    out.clear();
+    onDelay = onDelayMicros;
+    sentAtMicros = loop.now();
+    outBuffer.clear();
     try {
-      other.write(out);
+      loopEnd.write(outBuffer);
     } catch (IOException e) {
       close(); // it tells nothing any more
     }
@@ -75,16 +83,16 @@
   /** On the shard's thread. */
   @Override
   public void completed(Integer count, Void attachment) {
-    final long took = loop.now() - sentAt;
+    final long delayMicros = loop.now() - sentAtMicros;
     if (count < 0) {
       return;
     }
-    in.clear();
-    end.read(in, null, this);
+    inBuffer.clear();
+    shardEnd.read(inBuffer, null, this);
     loop.executeHere(
         () -> {
           waiting = false;
-          told.accept(took);
+          onDelay.accept(delayMicros);
         });
   }
 
@@ -94,7 +102,7 @@
   }
 
   void close() {
-    ChannelSupport.closeQuietly(end);
-    ChannelSupport.closeQuietly(other);
+    ChannelSupport.closeQuietly(shardEnd);
+    ChannelSupport.closeQuietly(loopEnd);
   }
 }
--- a/net/src/main/java/lemondock/net/nio/ThreadLoop.java
+++ b/net/src/main/java/lemondock/net/nio/ThreadLoop.java
@@ -20,41 +20,49 @@
  * handled, so it holds at most a few tasks a connection.
  */
 public final class ThreadLoop implements Loop, AutoCloseable {
-  private static final long TICK = 1_000;
-  private static final int BATCH = 256;
-  private static final int INLINE_BATCH = 64;
-  private static final int MOST_TURNS = 4;
-  private static final long OTHERS_TURN = 20_000;
+  /** Resolution of timers. */
+  private static final long TICK_MICROS = 1_000;
 
-  /** Nanoseconds: writes and timers wait for the end of a turn, however much there is to do. */
-  private static final long LONGEST_TURN = 2_000_000;
+  private static final int MAX_TASKS_PER_TURN = 256;
+  private static final int MAX_TASKS_PER_INLINE_TURN = 64;
+
+  /** Turns that an I/O thread runs in a row, which has sockets of its own to look after. */
+  private static final int MAX_INLINE_TURNS = 4;
+
+  /** How long the loop's own thread waits for an I/O thread that has the context. */
+  private static final long CONTEXT_RETRY_NANOS = 20_000;
+
+  /** Writes and timers wait for the end of a turn, however much there is to do. */
+  private static final long MAX_TURN_NANOS = 2_000_000;
 
   private static final long NEVER = Long.MAX_VALUE;
 
-  /** The context; everything below that is not volatile belongs to whoever has it. */
+  /** Any thread. */
   private final FlatCombiner context = new FlatCombiner();
 
-  private final ArrayDeque<Runnable> turnEnds = new ArrayDeque<>();
-  private final ArrayList<Runnable> outside = new ArrayList<>();
-  private final Consumer<Throwable> failure;
+  // Loop thread only (whoever has the context), each from here on:
+  private final ArrayDeque<Runnable> turnEndTasks = new ArrayDeque<>();
+  private final ArrayList<Runnable> outsideTasks = new ArrayList<>();
+  private final Consumer<Throwable> onFailure;
   private final Thread thread;
   private final TimerWheel wheel;
-  private final Runnable advance = this::advance;
-  private final Runnable inlineTurn = () -> turn(INLINE_BATCH);
+  private final Runnable advanceTimers = this::advanceTimers;
+  private final Runnable inlineTurn = () -> runTurn(MAX_TASKS_PER_INLINE_TURN);
 
   /**
-   * When the loop's own thread will wake by itself (microseconds); it is woken for what is due
-   * before.
+   * When the loop's own thread will wake by itself; it is woken for what is due before. Set by that
+   * thread, read by any.
    */
-  private volatile long wakesAt;
+  private volatile long wakeTimeMicros;
 
+  /** Any thread. */
   private volatile boolean stopped;
 
-  /** Starts the loop; what a task throws goes to {@code failure}, and the loop goes on. */
-  public ThreadLoop(String name, Consumer<Throwable> failure) {
-    this.failure = failure;
-    this.wheel = new TimerWheel(now(), TICK);
-    this.thread = new Thread(this::run, name);
+  /** Starts the loop; what a task throws goes to {@code onFailure}, and the loop goes on. */
+  public ThreadLoop(String name, Consumer<Throwable> onFailure) {
+    this.onFailure = onFailure;
+    this.wheel = new TimerWheel(now(), TICK_MICROS);
+    this.thread = new Thread(this::runOwnThread, name);
     thread.setDaemon(true);
     thread.start();
   }
@@ -71,14 +79,14 @@
 
   @Override
   public boolean inLoop() {
-    return context.mine();
+    return context.isMine();
   }
 
   @Override
   public void execute(Runnable task) {
     context.add(task);
-    if (!context.taken()) { // else whoever has the context looks at the inbox again after giving it
-      // up
+    if (!context.isTaken()) {
+      // else whoever has the context looks at the inbox again after giving it up
       LockSupport.unpark(thread);
     }
   }
@@ -89,7 +97,7 @@
    */
   void executeHere(Runnable task) {
     context.add(task);
-    if (!stopped && !context.combine(MOST_TURNS, inlineTurn)) {
+    if (!stopped && !context.combine(MAX_INLINE_TURNS, inlineTurn)) {
       LockSupport.unpark(thread); // this thread has sockets of its own to look after
     }
   }
@@ -100,30 +108,30 @@
     return () -> wheel.cancel(entry);
   }
 
-  /** Timers that are set: each holds what its task holds. In the context only. */
+  /** Timers that are set: each holds what its task holds. Loop thread only. */
   public int pendingTimers() {
     return wheel.size();
   }
 
   /**
-   * Runs a task when the tasks at hand are done: writes of one turn go out together. In the context
+   * Runs a task when the tasks at hand are done: writes of one turn go out together. Loop thread
    * only.
    */
   void atTurnEnd(Runnable task) {
-    turnEnds.add(task);
+    turnEndTasks.add(task);
   }
 
   /**
-   * Runs a task after the turn on the same thread, when the context is free for others. In the
-   * context only.
+   * Runs a task after the turn on the same thread, when the context is free for others. Loop thread
+   * only.
    */
   void outside(Runnable task) {
-    outside.add(task);
+    outsideTasks.add(task);
   }
 
   /** Reports what a task threw elsewhere on this loop's behalf. */
-  void failed(Throwable cause) {
-    failure.accept(cause);
+  void reportFailure(Throwable cause) {
+    onFailure.accept(cause);
   }
 
   /** Stops after the task at hand; tasks and timers left are dropped. */
@@ -138,7 +146,7 @@
     thread.join(millis);
   }
 
-  private void advance() {
+  private void advanceTimers() {
     wheel.advance(now());
   }
 
@@ -146,62 +154,63 @@
    * One turn by whoever has the context; gives it up at the end, then does what need not be done
    * within it.
    */
-  private void turn(int most) {
-    List<Runnable> after;
+  private void runTurn(int maxTasks) {
+    List<Runnable> afterwards;
     try {
-      guarded(advance);
+      runGuarded(advanceTimers);
       Runnable task = context.poll();
-      long until = System.nanoTime() + LONGEST_TURN;
+      long endNanos = System.nanoTime() + MAX_TURN_NANOS;
       for (int done = 0; task != null && !stopped; ) {
-        guarded(task);
-        task = ++done < most && System.nanoTime() < until ? context.poll() : null;
+        runGuarded(task);
+        task = ++done < maxTasks && System.nanoTime() < endNanos ? context.poll() : null;
       }
-      while (!turnEnds.isEmpty()) {
-        guarded(turnEnds.poll());
+      while (!turnEndTasks.isEmpty()) {
+        runGuarded(turnEndTasks.poll());
       }
     } finally {
-      after = outside.isEmpty() ? List.of() : List.copyOf(outside);
-      outside.clear();
-      boolean sooner = Thread.currentThread() != thread && wheel.nextDueMicros() < wakesAt;
+      afterwards = outsideTasks.isEmpty() ? List.of() : List.copyOf(outsideTasks);
+      outsideTasks.clear();
+      boolean dueSooner =
+          Thread.currentThread() != thread && wheel.nextDueMicros() < wakeTimeMicros;
       context.leave();
       // what came in during the turn relied on this thread to look again, which it does after
       // the tasks below: one of them may take long
-      if (sooner || !after.isEmpty() && !context.isEmpty()) {
+      if (dueSooner || !afterwards.isEmpty() && !context.isEmpty()) {
         LockSupport.unpark(thread);
       }
     }
-    for (Runnable task : after) {
-      guarded(task);
+    for (Runnable task : afterwards) {
+      runGuarded(task);
     }
   }
 
   /** The loop's own thread. */
-  private void run() {
+  private void runOwnThread() {
     while (!stopped) {
       if (!context.enter()) {
-        LockSupport.parkNanos(
-            this, OTHERS_TURN); // an I/O thread has the context and will not have it for long
+        // an I/O thread has the context and will not have it for long
+        LockSupport.parkNanos(this, CONTEXT_RETRY_NANOS);
         continue;
       }
-      turn(BATCH);
+      runTurn(MAX_TASKS_PER_TURN);
       if (context.isEmpty() && context.enter()) {
-        long due = wheel.nextDueMicros();
-        wakesAt = due;
+        long dueMicros = wheel.nextDueMicros();
+        wakeTimeMicros = dueMicros;
         context.leave();
-        long wait = due == NEVER ? NEVER : (due - now()) * 1_000;
-        if (context.isEmpty() && wait > 0 && !stopped) {
-          LockSupport.parkNanos(this, wait);
+        long waitNanos = dueMicros == NEVER ? NEVER : (dueMicros - now()) * 1_000;
+        if (context.isEmpty() && waitNanos > 0 && !stopped) {
+          LockSupport.parkNanos(this, waitNanos);
         }
-        wakesAt = 0; // awake: it looks at the timers before it sleeps again
+        wakeTimeMicros = 0; // awake: it looks at the timers before it sleeps again
       }
     }
   }
 
-  private void guarded(Runnable task) {
+  private void runGuarded(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException | Error e) {
-      failure.accept(e);
+      onFailure.accept(e);
     }
   }
 }
--- a/net/src/main/java/lemondock/net/nio/UdpDatagramSender.java
+++ b/net/src/main/java/lemondock/net/nio/UdpDatagramSender.java
@@ -6,7 +6,9 @@
 import java.nio.channels.DatagramChannel;
 import lemondock.net.DatagramSender;
 
-/** Datagrams over UDP; the channel is connected, so that a peer's "port unreachable" is heard. */
+/**
+ * Sends datagrams over UDP; the channel is connected, so that a peer's "port unreachable" is heard.
+ */
 public final class UdpDatagramSender implements DatagramSender {
   private final DatagramChannel channel;
 
@@ -14,7 +16,11 @@
     this.channel = channel;
   }
 
-  /** A sender to an address. */
+  /**
+   * Opens a sender to an address.
+   *
+   * @throws IOException if there is no way to it, or the system has no socket left
+   */
   public static UdpDatagramSender open(InetSocketAddress to) throws IOException {
     DatagramChannel channel = DatagramChannel.open();
     try {
@@ -34,10 +40,6 @@
 
   @Override
   public void close() {
-    try {
-      channel.close();
-    } catch (IOException e) {
-      // nothing is lost: the channel is given up in any case
-    }
+    ChannelSupport.closeQuietly(channel);
   }
 }
--- a/net/src/main/java/lemondock/net/nio/WorkerPool.java
+++ b/net/src/main/java/lemondock/net/nio/WorkerPool.java
@@ -5,23 +5,29 @@
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 
-/**
- * Threads for what takes long, with a bounded queue: what does not fit is refused by the caller, at
- * once.
- */
+/** Makes thread pools for work that takes long, with bounded queues. */
 public final class WorkerPool {
+  private static final long KEEP_ALIVE_SECONDS = 1;
+
   private WorkerPool() {}
 
-  /** So many threads, started as they are needed, and places in their queue. */
-  public static ExecutorService create(int threads, int queue, String name) {
+  /**
+   * Makes a pool of daemon threads. A task beyond its capacity is rejected at once with {@link
+   * java.util.concurrent.RejectedExecutionException}.
+   *
+   * @param threads how many, started as they are needed
+   * @param queueCapacity tasks that may wait for a thread
+   * @param threadName name of each thread
+   */
+  public static ExecutorService create(int threads, int queueCapacity, String threadName) {
     return new ThreadPoolExecutor(
         threads,
         threads,
-        1,
+        KEEP_ALIVE_SECONDS,
         TimeUnit.SECONDS,
-        new ArrayBlockingQueue<>(queue),
+        new ArrayBlockingQueue<>(queueCapacity),
         task -> {
-          Thread thread = new Thread(task, name);
+          Thread thread = new Thread(task, threadName);
           thread.setDaemon(true);
           return thread;
         });
