--- a/net/src/main/java/lemondock/net/http/HttpDecoder.java
+++ b/net/src/main/java/lemondock/net/http/HttpDecoder.java
@@ -1,5 +1,7 @@
 package lemondock.net.http;
 
+import static lemondock.net.http.ProtocolViolation.require;
+
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
@@ -12,9 +14,14 @@
  * in another.
  */
 public final class HttpDecoder {
-  private static final String TOKEN = "!#$%&'*+-.^_`|~";
-  private static final int MOST_CHUNK_DIGITS = 12;
+  private static final int INITIAL_LINE_BYTES = 256;
+
+  /** A buffer that a single long line made longer is not kept. */
+  private static final int MAX_KEPT_LINE_BYTES = 1024;
 
+  private static final int MAX_CHUNK_SIZE_DIGITS = 12;
+
+  /** What comes next in the stream. */
   private enum State {
     START,
     FIELDS,
@@ -27,20 +34,22 @@
     FAILED
   }
 
-  private final boolean requests;
+  private final boolean decodesRequests;
   private final HttpLimits limits;
-  private byte[] line = new byte[256];
+  private byte[] line = new byte[INITIAL_LINE_BYTES];
   private int lineLength;
-  private boolean sawReturn;
+  private boolean sawCarriageReturn;
   private State state = State.START;
-  private String[] start;
-  private Headers headers;
-  private int headerBytes;
-  private long left;
-  private long body;
-  private boolean headRequest;
-  private boolean begunTold;
-  private ContentSink content = bytes -> {};
+  private MessageHead head;
+
+  /** Of the content or the chunk at hand. */
+  private long remainingBytes;
+
+  /** Content of the message so far. */
+  private long bodyBytes;
+
+  private boolean beganReported;
+  private ContentSink contentSink = bytes -> {};
 
   /** Takes pieces of content where they lie. */
   public interface ContentSink {
@@ -51,8 +60,8 @@
     void piece(ByteBuffer bytes);
   }
 
-  private HttpDecoder(boolean requests, HttpLimits limits) {
-    this.requests = requests;
+  private HttpDecoder(boolean decodesRequests, HttpLimits limits) {
+    this.decodesRequests = decodesRequests;
     this.limits = limits;
   }
 
@@ -66,14 +75,9 @@
     return new HttpDecoder(false, limits);
   }
 
-  /** Says that the next response answers a HEAD request and so has no content. */
-  public void expectNoContent() {
-    headRequest = true;
-  }
-
   /** Has content go there; without it content is dropped. */
-  public HttpDecoder withContentSink(ContentSink taker) {
-    content = taker;
+  public HttpDecoder withContentSink(ContentSink sink) {
+    contentSink = sink;
     return this;
   }
 
@@ -86,14 +90,14 @@
       while (in.hasRemaining()) {
         step(in, out);
       }
-      if (!begunTold && state != State.FAILED && (state != State.START || lineLength > 0)) {
-        begunTold = true;
+      if (!beganReported && state != State.FAILED && (state != State.START || lineLength > 0)) {
+        beganReported = true;
         out.add(new HttpEvent.Began());
       }
-    } catch (Refused e) {
+    } catch (ProtocolViolation e) {
       state = State.FAILED;
       in.position(in.limit());
-      out.add(new HttpEvent.Malformed(e.status, e.getMessage()));
+      out.add(new HttpEvent.Malformed(e.status(), e.getMessage()));
     }
   }
 
@@ -102,7 +106,7 @@
    */
   public void end(List<? super HttpEvent> out) {
     if (state == State.UNTIL_CLOSE) {
-      finish(out);
+      endMessage(out);
     } else if (state != State.FAILED && !(state == State.START && lineLength == 0)) {
       state = State.FAILED;
       out.add(new HttpEvent.Malformed(400, "the connection ended within a message"));
@@ -112,75 +116,81 @@
   private void step(ByteBuffer in, List<? super HttpEvent> out) {
     switch (state) {
       case START -> {
-        if (line(in)) {
-          startLine();
-        }
-      }
-      case FIELDS -> {
-        if (line(in)) {
-          if (lineLength == 0) {
-            head(out);
-          } else {
-            field();
-          }
+        if (readLine(in)) {
+          parseStartLine();
         }
       }
+      case FIELDS -> readField(in, out);
       case FIXED -> {
-        left -= data(in, left);
-        if (left == 0) {
-          finish(out);
+        remainingBytes -= readContent(in, remainingBytes);
+        if (remainingBytes == 0) {
+          endMessage(out);
         }
       }
       case CHUNK_SIZE -> {
-        if (line(in)) {
-          chunkSize();
+        if (readLine(in)) {
+          parseChunkSize();
         }
       }
       case CHUNK -> {
-        left -= data(in, left);
-        if (left == 0) {
+        remainingBytes -= readContent(in, remainingBytes);
+        if (remainingBytes == 0) {
           state = State.CHUNK_END;
         }
       }
-      case CHUNK_END -> {
-        boolean whole = line(in);
-        require(lineLength == 0, 400, "a chunk is longer than its stated size");
-        if (whole) {
-          state = State.CHUNK_SIZE;
-        }
+      case CHUNK_END -> readChunkEnd(in);
+      case TRAILERS -> readTrailer(in, out);
+      case UNTIL_CLOSE -> readContent(in, Long.MAX_VALUE);
+      default -> in.position(in.limit());
+    }
+  }
+
+  private void readField(ByteBuffer in, List<? super HttpEvent> out) {
+    if (readLine(in)) {
+      if (lineLength == 0) {
+        endHead(out);
+      } else {
+        parseField();
       }
-      case TRAILERS -> {
-        if (line(in)) {
-          if (lineLength == 0) {
-            finish(out);
-          } else {
-            countHeader();
-          }
-          lineLength = 0;
-        }
+    }
+  }
+
+  private void readChunkEnd(ByteBuffer in) {
+    boolean complete = readLine(in);
+    require(lineLength == 0, 400, "a chunk is longer than its stated size");
+    if (complete) {
+      state = State.CHUNK_SIZE;
+    }
+  }
+
+  private void readTrailer(ByteBuffer in, List<? super HttpEvent> out) {
+    if (readLine(in)) {
+      if (lineLength == 0) {
+        endMessage(out);
+      } else {
+        head.countField(lineLength);
       }
-      case UNTIL_CLOSE -> data(in, Long.MAX_VALUE);
-      default -> in.position(in.limit());
+      lineLength = 0;
     }
   }
 
   /** Gathers one line; true when it is whole, its text being the first {@code lineLength} bytes. */
-  private boolean line(ByteBuffer in) {
+  private boolean readLine(ByteBuffer in) {
     while (in.hasRemaining()) {
       byte b = in.get();
-      if (sawReturn) {
+      if (sawCarriageReturn) {
         require(b == '\n', 400, "a carriage return without a line feed");
-        sawReturn = false;
+        sawCarriageReturn = false;
         return true;
       }
       if (b == '\r') {
-        sawReturn = true;
+        sawCarriageReturn = true;
       } else {
         require(b != '\n', 400, "a line feed without a carriage return");
         require(b != 0, 400, "a NUL in a head");
         if (lineLength >= limits.maxLineBytes()) {
-          throw new Refused(
-              state == State.START && requests ? 414 : 431,
+          throw new ProtocolViolation(
+              state == State.START && decodesRequests ? 414 : 431,
               "a line is longer than " + limits.maxLineBytes() + " bytes");
         }
         if (lineLength == line.length) {
@@ -200,137 +210,90 @@
 
   private void forgetLine() {
     lineLength = 0;
-    if (line.length > 1024) {
-      line = new byte[256];
+    if (line.length > MAX_KEPT_LINE_BYTES) {
+      line = new byte[INITIAL_LINE_BYTES];
     }
   }
 
-  private void startLine() {
+  private void parseStartLine() {
     if (lineLength == 0) {
       return; // an empty line before a request is passed over (RFC 9112, section 2.2)
     }
-    start = takeLine().split(" ", 3);
-    if (requests) {
-      require(
-          start.length == 3 && isToken(start[0]) && !start[1].isEmpty(), 400, "no request line");
-      require(
-          start[1].chars().allMatch(c -> c > ' ' && c < 0x7f),
-          400,
-          "the target holds a control character");
-      require(start[2].startsWith("HTTP/"), 400, "no HTTP version in the request line");
-      require(start[2].equals("HTTP/1.1") || start[2].equals("HTTP/1.0"), 505, "not HTTP/1");
-    } else {
-      require(
-          start.length >= 2
-              && (start[0].equals("HTTP/1.1") || start[0].equals("HTTP/1.0"))
-              && start[1].matches("[1-9][0-9][0-9]"),
-          502,
-          "no status line");
-    }
-    headers = new Headers();
-    headerBytes = 0;
-    body = 0;
+    head = new MessageHead(decodesRequests, limits, takeLine());
+    bodyBytes = 0;
     state = State.FIELDS;
   }
 
-  private void field() {
-    countHeader();
-    String text = takeLine();
-    require(text.charAt(0) != ' ' && text.charAt(0) != '\t', 400, "a folded header field");
-    int colon = text.indexOf(':');
-    require(colon > 0 && isToken(text.substring(0, colon)), 400, "a header field without a name");
-    String value = text.substring(colon + 1).strip();
-    require(
-        value.chars().allMatch(c -> c >= ' ' && c != 0x7f || c == '\t'),
-        400,
-        "a control character in a header field");
-    headers.add(text.substring(0, colon), value);
+  private void parseField() {
+    head.countField(lineLength);
+    head.addField(takeLine());
   }
 
-  private void countHeader() {
-    headerBytes += lineLength;
-    require(
-        headerBytes <= limits.maxHeaderBytes(),
-        431,
-        "header fields of over " + limits.maxHeaderBytes() + " bytes");
-    require(
-        headers.size() < limits.maxHeaderFields(),
-        431,
-        "more than " + limits.maxHeaderFields() + " header fields");
+  private void endHead(List<? super HttpEvent> out) {
+    boolean keepAlive = head.keepAlive();
+    boolean chunked = head.isChunked();
+    long length = head.contentLength();
+    require(!chunked || length == MessageHead.NO_LENGTH, 400, "both a length and chunks");
+    if (decodesRequests) {
+      endRequestHead(keepAlive, out);
+      beginContent(chunked, length, out);
+    } else {
+      endResponseHead(keepAlive, chunked, length, out);
+    }
   }
 
-  private void head(List<? super HttpEvent> out) {
-    int status = requests ? 0 : Integer.parseInt(start[1]);
-    boolean old = (requests ? start[2] : start[0]).equals("HTTP/1.0");
-    boolean keep =
-        !headers.containsToken("connection", "close")
-            && (!old || headers.containsToken("connection", "keep-alive"));
-    boolean chunked = chunked(old);
-    long length = length();
-    require(!chunked || length < 0, 400, "both a length and chunks");
-    if (requests) {
-      require(old || headers.getAll("host").size() == 1, 400, "not one Host field");
-      out.add(new HttpEvent.RequestHead(start[0], start[1], old ? 0 : 1, headers, keep));
-    } else if (status < 200) {
+  private void endRequestHead(boolean keepAlive, List<? super HttpEvent> out) {
+    Headers headers = head.headers();
+    require(head.isHttp10() || headers.getAll("host").size() == 1, 400, "not one Host field");
+    int minorVersion = head.isHttp10() ? 0 : 1;
+    out.add(
+        new HttpEvent.RequestHead(head.method(), head.target(), minorVersion, headers, keepAlive));
+  }
+
+  private void endResponseHead(
+      boolean keepAlive, boolean chunked, long length, List<? super HttpEvent> out) {
+    int status = head.status();
+    if (status < 200) {
       require(status != 101, 502, "an upgrade that was not asked for");
       state = State.START; // an interim response
       return;
+    }
+    boolean noContent = hasNoContent(status);
+    boolean untilClose = !chunked && length == MessageHead.NO_LENGTH && !noContent;
+    out.add(new HttpEvent.ResponseHead(status, head.headers(), keepAlive && !untilClose));
+    if (noContent) {
+      endMessage(out);
     } else {
-      boolean untilClose = !chunked && length < 0 && !noContent(status);
-      out.add(new HttpEvent.ResponseHead(status, headers, keep && !untilClose));
+      beginContent(chunked, length, out);
     }
-    if (!requests && noContent(status)) {
-      finish(out);
-    } else if (chunked) {
+  }
+
+  private void beginContent(boolean chunked, long length, List<? super HttpEvent> out) {
+    if (chunked) {
       state = State.CHUNK_SIZE;
     } else if (length > 0) {
       require(
           length <= limits.maxBodyBytes(),
           413,
           "content of " + length + " bytes, over " + limits.maxBodyBytes());
-      left = length;
+      remainingBytes = length;
       state = State.FIXED;
-    } else if (requests || length == 0) {
-      finish(out);
+    } else if (decodesRequests || length == 0) {
+      endMessage(out);
     } else {
       state = State.UNTIL_CLOSE;
     }
   }
 
-  private boolean noContent(int status) {
-    return headRequest || status == 204 || status == 304;
+  private static boolean hasNoContent(int status) {
+    return status == 204 || status == 304;
   }
 
-  private boolean chunked(boolean old) {
-    List<String> codings = headers.getAll("transfer-encoding");
-    if (codings.isEmpty()) {
-      return false;
-    }
-    require(!old, 400, "a transfer coding in HTTP/1.0");
-    require(
-        codings.size() == 1 && codings.get(0).equalsIgnoreCase("chunked"),
-        501,
-        "transfer coding " + codings + " is not spoken");
-    return true;
-  }
-
-  private long length() {
-    List<String> lengths = headers.getAll("content-length");
-    if (lengths.isEmpty()) {
-      return -1;
-    }
-    require(
-        lengths.size() == 1 && lengths.get(0).matches("[0-9]{1,18}"),
-        400,
-        "Content-Length is not one number: " + lengths);
-    return Long.parseLong(lengths.get(0));
-  }
-
-  private void chunkSize() {
+  private void parseChunkSize() {
     int end = 0;
     long size = 0;
     for (; end < lineLength && Character.digit(line[end], 16) >= 0; end++) {
-      require(end < MOST_CHUNK_DIGITS, 400, "no chunk size");
+      require(end < MAX_CHUNK_SIZE_DIGITS, 400, "no chunk size");
       size = size << 4 | Character.digit(line[end], 16);
     }
     require(end > 0, 400, "no chunk size");
@@ -339,54 +302,31 @@
       require(rest.isEmpty() || rest.startsWith(";"), 400, "a chunk size that is not a number");
     }
     require(
-        size <= limits.maxBodyBytes() - body,
+        size <= limits.maxBodyBytes() - bodyBytes,
         413,
         "a chunk of " + size + " bytes, over " + limits.maxBodyBytes() + " in all");
     forgetLine();
-    left = size;
+    remainingBytes = size;
     state = size == 0 ? State.TRAILERS : State.CHUNK;
   }
 
-  private int data(ByteBuffer in, long most) {
-    int count = (int) Math.min(in.remaining(), most);
-    body += count;
-    if (body > limits.maxBodyBytes()) {
-      throw new Refused(413, "content of over " + limits.maxBodyBytes() + " bytes");
+  private int readContent(ByteBuffer in, long maxBytes) {
+    int count = (int) Math.min(in.remaining(), maxBytes);
+    bodyBytes += count;
+    if (bodyBytes > limits.maxBodyBytes()) {
+      throw new ProtocolViolation(413, "content of over " + limits.maxBodyBytes() + " bytes");
     }
     int limit = in.limit();
     int end = in.position() + count;
-    content.piece(in.limit(end));
+    contentSink.piece(in.limit(end));
     in.limit(limit).position(end);
     return count;
   }
 
-  private void finish(List<? super HttpEvent> out) {
+  private void endMessage(List<? super HttpEvent> out) {
     state = State.START;
-    begunTold = false;
-    headRequest = false;
+    beganReported = false;
     lineLength = 0;
     out.add(new HttpEvent.End());
   }
-
-  private static boolean isToken(String text) {
-    return !text.isEmpty()
-        && text.chars()
-            .allMatch(c -> c < 0x7f && (Character.isLetterOrDigit(c) || TOKEN.indexOf(c) >= 0));
-  }
-
-  private static void require(boolean holds, int status, String what) {
-    if (!holds) {
-      throw new Refused(status, what);
-    }
-  }
-
-  private static final class Refused extends RuntimeException {
-    private static final long serialVersionUID = 1L;
-    private final int status;
-
-    Refused(int status, String what) {
-      super(what, null, false, false);
-      this.status = status;
-    }
-  }
 }
