--- a/net/src/main/java/lemondock/net/Connection.java
+++ b/net/src/main/java/lemondock/net/Connection.java
@@ -1,17 +1,19 @@
 package lemondock.net;
 
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
+import java.util.Arrays;
 import java.util.List;
 
 /**
- * One byte stream to a peer. Reading is asked for a batch at a time and nothing is read unasked:
- * that is the whole of backpressure, and it bounds what a connection can put before the loop to one
- * batch. Loop thread only.
+ * One byte stream to a peer. Input is read one batch at a time and only on request: that is the
+ * whole of backpressure, and it bounds what a connection can hand to the loop to one batch. Loop
+ * thread only, unless a method says otherwise.
  */
 public interface Connection {
   /**
-   * Asks for one more batch of bytes; at most one such request is open, a further one changes
+   * Requests one more batch of bytes; at most one such request is open, a further one changes
    * nothing.
    */
   void read();
@@ -23,15 +25,15 @@
 
   /**
    * The same from any thread. On an I/O thread the bytes go out when the batch at hand is decoded,
-   * with all others of that batch. Whoever calls it sees to the order of its own writes.
+   * with all others of that batch. The caller is responsible for the order of its own writes.
    */
   default void writeFromAnyThread(ByteBuffer bytes) {
     write(bytes);
   }
 
-  /** The same for bytes that stay the caller's: they are copied before this returns. */
+  /** The same for bytes that stay the caller's: they are copied before this returns. Any thread. */
   default void writeFromAnyThread(byte[] bytes, int from, int length) {
-    writeFromAnyThread(ByteBuffer.wrap(java.util.Arrays.copyOfRange(bytes, from, from + length)));
+    writeFromAnyThread(ByteBuffer.wrap(Arrays.copyOfRange(bytes, from, from + length)));
   }
 
   /** Bytes queued that the operating system has not taken yet. */
@@ -44,8 +46,9 @@
   long flushedBytes();
 
   /**
-   * Bytes that a system call was begun for, taken by it or not; any thread. What lies beyond has
-   * certainly not left. Connections that cannot tell say that all may have.
+   * Bytes that a system call was begun for, taken by it or not. What lies beyond has certainly not
+   * left. Connections that cannot tell return {@link Long#MAX_VALUE}: all may have left. Any
+   * thread.
    */
   default long offeredBytes() {
     return Long.MAX_VALUE;
@@ -56,12 +59,12 @@
 
   /**
    * Closes, if its owner has seen all bytes that were read: the thread that reads decides, so that
-   * no byte is read between the decision and the end of sending. For an owner that owes nothing and
-   * has nothing queued; until it hears of the close or of further bytes it is to write nothing. If
-   * bytes were on their way to it nothing happens but that they come, as always.
+   * no byte is read between the decision and the end of sending. For an owner that has nothing to
+   * answer and nothing queued; until it hears of the close or of further bytes it must not write.
+   * If bytes were on their way to it, nothing happens but that they come as always.
    *
    * @param linger whether to take and drop what the peer still sends until it closes too, as {@link
-   *     #close} does; else the close is at once
+   *     #close} does; otherwise the close is immediate
    */
   default void closeIfIdle(boolean linger) {
     if (linger) {
@@ -71,23 +74,23 @@
     }
   }
 
-  /** Closes at once and drops what is queued. */
+  /** Closes immediately and drops what is queued. */
   void abort();
 
   /**
-   * The I/O thread that serves it, by number; connections of one shard reach each other without a
-   * hand-over.
+   * Number of the I/O thread that serves it; connections of one shard reach each other without a
+   * change of threads.
    */
   default int shard() {
     return 0;
   }
 
-  /** The far end; null if it is not known any more. */
+  /** The peer's address; null if it is not known any more. */
   InetSocketAddress remoteAddress();
 
   /**
-   * What a connection tells its owner. Each method but {@link #decode} and {@link #continueReading}
-   * is called on the loop.
+   * What a connection calls its owner for. On the loop, except for {@link #decode} and {@link
+   * #continueReading}.
    */
   interface Handler {
     /** The connection is up; nothing is read until {@link Connection#read}. */
@@ -101,8 +104,8 @@
     void decode(ByteBuffer bytes, List<Object> events);
 
     /**
-     * Whether to read on at once after a batch that gave no events for the loop; on an I/O thread,
-     * like {@link #decode}. Where it says no the loop hears of the empty batch and decides.
+     * Whether to continue reading at once after a batch that gave no events for the loop; on an I/O
+     * thread, like {@link #decode}. Otherwise the loop hears of the empty batch and decides.
      */
     default boolean continueReading() {
       return false;
@@ -118,9 +121,10 @@
     void writeQueueDrained();
 
     /**
-     * The connection is closed, or never came up; called exactly once, last. Null after an orderly
-     * close.
+     * The connection is closed, or never came up; called exactly once, last.
+     *
+     * @param cause null after an orderly close
      */
-    void closed(java.io.IOException cause);
+    void closed(IOException cause);
   }
 }
--- a/net/src/main/java/lemondock/net/DatagramSender.java
+++ b/net/src/main/java/lemondock/net/DatagramSender.java
@@ -5,7 +5,7 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 
-/** Sends datagrams to one peer and hears nothing from it but that nobody is there. */
+/** Sends datagrams to one peer and hears nothing from it but that nobody listens. */
 public interface DatagramSender extends Closeable {
   /**
    * Sends one packet, whole or not at all, without waiting.
@@ -19,9 +19,13 @@
   @Override
   void close();
 
-  /** Where such senders come from. */
+  /** Makes senders. */
   interface Opener {
-    /** A sender to an address. */
+    /**
+     * Makes a sender to an address.
+     *
+     * @throws IOException if there is no way to it
+     */
     DatagramSender open(InetSocketAddress to) throws IOException;
   }
 }
--- a/net/src/main/java/lemondock/net/Loop.java
+++ b/net/src/main/java/lemondock/net/Loop.java
@@ -3,23 +3,21 @@
 import java.util.concurrent.Executor;
 
 /**
- * The one thread on which a process decides. All state above the codecs is touched only here, so
- * none of it needs a lock. Real sockets run it on a thread of its own; a simulation may run it on a
- * clock it moves itself.
+ * An event loop: the one thread on which a process decides. All state above the codecs is touched
+ * only here, so none of it needs a lock. Real sockets run it on whichever thread has work for it,
+ * one at a time; a simulation may run it on a clock that it advances itself.
  */
 public interface Loop extends Executor {
-  /** Microseconds from an arbitrary start; never goes back. */
+  /** Monotonic time in microseconds from an arbitrary start. Any thread. */
   long now();
 
   /**
-   * Milliseconds since the epoch; may jump, so it is for log lines and protocols only, never for
-   * durations.
+   * Wall-clock time in milliseconds since the epoch; may jump, so it is for log lines and protocols
+   * only, never for durations. Any thread.
    */
   long wallMillis();
 
-  /**
-   * Runs the task on the loop after all that was handed over before it; callable from any thread.
-   */
+  /** Runs the task on the loop after all that were handed over before it. Any thread. */
   @Override
   void execute(Runnable task);
 
@@ -31,12 +29,12 @@
    */
   Timer schedule(long delayMicros, Runnable task);
 
-  /** Whether the caller is on the loop's thread. */
+  /** Whether the caller is on the loop's thread. Any thread. */
   boolean inLoop();
 
   /** A task that is due later. */
   interface Timer {
-    /** Drops the task if it has not run; harmless otherwise. Loop thread only. */
+    /** Drops the task if it has not run; does nothing otherwise. Loop thread only. */
     void cancel();
   }
 }
--- a/net/src/main/java/lemondock/net/Network.java
+++ b/net/src/main/java/lemondock/net/Network.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** Where connections come from. */
+/** Makes connections and accepts them. Loop thread only, unless a method says otherwise. */
 public interface Network {
   /**
-   * Accepts connections, each with a handler of its own.
+   * Listens on an address and accepts connections, each with a handler of its own. Any thread.
    *
    * @param maxConnections connections open at a time over this listener; further ones are closed as
    *     they come
@@ -19,10 +19,10 @@
       throws IOException;
 
   /**
-   * Connects, then calls the handler; a failure or time-out is its {@code closed} without a {@code
+   * Connects, then calls the handler; a failure or timeout is its {@code closed} without a {@code
    * connected}.
    *
-   * @param timeoutMicros microseconds until an attempt counts as failed
+   * @param timeoutMicros microseconds after which the attempt fails
    */
   void connect(InetSocketAddress address, long timeoutMicros, Connection.Handler handler);
 
@@ -36,19 +36,19 @@
   }
 
   /**
-   * Ways to learn how long what comes to a socket waits for its thread, one for each; empty where
-   * nothing waits. Opens sockets, so call it off the loop, once.
+   * Probes of how long input waits for its I/O thread, one for each thread; empty where nothing
+   * waits. Opens sockets, so call it once, off the loop.
    */
   default List<DelayProbe> delayProbes() throws IOException {
     return List.of();
   }
 
-  /** An open port. */
+  /** A port that is listened on. */
   interface Listener {
-    /** The address taken; tells the port where 0 was asked for. */
+    /** The address bound; tells the port where 0 was asked for. */
     InetSocketAddress address();
 
-    /** Stops accepting; open connections stay. */
+    /** Stops accepting; open connections stay. Any thread. */
     void close();
   }
 }
--- a/net/src/main/java/lemondock/net/OutBuffer.java
+++ b/net/src/main/java/lemondock/net/OutBuffer.java
@@ -3,32 +3,35 @@
 import java.util.Arrays;
 
 /**
- * Bytes being put together to go out, with room in front where a frame's head can be set once the
- * length is known. It is used again and again by one owner, so that a message costs no memory of
- * its own. Not for several threads at a time.
+ * A reusable buffer for outgoing bytes, with room in front where a frame's head can be set once the
+ * length is known. One owner uses it again and again, so that a message costs no memory of its own.
+ * For one thread at a time.
  */
 public final class OutBuffer {
   /** Bytes kept in front: enough for the head of a chunk of any length. */
   public static final int FRAME_HEAD_BYTES = 16;
 
-  private static final int KEPT = 1_024;
-  private static final int MOST_DIGITS = 20;
+  /** A buffer that a single large message made longer is not kept. */
+  private static final int MAX_KEPT_BYTES = 1_024;
 
-  private final int usual;
+  private static final int MAX_DIGITS = 20;
+
+  private final int usualBytes;
   private byte[] bytes;
   private int offset = FRAME_HEAD_BYTES;
   private int end = FRAME_HEAD_BYTES;
 
-  /** Makes an empty one for messages of so many bytes; a longer one makes it grow. */
-  public OutBuffer(int usual) {
-    this.usual = usual;
-    this.bytes = new byte[FRAME_HEAD_BYTES + usual];
+  /** Makes an empty buffer for messages of so many bytes; a longer one makes it grow. */
+  public OutBuffer(int usualBytes) {
+    this.usualBytes = usualBytes;
+    this.bytes = new byte[FRAME_HEAD_BYTES + usualBytes];
   }
 
-  /** Empties it; memory that a single large message took is let go. */
+  /** Empties it; memory that a single large message took is released. */
   public OutBuffer reset() {
-    if (bytes.length > KEPT + FRAME_HEAD_BYTES && bytes.length > usual + FRAME_HEAD_BYTES) {
-      bytes = new byte[FRAME_HEAD_BYTES + usual];
+    if (bytes.length > MAX_KEPT_BYTES + FRAME_HEAD_BYTES
+        && bytes.length > usualBytes + FRAME_HEAD_BYTES) {
+      bytes = new byte[FRAME_HEAD_BYTES + usualBytes];
     }
     offset = FRAME_HEAD_BYTES;
     end = FRAME_HEAD_BYTES;
@@ -36,14 +39,14 @@
   }
 
   /**
-   * The array; what counts is from {@link #from} on for {@link #length} bytes, until the next
+   * The array; what counts is from {@link #offset} on for {@link #length} bytes, until the next
    * change.
    */
   public byte[] array() {
     return bytes;
   }
 
-  /** Where it begins in {@link #array}. */
+  /** Where the content begins in {@link #array}. */
   public int offset() {
     return offset;
   }
@@ -66,16 +69,16 @@
   }
 
   /** Adds a part of an array. */
-  public OutBuffer add(byte[] more, int at, int length) {
+  public OutBuffer add(byte[] more, int from, int length) {
     reserve(length);
-    System.arraycopy(more, at, bytes, end, length);
+    System.arraycopy(more, from, bytes, end, length);
     end += length;
     return this;
   }
 
   /** Adds a number that is not negative, in decimal. */
   public OutBuffer addDecimal(long value) {
-    reserve(MOST_DIGITS);
+    reserve(MAX_DIGITS);
     int digits = 1;
     for (long rest = value / 10; rest > 0; rest /= 10) {
       digits++;
@@ -128,7 +131,7 @@
     return this;
   }
 
-  /** Makes it one chunk of HTTP/1.1 content. */
+  /** Frames the content as one chunk of HTTP/1.1. */
   public OutBuffer frameAsChunk() {
     int remaining = length();
     bytes[--offset] = '\n';
--- a/net/src/main/java/lemondock/net/http/ByteBudget.java
+++ b/net/src/main/java/lemondock/net/http/ByteBudget.java
@@ -2,17 +2,17 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Bytes that all connections together may hold for one purpose. Any thread. */
+/** A bound on the bytes that all connections together hold for one purpose. Any thread. */
 public final class ByteBudget {
   private final long maxBytes;
   private final AtomicLong reservedBytes = new AtomicLong();
 
-  /** A budget of so many bytes. */
+  /** Makes a budget of so many bytes. */
   public ByteBudget(long most) {
     this.maxBytes = most;
   }
 
-  /** Takes bytes; false, with nothing taken, if they do not fit. */
+  /** Reserves bytes; false, with nothing reserved, if they do not fit. */
   public boolean tryReserve(long bytes) {
     if (reservedBytes.addAndGet(bytes) <= maxBytes) {
       return true;
@@ -22,8 +22,10 @@
   }
 
   /**
-   * Takes bytes only while that part of the budget, 0 to 1, is not in use: the rest is kept for
+   * Reserves bytes only if no more than a part of the budget is reserved then: the rest is kept for
    * others.
+   *
+   * @param part 0 to 1
    */
   public boolean tryReserveWithin(double part, long bytes) {
     if (reservedBytes.addAndGet(bytes) <= maxBytes * part) {
@@ -33,12 +35,12 @@
     return false;
   }
 
-  /** Gives back bytes that were taken. */
+  /** Gives back bytes that were reserved. */
   public void release(long bytes) {
     reservedBytes.addAndGet(-bytes);
   }
 
-  /** Bytes taken now. */
+  /** Bytes reserved now. */
   public long reservedBytes() {
     return reservedBytes.get();
   }
--- a/net/src/main/java/lemondock/net/http/Headers.java
+++ b/net/src/main/java/lemondock/net/http/Headers.java
@@ -6,7 +6,7 @@
 
 /**
  * Header fields in the order of the message; names compare without regard to case (RFC 9110,
- * section 5.1).
+ * section 5.1). For one thread at a time.
  */
 public final class Headers {
   private final List<String> names = new ArrayList<>();
@@ -28,13 +28,13 @@
     return this;
   }
 
-  /** The first value of that name, or null. */
+  /** The first value of that name, null if there is none. */
   public String get(String name) {
-    int at = names.indexOf(name.toLowerCase(Locale.ROOT));
-    return at < 0 ? null : values.get(at);
+    int index = names.indexOf(name.toLowerCase(Locale.ROOT));
+    return index < 0 ? null : values.get(index);
   }
 
-  /** All values of that name. */
+  /** All values of that name, in the order of the message. */
   public List<String> getAll(String name) {
     List<String> found = new ArrayList<>();
     String wanted = name.toLowerCase(Locale.ROOT);
@@ -58,7 +58,7 @@
     return false;
   }
 
-  /** Fields held. */
+  /** The number of fields. */
   public int size() {
     return names.size();
   }
--- a/net/src/main/java/lemondock/net/http/HttpEvent.java
+++ b/net/src/main/java/lemondock/net/http/HttpEvent.java
@@ -9,7 +9,7 @@
   /** A message has begun and is not complete; once a message, so that its time can be limited. */
   record Began() implements HttpEvent {}
 
-  /** Request line and header fields; {@code minor} is the minor version of HTTP/1. */
+  /** Request line and header fields; {@code minorVersion} is the minor version of HTTP/1. */
   record RequestHead(
       String method, String target, int minorVersion, Headers headers, boolean keepAlive)
       implements HttpEvent {}
@@ -23,7 +23,8 @@
   /**
    * The stream does not follow the protocol or exceeds a limit; nothing after it can be understood.
    *
-   * @param status what a server should answer
+   * @param status the status that a server should respond with
+   * @param reason what is wrong, as sent to the client
    */
   record Malformed(int status, String reason) implements HttpEvent {}
 }
--- /dev/null
+++ b/net/src/main/java/lemondock/net/package-info.java
@@ -0,0 +1,20 @@
+/**
+ * Asynchronous networking: the interfaces between the codecs and the sockets.
+ *
+ * <p>A process decides everything on one {@link lemondock.net.Loop} (an event loop), so state above
+ * the codecs needs no locks. A {@link lemondock.net.Network} makes {@link
+ * lemondock.net.Connection}s; each has a {@link lemondock.net.Connection.Handler} that decodes
+ * bytes to events on an I/O thread and handles the events on the loop. Three threads are told apart
+ * in the comments of fields and methods:
+ *
+ * <ul>
+ *   <li><b>Loop thread only</b>: whichever thread runs the loop's tasks at the moment.
+ *   <li><b>I/O thread only</b>: the thread of the connection's shard, one batch at a time.
+ *   <li><b>Any thread</b>: volatile, immutable or guarded by a lock that is named.
+ * </ul>
+ *
+ * <p>Times are microseconds and sizes bytes where a name does not say otherwise. {@code
+ * lemondock.net.nio} implements these interfaces on real sockets, {@code lemondock.net.time} on a
+ * clock that tests advance.
+ */
+package lemondock.net;
--- a/net/src/main/java/lemondock/net/sse/SseDecoder.java
+++ b/net/src/main/java/lemondock/net/sse/SseDecoder.java
@@ -4,26 +4,36 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Reads an event stream from bytes split anywhere; no I/O. Lines may end in CR, LF or both. */
+/**
+ * Reads a stream of server-sent events from bytes split anywhere; no I/O. Lines may end in CR, LF
+ * or both. For one thread at a time.
+ */
 public final class SseDecoder {
-  private static final int KEPT = 4_096;
-  private static final byte[] DATA = {'d', 'a', 't', 'a'};
-  private static final byte[] MARK = {(byte) 0xef, (byte) 0xbb, (byte) 0xbf};
+  /** A buffer that a single large line or event made longer is not kept. */
+  private static final int MAX_KEPT_BYTES = 4_096;
 
-  private final int most;
-  private byte[] line = new byte[512];
-  private int length;
-  private boolean afterReturn;
-  private boolean first = true;
-  private byte[] data = new byte[512];
+  private static final int INITIAL_BYTES = 512;
+  private static final byte[] DATA_FIELD = {'d', 'a', 't', 'a'};
+  private static final byte[] BYTE_ORDER_MARK = {(byte) 0xef, (byte) 0xbb, (byte) 0xbf};
+
+  private final int maxBytes;
+  private byte[] line = new byte[INITIAL_BYTES];
+  private int lineLength;
+  private boolean afterCarriageReturn;
+  private boolean firstLine = true;
+  private byte[] data = new byte[INITIAL_BYTES];
   private int dataLength;
   private boolean hasData;
   private String type = "";
   private String id;
 
-  /** Makes a decoder; {@code most} bounds the bytes of a line and of an event's data. */
-  public SseDecoder(int most) {
-    this.most = most;
+  /**
+   * Makes a decoder.
+   *
+   * @param maxBytes bounds the bytes of a line and of an event's data
+   */
+  public SseDecoder(int maxBytes) {
+    this.maxBytes = maxBytes;
   }
 
   /**
@@ -31,7 +41,7 @@
    *
    * @throws IllegalArgumentException if a line or an event exceeds the bound
    */
-  public void decode(ByteBuffer in, SseEventSink out) {
+  public void decode(ByteBuffer in, SseEventSink sink) {
     while (in.hasRemaining()) {
       int from = in.position();
       int at = from;
@@ -39,44 +49,45 @@
         at++;
       }
       if (at > from) {
-        afterReturn = false;
-        take(in, at - from);
+        afterCarriageReturn = false;
+        appendToLine(in, at - from);
       }
       if (at < in.limit()) {
         byte end = in.get();
-        if (end == '\n' && afterReturn) {
-          afterReturn = false;
+        if (end == '\n' && afterCarriageReturn) {
+          afterCarriageReturn = false;
         } else {
-          afterReturn = end == '\r';
-          line(out);
+          afterCarriageReturn = end == '\r';
+          endLine(sink);
         }
       }
     }
   }
 
-  private void take(ByteBuffer in, int count) {
-    if (length + count > most) {
-      throw new IllegalArgumentException("a line of an event stream is over " + most + " bytes");
+  private void appendToLine(ByteBuffer in, int count) {
+    if (lineLength + count > maxBytes) {
+      throw new IllegalArgumentException(
+          "a line of an event stream is over " + maxBytes + " bytes");
     }
-    line = grown(line, length + count);
-    in.get(line, length, count);
-    length += count;
+    line = grown(line, lineLength + count);
+    in.get(line, lineLength, count);
+    lineLength += count;
   }
 
   private byte[] grown(byte[] bytes, int needed) {
     return needed <= bytes.length
         ? bytes
         : Arrays.copyOf(
-            bytes, Math.min(Math.max(most, needed), Math.max(needed, bytes.length * 2)));
+            bytes, Math.min(Math.max(maxBytes, needed), Math.max(needed, bytes.length * 2)));
   }
 
-  private void line(SseEventSink out) {
-    int from = first && begins(0, MARK) ? MARK.length : 0;
-    int end = length;
-    first = false;
-    length = 0;
+  private void endLine(SseEventSink sink) {
+    int from = firstLine && startsWith(0, BYTE_ORDER_MARK) ? BYTE_ORDER_MARK.length : 0;
+    int end = lineLength;
+    firstLine = false;
+    lineLength = 0;
     if (end == from) {
-      dispatch(out);
+      dispatch(sink);
       return;
     }
     int colon = from;
@@ -87,32 +98,37 @@
     if (value < end && line[value] == ' ') {
       value++;
     }
-    if (colon - from == DATA.length && begins(from, DATA)) {
-      int more = end - value + (hasData ? 1 : 0);
-      if (dataLength + more > most) {
-        throw new IllegalArgumentException("an event is over " + most + " bytes");
-      }
-      data = grown(data, dataLength + more);
-      if (hasData) {
-        data[dataLength++] = '\n';
-      }
-      System.arraycopy(line, value, data, dataLength, end - value);
-      dataLength += end - value;
-      hasData = true;
+    if (colon - from == DATA_FIELD.length && startsWith(from, DATA_FIELD)) {
+      appendData(value, end);
     } else {
-      named(
+      otherField(
           new String(line, from, colon - from, StandardCharsets.UTF_8),
           new String(line, value, end - value, StandardCharsets.UTF_8));
     }
-    line = line.length > KEPT ? new byte[512] : line;
+    line = line.length > MAX_KEPT_BYTES ? new byte[INITIAL_BYTES] : line;
+  }
+
+  /** Adds a part of the line to the event's data. */
+  private void appendData(int from, int end) {
+    int added = end - from + (hasData ? 1 : 0);
+    if (dataLength + added > maxBytes) {
+      throw new IllegalArgumentException("an event is over " + maxBytes + " bytes");
+    }
+    data = grown(data, dataLength + added);
+    if (hasData) {
+      data[dataLength++] = '\n';
+    }
+    System.arraycopy(line, from, data, dataLength, end - from);
+    dataLength += end - from;
+    hasData = true;
   }
 
-  private boolean begins(int from, byte[] with) {
+  private boolean startsWith(int from, byte[] prefix) {
     return Arrays.equals(
-        line, from, Math.min(line.length, from + with.length), with, 0, with.length);
+        line, from, Math.min(line.length, from + prefix.length), prefix, 0, prefix.length);
   }
 
-  private void named(String field, String value) {
+  private void otherField(String field, String value) {
     if (field.equals("event")) {
       type = value;
     } else if (field.equals("id") && value.indexOf('\0') < 0) {
@@ -120,16 +136,16 @@
     } // comments, retry and what is not known
   }
 
-  private void dispatch(SseEventSink out) {
+  private void dispatch(SseEventSink sink) {
     final int count = dataLength;
-    final boolean whole = hasData;
-    final String named = type.isEmpty() ? "message" : type;
+    final boolean complete = hasData;
+    final String eventType = type.isEmpty() ? "message" : type;
     dataLength = 0;
     hasData = false;
     type = "";
-    if (whole) {
-      out.accept(id, named, data, count);
+    if (complete) {
+      sink.accept(id, eventType, data, count);
     }
-    data = data.length > KEPT ? new byte[512] : data;
+    data = data.length > MAX_KEPT_BYTES ? new byte[INITIAL_BYTES] : data;
   }
 }
--- a/net/src/main/java/lemondock/net/time/ManualLoop.java
+++ b/net/src/main/java/lemondock/net/time/ManualLoop.java
@@ -4,36 +4,36 @@
 import lemondock.net.Loop;
 
 /**
- * A loop whose time stands still until it is moved: what runs on it does the same each time. One
- * thread.
+ * A loop whose clock stands still until it is advanced: what runs on it does the same each time.
+ * For one thread.
  */
 public final class ManualLoop implements Loop {
-  private static final long TICK = 1_000;
+  private static final long TICK_MICROS = 1_000;
 
   private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
   private final TimerWheel wheel;
-  private long now;
-  private long wallAhead;
+  private long nowMicros;
+  private long wallOffsetMillis;
 
-  /** Makes a loop that starts at a moment (microseconds). */
-  public ManualLoop(long start) {
-    now = start;
-    wheel = new TimerWheel(start, TICK);
+  /** Makes a loop whose clock starts at that many microseconds. */
+  public ManualLoop(long startMicros) {
+    nowMicros = startMicros;
+    wheel = new TimerWheel(startMicros, TICK_MICROS);
   }
 
   @Override
   public long now() {
-    return now;
+    return nowMicros;
   }
 
   @Override
   public long wallMillis() {
-    return now / 1_000 + wallAhead;
+    return nowMicros / 1_000 + wallOffsetMillis;
   }
 
-  /** Sets the wall clock forward or back, as a person or a time server may. */
+  /** Steps the wall clock forward or back, as an operator or a time server may. */
   public void stepWallClock(long millis) {
-    wallAhead += millis;
+    wallOffsetMillis += millis;
   }
 
   @Override
@@ -43,7 +43,7 @@
 
   @Override
   public Timer schedule(long delayMicros, Runnable task) {
-    TimerWheel.Entry entry = wheel.schedule(now + Math.max(0, delayMicros), task);
+    TimerWheel.Entry entry = wheel.schedule(nowMicros + Math.max(0, delayMicros), task);
     return () -> wheel.cancel(entry);
   }
 
@@ -52,12 +52,12 @@
     return true;
   }
 
-  /** Drops the task handed over first of those that have not run: it is lost. */
+  /** Drops the oldest task that has not run. */
   public void dropNextTask() {
     tasks.removeFirst();
   }
 
-  /** Runs what was handed over, and what that hands over. */
+  /** Runs all tasks that were handed over, and those that they hand over. */
   public void runTasks() {
     for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
       task.run();
@@ -68,22 +68,22 @@
    * Lets time pass during which nothing runs, as when the process is stopped; what fell due runs
    * late, all at once.
    */
-  public void pauseFor(long micros) {
-    now += micros;
-    wheel.advance(now);
+  public void pauseFor(long durationMicros) {
+    nowMicros += durationMicros;
+    wheel.advance(nowMicros);
     runTasks();
   }
 
-  /** Moves time on, stopping at each tick with something due. */
-  public void advance(long micros) {
-    long until = now + micros;
-    while (wheel.nextDueMicros() <= until && wheel.nextDueMicros() != Long.MAX_VALUE) {
-      now = Math.max(now, wheel.nextDueMicros());
-      wheel.advance(now);
+  /** Advances the clock, stopping at each tick with a timer due to run it and the tasks. */
+  public void advance(long durationMicros) {
+    long untilMicros = nowMicros + durationMicros;
+    while (wheel.nextDueMicros() <= untilMicros && wheel.nextDueMicros() != Long.MAX_VALUE) {
+      nowMicros = Math.max(nowMicros, wheel.nextDueMicros());
+      wheel.advance(nowMicros);
       runTasks();
     }
-    now = until;
-    wheel.advance(now);
+    nowMicros = untilMicros;
+    wheel.advance(nowMicros);
     runTasks();
   }
 }
--- a/net/src/main/java/lemondock/net/time/TimerWheel.java
+++ b/net/src/main/java/lemondock/net/time/TimerWheel.java
@@ -4,38 +4,38 @@
  * A hierarchical timer wheel (Varghese and Lauck, 1987): scheduling and cancelling take constant
  * time whatever the number of timers, where a heap takes the logarithm. Six levels of 64 slots; a
  * slot of one level spans all of the level below. Timers of one tick fire in the order in which
- * they were set. One thread.
+ * they were set. For one thread.
  */
 public final class TimerWheel {
-  private static final int BITS = 6;
-  private static final int SLOTS = 1 << BITS;
+  private static final int SLOT_BITS = 6;
+  private static final int SLOTS_PER_LEVEL = 1 << SLOT_BITS;
   private static final int LEVELS = 6;
-  private static final long SPAN = 1L << (BITS * LEVELS);
+  private static final long SPAN_TICKS = 1L << (SLOT_BITS * LEVELS);
 
-  private final long resolution;
-  private final Entry[][] slots = new Entry[LEVELS][SLOTS];
-  private final long[] used = new long[LEVELS];
-  private long tick;
-  private long sequence;
+  private final long tickMicros;
+  private final Entry[][] slots = new Entry[LEVELS][SLOTS_PER_LEVEL];
+  private final long[] usedSlots = new long[LEVELS];
+  private long currentTick;
+  private long nextOrder;
   private int size;
 
   /**
    * Makes a wheel that starts at a given moment.
    *
-   * @param now microseconds
-   * @param resolution microseconds a tick
+   * @param nowMicros the moment, microseconds
+   * @param tickMicros resolution: length of a tick, microseconds
    */
-  public TimerWheel(long now, long resolution) {
-    if (resolution <= 0) {
-      throw new IllegalArgumentException("a tick must be longer than nothing: " + resolution);
+  public TimerWheel(long nowMicros, long tickMicros) {
+    if (tickMicros <= 0) {
+      throw new IllegalArgumentException("a tick must be longer than nothing: " + tickMicros);
     }
-    this.resolution = resolution;
-    this.tick = Math.floorDiv(now, resolution);
+    this.tickMicros = tickMicros;
+    this.currentTick = Math.floorDiv(nowMicros, tickMicros);
     for (int level = 0; level < LEVELS; level++) {
-      for (int slot = 0; slot < SLOTS; slot++) {
+      for (int slot = 0; slot < SLOTS_PER_LEVEL; slot++) {
         Entry head = new Entry(null, 0, 0);
         head.next = head;
-        head.before = head;
+        head.previous = head;
         slots[level][slot] = head;
       }
     }
@@ -44,16 +44,16 @@
   /** One timer; lies in a ring with the others of its slot. */
   public static final class Entry {
     private final Runnable task;
-    private final long due;
+    private final long dueTick;
     private final long order;
     private Entry next;
-    private Entry before;
+    private Entry previous;
     private int level;
     private int slot;
 
-    private Entry(Runnable task, long due, long order) {
+    private Entry(Runnable task, long dueTick, long order) {
       this.task = task;
-      this.due = due;
+      this.dueTick = dueTick;
       this.order = order;
     }
   }
@@ -62,9 +62,9 @@
    * Sets a timer for the first tick that is not before the given moment (microseconds), nor the
    * present one.
    */
-  public Entry schedule(long at, Runnable task) {
-    long due = Math.max(tick + 1, Math.floorDiv(at + resolution - 1, resolution));
-    Entry entry = new Entry(task, Math.min(due, tick + SPAN - 1), sequence++);
+  public Entry schedule(long atMicros, Runnable task) {
+    long dueTick = Math.max(currentTick + 1, Math.floorDiv(atMicros + tickMicros - 1, tickMicros));
+    Entry entry = new Entry(task, Math.min(dueTick, currentTick + SPAN_TICKS - 1), nextOrder++);
     place(entry);
     size++;
     return entry;
@@ -89,12 +89,12 @@
    * Fires all that is due at the given moment (microseconds), in order of time; what they set fires
    * later.
    */
-  public void advance(long now) {
-    long target = Math.floorDiv(now, resolution);
-    while (tick < target) {
+  public void advance(long nowMicros) {
+    long targetTick = Math.floorDiv(nowMicros, tickMicros);
+    while (currentTick < targetTick) {
       long next = nextTick();
-      if (next > target) {
-        moveTo(target);
+      if (next > targetTick) {
+        moveTo(targetTick);
         return;
       }
       moveTo(next);
@@ -108,19 +108,19 @@
    */
   public long nextDueMicros() {
     long next = nextTick();
-    return next == Long.MAX_VALUE ? next : next * resolution;
+    return next == Long.MAX_VALUE ? next : next * tickMicros;
   }
 
   /** The next tick at which a slot fires or its timers move one level down. */
   private long nextTick() {
     long next = Long.MAX_VALUE;
     for (int level = 0; level < LEVELS; level++) {
-      if (used[level] != 0) {
-        int shift = BITS * level;
-        int here = (int) (tick >>> shift) & (SLOTS - 1);
-        long ahead = Long.rotateRight(used[level], here + 1);
+      if (usedSlots[level] != 0) {
+        int shift = SLOT_BITS * level;
+        int here = (int) (currentTick >>> shift) & (SLOTS_PER_LEVEL - 1);
+        long ahead = Long.rotateRight(usedSlots[level], here + 1);
         long steps = Long.numberOfTrailingZeros(ahead) + 1L;
-        next = Math.min(next, ((tick >>> shift) + steps) << shift);
+        next = Math.min(next, ((currentTick >>> shift) + steps) << shift);
       }
     }
     return next;
@@ -130,13 +130,13 @@
    * Moves to a tick between which and the present one no slot is due, and hands down what its slots
    * hold.
    */
-  private void moveTo(long target) {
-    long before = tick;
-    tick = target;
+  private void moveTo(long targetTick) {
+    long previousTick = currentTick;
+    currentTick = targetTick;
     for (int level = LEVELS - 1; level > 0; level--) {
-      int shift = BITS * level;
-      if (tick >>> shift != before >>> shift) {
-        handDown(slots[level][(int) (tick >>> shift) & (SLOTS - 1)]);
+      int shift = SLOT_BITS * level;
+      if (currentTick >>> shift != previousTick >>> shift) {
+        handDown(slots[level][(int) (currentTick >>> shift) & (SLOTS_PER_LEVEL - 1)]);
       }
     }
   }
@@ -150,8 +150,8 @@
   }
 
   private void fire() {
-    Entry head = slots[0][(int) tick & (SLOTS - 1)];
-    while (head.next != head && head.next.due <= tick) {
+    Entry head = slots[0][(int) currentTick & (SLOTS_PER_LEVEL - 1)];
+    while (head.next != head && head.next.dueTick <= currentTick) {
       Entry entry = head.next;
       unlink(entry);
       size--;
@@ -160,35 +160,34 @@
   }
 
   private void place(Entry entry) {
-    long ahead = entry.due - tick;
+    long ahead = entry.dueTick - currentTick;
     int level = 0;
-    while (level < LEVELS - 1 && ahead >= 1L << (BITS * (level + 1))) {
+    while (level < LEVELS - 1 && ahead >= 1L << (SLOT_BITS * (level + 1))) {
       level++;
     }
     entry.level = level;
-    entry.slot = (int) (entry.due >>> (BITS * level)) & (SLOTS - 1);
+    entry.slot = (int) (entry.dueTick >>> (SLOT_BITS * level)) & (SLOTS_PER_LEVEL - 1);
     Entry head = slots[level][entry.slot];
-    Entry after =
-        head.before; // handed down timers may be older than ones set since: keep the order
-    // of setting
-    while (after != head && after.due == entry.due && after.order > entry.order) {
-      after = after.before;
+    // timers that were handed down may be older than ones set since: keep the order of setting
+    Entry after = head.previous;
+    while (after != head && after.dueTick == entry.dueTick && after.order > entry.order) {
+      after = after.previous;
     }
-    entry.before = after;
+    entry.previous = after;
     entry.next = after.next;
-    after.next.before = entry;
+    after.next.previous = entry;
     after.next = entry;
-    used[level] |= 1L << entry.slot;
+    usedSlots[level] |= 1L << entry.slot;
   }
 
   private void unlink(Entry entry) {
-    entry.before.next = entry.next;
-    entry.next.before = entry.before;
+    entry.previous.next = entry.next;
+    entry.next.previous = entry.previous;
     entry.next = null;
-    entry.before = null;
+    entry.previous = null;
     Entry head = slots[entry.level][entry.slot];
     if (head.next == head) {
-      used[entry.level] &= ~(1L << entry.slot);
+      usedSlots[entry.level] &= ~(1L << entry.slot);
     }
   }
 }
--- /dev/null
+++ b/net/src/main/java/lemondock/net/time/package-info.java
@@ -0,0 +1,2 @@
+/** Timers of an event loop, and an event loop on a clock that its owner advances. */
+package lemondock.net.time;
