--- a/net/src/test/java/lemondock/net/http/HttpClientTest.java
+++ b/net/src/test/java/lemondock/net/http/HttpClientTest.java
@@ -19,20 +19,21 @@
 
   private final ManualLoop loop = new ManualLoop(0);
   private final List<String> heard = new ArrayList<>();
-  private final ScriptedNetwork<Line> network = new ScriptedNetwork<>(loop, Line::new);
-  private final List<Line> lines = network.connections();
+  private final ScriptedNetwork<FakeConnection> network =
+      new ScriptedNetwork<>(loop, FakeConnection::new);
+  private final List<FakeConnection> connections = network.connections();
   private final HttpClient client =
       new HttpClient(
           loop,
           network,
           new HttpClientOptions(HttpLimits.DEFAULT, 1_000, 10, 1_000, 1_000_000, 2, 10_000));
 
-  private final class Line extends ScriptedConnection {
+  private final class FakeConnection extends ScriptedConnection {
     private int requests;
     private long taken;
     private boolean takes = true;
 
-    Line(InetSocketAddress peer, Handler handler) {
+    FakeConnection(InetSocketAddress peer, Handler handler) {
       super(loop, peer, handler);
     }
 
@@ -72,56 +73,58 @@
   }
 
   @Test
-  void aConnectionRestsBeforeItIsUsedAgain() throws IOException {
+  void aConnectionIsQuietForAWhileBeforeItIsUsedAgain() throws IOException {
     send(A);
-    lines.get(0).answer();
+    connections.get(0).answer();
     send(A);
-    assertEquals(2, lines.size());
+    assertEquals(2, connections.size());
     loop.advance(11_000);
-    lines.get(1).answer();
+    connections.get(1).answer();
     send(A);
-    assertEquals(2, lines.get(0).requests);
+    assertEquals(2, connections.get(0).requests);
   }
 
   @Test
-  void theConnectionUnusedForLongestMakesRoomForAnother() throws IOException {
+  void theConnectionIdleForLongestMakesRoomForAnother() throws IOException {
     send(A);
     send(A);
     send(B);
     assertEquals(List.of("LOCAL_LIMIT_REACHED"), heard);
-    lines.get(1).answer();
+    connections.get(1).answer();
     loop.advance(11_000);
-    lines.get(0).answer();
+    connections.get(0).answer();
     loop.advance(11_000);
     send(B);
-    assertEquals(3, lines.size());
-    assertEquals(List.of(false, true), List.of(lines.get(0).isClosed(), lines.get(1).isClosed()));
+    assertEquals(3, connections.size());
+    assertEquals(
+        List.of(false, true),
+        List.of(connections.get(0).isClosed(), connections.get(1).isClosed()));
     assertEquals(2, client.openConnections());
   }
 
   @Test
-  void aRequestWhoseLastByteWasNotTakenProvablyNeverRan() throws IOException {
+  void aRequestWhoseLastByteWasNotSentProvablyNeverRan() throws IOException {
     send(A);
-    lines.get(0).answer();
+    connections.get(0).answer();
     loop.advance(11_000);
-    lines.get(0).takes = false;
+    connections.get(0).takes = false;
     send(A);
-    lines.get(0).abort();
+    connections.get(0).abort();
     loop.runTasks();
     send(A);
-    lines.get(1).abort();
+    connections.get(1).abort();
     loop.runTasks();
     assertEquals(List.of("done", "NOT_SENT", "CONNECTION_LOST"), heard);
   }
 
   @Test
-  void anUnusedConnectionThatBringsBytesIsNotUsedAgain() throws IOException {
+  void anIdleConnectionThatReceivesBytesIsNotUsedAgain() throws IOException {
     send(A);
-    lines.get(0).answer();
+    connections.get(0).answer();
     loop.advance(11_000);
-    lines.get(0).answer();
+    connections.get(0).answer();
     send(A);
-    assertEquals(2, lines.size());
+    assertEquals(2, connections.size());
     assertEquals(List.of("done"), heard);
   }
 
@@ -137,18 +140,18 @@
     assertEquals(List.of(), heard);
     loop.runTasks();
     assertEquals(List.of("made"), heard);
-    lines.get(0).answer();
+    connections.get(0).answer();
     loop.advance(11_000);
     client.send(A, () -> null, receiver);
     loop.runTasks();
     assertEquals(List.of("made", "done", "NOT_SENT"), heard);
-    assertEquals(1, lines.get(0).requests);
+    assertEquals(1, connections.get(0).requests);
     send(A);
-    lines.get(0).answer();
+    connections.get(0).answer();
     assertEquals(
         List.of("made", "done", "NOT_SENT", "done"),
         heard,
         "the connection of a withdrawn request is used again");
-    assertEquals(1, lines.size());
+    assertEquals(1, connections.size());
   }
 }
--- a/net/src/test/java/lemondock/net/http/HttpDecoderTest.java
+++ b/net/src/test/java/lemondock/net/http/HttpDecoderTest.java
@@ -201,7 +201,7 @@
             + "\\n"
             + " ~ 400 ~ chunk size",
       })
-  void whatTwoCouldReadDifferentlyIsRefused(String text, int status, String word) {
+  void whatTwoImplementationsCouldReadDifferentlyIsRefused(String text, int status, String word) {
     String bytes = text.replace("\\r", "\r").replace("\\n", "\n").replace("\\u0001", "\u0001");
     HttpEvent.Malformed refused = refused(requests(bytes));
     assertEquals(status, refused.status(), refused.reason());
--- a/net/src/test/java/lemondock/net/http/HttpServerTest.java
+++ b/net/src/test/java/lemondock/net/http/HttpServerTest.java
@@ -1,12 +1,13 @@
 package lemondock.net.http;
 
+import static lemondock.net.testing.NetworkExtension.connect;
+import static lemondock.net.testing.NetworkExtension.write;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.io.InputStream;
-import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -16,50 +17,52 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import lemondock.net.nio.AsyncNetwork;
-import lemondock.net.nio.ThreadLoop;
-import org.junit.jupiter.api.AfterEach;
+import lemondock.net.testing.NetworkExtension;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.extension.RegisterExtension;
 
 /** Requests that are turned away by the first bytes of their content. */
 @Timeout(20)
 class HttpServerTest {
-  private static final int GLANCE = 600;
+  /** Bytes of a body that the service needs to decide on an early rejection. */
+  private static final int EARLY_REJECTION_BYTES = 600;
 
-  /** Less than the content that is turned away. */
-  private static final int ROOM = 64 * 1024;
+  private static final int HEAVY_BODY_BYTES = 1_024;
+
+  /** Body bytes that the server holds; less than a body that is rejected. */
+  private static final int BUDGET_BYTES = 64 * 1024;
+
+  @RegisterExtension private final NetworkExtension net = new NetworkExtension(1, 8);
+
+  /** Lengths of the bodies that the service was asked early about. */
+  private final List<Integer> askedAfterBytes = new CopyOnWriteArrayList<>();
 
-  private final ThreadLoop loop = new ThreadLoop("server", Throwable::printStackTrace);
-  private final List<Integer> glances = new CopyOnWriteArrayList<>();
-  private AsyncNetwork network;
   private HttpServer server;
 
   @BeforeEach
   void start() throws IOException {
-    network = new AsyncNetwork(loop, 1);
     server =
-        new HttpServer(
-            loop,
+        net.serve(
             new HttpServerOptions(
                 HttpLimits.DEFAULT,
                 10,
-                ROOM,
+                BUDGET_BYTES,
                 10_000_000,
                 10_000_000,
                 10_000_000,
-                1_024,
+                HEAVY_BODY_BYTES,
                 Runnable::run),
             new HttpService() {
               @Override
               public int earlyRejectionBytes() {
-                return GLANCE;
+                return EARLY_REJECTION_BYTES;
               }
 
               @Override
               public HttpRejection rejectEarly(HttpRequest request) {
-                glances.add(request.body().length);
+                askedAfterBytes.add(request.body().length);
                 return request.body()[0] != 'x'
                     ? null
                     : new HttpRejection(
@@ -75,13 +78,6 @@
                         .getBytes(StandardCharsets.US_ASCII));
               }
             });
-    server.start(network, new InetSocketAddress("127.0.0.1", 0));
-  }
-
-  @AfterEach
-  void stop() throws IOException {
-    network.close();
-    loop.close();
   }
 
   private static byte[] content(char kind, int size) {
@@ -134,58 +130,59 @@
   }
 
   @Test
-  void whatIsTurnedAwayIsReadPastNotKeptAndTheConnectionStays() throws IOException {
-    try (Socket socket = new Socket("127.0.0.1", server.address().getPort())) {
+  void aBodyThatIsRejectedEarlyIsDiscardedAndTheConnectionStays() throws IOException {
+    try (Socket socket = connect(server)) {
       for (int i = 0; i < 3; i++) {
-        assertEquals("503 no", ask(socket, content('x', 20 * ROOM), 0));
-        assertEquals("503 no", ask(socket, content('x', 20 * ROOM), 5_000));
+        assertEquals("503 no", ask(socket, content('x', 20 * BUDGET_BYTES), 0));
+        assertEquals("503 no", ask(socket, content('x', 20 * BUDGET_BYTES), 5_000));
         assertEquals("200 5000", ask(socket, content('y', 5_000), 0));
         assertEquals("200 5000", ask(socket, content('y', 5_000), 7));
       }
       assertTrue(
-          glances.stream().allMatch(g -> g >= 1_024 && g < ROOM), "looked at after " + glances);
-      assertEquals(12, glances.size(), "once a request");
+          askedAfterBytes.stream().allMatch(g -> g >= HEAVY_BODY_BYTES && g < BUDGET_BYTES),
+          "looked at after " + askedAfterBytes);
+      assertEquals(12, askedAfterBytes.size(), "once a request");
     }
   }
 
   @Test
-  void whatIsNotHeavyIsNotLookedAt() throws IOException {
-    try (Socket socket = new Socket("127.0.0.1", server.address().getPort())) {
+  void aRequestThatIsNotHeavyIsNotOfferedForEarlyRejection() throws IOException {
+    try (Socket socket = connect(server)) {
       assertEquals("200 1000", ask(socket, content('x', 1_000), 0));
       assertEquals("200 0", ask(socket, new byte[0], 0));
-      assertEquals(List.of(), glances);
+      assertEquals(List.of(), askedAfterBytes);
     }
   }
 
   @Test
-  void contentBeyondTheRoomIsRefusedOnceAndClosesTheConnection() throws IOException {
-    try (Socket socket = new Socket("127.0.0.1", server.address().getPort())) {
+  void aBodyBeyondTheBudgetIsRefusedOnceAndClosesTheConnection() throws IOException {
+    try (Socket socket = connect(server)) {
       String answer;
       try {
-        answer = ask(socket, content('y', 4 * ROOM), 0);
+        answer = ask(socket, content('y', 4 * BUDGET_BYTES), 0);
       } catch (IOException e) {
         answer = "503 closed while it was sent";
       }
       assertTrue(answer.startsWith("503"), answer);
     }
-    try (Socket socket = new Socket("127.0.0.1", server.address().getPort())) {
+    try (Socket socket = connect(server)) {
       assertEquals("200 5000", ask(socket, content('y', 5_000), 0), "the room was given back");
     }
   }
 
   /** The end of such a request may come with the very bytes that were too many. */
   @Test
-  void whatWasTakenOfContentThatEndsBeyondTheRoomIsGivenBack() throws IOException {
+  void whatABodyBeyondTheBudgetReservedIsReleased() throws IOException {
     for (int i = 0; i < 5; i++) {
       for (int over : new int[] {1, 20, 400, 3_000}) {
-        try (Socket socket = new Socket("127.0.0.1", server.address().getPort())) {
-          assertTrue(ask(socket, content('y', ROOM * 3 / 4 + over), 0).startsWith("503"));
+        try (Socket socket = connect(server)) {
+          assertTrue(ask(socket, content('y', BUDGET_BYTES * 3 / 4 + over), 0).startsWith("503"));
         }
       }
     }
     String answer;
     do { // the last connection's close may not have been heard yet; the test's time bounds this
-      try (Socket socket = new Socket("127.0.0.1", server.address().getPort())) {
+      try (Socket socket = connect(server)) {
         answer = ask(socket, content('y', 40_000), 0);
       }
     } while (answer.startsWith("503"));
@@ -195,36 +192,35 @@
   private static final String SMALL = "POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 1\r\n\r\ny";
 
   @Test
-  void moreThanMayWaitIsReadPastAndTheLastAnswerSaysClose() throws IOException {
+  void excessRequestsAreDiscardedAndTheLastResponseSaysClose() throws IOException {
     HttpServer past =
-        new HttpServer(
-            loop,
-            readsPast(),
+        net.serve(
+            discardsExcessRequests(),
             exchange ->
-                loop.schedule(
-                    1_000,
-                    () ->
-                        exchange.respond(
-                            200, new Headers(), "1".getBytes(StandardCharsets.US_ASCII))));
-    past.start(network, new InetSocketAddress("127.0.0.1", 0));
-    try (Socket socket = new Socket("127.0.0.1", past.address().getPort())) {
-      socket.getOutputStream().write(SMALL.repeat(200).getBytes(StandardCharsets.US_ASCII));
+                net.loop()
+                    .schedule(
+                        1_000,
+                        () ->
+                            exchange.respond(
+                                200, new Headers(), "1".getBytes(StandardCharsets.US_ASCII))));
+    try (Socket socket = connect(past)) {
+      write(socket, SMALL.repeat(200));
       String all = new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
       int answers = all.split("HTTP/1.1 200", -1).length - 1;
       assertTrue(answers >= 16, all);
       assertTrue(answers < 200, all);
       assertTrue(all.lastIndexOf("connection: close") > all.lastIndexOf("HTTP/1.1 200"), all);
     }
-    try (Socket socket = new Socket("127.0.0.1", past.address().getPort())) {
+    try (Socket socket = connect(past)) {
       assertEquals("200 1", ask(socket, content('y', 45_000), 0), "the room was given back");
     }
   }
 
-  private static HttpServerOptions readsPast() {
+  private static HttpServerOptions discardsExcessRequests() {
     return new HttpServerOptions(
         HttpLimits.DEFAULT,
         10,
-        ROOM,
+        BUDGET_BYTES,
         10_000_000,
         10_000_000,
         10_000_000,
@@ -235,24 +231,21 @@
   }
 
   @Test
-  void aCloseIsSeenBehindAnyNumberOfRequests() throws Exception {
+  void aCloseIsNoticedBehindAnyNumberOfRequests() throws Exception {
     CountDownLatch served = new CountDownLatch(1);
     CountDownLatch gone = new CountDownLatch(1);
     HttpServer holding =
-        new HttpServer(
-            loop,
-            readsPast(),
+        net.serve(
+            discardsExcessRequests(),
             exchange -> {
               exchange.onDisconnect(gone::countDown);
               served.countDown();
             });
-    holding.start(network, new InetSocketAddress("127.0.0.1", 0));
-    try (Socket socket = new Socket("127.0.0.1", holding.address().getPort())) {
-      socket.getOutputStream().write(SMALL.getBytes(StandardCharsets.US_ASCII));
-      assertTrue(
-          served.await(5, TimeUnit.SECONDS)); // so that those behind it fill all the places there
-      // are
-      socket.getOutputStream().write(SMALL.repeat(2_000).getBytes(StandardCharsets.US_ASCII));
+    try (Socket socket = connect(holding)) {
+      write(socket, SMALL);
+      // so that those behind it fill all the places there are
+      assertTrue(served.await(5, TimeUnit.SECONDS));
+      write(socket, SMALL.repeat(2_000));
       assertFalse(gone.await(100, TimeUnit.MILLISECONDS));
     }
     assertTrue(gone.await(5, TimeUnit.SECONDS));
--- /dev/null
+++ b/net/src/test/java/lemondock/net/nio/AsyncNetworkTest.java
@@ -0,0 +1,123 @@
+package lemondock.net.nio;
+
+import static lemondock.net.testing.NetworkExtension.await;
+import static lemondock.net.testing.NetworkExtension.connect;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import lemondock.net.Connection;
+import lemondock.net.DelayProbe;
+import lemondock.net.Network;
+import lemondock.net.testing.NetworkExtension;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.RegisterExtension;
+
+/** The I/O threads of a network, over real sockets. */
+class AsyncNetworkTest {
+  @RegisterExtension private final NetworkExtension net = new NetworkExtension(2, 8);
+
+  @Test
+  void aProbeMeasuresHowLongInputWaitsForItsThread() throws Exception {
+    CompletableFuture<Void> hold = new CompletableFuture<>();
+    Network.Listener port =
+        net.network()
+            .listen(
+                new InetSocketAddress("127.0.0.1", 0),
+                100,
+                () ->
+                    new Echo() {
+                      @Override
+                      public void decode(ByteBuffer bytes, List<Object> events) {
+                        hold.join(); // its thread does nothing else meanwhile
+                        super.decode(bytes, events);
+                      }
+                    });
+    List<DelayProbe> probes = net.network().delayProbes();
+    assertEquals(2, probes.size());
+    for (DelayProbe probe : probes) {
+      assertTrue(measure(probe) < 5_000_000);
+    }
+    try (Socket socket = connect(port)) {
+      socket.getOutputStream().write('x');
+      // told while it still waits
+      await(() -> probes.stream().anyMatch(p -> pendingDelay(p) >= 50_000));
+      hold.complete(null);
+      assertEquals('x', socket.getInputStream().read());
+      await(() -> probes.stream().allMatch(p -> pendingDelay(p) == 0));
+    }
+  }
+
+  /** For how long the probe's last byte has been waiting, microseconds. */
+  private long pendingDelay(DelayProbe probe) {
+    return net.onLoop(() -> probe.measure(delay -> {}));
+  }
+
+  private long measure(DelayProbe probe) throws Exception {
+    CompletableFuture<Long> delay = new CompletableFuture<>();
+    net.loop().execute(() -> probe.measure(delay::complete));
+    return delay.get(10, TimeUnit.SECONDS);
+  }
+
+  @Test
+  void aThreadWhoseDecoderThrowsAnErrorServesItsOtherConnections() throws Exception {
+    Network.Listener port =
+        net.network().listen(new InetSocketAddress("127.0.0.1", 0), 100, () -> new Echo());
+    List<Socket> sockets = new ArrayList<>();
+    for (int i = 0; i < 20; i++) {
+      sockets.add(connect(port));
+    }
+    for (int i = 0; i < 20; i += 2) {
+      sockets.get(i).getOutputStream().write('!');
+      assertEquals(-1, sockets.get(i).getInputStream().read(), "its connection breaks");
+      assertTrue(net.failures().poll(10, TimeUnit.SECONDS).contains("no more stack"));
+    }
+    for (int i = 1; i < 20; i += 2) {
+      sockets.get(i).getOutputStream().write('x');
+      assertEquals('x', sockets.get(i).getInputStream().read());
+      sockets.get(i).close();
+    }
+  }
+
+  /** Gives back what comes, and fails at an exclamation mark. */
+  private static class Echo implements Connection.Handler {
+    private Connection connection;
+
+    @Override
+    public void connected(Connection made) {
+      connection = made;
+      made.read();
+    }
+
+    @Override
+    public void decode(ByteBuffer bytes, List<Object> events) {
+      byte first = bytes.get();
+      if (first == '!') {
+        throw new StackOverflowError("no more stack");
+      }
+      events.add(first);
+    }
+
+    @Override
+    public void received(List<Object> events) {
+      connection.write(ByteBuffer.wrap(new byte[] {(byte) events.get(0)}));
+      connection.read();
+    }
+
+    @Override
+    public void inputEnded() {}
+
+    @Override
+    public void writeQueueDrained() {}
+
+    @Override
+    public void closed(IOException cause) {}
+  }
+}
--- a/net/src/test/java/lemondock/net/nio/IdleCloseTest.java
+++ b/net/src/test/java/lemondock/net/nio/IdleCloseTest.java
@@ -1,15 +1,14 @@
 package lemondock.net.nio;
 
+import static lemondock.net.testing.NetworkExtension.connect;
+import static lemondock.net.testing.NetworkExtension.write;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import lemondock.net.http.Headers;
@@ -19,10 +18,12 @@
 import lemondock.net.http.HttpServer;
 import lemondock.net.http.HttpServerOptions;
 import lemondock.net.http.HttpService;
+import lemondock.net.testing.NetworkExtension;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.extension.RegisterExtension;
 
 /**
  * A server closes an unused connection while a request is on its way: read by the I/O thread, not
@@ -31,33 +32,30 @@
  */
 @Timeout(20)
 class IdleCloseTest {
-  private static final long IDLE = 200_000;
-  private static final long FIRST = 5_000_000;
+  private static final long IDLE_TIMEOUT_MICROS = 200_000;
+  private static final long FIRST_REQUEST_TIMEOUT_MICROS = 5_000_000;
   private static final String REQUEST = "GET /x HTTP/1.1\r\nHost: a\r\n\r\n";
-  private final LinkedBlockingQueue<String> failures = new LinkedBlockingQueue<>();
+
+  @RegisterExtension private final NetworkExtension net = new NetworkExtension(1, 1);
+
   private final Semaphore decoded = new Semaphore(0);
   private final CountDownLatch release = new CountDownLatch(1);
-  private ThreadLoop loop;
-  private AsyncNetwork network;
   private HttpServer server;
 
   @BeforeEach
   void start() throws IOException {
-    loop = new ThreadLoop("test", e -> failures.add(e.toString()));
-    network = new AsyncNetwork(loop, 1, 1);
     server =
-        new HttpServer(
-            loop,
+        net.serve(
             new HttpServerOptions(
                 new HttpLimits(1000, 2000, 20, 10_000),
                 4,
                 15_000,
-                IDLE,
+                IDLE_TIMEOUT_MICROS,
                 400_000,
                 400_000,
                 Integer.MAX_VALUE,
                 Runnable::run,
-                FIRST,
+                FIRST_REQUEST_TIMEOUT_MICROS,
                 true),
             new HttpService() {
               @Override
@@ -71,28 +69,22 @@
                 exchange.respond(200, new Headers(), "ok".getBytes(StandardCharsets.US_ASCII));
               }
             });
-    server.start(network, new InetSocketAddress("127.0.0.1", 0));
   }
 
   @AfterEach
-  void stop() throws IOException {
+  void releaseLoop() {
     release.countDown();
-    assertTrue(failures.isEmpty(), failures.toString());
-    loop.execute(network::abortAll);
-    network.close();
-    loop.close();
   }
 
   private Socket served() throws Exception {
-    Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.address().getPort());
-    socket.setSoTimeout(10_000);
+    Socket socket = connect(server);
     send(socket);
     assertAnswered(socket);
     return socket;
   }
 
   private void send(Socket socket) throws Exception {
-    socket.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
+    write(socket, REQUEST);
     assertTrue(decoded.tryAcquire(5, TimeUnit.SECONDS));
   }
 
@@ -112,7 +104,7 @@
    */
   private void holdLoopThen(Runnable first) throws InterruptedException {
     CountDownLatch held = new CountDownLatch(1);
-    loop.execute(() -> hold(held, first));
+    net.loop().execute(() -> hold(held, first));
     assertTrue(held.await(5, TimeUnit.SECONDS));
   }
 
@@ -122,7 +114,7 @@
    */
   private void hold(CountDownLatch held, Runnable first) {
     if (IoThread.current() != null) {
-      loop.execute(() -> hold(held, first));
+      net.loop().execute(() -> hold(held, first));
       return;
     }
     held.countDown();
@@ -139,8 +131,8 @@
     try (Socket socket = served()) {
       holdLoopThen(() -> {});
       send(socket);
-      Thread.sleep(2 * IDLE / 1_000); // the idle timer is due now, and runs before what was read is
-      // handed over
+      // the idle timer is due by then, and runs before what was read is handed over
+      Thread.sleep(2 * IDLE_TIMEOUT_MICROS / 1_000);
       release.countDown();
       assertAnswered(socket);
       assertEquals(
@@ -166,8 +158,8 @@
         Socket third = served();
         Socket fourth = new Socket()) {
       holdLoopThen(() -> {});
-      fourth.connect(
-          server.address()); // its acceptance is handed to the loop before the request is
+      // its acceptance is handed to the loop before the request is
+      fourth.connect(server.address());
       send(oldest);
       release.countDown();
       assertAnswered(oldest);
@@ -183,25 +175,25 @@
    * what it was sent.
    */
   @Test
-  void aRequestBehindTheEndOfSendingIsNotServedAndNotReset() throws Exception {
+  void aRequestAfterTheCloseIsNeitherServedNorReset() throws Exception {
     try (Socket socket = served()) {
       assertEquals(-1, socket.getInputStream().read());
-      socket.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
+      write(socket, REQUEST);
       assertEquals(-1, socket.getInputStream().read());
     }
     assertEquals(0, decoded.availablePermits());
   }
 
   @Test
-  void lessThanABeginningLeavesTheConnectionUnused() throws Exception {
+  void anEmptyLineLeavesTheConnectionUnused() throws Exception {
     try (Socket socket = served();
         Socket later = served()) {
       holdLoopThen(() -> {});
-      socket.getOutputStream().write("\r\n".getBytes(StandardCharsets.US_ASCII));
-      send(later); // decoded by the same I/O thread, so the two bytes that came before it
-      // are read by then
-      Thread.sleep(2 * IDLE / 1_000); // the idle timer is due now, and runs before what was read is
-      // handed over
+      write(socket, "\r\n");
+      // decoded by the same I/O thread, so the two bytes that came before it are read by then
+      send(later);
+      // the idle timer is due by then, and runs before what was read is handed over
+      Thread.sleep(2 * IDLE_TIMEOUT_MICROS / 1_000);
       release.countDown();
       assertAnswered(later);
       send(socket);
--- a/net/src/test/java/lemondock/net/sse/SseTest.java
+++ b/net/src/test/java/lemondock/net/sse/SseTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 class SseTest {
-  private static final SseEventSink NOBODY = (id, type, data, length) -> {};
+  private static final SseEventSink NO_SINK = (id, type, data, length) -> {};
 
   private static List<SseEvent> decode(byte[] bytes, int step) {
     SseDecoder decoder = new SseDecoder(10_000);
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void theExamplesOfTheSpecification() {
+  void theExamplesOfTheSpecificationAreDecoded() {
     assertEquals(
         List.of(new SseEvent(null, "message", "YHOO\n+2\n10")),
         decode("data: YHOO\ndata: +2\ndata: 10\n\n"));
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void anyLineEndAndAMark() {
+  void anyLineEndIsTakenAndAByteOrderMarkIsSkipped() {
     assertEquals(
         List.of(new SseEvent("7", "x", "a\nb"), new SseEvent("7", "message", "c")),
         decode("\uFEFFevent: x\rid: 7\r\ndata: a\ndata: b\r\r\ndata: c\r\n\r\n"));
@@ -67,11 +67,12 @@
     SseDecoder decoder = new SseDecoder(20);
     assertThrows(
         IllegalArgumentException.class,
-        () -> decoder.decode(ByteBuffer.wrap(new byte[600]), NOBODY));
+        () -> decoder.decode(ByteBuffer.wrap(new byte[600]), NO_SINK));
     SseDecoder other = new SseDecoder(20);
     byte[] many =
         "data: 0123456789\ndata: 0123456789\ndata: 0123456789\n\n".getBytes(StandardCharsets.UTF_8);
-    assertThrows(IllegalArgumentException.class, () -> other.decode(ByteBuffer.wrap(many), NOBODY));
+    assertThrows(
+        IllegalArgumentException.class, () -> other.decode(ByteBuffer.wrap(many), NO_SINK));
   }
 
   @Property(tries = 500, seed = "20261201")
--- a/net/src/test/java/lemondock/net/testing/ScriptedConnection.java
+++ b/net/src/test/java/lemondock/net/testing/ScriptedConnection.java
@@ -10,19 +10,19 @@
 import lemondock.net.time.ManualLoop;
 
 /**
- * A connection moved by a test: no socket, no thread. A subclass says what becomes of the bytes
+ * A connection that a test moves: no socket, no thread. A subclass says what becomes of the bytes
  * written to it.
  */
 public abstract class ScriptedConnection implements Connection {
   private final ManualLoop loop;
-  private final InetSocketAddress peer;
+  private final InetSocketAddress remoteAddress;
   private final Handler handler;
   private boolean closed;
 
   /** Makes a connection to that peer which tells its owner, the handler, of all that comes. */
-  protected ScriptedConnection(ManualLoop loop, InetSocketAddress peer, Handler handler) {
+  protected ScriptedConnection(ManualLoop loop, InetSocketAddress remoteAddress, Handler handler) {
     this.loop = loop;
-    this.peer = peer;
+    this.remoteAddress = remoteAddress;
     this.handler = handler;
   }
 
@@ -69,6 +69,6 @@
 
   @Override
   public InetSocketAddress remoteAddress() {
-    return peer;
+    return remoteAddress;
   }
 }
--- a/net/src/test/java/lemondock/net/testing/ScriptedNetwork.java
+++ b/net/src/test/java/lemondock/net/testing/ScriptedNetwork.java
@@ -9,26 +9,26 @@
 import lemondock.net.time.ManualLoop;
 
 /**
- * A network moved by a test. Each attempt to connect comes up at once, unless a test overrides
- * {@link #connect}; nobody listens.
+ * A network whose connections a test moves. Each attempt to connect comes up at once, unless a test
+ * overrides {@link #connect}; nobody listens.
  *
  * @param <C> the test's kind of connection
  */
 public class ScriptedNetwork<C extends ScriptedConnection> implements Network {
   private final ManualLoop loop;
-  private final Maker<C> maker;
+  private final ConnectionFactory<C> factory;
   private final List<C> connections = new ArrayList<>();
 
   /** Makes a test's connection. */
-  public interface Maker<C extends ScriptedConnection> {
+  public interface ConnectionFactory<C extends ScriptedConnection> {
     /** A connection to that peer whose owner is the handler. */
-    C make(InetSocketAddress peer, Connection.Handler handler);
+    C create(InetSocketAddress peer, Connection.Handler handler);
   }
 
   /** Makes a network without connections. */
-  public ScriptedNetwork(ManualLoop loop, Maker<C> maker) {
+  public ScriptedNetwork(ManualLoop loop, ConnectionFactory<C> factory) {
     this.loop = loop;
-    this.maker = maker;
+    this.factory = factory;
   }
 
   /** All connections that came up so far, closed ones among them, oldest first. */
@@ -38,13 +38,13 @@
 
   @Override
   public Listener listen(
-      InetSocketAddress address, int most, Supplier<Connection.Handler> handlers) {
+      InetSocketAddress address, int maxConnections, Supplier<Connection.Handler> handlers) {
     throw new UnsupportedOperationException();
   }
 
   @Override
   public void connect(InetSocketAddress address, long timeoutMicros, Connection.Handler handler) {
-    C connection = maker.make(address, handler);
+    C connection = factory.create(address, handler);
     connections.add(connection);
     loop.execute(() -> handler.connected(connection));
   }
