--- a/rpc/src/main/java/lemondock/rpc/JsonRpc.java
+++ b/rpc/src/main/java/lemondock/rpc/JsonRpc.java
@@ -17,32 +17,54 @@
 
 /** Reads and writes JSON-RPC 2.0 messages; no I/O. Safe for any thread. */
 public final class JsonRpc {
-  /** Error codes of the specification. */
+  /** Error code: the text is not JSON. */
   public static final int PARSE_ERROR = -32700;
 
+  /** Error code: the JSON is not a JSON-RPC message. */
   public static final int INVALID_REQUEST = -32600;
+
+  /** Error code: the method is not known. */
   public static final int METHOD_NOT_FOUND = -32601;
+
+  /** Error code: the method's parameters are wrong. */
   public static final int INVALID_PARAMS = -32602;
+
+  /** Error code: the server failed. */
   public static final int INTERNAL_ERROR = -32603;
 
-  private static final int MOST_METHOD = 128;
-  private static final int MOST_ID = 256;
+  private static final int MAX_METHOD_LENGTH = 128;
+  private static final int MAX_ID_LENGTH = 256;
 
-  private final JsonMapper mapper;
-  private final int batch;
+  /** Characters of a parser's message that are passed on. */
+  private static final int MAX_REASON_LENGTH = 200;
 
-  /** What one text may hold. */
+  private final JsonMapper mapper;
+  private final int maxBatch;
+
+  /**
+   * What one text may hold.
+   *
+   * @param maxDepth levels of nested objects and arrays
+   * @param maxBatch messages of a batch
+   * @param maxStringLength characters of a string
+   * @param maxNumberLength characters of a number
+   */
   public record Limits(int maxDepth, int maxBatch, int maxStringLength, int maxNumberLength) {
-    /** Limits for peers that are not known. */
+    /** Limits for unknown peers. */
     public static final Limits DEFAULT = new Limits(64, 50, 2 * 1024 * 1024, 100);
   }
 
-  /** One text: a single message or a batch; an unreadable text is one {@link Message.Invalid}. */
+  /**
+   * One text: a single message or a batch.
+   *
+   * @param batch whether the text is an array
+   * @param messages what it holds; an unreadable text is one {@link JsonRpcMessage.Invalid}
+   */
   public record Parsed(boolean batch, List<JsonRpcMessage> messages) {}
 
-  /** Makes a reader with limits. */
+  /** Makes a codec that reads within limits. */
   public JsonRpc(Limits limits) {
-    this.batch = limits.maxBatch();
+    this.maxBatch = limits.maxBatch();
     JsonFactory factory =
         JsonFactory.builder()
             .streamReadConstraints(
@@ -57,47 +79,55 @@
         JsonMapper.builder(factory).enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
   }
 
-  /** Reads one text. */
+  /** Reads one text (UTF-8). */
   public Parsed parse(byte[] text) {
     JsonNode root;
     try {
       root = mapper.readTree(text);
     } catch (JsonProcessingException e) {
-      return one(
-          new JsonRpcMessage.Invalid(NullNode.instance, PARSE_ERROR, "Parse error" + where(e)));
+      return parseError(describe(e));
     } catch (IOException e) {
-      return one(
-          new JsonRpcMessage.Invalid(NullNode.instance, PARSE_ERROR, "Parse error: not UTF-8"));
+      return parseError(": not UTF-8");
     }
     if (root == null || root.isMissingNode()) {
-      return one(
-          new JsonRpcMessage.Invalid(
-              NullNode.instance, PARSE_ERROR, "Parse error: the text is empty"));
+      return parseError(": the text is empty");
     }
     if (!root.isArray()) {
-      return one(message(root));
+      return single(message(root));
     }
-    if (root.isEmpty() || root.size() > batch) {
-      return one(
-          new JsonRpcMessage.Invalid(
+    if (root.isEmpty() || root.size() > maxBatch) {
+      return single(
+          invalid(
               NullNode.instance,
-              INVALID_REQUEST,
-              "Invalid Request: a batch holds 1 to " + batch + " messages, not " + root.size()));
+              "a batch holds 1 to " + maxBatch + " messages, not " + root.size()));
     }
     List<JsonRpcMessage> messages = new ArrayList<>();
     root.forEach(node -> messages.add(message(node)));
     return new Parsed(true, messages);
   }
 
-  private static Parsed one(JsonRpcMessage message) {
+  private static Parsed parseError(String detail) {
+    return single(
+        new JsonRpcMessage.Invalid(NullNode.instance, PARSE_ERROR, "Parse error" + detail));
+  }
+
+  private static Parsed single(JsonRpcMessage message) {
     return new Parsed(false, List.of(message));
   }
 
-  private static String where(JsonProcessingException e) {
-    JsonLocation at = e.getLocation();
-    String place = at == null ? "" : " at line " + at.getLineNr() + ", column " + at.getColumnNr();
-    String what = e.getOriginalMessage();
-    return place + ": " + (what.length() > 200 ? what.substring(0, 200) + "..." : what);
+  /** Where and why a text is not JSON. */
+  private static String describe(JsonProcessingException e) {
+    JsonLocation location = e.getLocation();
+    String place =
+        location == null
+            ? ""
+            : " at line " + location.getLineNr() + ", column " + location.getColumnNr();
+    String reason = e.getOriginalMessage();
+    return place
+        + ": "
+        + (reason.length() > MAX_REASON_LENGTH
+            ? reason.substring(0, MAX_REASON_LENGTH) + "..."
+            : reason);
   }
 
   private static JsonRpcMessage message(JsonNode node) {
@@ -105,51 +135,56 @@
       return invalid(NullNode.instance, "a message is an object");
     }
     JsonNode id = node.get("id");
-    boolean usable =
-        id != null
-            && (id.isIntegralNumber() || id.isTextual() && id.textValue().length() <= MOST_ID);
-    JsonNode known = usable ? id : NullNode.instance;
+    JsonNode responseId = isUsableId(id) ? id : NullNode.instance;
     JsonNode version = node.get("jsonrpc");
     if (version == null || !version.isTextual() || !version.textValue().equals("2.0")) {
-      return invalid(known, "member 'jsonrpc' is not \"2.0\"");
+      return invalid(responseId, "member 'jsonrpc' is not \"2.0\"");
     }
+    return node.has("method") ? call(node, id, responseId) : response(node, id);
+  }
+
+  private static boolean isUsableId(JsonNode id) {
+    return id != null
+        && (id.isIntegralNumber() || id.isTextual() && id.textValue().length() <= MAX_ID_LENGTH);
+  }
+
+  private static JsonRpcMessage call(JsonNode node, JsonNode id, JsonNode responseId) {
     JsonNode method = node.get("method");
-    if (method == null) {
-      return response(node, id, usable);
-    }
     if (!method.isTextual()
         || method.textValue().isEmpty()
-        || method.textValue().length() > MOST_METHOD) {
+        || method.textValue().length() > MAX_METHOD_LENGTH) {
       return invalid(
-          known, "member 'method' is not a name of at most " + MOST_METHOD + " characters");
+          responseId,
+          "member 'method' is not a name of at most " + MAX_METHOD_LENGTH + " characters");
     }
     if (node.has("result") || node.has("error")) {
-      return invalid(known, "a call with a result or an error");
+      return invalid(responseId, "a call with a result or an error");
     }
     JsonNode params = node.get("params");
     if (params != null && !params.isContainerNode()) {
-      return invalid(known, "member 'params' is neither object nor array");
+      return invalid(responseId, "member 'params' is neither object nor array");
     }
     if (id == null) {
       return new JsonRpcMessage.Notification(method.textValue(), params);
     }
-    if (!usable) {
+    if (!isUsableId(id)) {
       return invalid(
           NullNode.instance,
           "member 'id' is neither a whole number nor a string of at most "
-              + MOST_ID
+              + MAX_ID_LENGTH
               + " characters");
     }
     return new JsonRpcMessage.Request(id, method.textValue(), params);
   }
 
-  private static ObjectNode message() {
+  private static ObjectNode emptyMessage() {
     return JsonNodeFactory.instance.objectNode().put("jsonrpc", "2.0");
   }
 
-  private static JsonRpcMessage response(JsonNode node, JsonNode id, boolean usable) {
+  private static JsonRpcMessage response(JsonNode node, JsonNode id) {
     JsonNode result = node.get("result");
     JsonNode error = node.get("error");
+    boolean usable = isUsableId(id);
     if (result == null && error == null) {
       return invalid(usable ? id : NullNode.instance, "no member 'method', 'result' or 'error'");
     }
@@ -168,43 +203,43 @@
     return new JsonRpcMessage.Response(id == null ? NullNode.instance : id, result, error);
   }
 
-  private static JsonRpcMessage.Invalid invalid(JsonNode id, String what) {
-    return new JsonRpcMessage.Invalid(id, INVALID_REQUEST, "Invalid Request: " + what);
+  private static JsonRpcMessage.Invalid invalid(JsonNode id, String reason) {
+    return new JsonRpcMessage.Invalid(id, INVALID_REQUEST, "Invalid Request: " + reason);
   }
 
-  /** A response with a result. */
+  /** Makes a response with a result. */
   public static ObjectNode result(JsonNode id, JsonNode result) {
-    ObjectNode node = message();
+    ObjectNode node = emptyMessage();
     node.set("id", id);
     node.set("result", result);
     return node;
   }
 
-  /** A response with an error; data may be null. */
-  public static ObjectNode error(JsonNode id, int code, String text, JsonNode data) {
-    ObjectNode node = message();
+  /** Makes a response with an error; data may be null. */
+  public static ObjectNode error(JsonNode id, int code, String message, JsonNode data) {
+    ObjectNode node = emptyMessage();
     node.set("id", id);
     ObjectNode error = node.putObject("error");
-    error.put("code", code).put("message", text);
+    error.put("code", code).put("message", message);
     if (data != null) {
       error.set("data", data);
     }
     return node;
   }
 
-  /** A call. */
+  /** Makes a call that wants a response; params may be null. */
   public static ObjectNode request(JsonNode id, String method, JsonNode params) {
-    ObjectNode node = message();
+    ObjectNode node = emptyMessage();
     node.set("id", id);
-    return call(node, method, params);
+    return withMethod(node, method, params);
   }
 
-  /** A call that wants no response. */
+  /** Makes a call that wants no response; params may be null. */
   public static ObjectNode notification(String method, JsonNode params) {
-    return call(message(), method, params);
+    return withMethod(emptyMessage(), method, params);
   }
 
-  private static ObjectNode call(ObjectNode node, String method, JsonNode params) {
+  private static ObjectNode withMethod(ObjectNode node, String method, JsonNode params) {
     node.put("method", method);
     if (params != null) {
       node.set("params", params);
--- a/rpc/src/main/java/lemondock/rpc/JsonRpcMessage.java
+++ b/rpc/src/main/java/lemondock/rpc/JsonRpcMessage.java
@@ -13,6 +13,12 @@
   /** The answer to a call: a result or an error, the other being null. */
   record Response(JsonNode id, JsonNode result, JsonNode error) implements JsonRpcMessage {}
 
-  /** Not a message; {@code id} is the id to answer with, JSON null if none could be told. */
+  /**
+   * A text that is no message.
+   *
+   * @param id the id to respond with, JSON null if none could be read
+   * @param code the error code to respond with
+   * @param reason the error message to respond with
+   */
   record Invalid(JsonNode id, int code, String reason) implements JsonRpcMessage {}
 }
--- a/rpc/src/main/java/lemondock/rpc/Mcp.java
+++ b/rpc/src/main/java/lemondock/rpc/Mcp.java
@@ -4,10 +4,10 @@
 
 /** Names and versions of the Model Context Protocol and of its Streamable HTTP transport. */
 public final class Mcp {
-  /** Versions spoken, the newest first. */
+  /** Protocol versions that are supported, the newest first. */
   public static final List<String> VERSIONS = List.of("2025-11-25", "2025-06-18", "2025-03-26");
 
-  /** What a request without a version header speaks, by the transport's specification. */
+  /** The version of a request without a version header, by the transport's specification. */
   public static final String DEFAULT_VERSION = "2025-03-26";
 
   /** The only version with batches. */
@@ -16,8 +16,13 @@
   /** The first version whose streams begin with an empty event that carries an id. */
   public static final String FIRST_VERSION_WITH_PRIMING_EVENT = "2025-11-25";
 
+  /** Header field: the session of a request. */
   public static final String SESSION_HEADER = "mcp-session-id";
+
+  /** Header field: the protocol version of a request. */
   public static final String VERSION_HEADER = "mcp-protocol-version";
+
+  /** Header field: the last event that a client has seen of a stream that it resumes. */
   public static final String LAST_EVENT_HEADER = "last-event-id";
 
   public static final String INITIALIZE = "initialize";
@@ -28,22 +33,25 @@
   public static final String TOOLS_LIST = "tools/list";
   public static final String TOOLS_CALL = "tools/call";
 
-  /** The router took the call and turned it away: trying again is harmless. */
+  /** Error code: the router rejected the call; a retry is harmless. */
   public static final int REJECTED = -32010;
 
-  /** The call failed; it may have had its effect. */
+  /** Error code: the call failed; it may have had its effect. */
   public static final int FAILED = -32011;
 
-  /** The session is at one of its limits. */
+  /** Error code: the session is at one of its limits. */
   public static final int LIMIT = -32012;
 
-  /** The gateway is stopping. */
+  /** Error code: the gateway is shutting down. */
   public static final int STOPPING = -32013;
 
   private Mcp() {}
 
-  /** The version to speak with a client that asks for one: the same if known, else the newest. */
-  public static String negotiate(String asked) {
-    return VERSIONS.contains(asked) ? asked : VERSIONS.get(0);
+  /**
+   * The version to speak with a client that requests one: the same if it is supported, else the
+   * newest.
+   */
+  public static String negotiate(String requested) {
+    return VERSIONS.contains(requested) ? requested : VERSIONS.get(0);
   }
 }
