--- a/net/src/test/java/lemondock/net/http/ClientConnectionTest.java
+++ b/net/src/test/java/lemondock/net/http/ClientConnectionTest.java
@@ -293,5 +293,6 @@
                   second);
             });
     assertEquals(" LOCAL_LIMIT_REACHED", send(client, server.address().getPort(), "/third"));
+    assertEquals(2, net.onLoop(client::openConnections));
   }
 }
