--- a/dispatch/src/main/java/lemondock/dispatch/EngineCall.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EngineCall.java
@@ -1,6 +1,8 @@
 package lemondock.dispatch;
 
 import lemondock.net.Loop;
+import lemondock.net.http.BufferingReceiver;
+import lemondock.net.http.HttpCall;
 import lemondock.net.http.HttpClient;
 import lemondock.overload.StallMonitor;
 import lemondock.policy.AttemptOutcome;
@@ -14,11 +16,11 @@
  * @param <S> how a protocol names a reserved state
  * @param <C> an event of a stream
  */
-public abstract class EngineCall<S, C extends StreamChunk> extends HttpClient.Keeping
+public abstract class EngineCall<S, C extends StreamChunk> extends BufferingReceiver
     implements AttemptHandle {
   private final AttemptListener<S, C> listener;
   private final StreamIdleTimeout idleTimeout;
-  private HttpClient.Call httpCall;
+  private HttpCall httpCall;
   private boolean streamBegun;
   private boolean ended;
 
@@ -39,7 +41,7 @@
   }
 
   /** Must be called once, with what {@link HttpClient#send} gave for this receiver. */
-  public final void sentAs(HttpClient.Call call) {
+  public final void sentAs(HttpCall call) {
     httpCall = call;
   }
 
--- a/dispatch/src/test/java/lemondock/dispatch/StreamIdleTimeoutTest.java
+++ b/dispatch/src/test/java/lemondock/dispatch/StreamIdleTimeoutTest.java
@@ -31,34 +31,34 @@
 
   @Test
   void dataPostponesTheTimeoutWhichComesOnce() {
-    loop.move(3 * SECOND);
+    loop.advance(3 * SECOND);
     idleTimeout.dataReceived();
-    loop.move(3 * SECOND);
+    loop.advance(3 * SECOND);
     assertEquals(0, timeouts);
-    loop.move(10 * SECOND);
+    loop.advance(10 * SECOND);
     assertEquals(1, timeouts);
   }
 
   @Test
   void noTimeoutWhileThePausedStreamIsNotReadNorAfterStop() {
     idleTimeout.pause();
-    loop.move(20 * SECOND);
+    loop.advance(20 * SECOND);
     idleTimeout.resume();
-    loop.move(3 * SECOND);
+    loop.advance(3 * SECOND);
     assertEquals(0, timeouts);
     idleTimeout.stop();
-    loop.move(20 * SECOND);
+    loop.advance(20 * SECOND);
     assertEquals(0, timeouts);
   }
 
   @Test
   void afterAStallOfTheProcessArrivedDataIsReadBeforeTheTimeout() {
-    loop.standStill(10 * SECOND);
+    loop.pauseFor(10 * SECOND);
     assertEquals(0, timeouts);
     idleTimeout.dataReceived();
-    loop.move(3 * SECOND);
+    loop.advance(3 * SECOND);
     assertEquals(0, timeouts);
-    loop.move(2 * SECOND);
+    loop.advance(2 * SECOND);
     assertEquals(1, timeouts);
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
@@ -12,9 +12,12 @@
 import lemondock.dispatch.EnginePort;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.Loop;
+import lemondock.net.http.BufferingReceiver;
 import lemondock.net.http.Headers;
 import lemondock.net.http.HttpClient;
 import lemondock.net.http.HttpEncoder;
+import lemondock.net.http.RequestFailure;
+import lemondock.net.http.ResponseReceiver;
 import lemondock.net.sse.SseEvent;
 import lemondock.overload.StallMonitor;
 import lemondock.policy.AttemptOutcome;
@@ -126,12 +129,12 @@
     client.send(
         at,
         post(at, EngineProtocol.ABORT, requestId, EngineProtocol.abort(requestId)),
-        new HttpClient.Receiver() {
+        new ResponseReceiver() {
           @Override
-          public void done() {}
+          public void onComplete() {}
 
           @Override
-          public void failed(HttpClient.Failure failure, String what) {
+          public void onFailure(RequestFailure failure, String what) {
             if (tries > 1) {
               loop.schedule(ABORT_AGAIN, () -> abort(at, requestId, tries - 1));
             }
@@ -157,7 +160,7 @@
     return HttpEncoder.request("POST", path, headers, body);
   }
 
-  private static final class Reading extends HttpClient.Keeping {
+  private static final class Reading extends BufferingReceiver {
     private final AttemptListener<JsonNode, Chunk> attempt;
 
     Reading(AttemptListener<JsonNode, Chunk> attempt) {
@@ -165,7 +168,7 @@
     }
 
     @Override
-    public void done() {
+    public void onComplete() {
       if (status() != 200) {
         EngineProtocol.Refusal refusal = EngineProtocol.refusal(status(), body());
         attempt.attemptEnded(refusal.ending(), refusal.stateMissing(), refusal.what());
@@ -180,7 +183,7 @@
     }
 
     @Override
-    public void failed(HttpClient.Failure failure, String what) {
+    public void onFailure(RequestFailure failure, String what) {
       attempt.attemptEnded(EnginePort.outcomeOf(failure), false, what);
     }
   }
@@ -215,7 +218,7 @@
     }
 
     @Override
-    public boolean direct(byte[] data, int length) {
+    public boolean consumeInPlace(byte[] data, int length) {
       DirectOutput output = directOutput;
       if (output == null
           || !plain.take(data, length)
@@ -227,12 +230,12 @@
     }
 
     @Override
-    public Object map(SseEvent event) {
+    public Object mapEvent(SseEvent event) {
       return EngineProtocol.chunk(event.data());
     }
 
     @Override
-    public void event(Object mapped) {
+    public void onEvent(Object mapped) {
       Chunk chunk = (Chunk) mapped;
       if (hasEnded()
           || finished && !chunk.hasOutput() && chunk.error() == null && chunk.answerTokens() < 0) {
@@ -249,7 +252,7 @@
     }
 
     @Override
-    public void done() {
+    public void onComplete() {
       if (status() != 200) {
         EngineProtocol.Refusal refusal = EngineProtocol.refusal(status(), body());
         end(refusal.ending(), refusal.stateMissing(), refusal.what());
@@ -261,7 +264,7 @@
     }
 
     @Override
-    public void failed(HttpClient.Failure failure, String what) {
+    public void onFailure(RequestFailure failure, String what) {
       if (finished) {
         // all of the answer had come; only the closing mark was lost
         end(AttemptOutcome.OK, false, "");
