--- a/benchmark/src/main/java/lemondock/benchmark/Roles.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Roles.java
@@ -40,8 +40,8 @@
 import lemondock.exporter.host.ProcessMeters;
 import lemondock.exporter.host.ReportHost;
 import lemondock.gateway.Gateway;
-import lemondock.gateway.Host;
-import lemondock.gateway.ThisProcess;
+import lemondock.gateway.GatewayEnvironment;
+import lemondock.gateway.JvmProcessResources;
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.reporting.Reporting;
 import lemondock.gateway.settings.GatewaySettings;
@@ -88,13 +88,13 @@
     Node node = new Node("gateway", settings.ioThreads());
     Gateway gateway =
         new Gateway(
-            new Host(
+            new GatewayEnvironment(
                 node.loop(),
                 node.network(),
                 Runnable::run,
                 Workers.of(
                     settings.overload().heavyThreads(), settings.overload().heavyQueue(), "worker"),
-                new ThisProcess(),
+                new JvmProcessResources(),
                 null),
             settings,
             new PromptReader(settings.classes()),
--- a/cli/src/main/java/lemondock/cli/GatewayCommand.java
+++ b/cli/src/main/java/lemondock/cli/GatewayCommand.java
@@ -8,8 +8,8 @@
 import lemondock.exporter.host.ProcessMeters;
 import lemondock.exporter.host.ReportHost;
 import lemondock.gateway.Gateway;
-import lemondock.gateway.Host;
-import lemondock.gateway.ThisProcess;
+import lemondock.gateway.GatewayEnvironment;
+import lemondock.gateway.JvmProcessResources;
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.reporting.Reporting;
 import lemondock.gateway.settings.GatewaySettings;
@@ -44,8 +44,8 @@
             "lemondock-loop",
             e -> LoggerFactory.getLogger(Gateway.class).error("a task of the loop failed", e));
     AsyncNetwork network = new AsyncNetwork(loop, settings.ioThreads());
-    Host machine =
-        new Host(
+    GatewayEnvironment machine =
+        new GatewayEnvironment(
             loop,
             network,
             Workers.of(1, DISK_QUEUE, "lemondock-disk"),
@@ -53,7 +53,7 @@
                 settings.overload().heavyThreads(),
                 settings.overload().heavyQueue(),
                 "lemondock-worker"),
-            new ThisProcess(),
+            new JvmProcessResources(),
             settings.durable() == null ? null : new DiskFolder(Path.of(settings.durable().path())));
     Gateway gateway =
         new Gateway(machine, settings, new PromptReader(settings.classes()), Gateway.MODULE);
--- a/gateway/src/main/java/lemondock/gateway/WorkersProbe.java
+++ b/gateway/src/main/java/lemondock/gateway/ExecutorQueueProbe.java
@@ -7,14 +7,14 @@
 import lemondock.net.Network;
 
 /** Tells how long a task waits in the workers' queue. Loop thread only. */
-final class WorkersProbe implements Network.Probe {
+final class ExecutorQueueProbe implements Network.Probe {
   private final Loop loop;
   private final Executor workers;
   private boolean waiting;
   private long postedAt;
   private long passedAt;
 
-  WorkersProbe(Loop loop, Executor workers) {
+  ExecutorQueueProbe(Loop loop, Executor workers) {
     this.loop = loop;
     this.workers = workers;
     this.passedAt = loop.now();
--- a/gateway/src/main/java/lemondock/gateway/Gateway.java
+++ b/gateway/src/main/java/lemondock/gateway/Gateway.java
@@ -17,17 +17,17 @@
 import lemondock.dispatch.Endpoint;
 import lemondock.dispatch.EndpointRegistry;
 import lemondock.dispatch.RequestDispatcher;
+import lemondock.gateway.accounting.GatewayMetrics;
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.core.CallService;
 import lemondock.gateway.core.IdempotencyGuard;
-import lemondock.gateway.count.GatewayTally;
-import lemondock.gateway.discovery.ConsulList;
-import lemondock.gateway.discovery.FileList;
-import lemondock.gateway.discovery.Listing;
-import lemondock.gateway.discovery.ServerList;
-import lemondock.gateway.engine.Chunk;
+import lemondock.gateway.discovery.ConsulEndpointList;
+import lemondock.gateway.discovery.EndpointListCodec;
+import lemondock.gateway.discovery.EndpointListSource;
+import lemondock.gateway.discovery.FileEndpointList;
+import lemondock.gateway.engine.CompletionChunk;
 import lemondock.gateway.engine.EngineClient;
-import lemondock.gateway.front.McpFront;
+import lemondock.gateway.mcp.McpHttpHandler;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsFile;
 import lemondock.idempotency.FileSystemPort;
@@ -47,7 +47,7 @@
 
 /**
  * A gateway, put together: front, ledger with the module, engines, list of servers. The way of a
- * request: {@link McpFront} reads a call, {@link CallService} makes legs of it, {@link
+ * request: {@link McpHttpHandler} reads a call, {@link CallService} makes legs of it, {@link
  * RequestDispatcher} asks the module and carries out its word through {@link EngineClient}.
  */
 public final class Gateway {
@@ -72,12 +72,12 @@
   private final GatewaySettings settings;
   private final Executor disk;
   private final EndpointRegistry members;
-  private final RequestDispatcher<ObjectNode, JsonNode, Chunk> ledger;
+  private final RequestDispatcher<ObjectNode, JsonNode, CompletionChunk> ledger;
   private final CallService calls;
-  private final McpFront front;
+  private final McpHttpHandler front;
   private final HttpServer server;
-  private final ServerList list;
-  private final GatewayTally tally;
+  private final EndpointListSource list;
+  private final GatewayMetrics tally;
   private final StallMonitor lateness;
   private final Admission admission;
 
@@ -85,7 +85,7 @@
   private final long[] pausedAt;
 
   private final ResourcePressure pressure;
-  private final Machine machine;
+  private final ProcessResources machine;
   private final Executor workers;
   private final FileSystemPort durable;
   private long startedAt;
@@ -97,7 +97,7 @@
    * @param maker makes the module; {@link #MODULE} but for tests of the auditor
    */
   public Gateway(
-      Host host,
+      GatewayEnvironment host,
       GatewaySettings settings,
       PromptReader prompts,
       RequestDispatcher.ModuleMaker maker) {
@@ -127,7 +127,7 @@
     final long seed = settings.seed() != 0 ? settings.seed() : random.nextLong();
     final String life = Long.toString(loop.wallMillis(), 36);
     this.list = list(agent);
-    this.tally = new GatewayTally(settings);
+    this.tally = new GatewayMetrics(settings);
     this.lateness =
         new StallMonitor(
             LAG_LOOK,
@@ -151,7 +151,7 @@
             lateness);
     this.calls = new CallService(loop, ledger, settings, tally, lateness);
     this.front =
-        new McpFront(
+        new McpHttpHandler(
             loop,
             settings,
             calls,
@@ -185,10 +185,10 @@
     return Base64.getUrlEncoder().withoutPadding().encodeToString(bytes);
   }
 
-  private ServerList list(String agent) {
+  private EndpointListSource list(String agent) {
     GatewaySettings.Discovery d = settings.discovery();
     if (d.kind().equals("file")) {
-      return new FileList(loop, d);
+      return new FileEndpointList(loop, d);
     }
     InetSocketAddress address = SettingsFile.address(d.address());
     HttpClient client =
@@ -201,7 +201,7 @@
                 4,
                 GatewaySettings.micros(settings.engines().connectTimeoutMs()),
                 GatewaySettings.micros(d.waitMs())));
-    return new ConsulList(loop, client, address, d, agent);
+    return new ConsulEndpointList(loop, client, address, d, agent);
   }
 
   /** Takes its port and begins; call it off the loop. */
@@ -217,7 +217,7 @@
           startedAt = loop.now();
           watchLag(lateness.ticked(loop.now()));
           watchWait();
-          watchQueue(new WorkersProbe(loop, workers), 1);
+          watchQueue(new ExecutorQueueProbe(loop, workers), 1);
           for (int i = 0; i < Math.min(probes.size(), settings.ioThreads()); i++) {
             watchQueue(probes.get(i), 2 + i);
           }
@@ -226,7 +226,7 @@
           front.start();
           hear(cached, true);
           list.start(
-              new ServerList.Sink() {
+              new EndpointListSource.Listener() {
                 @Override
                 public void whole(List<Endpoint> entries) {
                   hear(entries, false);
@@ -353,7 +353,7 @@
   }
 
   /** What it counts; a snapshot may be taken on any thread. */
-  public GatewayTally tally() {
+  public GatewayMetrics tally() {
     return tally;
   }
 
@@ -488,8 +488,8 @@
       return List.of();
     }
     try {
-      return Listing.ofFile(Files.readAllBytes(Path.of(cache)));
-    } catch (IOException | Listing.Unreadable e) {
+      return EndpointListCodec.ofFile(Files.readAllBytes(Path.of(cache)));
+    } catch (IOException | EndpointListCodec.MalformedListException e) {
       LOG.warn("the kept list of servers {} cannot be read: {}", cache, e.getMessage());
       return List.of();
     }
@@ -498,7 +498,7 @@
   private void writeCache() {
     String cache = settings.discovery().cache();
     if (cache != null) {
-      byte[] text = Listing.toFile(members.entries());
+      byte[] text = EndpointListCodec.toFile(members.entries());
       onDisk(
           () -> {
             try {
--- a/gateway/src/main/java/lemondock/gateway/Host.java
+++ b/gateway/src/main/java/lemondock/gateway/GatewayEnvironment.java
@@ -17,10 +17,10 @@
  * @param machine tells what the process has left
  * @param durable the folder that the settings' {@code durable} speaks of; null if they do not
  */
-public record Host(
+public record GatewayEnvironment(
     Loop loop,
     Network network,
     Executor disk,
     Executor workers,
-    Machine machine,
+    ProcessResources machine,
     FileSystemPort durable) {}
--- a/gateway/src/main/java/lemondock/gateway/ThisProcess.java
+++ b/gateway/src/main/java/lemondock/gateway/JvmProcessResources.java
@@ -16,7 +16,7 @@
  * documentation of {@link MemoryPoolMXBean} advises this figure for turning load away). Before the
  * first such collection memory was never short.
  */
-public final class ThisProcess implements Machine {
+public final class JvmProcessResources implements ProcessResources {
   private final Optional<MemoryPoolMXBean> old =
       ManagementFactory.getMemoryPoolMXBeans().stream()
           .filter(
--- a/gateway/src/main/java/lemondock/gateway/Machine.java
+++ b/gateway/src/main/java/lemondock/gateway/ProcessResources.java
@@ -1,10 +1,10 @@
 package lemondock.gateway;
 
 /** What the process has left; may take some time to tell, so it is asked off the loop. */
-public interface Machine {
+public interface ProcessResources {
   /** Knows nothing and so never tells of want. */
-  Machine UNKNOWN =
-      new Machine() {
+  ProcessResources UNKNOWN =
+      new ProcessResources() {
         @Override
         public double memory() {
           return 0;
--- a/gateway/src/main/java/lemondock/gateway/count/CallCount.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/CallMetrics.java
@@ -1,4 +1,4 @@
-package lemondock.gateway.count;
+package lemondock.gateway.accounting;
 
 import lemondock.gateway.answer.Answer;
 
@@ -7,12 +7,12 @@
  * what was wanted: the first token within the aim, the rest at the wanted pace. Time is passed in;
  * one thread. Each call is counted once under one ending, whatever order its events come in.
  */
-public final class CallCount {
+public final class CallMetrics {
   private static final double LATE_PACE = 2;
 
-  private final GatewayTally counts;
-  private final GatewayTally.ClassCount of;
-  private final GatewayTally.RequestCount request;
+  private final GatewayMetrics counts;
+  private final GatewayMetrics.ClassSeries of;
+  private final GatewayMetrics.TenantSeries request;
   private final long arrivedAt;
   private final long aim;
   private long firstAt;
@@ -23,10 +23,10 @@
   private boolean judgedBad;
   private boolean ended;
 
-  CallCount(
-      GatewayTally counts,
-      GatewayTally.ClassCount of,
-      GatewayTally.RequestCount request,
+  CallMetrics(
+      GatewayMetrics counts,
+      GatewayMetrics.ClassSeries of,
+      GatewayMetrics.TenantSeries request,
       long arrivedAt,
       long aim) {
     this.counts = counts;
@@ -119,19 +119,21 @@
   }
 
   /** The call has ended. */
-  public void ended(long now, Answer.Ending ending) {
+  public void ended(long now, Answer.Outcome ending) {
     if (ended) {
       return;
     }
     ended = true;
     turnEnded(now);
-    boolean served = ending.end() == Answer.End.SERVED;
+    boolean served = ending.end() == Answer.OutcomeKind.SERVED;
     double pace = ending.tokens() > 1 ? (double) writing / (ending.tokens() - 1) : 0;
     boolean prompt = firstAt != 0 ? firstAt - arrivedAt <= aim : now - arrivedAt <= aim;
     boolean inTime = served && prompt && pace <= of.tokenAim;
     final boolean late = served && !inTime && pace <= LATE_PACE * of.tokenAim;
     final long ticket = counts.recorder().enter();
-    counts.recorder().add(request.requests().slot(GatewayTally.SERVED + ending.end().ordinal()), 1);
+    counts
+        .recorder()
+        .add(request.requests().slot(GatewayMetrics.SERVED + ending.end().ordinal()), 1);
     counts.recorder().record(of.wholeTime, now - arrivedAt);
     if (ending.tokens() > 1) {
       counts.recorder().record(of.tokenPace, (long) pace);
@@ -149,7 +151,7 @@
       settled = relayed;
     }
     counts.recorder().exit(ticket);
-    if (!inTime && ending.end() != Answer.End.LEFT) {
+    if (!inTime && ending.end() != Answer.OutcomeKind.LEFT) {
       bad();
     }
   }
--- a/gateway/src/main/java/lemondock/gateway/count/GatewayTally.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
@@ -1,4 +1,4 @@
-package lemondock.gateway.count;
+package lemondock.gateway.accounting;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -22,7 +22,7 @@
  * What a gateway counts on its decision loop. Series are looked up once and kept; the names of
  * tenants and zones, which others choose, are bounded. Loop thread only, but for {@link #tally}.
  */
-public final class GatewayTally implements AttemptMetrics {
+public final class GatewayMetrics implements AttemptMetrics {
   /** The tenant of a request that names none. */
   public static final String NO_TENANT = "none";
 
@@ -50,7 +50,7 @@
   private final GatewaySettings settings;
   private final Tally tally;
   private final Recorder recorder;
-  private final List<ClassCount> classes = new ArrayList<>();
+  private final List<ClassSeries> classes = new ArrayList<>();
   private final BoundedNames tenants;
   private final BoundedNames zones;
   private final Map<ServerRole, Map<String, Series>> attempts = new EnumMap<>(ServerRole.class);
@@ -64,7 +64,7 @@
   private final Series otherZones;
 
   /** The series of one class, which any of its requests shares. */
-  static final class ClassCount {
+  static final class ClassSeries {
     final long worth;
     final long lateWorth;
     final double tokenAim;
@@ -73,9 +73,9 @@
     final Series firstToken;
     final Series tokenPace;
     final Series wholeTime;
-    final Map<String, RequestCount> byTenant = new HashMap<>();
+    final Map<String, TenantSeries> byTenant = new HashMap<>();
 
-    ClassCount(Tally tally, GatewaySettings.ClassSettings c, String zone) {
+    ClassSeries(Tally tally, GatewaySettings.ClassSettings c, String zone) {
       worth = Math.round(c.worth() * Metrics.WORTH_ONE);
       lateWorth = Math.round(c.worth() * c.lateWorth() * Metrics.WORTH_ONE);
       tokenAim = GatewaySettings.micros(c.tokenAimMs());
@@ -88,10 +88,10 @@
   }
 
   /** The series of one class and tenant. */
-  record RequestCount(Series worth, Series requests) {}
+  record TenantSeries(Series worth, Series requests) {}
 
   /** Makes a count of its own tally, for the thread that the gateway decides on. */
-  public GatewayTally(GatewaySettings settings) {
+  public GatewayMetrics(GatewaySettings settings) {
     this.settings = settings;
     this.tally = new Tally(settings.reporting().maxValues());
     this.recorder = tally.recorder();
@@ -105,7 +105,7 @@
     this.overload = tally.series(Metrics.OVERLOAD);
     this.otherTenants = tally.series(Metrics.BOUNDS, "tenant");
     this.otherZones = tally.series(Metrics.BOUNDS, "zone");
-    settings.classes().forEach(c -> classes.add(new ClassCount(tally, c, settings.zone())));
+    settings.classes().forEach(c -> classes.add(new ClassSeries(tally, c, settings.zone())));
   }
 
   private static List<String> with(List<String> some, String one) {
@@ -126,23 +126,23 @@
   // ==== requests
 
   /** A request was taken. Times in microseconds. */
-  public CallCount taken(int classId, String tenant, boolean repeat, int promptTokens, long now) {
-    ClassCount of = classes.get(classId);
-    RequestCount request = request(of, classId, tenant);
+  public CallMetrics taken(int classId, String tenant, boolean repeat, int promptTokens, long now) {
+    ClassSeries of = classes.get(classId);
+    TenantSeries request = request(of, classId, tenant);
     long ticket = recorder.enter();
     count(of, request, repeat);
     recorder.exit(ticket);
     GatewaySettings.ClassSettings c = settings.classes().get(classId);
     long aim = GatewaySettings.micros(c.aimMs() + c.aimMsPerThousandTokens() * promptTokens / 1000);
-    return new CallCount(this, of, request, now, aim);
+    return new CallMetrics(this, of, request, now, aim);
   }
 
   /**
    * A request was turned away before it was taken, for a bound of the gateway or because it stops.
    */
   public void turnedAway(int classId, String tenant, boolean repeat) {
-    ClassCount of = classes.get(classId);
-    RequestCount request = request(of, classId, tenant);
+    ClassSeries of = classes.get(classId);
+    TenantSeries request = request(of, classId, tenant);
     final long ticket = recorder.enter();
     count(of, request, repeat);
     recorder.add(request.requests.slot(REFUSED), 1);
@@ -150,19 +150,19 @@
     recorder.exit(ticket);
   }
 
-  private void count(ClassCount of, RequestCount request, boolean repeat) {
+  private void count(ClassSeries of, TenantSeries request, boolean repeat) {
     recorder.add(request.requests.slot(0), 1);
     recorder.add(request.requests.slot(1), repeat ? 1 : 0);
     recorder.add(request.worth.slot(repeat ? 1 : 0), of.worth);
   }
 
-  private RequestCount request(ClassCount of, int classId, String tenant) {
+  private TenantSeries request(ClassSeries of, int classId, String tenant) {
     String label = bounded(tenants, otherTenants, tenant == null ? NO_TENANT : tenant);
-    RequestCount found = of.byTenant.get(label);
+    TenantSeries found = of.byTenant.get(label);
     if (found == null) {
       String name = settings.classes().get(classId).name();
       found =
-          new RequestCount(
+          new TenantSeries(
               tally.series(Metrics.WORTH, name, settings.zone(), label),
               tally.series(Metrics.REQUESTS, name, settings.zone(), label));
       of.byTenant.put(label, found);
--- a/gateway/src/main/java/lemondock/gateway/answer/Answer.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/Answer.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import lemondock.gateway.engine.Chunk;
+import lemondock.gateway.engine.CompletionChunk;
 
 /**
  * The states of one client's answer, which is made of legs (each a read and a write) with tool
- * calls between them. It decides what an event leads to and does no I/O; {@link Steps} carries it
+ * calls between them. It decides what an event leads to and does no I/O; {@link Actions} carries it
  * out.
  *
  * <p>Three promises rest on it. The answer ends once: every way out passes {@link #finish}, which
@@ -19,11 +19,11 @@
  * it.
  */
 public final class Answer {
-  private final Steps steps;
-  private final Bounds bounds;
+  private final Actions steps;
+  private final Limits bounds;
   private final List<Turn> turns = new ArrayList<>();
   private final StringBuilder text = new StringBuilder();
-  private final Map<Integer, Piece> pieces = new TreeMap<>();
+  private final Map<Integer, PartialToolCall> pieces = new TreeMap<>();
   private final Map<String, ToolResult> results = new LinkedHashMap<>();
   private final StringBuilder legText = new StringBuilder();
   private State state = State.LEG;
@@ -47,7 +47,7 @@
   }
 
   /** How an answer ends. */
-  public enum End {
+  public enum OutcomeKind {
     SERVED,
     REFUSED,
     FAILED,
@@ -65,7 +65,7 @@
    * @param mayResume whether a broken leg may be begun anew at all: its class is safe to repeat and
    *     streams resume
    */
-  public record Bounds(
+  public record Limits(
       int maxTokens,
       int maxTurns,
       int maxCalls,
@@ -80,8 +80,8 @@
   public record Turn(String text, List<ToolCall> calls, List<ToolResult> results) {}
 
   /** Why and how it ended; {@code retryable} is the promise that nothing of it had an effect. */
-  public record Ending(
-      End end,
+  public record Outcome(
+      OutcomeKind end,
       String text,
       int tokens,
       int turns,
@@ -92,7 +92,7 @@
       String what) {}
 
   /** What an answer asks for. */
-  public interface Steps {
+  public interface Actions {
     /**
      * Begins a leg: the client's prompt, then the turns, then, if {@code partial} is not empty,
      * what was delivered of this turn, to be gone on with.
@@ -112,17 +112,17 @@
     void leave();
 
     /** The one end. */
-    void ended(Ending ending);
+    void ended(Outcome ending);
   }
 
-  private static final class Piece {
+  private static final class PartialToolCall {
     private String id = "";
     private String name = "";
     private final StringBuilder arguments = new StringBuilder();
   }
 
   /** Makes an answer; {@link #begin} sets it going. */
-  public Answer(Steps steps, Bounds bounds) {
+  public Answer(Actions steps, Limits bounds) {
     this.steps = steps;
     this.bounds = bounds;
   }
@@ -147,12 +147,12 @@
   // ==== the leg
 
   /** A piece of the leg's stream. */
-  public void chunk(Chunk chunk) {
+  public void chunk(CompletionChunk chunk) {
     if (state != State.LEG) {
       return;
     }
-    for (Chunk.CallPiece part : chunk.calls()) {
-      Piece piece = pieces.computeIfAbsent(part.index(), i -> new Piece());
+    for (CompletionChunk.ToolCallDelta part : chunk.calls()) {
+      PartialToolCall piece = pieces.computeIfAbsent(part.index(), i -> new PartialToolCall());
       piece.id = part.id().isEmpty() ? piece.id : part.id();
       piece.name = part.name().isEmpty() ? piece.name : part.name();
       piece.arguments.append(part.arguments());
@@ -208,8 +208,8 @@
                     p.arguments.toString())));
     if (calls.isEmpty()) {
       finish(
-          new Ending(
-              End.SERVED,
+          new Outcome(
+              OutcomeKind.SERVED,
               text.toString(),
               tokens,
               turns.size(),
@@ -264,8 +264,8 @@
       boolean first = turns.isEmpty() && tokens == 0 && resumptions == 0;
       if (first) {
         finish(
-            new Ending(
-                End.REFUSED,
+            new Outcome(
+                OutcomeKind.REFUSED,
                 "",
                 0,
                 0,
@@ -327,8 +327,16 @@
     state = State.LEG;
     if (tokens >= bounds.maxTokens()) {
       finish(
-          new Ending(
-              End.SERVED, text.toString(), tokens, turns.size(), relayed, "length", false, 0, ""));
+          new Outcome(
+              OutcomeKind.SERVED,
+              text.toString(),
+              tokens,
+              turns.size(),
+              relayed,
+              "length",
+              false,
+              0,
+              ""));
     } else {
       steps.leg(List.copyOf(turns), "", bounds.maxTokens() - tokens, false);
     }
@@ -355,7 +363,8 @@
         steps.leave();
       }
       steps.ended(
-          new Ending(End.LEFT, text.toString(), tokens, turns.size(), relayed, "", false, 0, why));
+          new Outcome(
+              OutcomeKind.LEFT, text.toString(), tokens, turns.size(), relayed, "", false, 0, why));
     }
   }
 
@@ -364,10 +373,19 @@
       steps.leave();
     }
     finish(
-        new Ending(End.FAILED, text.toString(), tokens, turns.size(), relayed, "", false, 0, what));
+        new Outcome(
+            OutcomeKind.FAILED,
+            text.toString(),
+            tokens,
+            turns.size(),
+            relayed,
+            "",
+            false,
+            0,
+            what));
   }
 
-  private void finish(Ending ending) {
+  private void finish(Outcome ending) {
     if (state != State.ENDED) {
       state = State.ENDED;
       steps.ended(ending);
--- a/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
@@ -42,10 +42,10 @@
       Encodings.newDefaultEncodingRegistry().getEncoding(EncodingType.CL100K_BASE);
 
   /** Arguments that cannot be used; the message names the place and what was expected. */
-  public static final class BadArguments extends Exception {
+  public static final class InvalidArgumentsException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    BadArguments(String message) {
+    InvalidArgumentsException(String message) {
       super(message);
     }
   }
@@ -88,11 +88,11 @@
   }
 
   /** Reads the arguments of a call of a class. */
-  public Prompt read(int classId, JsonNode arguments) throws BadArguments {
+  public Prompt read(int classId, JsonNode arguments) throws InvalidArgumentsException {
     JsonNode given = arguments == null ? JsonNodeFactory.instance.objectNode() : arguments;
     Set<ValidationMessage> problems = schemas.get(classId).validate(given);
     if (!problems.isEmpty()) {
-      throw new BadArguments(
+      throw new InvalidArgumentsException(
           problems.stream()
               .limit(MOST_PROBLEMS)
               .map(m -> "/arguments" + m.getInstanceLocation() + ": " + afterColon(m.getMessage()))
@@ -112,7 +112,8 @@
     if (tools != null) {
       for (int i = 0; i < tools.size(); i++) {
         if (!names.add(tools.get(i).path("function").path("name").textValue())) {
-          throw new BadArguments("/arguments/tools/" + i + "/name: a name that another tool has");
+          throw new InvalidArgumentsException(
+              "/arguments/tools/" + i + "/name: a name that another tool has");
         }
       }
     }
--- a/gateway/src/main/java/lemondock/gateway/core/CallService.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CallService.java
@@ -14,13 +14,13 @@
 import lemondock.dispatch.EnginePort;
 import lemondock.dispatch.RequestDispatcher;
 import lemondock.dispatch.RequestListener;
+import lemondock.gateway.accounting.CallMetrics;
+import lemondock.gateway.accounting.GatewayMetrics;
 import lemondock.gateway.answer.Answer;
 import lemondock.gateway.answer.Prompt;
 import lemondock.gateway.answer.ToolCall;
 import lemondock.gateway.answer.ToolResult;
-import lemondock.gateway.count.CallCount;
-import lemondock.gateway.count.GatewayTally;
-import lemondock.gateway.engine.Chunk;
+import lemondock.gateway.engine.CompletionChunk;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.idempotency.IdempotencyStore;
 import lemondock.net.Loop;
@@ -46,9 +46,9 @@
   private static final double GOOD_TIMES = 1.5;
 
   private final Loop loop;
-  private final RequestDispatcher<ObjectNode, JsonNode, Chunk> ledger;
+  private final RequestDispatcher<ObjectNode, JsonNode, CompletionChunk> ledger;
   private final GatewaySettings settings;
-  private final GatewayTally tally;
+  private final GatewayMetrics tally;
   private final StallMonitor lateness;
   private final Set<Call> open = new HashSet<>();
 
@@ -91,15 +91,15 @@
     void withdraw(ToolCall call, String why);
 
     /** The one end; nothing follows. Not called for a call that was left by its front. */
-    void ended(Answer.Ending ending);
+    void ended(Answer.Outcome ending);
   }
 
   /** Makes an empty set of calls. */
   public CallService(
       Loop loop,
-      RequestDispatcher<ObjectNode, JsonNode, Chunk> ledger,
+      RequestDispatcher<ObjectNode, JsonNode, CompletionChunk> ledger,
       GatewaySettings settings,
-      GatewayTally tally,
+      GatewayMetrics tally,
       StallMonitor lateness) {
     this.lateness = lateness;
     this.loop = loop;
@@ -206,14 +206,14 @@
   }
 
   /** One client's call. Loop thread only. */
-  public final class Call implements Answer.Steps {
+  public final class Call implements Answer.Actions {
     private final Prompt prompt;
     private final long session;
     private final boolean clientRepeat;
     private final Sink sink;
     private final GatewaySettings.ClassSettings requestClass;
     private final Answer answer;
-    private final CallCount count;
+    private final CallMetrics count;
     private final Loop.Timer aimLimit;
     private final Map<String, Loop.Timer> toolLimits = new HashMap<>();
     private long leg;
@@ -244,7 +244,7 @@
       this.answer =
           new Answer(
               this,
-              new Answer.Bounds(
+              new Answer.Limits(
                   prompt.maxTokens(),
                   requestClass.maxTurns(),
                   requestClass.maxToolCallsPerTurn(),
@@ -479,7 +479,7 @@
     }
 
     @Override
-    public void ended(Answer.Ending ending) {
+    public void ended(Answer.Outcome ending) {
       aimLimit.cancel();
       count.ended(loop.now(), ending);
       toolsWaiting -= toolLimits.size();
@@ -490,9 +490,9 @@
       if (key != null) {
         guard.ended(
             key,
-            ending.end() == Answer.End.SERVED
+            ending.end() == Answer.OutcomeKind.SERVED
                 ? IdempotencyStore.Fate.SERVED
-                : ending.end() == Answer.End.REFUSED || !begunLegs
+                : ending.end() == Answer.OutcomeKind.REFUSED || !begunLegs
                     ? IdempotencyStore.Fate.NEVER_RAN
                     : IdempotencyStore.Fate.MAY_HAVE_RUN);
       }
@@ -502,9 +502,9 @@
     }
 
     /** Hands a leg's events to the answer. */
-    private final class Listener implements RequestListener<Chunk>, EnginePort.Lane {
+    private final class Listener implements RequestListener<CompletionChunk>, EnginePort.Lane {
       @Override
-      public void chunk(Chunk chunk) {
+      public void chunk(CompletionChunk chunk) {
         synchronized (sink.lock()) {
           answer.chunk(chunk);
         }
--- a/gateway/src/main/java/lemondock/gateway/discovery/ConsulList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
@@ -14,7 +14,7 @@
  * the index seen last and is answered when that is passed or the wait is over. An index that goes
  * back starts anew, as Consul's pages say.
  */
-public final class ConsulList implements ServerList {
+public final class ConsulEndpointList implements EndpointListSource {
   /** Consul adds up to a sixteenth of the wait; the rest is for the way. */
   private static final double WAIT_TIMES = 17.0 / 16;
 
@@ -25,7 +25,7 @@
   private final InetSocketAddress address;
   private final GatewaySettings.Discovery settings;
   private final String agent;
-  private Sink sink;
+  private Listener sink;
   private long index;
   private long backOff;
   private boolean stopped;
@@ -33,7 +33,7 @@
   private Loop.Timer timer = () -> {};
 
   /** Makes a follower; {@code agent} is what the catalogue sees as User-Agent. */
-  public ConsulList(
+  public ConsulEndpointList(
       Loop loop,
       HttpClient client,
       InetSocketAddress address,
@@ -47,7 +47,7 @@
   }
 
   @Override
-  public void start(Sink to) {
+  public void start(Listener to) {
     sink = to;
     query();
   }
@@ -119,16 +119,16 @@
     public void done() {
       timer.cancel();
       if (status() != 200) {
-        ConsulList.this.failed("the catalogue answered " + status());
+        ConsulEndpointList.this.failed("the catalogue answered " + status());
         return;
       }
       List<Endpoint> entries;
       long next;
       try {
-        entries = Listing.ofConsul(body());
+        entries = EndpointListCodec.ofConsul(body());
         next = Long.parseLong(String.valueOf(header("x-consul-index")));
-      } catch (Listing.Unreadable | NumberFormatException e) {
-        ConsulList.this.failed("the catalogue's answer cannot be read: " + e.getMessage());
+      } catch (EndpointListCodec.MalformedListException | NumberFormatException e) {
+        ConsulEndpointList.this.failed("the catalogue's answer cannot be read: " + e.getMessage());
         return;
       }
       backOff = 0;
@@ -138,7 +138,9 @@
         sink.whole(entries);
       }
       if (index == before && before == 0) {
-        timer = loop.schedule(GatewaySettings.micros(settings.retryMs()), ConsulList.this::query);
+        timer =
+            loop.schedule(
+                GatewaySettings.micros(settings.retryMs()), ConsulEndpointList.this::query);
       } else {
         query();
       }
@@ -146,7 +148,7 @@
 
     @Override
     public void failed(HttpClient.Failure failure, String what) {
-      ConsulList.this.failed(what);
+      ConsulEndpointList.this.failed(what);
     }
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/discovery/Listing.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/EndpointListCodec.java
@@ -17,25 +17,25 @@
  * The two forms in which lists of servers are written: the project's file and Consul's health API.
  * No I/O.
  */
-public final class Listing {
+public final class EndpointListCodec {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
-  private Listing() {}
+  private EndpointListCodec() {}
 
   /** A list that cannot be read; the message says what and where. */
-  public static final class Unreadable extends Exception {
+  public static final class MalformedListException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Unreadable(String message) {
+    MalformedListException(String message) {
       super(message);
     }
   }
 
   /** Reads {@code {"servers": [...]}}. */
-  public static List<Endpoint> ofFile(byte[] text) throws Unreadable {
+  public static List<Endpoint> ofFile(byte[] text) throws MalformedListException {
     JsonNode servers = tree(text).get("servers");
     if (servers == null || !servers.isArray()) {
-      throw new Unreadable("/servers: expected an array, found " + servers);
+      throw new MalformedListException("/servers: expected an array, found " + servers);
     }
     List<Endpoint> entries = new ArrayList<>();
     for (int i = 0; i < servers.size(); i++) {
@@ -79,10 +79,10 @@
    * from the service's Meta. A check in maintenance, or Meta {@code draining=true}, drains; another
    * critical check means gone.
    */
-  public static List<Endpoint> ofConsul(byte[] text) throws Unreadable {
+  public static List<Endpoint> ofConsul(byte[] text) throws MalformedListException {
     JsonNode root = tree(text);
     if (!root.isArray()) {
-      throw new Unreadable("/: expected an array of services");
+      throw new MalformedListException("/: expected an array of services");
     }
     List<Endpoint> entries = new ArrayList<>();
     for (int i = 0; i < root.size(); i++) {
@@ -121,43 +121,44 @@
     return draining ? ServerLifecycle.DRAINING : ServerLifecycle.READY;
   }
 
-  private static ServerLifecycle standing(String name, String at) throws Unreadable {
+  private static ServerLifecycle standing(String name, String at) throws MalformedListException {
     try {
       return ServerLifecycle.valueOf(name.toUpperCase(Locale.ROOT));
     } catch (IllegalArgumentException e) {
-      throw new Unreadable(at + ": expected ready, draining or gone, found " + name);
+      throw new MalformedListException(at + ": expected ready, draining or gone, found " + name);
     }
   }
 
-  private static JsonNode tree(byte[] text) throws Unreadable {
+  private static JsonNode tree(byte[] text) throws MalformedListException {
     try {
       JsonNode root = MAPPER.readTree(text);
       if (root == null || root.isMissingNode()) {
-        throw new Unreadable("expected JSON, found nothing");
+        throw new MalformedListException("expected JSON, found nothing");
       }
       return root;
     } catch (java.io.IOException e) {
-      throw new Unreadable("expected JSON: " + e.getMessage().lines().findFirst().orElse(""));
+      throw new MalformedListException(
+          "expected JSON: " + e.getMessage().lines().findFirst().orElse(""));
     }
   }
 
-  private static String text(JsonNode node, String name, String at) throws Unreadable {
+  private static String text(JsonNode node, String name, String at) throws MalformedListException {
     JsonNode value = node.get(name);
     if (value == null || !value.isTextual() || value.textValue().isEmpty()) {
-      throw new Unreadable(at + "/" + name + ": expected a text, found " + value);
+      throw new MalformedListException(at + "/" + name + ": expected a text, found " + value);
     }
     return value.textValue();
   }
 
-  private static double weight(JsonNode node, String at) throws Unreadable {
+  private static double weight(JsonNode node, String at) throws MalformedListException {
     double weight = node.isMissingNode() ? 1 : node.asDouble(Double.NaN);
     if (!(weight > 0) || Double.isInfinite(weight)) {
-      throw new Unreadable(at + ": expected a weight above 0, found " + node);
+      throw new MalformedListException(at + ": expected a weight above 0, found " + node);
     }
     return weight;
   }
 
-  private static InetSocketAddress address(String text, String at) throws Unreadable {
+  private static InetSocketAddress address(String text, String at) throws MalformedListException {
     try {
       InetSocketAddress address = SettingsFile.address(text);
       if (address.getPort() > 0 && !address.isUnresolved()) {
@@ -166,6 +167,6 @@
     } catch (RuntimeException e) {
       // reported below
     }
-    throw new Unreadable(at + ": expected HOST:PORT, found " + text);
+    throw new MalformedListException(at + ": expected HOST:PORT, found " + text);
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/discovery/ServerList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/EndpointListSource.java
@@ -4,9 +4,9 @@
 import lemondock.dispatch.Endpoint;
 
 /** Where lists of servers come from; all its calls to the sink are made on the loop. */
-public interface ServerList {
+public interface EndpointListSource {
   /** Begins to follow the list. */
-  void start(Sink sink);
+  void start(Listener sink);
 
   /** Asks for the whole list again, after the module wished it. */
   void watch();
@@ -15,7 +15,7 @@
   void stop();
 
   /** What hears of the list. */
-  interface Sink {
+  interface Listener {
     /** The whole list as it is now. */
     void whole(List<Endpoint> entries);
 
--- a/gateway/src/main/java/lemondock/gateway/discovery/FileList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/FileEndpointList.java
@@ -16,7 +16,7 @@
  * Follows a file by reading it now and then on a thread of its own; what cannot be read leaves the
  * list as it is.
  */
-public final class FileList implements ServerList {
+public final class FileEndpointList implements EndpointListSource {
   private static final long MOST_BYTES = 8 * 1024 * 1024;
 
   private final Loop loop;
@@ -27,14 +27,14 @@
   private String problem = "";
 
   /** Makes a follower of the file that the settings name. */
-  public FileList(Loop loop, GatewaySettings.Discovery settings) {
+  public FileEndpointList(Loop loop, GatewaySettings.Discovery settings) {
     this.loop = loop;
     this.path = Path.of(settings.path());
     this.poll = GatewaySettings.micros(settings.pollMs());
   }
 
   @Override
-  public void start(Sink sink) {
+  public void start(Listener sink) {
     reader =
         Executors.newSingleThreadScheduledExecutor(
             task -> {
@@ -57,23 +57,23 @@
     }
   }
 
-  private void look(Sink sink) {
+  private void look(Listener sink) {
     try {
       if (Files.size(path) > MOST_BYTES) {
         throw new IOException("over " + MOST_BYTES + " bytes");
       }
       byte[] text = Files.readAllBytes(path);
       if (!Arrays.equals(text, seen)) {
-        List<Endpoint> entries = Listing.ofFile(text);
+        List<Endpoint> entries = EndpointListCodec.ofFile(text);
         seen = text;
         loop.execute(() -> sink.whole(entries));
       }
       problem = "";
-    } catch (IOException | Listing.Unreadable | RuntimeException e) {
+    } catch (IOException | EndpointListCodec.MalformedListException | RuntimeException e) {
       String what =
           path
               + ": "
-              + (e instanceof Listing.Unreadable ? "" : "cannot be read: ")
+              + (e instanceof EndpointListCodec.MalformedListException ? "" : "cannot be read: ")
               + e.getMessage();
       if (!what.equals(problem)) {
         problem = what;
--- a/gateway/src/main/java/lemondock/gateway/engine/Chunk.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/CompletionChunk.java
@@ -15,9 +15,9 @@
  * @param last the stream's closing mark
  * @param error what the engine reports in place of an answer, null if it does not
  */
-public record Chunk(
+public record CompletionChunk(
     String text,
-    List<CallPiece> calls,
+    List<ToolCallDelta> calls,
     String finish,
     int promptTokens,
     int cachedTokens,
@@ -26,20 +26,21 @@
     String error)
     implements StreamChunk {
   /** The closing mark. */
-  public static final Chunk LAST = new Chunk("", List.of(), null, -1, -1, -1, true, null);
+  public static final CompletionChunk LAST =
+      new CompletionChunk("", List.of(), null, -1, -1, -1, true, null);
 
   /**
    * A piece of the call at an index: id and name come with its first piece, arguments in any number
    * of them.
    */
-  public record CallPiece(int index, String id, String name, String arguments) {}
+  public record ToolCallDelta(int index, String id, String name, String arguments) {}
 
   @Override
   public boolean carries() {
     return !text.isEmpty() || !calls.isEmpty() || finish != null;
   }
 
-  static Chunk error(String what) {
-    return new Chunk("", List.of(), null, -1, -1, -1, false, what);
+  static CompletionChunk error(String what) {
+    return new CompletionChunk("", List.of(), null, -1, -1, -1, false, what);
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
@@ -20,7 +20,7 @@
  * The ledger's port to engines that speak the OpenAI API: carries reads, writes and aborts. Every
  * read and write ends by exactly one {@code ended} or a cancel.
  */
-public final class EngineClient implements EnginePort<ObjectNode, JsonNode, Chunk> {
+public final class EngineClient implements EnginePort<ObjectNode, JsonNode, CompletionChunk> {
   private static final int ABORT_TRIES = 3;
   private static final long ABORT_AGAIN = 30_000;
 
@@ -51,7 +51,7 @@
       Endpoint server,
       String requestId,
       DispatchedRequest<ObjectNode> spec,
-      Attempt<JsonNode, Chunk> attempt) {
+      Attempt<JsonNode, CompletionChunk> attempt) {
     InetSocketAddress to = server.address();
     return client.send(
             to,
@@ -70,7 +70,7 @@
       String requestId,
       DispatchedRequest<ObjectNode> spec,
       JsonNode transfer,
-      Attempt<JsonNode, Chunk> attempt) {
+      Attempt<JsonNode, CompletionChunk> attempt) {
     InetSocketAddress to = server.address();
     Writing writing = new Writing(attempt);
     writing.call =
@@ -136,16 +136,16 @@
   }
 
   private static final class Reading extends HttpClient.Keeping {
-    private final Attempt<JsonNode, Chunk> attempt;
+    private final Attempt<JsonNode, CompletionChunk> attempt;
 
-    Reading(Attempt<JsonNode, Chunk> attempt) {
+    Reading(Attempt<JsonNode, CompletionChunk> attempt) {
       this.attempt = attempt;
     }
 
     @Override
     public void done() {
       if (status() != 200) {
-        EngineProtocol.Refusal refusal = EngineProtocol.refusal(status(), body());
+        EngineProtocol.ErrorReply refusal = EngineProtocol.refusal(status(), body());
         attempt.ended(refusal.ending(), refusal.stateMissing(), refusal.what());
         return;
       }
@@ -168,7 +168,7 @@
    * time.
    */
   public final class Writing extends HttpClient.Keeping implements Work {
-    private final Attempt<JsonNode, Chunk> attempt;
+    private final Attempt<JsonNode, CompletionChunk> attempt;
     private HttpClient.Call call;
     private boolean finished;
     private boolean over;
@@ -176,9 +176,9 @@
     private final StreamIdleTimeout quiet =
         new StreamIdleTimeout(loop, lateness, silence, this::silent);
     private volatile Lane lane;
-    private final PlainPiece plain = new PlainPiece();
+    private final TextEventParser plain = new TextEventParser();
 
-    private Writing(Attempt<JsonNode, Chunk> attempt) {
+    private Writing(Attempt<JsonNode, CompletionChunk> attempt) {
       this.attempt = attempt;
     }
 
@@ -235,7 +235,7 @@
 
     @Override
     public void event(Object mapped) {
-      Chunk chunk = (Chunk) mapped;
+      CompletionChunk chunk = (CompletionChunk) mapped;
       if (over
           || finished && !chunk.carries() && chunk.error() == null && chunk.answerTokens() < 0) {
         return;
@@ -264,7 +264,7 @@
     @Override
     public void done() {
       if (status() != 200) {
-        EngineProtocol.Refusal refusal = EngineProtocol.refusal(status(), body());
+        EngineProtocol.ErrorReply refusal = EngineProtocol.refusal(status(), body());
         over();
         attempt.ended(refusal.ending(), refusal.stateMissing(), refusal.what());
       } else if (finished) {
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineProtocol.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineProtocol.java
@@ -99,9 +99,9 @@
   }
 
   /** Reads the data of one event of a write's stream; what cannot be read becomes an error. */
-  public static Chunk chunk(String data) {
+  public static CompletionChunk chunk(String data) {
     if (data.equals("[DONE]")) {
-      return Chunk.LAST;
+      return CompletionChunk.LAST;
     }
     if (!data.contains("\"tool_calls\"") && !data.contains("\"error\"")) {
       return plainChunk(data);
@@ -110,23 +110,23 @@
     try {
       root = MAPPER.readTree(data);
     } catch (JsonProcessingException e) {
-      return Chunk.error("an event of the stream is not JSON");
+      return CompletionChunk.error("an event of the stream is not JSON");
     }
     if (root == null || !root.isObject()) {
-      return Chunk.error("an event of the stream is no object");
+      return CompletionChunk.error("an event of the stream is no object");
     }
     if (root.has("error")) {
-      return Chunk.error(message(root));
+      return CompletionChunk.error(message(root));
     }
     JsonNode choice = root.path("choices").path(0);
     JsonNode delta = choice.path("delta");
-    List<Chunk.CallPiece> calls = List.of();
+    List<CompletionChunk.ToolCallDelta> calls = List.of();
     if (delta.path("tool_calls").isArray() && !delta.path("tool_calls").isEmpty()) {
       calls = new ArrayList<>();
       for (JsonNode call : delta.path("tool_calls")) {
         JsonNode function = call.path("function");
         calls.add(
-            new Chunk.CallPiece(
+            new CompletionChunk.ToolCallDelta(
                 call.path("index").asInt(0),
                 call.path("id").asText(""),
                 function.path("name").asText(""),
@@ -134,7 +134,7 @@
       }
     }
     JsonNode usage = root.path("usage");
-    return new Chunk(
+    return new CompletionChunk(
         delta.path("content").asText(""),
         calls,
         choice.path("finish_reason").isTextual() ? choice.path("finish_reason").textValue() : null,
@@ -149,7 +149,7 @@
    * The common event, a piece of text: read token by token, since one comes for each token of each
    * answer.
    */
-  private static Chunk plainChunk(String data) {
+  private static CompletionChunk plainChunk(String data) {
     String text = "";
     String finish = null;
     int prompt = -1;
@@ -157,13 +157,13 @@
     int answer = -1;
     try (JsonParser parser = MAPPER.getFactory().createParser(data)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
-        return Chunk.error("an event of the stream is no object");
+        return CompletionChunk.error("an event of the stream is no object");
       }
       int depth = 1;
       while (depth > 0) {
         JsonToken token = parser.nextToken();
         if (token == null) {
-          return Chunk.error("an event of the stream is not JSON");
+          return CompletionChunk.error("an event of the stream is not JSON");
         }
         if (token.isStructStart()) {
           depth++;
@@ -173,7 +173,7 @@
           String name = parser.currentName();
           JsonToken value = parser.nextToken();
           if (value == null) {
-            return Chunk.error("an event of the stream is not JSON");
+            return CompletionChunk.error("an event of the stream is not JSON");
           }
           if (value.isStructStart()) {
             if (name.equals("choices")
@@ -194,20 +194,20 @@
           }
         }
       }
-      return new Chunk(text, List.of(), finish, prompt, cached, answer, false, null);
+      return new CompletionChunk(text, List.of(), finish, prompt, cached, answer, false, null);
     } catch (IOException e) {
-      return Chunk.error("an event of the stream is not JSON");
+      return CompletionChunk.error("an event of the stream is not JSON");
     }
   }
 
   /** A response that is no success, as the module hears of it. */
-  public record Refusal(AttemptOutcome ending, boolean stateMissing, String what) {}
+  public record ErrorReply(AttemptOutcome ending, boolean stateMissing, String what) {}
 
   /**
    * What a status other than 200 means. 429 and 503 are an engine's word that it did not begin; any
    * other status may come after work, so it proves nothing.
    */
-  public static Refusal refusal(int status, byte[] body) {
+  public static ErrorReply refusal(int status, byte[] body) {
     JsonNode root;
     try {
       root = MAPPER.readTree(body);
@@ -218,7 +218,7 @@
     boolean full = status == 429 || status == 503;
     boolean missing =
         full && root != null && STATE_MISSING.equals(root.path("error").path("code").asText(""));
-    return new Refusal(full ? AttemptOutcome.FULL : AttemptOutcome.ERROR, missing, what);
+    return new ErrorReply(full ? AttemptOutcome.FULL : AttemptOutcome.ERROR, missing, what);
   }
 
   private static String message(JsonNode root) {
--- a/gateway/src/main/java/lemondock/gateway/engine/PlainPiece.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/TextEventParser.java
@@ -8,7 +8,7 @@
  * anything else, or not quite as usual, is not taken, and {@link EngineProtocol#chunk} reads it;
  * what is taken means the same there. One reader serves one stream.
  */
-final class PlainPiece {
+final class TextEventParser {
   private static final int DEEPEST = 16;
   private static final int MOST_DIGITS = 9;
   private static final byte[][] ENTERED =
--- a/gateway/src/main/java/lemondock/gateway/front/AccessCheck.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/DnsRebindingGuard.java
@@ -1,6 +1,6 @@
-package lemondock.gateway.front;
+package lemondock.gateway.mcp;
 
-import static lemondock.gateway.front.FrontAnswers.clip;
+import static lemondock.gateway.mcp.HttpReplies.clip;
 
 import java.util.Locale;
 import java.util.regex.Pattern;
@@ -11,7 +11,7 @@
  * Checks the Host and Origin header fields of requests, against DNS rebinding: a page of another
  * site can make a browser send requests here, but only under that site's names.
  */
-final class AccessCheck {
+final class DnsRebindingGuard {
   private static final Pattern LOOPBACK =
       Pattern.compile("(localhost|127\\.[0-9.]+|\\[::1]):[0-9]+");
 
@@ -25,7 +25,7 @@
   private final GatewaySettings.Front settings;
   private final boolean loopback;
 
-  AccessCheck(GatewaySettings.Front settings) {
+  DnsRebindingGuard(GatewaySettings.Front settings) {
     this.settings = settings;
     this.loopback = LOOPBACK.matcher(settings.listen()).matches();
   }
--- a/gateway/src/main/java/lemondock/gateway/front/EventLog.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/EventReplayBuffer.java
@@ -1,4 +1,4 @@
-package lemondock.gateway.front;
+package lemondock.gateway.mcp;
 
 import java.util.Arrays;
 
@@ -8,7 +8,7 @@
  * taken, which say when to stop producing. Events lie one behind the other in a ring, so that one
  * more costs no memory of its own. No I/O.
  */
-public final class EventLog {
+public final class EventReplayBuffer {
   private static final int FIRST_BYTES = 256;
   private static final int FIRST_EVENTS = 8;
 
@@ -23,13 +23,13 @@
   private long sent;
 
   /** Takes events out again. */
-  public interface Taker {
+  public interface EventConsumer {
     /** One event's bytes; the array is the taker's own. */
     void event(byte[] event);
   }
 
   /** A log of so many bytes. */
-  public EventLog(int most) {
+  public EventReplayBuffer(int most) {
     this.most = most;
   }
 
@@ -105,7 +105,7 @@
   }
 
   /** Takes out the events after a number that it {@link #keeps}, oldest first. */
-  public void after(long number, Taker taker) {
+  public void after(long number, EventConsumer taker) {
     int from = head;
     for (int i = 0; i < events; i++) {
       int length = lengths[(headEvent + i) % lengths.length];
--- a/gateway/src/main/java/lemondock/gateway/front/FrontAnswers.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/HttpReplies.java
@@ -1,4 +1,4 @@
-package lemondock.gateway.front;
+package lemondock.gateway.mcp;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.charset.StandardCharsets;
@@ -7,8 +7,8 @@
 import lemondock.rpc.JsonRpc;
 
 /** The short answers of the MCP front. */
-final class FrontAnswers {
-  private FrontAnswers() {}
+final class HttpReplies {
+  private HttpReplies() {}
 
   /** Answers with a line of text. */
   static void text(HttpServer.Exchange exchange, int status, String what) {
--- a/gateway/src/main/java/lemondock/gateway/front/McpCall.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpCall.java
@@ -1,4 +1,4 @@
-package lemondock.gateway.front;
+package lemondock.gateway.mcp;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -22,7 +22,7 @@
   private final JsonNode id;
   private final Reply reply;
   private final boolean safe;
-  private final Progress progress;
+  private final ProgressNotification progress;
   private final String conversation;
   private final Map<String, String> relayIds = new HashMap<>();
   private CallService.Call call;
@@ -33,7 +33,7 @@
     void message(String json);
 
     /** Sends a piece of the answer, like {@link #message}. */
-    void progress(Progress progress, int tokens, CharSequence piece);
+    void progress(ProgressNotification progress, int tokens, CharSequence piece);
 
     /** Sends the response to the call. */
     void response(McpCall call, ObjectNode response);
@@ -63,7 +63,7 @@
     this.reply = reply;
     this.safe = safe;
     this.conversation = conversation;
-    this.progress = progressToken == null ? null : new Progress(progressToken);
+    this.progress = progressToken == null ? null : new ProgressNotification(progressToken);
   }
 
   JsonNode id() {
@@ -149,7 +149,7 @@
   }
 
   @Override
-  public void ended(Answer.Ending ending) {
+  public void ended(Answer.Outcome ending) {
     reply.response(
         this,
         switch (ending.end()) {
@@ -159,7 +159,7 @@
         });
   }
 
-  private ObjectNode result(Answer.Ending ending) {
+  private ObjectNode result(Answer.Outcome ending) {
     ObjectNode result = JsonNodeFactory.instance.objectNode();
     result.putArray("content").addObject().put("type", "text").put("text", ending.text());
     ObjectNode told = result.putObject("structuredContent");
@@ -174,7 +174,7 @@
     return result.put("isError", false);
   }
 
-  private static ObjectNode data(Answer.Ending ending, boolean retryable) {
+  private static ObjectNode data(Answer.Outcome ending, boolean retryable) {
     ObjectNode data =
         JsonNodeFactory.instance
             .objectNode()
--- a/gateway/src/main/java/lemondock/gateway/front/McpFront.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpHttpHandler.java
@@ -1,9 +1,9 @@
-package lemondock.gateway.front;
+package lemondock.gateway.mcp;
 
-import static lemondock.gateway.front.FrontAnswers.bytes;
-import static lemondock.gateway.front.FrontAnswers.clip;
-import static lemondock.gateway.front.FrontAnswers.error;
-import static lemondock.gateway.front.FrontAnswers.text;
+import static lemondock.gateway.mcp.HttpReplies.bytes;
+import static lemondock.gateway.mcp.HttpReplies.clip;
+import static lemondock.gateway.mcp.HttpReplies.error;
+import static lemondock.gateway.mcp.HttpReplies.text;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -33,17 +33,17 @@
  * The clients' front: the Model Context Protocol over Streamable HTTP. It speaks the protocol and
  * keeps sessions; what becomes of a call is decided behind {@link CallService}.
  */
-public final class McpFront implements HttpServer.Service {
-  private static final Logger LOG = LoggerFactory.getLogger(McpFront.class);
+public final class McpHttpHandler implements HttpServer.Service {
+  private static final Logger LOG = LoggerFactory.getLogger(McpHttpHandler.class);
   private static final String PATH = "/mcp";
   private static final byte[] NOTHING = new byte[0];
   private static final long REAP_EVERY = 1_000_000;
 
   private final Loop loop;
   private final GatewaySettings.Front settings;
-  private final CallIntake intake;
-  private final AccessCheck access;
-  private final PostReply.Services replies;
+  private final RequestPreparer intake;
+  private final DnsRebindingGuard access;
+  private final PostResponder.Services replies;
   private final Supplier<String> sessionIds;
   private final String version;
   private final Map<String, McpSession> sessions = new HashMap<>();
@@ -58,7 +58,7 @@
    * @param admission what is let in when the gateway itself is late
    * @param notReady says why nothing can be served now, empty if it can
    */
-  public McpFront(
+  public McpHttpHandler(
       Loop loop,
       GatewaySettings settings,
       CallService calls,
@@ -72,9 +72,10 @@
     this.sessionIds = sessionIds;
     this.notReady = notReady;
     this.version = version;
-    this.intake = new CallIntake(settings, calls, prompts, admission);
-    this.access = new AccessCheck(settings.front());
-    this.replies = new PostReply.Services(loop, settings, calls, prompts, intake, () -> stopping);
+    this.intake = new RequestPreparer(settings, calls, prompts, admission);
+    this.access = new DnsRebindingGuard(settings.front());
+    this.replies =
+        new PostResponder.Services(loop, settings, calls, prompts, intake, () -> stopping);
   }
 
   /** Begins to let go of idle sessions. */
@@ -134,7 +135,7 @@
 
   @Override
   public int glance() {
-    return Peek.FAR;
+    return ToolNameScanner.FAR;
   }
 
   @Override
@@ -193,7 +194,7 @@
       text(exchange, 406, "expected accept: application/json, text/event-stream");
       return;
     }
-    CallIntake.Prepared prepared = (CallIntake.Prepared) exchange.prepared();
+    RequestPreparer.Prepared prepared = (RequestPreparer.Prepared) exchange.prepared();
     List<Message> messages = prepared.parsed().messages();
     if (!prepared.parsed().batch() && messages.get(0) instanceof Message.Invalid invalid) {
       error(exchange, 400, invalid.id(), invalid.code(), invalid.what());
@@ -295,7 +296,7 @@
               "content-type",
               "application/json",
               "retry-after",
-              Long.toString(CallIntake.wholeSeconds(retryAfter.getAsLong()))),
+              Long.toString(RequestPreparer.wholeSeconds(retryAfter.getAsLong()))),
           bytes(JsonRpc.error(request.id(), Mcp.LIMIT, "the gateway is at its limit", data)));
       return;
     }
@@ -337,7 +338,7 @@
     }
     session.calls.clear();
     session.relayed.clear();
-    List.copyOf(session.streams.values()).forEach(Stream::close);
+    List.copyOf(session.streams.values()).forEach(ResumableEventStream::close);
     if (session.server != null) {
       session.server.close();
     }
@@ -363,14 +364,14 @@
     if (session.server != null) {
       session.server.close(); // one such stream a session: the newer one wins
     }
-    Stream stream =
-        new Stream(
+    ResumableEventStream stream =
+        new ResumableEventStream(
             loop,
             0,
             settings.replayBytes(),
             0,
             GatewaySettings.micros(settings.keepAliveMs()),
-            new Stream.Owner() {
+            new ResumableEventStream.Owner() {
               @Override
               public void slow() {}
 
@@ -378,7 +379,7 @@
               public void flow() {}
 
               @Override
-              public void over(Stream ended, boolean delivered) {
+              public void over(ResumableEventStream ended, boolean delivered) {
                 if (session.server == ended) {
                   session.server = null;
                 }
@@ -391,7 +392,7 @@
   private void resume(HttpServer.Exchange exchange, McpSession session, String last) {
     if (last.matches("[0-9]{1,18}-[0-9]{1,18}")) {
       String[] parts = last.split("-");
-      Stream stream = session.streams.get(Long.parseLong(parts[0]));
+      ResumableEventStream stream = session.streams.get(Long.parseLong(parts[0]));
       if (stream != null && stream.resume(exchange, session.id, Long.parseLong(parts[1]))) {
         return;
       }
@@ -407,7 +408,7 @@
   private void messages(
       HttpServer.Exchange exchange,
       McpSession session,
-      CallIntake.Prepared prepared,
+      RequestPreparer.Prepared prepared,
       boolean stream) {
     List<Message.Request> requests = new ArrayList<>();
     List<ObjectNode> ready = new ArrayList<>();
@@ -426,8 +427,9 @@
       exchange.respond(202, new Headers(), NOTHING);
       return;
     }
-    PostReply.Shape shape = new PostReply.Shape(prepared.parsed().batch(), stream, requests.size());
-    PostReply reply = new PostReply(replies, exchange, session, shape, ready);
+    PostResponder.ResponseMode shape =
+        new PostResponder.ResponseMode(prepared.parsed().batch(), stream, requests.size());
+    PostResponder reply = new PostResponder(replies, exchange, session, shape, ready);
     for (Message.Request request : requests) {
       reply.take(request, prepared.readings().get(request));
     }
--- a/gateway/src/main/java/lemondock/gateway/front/McpSession.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpSession.java
@@ -1,4 +1,4 @@
-package lemondock.gateway.front;
+package lemondock.gateway.mcp;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -20,7 +20,7 @@
   /** Relayed calls that wait for the client's response, by the id they were sent under. */
   final Map<String, Relayed> relayed = new HashMap<>();
 
-  final Map<Long, Stream> streams = new HashMap<>();
+  final Map<Long, ResumableEventStream> streams = new HashMap<>();
 
   /**
    * Ids cancelled while no call of theirs was under way, and when: a call may still wait to be
@@ -28,7 +28,7 @@
    */
   private final LinkedHashMap<String, Long> early = new LinkedHashMap<>();
 
-  Stream server;
+  ResumableEventStream server;
   long usedAt;
   long nextStream = 1;
   long nextRelay = 1;
--- a/gateway/src/main/java/lemondock/gateway/front/PostReply.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/PostResponder.java
@@ -1,7 +1,7 @@
-package lemondock.gateway.front;
+package lemondock.gateway.mcp;
 
-import static lemondock.gateway.front.FrontAnswers.bytes;
-import static lemondock.gateway.front.FrontAnswers.clip;
+import static lemondock.gateway.mcp.HttpReplies.bytes;
+import static lemondock.gateway.mcp.HttpReplies.clip;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -27,15 +27,15 @@
  * What is answered to one POST: a JSON text, or an event stream as soon as a call is among its
  * requests.
  */
-final class PostReply implements McpCall.Reply, Stream.Owner {
+final class PostResponder implements McpCall.Reply, ResumableEventStream.Owner {
   private final Services services;
   private final HttpServer.Exchange exchange;
   private final McpSession session;
-  private final Shape shape;
+  private final ResponseMode shape;
   private final List<ObjectNode> ready;
   private final List<McpCall> open = new ArrayList<>();
   private int left;
-  private Stream stream;
+  private ResumableEventStream stream;
 
   /**
    * What all replies of one front work with; {@code stopping} says whether new calls are turned
@@ -46,21 +46,21 @@
       GatewaySettings settings,
       CallService calls,
       PromptReader prompts,
-      CallIntake intake,
+      RequestPreparer intake,
       BooleanSupplier stopping) {}
 
   /**
    * The form of an answer: whether it is a batch, whether it may become an event stream, and to how
    * many requests.
    */
-  record Shape(boolean batch, boolean mayStream, int requests) {}
+  record ResponseMode(boolean batch, boolean mayStream, int requests) {}
 
   /** Makes the answer to one POST; {@code ready} holds what is answered already. */
-  PostReply(
+  PostResponder(
       Services services,
       HttpServer.Exchange exchange,
       McpSession session,
-      Shape shape,
+      ResponseMode shape,
       List<ObjectNode> ready) {
     this.services = services;
     this.exchange = exchange;
@@ -74,18 +74,20 @@
    * Answers a request at once or begins its call; {@code reading} is what was made of a call, null
    * for other methods.
    */
-  void take(Message.Request request, CallIntake.Reading reading) {
+  void take(Message.Request request, RequestPreparer.PreparedCall reading) {
     if (!request.method().equals(Mcp.TOOLS_CALL)) {
       done(answer(request));
-    } else if (reading instanceof CallIntake.Malformed malformed) {
+    } else if (reading instanceof RequestPreparer.Malformed malformed) {
       done(JsonRpc.error(request.id(), JsonRpc.INVALID_PARAMS, malformed.problem(), null));
-    } else if (reading instanceof CallIntake.Refused refused) {
-      boolean repeat = CallIntake.repeat(request.params());
+    } else if (reading instanceof RequestPreparer.Rejected refused) {
+      boolean repeat = RequestPreparer.repeat(request.params());
       services.intake().arrived(refused.classId(), repeat);
-      services.calls().refusedLate(refused.classId(), CallIntake.tenant(request), repeat);
-      done(CallIntake.refusal(request.id(), refused.retryAfter()));
-    } else if (reading instanceof CallIntake.Accepted accepted) {
-      services.intake().arrived(accepted.prompt().classId(), CallIntake.repeat(request.params()));
+      services.calls().refusedLate(refused.classId(), RequestPreparer.tenant(request), repeat);
+      done(RequestPreparer.refusal(request.id(), refused.retryAfter()));
+    } else if (reading instanceof RequestPreparer.Accepted accepted) {
+      services
+          .intake()
+          .arrived(accepted.prompt().classId(), RequestPreparer.repeat(request.params()));
       call(request, accepted.prompt());
     }
   }
@@ -143,7 +145,8 @@
       if (code == Mcp.LIMIT || code == Mcp.STOPPING) {
         services
             .calls()
-            .turnedAway(prompt, CallIntake.tenant(request), CallIntake.repeat(request.params()));
+            .turnedAway(
+                prompt, RequestPreparer.tenant(request), RequestPreparer.repeat(request.params()));
       }
       ObjectNode data =
           JsonNodeFactory.instance
@@ -154,7 +157,7 @@
     }
     if (shape.mayStream() && stream == null) {
       stream =
-          new Stream(
+          new ResumableEventStream(
               services.loop(),
               session.nextStream++,
               services.settings().front().replayBytes(),
@@ -174,7 +177,7 @@
    * what became of it.
    */
   private boolean known(Message.Request request, Prompt prompt) {
-    String key = CallIntake.onceKey(request.params());
+    String key = RequestPreparer.onceKey(request.params());
     IdempotencyStore.Fate fate = services.calls().known(prompt, key);
     if (fate == null) {
       return false;
@@ -222,9 +225,9 @@
         .start(
             prompt,
             key,
-            CallIntake.tenant(request),
-            CallIntake.repeat(request.params()),
-            CallIntake.onceKey(request.params()),
+            RequestPreparer.tenant(request),
+            RequestPreparer.repeat(request.params()),
+            RequestPreparer.onceKey(request.params()),
             call);
   }
 
@@ -236,7 +239,7 @@
   }
 
   @Override
-  public void progress(Progress progress, int tokens, CharSequence piece) {
+  public void progress(ProgressNotification progress, int tokens, CharSequence piece) {
     if (stream != null) {
       stream.send(progress, tokens, piece);
     }
@@ -319,7 +322,7 @@
   }
 
   @Override
-  public void over(Stream ended, boolean delivered) {
+  public void over(ResumableEventStream ended, boolean delivered) {
     session.streams.remove(ended.number(), ended);
     if (!session.ended) {
       leaveAll("the client's stream was not taken up again");
--- a/gateway/src/main/java/lemondock/gateway/front/Progress.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ProgressNotification.java
@@ -1,4 +1,4 @@
-package lemondock.gateway.front;
+package lemondock.gateway.mcp;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.charset.StandardCharsets;
@@ -9,7 +9,7 @@
  * The notification that carries a piece of an answer: all that is the same for each piece of one
  * answer is made once.
  */
-final class Progress {
+final class ProgressNotification {
   private static final byte[] MIDDLE = ",\"message\":\"".getBytes(StandardCharsets.US_ASCII);
   private static final byte[] TAIL = "\"}}".getBytes(StandardCharsets.US_ASCII);
   private static final byte[] HEX = "0123456789ABCDEF".getBytes(StandardCharsets.US_ASCII);
@@ -30,7 +30,7 @@
   }
 
   /** For answers to the call that gave that token. */
-  Progress(JsonNode token) {
+  ProgressNotification(JsonNode token) {
     head =
         ("{\"jsonrpc\":\"2.0\",\"method\":\""
                 + Mcp.PROGRESS
--- a/gateway/src/main/java/lemondock/gateway/front/CallIntake.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/RequestPreparer.java
@@ -1,7 +1,7 @@
-package lemondock.gateway.front;
+package lemondock.gateway.mcp;
 
-import static lemondock.gateway.front.FrontAnswers.bytes;
-import static lemondock.gateway.front.FrontAnswers.clip;
+import static lemondock.gateway.mcp.HttpReplies.bytes;
+import static lemondock.gateway.mcp.HttpReplies.clip;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -26,7 +26,7 @@
  * calls and new sessions, and makes the prompts of the calls that are let in. Any thread, but for
  * {@link #arrived}.
  */
-final class CallIntake {
+final class RequestPreparer {
   private static final long MICROS = 1_000;
   private static final long SECOND = 1_000_000;
   private static final int MOST_KEY = 200;
@@ -39,24 +39,24 @@
   private final AtomicLong chances = new AtomicLong();
 
   /** A request's messages, and what was made of each call among them. */
-  record Prepared(JsonRpc.Parsed parsed, Map<Message, Reading> readings) {}
+  record Prepared(JsonRpc.Parsed parsed, Map<Message, PreparedCall> readings) {}
 
   /** What was made of a call. */
-  sealed interface Reading permits Accepted, Malformed, Refused {}
+  sealed interface PreparedCall permits Accepted, Malformed, Rejected {}
 
   /** A call that is let in, with its prompt. */
-  record Accepted(Prompt prompt) implements Reading {}
+  record Accepted(Prompt prompt) implements PreparedCall {}
 
   /** A call that makes no sense; the problem is told to its client. */
-  record Malformed(String problem) implements Reading {}
+  record Malformed(String problem) implements PreparedCall {}
 
   /**
    * A call that is refused because the gateway is at its limit; its client may come back after so
    * many microseconds.
    */
-  record Refused(int classId, long retryAfter) implements Reading {}
+  record Rejected(int classId, long retryAfter) implements PreparedCall {}
 
-  CallIntake(
+  RequestPreparer(
       GatewaySettings settings, CallService calls, PromptReader prompts, Admission admission) {
     this.settings = settings;
     this.calls = calls;
@@ -76,9 +76,9 @@
   Prepared prepare(HttpServer.Request request) {
     boolean asked =
         request.body().length >= settings.overload().heavyBytes()
-            && Peek.tool(request.body()) != null;
+            && ToolNameScanner.tool(request.body()) != null;
     JsonRpc.Parsed parsed = rpc.parse(request.body());
-    Map<Message, Reading> made = new HashMap<>();
+    Map<Message, PreparedCall> made = new HashMap<>();
     for (Message message : parsed.messages()) {
       if (message instanceof Message.Request call && call.method().equals(Mcp.TOOLS_CALL)) {
         made.put(message, read(call.params(), asked && !parsed.batch()));
@@ -98,7 +98,7 @@
         || !request.method().equals("POST")) {
       return null;
     }
-    String tool = Peek.tool(request.body());
+    String tool = ToolNameScanner.tool(request.body());
     int classId = tool == null ? -1 : prompts.classId(tool);
     if (classId < 0 || gate.admits(value(classId), chance())) {
       return null;
@@ -127,7 +127,7 @@
   }
 
   /** {@code asked} says that the gate let it in by its tool already. */
-  private Reading read(JsonNode params, boolean asked) {
+  private PreparedCall read(JsonNode params, boolean asked) {
     if (params == null || !params.path("name").isTextual()) {
       return new Malformed("/name: expected the name of a tool");
     }
@@ -142,7 +142,7 @@
       Admission.Gate gate = admission.gate();
       if (!asked && !gate.admits(value, chance())
           || repeat(params) && !gate.admitsRepeat(chance())) {
-        return new Refused(classId, gate.retryAfter(chance()));
+        return new Rejected(classId, gate.retryAfter(chance()));
       }
     }
     JsonNode key = params.path("_meta").get("lemondock/key");
@@ -157,7 +157,7 @@
     }
     try {
       return new Accepted(prompts.read(classId, params.get("arguments")));
-    } catch (PromptReader.BadArguments e) {
+    } catch (PromptReader.InvalidArgumentsException e) {
       return new Malformed(e.getMessage());
     }
   }
--- a/gateway/src/main/java/lemondock/gateway/front/Stream.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ResumableEventStream.java
@@ -1,4 +1,4 @@
-package lemondock.gateway.front;
+package lemondock.gateway.mcp;
 
 import java.nio.charset.StandardCharsets;
 import lemondock.net.Loop;
@@ -12,7 +12,7 @@
  * again within the resume window with the last id it saw, and gets what followed. It is its own
  * lock: the loop does all but sending plain pieces while it flows, which an I/O thread may do.
  */
-final class Stream {
+final class ResumableEventStream {
   private static final long HIGH_MARK = 64 * 1024;
 
   /** More than an event on the direct way takes: an engine's event is smaller. */
@@ -28,7 +28,7 @@
   private final OutBuffer out = new OutBuffer(USUAL);
   private final Loop loop;
   private final long number;
-  private final EventLog log;
+  private final EventReplayBuffer log;
   private final long window;
   private final long keepAlive;
   private final Owner owner;
@@ -48,13 +48,14 @@
     void flow();
 
     /** No connection came back in time, or all was delivered: the stream is over. */
-    void over(Stream stream, boolean delivered);
+    void over(ResumableEventStream stream, boolean delivered);
   }
 
-  Stream(Loop loop, long number, int replayBytes, long window, long keepAlive, Owner owner) {
+  ResumableEventStream(
+      Loop loop, long number, int replayBytes, long window, long keepAlive, Owner owner) {
     this.loop = loop;
     this.number = number;
-    this.log = new EventLog(replayBytes);
+    this.log = new EventReplayBuffer(replayBytes);
     this.window = window;
     this.keepAlive = keepAlive;
     this.owner = owner;
@@ -157,7 +158,7 @@
   }
 
   /** Sends a piece of an answer. */
-  synchronized void send(Progress progress, int tokens, CharSequence piece) {
+  synchronized void send(ProgressNotification progress, int tokens, CharSequence piece) {
     if (!finished) {
       begin(true);
       progress.write(tokens, piece, out);
--- a/gateway/src/main/java/lemondock/gateway/front/Peek.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ToolNameScanner.java
@@ -1,4 +1,4 @@
-package lemondock.gateway.front;
+package lemondock.gateway.mcp;
 
 import java.nio.charset.StandardCharsets;
 import lemondock.rpc.Mcp;
@@ -8,7 +8,7 @@
  * for a hundredth of the cost of parsing it. What it does not see is left to the parser, and what
  * it sees decides only whether the call is refused.
  */
-final class Peek {
+final class ToolNameScanner {
   /** Bytes from which on more of the content changes nothing. */
   static final int FAR = 600;
 
@@ -17,7 +17,7 @@
       ('"' + Mcp.TOOLS_CALL + '"').getBytes(StandardCharsets.US_ASCII);
   private static final byte[] NAME = "\"name\"".getBytes(StandardCharsets.US_ASCII);
 
-  private Peek() {}
+  private ToolNameScanner() {}
 
   /** The tool that a single {@code tools/call} names; null if it does not begin like one. */
   static String tool(byte[] body) {
--- a/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
@@ -30,7 +30,7 @@
 import lemondock.exporter.collectd.Seal;
 import lemondock.exporter.graphite.Pickle;
 import lemondock.exporter.graphite.PlainText;
-import lemondock.gateway.count.GatewayTally;
+import lemondock.gateway.accounting.GatewayMetrics;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsException;
 import lemondock.gateway.settings.SettingsFile;
@@ -49,7 +49,7 @@
 /**
  * A gateway's reports, on a loop, sockets and threads that no request uses: collectors, the
  * detector of falls, the port that {@code lemondock status} asks, and the final tally. The gateway
- * knows nothing of it but its {@link GatewayTally}.
+ * knows nothing of it but its {@link GatewayMetrics}.
  */
 public final class Reporting {
   private static final Logger LOG = LoggerFactory.getLogger(Reporting.class);
@@ -65,7 +65,7 @@
 
   private final GatewaySettings settings;
   private final GatewaySettings.Reporting reporting;
-  private final GatewayTally counted;
+  private final GatewayMetrics counted;
   private final Environment environment;
   private final Loop loop;
   private final Reporter reporter;
@@ -87,7 +87,7 @@
    */
   public Reporting(
       GatewaySettings settings,
-      GatewayTally counted,
+      GatewayMetrics counted,
       Environment environment,
       MeterRegistry process) {
     this.settings = settings;
@@ -394,7 +394,7 @@
 
   private ObjectNode tally(Snapshot snapshot, boolean last) {
     ObjectNode root = head().put("final", last);
-    root.set("tally", TallyJson.of(snapshot));
+    root.set("tally", SnapshotJson.of(snapshot));
     return root;
   }
 
@@ -425,7 +425,7 @@
             .put("requests", s.requests());
       }
     }
-    ObjectNode tally = TallyJson.of(reporter.newest());
+    ObjectNode tally = SnapshotJson.of(reporter.newest());
     for (String family : List.of("servers", "gateway", "module", "loop_lag", "report")) {
       if (tally.has(family)) {
         root.set(family, tally.get(family));
--- a/gateway/src/main/java/lemondock/gateway/reporting/ServiceWindow.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/ServiceWindow.java
@@ -14,9 +14,9 @@
  */
 final class ServiceWindow {
   private final long span;
-  private final ArrayDeque<Look> looks = new ArrayDeque<>();
+  private final ArrayDeque<Sample> looks = new ArrayDeque<>();
 
-  private record Look(long at, Map<String, long[]> byClass) {}
+  private record Sample(long at, Map<String, long[]> byClass) {}
 
   /** A window of so many microseconds. */
   ServiceWindow(long span) {
@@ -32,14 +32,14 @@
         sum[1] += snapshot.values()[s.slot(2)];
       }
     }
-    looks.add(new Look(now, sums));
+    looks.add(new Sample(now, sums));
     while (looks.size() > 2 && second().at() <= now - span) {
       looks.poll();
     }
   }
 
-  private Look second() {
-    Iterator<Look> all = looks.iterator();
+  private Sample second() {
+    Iterator<Sample> all = looks.iterator();
     all.next();
     return all.next();
   }
@@ -48,7 +48,7 @@
   Map<String, double[]> service() {
     Map<String, double[]> service = new LinkedHashMap<>();
     if (!looks.isEmpty()) {
-      Look first = looks.peekFirst();
+      Sample first = looks.peekFirst();
       looks
           .peekLast()
           .byClass()
--- a/gateway/src/main/java/lemondock/gateway/reporting/TallyJson.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/SnapshotJson.java
@@ -13,8 +13,8 @@
  * A tally as JSON: for each family its rows, each with its labels and values. Values are exact
  * decimals.
  */
-public final class TallyJson {
-  private TallyJson() {}
+public final class SnapshotJson {
+  private SnapshotJson() {}
 
   /** All families; a gauge without a value is left out of its row. */
   public static ObjectNode of(Snapshot snapshot) {
--- a/gateway/src/test/java/lemondock/gateway/WallsTest.java
+++ b/gateway/src/test/java/lemondock/gateway/ArchitectureTest.java
@@ -9,13 +9,13 @@
 import com.tngtech.archunit.lang.ArchRule;
 
 /**
- * Walls that the compiler does not see: time, threads and sockets come through the ports of {@code
- * net} alone.
+ * Dependency rules between packages that the compiler does not enforce: clocks, threads and sockets
+ * are reached through the interfaces of {@code lemondock.net} only.
  */
 @AnalyzeClasses(packages = "lemondock", importOptions = ImportOption.DoNotIncludeTests.class)
-class WallsTest {
+class ArchitectureTest {
   @ArchTest
-  static final ArchRule THE_GATEWAY_HAS_NO_CLOCK_AND_NO_SOCKET =
+  static final ArchRule GATEWAY_USES_NO_CLOCK_AND_NO_SOCKET_OF_ITS_OWN =
       noClasses()
           .that()
           .resideInAPackage("lemondock.gateway..")
@@ -31,18 +31,18 @@
           .haveFullyQualifiedName("java.net.Socket");
 
   @ArchTest
-  static final ArchRule ONLY_THE_FILE_LIST_HAS_A_THREAD =
+  static final ArchRule ONLY_THE_FILE_ENDPOINT_LIST_STARTS_A_THREAD =
       noClasses()
           .that()
           .resideInAPackage("lemondock.gateway..")
           .and()
-          .haveSimpleNameNotStartingWith("FileList")
+          .haveSimpleNameNotStartingWith("FileEndpointList")
           .should()
           .dependOnClassesThat()
           .areAssignableTo(Thread.class);
 
   @ArchTest
-  static final ArchRule THE_MODULE_KNOWS_NOTHING_ELSE =
+  static final ArchRule POLICY_DEPENDS_ON_ITSELF_AND_THE_JDK_ONLY =
       classes()
           .that()
           .resideInAPackage("lemondock.policy..")
@@ -51,7 +51,7 @@
           .resideInAnyPackage("lemondock.policy..", "java.lang..", "java.util..");
 
   @ArchTest
-  static final ArchRule DECIDING_MODULES_KNOW_NOTHING_ELSE =
+  static final ArchRule ANOMALY_AND_OVERLOAD_DEPEND_ON_THEMSELVES_AND_THE_JDK_ONLY =
       classes()
           .that()
           .resideInAnyPackage("lemondock.anomaly..", "lemondock.overload..")
@@ -61,7 +61,7 @@
               "lemondock.anomaly..", "lemondock.overload..", "java.lang..", "java.util..");
 
   @ArchTest
-  static final ArchRule DECIDING_MODULES_AND_REPORTS_HAVE_NO_CLOCK =
+  static final ArchRule DECISION_AND_METRICS_MODULES_READ_NO_CLOCK =
       noClasses()
           .that()
           .resideInAnyPackage(
@@ -76,10 +76,10 @@
           .callMethod(System.class, "currentTimeMillis");
 
   @ArchTest
-  static final ArchRule THE_BOOK_OF_CALLS_DOES_NO_IO =
+  static final ArchRule IDEMPOTENCY_STORE_DOES_NO_IO =
       noClasses()
           .that()
-          .haveSimpleNameStartingWith("CallBook")
+          .haveSimpleNameStartingWith("IdempotencyStore")
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage("java.net..", "java.nio.channels..", "java.nio.file..");
@@ -94,7 +94,7 @@
           .resideInAnyPackage("java.net..", "java.nio.channels..", "java.nio.file..");
 
   @ArchTest
-  static final ArchRule CODECS_AND_WHEEL_DO_NO_IO =
+  static final ArchRule CODECS_AND_TIMER_WHEEL_DO_NO_IO =
       noClasses()
           .that()
           .resideInAnyPackage(
@@ -107,7 +107,7 @@
           .resideInAnyPackage("java.net..", "java.nio.channels..", "java.nio.file..");
 
   @ArchTest
-  static final ArchRule THE_NETWORK_KNOWS_NO_GATEWAY =
+  static final ArchRule NET_DOES_NOT_DEPEND_ON_THE_GATEWAY =
       noClasses()
           .that()
           .resideInAPackage("lemondock.net..")
--- a/gateway/src/test/java/lemondock/gateway/count/CallCountTest.java
+++ b/gateway/src/test/java/lemondock/gateway/accounting/CallMetricsTest.java
@@ -1,4 +1,4 @@
-package lemondock.gateway.count;
+package lemondock.gateway.accounting;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -17,14 +17,14 @@
  * What a call counts as, by the times at which things happen to it. Aim 100 ms and 10 a token,
  * worth 3, late worth a fifth.
  */
-class CallCountTest {
+class CallMetricsTest {
   private static final long MS = 1_000;
-  private GatewayTally tally;
+  private GatewayMetrics tally;
 
   @BeforeEach
   void make() throws Exception {
     tally =
-        new GatewayTally(
+        new GatewayMetrics(
             SettingsFile.gateway(
                 "t",
                 new ObjectMapper()
@@ -37,8 +37,8 @@
                         """)));
   }
 
-  private static Answer.Ending end(Answer.End end, int tokens) {
-    return new Answer.Ending(end, "", tokens, 0, 0, "stop", false, 0, "");
+  private static Answer.Outcome end(Answer.OutcomeKind end, int tokens) {
+    return new Answer.Outcome(end, "", tokens, 0, 0, "stop", false, 0, "");
   }
 
   /**
@@ -64,45 +64,45 @@
     return text.toString().replace(".0", "");
   }
 
-  private CallCount taken() {
+  private CallMetrics taken() {
     return tally.taken(0, null, false, 1000, 0); // aim 150 ms
   }
 
   @Test
   void inTimeAndAtPace() {
-    CallCount call = taken();
+    CallMetrics call = taken();
     assertEquals(150 * MS, call.aim());
     call.delivered(150 * MS);
     call.aimPassed();
     call.delivered(160 * MS);
-    call.ended(240 * MS, end(Answer.End.SERVED, 10));
-    call.ended(250 * MS, end(Answer.End.FAILED, 10)); // ends once
+    call.ended(240 * MS, end(Answer.OutcomeKind.SERVED, 10));
+    call.ended(250 * MS, end(Answer.OutcomeKind.FAILED, 10)); // ends once
     assertCounts("3 0 3 0", "1 0 1 0 0 0", "1 0");
   }
 
   @Test
   void aFirstTokenTooLateEarnsTheLateWorth() {
-    CallCount call = taken();
+    CallMetrics call = taken();
     call.aimPassed();
     call.delivered(151 * MS);
-    call.ended(200 * MS, end(Answer.End.SERVED, 5));
+    call.ended(200 * MS, end(Answer.OutcomeKind.SERVED, 5));
     assertCounts("3 0 0 0.6", "1 0 1 0 0 0", "0 1");
   }
 
   @Test
   void aStreamTooSlowEarnsTheLateWorthUpToTwiceThePace() {
-    CallCount call = taken();
+    CallMetrics call = taken();
     call.delivered(10 * MS);
-    call.ended((10 + 81) * MS, end(Answer.End.SERVED, 5)); // 4 gaps of 20.25 ms
-    CallCount other = taken();
+    call.ended((10 + 81) * MS, end(Answer.OutcomeKind.SERVED, 5)); // 4 gaps of 20.25 ms
+    CallMetrics other = taken();
     other.delivered(10 * MS);
-    other.ended((10 + 79) * MS, end(Answer.End.SERVED, 5));
+    other.ended((10 + 79) * MS, end(Answer.OutcomeKind.SERVED, 5));
     assertCounts("6 0 0 0.6", "2 0 2 0 0 0", "2 2");
   }
 
   @Test
   void theTimeOfToolsIsNotTheWriters() {
-    CallCount call = taken();
+    CallMetrics call = taken();
     call.delivered(100 * MS);
     call.relayed(110 * MS);
     call.relayed(110 * MS);
@@ -110,39 +110,40 @@
     call.lost();
     call.delivered(5_000 * MS);
     call.relayed(5_010 * MS);
-    call.ended(9_000 * MS, end(Answer.End.SERVED, 3));
+    call.ended(9_000 * MS, end(Answer.OutcomeKind.SERVED, 3));
     assertCounts("3 0 3 0", "1 0 1 0 0 0", "1 0");
     assertEquals("3 1 2", row(tally.tally().snapshot(true), Metrics.TOOLS, List.of("c"), 1));
   }
 
   @Test
   void aCallThatEndsWhileItsToolsRunHasLostThem() {
-    CallCount call = taken();
+    CallMetrics call = taken();
     call.relayed(10 * MS);
     call.relayed(10 * MS);
-    call.ended(20 * MS, end(Answer.End.LEFT, 0));
+    call.ended(20 * MS, end(Answer.OutcomeKind.LEFT, 0));
     assertEquals(0, call.waiting());
     assertEquals("2 0 2", row(tally.tally().snapshot(true), Metrics.TOOLS, List.of("c"), 1));
   }
 
   @Test
   void refusedFailedAndLeft() {
-    taken().ended(5 * MS, end(Answer.End.REFUSED, 0));
-    CallCount failed = taken();
+    taken().ended(5 * MS, end(Answer.OutcomeKind.REFUSED, 0));
+    CallMetrics failed = taken();
     failed.delivered(10 * MS);
-    failed.ended(50 * MS, end(Answer.End.FAILED, 3)); // it began well: one good, one bad
-    taken().ended(5 * MS, end(Answer.End.LEFT, 0)); // who leaves early says nothing of service
-    CallCount late = taken();
+    failed.ended(50 * MS, end(Answer.OutcomeKind.FAILED, 3)); // it began well: one good, one bad
+    taken()
+        .ended(5 * MS, end(Answer.OutcomeKind.LEFT, 0)); // who leaves early says nothing of service
+    CallMetrics late = taken();
     late.aimPassed();
-    late.ended(900 * MS, end(Answer.End.LEFT, 0));
+    late.ended(900 * MS, end(Answer.OutcomeKind.LEFT, 0));
     tally.turnedAway(0, null, true);
     assertCounts("12 3 0 0", "5 1 0 2 1 2", "1 4");
   }
 
   @Test
   void whatIsNeverSentIsNoPaceAndAnswersWithoutTextAreInTime() {
-    CallCount call = taken();
-    call.ended(50 * MS, end(Answer.End.SERVED, 0));
+    CallMetrics call = taken();
+    call.ended(50 * MS, end(Answer.OutcomeKind.SERVED, 0));
     assertCounts("3 0 3 0", "1 0 1 0 0 0", "1 0");
   }
 
--- a/gateway/src/test/java/lemondock/gateway/answer/AnswerTest.java
+++ b/gateway/src/test/java/lemondock/gateway/answer/AnswerTest.java
@@ -9,20 +9,20 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import lemondock.gateway.answer.Answer.End;
-import lemondock.gateway.engine.Chunk;
+import lemondock.gateway.answer.Answer.OutcomeKind;
+import lemondock.gateway.engine.CompletionChunk;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
 /** The states of an answer. */
 class AnswerTest {
-  private static final Answer.Bounds BOUNDS = new Answer.Bounds(30, 3, 4, 200, 2, true);
+  private static final Answer.Limits BOUNDS = new Answer.Limits(30, 3, 4, 200, 2, true);
 
   /** Writes down every step. */
-  private static final class Log implements Answer.Steps {
+  private static final class Log implements Answer.Actions {
     private final List<String> steps = new ArrayList<>();
-    private final List<Answer.Ending> endings = new ArrayList<>();
+    private final List<Answer.Outcome> endings = new ArrayList<>();
     private final StringBuilder delivered = new StringBuilder();
     private final List<String> relayed = new ArrayList<>();
     private int legs;
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public void ended(Answer.Ending ending) {
+    public void ended(Answer.Outcome ending) {
       endings.add(ending);
     }
   }
@@ -73,14 +73,14 @@
   private final Log log = new Log();
   private Answer answer = new Answer(log, BOUNDS);
 
-  private static Chunk text(String piece) {
-    return new Chunk(piece, List.of(), null, -1, -1, -1, false, null);
+  private static CompletionChunk text(String piece) {
+    return new CompletionChunk(piece, List.of(), null, -1, -1, -1, false, null);
   }
 
-  private static Chunk call(int index, String id, String name, String arguments) {
-    return new Chunk(
+  private static CompletionChunk call(int index, String id, String name, String arguments) {
+    return new CompletionChunk(
         "",
-        List.of(new Chunk.CallPiece(index, id, name, arguments)),
+        List.of(new CompletionChunk.ToolCallDelta(index, id, name, arguments)),
         null,
         -1,
         -1,
@@ -89,8 +89,8 @@
         null);
   }
 
-  private static Chunk finish(String why) {
-    return new Chunk("", List.of(), why, -1, -1, -1, false, null);
+  private static CompletionChunk finish(String why) {
+    return new CompletionChunk("", List.of(), why, -1, -1, -1, false, null);
   }
 
   private void served() {
@@ -111,7 +111,8 @@
     answer.chunk(finish("stop"));
     served();
     assertEquals(
-        List.of(new Answer.Ending(End.SERVED, "ab", 2, 0, 0, "stop", false, 0, "")), log.endings);
+        List.of(new Answer.Outcome(OutcomeKind.SERVED, "ab", 2, 0, 0, "stop", false, 0, "")),
+        log.endings);
     answer.chunk(text("c"));
     answer.served();
     answer.leave("late");
@@ -158,17 +159,17 @@
       answer.chunk(text("a"));
       broke();
     }
-    assertEquals(End.FAILED, log.endings.get(0).end());
+    assertEquals(OutcomeKind.FAILED, log.endings.get(0).end());
     assertEquals(3, log.legs);
   }
 
   @Test
   void whatMayRunOnlyOnceIsNotResumed() {
-    answer = new Answer(log, new Answer.Bounds(30, 3, 4, 200, 2, false));
+    answer = new Answer(log, new Answer.Limits(30, 3, 4, 200, 2, false));
     answer.begin();
     answer.chunk(text("a"));
     broke();
-    assertEquals(End.FAILED, log.endings.get(0).end());
+    assertEquals(OutcomeKind.FAILED, log.endings.get(0).end());
     assertFalse(log.endings.get(0).retryable());
   }
 
@@ -176,7 +177,7 @@
   void onlyTheFirstLegsRefusalIsARefusal() {
     answer.begin();
     answer.refused(5);
-    assertEquals(End.REFUSED, log.endings.get(0).end());
+    assertEquals(OutcomeKind.REFUSED, log.endings.get(0).end());
     assertTrue(log.endings.get(0).retryable());
     Log second = new Log();
     Answer later = new Answer(second, BOUNDS);
@@ -186,7 +187,7 @@
     later.served();
     later.result("c", new ToolResult("", false));
     later.refused(5);
-    assertEquals(End.FAILED, second.endings.get(0).end());
+    assertEquals(OutcomeKind.FAILED, second.endings.get(0).end());
     assertFalse(second.endings.get(0).retryable());
   }
 
@@ -206,7 +207,7 @@
     for (int i = 0; i < 5; i++) {
       answer.chunk(call(i, "c" + i, "t", "{}"));
     }
-    assertEquals(End.FAILED, log.endings.get(0).end());
+    assertEquals(OutcomeKind.FAILED, log.endings.get(0).end());
     assertTrue(log.steps.contains("leave"));
   }
 
--- a/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
+++ b/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
@@ -19,8 +19,8 @@
 import lemondock.dispatch.EndpointRegistry;
 import lemondock.dispatch.RequestDispatcher;
 import lemondock.dispatch.RequestListener;
-import lemondock.gateway.count.GatewayTally;
-import lemondock.gateway.engine.Chunk;
+import lemondock.gateway.accounting.GatewayMetrics;
+import lemondock.gateway.engine.CompletionChunk;
 import lemondock.gateway.engine.EngineClient;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsException;
@@ -83,7 +83,7 @@
   private final List<String> told = new ArrayList<>();
   private final List<String> heard = new ArrayList<>();
   private RouterHost host;
-  private RequestDispatcher<ObjectNode, JsonNode, Chunk> ledger;
+  private RequestDispatcher<ObjectNode, JsonNode, CompletionChunk> ledger;
   private long reader;
   private long writer;
   private boolean faulty;
@@ -201,7 +201,7 @@
               return new Told();
             },
             () -> {},
-            new GatewayTally(someSettings()),
+            new GatewayMetrics(someSettings()),
             lateness);
   }
 
@@ -238,7 +238,7 @@
             JsonNodeFactory.instance.objectNode()),
         new RequestListener<>() {
           @Override
-          public void chunk(Chunk chunk) {
+          public void chunk(CompletionChunk chunk) {
             heard.add("'" + chunk.text() + "'");
           }
 
--- a/gateway/src/test/java/lemondock/gateway/discovery/MembershipTest.java
+++ b/gateway/src/test/java/lemondock/gateway/discovery/EndpointRegistryTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class MembershipTest {
+class EndpointRegistryTest {
   private static final long NOW = 100_000_000;
   private static final long WALL = 1_700_000_000_000L;
   private final EndpointRegistry members = new EndpointRegistry(List.of("reader", "writer"));
@@ -263,14 +263,14 @@
   }
 
   @Test
-  void consulsFormIsRead() throws Listing.Unreadable {
+  void consulsFormIsRead() throws EndpointListCodec.MalformedListException {
     String text =
         "[{\"Node\":{\"Address\":\"127.0.0.1\"},\"Service\":{\"ID\":\"w1\",\"Address\":\"\",\"Port\":80,"
             + "\"Meta\":{\"kind\":\"writer\",\"zone\":\"z\",\"rack\":\"r\",\"started\":\"12\"},\"Weights\":{\"Passing\":3}},"
             + "\"Checks\":[{\"CheckID\":\"_service_maintenance:w1\",\"Status\":\"critical\"}]},"
             + "{\"Service\":{\"ID\":\"w2\",\"Address\":\"127.0.0.2\",\"Port\":81,\"Meta\":{\"kind\":\"writer\"}},"
             + "\"Checks\":[{\"CheckID\":\"tcp\",\"Status\":\"critical\"}]}]";
-    List<Endpoint> entries = Listing.ofConsul(text.getBytes(StandardCharsets.UTF_8));
+    List<Endpoint> entries = EndpointListCodec.ofConsul(text.getBytes(StandardCharsets.UTF_8));
     assertEquals(ServerLifecycle.DRAINING, entries.get(0).standing());
     assertEquals(3, entries.get(0).weight());
     assertEquals(12, entries.get(0).startedAt());
@@ -278,9 +278,9 @@
   }
 
   @Test
-  void theFilesFormIsReadBack() throws Listing.Unreadable {
+  void theFilesFormIsReadBack() throws EndpointListCodec.MalformedListException {
     List<Endpoint> entries = List.of(entry("a", "reader", ServerLifecycle.DRAINING, 77));
-    assertEquals(entries, Listing.ofFile(Listing.toFile(entries)));
+    assertEquals(entries, EndpointListCodec.ofFile(EndpointListCodec.toFile(entries)));
   }
 
   @ParameterizedTest
@@ -300,8 +300,8 @@
   void whatIsWrongIsNamed(String text, String problem) {
     String message =
         assertThrows(
-                Listing.Unreadable.class,
-                () -> Listing.ofFile(text.getBytes(StandardCharsets.UTF_8)))
+                EndpointListCodec.MalformedListException.class,
+                () -> EndpointListCodec.ofFile(text.getBytes(StandardCharsets.UTF_8)))
             .getMessage();
     assertTrue(message.contains(problem), message);
   }
--- a/gateway/src/test/java/lemondock/gateway/engine/EngineProtocolTest.java
+++ b/gateway/src/test/java/lemondock/gateway/engine/EngineProtocolTest.java
@@ -52,7 +52,7 @@
 
   @Test
   void chunksAreRead() {
-    Chunk chunk =
+    CompletionChunk chunk =
         EngineProtocol.chunk(
             "{\"choices\":[{\"delta\":{\"content\":\"hi\",\"tool_calls\":[{\"index\":1,"
                 + "\"id\":\"c\",\"function\":{\"name\":\"t\",\"arguments\":\"{\"}}]},\"finish_reason\":\"stop\"}]}");
--- a/gateway/src/test/java/lemondock/gateway/engine/PlainPieceTest.java
+++ b/gateway/src/test/java/lemondock/gateway/engine/TextEventParserTest.java
@@ -20,9 +20,9 @@
  * alone.
  */
 @SuppressWarnings("checkstyle:AvoidEscapedUnicodeCharacters") // The escapes are what is parsed.
-class PlainPieceTest {
+class TextEventParserTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private final PlainPiece piece = new PlainPiece();
+  private final TextEventParser piece = new TextEventParser();
 
   /** Whether it was taken; if so it agrees with the whole reader. */
   private boolean takes(byte[] data) {
@@ -30,9 +30,9 @@
         java.util.Arrays.copyOf(data, data.length + 7); // what is behind the length must not matter
     boolean taken = piece.take(longer, data.length);
     if (taken) {
-      Chunk whole = EngineProtocol.chunk(new String(data, StandardCharsets.UTF_8));
+      CompletionChunk whole = EngineProtocol.chunk(new String(data, StandardCharsets.UTF_8));
       assertEquals(
-          new Chunk(
+          new CompletionChunk(
               piece.text().toString(),
               List.of(),
               null,
--- a/gateway/src/test/java/lemondock/gateway/front/EventLogTest.java
+++ b/gateway/src/test/java/lemondock/gateway/mcp/EventReplayBufferTest.java
@@ -1,4 +1,4 @@
-package lemondock.gateway.front;
+package lemondock.gateway.mcp;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -15,8 +15,8 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class EventLogTest {
-  private EventLog log = new EventLog(100);
+class EventReplayBufferTest {
+  private EventReplayBuffer log = new EventReplayBuffer(100);
 
   private List<Long> after(long number) {
     if (!log.keeps(number)) {
@@ -71,7 +71,7 @@
   @Property(tries = 1_000, seed = "20261201")
   void whatIsKeptIsWhatWasPutIn(
       @ForAll @Size(max = 60) List<@IntRange(min = 1, max = 140) Integer> steps) {
-    log = new EventLog(100); // each try its own
+    log = new EventReplayBuffer(100); // each try its own
     List<byte[]> all = new ArrayList<>();
     for (int step : steps) {
       append(step);
--- a/gateway/src/test/java/lemondock/gateway/front/PeekTest.java
+++ b/gateway/src/test/java/lemondock/gateway/mcp/ToolNameScannerTest.java
@@ -1,4 +1,4 @@
-package lemondock.gateway.front;
+package lemondock.gateway.mcp;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class PeekTest {
+class ToolNameScannerTest {
   private static String tool(String body) {
-    return Peek.tool(body.getBytes(StandardCharsets.UTF_8));
+    return ToolNameScanner.tool(body.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
@@ -62,8 +62,8 @@
                   + "z".repeat(300))
               .getBytes(StandardCharsets.UTF_8);
       assertEquals(
-          Peek.tool(body),
-          Peek.tool(Arrays.copyOf(body, Math.min(body.length, Peek.FAR))),
+          ToolNameScanner.tool(body),
+          ToolNameScanner.tool(Arrays.copyOf(body, Math.min(body.length, ToolNameScanner.FAR))),
           "after " + before);
     }
   }
--- a/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
@@ -25,8 +25,8 @@
 import lemondock.emulator.Tap;
 import lemondock.exporter.host.ReportHost;
 import lemondock.gateway.Gateway;
-import lemondock.gateway.Host;
-import lemondock.gateway.Machine;
+import lemondock.gateway.GatewayEnvironment;
+import lemondock.gateway.ProcessResources;
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.reporting.Reporting;
 import lemondock.gateway.settings.GatewaySettings;
@@ -60,7 +60,8 @@
   private final PromptReader prompts;
   private final ExecutorService workers = Workers.of(2, WORKERS_QUEUE, "rehearsal-worker");
   private UnaryOperator<FileSystemPort> files = f -> f;
-  private Machine machine = Machine.UNKNOWN; // one process holds all gateways: it is no one's own
+  private ProcessResources machine =
+      ProcessResources.UNKNOWN; // one process holds all gateways: it is no one's own
   private long seed;
   private Looks looks = (gateway, at, snapshot) -> {};
 
@@ -138,7 +139,7 @@
   }
 
   /** What gateways that are started from now on are told of their process. */
-  public void machine(Machine told) {
+  public void machine(ProcessResources told) {
     machine = told;
   }
 
@@ -282,7 +283,7 @@
         front.node.ask(
             () ->
                 new Gateway(
-                    new Host(
+                    new GatewayEnvironment(
                         front.node.loop(),
                         front.network,
                         front.disk,
--- a/scenario/src/test/java/lemondock/scenario/HaltingGateway.java
+++ b/scenario/src/test/java/lemondock/scenario/HaltingGateway.java
@@ -5,8 +5,8 @@
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 import lemondock.gateway.Gateway;
-import lemondock.gateway.Host;
-import lemondock.gateway.ThisProcess;
+import lemondock.gateway.GatewayEnvironment;
+import lemondock.gateway.JvmProcessResources;
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsFile;
@@ -37,13 +37,13 @@
             Boolean.parseBoolean(args[2]));
     Gateway gateway =
         new Gateway(
-            new Host(
+            new GatewayEnvironment(
                 node.loop(),
                 node.network(),
                 Workers.of(1, DISK_QUEUE, "disk"),
                 Workers.of(
                     settings.overload().heavyThreads(), settings.overload().heavyQueue(), "worker"),
-                new ThisProcess(),
+                new JvmProcessResources(),
                 folder),
             settings,
             new PromptReader(settings.classes()),
--- a/scenario/src/test/java/lemondock/scenario/OwnLimitTest.java
+++ b/scenario/src/test/java/lemondock/scenario/OwnLimitTest.java
@@ -18,7 +18,7 @@
 import java.util.function.Consumer;
 import lemondock.emulator.EngineSettings;
 import lemondock.emulator.Tap;
-import lemondock.gateway.Machine;
+import lemondock.gateway.ProcessResources;
 import lemondock.rpc.Mcp;
 import lemondock.scenario.McpClient.Tools;
 import org.junit.jupiter.api.Test;
@@ -77,7 +77,7 @@
   }
 
   /** A process that has as much left as a test says. */
-  private static final class Told implements Machine {
+  private static final class Told implements ProcessResources {
     private volatile double memory;
     private volatile double handles;
     private volatile long most = 10_000;
