--- a/benchmark/src/main/java/lemondock/benchmark/Affinity.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Affinity.java
@@ -52,7 +52,7 @@
    */
   private static RequestDispatcher.ModuleMaker maker(boolean anew, AtomicLongArray kept) {
     return (settings, seed, host) -> {
-      RequestRouter module = Gateway.MODULE.make(settings, seed, host);
+      RequestRouter module = Gateway.DEFAULT_ROUTER_FACTORY.make(settings, seed, host);
       AtomicLong sessions = new AtomicLong(1);
       return (RequestRouter)
           Proxy.newProxyInstance(
--- a/benchmark/src/main/java/lemondock/benchmark/Roles.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Roles.java
@@ -84,7 +84,7 @@
   }
 
   static void gateway(Path file) throws Exception {
-    GatewaySettings settings = SettingsFile.gateway(file);
+    GatewaySettings settings = SettingsFile.readGateway(file);
     Node node = new Node("gateway", settings.ioThreads());
     Gateway gateway =
         new Gateway(
@@ -98,13 +98,13 @@
                 null),
             settings,
             new PromptReader(settings.classes()),
-            Gateway.MODULE);
+            Gateway.DEFAULT_ROUTER_FACTORY);
     gateway.start();
     if (settings.reporting().tickMs() > 10) { // the shortest stands for no reports at all
       Reporting reporting =
           new Reporting(
               settings,
-              gateway.tally(),
+              gateway.metrics(),
               new ReportHost("reports").environment(),
               ProcessMeters.registry());
       reporting.start(gateway.address());
@@ -125,9 +125,9 @@
           "heap "
               + (runtime.totalMemory() - runtime.freeMemory()) / (1 << 20)
               + " sessions "
-              + node.ask(gateway::sessions)
+              + node.ask(gateway::sessionCount)
               + " calls "
-              + node.ask(gateway::callsUnderWay)
+              + node.ask(gateway::callsInFlight)
               + " allocated "
               + allocated());
     }
--- a/benchmark/src/main/java/lemondock/benchmark/ToolCalls.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ToolCalls.java
@@ -54,7 +54,7 @@
               port,
               fleet.catalogueAddress(),
               s -> s.putObject("overload").put("refuse", false)),
-          Gateway.MODULE);
+          Gateway.DEFAULT_ROUTER_FACTORY);
       if (!fleet.awaitServers("gw", 1, 10_000)) {
         throw new IllegalStateException("the gateway does not see its server");
       }
--- a/cli/src/main/java/lemondock/cli/CatalogueCommand.java
+++ b/cli/src/main/java/lemondock/cli/CatalogueCommand.java
@@ -29,7 +29,7 @@
   @Override
   public Integer call() throws Exception {
     Logs.set("text", "info");
-    JsonNode root = SettingsFile.read(config);
+    JsonNode root = SettingsFile.readJson(config);
     Settings settings =
         SettingsFile.bind(
             config.toString(),
@@ -39,7 +39,7 @@
             Settings.class);
     Node node = new Node("catalogue", 1);
     CatalogueEmulator catalogue = node.ask(() -> new CatalogueEmulator(node.loop(), Tap.NONE));
-    catalogue.start(node.network(), SettingsFile.address(settings.listen()));
+    catalogue.start(node.network(), SettingsFile.resolveAddress(settings.listen()));
     System.out.println(
         "ready http://"
             + catalogue.address().getHostString()
--- a/cli/src/main/java/lemondock/cli/ConfigCommand.java
+++ b/cli/src/main/java/lemondock/cli/ConfigCommand.java
@@ -35,7 +35,7 @@
     @Override
     public Integer call() {
       try {
-        GatewaySettings settings = SettingsFile.gateway(file);
+        GatewaySettings settings = SettingsFile.readGateway(file);
         System.out.println(
             file
                 + ": good; gateway "
--- a/cli/src/main/java/lemondock/cli/DemoCommand.java
+++ b/cli/src/main/java/lemondock/cli/DemoCommand.java
@@ -79,7 +79,7 @@
               i == 0 ? first : second,
               fleet.catalogueAddress(),
               this::reporting),
-          Gateway.MODULE);
+          Gateway.DEFAULT_ROUTER_FACTORY);
     }
     for (String gateway : fleet.gateways()) {
       if (!fleet.awaitServers(gateway, fleet.engines().size(), 10_000)) {
--- a/cli/src/main/java/lemondock/cli/GatewayCommand.java
+++ b/cli/src/main/java/lemondock/cli/GatewayCommand.java
@@ -37,7 +37,7 @@
 
   @Override
   public Integer call() throws Exception {
-    GatewaySettings settings = SettingsFile.gateway(config);
+    GatewaySettings settings = SettingsFile.readGateway(config);
     Logs.set(settings.log().format(), settings.log().level());
     ThreadLoop loop =
         new ThreadLoop(
@@ -56,10 +56,14 @@
             new JvmProcessResources(),
             settings.durable() == null ? null : new DiskFolder(Path.of(settings.durable().path())));
     Gateway gateway =
-        new Gateway(machine, settings, new PromptReader(settings.classes()), Gateway.MODULE);
+        new Gateway(
+            machine,
+            settings,
+            new PromptReader(settings.classes()),
+            Gateway.DEFAULT_ROUTER_FACTORY);
     ReportHost host = new ReportHost("lemondock-reports");
     Reporting reporting =
-        new Reporting(settings, gateway.tally(), host.environment(), ProcessMeters.registry());
+        new Reporting(settings, gateway.metrics(), host.environment(), ProcessMeters.registry());
     gateway.start();
     reporting.start(gateway.address());
     Stops.onSignal(
--- a/cli/src/main/java/lemondock/cli/StandinCommand.java
+++ b/cli/src/main/java/lemondock/cli/StandinCommand.java
@@ -45,7 +45,7 @@
     Settings settings =
         SettingsFile.bind(
             config.toString(),
-            SettingsFile.read(config),
+            SettingsFile.readJson(config),
             "standin.schema.json",
             StandinCommand.class,
             Settings.class);
@@ -72,7 +72,7 @@
               + ":"
               + engine.address().getPort());
       if (e.catalogue() != null) {
-        InetSocketAddress at = SettingsFile.address(e.catalogue());
+        InetSocketAddress at = SettingsFile.resolveAddress(e.catalogue());
         node.loop()
             .execute(
                 () ->
--- a/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
+++ b/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
@@ -71,7 +71,7 @@
                       .put("tickMs", 20)
                       .put("intervalMs", 20)
                       .put("tallyFile", file.toString())),
-          Gateway.MODULE);
+          Gateway.DEFAULT_ROUTER_FACTORY);
       assertTrue(fleet.awaitServers("gw", 1, 10_000));
       InetSocketAddress at = fleet.reporting("gw").statusAddress();
       String address = at.getHostString() + ":" + at.getPort();
--- a/gateway/src/main/java/lemondock/gateway/ExecutorQueueProbe.java
+++ b/gateway/src/main/java/lemondock/gateway/ExecutorQueueProbe.java
@@ -9,41 +9,41 @@
 /** Tells how long a task waits in the workers' queue. Loop thread only. */
 final class ExecutorQueueProbe implements Network.Probe {
   private final Loop loop;
-  private final Executor workers;
-  private boolean waiting;
-  private long postedAt;
-  private long passedAt;
+  private final Executor executor;
+  private boolean probeQueued;
+  private long postedAtMicros;
+  private long lastRunAtMicros;
 
-  ExecutorQueueProbe(Loop loop, Executor workers) {
+  ExecutorQueueProbe(Loop loop, Executor executor) {
     this.loop = loop;
-    this.workers = workers;
-    this.passedAt = loop.now();
+    this.executor = executor;
+    this.lastRunAtMicros = loop.now();
   }
 
   @Override
-  public long ask(LongConsumer waited) {
-    if (waiting) {
-      return Math.max(1, loop.now() - postedAt);
+  public long ask(LongConsumer delayMicros) {
+    if (probeQueued) {
+      return Math.max(1, loop.now() - postedAtMicros);
     }
-    waiting = true;
-    long posted = loop.now();
-    postedAt = posted;
+    probeQueued = true;
+    long postedAt = loop.now();
+    postedAtMicros = postedAt;
     try {
-      workers.execute(
+      executor.execute(
           () -> {
-            long took = loop.now() - posted;
+            long delay = loop.now() - postedAt;
             loop.execute(
                 () -> {
-                  waiting = false;
-                  passedAt = loop.now();
-                  waited.accept(took);
+                  probeQueued = false;
+                  lastRunAtMicros = loop.now();
+                  delayMicros.accept(delay);
                 });
           });
       return 0;
     } catch (RejectedExecutionException e) {
-      waiting = false; // no place in the queue: all that is known is that nothing has passed
+      probeQueued = false; // no place in the queue: all that is known is that nothing has passed
       // since the last one
-      return Math.max(1, loop.now() - passedAt);
+      return Math.max(1, loop.now() - lastRunAtMicros);
     }
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/Gateway.java
+++ b/gateway/src/main/java/lemondock/gateway/Gateway.java
@@ -71,44 +71,45 @@
   private final Network network;
   private final GatewaySettings settings;
   private final Executor disk;
-  private final EndpointRegistry members;
-  private final RequestDispatcher<ObjectNode, JsonNode, CompletionChunk> ledger;
+  private final EndpointRegistry endpoints;
+  private final RequestDispatcher<ObjectNode, JsonNode, CompletionChunk> dispatcher;
   private final CallService calls;
-  private final McpHttpHandler front;
+  private final McpHttpHandler mcp;
   private final HttpServer server;
-  private final EndpointListSource list;
-  private final GatewayMetrics tally;
-  private final StallMonitor lateness;
+  private final EndpointListSource listSource;
+  private final GatewayMetrics metrics;
+  private final StallMonitor stallMonitor;
   private final Admission admission;
 
   /** For each queue, what the process had been stopped for when it was asked last. */
   private final long[] pausedAt;
 
   private final ResourcePressure pressure;
-  private final ProcessResources machine;
+  private final ProcessResources resources;
   private final Executor workers;
-  private final FileSystemPort durable;
-  private long startedAt;
+  private final FileSystemPort idempotencyFiles;
+  private long startedAtMicros;
   private boolean stopped;
 
   /**
    * Makes a gateway.
    *
-   * @param maker makes the module; {@link #MODULE} but for tests of the auditor
+   * @param routerFactory makes the module; {@link #DEFAULT_ROUTER_FACTORY} but for tests of the
+   *     auditor
    */
   public Gateway(
-      GatewayEnvironment host,
+      GatewayEnvironment environment,
       GatewaySettings settings,
       PromptReader prompts,
-      RequestDispatcher.ModuleMaker maker) {
-    this.loop = host.loop();
-    this.network = host.network();
-    this.disk = host.disk();
-    this.machine = host.machine();
-    this.durable = host.durable();
-    this.workers = host.workers();
+      RequestDispatcher.ModuleMaker routerFactory) {
+    this.loop = environment.loop();
+    this.network = environment.network();
+    this.disk = environment.disk();
+    this.resources = environment.resources();
+    this.idempotencyFiles = environment.idempotencyFiles();
+    this.workers = environment.workers();
     this.settings = settings;
-    this.members =
+    this.endpoints =
         new EndpointRegistry(settings.kinds().stream().map(GatewaySettings.Kind::name).toList());
     String agent = "lemondock/" + VERSION + " (" + settings.name() + ")";
     GatewaySettings.Engines engines = settings.engines();
@@ -125,59 +126,61 @@
                 GatewaySettings.micros(engines.idleMs())));
     SecureRandom random = new SecureRandom();
     final long seed = settings.seed() != 0 ? settings.seed() : random.nextLong();
-    final String life = Long.toString(loop.wallMillis(), 36);
-    this.list = list(agent);
-    this.tally = new GatewayMetrics(settings);
-    this.lateness =
+    final String incarnation = Long.toString(loop.wallMillis(), 36);
+    this.listSource = createListSource(agent);
+    this.metrics = new GatewayMetrics(settings);
+    this.stallMonitor =
         new StallMonitor(
             LAG_LOOK,
             GatewaySettings.micros(settings.overload().stallMs()),
             GatewaySettings.micros(settings.overload().stallGraceMs()));
     int queues = 2 + settings.ioThreads(); // the context, the workers, each shard's thread
-    this.admission = new Admission(settings.overload().toAdmission(), queues);
+    this.admission = new Admission(settings.overload().toAdmissionSettings(), queues);
     this.pausedAt = new long[queues];
-    this.pressure = new ResourcePressure(settings.overload().toPressure());
-    this.ledger =
+    this.pressure = new ResourcePressure(settings.overload().toResourcePressureSettings());
+    this.dispatcher =
         new RequestDispatcher<>(
             loop,
-            new EngineClient(loop, engineClient, engines, agent, lateness),
-            members,
-            settings.toModule(),
+            new EngineClient(loop, engineClient, engines, agent, stallMonitor),
+            endpoints,
+            settings.toRouterSettings(),
             seed,
-            settings.name() + "-" + life,
-            maker,
-            list::watch,
-            tally,
-            lateness);
-    this.calls = new CallService(loop, ledger, settings, tally, lateness);
-    this.front =
+            settings.name() + "-" + incarnation,
+            routerFactory,
+            listSource::refresh,
+            metrics,
+            stallMonitor);
+    this.calls = new CallService(loop, dispatcher, settings, metrics, stallMonitor);
+    this.mcp =
         new McpHttpHandler(
             loop,
             settings,
             calls,
             prompts,
             () -> sessionId(random),
-            this::notReady,
+            this::readinessProblem,
             admission,
             VERSION);
-    GatewaySettings.Front f = settings.front();
+    GatewaySettings.Front mcpSettings = settings.front();
     this.server =
         new HttpServer(
             loop,
             new HttpServer.Options(
-                new HttpLimits(8 * 1024, 32 * 1024, 100, f.maxBodyBytes()),
-                (int) Math.min(f.maxConnections(), machine.mostHandles() * CLIENTS_HANDLES),
-                f.maxBodiesBytes(),
-                GatewaySettings.micros(f.idleTimeoutMs()),
-                GatewaySettings.micros(f.requestTimeoutMs()),
-                GatewaySettings.micros(f.stallTimeoutMs()),
+                new HttpLimits(8 * 1024, 32 * 1024, 100, mcpSettings.maxBodyBytes()),
+                (int)
+                    Math.min(
+                        mcpSettings.maxConnections(), resources.maxFileHandles() * CLIENTS_HANDLES),
+                mcpSettings.maxBodiesBytes(),
+                GatewaySettings.micros(mcpSettings.idleTimeoutMs()),
+                GatewaySettings.micros(mcpSettings.requestTimeoutMs()),
+                GatewaySettings.micros(mcpSettings.stallTimeoutMs()),
                 settings.overload().heavyBytes(),
-                host.workers()),
-            front);
+                environment.workers()),
+            mcp);
   }
 
   /** The module of the project. */
-  public static final RequestDispatcher.ModuleMaker MODULE = Control::new;
+  public static final RequestDispatcher.ModuleMaker DEFAULT_ROUTER_FACTORY = Control::new;
 
   private static String sessionId(SecureRandom random) {
     byte[] bytes = new byte[24];
@@ -185,12 +188,12 @@
     return Base64.getUrlEncoder().withoutPadding().encodeToString(bytes);
   }
 
-  private EndpointListSource list(String agent) {
-    GatewaySettings.Discovery d = settings.discovery();
-    if (d.kind().equals("file")) {
-      return new FileEndpointList(loop, d);
+  private EndpointListSource createListSource(String agent) {
+    GatewaySettings.Discovery discovery = settings.discovery();
+    if (discovery.kind().equals("file")) {
+      return new FileEndpointList(loop, discovery);
     }
-    InetSocketAddress address = SettingsFile.address(d.address());
+    InetSocketAddress address = SettingsFile.resolveAddress(discovery.address());
     HttpClient client =
         new HttpClient(
             loop,
@@ -200,44 +203,44 @@
                 1024,
                 4,
                 GatewaySettings.micros(settings.engines().connectTimeoutMs()),
-                GatewaySettings.micros(d.waitMs())));
-    return new ConsulEndpointList(loop, client, address, d, agent);
+                GatewaySettings.micros(discovery.waitMs())));
+    return new ConsulEndpointList(loop, client, address, discovery, agent);
   }
 
   /** Takes its port and begins; call it off the loop. */
   public void start() throws IOException {
     if (settings.durable() != null) { // first: what cannot be read must not be served over
-      calls.guard(IdempotencyGuard.open(durable, settings.durable(), loop, disk));
+      calls.guard(IdempotencyGuard.open(idempotencyFiles, settings.durable(), loop, disk));
     }
     List<Endpoint> cached = readCache();
     List<Network.Probe> probes = network.probes();
-    server.start(network, SettingsFile.address(settings.front().listen()));
+    server.start(network, SettingsFile.resolveAddress(settings.front().listen()));
     loop.execute(
         () -> {
-          startedAt = loop.now();
-          watchLag(lateness.ticked(loop.now()));
+          startedAtMicros = loop.now();
+          watchLag(stallMonitor.ticked(loop.now()));
           watchWait();
           watchQueue(new ExecutorQueueProbe(loop, workers), 1);
           for (int i = 0; i < Math.min(probes.size(), settings.ioThreads()); i++) {
             watchQueue(probes.get(i), 2 + i);
           }
           look();
-          ledger.start();
-          front.start();
-          hear(cached, true);
-          list.start(
+          dispatcher.start();
+          mcp.start();
+          applyEndpoints(cached, true);
+          listSource.start(
               new EndpointListSource.Listener() {
                 @Override
-                public void whole(List<Endpoint> entries) {
-                  hear(entries, false);
+                public void onList(List<Endpoint> entries) {
+                  applyEndpoints(entries, false);
                   writeCache();
                 }
 
                 @Override
-                public void failed(String what) {
+                public void onFailure(String what) {
                   LOG.atWarn().addKeyValue("why", what).log("the list of servers cannot be had");
-                  members.forgetChanges();
-                  ledger.servers(EndpointListKind.FAILED, List.of());
+                  endpoints.forgetChanges();
+                  dispatcher.servers(EndpointListKind.FAILED, List.of());
                 }
               });
         });
@@ -252,14 +255,14 @@
     loop.schedule(
         due - loop.now(),
         () -> {
-          tally.lag(loop.now() - due);
-          watchLag(lateness.ticked(loop.now()));
+          metrics.recordLoopLag(loop.now() - due);
+          watchLag(stallMonitor.ticked(loop.now()));
         });
   }
 
   /** Up to a hundred times a second, how long what comes to a queue waits in it. */
   private void watchQueue(Network.Probe probe, int queue) {
-    long asked = machine.paused();
+    long asked = resources.pausedMicros();
     long waiting =
         probe.ask(
             wait -> admission.waited(loop.now(), queue, wait - pausedSince(pausedAt[queue], wait)));
@@ -277,7 +280,7 @@
    * up behind it still counts, where it has to wait.
    */
   private long pausedSince(long before, long wait) {
-    return Math.min(wait, machine.paused() - before);
+    return Math.min(wait, resources.pausedMicros() - before);
   }
 
   /**
@@ -294,7 +297,7 @@
    */
   private void watchWait() {
     long posted = loop.now();
-    long asked = machine.paused();
+    long asked = resources.pausedMicros();
     loop.execute(
         () -> {
           long wait = loop.now() - posted;
@@ -305,20 +308,20 @@
 
   /** Once a second, what is in hand and what the module sees. */
   private void look() {
-    tally.inHand(
+    metrics.setInFlight(
         calls.size(),
-        ledger.size(),
-        front.sessions(),
-        front.streams(),
+        dispatcher.size(),
+        mcp.sessions(),
+        mcp.streamCount(),
         calls.toolsWaiting(),
-        members.size(),
-        (loop.now() - startedAt) / SECOND);
-    tally.limit(admission.share(), lateness.stalls(), lateness.stalled());
-    ledger.look();
+        endpoints.size(),
+        (loop.now() - startedAtMicros) / SECOND);
+    metrics.setOverload(admission.share(), stallMonitor.stalls(), stallMonitor.stalled());
+    dispatcher.look();
     onDisk(
         () -> { // counting handles reads a directory
-          double memory = machine.memory();
-          double handles = machine.handles();
+          double memory = resources.memoryUsedFraction();
+          double handles = resources.fileHandlesUsedFraction();
           loop.execute(() -> press(memory, handles));
         });
     loop.schedule(SECOND, this::look);
@@ -340,7 +343,7 @@
     pressure.saw(loop.now(), memory, handles);
     admission.pressed(loop.now(), pressure.scale());
     if (pressure.refreshes(loop.now(), REFRESH_EVERY)) {
-      onDisk(machine::refreshMemory);
+      onDisk(resources::refreshMemory);
     }
     if (pressure.shortest() != before) {
       LOG.atWarn()
@@ -353,8 +356,8 @@
   }
 
   /** What it counts; a snapshot may be taken on any thread. */
-  public GatewayMetrics tally() {
-    return tally;
+  public GatewayMetrics metrics() {
+    return metrics;
   }
 
   /** The address clients come to. */
@@ -364,44 +367,46 @@
 
   /** What the ledger has counted; loop thread only. */
   public RequestDispatcher.Counts counts() {
-    return ledger.counts();
+    return dispatcher.counts();
   }
 
   /** Calls under way; loop thread only. */
-  public int callsUnderWay() {
+  public int callsInFlight() {
     return calls.size();
   }
 
   /** Requests that the ledger still keeps; loop thread only. */
-  public int legsUnderWay() {
-    return ledger.size();
+  public int requestsInFlight() {
+    return dispatcher.size();
   }
 
   /** Servers listed; loop thread only. */
-  public int servers() {
-    return members.size();
+  public int endpointCount() {
+    return endpoints.size();
   }
 
   /** Sessions open; loop thread only. */
-  public int sessions() {
-    return front.sessions();
+  public int sessionCount() {
+    return mcp.sessions();
   }
 
-  private void hear(List<Endpoint> entries, boolean cached) {
-    EndpointRegistry.News news = members.update(entries, cached, loop.now(), loop.wallMillis());
-    news.skipped()
+  private void applyEndpoints(List<Endpoint> entries, boolean fromCache) {
+    EndpointRegistry.News update =
+        endpoints.update(entries, fromCache, loop.now(), loop.wallMillis());
+    update
+        .skipped()
         .forEach(
-            s ->
+            reason ->
                 LOG.atWarn()
-                    .addKeyValue("why", s)
+                    .addKeyValue("why", reason)
                     .log("an entry of the list of servers was passed over"));
-    if (news.kind() != EndpointListKind.CHANGES || !news.servers().isEmpty()) {
+    if (update.kind() != EndpointListKind.CHANGES || !update.servers().isEmpty()) {
       LOG.atInfo()
-          .addKeyValue("told", news.servers().size())
-          .addKeyValue("listed", members.size())
-          .addKeyValue("kind", news.kind())
+          .addKeyValue("told", update.servers().size())
+          .addKeyValue("listed", endpoints.size())
+          .addKeyValue("kind", update.kind())
           .log("list of servers");
-      ledger.servers(news.kind(), news.servers());
+      dispatcher.servers(update.kind(), update.servers());
     }
   }
 
@@ -413,7 +418,7 @@
     CompletableFuture<Void> done = new CompletableFuture<>();
     loop.execute(
         () -> {
-          front.leave();
+          mcp.beginDraining();
           long notice = GatewaySettings.micros(settings.limits().stopNoticeMs());
           if (notice == 0) {
             refuseAndDrain(done);
@@ -425,32 +430,32 @@
   }
 
   private void refuseAndDrain(CompletableFuture<Void> done) {
-    front.stop();
+    mcp.stopAccepting();
     server.stopListening();
     awaitCalls(loop.now() + GatewaySettings.micros(settings.limits().stopWithinMs()), done);
   }
 
   /** Why nothing can be served now; empty if a prompt can be read and an answer written. */
-  private String notReady() {
-    boolean reads = false;
-    boolean writes = false;
-    for (Endpoint entry : members.entries()) {
-      if (entry.standing() == ServerLifecycle.READY) {
+  private String readinessProblem() {
+    boolean hasReader = false;
+    boolean hasWriter = false;
+    for (Endpoint endpoint : endpoints.entries()) {
+      if (endpoint.standing() == ServerLifecycle.READY) {
         String role =
             settings.kinds().stream()
-                .filter(k -> k.name().equals(entry.kind()))
+                .filter(kind -> kind.name().equals(endpoint.kind()))
                 .map(GatewaySettings.Kind::role)
                 .findFirst()
                 .orElse("");
-        reads |= !role.equals("writer");
-        writes |= !role.equals("reader");
+        hasReader |= !role.equals("writer");
+        hasWriter |= !role.equals("reader");
       }
     }
-    return members.size() == 0
+    return endpoints.size() == 0
         ? "no list of servers is known, or it is empty"
-        : !reads
+        : !hasReader
             ? "no server that reads is ready"
-            : !writes ? "no server that writes is ready" : "";
+            : !hasWriter ? "no server that writes is ready" : "";
   }
 
   private void awaitCalls(long until, CompletableFuture<Void> done) {
@@ -464,19 +469,19 @@
     }
     stopped = true;
     calls.cutAll("the gateway stops");
-    front.close();
-    list.stop();
+    mcp.close();
+    listSource.stop();
     loop.schedule(
         2 * STOP_LOOK,
         () -> {
-          tally.inHand(
+          metrics.setInFlight(
               calls.size(),
-              ledger.size(),
-              front.sessions(),
-              front.streams(),
+              dispatcher.size(),
+              mcp.sessions(),
+              mcp.streamCount(),
               calls.toolsWaiting(),
-              members.size(),
-              (loop.now() - startedAt) / SECOND);
+              endpoints.size(),
+              (loop.now() - startedAtMicros) / SECOND);
           LOG.atInfo().addKeyValue("gateway", settings.name()).log("stopped");
           done.complete(null);
         });
@@ -488,7 +493,7 @@
       return List.of();
     }
     try {
-      return EndpointListCodec.ofFile(Files.readAllBytes(Path.of(cache)));
+      return EndpointListCodec.parseFile(Files.readAllBytes(Path.of(cache)));
     } catch (IOException | EndpointListCodec.MalformedListException e) {
       LOG.warn("the kept list of servers {} cannot be read: {}", cache, e.getMessage());
       return List.of();
@@ -498,7 +503,7 @@
   private void writeCache() {
     String cache = settings.discovery().cache();
     if (cache != null) {
-      byte[] text = EndpointListCodec.toFile(members.entries());
+      byte[] text = EndpointListCodec.formatFile(endpoints.entries());
       onDisk(
           () -> {
             try {
--- a/gateway/src/main/java/lemondock/gateway/GatewayEnvironment.java
+++ b/gateway/src/main/java/lemondock/gateway/GatewayEnvironment.java
@@ -14,13 +14,14 @@
  * @param disk runs what may block on files, off the loop
  * @param workers prepare large requests, off the shards' threads; bounded, they refuse with {@link
  *     RejectedExecutionException}
- * @param machine tells what the process has left
- * @param durable the folder that the settings' {@code durable} speaks of; null if they do not
+ * @param resources tells what the process has left
+ * @param idempotencyFiles the folder that the settings' {@code durable} speaks of; null if they do
+ *     not
  */
 public record GatewayEnvironment(
     Loop loop,
     Network network,
     Executor disk,
     Executor workers,
-    ProcessResources machine,
-    FileSystemPort durable) {}
+    ProcessResources resources,
+    FileSystemPort idempotencyFiles) {}
--- a/gateway/src/main/java/lemondock/gateway/JvmProcessResources.java
+++ b/gateway/src/main/java/lemondock/gateway/JvmProcessResources.java
@@ -17,14 +17,14 @@
  * first such collection memory was never short.
  */
 public final class JvmProcessResources implements ProcessResources {
-  private final Optional<MemoryPoolMXBean> old =
+  private final Optional<MemoryPoolMXBean> tenuredPool =
       ManagementFactory.getMemoryPoolMXBeans().stream()
           .filter(
-              p ->
-                  p.getType() == MemoryType.HEAP
-                      && p.isCollectionUsageThresholdSupported()
-                      && p.getUsage().getMax() > 0)
-          .max(Comparator.comparingLong(p -> p.getUsage().getMax()));
+              pool ->
+                  pool.getType() == MemoryType.HEAP
+                      && pool.isCollectionUsageThresholdSupported()
+                      && pool.getUsage().getMax() > 0)
+          .max(Comparator.comparingLong(pool -> pool.getUsage().getMax()));
 
   /**
    * But for those that tell how long they work beside the program, as ZGC's and Shenandoah's
@@ -32,12 +32,12 @@
    */
   private final List<GarbageCollectorMXBean> collectors =
       ManagementFactory.getGarbageCollectorMXBeans().stream()
-          .filter(c -> !c.getName().endsWith("Cycles"))
+          .filter(collector -> !collector.getName().endsWith("Cycles"))
           .toList();
 
   @Override
-  public double memory() {
-    MemoryUsage usage = old.map(MemoryPoolMXBean::getCollectionUsage).orElse(null);
+  public double memoryUsedFraction() {
+    MemoryUsage usage = tenuredPool.map(MemoryPoolMXBean::getCollectionUsage).orElse(null);
     return usage == null || usage.getMax() <= 0 ? 0 : (double) usage.getUsed() / usage.getMax();
   }
 
@@ -47,7 +47,7 @@
   }
 
   @Override
-  public long paused() {
+  public long pausedMicros() {
     long millis = 0;
     for (GarbageCollectorMXBean collector : collectors) {
       millis += Math.max(0, collector.getCollectionTime());
@@ -56,7 +56,7 @@
   }
 
   @Override
-  public double handles() {
+  public double fileHandlesUsedFraction() {
     return ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean unix
             && unix.getMaxFileDescriptorCount() > 0
         ? (double) unix.getOpenFileDescriptorCount() / unix.getMaxFileDescriptorCount()
@@ -64,7 +64,7 @@
   }
 
   @Override
-  public long mostHandles() {
+  public long maxFileHandles() {
     return ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean unix
             && unix.getMaxFileDescriptorCount() > 0
         ? unix.getMaxFileDescriptorCount()
--- a/gateway/src/main/java/lemondock/gateway/ProcessResources.java
+++ b/gateway/src/main/java/lemondock/gateway/ProcessResources.java
@@ -6,23 +6,23 @@
   ProcessResources UNKNOWN =
       new ProcessResources() {
         @Override
-        public double memory() {
+        public double memoryUsedFraction() {
           return 0;
         }
 
         @Override
-        public double handles() {
+        public double fileHandlesUsedFraction() {
           return 0;
         }
 
         @Override
-        public long mostHandles() {
+        public long maxFileHandles() {
           return Long.MAX_VALUE;
         }
       };
 
   /** Part of the memory that is in use for good, 0 to 1; 0 if it cannot be told. */
-  double memory();
+  double memoryUsedFraction();
 
   /** Has the figure of the memory be a fresh one; may take long. */
   default void refreshMemory() {}
@@ -31,13 +31,13 @@
    * Microseconds for which the runtime has stopped the whole process so far, as to collect garbage;
    * quick to tell, any thread.
    */
-  default long paused() {
+  default long pausedMicros() {
     return 0;
   }
 
   /** Part of the file handles that is in use, 0 to 1; 0 if it cannot be told. */
-  double handles();
+  double fileHandlesUsedFraction();
 
   /** File handles that the process may have open. */
-  long mostHandles();
+  long maxFileHandles();
 }
--- a/gateway/src/main/java/lemondock/gateway/accounting/CallMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/CallMetrics.java
@@ -8,53 +8,53 @@
  * one thread. Each call is counted once under one ending, whatever order its events come in.
  */
 public final class CallMetrics {
-  private static final double LATE_PACE = 2;
-
-  private final GatewayMetrics counts;
-  private final GatewayMetrics.ClassSeries of;
-  private final GatewayMetrics.TenantSeries request;
-  private final long arrivedAt;
-  private final long aim;
-  private long firstAt;
-  private long turnSince;
-  private long writing;
-  private long relayed;
-  private long settled;
-  private boolean judgedBad;
+  private static final double LATE_PACE_FACTOR = 2;
+
+  private final GatewayMetrics metrics;
+  private final GatewayMetrics.ClassSeries classSeries;
+  private final GatewayMetrics.TenantSeries tenantSeries;
+  private final long arrivedAtMicros;
+  private final long latencyObjectiveMicros;
+  private long firstTokenAtMicros;
+  private long turnStartedAtMicros;
+  private long generatingMicros;
+  private long toolCallsRelayed;
+  private long toolCallsSettled;
+  private boolean countedBad;
   private boolean ended;
 
   CallMetrics(
-      GatewayMetrics counts,
-      GatewayMetrics.ClassSeries of,
-      GatewayMetrics.TenantSeries request,
-      long arrivedAt,
-      long aim) {
-    this.counts = counts;
-    this.of = of;
-    this.request = request;
-    this.arrivedAt = arrivedAt;
-    this.aim = aim;
+      GatewayMetrics metrics,
+      GatewayMetrics.ClassSeries classSeries,
+      GatewayMetrics.TenantSeries tenantSeries,
+      long arrivedAtMicros,
+      long latencyObjectiveMicros) {
+    this.metrics = metrics;
+    this.classSeries = classSeries;
+    this.tenantSeries = tenantSeries;
+    this.arrivedAtMicros = arrivedAtMicros;
+    this.latencyObjectiveMicros = latencyObjectiveMicros;
   }
 
   /** Microseconds after its arrival at which the first token is due. */
-  public long aim() {
-    return aim;
+  public long latencyObjectiveMicros() {
+    return latencyObjectiveMicros;
   }
 
   /** The aim's time is over; a call without a token is late from here on. */
-  public void aimPassed() {
-    if (firstAt == 0 && !ended) {
-      bad();
+  public void onObjectivePassed() {
+    if (firstTokenAtMicros == 0 && !ended) {
+      countBad();
     }
   }
 
   /** A piece of the answer was delivered; cheap, as it comes with each token. */
-  public void delivered(long now) {
-    if (turnSince == 0) {
-      turnSince = now;
-      if (firstAt == 0) {
-        firstAt = now;
-        first(now);
+  public void onDelivered(long nowMicros) {
+    if (turnStartedAtMicros == 0) {
+      turnStartedAtMicros = nowMicros;
+      if (firstTokenAtMicros == 0) {
+        firstTokenAtMicros = nowMicros;
+        recordFirstToken(nowMicros);
       }
     }
   }
@@ -64,95 +64,105 @@
    * counted.
    */
   public boolean inTurn() {
-    return turnSince != 0;
+    return turnStartedAtMicros != 0;
   }
 
-  private void first(long now) {
-    long took = now - arrivedAt;
-    long ticket = counts.recorder().enter();
-    counts.recorder().record(of.firstToken, took);
-    if (took <= aim) {
-      counts.recorder().add(of.verdicts.slot(0), 1);
+  private void recordFirstToken(long nowMicros) {
+    long elapsedMicros = nowMicros - arrivedAtMicros;
+    long ticket = metrics.recorder().enter();
+    metrics.recorder().record(classSeries.firstToken, elapsedMicros);
+    if (elapsedMicros <= latencyObjectiveMicros) {
+      metrics.recorder().add(classSeries.verdicts.slot(0), 1);
     }
-    counts.recorder().exit(ticket);
-    if (took > aim) {
-      bad();
+    metrics.recorder().exit(ticket);
+    if (elapsedMicros > latencyObjectiveMicros) {
+      countBad();
     }
   }
 
-  private void bad() {
-    if (!judgedBad) {
-      judgedBad = true;
-      counts.recorder().count(of.verdicts.slot(1));
+  private void countBad() {
+    if (!countedBad) {
+      countedBad = true;
+      metrics.recorder().count(classSeries.verdicts.slot(1));
     }
   }
 
   /** A tool call was sent to the client; the time until the next token is not the writer's. */
-  public void relayed(long now) {
-    turnEnded(now);
-    relayed++;
-    counts.recorder().count(of.tools.slot(0));
+  public void onToolCallRelayed(long nowMicros) {
+    endTurn(nowMicros);
+    toolCallsRelayed++;
+    metrics.recorder().count(classSeries.tools.slot(0));
   }
 
   /** A tool's result came back. */
-  public void answered() {
-    settled++;
-    counts.recorder().count(of.tools.slot(1));
+  public void onToolCallAnswered() {
+    toolCallsSettled++;
+    metrics.recorder().count(classSeries.tools.slot(1));
   }
 
   /** A tool call was withdrawn, or its result came too late to be of use. */
-  public void lost() {
-    settled++;
-    counts.recorder().count(of.tools.slot(2));
+  public void onToolCallLost() {
+    toolCallsSettled++;
+    metrics.recorder().count(classSeries.tools.slot(2));
   }
 
   /** Tool calls that wait for their result. */
-  public long waiting() {
-    return relayed - settled;
+  public long pendingToolCalls() {
+    return toolCallsRelayed - toolCallsSettled;
   }
 
-  private void turnEnded(long now) {
-    if (turnSince != 0) {
-      writing += now - turnSince;
-      turnSince = 0;
+  private void endTurn(long nowMicros) {
+    if (turnStartedAtMicros != 0) {
+      generatingMicros += nowMicros - turnStartedAtMicros;
+      turnStartedAtMicros = 0;
     }
   }
 
   /** The call has ended. */
-  public void ended(long now, Answer.Outcome ending) {
+  public void onEnded(long nowMicros, Answer.Outcome outcome) {
     if (ended) {
       return;
     }
     ended = true;
-    turnEnded(now);
-    boolean served = ending.end() == Answer.OutcomeKind.SERVED;
-    double pace = ending.tokens() > 1 ? (double) writing / (ending.tokens() - 1) : 0;
-    boolean prompt = firstAt != 0 ? firstAt - arrivedAt <= aim : now - arrivedAt <= aim;
-    boolean inTime = served && prompt && pace <= of.tokenAim;
-    final boolean late = served && !inTime && pace <= LATE_PACE * of.tokenAim;
-    final long ticket = counts.recorder().enter();
-    counts
+    endTurn(nowMicros);
+    boolean served = outcome.kind() == Answer.OutcomeKind.SERVED;
+    double microsPerToken =
+        outcome.tokens() > 1 ? (double) generatingMicros / (outcome.tokens() - 1) : 0;
+    boolean firstTokenInTime =
+        firstTokenAtMicros != 0
+            ? firstTokenAtMicros - arrivedAtMicros <= latencyObjectiveMicros
+            : nowMicros - arrivedAtMicros <= latencyObjectiveMicros;
+    boolean inTime =
+        served && firstTokenInTime && microsPerToken <= classSeries.tokenObjectiveMicros;
+    final boolean late =
+        served && !inTime && microsPerToken <= LATE_PACE_FACTOR * classSeries.tokenObjectiveMicros;
+    final long ticket = metrics.recorder().enter();
+    metrics
         .recorder()
-        .add(request.requests().slot(GatewayMetrics.SERVED + ending.end().ordinal()), 1);
-    counts.recorder().record(of.wholeTime, now - arrivedAt);
-    if (ending.tokens() > 1) {
-      counts.recorder().record(of.tokenPace, (long) pace);
+        .add(
+            tenantSeries
+                .requests()
+                .slot(GatewayMetrics.FIRST_OUTCOME_FIELD + outcome.kind().ordinal()),
+            1);
+    metrics.recorder().record(classSeries.wholeTime, nowMicros - arrivedAtMicros);
+    if (outcome.tokens() > 1) {
+      metrics.recorder().record(classSeries.tokenPace, (long) microsPerToken);
     }
     if (inTime) {
-      counts.recorder().add(request.worth().slot(2), of.worth);
+      metrics.recorder().add(tenantSeries.worth().slot(2), classSeries.priorityWeight);
     } else if (late) {
-      counts.recorder().add(request.worth().slot(3), of.lateWorth);
+      metrics.recorder().add(tenantSeries.worth().slot(3), classSeries.latePriorityWeight);
     }
-    if (served && firstAt == 0 && inTime) {
-      counts.recorder().add(of.verdicts.slot(0), 1); // an answer without a token of text
+    if (served && firstTokenAtMicros == 0 && inTime) {
+      metrics.recorder().add(classSeries.verdicts.slot(0), 1); // an answer without a token of text
     }
-    if (waiting() > 0) {
-      counts.recorder().add(of.tools.slot(2), waiting());
-      settled = relayed;
+    if (pendingToolCalls() > 0) {
+      metrics.recorder().add(classSeries.tools.slot(2), pendingToolCalls());
+      toolCallsSettled = toolCallsRelayed;
     }
-    counts.recorder().exit(ticket);
-    if (!inTime && ending.end() != Answer.OutcomeKind.LEFT) {
-      bad();
+    metrics.recorder().exit(ticket);
+    if (!inTime && outcome.kind() != Answer.OutcomeKind.CANCELLED) {
+      countBad();
     }
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
@@ -30,12 +30,12 @@
    * The field of {@link Metrics#REQUESTS} for served; those of the other endings follow in the
    * order of their enum.
    */
-  static final int SERVED = 2;
+  static final int FIRST_OUTCOME_FIELD = 2;
 
-  private static final int REFUSED = 3;
-  private static final int SENT = 0;
-  private static final int MOST_ZONES = 64;
-  private static final List<AttemptOutcome> ATTEMPT_FIELDS =
+  private static final int REJECTED_FIELD = 3;
+  private static final int SENT_FIELD = 0;
+  private static final int MAX_ZONES = 64;
+  private static final List<AttemptOutcome> OUTCOME_FIELD_ORDER =
       List.of(
           AttemptOutcome.OK,
           AttemptOutcome.READ,
@@ -55,19 +55,19 @@
   private final BoundedNames zones;
   private final Map<ServerRole, Map<String, Series>> attempts = new EnumMap<>(ServerRole.class);
   private final Map<ServerRole, Map<String, Series>> servers = new EnumMap<>(ServerRole.class);
-  private final Map<String, Series[]> held = new HashMap<>();
+  private final Map<String, Series[]> reservedStates = new HashMap<>();
   private final Series gateway;
   private final Series module;
-  private final Series lag;
+  private final Series loopLag;
   private final Series overload;
   private final Series otherTenants;
   private final Series otherZones;
 
   /** The series of one class, which any of its requests shares. */
   static final class ClassSeries {
-    final long worth;
-    final long lateWorth;
-    final double tokenAim;
+    final long priorityWeight;
+    final long latePriorityWeight;
+    final double tokenObjectiveMicros;
     final Series verdicts;
     final Series tools;
     final Series firstToken;
@@ -75,15 +75,15 @@
     final Series wholeTime;
     final Map<String, TenantSeries> byTenant = new HashMap<>();
 
-    ClassSeries(Tally tally, GatewaySettings.ClassSettings c, String zone) {
-      worth = Math.round(c.worth() * Metrics.WORTH_ONE);
-      lateWorth = Math.round(c.worth() * c.lateWorth() * Metrics.WORTH_ONE);
-      tokenAim = GatewaySettings.micros(c.tokenAimMs());
-      verdicts = tally.series(Metrics.VERDICTS, c.name(), zone);
-      tools = tally.series(Metrics.TOOLS, c.name());
-      firstToken = tally.series(Metrics.FIRST_TOKEN, c.name());
-      tokenPace = tally.series(Metrics.TOKEN_PACE, c.name());
-      wholeTime = tally.series(Metrics.WHOLE_TIME, c.name());
+    ClassSeries(Tally tally, GatewaySettings.ClassSettings settings, String zone) {
+      priorityWeight = Math.round(settings.worth() * Metrics.WORTH_ONE);
+      latePriorityWeight = Math.round(settings.worth() * settings.lateWorth() * Metrics.WORTH_ONE);
+      tokenObjectiveMicros = GatewaySettings.micros(settings.tokenAimMs());
+      verdicts = tally.series(Metrics.VERDICTS, settings.name(), zone);
+      tools = tally.series(Metrics.TOOLS, settings.name());
+      firstToken = tally.series(Metrics.FIRST_TOKEN, settings.name());
+      tokenPace = tally.series(Metrics.TOKEN_PACE, settings.name());
+      wholeTime = tally.series(Metrics.WHOLE_TIME, settings.name());
     }
   }
 
@@ -97,18 +97,21 @@
     this.recorder = tally.recorder();
     this.tenants =
         new BoundedNames(
-            with(settings.reporting().tenants(), NO_TENANT), settings.reporting().maxTenants());
-    this.zones = new BoundedNames(List.of(settings.zone()), MOST_ZONES);
+            append(settings.reporting().tenants(), NO_TENANT), settings.reporting().maxTenants());
+    this.zones = new BoundedNames(List.of(settings.zone()), MAX_ZONES);
     this.gateway = tally.series(Metrics.GATEWAY);
     this.module = tally.series(Metrics.MODULE);
-    this.lag = tally.series(Metrics.LOOP_LAG);
+    this.loopLag = tally.series(Metrics.LOOP_LAG);
     this.overload = tally.series(Metrics.OVERLOAD);
     this.otherTenants = tally.series(Metrics.BOUNDS, "tenant");
     this.otherZones = tally.series(Metrics.BOUNDS, "zone");
-    settings.classes().forEach(c -> classes.add(new ClassSeries(tally, c, settings.zone())));
+    settings
+        .classes()
+        .forEach(
+            requestClass -> classes.add(new ClassSeries(tally, requestClass, settings.zone())));
   }
 
-  private static List<String> with(List<String> some, String one) {
+  private static List<String> append(List<String> some, String one) {
     List<String> all = new ArrayList<>(some);
     all.add(one);
     return all;
@@ -126,51 +129,54 @@
   // ==== requests
 
   /** A request was taken. Times in microseconds. */
-  public CallMetrics taken(int classId, String tenant, boolean repeat, int promptTokens, long now) {
-    ClassSeries of = classes.get(classId);
-    TenantSeries request = request(of, classId, tenant);
+  public CallMetrics requestAccepted(
+      int classId, String tenant, boolean retry, int promptTokens, long nowMicros) {
+    ClassSeries series = classes.get(classId);
+    TenantSeries request = tenantSeries(series, classId, tenant);
     long ticket = recorder.enter();
-    count(of, request, repeat);
+    countArrival(series, request, retry);
     recorder.exit(ticket);
-    GatewaySettings.ClassSettings c = settings.classes().get(classId);
-    long aim = GatewaySettings.micros(c.aimMs() + c.aimMsPerThousandTokens() * promptTokens / 1000);
-    return new CallMetrics(this, of, request, now, aim);
+    GatewaySettings.ClassSettings classSettings = settings.classes().get(classId);
+    long latencyObjectiveMicros =
+        GatewaySettings.micros(
+            classSettings.aimMs() + classSettings.aimMsPerThousandTokens() * promptTokens / 1000);
+    return new CallMetrics(this, series, request, nowMicros, latencyObjectiveMicros);
   }
 
   /**
    * A request was turned away before it was taken, for a bound of the gateway or because it stops.
    */
-  public void turnedAway(int classId, String tenant, boolean repeat) {
-    ClassSeries of = classes.get(classId);
-    TenantSeries request = request(of, classId, tenant);
+  public void requestRejected(int classId, String tenant, boolean retry) {
+    ClassSeries series = classes.get(classId);
+    TenantSeries request = tenantSeries(series, classId, tenant);
     final long ticket = recorder.enter();
-    count(of, request, repeat);
-    recorder.add(request.requests.slot(REFUSED), 1);
-    recorder.add(of.verdicts.slot(1), 1);
+    countArrival(series, request, retry);
+    recorder.add(request.requests.slot(REJECTED_FIELD), 1);
+    recorder.add(series.verdicts.slot(1), 1);
     recorder.exit(ticket);
   }
 
-  private void count(ClassSeries of, TenantSeries request, boolean repeat) {
+  private void countArrival(ClassSeries series, TenantSeries request, boolean retry) {
     recorder.add(request.requests.slot(0), 1);
-    recorder.add(request.requests.slot(1), repeat ? 1 : 0);
-    recorder.add(request.worth.slot(repeat ? 1 : 0), of.worth);
+    recorder.add(request.requests.slot(1), retry ? 1 : 0);
+    recorder.add(request.worth.slot(retry ? 1 : 0), series.priorityWeight);
   }
 
-  private TenantSeries request(ClassSeries of, int classId, String tenant) {
-    String label = bounded(tenants, otherTenants, tenant == null ? NO_TENANT : tenant);
-    TenantSeries found = of.byTenant.get(label);
+  private TenantSeries tenantSeries(ClassSeries series, int classId, String tenant) {
+    String label = boundedLabel(tenants, otherTenants, tenant == null ? NO_TENANT : tenant);
+    TenantSeries found = series.byTenant.get(label);
     if (found == null) {
       String name = settings.classes().get(classId).name();
       found =
           new TenantSeries(
               tally.series(Metrics.WORTH, name, settings.zone(), label),
               tally.series(Metrics.REQUESTS, name, settings.zone(), label));
-      of.byTenant.put(label, found);
+      series.byTenant.put(label, found);
     }
     return found;
   }
 
-  private String bounded(BoundedNames names, Series others, String name) {
+  private String boundedLabel(BoundedNames names, Series others, String name) {
     long before = names.turnedAway();
     String label = names.label(name);
     if (names.turnedAway() != before) {
@@ -183,24 +189,25 @@
 
   /** An attempt is made at a server. */
   public void sent(ServerRole role, String zone) {
-    recorder.count(byServer(attempts, Metrics.ATTEMPTS, role, zone).slot(SENT));
+    recorder.count(seriesFor(attempts, Metrics.ATTEMPTS, role, zone).slot(SENT_FIELD));
   }
 
   /** An attempt has ended. */
   public void attemptEnded(ServerRole role, String zone, AttemptOutcome ending) {
     recorder.count(
-        byServer(attempts, Metrics.ATTEMPTS, role, zone).slot(1 + ATTEMPT_FIELDS.indexOf(ending)));
+        seriesFor(attempts, Metrics.ATTEMPTS, role, zone)
+            .slot(1 + OUTCOME_FIELD_ORDER.indexOf(ending)));
   }
 
-  private Series byServer(
-      Map<ServerRole, Map<String, Series>> in,
+  private Series seriesFor(
+      Map<ServerRole, Map<String, Series>> byRoleAndZone,
       lemondock.metrics.Family family,
       ServerRole role,
       String zone) {
-    Map<String, Series> byZone = in.computeIfAbsent(role, r -> new HashMap<>());
+    Map<String, Series> byZone = byRoleAndZone.computeIfAbsent(role, r -> new HashMap<>());
     Series found = byZone.get(zone);
     if (found == null) {
-      String label = bounded(zones, otherZones, zone);
+      String label = boundedLabel(zones, otherZones, zone);
       found = byZone.get(label);
       if (found == null) {
         found = tally.series(family, role.name().toLowerCase(Locale.ROOT), label);
@@ -212,44 +219,50 @@
 
   /** A read left a state at a server of the zone. */
   public void stateMade(String zone) {
-    state(zone, 0, 1, -1);
+    countState(zone, 0, 1, -1);
   }
 
   /** A writer took a state that had waited for so many microseconds. */
-  public void stateFetched(String zone, long waited) {
-    state(zone, 1, -1, waited);
+  public void stateFetched(String zone, long waitedMicros) {
+    countState(zone, 1, -1, waitedMicros);
   }
 
   /** A state was let go unused after so many microseconds. */
-  public void stateLetGo(String zone, long waited) {
-    state(zone, 2, -1, waited);
+  public void stateLetGo(String zone, long waitedMicros) {
+    countState(zone, 2, -1, waitedMicros);
   }
 
-  private void state(String zone, int field, int change, long waited) {
-    Series[] of = held.get(zone);
-    if (of == null) {
-      String label = bounded(zones, otherZones, zone);
-      of =
-          held.computeIfAbsent(
+  private void countState(String zone, int field, int change, long waitedMicros) {
+    Series[] series = reservedStates.get(zone);
+    if (series == null) {
+      String label = boundedLabel(zones, otherZones, zone);
+      series =
+          reservedStates.computeIfAbsent(
               label,
               z ->
                   new Series[] {tally.series(Metrics.HELD, z), tally.series(Metrics.HELD_TIME, z)});
     }
     final long ticket = recorder.enter();
-    recorder.add(of[0].slot(field), 1);
-    recorder.add(of[0].slot(3), change);
-    if (waited >= 0) {
-      recorder.record(of[1], waited);
+    recorder.add(series[0].slot(field), 1);
+    recorder.add(series[0].slot(3), change);
+    if (waitedMicros >= 0) {
+      recorder.record(series[1], waitedMicros);
     }
     recorder.exit(ticket);
   }
 
   // ==== gauges
 
-  /** What the gateway has in hand; {@code uptime} in seconds. */
-  public void inHand(
-      long calls, long legs, long sessions, long streams, long relayed, long listed, long uptime) {
-    long[] values = {calls, legs, sessions, streams, relayed, listed, uptime};
+  /** What the gateway has in hand; {@code uptimeSeconds} in seconds. */
+  public void setInFlight(
+      long calls,
+      long requests,
+      long sessions,
+      long streams,
+      long toolCalls,
+      long endpoints,
+      long uptimeSeconds) {
+    long[] values = {calls, requests, sessions, streams, toolCalls, endpoints, uptimeSeconds};
     long ticket = recorder.enter();
     for (int i = 0; i < values.length; i++) {
       recorder.set(gateway.slot(i), values[i]);
@@ -258,21 +271,21 @@
   }
 
   /** The decision loop ran a timer so many microseconds late. */
-  public void lag(long micros) {
-    recorder.time(lag, micros);
+  public void recordLoopLag(long micros) {
+    recorder.time(loopLag, micros);
   }
 
   /** The gateway's own limit: the share let in, stalls and their sum in microseconds. */
-  public void limit(double share, long stalls, long stalled) {
+  public void setOverload(double share, long stalls, long stalledMicros) {
     long ticket = recorder.enter();
     recorder.set(overload.slot(0), Math.round(share * 1_000));
     recorder.set(overload.slot(2), stalls);
-    recorder.set(overload.slot(3), stalled);
+    recorder.set(overload.slot(3), stalledMicros);
     recorder.exit(ticket);
   }
 
   /** A request was refused because the gateway is late; it is counted as turned away too. */
-  public void refusedLate() {
+  public void countLoadShed() {
     recorder.count(overload.slot(1));
   }
 
@@ -288,7 +301,7 @@
         if (zone != null) {
           long[] sum =
               sums.computeIfAbsent(
-                  byServer(servers, Metrics.SERVERS, role, zone), s -> new long[4]);
+                  seriesFor(servers, Metrics.SERVERS, role, zone), s -> new long[4]);
           boolean ready = standing == ServerLifecycle.READY;
           sum[ready ? 0 : 1]++;
           sum[2] += ready && cold ? 1 : 0;
--- a/gateway/src/main/java/lemondock/gateway/answer/Answer.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/Answer.java
@@ -12,36 +12,36 @@
  * calls between them. It decides what an event leads to and does no I/O; {@link Actions} carries it
  * out.
  *
- * <p>Three promises rest on it. The answer ends once: every way out passes {@link #finish}, which
- * closes all others. No call is relayed twice: calls are relayed when their leg is whole, and a leg
- * that breaks before relays none, while one that is whole is never asked for again. No token comes
- * twice or is missing: after a break the next leg is given what was delivered and goes on behind
- * it.
+ * <p>Three promises rest on it. The answer ends once: every way out passes {@link #finishReason},
+ * which closes all others. No call is relayed twice: calls are relayed when their leg is whole, and
+ * a leg that breaks before relays none, while one that is whole is never asked for again. No token
+ * comes twice or is missing: after a break the next leg is given what was delivered and goes on
+ * behind it.
  */
 public final class Answer {
-  private final Actions steps;
-  private final Limits bounds;
+  private final Actions actions;
+  private final Limits limits;
   private final List<Turn> turns = new ArrayList<>();
   private final StringBuilder text = new StringBuilder();
-  private final Map<Integer, PartialToolCall> pieces = new TreeMap<>();
-  private final Map<String, ToolResult> results = new LinkedHashMap<>();
-  private final StringBuilder legText = new StringBuilder();
-  private State state = State.LEG;
-  private List<ToolCall> waiting = List.of();
-  private String finish;
+  private final Map<Integer, PartialToolCall> partialToolCalls = new TreeMap<>();
+  private final Map<String, ToolResult> toolResults = new LinkedHashMap<>();
+  private final StringBuilder turnText = new StringBuilder();
+  private State state = State.GENERATING;
+  private List<ToolCall> relayedCalls = List.of();
+  private String finishReason;
   private int tokens;
-  private int legTokens;
-  private int legBase;
+  private int requestTokens;
+  private int tokensBeforeRequest;
   private int resumptions;
-  private int relayed;
-  private int argumentBytes;
+  private int relayedCallCount;
+  private int argumentChars;
 
   /** Where an answer stands. */
   public enum State {
     /** A leg is under way. */
-    LEG,
+    GENERATING,
     /** Calls were relayed and not all have their results. */
-    TOOLS,
+    AWAITING_TOOLS,
     /** The answer has ended. */
     ENDED
   }
@@ -49,9 +49,9 @@
   /** How an answer ends. */
   public enum OutcomeKind {
     SERVED,
-    REFUSED,
+    REJECTED,
     FAILED,
-    LEFT
+    CANCELLED
   }
 
   /**
@@ -59,8 +59,8 @@
    *
    * @param maxTokens tokens over all legs
    * @param maxTurns legs that end in tool calls
-   * @param maxCalls tool calls of one turn
-   * @param maxArgumentBytes characters of all arguments of one turn
+   * @param maxToolCallsPerTurn tool calls of one turn
+   * @param maxArgumentChars characters of all arguments of one turn
    * @param maxResumptions legs begun anew after a break
    * @param mayResume whether a broken leg may be begun anew at all: its class is safe to repeat and
    *     streams resume
@@ -68,8 +68,8 @@
   public record Limits(
       int maxTokens,
       int maxTurns,
-      int maxCalls,
-      int maxArgumentBytes,
+      int maxToolCallsPerTurn,
+      int maxArgumentChars,
       int maxResumptions,
       boolean mayResume) {}
 
@@ -81,15 +81,15 @@
 
   /** Why and how it ended; {@code retryable} is the promise that nothing of it had an effect. */
   public record Outcome(
-      OutcomeKind end,
+      OutcomeKind kind,
       String text,
       int tokens,
       int turns,
-      int calls,
-      String finish,
+      int toolCalls,
+      String finishReason,
       boolean retryable,
       long retryAfterMicros,
-      String what) {}
+      String message) {}
 
   /** What an answer asks for. */
   public interface Actions {
@@ -97,7 +97,7 @@
      * Begins a leg: the client's prompt, then the turns, then, if {@code partial} is not empty,
      * what was delivered of this turn, to be gone on with.
      */
-    void leg(List<Turn> turns, String partial, int maxTokens, boolean resumed);
+    void startRequest(List<Turn> turns, String partial, int maxTokens, boolean resumed);
 
     /** Delivers a piece of text, good until this returns; {@code tokens} counts all so far. */
     void deliver(CharSequence piece, int tokens);
@@ -109,7 +109,7 @@
     void withdraw(ToolCall call, String why);
 
     /** Ends the leg under way, if there is one. */
-    void leave();
+    void cancelRequest();
 
     /** The one end. */
     void ended(Outcome ending);
@@ -122,14 +122,14 @@
   }
 
   /** Makes an answer; {@link #begin} sets it going. */
-  public Answer(Actions steps, Limits bounds) {
-    this.steps = steps;
-    this.bounds = bounds;
+  public Answer(Actions actions, Limits limits) {
+    this.actions = actions;
+    this.limits = limits;
   }
 
   /** Asks for the first leg. */
   public void begin() {
-    steps.leg(List.of(), "", bounds.maxTokens(), false);
+    actions.startRequest(List.of(), "", limits.maxTokens(), false);
   }
 
   /** Where it stands. */
@@ -138,134 +138,137 @@
   }
 
   /** Calls whose results are awaited. */
-  public List<ToolCall> awaited() {
-    return state != State.TOOLS
+  public List<ToolCall> pendingToolCalls() {
+    return state != State.AWAITING_TOOLS
         ? List.of()
-        : waiting.stream().filter(c -> !results.containsKey(c.id())).toList();
+        : relayedCalls.stream().filter(c -> !toolResults.containsKey(c.id())).toList();
   }
 
   // ==== the leg
 
   /** A piece of the leg's stream. */
-  public void chunk(CompletionChunk chunk) {
-    if (state != State.LEG) {
+  public void onChunk(CompletionChunk chunk) {
+    if (state != State.GENERATING) {
       return;
     }
-    for (CompletionChunk.ToolCallDelta part : chunk.calls()) {
-      PartialToolCall piece = pieces.computeIfAbsent(part.index(), i -> new PartialToolCall());
-      piece.id = part.id().isEmpty() ? piece.id : part.id();
-      piece.name = part.name().isEmpty() ? piece.name : part.name();
-      piece.arguments.append(part.arguments());
-      argumentBytes += part.arguments().length();
+    for (CompletionChunk.ToolCallDelta delta : chunk.toolCalls()) {
+      PartialToolCall partial =
+          partialToolCalls.computeIfAbsent(delta.index(), i -> new PartialToolCall());
+      partial.id = delta.id().isEmpty() ? partial.id : delta.id();
+      partial.name = delta.name().isEmpty() ? partial.name : delta.name();
+      partial.arguments.append(delta.arguments());
+      argumentChars += delta.arguments().length();
     }
-    if (pieces.size() > bounds.maxCalls() || argumentBytes > bounds.maxArgumentBytes()) {
+    if (partialToolCalls.size() > limits.maxToolCallsPerTurn()
+        || argumentChars > limits.maxArgumentChars()) {
       fail(
           "the model called more than "
-              + bounds.maxCalls()
+              + limits.maxToolCallsPerTurn()
               + " tools at once, or with arguments of more than "
-              + bounds.maxArgumentBytes()
+              + limits.maxArgumentChars()
               + " characters",
           true);
       return;
     }
-    finish = chunk.finish() != null ? chunk.finish() : finish;
-    if (chunk.answerTokens() >= 0 || !chunk.text().isEmpty()) {
-      deliver(chunk.text(), chunk.answerTokens());
+    finishReason = chunk.finishReason() != null ? chunk.finishReason() : finishReason;
+    if (chunk.completionTokens() >= 0 || !chunk.text().isEmpty()) {
+      deliver(chunk.text(), chunk.completionTokens());
     }
   }
 
   /** A piece of text and nothing else, as most of a stream is; false if no leg is under way. */
-  public boolean text(CharSequence piece, int answerTokens) {
-    if (state == State.LEG) {
-      deliver(piece, answerTokens);
+  public boolean onText(CharSequence piece, int completionTokens) {
+    if (state == State.GENERATING) {
+      deliver(piece, completionTokens);
       return true;
     }
     return false;
   }
 
-  private void deliver(CharSequence piece, int answerTokens) {
-    legTokens = answerTokens >= 0 ? Math.max(legTokens, answerTokens) : legTokens + 1;
-    tokens = legBase + legTokens;
+  private void deliver(CharSequence piece, int completionTokens) {
+    requestTokens =
+        completionTokens >= 0 ? Math.max(requestTokens, completionTokens) : requestTokens + 1;
+    tokens = tokensBeforeRequest + requestTokens;
     if (!piece.isEmpty()) {
       text.append(piece);
-      legText.append(piece);
-      steps.deliver(piece, tokens);
+      turnText.append(piece);
+      actions.deliver(piece, tokens);
     }
   }
 
   /** The leg is whole: the answer ends, or its calls are relayed. */
-  public void served() {
-    if (state != State.LEG) {
+  public void onRequestCompleted() {
+    if (state != State.GENERATING) {
       return;
     }
     List<ToolCall> calls = new ArrayList<>();
-    pieces.forEach(
-        (index, p) ->
+    partialToolCalls.forEach(
+        (index, partial) ->
             calls.add(
                 new ToolCall(
-                    p.id.isEmpty() ? "call-" + turns.size() + "-" + index : p.id,
-                    p.name,
-                    p.arguments.toString())));
+                    partial.id.isEmpty() ? "call-" + turns.size() + "-" + index : partial.id,
+                    partial.name,
+                    partial.arguments.toString())));
     if (calls.isEmpty()) {
-      finish(
+      end(
           new Outcome(
               OutcomeKind.SERVED,
               text.toString(),
               tokens,
               turns.size(),
-              relayed,
-              finish == null ? "stop" : finish,
+              relayedCallCount,
+              finishReason == null ? "stop" : finishReason,
               false,
               0,
               ""));
-    } else if (turns.size() >= bounds.maxTurns()) {
-      fail("the model called tools in more than " + bounds.maxTurns() + " turns", false);
-    } else if (calls.stream().anyMatch(c -> c.name().isEmpty())
+    } else if (turns.size() >= limits.maxTurns()) {
+      fail("the model called tools in more than " + limits.maxTurns() + " turns", false);
+    } else if (calls.stream().anyMatch(call -> call.name().isEmpty())
         || calls.stream().map(ToolCall::id).distinct().count() < calls.size()) {
       fail("the model called a tool without a name, or two under one id", false);
     } else {
-      state = State.TOOLS;
-      waiting = List.copyOf(calls);
-      results.clear();
+      state = State.AWAITING_TOOLS;
+      relayedCalls = List.copyOf(calls);
+      toolResults.clear();
       for (ToolCall call : calls) {
-        if (state == State.TOOLS) {
-          relayed++;
-          steps.relay(call);
+        if (state == State.AWAITING_TOOLS) {
+          relayedCallCount++;
+          actions.relay(call);
         }
       }
     }
   }
 
   /** The stream broke: what was delivered is kept, calls that had not come whole are dropped. */
-  public void broke(String what) {
-    if (state != State.LEG) {
+  public void onStreamBroken(String reason) {
+    if (state != State.GENERATING) {
       return;
     }
-    if (!bounds.mayResume()
-        || resumptions >= bounds.maxResumptions()
-        || tokens >= bounds.maxTokens()) {
-      fail("the answer broke: " + what, false);
+    if (!limits.mayResume()
+        || resumptions >= limits.maxResumptions()
+        || tokens >= limits.maxTokens()) {
+      fail("the answer broke: " + reason, false);
       return;
     }
     resumptions++;
-    String partial = legText.toString();
-    clearLeg();
-    legText.append(partial);
-    legBase = tokens;
-    steps.leg(List.copyOf(turns), partial, bounds.maxTokens() - tokens, true);
+    String partial = turnText.toString();
+    clearRequest();
+    turnText.append(partial);
+    tokensBeforeRequest = tokens;
+    actions.startRequest(List.copyOf(turns), partial, limits.maxTokens() - tokens, true);
   }
 
   /**
    * The leg was turned away. Only the first leg's refusal is the client's: later ones follow tokens
    * or calls.
    */
-  public void refused(long retryAfterMicros) {
-    if (state == State.LEG) {
+  public void onRejected(long retryAfterMicros) {
+    if (state == State.GENERATING) {
       boolean first = turns.isEmpty() && tokens == 0 && resumptions == 0;
       if (first) {
-        finish(
+        end(
             new Outcome(
-                OutcomeKind.REFUSED,
+                OutcomeKind.REJECTED,
                 "",
                 0,
                 0,
@@ -281,8 +284,8 @@
   }
 
   /** The leg was given up. */
-  public void failed() {
-    if (state == State.LEG) {
+  public void onFailed() {
+    if (state == State.GENERATING) {
       fail("no server answered in time", false);
     }
   }
@@ -292,14 +295,14 @@
   /**
    * A result has come; false if its call does not wait for one (unknown, answered before, or over).
    */
-  public boolean result(String callId, ToolResult result) {
+  public boolean onToolResult(String callId, ToolResult result) {
     boolean awaited =
-        state == State.TOOLS
-            && waiting.stream().anyMatch(c -> c.id().equals(callId))
-            && !results.containsKey(callId);
+        state == State.AWAITING_TOOLS
+            && relayedCalls.stream().anyMatch(c -> c.id().equals(callId))
+            && !toolResults.containsKey(callId);
     if (awaited) {
-      results.put(callId, result);
-      if (results.size() == waiting.size()) {
+      toolResults.put(callId, result);
+      if (toolResults.size() == relayedCalls.size()) {
         nextTurn();
       }
     }
@@ -307,88 +310,98 @@
   }
 
   /** The time for a result is over: the model is told so in its place. */
-  public void expired(String callId) {
-    for (ToolCall call : waiting) {
-      if (state == State.TOOLS && call.id().equals(callId) && !results.containsKey(callId)) {
-        steps.withdraw(call, "no result in time");
-        result(callId, new ToolResult("the tool gave no result in time", true));
+  public void onToolTimeout(String callId) {
+    for (ToolCall call : relayedCalls) {
+      if (state == State.AWAITING_TOOLS
+          && call.id().equals(callId)
+          && !toolResults.containsKey(callId)) {
+        actions.withdraw(call, "no result in time");
+        onToolResult(callId, new ToolResult("the tool gave no result in time", true));
         return;
       }
     }
   }
 
   private void nextTurn() {
-    List<ToolResult> ordered = waiting.stream().map(c -> results.get(c.id())).toList();
-    turns.add(new Turn(legText.toString(), waiting, ordered));
-    waiting = List.of();
-    results.clear();
-    clearLeg();
-    legBase = tokens;
-    state = State.LEG;
-    if (tokens >= bounds.maxTokens()) {
-      finish(
+    List<ToolResult> ordered = relayedCalls.stream().map(c -> toolResults.get(c.id())).toList();
+    turns.add(new Turn(turnText.toString(), relayedCalls, ordered));
+    relayedCalls = List.of();
+    toolResults.clear();
+    clearRequest();
+    tokensBeforeRequest = tokens;
+    state = State.GENERATING;
+    if (tokens >= limits.maxTokens()) {
+      end(
           new Outcome(
               OutcomeKind.SERVED,
               text.toString(),
               tokens,
               turns.size(),
-              relayed,
+              relayedCallCount,
               "length",
               false,
               0,
               ""));
     } else {
-      steps.leg(List.copyOf(turns), "", bounds.maxTokens() - tokens, false);
+      actions.startRequest(List.copyOf(turns), "", limits.maxTokens() - tokens, false);
     }
   }
 
-  private void clearLeg() {
-    pieces.clear();
-    legText.setLength(0);
-    legTokens = 0;
-    argumentBytes = 0;
-    finish = null;
+  private void clearRequest() {
+    partialToolCalls.clear();
+    turnText.setLength(0);
+    requestTokens = 0;
+    argumentChars = 0;
+    finishReason = null;
   }
 
   // ==== the end
 
   /** The client does not want it any more. */
-  public void leave(String why) {
+  public void cancel(String reason) {
     if (state != State.ENDED) {
-      List<ToolCall> open = state == State.TOOLS ? awaited() : List.of();
-      boolean inLeg = state == State.LEG;
+      List<ToolCall> open = state == State.AWAITING_TOOLS ? pendingToolCalls() : List.of();
+      boolean generating = state == State.GENERATING;
       state = State.ENDED;
-      open.forEach(c -> steps.withdraw(c, why));
-      if (inLeg) {
-        steps.leave();
+      open.forEach(call -> actions.withdraw(call, reason));
+      if (generating) {
+        actions.cancelRequest();
       }
-      steps.ended(
+      actions.ended(
           new Outcome(
-              OutcomeKind.LEFT, text.toString(), tokens, turns.size(), relayed, "", false, 0, why));
+              OutcomeKind.CANCELLED,
+              text.toString(),
+              tokens,
+              turns.size(),
+              relayedCallCount,
+              "",
+              false,
+              0,
+              reason));
     }
   }
 
-  private void fail(String what, boolean legOpen) {
-    if (legOpen) {
-      steps.leave();
+  private void fail(String message, boolean requestOpen) {
+    if (requestOpen) {
+      actions.cancelRequest();
     }
-    finish(
+    end(
         new Outcome(
             OutcomeKind.FAILED,
             text.toString(),
             tokens,
             turns.size(),
-            relayed,
+            relayedCallCount,
             "",
             false,
             0,
-            what));
+            message));
   }
 
-  private void finish(Outcome ending) {
+  private void end(Outcome outcome) {
     if (state != State.ENDED) {
       state = State.ENDED;
-      steps.ended(ending);
+      actions.ended(outcome);
     }
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/answer/Prompt.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/Prompt.java
@@ -12,7 +12,7 @@
  * @param toolNames names of those tools
  * @param maxTokens tokens of the answer at most
  * @param conversation the client's name for the conversation, null if it gave none
- * @param prefix key of the opening that the prompt shares with others, 0 if it has none
+ * @param prefixKey key of the opening that the prompt shares with others, 0 if it has none
  */
 public record Prompt(
     int classId,
@@ -22,5 +22,5 @@
     int maxTokens,
     String conversation,
     int promptTokens,
-    long prefix,
+    long prefixKey,
     int prefixTokens) {}
--- a/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
@@ -29,15 +29,15 @@
  * thread.
  */
 public final class PromptReader {
-  private static final int MESSAGE_OVERHEAD =
+  private static final int MESSAGE_OVERHEAD_TOKENS =
       4; // tokens that a chat template adds to a message, about
-  private static final int MOST_PROBLEMS = 5;
-  private static final int MOST_TOOLS = 64;
+  private static final int MAX_REPORTED_PROBLEMS = 5;
+  private static final int MAX_TOOLS = 64;
 
   private final List<GatewaySettings.ClassSettings> classes;
-  private final Map<String, Integer> numbers = new HashMap<>();
+  private final Map<String, Integer> classIds = new HashMap<>();
   private final List<JsonSchema> schemas = new ArrayList<>();
-  private final ArrayNode listing = JsonNodeFactory.instance.arrayNode();
+  private final ArrayNode toolList = JsonNodeFactory.instance.arrayNode();
   private final Encoding encoding =
       Encodings.newDefaultEncodingRegistry().getEncoding(EncodingType.CL100K_BASE);
 
@@ -56,34 +56,36 @@
     SchemaValidatorsConfig config =
         SchemaValidatorsConfig.builder().pathType(PathType.JSON_POINTER).build();
     JsonSchemaFactory factory = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012);
-    for (GatewaySettings.ClassSettings c : classes) {
-      ObjectNode schema = inputSchema(c);
-      numbers.put(c.name(), schemas.size());
+    for (GatewaySettings.ClassSettings requestClass : classes) {
+      ObjectNode schema = inputSchema(requestClass);
+      classIds.put(requestClass.name(), schemas.size());
       schemas.add(factory.getSchema(schema, config));
-      ObjectNode tool = listing.addObject();
-      tool.put("name", c.name());
-      if (!c.description().isEmpty()) {
-        tool.put("description", c.description());
+      ObjectNode tool = toolList.addObject();
+      tool.put("name", requestClass.name());
+      if (!requestClass.description().isEmpty()) {
+        tool.put("description", requestClass.description());
       }
       tool.set("inputSchema", schema);
       tool.set(
           "annotations",
-          JsonNodeFactory.instance.objectNode().put("idempotentHint", c.repeat().equals("safe")));
+          JsonNodeFactory.instance
+              .objectNode()
+              .put("idempotentHint", requestClass.repeat().equals("safe")));
     }
   }
 
   /** The tools as {@code tools/list} gives them. */
-  public ArrayNode listing() {
-    return listing.deepCopy();
+  public ArrayNode toolList() {
+    return toolList.deepCopy();
   }
 
   /** The class of that name, or -1. */
   public int classId(String name) {
-    return numbers.getOrDefault(name, -1);
+    return classIds.getOrDefault(name, -1);
   }
 
   /** Tokens of a text. */
-  public int tokens(String text) {
+  public int tokenCount(String text) {
     return text.isEmpty() ? 0 : encoding.countTokensOrdinary(text);
   }
 
@@ -94,8 +96,13 @@
     if (!problems.isEmpty()) {
       throw new InvalidArgumentsException(
           problems.stream()
-              .limit(MOST_PROBLEMS)
-              .map(m -> "/arguments" + m.getInstanceLocation() + ": " + afterColon(m.getMessage()))
+              .limit(MAX_REPORTED_PROBLEMS)
+              .map(
+                  message ->
+                      "/arguments"
+                          + message.getInstanceLocation()
+                          + ": "
+                          + afterColon(message.getMessage()))
               .collect(Collectors.joining("; ")));
     }
     ArrayNode messages = JsonNodeFactory.instance.arrayNode();
@@ -117,13 +124,13 @@
         }
       }
     }
-    int most = classes.get(classId).maxTokens();
-    return count(
+    int classMaxTokens = classes.get(classId).maxTokens();
+    return countTokens(
         classId,
         messages,
         tools,
         names,
-        Math.min(most, given.path("max_tokens").asInt(most)),
+        Math.min(classMaxTokens, given.path("max_tokens").asInt(classMaxTokens)),
         given.has("conversation") ? given.get("conversation").textValue() : null);
   }
 
@@ -131,7 +138,7 @@
    * The opening is what other conversations begin with too: the tools and the system messages at
    * the start.
    */
-  private Prompt count(
+  private Prompt countTokens(
       int classId,
       ArrayNode messages,
       JsonNode tools,
@@ -139,17 +146,17 @@
       int maxTokens,
       String conversation) {
     StringBuilder opening = new StringBuilder(tools == null ? "" : tools.toString());
-    int tokens = tokens(opening.toString());
+    int tokens = tokenCount(opening.toString());
     int prefixTokens = 0;
     boolean inOpening = true;
     for (JsonNode message : messages) {
-      int here = tokens(content(message)) + MESSAGE_OVERHEAD;
+      int messageTokens = tokenCount(content(message)) + MESSAGE_OVERHEAD_TOKENS;
       inOpening &= message.path("role").asText().equals("system");
       if (inOpening) {
         opening.append('\n').append(content(message));
-        prefixTokens = tokens + here;
+        prefixTokens = tokens + messageTokens;
       }
-      tokens += here;
+      tokens += messageTokens;
     }
     long prefix = prefixTokens == 0 ? 0 : EndpointRegistry.hash(opening.toString());
     return new Prompt(
@@ -185,7 +192,7 @@
     return colon < 0 ? message : message.substring(colon + 2);
   }
 
-  private static ObjectNode inputSchema(GatewaySettings.ClassSettings c) {
+  private static ObjectNode inputSchema(GatewaySettings.ClassSettings requestClass) {
     ObjectNode schema = JsonNodeFactory.instance.objectNode().put("type", "object");
     ObjectNode properties = schema.putObject("properties");
     ObjectNode message =
@@ -209,7 +216,7 @@
         .putObject("max_tokens")
         .put("type", "integer")
         .put("minimum", 1)
-        .put("maximum", c.maxTokens());
+        .put("maximum", requestClass.maxTokens());
     properties
         .putObject("conversation")
         .put("type", "string")
@@ -220,7 +227,7 @@
         properties
             .putObject("tools")
             .put("type", "array")
-            .put("maxItems", MOST_TOOLS)
+            .put("maxItems", MAX_TOOLS)
             .put(
                 "description",
                 "MCP tools that the client runs when they are called in the middle"
--- a/gateway/src/main/java/lemondock/gateway/core/CallService.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CallService.java
@@ -133,13 +133,13 @@
 
   /** A call was turned away because the gateway is late. */
   public void refusedLate(int classId, String tenant, boolean clientRepeat) {
-    tally.refusedLate();
-    tally.turnedAway(classId, tenant, clientRepeat);
+    tally.countLoadShed();
+    tally.requestRejected(classId, tenant, clientRepeat);
   }
 
   /** A call was turned away before it was taken; it is counted as refused. */
   public void turnedAway(Prompt prompt, String tenant, boolean clientRepeat) {
-    tally.turnedAway(prompt.classId(), tenant, clientRepeat);
+    tally.requestRejected(prompt.classId(), tenant, clientRepeat);
   }
 
   /** Has calls that must not run twice remembered; before the first call. */
@@ -192,7 +192,7 @@
               call.begin();
             } else {
               synchronized (sink.lock()) { // nothing was sent anywhere
-                call.answer.refused(GatewaySettings.micros(settings.limits().retryAdviceMs()));
+                call.answer.onRejected(GatewaySettings.micros(settings.limits().retryAdviceMs()));
               }
             }
           });
@@ -239,8 +239,9 @@
       this.sink = sink;
       this.requestClass = settings.classes().get(prompt.classId());
       this.count =
-          tally.taken(prompt.classId(), tenant, clientRepeat, prompt.promptTokens(), loop.now());
-      this.aimLimit = loop.schedule(count.aim(), count::aimPassed);
+          tally.requestAccepted(
+              prompt.classId(), tenant, clientRepeat, prompt.promptTokens(), loop.now());
+      this.aimLimit = loop.schedule(count.latencyObjectiveMicros(), count::onObjectivePassed);
       this.answer =
           new Answer(
               this,
@@ -274,13 +275,13 @@
       if (limit != null) {
         limit.cancel();
         toolsWaiting--;
-        count.answered();
+        count.onToolCallAnswered();
         if (key != null) {
           guard.answered(key, remembered(callId));
         }
       }
       synchronized (sink.lock()) {
-        return answer.result(callId, kept);
+        return answer.onToolResult(callId, kept);
       }
     }
 
@@ -288,12 +289,12 @@
     public void leave(String why) {
       synchronized (sink.lock()) {
         quiet = true;
-        answer.leave(why);
+        answer.cancel(why);
       }
     }
 
     @Override
-    public void leave() {
+    public void cancelRequest() {
       ledger.leave(leg);
     }
 
@@ -312,13 +313,14 @@
     private void cut(String why) {
       synchronized (sink.lock()) {
         if (answer.state() != Answer.State.ENDED) {
-          answer.leave(why);
+          answer.cancel(why);
         }
       }
     }
 
     @Override
-    public void leg(List<Answer.Turn> turns, String partial, int maxTokens, boolean resumed) {
+    public void startRequest(
+        List<Answer.Turn> turns, String partial, int maxTokens, boolean resumed) {
       waits(false);
       ObjectNode body = body(turns, partial);
       int added = 0;
@@ -331,11 +333,11 @@
               prompt.classId(),
               0,
               session,
-              prompt.prefix(),
+              prompt.prefixKey(),
               tokens,
               prompt.prefixTokens(),
               maxTokens,
-              requestClass.patience(tokens),
+              requestClass.deadlineMicros(tokens),
               clientRepeat && legs == 0,
               resumed,
               sink.shard(),
@@ -393,7 +395,7 @@
 
     @Override
     public void deliver(CharSequence piece, int tokens) {
-      count.delivered(loop.now());
+      count.onDelivered(loop.now());
       if (gradient != null && !begun) {
         begun = true;
         gradient.sample(loop.now() - takenAt, open.size());
@@ -410,7 +412,7 @@
         return;
       }
       toolsWaiting++;
-      count.relayed(loop.now());
+      count.onToolCallRelayed(loop.now());
       limit(call, GatewaySettings.micros(requestClass.toolTimeoutMs()));
       if (key == null) {
         relayed.add(call.id());
@@ -423,7 +425,7 @@
           call.name(),
           durable -> {
             synchronized (sink.lock()) {
-              if (!answer.awaited().contains(call)) {
+              if (!answer.pendingToolCalls().contains(call)) {
                 return; // it took so long that nobody waits for it any more
               }
               if (durable) {
@@ -464,9 +466,9 @@
                 }
                 toolLimits.remove(call.id());
                 toolsWaiting--;
-                count.lost();
+                count.onToolCallLost();
                 synchronized (sink.lock()) {
-                  answer.expired(call.id());
+                  answer.onToolTimeout(call.id());
                 }
               }));
     }
@@ -481,7 +483,7 @@
     @Override
     public void ended(Answer.Outcome ending) {
       aimLimit.cancel();
-      count.ended(loop.now(), ending);
+      count.onEnded(loop.now(), ending);
       toolsWaiting -= toolLimits.size();
       toolLimits.values().forEach(Loop.Timer::cancel);
       toolLimits.clear();
@@ -490,9 +492,9 @@
       if (key != null) {
         guard.ended(
             key,
-            ending.end() == Answer.OutcomeKind.SERVED
+            ending.kind() == Answer.OutcomeKind.SERVED
                 ? IdempotencyStore.Fate.SERVED
-                : ending.end() == Answer.OutcomeKind.REFUSED || !begunLegs
+                : ending.kind() == Answer.OutcomeKind.REJECTED || !begunLegs
                     ? IdempotencyStore.Fate.NEVER_RAN
                     : IdempotencyStore.Fate.MAY_HAVE_RUN);
       }
@@ -506,7 +508,7 @@
       @Override
       public void chunk(CompletionChunk chunk) {
         synchronized (sink.lock()) {
-          answer.chunk(chunk);
+          answer.onChunk(chunk);
         }
       }
 
@@ -525,35 +527,35 @@
           return false;
         }
         synchronized (sink.lock()) {
-          return count.inTurn() && sink.flows() && answer.text(text, answerTokens);
+          return count.inTurn() && sink.flows() && answer.onText(text, answerTokens);
         }
       }
 
       @Override
       public void served() {
         synchronized (sink.lock()) {
-          answer.served();
+          answer.onRequestCompleted();
         }
       }
 
       @Override
       public void broke(String what) {
         synchronized (sink.lock()) {
-          answer.broke(what);
+          answer.onStreamBroken(what);
         }
       }
 
       @Override
       public void refused(long retryAfterMicros) {
         synchronized (sink.lock()) {
-          answer.refused(retryAfterMicros);
+          answer.onRejected(retryAfterMicros);
         }
       }
 
       @Override
       public void failed() {
         synchronized (sink.lock()) {
-          answer.failed();
+          answer.onFailed();
         }
       }
     }
--- a/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
@@ -16,44 +16,44 @@
  */
 public final class ConsulEndpointList implements EndpointListSource {
   /** Consul adds up to a sixteenth of the wait; the rest is for the way. */
-  private static final double WAIT_TIMES = 17.0 / 16;
+  private static final double WAIT_JITTER_FACTOR = 17.0 / 16;
 
-  private static final long SLACK = 2_000_000;
+  private static final long NETWORK_ALLOWANCE_MICROS = 2_000_000;
 
   private final Loop loop;
   private final HttpClient client;
   private final InetSocketAddress address;
   private final GatewaySettings.Discovery settings;
-  private final String agent;
-  private Listener sink;
-  private long index;
-  private long backOff;
+  private final String userAgent;
+  private Listener listener;
+  private long lastIndex;
+  private long backoffMicros;
   private boolean stopped;
   private HttpClient.Call call;
   private Loop.Timer timer = () -> {};
 
-  /** Makes a follower; {@code agent} is what the catalogue sees as User-Agent. */
+  /** Makes a follower; {@code userAgent} is what the catalogue sees as User-Agent. */
   public ConsulEndpointList(
       Loop loop,
       HttpClient client,
       InetSocketAddress address,
       GatewaySettings.Discovery settings,
-      String agent) {
+      String userAgent) {
     this.loop = loop;
     this.client = client;
     this.address = address;
     this.settings = settings;
-    this.agent = agent;
+    this.userAgent = userAgent;
   }
 
   @Override
-  public void start(Listener to) {
-    sink = to;
+  public void start(Listener listener) {
+    listener = listener;
     query();
   }
 
   @Override
-  public void watch() {
+  public void refresh() {
     // a query is always under way or about to be repeated
   }
 
@@ -74,11 +74,11 @@
         "/v1/health/service/"
             + settings.service()
             + "?index="
-            + index
+            + lastIndex
             + "&wait="
             + Math.round(settings.waitMs())
             + "ms";
-    Answer answer = new Answer();
+    CatalogueResponse answer = new CatalogueResponse();
     call =
         client.send(
             address,
@@ -91,53 +91,55 @@
                     "accept",
                     "application/json",
                     "user-agent",
-                    agent),
+                    userAgent),
                 new byte[0]),
             answer);
     timer =
         loop.schedule(
-            (long) (GatewaySettings.micros(settings.waitMs()) * WAIT_TIMES) + SLACK,
+            (long) (GatewaySettings.micros(settings.waitMs()) * WAIT_JITTER_FACTOR)
+                + NETWORK_ALLOWANCE_MICROS,
             () -> {
               call.cancel();
-              failed("no answer from the catalogue in time");
+              retryAfterFailure("no answer from the catalogue in time");
             });
   }
 
-  private void failed(String what) {
+  private void retryAfterFailure(String problem) {
     timer.cancel();
-    sink.failed(what);
-    index = 0;
-    backOff =
+    listener.onFailure(problem);
+    lastIndex = 0;
+    backoffMicros =
         Math.min(
             GatewaySettings.micros(settings.maxRetryMs()),
-            Math.max(GatewaySettings.micros(settings.retryMs()), backOff * 2));
-    timer = loop.schedule(backOff, this::query);
+            Math.max(GatewaySettings.micros(settings.retryMs()), backoffMicros * 2));
+    timer = loop.schedule(backoffMicros, this::query);
   }
 
-  private final class Answer extends HttpClient.Keeping {
+  private final class CatalogueResponse extends HttpClient.Keeping {
     @Override
     public void done() {
       timer.cancel();
       if (status() != 200) {
-        ConsulEndpointList.this.failed("the catalogue answered " + status());
+        ConsulEndpointList.this.retryAfterFailure("the catalogue answered " + status());
         return;
       }
-      List<Endpoint> entries;
-      long next;
+      List<Endpoint> endpoints;
+      long index;
       try {
-        entries = EndpointListCodec.ofConsul(body());
-        next = Long.parseLong(String.valueOf(header("x-consul-index")));
+        endpoints = EndpointListCodec.parseConsul(body());
+        index = Long.parseLong(String.valueOf(header("x-consul-index")));
       } catch (EndpointListCodec.MalformedListException | NumberFormatException e) {
-        ConsulEndpointList.this.failed("the catalogue's answer cannot be read: " + e.getMessage());
+        ConsulEndpointList.this.retryAfterFailure(
+            "the catalogue's answer cannot be read: " + e.getMessage());
         return;
       }
-      backOff = 0;
-      long before = index;
-      index = next < index ? 0 : Math.max(1, next);
-      if (index != before) {
-        sink.whole(entries);
+      backoffMicros = 0;
+      long previousIndex = lastIndex;
+      lastIndex = index < lastIndex ? 0 : Math.max(1, index);
+      if (lastIndex != previousIndex) {
+        listener.onList(endpoints);
       }
-      if (index == before && before == 0) {
+      if (lastIndex == previousIndex && previousIndex == 0) {
         timer =
             loop.schedule(
                 GatewaySettings.micros(settings.retryMs()), ConsulEndpointList.this::query);
@@ -148,7 +150,7 @@
 
     @Override
     public void failed(HttpClient.Failure failure, String what) {
-      ConsulEndpointList.this.failed(what);
+      ConsulEndpointList.this.retryAfterFailure(what);
     }
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/discovery/EndpointListCodec.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/EndpointListCodec.java
@@ -32,44 +32,44 @@
   }
 
   /** Reads {@code {"servers": [...]}}. */
-  public static List<Endpoint> ofFile(byte[] text) throws MalformedListException {
-    JsonNode servers = tree(text).get("servers");
+  public static List<Endpoint> parseFile(byte[] text) throws MalformedListException {
+    JsonNode servers = parseJson(text).get("servers");
     if (servers == null || !servers.isArray()) {
       throw new MalformedListException("/servers: expected an array, found " + servers);
     }
-    List<Endpoint> entries = new ArrayList<>();
+    List<Endpoint> endpoints = new ArrayList<>();
     for (int i = 0; i < servers.size(); i++) {
-      JsonNode s = servers.get(i);
-      String at = "/servers/" + i;
-      entries.add(
+      JsonNode server = servers.get(i);
+      String pointer = "/servers/" + i;
+      endpoints.add(
           new Endpoint(
-              text(s, "name", at),
-              address(text(s, "address", at), at + "/address"),
-              text(s, "kind", at),
-              s.path("zone").asText("default"),
-              s.path("rack").asText("0"),
-              standing(s.path("standing").asText("ready"), at + "/standing"),
-              weight(s.path("weight"), at),
-              s.path("startedAt").asLong(0)));
+              requiredText(server, "name", pointer),
+              address(requiredText(server, "address", pointer), pointer + "/address"),
+              requiredText(server, "kind", pointer),
+              server.path("zone").asText("default"),
+              server.path("rack").asText("0"),
+              lifecycle(server.path("standing").asText("ready"), pointer + "/standing"),
+              weight(server.path("weight"), pointer),
+              server.path("startedAt").asLong(0)));
     }
-    return entries;
+    return endpoints;
   }
 
-  /** Writes what {@link #ofFile} reads; used for the cache. */
-  public static byte[] toFile(List<Endpoint> entries) {
+  /** Writes what {@link #parseFile} reads; used for the cache. */
+  public static byte[] formatFile(List<Endpoint> endpoints) {
     ObjectNode root = JsonNodeFactory.instance.objectNode();
     ArrayNode servers = root.putArray("servers");
-    for (Endpoint e : entries) {
+    for (Endpoint endpoint : endpoints) {
       servers
           .addObject()
-          .put("name", e.name())
-          .put("address", e.address().getHostString() + ":" + e.address().getPort())
-          .put("kind", e.kind())
-          .put("zone", e.zone())
-          .put("rack", e.rack())
-          .put("standing", e.standing().name().toLowerCase(Locale.ROOT))
-          .put("weight", e.weight())
-          .put("startedAt", e.startedAt());
+          .put("name", endpoint.name())
+          .put("address", endpoint.address().getHostString() + ":" + endpoint.address().getPort())
+          .put("kind", endpoint.kind())
+          .put("zone", endpoint.zone())
+          .put("rack", endpoint.rack())
+          .put("standing", endpoint.standing().name().toLowerCase(Locale.ROOT))
+          .put("weight", endpoint.weight())
+          .put("startedAt", endpoint.startedAt());
     }
     return root.toPrettyString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
   }
@@ -79,35 +79,35 @@
    * from the service's Meta. A check in maintenance, or Meta {@code draining=true}, drains; another
    * critical check means gone.
    */
-  public static List<Endpoint> ofConsul(byte[] text) throws MalformedListException {
-    JsonNode root = tree(text);
+  public static List<Endpoint> parseConsul(byte[] text) throws MalformedListException {
+    JsonNode root = parseJson(text);
     if (!root.isArray()) {
       throw new MalformedListException("/: expected an array of services");
     }
-    List<Endpoint> entries = new ArrayList<>();
+    List<Endpoint> endpoints = new ArrayList<>();
     for (int i = 0; i < root.size(); i++) {
       JsonNode service = root.get(i).path("Service");
-      String at = "/" + i + "/Service";
+      String pointer = "/" + i + "/Service";
       JsonNode meta = service.path("Meta");
       String host = service.path("Address").asText("");
       if (host.isEmpty()) {
         host = root.get(i).path("Node").path("Address").asText("");
       }
-      entries.add(
+      endpoints.add(
           new Endpoint(
-              text(service, "ID", at),
-              address(host + ":" + service.path("Port").asInt(0), at + "/Address"),
-              text(meta, "kind", at + "/Meta"),
+              requiredText(service, "ID", pointer),
+              address(host + ":" + service.path("Port").asInt(0), pointer + "/Address"),
+              requiredText(meta, "kind", pointer + "/Meta"),
               meta.path("zone").asText("default"),
               meta.path("rack").asText("0"),
-              standing(meta, root.get(i).path("Checks")),
-              weight(service.path("Weights").path("Passing"), at + "/Weights/Passing"),
+              lifecycle(meta, root.get(i).path("Checks")),
+              weight(service.path("Weights").path("Passing"), pointer + "/Weights/Passing"),
               meta.path("started").asLong(0)));
     }
-    return entries;
+    return endpoints;
   }
 
-  private static ServerLifecycle standing(JsonNode meta, JsonNode checks) {
+  private static ServerLifecycle lifecycle(JsonNode meta, JsonNode checks) {
     boolean draining = meta.path("draining").asText("").equals("true");
     for (JsonNode check : checks) {
       if (check.path("Status").asText("").equals("critical")) {
@@ -121,15 +121,17 @@
     return draining ? ServerLifecycle.DRAINING : ServerLifecycle.READY;
   }
 
-  private static ServerLifecycle standing(String name, String at) throws MalformedListException {
+  private static ServerLifecycle lifecycle(String name, String pointer)
+      throws MalformedListException {
     try {
       return ServerLifecycle.valueOf(name.toUpperCase(Locale.ROOT));
     } catch (IllegalArgumentException e) {
-      throw new MalformedListException(at + ": expected ready, draining or gone, found " + name);
+      throw new MalformedListException(
+          pointer + ": expected ready, draining or gone, found " + name);
     }
   }
 
-  private static JsonNode tree(byte[] text) throws MalformedListException {
+  private static JsonNode parseJson(byte[] text) throws MalformedListException {
     try {
       JsonNode root = MAPPER.readTree(text);
       if (root == null || root.isMissingNode()) {
@@ -142,31 +144,33 @@
     }
   }
 
-  private static String text(JsonNode node, String name, String at) throws MalformedListException {
+  private static String requiredText(JsonNode node, String name, String pointer)
+      throws MalformedListException {
     JsonNode value = node.get(name);
     if (value == null || !value.isTextual() || value.textValue().isEmpty()) {
-      throw new MalformedListException(at + "/" + name + ": expected a text, found " + value);
+      throw new MalformedListException(pointer + "/" + name + ": expected a text, found " + value);
     }
     return value.textValue();
   }
 
-  private static double weight(JsonNode node, String at) throws MalformedListException {
+  private static double weight(JsonNode node, String pointer) throws MalformedListException {
     double weight = node.isMissingNode() ? 1 : node.asDouble(Double.NaN);
     if (!(weight > 0) || Double.isInfinite(weight)) {
-      throw new MalformedListException(at + ": expected a weight above 0, found " + node);
+      throw new MalformedListException(pointer + ": expected a weight above 0, found " + node);
     }
     return weight;
   }
 
-  private static InetSocketAddress address(String text, String at) throws MalformedListException {
+  private static InetSocketAddress address(String text, String pointer)
+      throws MalformedListException {
     try {
-      InetSocketAddress address = SettingsFile.address(text);
+      InetSocketAddress address = SettingsFile.resolveAddress(text);
       if (address.getPort() > 0 && !address.isUnresolved()) {
         return address;
       }
     } catch (RuntimeException e) {
       // reported below
     }
-    throw new MalformedListException(at + ": expected HOST:PORT, found " + text);
+    throw new MalformedListException(pointer + ": expected HOST:PORT, found " + text);
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/discovery/EndpointListSource.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/EndpointListSource.java
@@ -9,7 +9,7 @@
   void start(Listener sink);
 
   /** Asks for the whole list again, after the module wished it. */
-  void watch();
+  void refresh();
 
   /** Stops following. */
   void stop();
@@ -17,9 +17,9 @@
   /** What hears of the list. */
   interface Listener {
     /** The whole list as it is now. */
-    void whole(List<Endpoint> entries);
+    void onList(List<Endpoint> entries);
 
     /** The list could not be had; the one before stays in force. */
-    void failed(String what);
+    void onFailure(String what);
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/discovery/FileEndpointList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/FileEndpointList.java
@@ -17,24 +17,24 @@
  * list as it is.
  */
 public final class FileEndpointList implements EndpointListSource {
-  private static final long MOST_BYTES = 8 * 1024 * 1024;
+  private static final long MAX_FILE_BYTES = 8 * 1024 * 1024;
 
   private final Loop loop;
   private final Path path;
-  private final long poll;
+  private final long pollIntervalMicros;
   private ScheduledExecutorService reader;
-  private byte[] seen;
-  private String problem = "";
+  private byte[] lastContent;
+  private String lastProblem = "";
 
   /** Makes a follower of the file that the settings name. */
   public FileEndpointList(Loop loop, GatewaySettings.Discovery settings) {
     this.loop = loop;
     this.path = Path.of(settings.path());
-    this.poll = GatewaySettings.micros(settings.pollMs());
+    this.pollIntervalMicros = GatewaySettings.micros(settings.pollMs());
   }
 
   @Override
-  public void start(Listener sink) {
+  public void start(Listener listener) {
     reader =
         Executors.newSingleThreadScheduledExecutor(
             task -> {
@@ -42,11 +42,12 @@
               thread.setDaemon(true);
               return thread;
             });
-    reader.scheduleWithFixedDelay(() -> look(sink), 0, poll, TimeUnit.MICROSECONDS);
+    reader.scheduleWithFixedDelay(
+        () -> pollFile(listener), 0, pollIntervalMicros, TimeUnit.MICROSECONDS);
   }
 
   @Override
-  public void watch() {
+  public void refresh() {
     // the file is read on anyway
   }
 
@@ -57,27 +58,27 @@
     }
   }
 
-  private void look(Listener sink) {
+  private void pollFile(Listener listener) {
     try {
-      if (Files.size(path) > MOST_BYTES) {
-        throw new IOException("over " + MOST_BYTES + " bytes");
+      if (Files.size(path) > MAX_FILE_BYTES) {
+        throw new IOException("over " + MAX_FILE_BYTES + " bytes");
       }
-      byte[] text = Files.readAllBytes(path);
-      if (!Arrays.equals(text, seen)) {
-        List<Endpoint> entries = EndpointListCodec.ofFile(text);
-        seen = text;
-        loop.execute(() -> sink.whole(entries));
+      byte[] content = Files.readAllBytes(path);
+      if (!Arrays.equals(content, lastContent)) {
+        List<Endpoint> endpoints = EndpointListCodec.parseFile(content);
+        lastContent = content;
+        loop.execute(() -> listener.onList(endpoints));
       }
-      problem = "";
+      lastProblem = "";
     } catch (IOException | EndpointListCodec.MalformedListException | RuntimeException e) {
-      String what =
+      String problem =
           path
               + ": "
               + (e instanceof EndpointListCodec.MalformedListException ? "" : "cannot be read: ")
               + e.getMessage();
-      if (!what.equals(problem)) {
-        problem = what;
-        loop.execute(() -> sink.failed(what));
+      if (!problem.equals(lastProblem)) {
+        lastProblem = problem;
+        loop.execute(() -> listener.onFailure(problem));
       }
     }
   }
--- a/gateway/src/main/java/lemondock/gateway/engine/CompletionChunk.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/CompletionChunk.java
@@ -7,21 +7,21 @@
  * One event of a writer's stream.
  *
  * @param text a piece of the answer, empty if none
- * @param calls pieces of tool calls
- * @param finish why the answer ended, null while it has not
+ * @param toolCalls pieces of tool calls
+ * @param finishReason why the answer ended, null while it has not
  * @param promptTokens tokens of the prompt, -1 if not told here
  * @param cachedTokens prompt tokens found kept, -1 if not told here
- * @param answerTokens tokens of the answer so far, -1 if not told here
+ * @param completionTokens tokens of the answer so far, -1 if not told here
  * @param last the stream's closing mark
  * @param error what the engine reports in place of an answer, null if it does not
  */
 public record CompletionChunk(
     String text,
-    List<ToolCallDelta> calls,
-    String finish,
+    List<ToolCallDelta> toolCalls,
+    String finishReason,
     int promptTokens,
     int cachedTokens,
-    int answerTokens,
+    int completionTokens,
     boolean last,
     String error)
     implements StreamChunk {
@@ -37,7 +37,7 @@
 
   @Override
   public boolean carries() {
-    return !text.isEmpty() || !calls.isEmpty() || finish != null;
+    return !text.isEmpty() || !toolCalls.isEmpty() || finishReason != null;
   }
 
   static CompletionChunk error(String what) {
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
@@ -57,9 +57,9 @@
             to,
             post(
                 to,
-                EngineProtocol.COMPLETIONS,
+                EngineProtocol.COMPLETIONS_PATH,
                 requestId,
-                EngineProtocol.read(spec.prompt(), requestId)),
+                EngineProtocol.readRequest(spec.prompt(), requestId)),
             new Reading(attempt))
         ::cancel;
   }
@@ -78,9 +78,9 @@
             to,
             post(
                 to,
-                EngineProtocol.COMPLETIONS,
+                EngineProtocol.COMPLETIONS_PATH,
                 requestId,
-                EngineProtocol.write(spec.prompt(), requestId, transfer, spec.maxTokens())),
+                EngineProtocol.writeRequest(spec.prompt(), requestId, transfer, spec.maxTokens())),
             spec.shard(),
             writing);
     return writing;
@@ -103,7 +103,7 @@
   private void abort(InetSocketAddress at, String requestId, int tries) {
     client.send(
         at,
-        post(at, EngineProtocol.ABORT, requestId, EngineProtocol.abort(requestId)),
+        post(at, EngineProtocol.ABORT_PATH, requestId, EngineProtocol.abortRequest(requestId)),
         new HttpClient.Receiver() {
           @Override
           public void done() {}
@@ -145,11 +145,11 @@
     @Override
     public void done() {
       if (status() != 200) {
-        EngineProtocol.ErrorReply refusal = EngineProtocol.refusal(status(), body());
-        attempt.ended(refusal.ending(), refusal.stateMissing(), refusal.what());
+        EngineProtocol.ErrorReply refusal = EngineProtocol.parseErrorReply(status(), body());
+        attempt.ended(refusal.outcome(), refusal.stateMissing(), refusal.message());
         return;
       }
-      EngineProtocol.ReadReply reply = EngineProtocol.readReply(body());
+      EngineProtocol.ReadReply reply = EngineProtocol.parseReadReply(body());
       if (reply.problem() != null) {
         attempt.ended(AttemptOutcome.ERROR, false, reply.problem());
       } else {
@@ -204,8 +204,8 @@
     public boolean direct(byte[] data, int length) {
       Lane way = lane;
       if (way == null
-          || !plain.take(data, length)
-          || !way.take(plain.text(), plain.answerTokens())) {
+          || !plain.parse(data, length)
+          || !way.take(plain.text(), plain.completionTokens())) {
         return false;
       }
       quiet.heard();
@@ -230,14 +230,17 @@
 
     @Override
     public Object map(SseEvent event) {
-      return EngineProtocol.chunk(event.data());
+      return EngineProtocol.parseChunk(event.data());
     }
 
     @Override
     public void event(Object mapped) {
       CompletionChunk chunk = (CompletionChunk) mapped;
       if (over
-          || finished && !chunk.carries() && chunk.error() == null && chunk.answerTokens() < 0) {
+          || finished
+              && !chunk.carries()
+              && chunk.error() == null
+              && chunk.completionTokens() < 0) {
         return;
       }
       quiet.heard();
@@ -248,7 +251,7 @@
             status() != 200 ? "status " + status() + " with an event stream" : chunk.error());
         return;
       }
-      finished |= chunk.finish() != null;
+      finished |= chunk.finishReason() != null;
       attempt.chunk(chunk);
       if (!watched && !over && chunk.carries()) {
         watched = true;
@@ -264,9 +267,9 @@
     @Override
     public void done() {
       if (status() != 200) {
-        EngineProtocol.ErrorReply refusal = EngineProtocol.refusal(status(), body());
+        EngineProtocol.ErrorReply refusal = EngineProtocol.parseErrorReply(status(), body());
         over();
-        attempt.ended(refusal.ending(), refusal.stateMissing(), refusal.what());
+        attempt.ended(refusal.outcome(), refusal.stateMissing(), refusal.message());
       } else if (finished) {
         end(AttemptOutcome.OK, "");
       } else {
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineProtocol.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineProtocol.java
@@ -18,16 +18,16 @@
  */
 public final class EngineProtocol {
   /** Where completions are asked for. */
-  public static final String COMPLETIONS = "/v1/chat/completions";
+  public static final String COMPLETIONS_PATH = "/v1/chat/completions";
 
   /** Where a request, and what is kept for it, is let go (the published call of SGLang). */
-  public static final String ABORT = "/abort_request";
+  public static final String ABORT_PATH = "/abort_request";
 
   /** The error code of a writer that found no state to fetch. */
   public static final String STATE_MISSING = "kv_state_missing";
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private static final int MOST_ERROR = 200;
+  private static final int MAX_ERROR_CHARS = 200;
 
   private EngineProtocol() {}
 
@@ -37,7 +37,7 @@
   public record ReadReply(JsonNode transfer, int promptTokens, int cachedTokens, String problem) {}
 
   /** The body of a read. */
-  public static byte[] read(ObjectNode prompt, String requestId) {
+  public static byte[] readRequest(ObjectNode prompt, String requestId) {
     ObjectNode body = prompt.deepCopy();
     body.put("max_tokens", 1).put("stream", false).put("request_id", requestId);
     body.putObject("kv_transfer_params")
@@ -47,14 +47,14 @@
         .putNull("remote_block_ids")
         .putNull("remote_host")
         .putNull("remote_port");
-    return bytes(body);
+    return toBytes(body);
   }
 
   /**
    * The body of a write; without a state ({@code transfer} null) the server reads the prompt
    * itself.
    */
-  public static byte[] write(
+  public static byte[] writeRequest(
       ObjectNode prompt, String requestId, JsonNode transfer, int maxTokens) {
     ObjectNode body = prompt.deepCopy();
     body.put("max_tokens", maxTokens).put("stream", true).put("request_id", requestId);
@@ -62,15 +62,15 @@
     if (transfer != null) {
       body.set("kv_transfer_params", transfer);
     }
-    return bytes(body);
+    return toBytes(body);
   }
 
   /** The body of an abort. */
-  public static byte[] abort(String requestId) {
-    return bytes(MAPPER.createObjectNode().put("rid", requestId).put("abort_all", false));
+  public static byte[] abortRequest(String requestId) {
+    return toBytes(MAPPER.createObjectNode().put("rid", requestId).put("abort_all", false));
   }
 
-  private static byte[] bytes(JsonNode node) {
+  private static byte[] toBytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
     } catch (JsonProcessingException e) {
@@ -79,7 +79,7 @@
   }
 
   /** Reads the reply to a read. */
-  public static ReadReply readReply(byte[] body) {
+  public static ReadReply parseReadReply(byte[] body) {
     JsonNode root;
     try {
       root = MAPPER.readTree(body);
@@ -99,12 +99,12 @@
   }
 
   /** Reads the data of one event of a write's stream; what cannot be read becomes an error. */
-  public static CompletionChunk chunk(String data) {
+  public static CompletionChunk parseChunk(String data) {
     if (data.equals("[DONE]")) {
       return CompletionChunk.LAST;
     }
     if (!data.contains("\"tool_calls\"") && !data.contains("\"error\"")) {
-      return plainChunk(data);
+      return parseTextChunk(data);
     }
     JsonNode root;
     try {
@@ -116,16 +116,16 @@
       return CompletionChunk.error("an event of the stream is no object");
     }
     if (root.has("error")) {
-      return CompletionChunk.error(message(root));
+      return CompletionChunk.error(errorMessage(root));
     }
     JsonNode choice = root.path("choices").path(0);
     JsonNode delta = choice.path("delta");
-    List<CompletionChunk.ToolCallDelta> calls = List.of();
+    List<CompletionChunk.ToolCallDelta> toolCalls = List.of();
     if (delta.path("tool_calls").isArray() && !delta.path("tool_calls").isEmpty()) {
-      calls = new ArrayList<>();
+      toolCalls = new ArrayList<>();
       for (JsonNode call : delta.path("tool_calls")) {
         JsonNode function = call.path("function");
-        calls.add(
+        toolCalls.add(
             new CompletionChunk.ToolCallDelta(
                 call.path("index").asInt(0),
                 call.path("id").asText(""),
@@ -136,7 +136,7 @@
     JsonNode usage = root.path("usage");
     return new CompletionChunk(
         delta.path("content").asText(""),
-        calls,
+        toolCalls,
         choice.path("finish_reason").isTextual() ? choice.path("finish_reason").textValue() : null,
         usage.path("prompt_tokens").asInt(-1),
         usage.path("prompt_tokens_details").path("cached_tokens").asInt(-1),
@@ -149,12 +149,12 @@
    * The common event, a piece of text: read token by token, since one comes for each token of each
    * answer.
    */
-  private static CompletionChunk plainChunk(String data) {
+  private static CompletionChunk parseTextChunk(String data) {
     String text = "";
-    String finish = null;
-    int prompt = -1;
-    int cached = -1;
-    int answer = -1;
+    String finishReason = null;
+    int promptTokens = -1;
+    int cachedTokens = -1;
+    int completionTokens = -1;
     try (JsonParser parser = MAPPER.getFactory().createParser(data)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
         return CompletionChunk.error("an event of the stream is no object");
@@ -186,47 +186,49 @@
             }
           } else if (value == JsonToken.VALUE_STRING) {
             text = name.equals("content") ? parser.getText() : text;
-            finish = name.equals("finish_reason") ? parser.getText() : finish;
+            finishReason = name.equals("finish_reason") ? parser.getText() : finishReason;
           } else if (value == JsonToken.VALUE_NUMBER_INT) {
-            prompt = name.equals("prompt_tokens") ? parser.getIntValue() : prompt;
-            cached = name.equals("cached_tokens") ? parser.getIntValue() : cached;
-            answer = name.equals("completion_tokens") ? parser.getIntValue() : answer;
+            promptTokens = name.equals("prompt_tokens") ? parser.getIntValue() : promptTokens;
+            cachedTokens = name.equals("cached_tokens") ? parser.getIntValue() : cachedTokens;
+            completionTokens =
+                name.equals("completion_tokens") ? parser.getIntValue() : completionTokens;
           }
         }
       }
-      return new CompletionChunk(text, List.of(), finish, prompt, cached, answer, false, null);
+      return new CompletionChunk(
+          text, List.of(), finishReason, promptTokens, cachedTokens, completionTokens, false, null);
     } catch (IOException e) {
       return CompletionChunk.error("an event of the stream is not JSON");
     }
   }
 
   /** A response that is no success, as the module hears of it. */
-  public record ErrorReply(AttemptOutcome ending, boolean stateMissing, String what) {}
+  public record ErrorReply(AttemptOutcome outcome, boolean stateMissing, String message) {}
 
   /**
    * What a status other than 200 means. 429 and 503 are an engine's word that it did not begin; any
    * other status may come after work, so it proves nothing.
    */
-  public static ErrorReply refusal(int status, byte[] body) {
+  public static ErrorReply parseErrorReply(int status, byte[] body) {
     JsonNode root;
     try {
       root = MAPPER.readTree(body);
     } catch (IOException e) {
       root = null;
     }
-    String what = "status " + status + (root == null ? "" : ": " + message(root));
+    String message = "status " + status + (root == null ? "" : ": " + errorMessage(root));
     boolean full = status == 429 || status == 503;
-    boolean missing =
+    boolean stateMissing =
         full && root != null && STATE_MISSING.equals(root.path("error").path("code").asText(""));
-    return new ErrorReply(full ? AttemptOutcome.FULL : AttemptOutcome.ERROR, missing, what);
+    return new ErrorReply(full ? AttemptOutcome.FULL : AttemptOutcome.ERROR, stateMissing, message);
   }
 
-  private static String message(JsonNode root) {
+  private static String errorMessage(JsonNode root) {
     JsonNode error = root.path("error");
     String text =
         error.isTextual()
             ? error.asText()
             : error.path("message").asText(root.path("message").asText(""));
-    return text.length() > MOST_ERROR ? text.substring(0, MOST_ERROR) + "..." : text;
+    return text.length() > MAX_ERROR_CHARS ? text.substring(0, MAX_ERROR_CHARS) + "..." : text;
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/engine/TextEventParser.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/TextEventParser.java
@@ -5,36 +5,37 @@
 /**
  * Reads the event that nearly all of an answer's stream is made of, a piece of text with or without
  * counts so far, where it lies: no tree, no string, no memory of its own per event. What is
- * anything else, or not quite as usual, is not taken, and {@link EngineProtocol#chunk} reads it;
- * what is taken means the same there. One reader serves one stream.
+ * anything else, or not quite as usual, is not taken, and {@link EngineProtocol#parseChunk} reads
+ * it; what is taken means the same there. One reader serves one stream.
  */
 final class TextEventParser {
-  private static final int DEEPEST = 16;
-  private static final int MOST_DIGITS = 9;
-  private static final byte[][] ENTERED =
-      names("choices", "delta", "usage", "prompt_tokens_details");
-  private static final byte[] CONTENT = name("content");
-  private static final byte[] FINISH = name("finish_reason");
-  private static final byte[] TOKENS = name("completion_tokens");
+  private static final int MAX_DEPTH = 16;
+  private static final int MAX_DIGITS = 9;
+  private static final byte[][] TRAVERSED_FIELDS =
+      asciiAll("choices", "delta", "usage", "prompt_tokens_details");
+  private static final byte[] CONTENT_FIELD = ascii("content");
+  private static final byte[] FINISH_REASON_FIELD = ascii("finish_reason");
+  private static final byte[] COMPLETION_TOKENS_FIELD = ascii("completion_tokens");
 
   /** An event that has one of these says more than a piece of text. */
-  private static final byte[][] MORE = names("tool_calls", "error", "cached_tokens");
+  private static final byte[][] UNSUPPORTED_FIELDS =
+      asciiAll("tool_calls", "error", "cached_tokens");
 
   private final StringBuilder text = new StringBuilder();
-  private final boolean[] object = new boolean[DEEPEST];
-  private byte[] in;
-  private int at;
+  private final boolean[] isObjectAtDepth = new boolean[MAX_DEPTH];
+  private byte[] input;
+  private int position;
   private int end;
-  private int answerTokens;
+  private int completionTokens;
 
-  private static byte[] name(String text) {
+  private static byte[] ascii(String text) {
     return text.getBytes(StandardCharsets.US_ASCII);
   }
 
-  private static byte[][] names(String... texts) {
+  private static byte[][] asciiAll(String... texts) {
     byte[][] all = new byte[texts.length][];
     for (int i = 0; i < texts.length; i++) {
-      all[i] = name(texts[i]);
+      all[i] = ascii(texts[i]);
     }
     return all;
   }
@@ -45,120 +46,124 @@
   }
 
   /** The tokens so far that the event taken last told, -1 if it did not. */
-  int answerTokens() {
-    return answerTokens;
+  int completionTokens() {
+    return completionTokens;
   }
 
   /** Whether the event, UTF-8 in the first bytes of an array, is a piece of text and was taken. */
-  boolean take(byte[] data, int length) {
-    in = data;
-    at = 0;
+  boolean parse(byte[] data, int length) {
+    input = data;
+    position = 0;
     end = length;
-    answerTokens = -1;
+    completionTokens = -1;
     text.setLength(0);
-    boolean taken = is('{') && members() && atEnd() && text.length() > 0;
-    in = null;
-    return taken;
+    boolean parsed = accept('{') && parseMembers() && atEnd() && text.length() > 0;
+    input = null;
+    return parsed;
   }
 
   private boolean atEnd() {
-    space();
-    return at == end;
+    skipWhitespace();
+    return position == end;
   }
 
-  private void space() {
-    while (at < end && (in[at] == ' ' || in[at] == '\n' || in[at] == '\r' || in[at] == '\t')) {
-      at++;
+  private void skipWhitespace() {
+    while (position < end
+        && (input[position] == ' '
+            || input[position] == '\n'
+            || input[position] == '\r'
+            || input[position] == '\t')) {
+      position++;
     }
   }
 
   /** Passes over a character that must come next. */
-  private boolean is(char wanted) {
-    space();
-    if (at < end && in[at] == wanted) {
-      at++;
+  private boolean accept(char expected) {
+    skipWhitespace();
+    if (position < end && input[position] == expected) {
+      position++;
       return true;
     }
     return false;
   }
 
   /** What is behind the opening brace of an object whose members count, up to its end. */
-  private boolean members() {
+  private boolean parseMembers() {
     int depth = 0;
-    object[0] = true;
-    boolean begun = false; // whether the structure at hand has had a member
+    isObjectAtDepth[0] = true;
+    boolean hasPreviousMember = false; // whether the structure at hand has had a member
     while (true) {
-      space();
-      if (at == end) {
+      skipWhitespace();
+      if (position == end) {
         return false;
       }
-      byte c = in[at];
+      byte c = input[position];
       if (c == '}' || c == ']') {
-        if (object[depth] != (c == '}')) {
+        if (isObjectAtDepth[depth] != (c == '}')) {
           return false;
         }
-        at++;
+        position++;
         if (depth == 0) {
           return true;
         }
         depth--;
-        begun = true;
+        hasPreviousMember = true;
         continue;
       }
-      if (begun && !is(',')) {
+      if (hasPreviousMember && !accept(',')) {
         return false;
       }
-      space();
-      int from = 0;
-      int to = 0;
-      if (object[depth]) {
-        from = at + 1;
-        if (!string()) {
+      skipWhitespace();
+      int nameStart = 0;
+      int nameEnd = 0;
+      if (isObjectAtDepth[depth]) {
+        nameStart = position + 1;
+        if (!skipString()) {
           return false;
         }
-        to = at - 1;
-        if (one(MORE, from, to) || !is(':')) {
+        nameEnd = position - 1;
+        if (isOneOf(UNSUPPORTED_FIELDS, nameStart, nameEnd) || !accept(':')) {
           return false;
         }
-        space();
+        skipWhitespace();
       }
-      if (at == end) {
+      if (position == end) {
         return false;
       }
-      begun = true;
-      if (in[at] != '{' && in[at] != '[') {
-        if (!scalar(from, to)) {
+      hasPreviousMember = true;
+      if (input[position] != '{' && input[position] != '[') {
+        if (!parseScalar(nameStart, nameEnd)) {
           return false;
         }
-      } else if (object[depth] && !one(ENTERED, from, to)) {
-        if (!skip(0)) {
+      } else if (isObjectAtDepth[depth] && !isOneOf(TRAVERSED_FIELDS, nameStart, nameEnd)) {
+        if (!skipStructure(0)) {
           return false;
         }
       } else {
-        if (++depth == DEEPEST) {
+        if (++depth == MAX_DEPTH) {
           return false;
         }
-        object[depth] = in[at++] == '{';
-        begun = false;
+        isObjectAtDepth[depth] = input[position++] == '{';
+        hasPreviousMember = false;
       }
     }
   }
 
-  private boolean one(byte[][] names, int from, int to) {
+  private boolean isOneOf(byte[][] names, int start, int end) {
     for (byte[] name : names) {
-      if (same(name, from, to)) {
+      if (nameEquals(name, start, end)) {
         return true;
       }
     }
     return false;
   }
 
-  private boolean same(byte[] name, int from, int to) {
-    if (to - from != name.length) {
+  private boolean nameEquals(byte[] name, int start, int end) {
+    if (end - start != name.length) {
       return false;
     }
     for (int i = 0; i < name.length; i++) {
-      if (in[from + i] != name[i]) {
+      if (input[start + i] != name[i]) {
         return false;
       }
     }
@@ -169,151 +174,154 @@
    * Passes over a name or a value without escapes, and that is plain ASCII; anything else is not
    * usual.
    */
-  private boolean string() {
-    if (at >= end || in[at] != '"') {
+  private boolean skipString() {
+    if (position >= end || input[position] != '"') {
       return false;
     }
-    for (at++; at < end; at++) {
-      if (in[at] == '"') {
-        at++;
+    for (position++; position < end; position++) {
+      if (input[position] == '"') {
+        position++;
         return true;
       }
-      if (in[at] < ' ' || in[at] == '\\') {
+      if (input[position] < ' ' || input[position] == '\\') {
         return false;
       }
     }
     return false;
   }
 
-  private boolean scalar(int from, int to) {
-    if (in[at] == '"') {
-      if (same(FINISH, from, to)) {
+  private boolean parseScalar(int nameStart, int nameEnd) {
+    if (input[position] == '"') {
+      if (nameEquals(FINISH_REASON_FIELD, nameStart, nameEnd)) {
         return false;
       }
-      return same(CONTENT, from, to) ? content() : string();
+      return nameEquals(CONTENT_FIELD, nameStart, nameEnd) ? parseContent() : skipString();
     }
-    if (in[at] >= '0' && in[at] <= '9' || in[at] == '-') {
-      int begun = at;
-      boolean whole = number();
-      if (whole && same(TOKENS, from, to)) {
-        return count(begun);
+    if (input[position] >= '0' && input[position] <= '9' || input[position] == '-') {
+      int valueStart = position;
+      boolean valid = skipNumber();
+      if (valid && nameEquals(COMPLETION_TOKENS_FIELD, nameStart, nameEnd)) {
+        return parseTokenCount(valueStart);
       }
-      return whole;
+      return valid;
     }
-    return word("null") || word("true") || word("false");
+    return acceptLiteral("null") || acceptLiteral("true") || acceptLiteral("false");
   }
 
-  private boolean word(String wanted) {
-    if (end - at < wanted.length()) {
+  private boolean acceptLiteral(String literal) {
+    if (end - position < literal.length()) {
       return false;
     }
-    for (int i = 0; i < wanted.length(); i++) {
-      if (in[at + i] != wanted.charAt(i)) {
+    for (int i = 0; i < literal.length(); i++) {
+      if (input[position + i] != literal.charAt(i)) {
         return false;
       }
     }
-    at += wanted.length();
+    position += literal.length();
     return true;
   }
 
-  private boolean number() {
-    if (in[at] == '-') {
-      at++;
+  private boolean skipNumber() {
+    if (input[position] == '-') {
+      position++;
     }
-    int digits = digits();
-    if (digits == 0 || digits > 1 && in[at - digits] == '0') {
+    int digits = skipDigits();
+    if (digits == 0 || digits > 1 && input[position - digits] == '0') {
       return false;
     }
-    if (at < end && in[at] == '.') {
-      at++;
-      if (digits() == 0) {
+    if (position < end && input[position] == '.') {
+      position++;
+      if (skipDigits() == 0) {
         return false;
       }
     }
-    if (at < end && (in[at] == 'e' || in[at] == 'E')) {
-      at++;
-      if (at < end && (in[at] == '+' || in[at] == '-')) {
-        at++;
+    if (position < end && (input[position] == 'e' || input[position] == 'E')) {
+      position++;
+      if (position < end && (input[position] == '+' || input[position] == '-')) {
+        position++;
       }
-      return digits() > 0;
+      return skipDigits() > 0;
     }
     return true;
   }
 
-  private int digits() {
-    int from = at;
-    while (at < end && in[at] >= '0' && in[at] <= '9') {
-      at++;
+  private int skipDigits() {
+    int start = position;
+    while (position < end && input[position] >= '0' && input[position] <= '9') {
+      position++;
     }
-    return at - from;
+    return position - start;
   }
 
-  private boolean count(int from) {
-    if (at - from > MOST_DIGITS) {
+  private boolean parseTokenCount(int start) {
+    if (position - start > MAX_DIGITS) {
       return false;
     }
     int value = 0;
-    for (int i = from; i < at; i++) {
-      if (in[i] < '0' || in[i] > '9') {
+    for (int i = start; i < position; i++) {
+      if (input[i] < '0' || input[i] > '9') {
         return false;
       }
-      value = 10 * value + in[i] - '0';
+      value = 10 * value + input[i] - '0';
     }
-    answerTokens = value;
+    completionTokens = value;
     return true;
   }
 
   /** Passes over a structure that does not count. */
-  private boolean skip(int depth) {
-    if (depth == DEEPEST) {
+  private boolean skipStructure(int depth) {
+    if (depth == MAX_DEPTH) {
       return false;
     }
-    boolean braces = in[at++] == '{';
-    if (is(braces ? '}' : ']')) {
+    boolean braces = input[position++] == '{';
+    if (accept(braces ? '}' : ']')) {
       return true;
     }
     do {
-      space();
+      skipWhitespace();
       if (braces) {
-        if (!string() || !is(':')) {
+        if (!skipString() || !accept(':')) {
           return false;
         }
-        space();
+        skipWhitespace();
       }
-      if (at == end || !(in[at] == '{' || in[at] == '[' ? skip(depth + 1) : scalar(0, 0))) {
+      if (position == end
+          || !(input[position] == '{' || input[position] == '['
+              ? skipStructure(depth + 1)
+              : parseScalar(0, 0))) {
         return false;
       }
-    } while (is(','));
-    return is(braces ? '}' : ']');
+    } while (accept(','));
+    return accept(braces ? '}' : ']');
   }
 
   // ==== the text
 
-  private boolean content() {
+  private boolean parseContent() {
     text.setLength(0);
-    for (at++; at < end; ) {
-      int c = in[at++];
+    for (position++; position < end; ) {
+      int c = input[position++];
       if (c == '"') {
         return true;
       }
       if (c == '\\') {
-        if (!escape()) {
+        if (!parseEscape()) {
           return false;
         }
       } else if (c >= ' ') {
         text.append((char) c);
-      } else if (c >= 0 || !wide(c & 0xff)) {
+      } else if (c >= 0 || !parseMultiByteCharacter(c & 0xff)) {
         return false; // a control character, or no UTF-8
       }
     }
     return false;
   }
 
-  private boolean escape() {
-    if (at == end) {
+  private boolean parseEscape() {
+    if (position == end) {
       return false;
     }
-    int c = in[at++];
+    int c = input[position++];
     switch (c) {
       case '"', '\\', '/' -> text.append((char) c);
       case 'n' -> text.append('\n');
@@ -322,12 +330,12 @@
       case 'b' -> text.append('\b');
       case 'f' -> text.append('\f');
       case 'u' -> {
-        if (end - at < 4) {
+        if (end - position < 4) {
           return false;
         }
         int value = 0;
         for (int i = 0; i < 4; i++) {
-          int digit = Character.digit(in[at++], 16);
+          int digit = Character.digit(input[position++], 16);
           if (digit < 0) {
             return false;
           }
@@ -343,23 +351,23 @@
   }
 
   /** A character of several bytes; the shortest form only, and no half of a pair (RFC 3629). */
-  private boolean wide(int lead) {
-    int more = lead >= 0xf0 ? 3 : lead >= 0xe0 ? 2 : 1;
-    if (lead < 0xc2 || lead > 0xf4 || end - at < more) {
+  private boolean parseMultiByteCharacter(int leadByte) {
+    int continuationBytes = leadByte >= 0xf0 ? 3 : leadByte >= 0xe0 ? 2 : 1;
+    if (leadByte < 0xc2 || leadByte > 0xf4 || end - position < continuationBytes) {
       return false;
     }
-    int point = lead & 0x3f >> more;
-    for (int i = 0; i < more; i++) {
-      if ((in[at] & 0xc0) != 0x80) {
+    int codePoint = leadByte & 0x3f >> continuationBytes;
+    for (int i = 0; i < continuationBytes; i++) {
+      if ((input[position] & 0xc0) != 0x80) {
         return false;
       }
-      point = point << 6 | in[at++] & 0x3f;
+      codePoint = codePoint << 6 | input[position++] & 0x3f;
     }
-    if (more == 2 && (point < 0x800 || point >= 0xd800 && point < 0xe000)
-        || more == 3 && (point < 0x10000 || point > 0x10ffff)) {
+    if (continuationBytes == 2 && (codePoint < 0x800 || codePoint >= 0xd800 && codePoint < 0xe000)
+        || continuationBytes == 3 && (codePoint < 0x10000 || codePoint > 0x10ffff)) {
       return false;
     }
-    text.appendCodePoint(point);
+    text.appendCodePoint(codePoint);
     return true;
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/mcp/DnsRebindingGuard.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/DnsRebindingGuard.java
@@ -23,15 +23,15 @@
       Pattern.compile("https?://(localhost|127\\.0\\.0\\.1|\\[::1])(:[0-9]{1,5})?");
 
   private final GatewaySettings.Front settings;
-  private final boolean loopback;
+  private final boolean listensOnLoopback;
 
   DnsRebindingGuard(GatewaySettings.Front settings) {
     this.settings = settings;
-    this.loopback = LOOPBACK.matcher(settings.listen()).matches();
+    this.listensOnLoopback = LOOPBACK.matcher(settings.listen()).matches();
   }
 
   /** Why the request is not allowed here, null if it is. */
-  String forbidden(HttpServer.Request request) {
+  String rejectionReason(HttpServer.Request request) {
     String host = request.headers().get("host");
     if (host != null
         && !settings.allowedHosts().contains("*")
@@ -42,7 +42,7 @@
     if (origin != null
         && !settings.allowedOrigins().contains("*")
         && !settings.allowedOrigins().contains(origin)
-        && !(loopback && LOOPBACK_ORIGIN.matcher(origin).matches())) {
+        && !(listensOnLoopback && LOOPBACK_ORIGIN.matcher(origin).matches())) {
       return "origin " + clip(origin) + " is not allowed here";
     }
     return null;
--- a/gateway/src/main/java/lemondock/gateway/mcp/EventReplayBuffer.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/EventReplayBuffer.java
@@ -9,18 +9,18 @@
  * more costs no memory of its own. No I/O.
  */
 public final class EventReplayBuffer {
-  private static final int FIRST_BYTES = 256;
-  private static final int FIRST_EVENTS = 8;
-
-  private final int most;
-  private byte[] ring = new byte[FIRST_BYTES];
-  private int head;
-  private int bytes;
-  private int[] lengths = new int[FIRST_EVENTS];
+  private static final int INITIAL_BYTES = 256;
+  private static final int INITIAL_EVENTS = 8;
+
+  private final int capacityBytes;
+  private byte[] ring = new byte[INITIAL_BYTES];
+  private int headOffset;
+  private int sizeBytes;
+  private int[] eventLengths = new int[INITIAL_EVENTS];
   private int headEvent;
-  private int events;
-  private long next = 1;
-  private long sent;
+  private int eventCount;
+  private long nextNumber = 1;
+  private long lastSentNumber;
 
   /** Takes events out again. */
   public interface EventConsumer {
@@ -29,56 +29,59 @@
   }
 
   /** A log of so many bytes. */
-  public EventReplayBuffer(int most) {
-    this.most = most;
+  public EventReplayBuffer(int capacityBytes) {
+    this.capacityBytes = capacityBytes;
   }
 
   /** The number that the next event will have. */
   public long nextNumber() {
-    return next;
+    return nextNumber;
   }
 
   /** Keeps an event; its number is {@link #nextNumber} as it was before. */
-  public void append(byte[] from, int at, int length) {
-    while (events > 0 && bytes + length > most && oldest() <= sent) {
+  public void append(byte[] source, int offset, int length) {
+    while (eventCount > 0
+        && sizeBytes + length > capacityBytes
+        && oldestNumber() <= lastSentNumber) {
       dropOldest();
     }
-    room(length);
-    int to = (head + bytes) % ring.length;
+    ensureCapacity(length);
+    int to = (headOffset + sizeBytes) % ring.length;
     int first = Math.min(length, ring.length - to);
-    System.arraycopy(from, at, ring, to, first);
-    System.arraycopy(from, at + first, ring, 0, length - first);
-    bytes += length;
-    lengths[(headEvent + events) % lengths.length] = length;
-    events++;
-    next++;
+    System.arraycopy(source, offset, ring, to, first);
+    System.arraycopy(source, offset + first, ring, 0, length - first);
+    sizeBytes += length;
+    eventLengths[(headEvent + eventCount) % eventLengths.length] = length;
+    eventCount++;
+    nextNumber++;
   }
 
-  private long oldest() {
-    return next - events;
+  private long oldestNumber() {
+    return nextNumber - eventCount;
   }
 
   private void dropOldest() {
-    int length = lengths[headEvent];
-    head = (head + length) % ring.length;
-    bytes -= length;
-    headEvent = (headEvent + 1) % lengths.length;
-    events--;
+    int length = eventLengths[headEvent];
+    headOffset = (headOffset + length) % ring.length;
+    sizeBytes -= length;
+    headEvent = (headEvent + 1) % eventLengths.length;
+    eventCount--;
   }
 
-  private void room(int length) {
-    if (bytes + length > ring.length) {
-      byte[] larger = new byte[Math.max(bytes + length, Math.min(most, 2 * ring.length))];
-      copy(head, larger, bytes);
+  private void ensureCapacity(int length) {
+    if (sizeBytes + length > ring.length) {
+      byte[] larger =
+          new byte[Math.max(sizeBytes + length, Math.min(capacityBytes, 2 * ring.length))];
+      copy(headOffset, larger, sizeBytes);
       ring = larger;
-      head = 0;
+      headOffset = 0;
     }
-    if (events == lengths.length) {
-      int[] larger = Arrays.copyOf(lengths, 2 * events);
-      for (int i = 0; i < events; i++) {
-        larger[i] = lengths[(headEvent + i) % events];
+    if (eventCount == eventLengths.length) {
+      int[] larger = Arrays.copyOf(eventLengths, 2 * eventCount);
+      for (int i = 0; i < eventCount; i++) {
+        larger[i] = eventLengths[(headEvent + i) % eventCount];
       }
-      lengths = larger;
+      eventLengths = larger;
       headEvent = 0;
     }
   }
@@ -91,35 +94,35 @@
 
   /** Says that all events up to now were handed to a connection. */
   public void markSent() {
-    sent = next - 1;
+    lastSentNumber = nextNumber - 1;
   }
 
   /** Whether events that no connection has taken fill the log: no more should be produced. */
-  public boolean full() {
-    return bytes > most && events > 0 && oldest() > sent;
+  public boolean isFull() {
+    return sizeBytes > capacityBytes && eventCount > 0 && oldestNumber() > lastSentNumber;
   }
 
   /** Whether all events after a number are still kept. */
-  public boolean keeps(long number) {
-    return number >= oldest() - 1 && number < next;
+  public boolean contains(long number) {
+    return number >= oldestNumber() - 1 && number < nextNumber;
   }
 
-  /** Takes out the events after a number that it {@link #keeps}, oldest first. */
-  public void after(long number, EventConsumer taker) {
-    int from = head;
-    for (int i = 0; i < events; i++) {
-      int length = lengths[(headEvent + i) % lengths.length];
-      if (oldest() + i > number) {
+  /** Takes out the events after a number that it {@link #contains}, oldest first. */
+  public void replayAfter(long number, EventConsumer consumer) {
+    int from = headOffset;
+    for (int i = 0; i < eventCount; i++) {
+      int length = eventLengths[(headEvent + i) % eventLengths.length];
+      if (oldestNumber() + i > number) {
         byte[] event = new byte[length];
         copy(from, event, length);
-        taker.event(event);
+        consumer.event(event);
       }
       from = (from + length) % ring.length;
     }
   }
 
   /** Bytes kept. */
-  public int bytes() {
-    return bytes;
+  public int sizeBytes() {
+    return sizeBytes;
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpCall.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpCall.java
@@ -21,7 +21,7 @@
   private final McpSession session;
   private final JsonNode id;
   private final Reply reply;
-  private final boolean safe;
+  private final boolean idempotent;
   private final ProgressNotification progress;
   private final String conversation;
   private final Map<String, String> relayIds = new HashMap<>();
@@ -55,13 +55,13 @@
       McpSession session,
       JsonNode id,
       JsonNode progressToken,
-      boolean safe,
+      boolean idempotent,
       String conversation,
       Reply reply) {
     this.session = session;
     this.id = id;
     this.reply = reply;
-    this.safe = safe;
+    this.idempotent = idempotent;
     this.conversation = conversation;
     this.progress = progressToken == null ? null : new ProgressNotification(progressToken);
   }
@@ -112,9 +112,9 @@
 
   @Override
   public void relay(ToolCall tool) {
-    String relayId = "relay-" + session.nextRelay++;
+    String relayId = "relay-" + session.nextRelayNumber++;
     relayIds.put(tool.id(), relayId);
-    session.relayed.put(relayId, new McpSession.Relayed(call, tool.id()));
+    session.relayedToolCalls.put(relayId, new McpSession.RelayedToolCall(call, tool.id()));
     ObjectNode params = JsonNodeFactory.instance.objectNode().put("name", tool.name());
     params.set("arguments", arguments(tool.arguments()));
     params.putObject("_meta").set("lemondock/call", id);
@@ -140,7 +140,7 @@
   @Override
   public void withdraw(ToolCall tool, String why) {
     String relayId = relayIds.get(tool.id());
-    session.relayed.remove(relayId);
+    session.relayedToolCalls.remove(relayId);
     reply.message(
         JsonRpc.notification(
                 Mcp.CANCELLED,
@@ -149,39 +149,40 @@
   }
 
   @Override
-  public void ended(Answer.Outcome ending) {
+  public void ended(Answer.Outcome outcome) {
     reply.response(
         this,
-        switch (ending.end()) {
-          case SERVED -> JsonRpc.result(id, result(ending));
-          case REFUSED -> JsonRpc.error(id, Mcp.REFUSED, ending.what(), data(ending, true));
-          default -> JsonRpc.error(id, Mcp.FAILED, ending.what(), data(ending, safe));
+        switch (outcome.kind()) {
+          case SERVED -> JsonRpc.result(id, result(outcome));
+          case REJECTED -> JsonRpc.error(id, Mcp.REFUSED, outcome.message(), data(outcome, true));
+          default -> JsonRpc.error(id, Mcp.FAILED, outcome.message(), data(outcome, idempotent));
         });
   }
 
-  private ObjectNode result(Answer.Outcome ending) {
+  private ObjectNode result(Answer.Outcome outcome) {
     ObjectNode result = JsonNodeFactory.instance.objectNode();
-    result.putArray("content").addObject().put("type", "text").put("text", ending.text());
-    ObjectNode told = result.putObject("structuredContent");
-    told.put("text", ending.text())
-        .put("tokens", ending.tokens())
-        .put("turns", ending.turns() + 1)
-        .put("toolCalls", ending.calls())
-        .put("finishReason", ending.finish());
+    result.putArray("content").addObject().put("type", "text").put("text", outcome.text());
+    ObjectNode structured = result.putObject("structuredContent");
+    structured
+        .put("text", outcome.text())
+        .put("tokens", outcome.tokens())
+        .put("turns", outcome.turns() + 1)
+        .put("toolCalls", outcome.toolCalls())
+        .put("finishReason", outcome.finishReason());
     if (conversation != null) {
-      told.put("conversation", conversation);
+      structured.put("conversation", conversation);
     }
     return result.put("isError", false);
   }
 
-  private static ObjectNode data(Answer.Outcome ending, boolean retryable) {
+  private static ObjectNode data(Answer.Outcome outcome, boolean retryable) {
     ObjectNode data =
         JsonNodeFactory.instance
             .objectNode()
             .put("retryable", retryable)
-            .put("tokens", ending.tokens());
-    if (retryable && ending.retryAfterMicros() > 0) {
-      data.put("retryAfterMs", ending.retryAfterMicros() / MICROS);
+            .put("tokens", outcome.tokens());
+    if (retryable && outcome.retryAfterMicros() > 0) {
+      data.put("retryAfterMs", outcome.retryAfterMicros() / MICROS);
     }
     return data;
   }
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpHttpHandler.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpHttpHandler.java
@@ -36,19 +36,19 @@
 public final class McpHttpHandler implements HttpServer.Service {
   private static final Logger LOG = LoggerFactory.getLogger(McpHttpHandler.class);
   private static final String PATH = "/mcp";
-  private static final byte[] NOTHING = new byte[0];
-  private static final long REAP_EVERY = 1_000_000;
+  private static final byte[] EMPTY_BODY = new byte[0];
+  private static final long IDLE_SWEEP_INTERVAL_MICROS = 1_000_000;
 
   private final Loop loop;
   private final GatewaySettings.Front settings;
-  private final RequestPreparer intake;
-  private final DnsRebindingGuard access;
-  private final PostResponder.Services replies;
+  private final RequestPreparer preparer;
+  private final DnsRebindingGuard rebindingGuard;
+  private final PostResponder.Dependencies responderDependencies;
   private final Supplier<String> sessionIds;
   private final String version;
   private final Map<String, McpSession> sessions = new HashMap<>();
-  private final Supplier<String> notReady;
-  private boolean leaving;
+  private final Supplier<String> readinessProblem;
+  private boolean draining;
   private boolean stopping;
 
   /**
@@ -56,7 +56,7 @@
    *
    * @param sessionIds gives ids that cannot be guessed
    * @param admission what is let in when the gateway itself is late
-   * @param notReady says why nothing can be served now, empty if it can
+   * @param readinessProblem says why nothing can be served now, empty if it can
    */
   public McpHttpHandler(
       Loop loop,
@@ -64,45 +64,45 @@
       CallService calls,
       PromptReader prompts,
       Supplier<String> sessionIds,
-      Supplier<String> notReady,
+      Supplier<String> readinessProblem,
       Admission admission,
       String version) {
     this.loop = loop;
     this.settings = settings.front();
     this.sessionIds = sessionIds;
-    this.notReady = notReady;
+    this.readinessProblem = readinessProblem;
     this.version = version;
-    this.intake = new RequestPreparer(settings, calls, prompts, admission);
-    this.access = new DnsRebindingGuard(settings.front());
-    this.replies =
-        new PostResponder.Services(loop, settings, calls, prompts, intake, () -> stopping);
+    this.preparer = new RequestPreparer(settings, calls, prompts, admission);
+    this.rebindingGuard = new DnsRebindingGuard(settings.front());
+    this.responderDependencies =
+        new PostResponder.Dependencies(loop, settings, calls, prompts, preparer, () -> stopping);
   }
 
   /** Begins to let go of idle sessions. */
   public void start() {
     loop.schedule(
-        REAP_EVERY,
+        IDLE_SWEEP_INTERVAL_MICROS,
         () -> {
-          long idle = GatewaySettings.micros(settings.sessionIdleMs());
+          long idleMicros = GatewaySettings.micros(settings.sessionIdleMs());
           List.copyOf(sessions.values()).stream()
               .filter(
-                  s ->
-                      s.calls.isEmpty()
-                          && s.streams.isEmpty()
-                          && s.server == null
-                          && loop.now() - s.usedAt > idle)
-              .forEach(s -> end(s, "the session was idle"));
+                  session ->
+                      session.calls.isEmpty()
+                          && session.streams.isEmpty()
+                          && session.serverStream == null
+                          && loop.now() - session.lastUsedMicros > idleMicros)
+              .forEach(session -> end(session, "the session was idle"));
           start();
         });
   }
 
   /** Says to load balancers that it is about to stop; everything is served on. */
-  public void leave() {
-    leaving = true;
+  public void beginDraining() {
+    draining = true;
   }
 
   /** Takes no new sessions and calls from here on; those under way go on. */
-  public void stop() {
+  public void stopAccepting() {
     stopping = true;
   }
 
@@ -117,7 +117,7 @@
   }
 
   /** Event streams of calls open, those that wait for their client to come back among them. */
-  public int streams() {
+  public int streamCount() {
     return sessions.values().stream().mapToInt(s -> s.streams.size()).sum();
   }
 
@@ -130,17 +130,17 @@
 
   @Override
   public Object prepare(HttpServer.Request request) {
-    return request.method().equals("POST") ? intake.prepare(request) : null;
+    return request.method().equals("POST") ? preparer.prepare(request) : null;
   }
 
   @Override
   public int glance() {
-    return ToolNameScanner.FAR;
+    return ToolNameScanner.SCAN_LIMIT_BYTES;
   }
 
   @Override
   public HttpServer.Refusal turnsAway(HttpServer.Request request) {
-    return intake.turnsAway(request);
+    return preparer.rejectBeforeParsing(request);
   }
 
   // ==== requests
@@ -148,7 +148,7 @@
   @Override
   public void serve(HttpServer.Exchange exchange) {
     HttpServer.Request request = exchange.request();
-    String forbidden = access.forbidden(request);
+    String forbidden = rebindingGuard.rejectionReason(request);
     if (forbidden != null) {
       text(exchange, 403, forbidden);
     } else if (request.path().equals("/healthz") || request.path().equals("/readyz")) {
@@ -156,7 +156,7 @@
           exchange,
           request.path().equals("/healthz")
               ? ""
-              : stopping || leaving ? "the gateway stops" : notReady.get());
+              : stopping || draining ? "the gateway stops" : readinessProblem.get());
     } else if (!request.path().equals(PATH)) {
       text(exchange, 404, "there is nothing here; the service is at " + PATH);
     } else {
@@ -164,7 +164,7 @@
         case "POST" -> post(exchange);
         case "GET" -> get(exchange);
         case "DELETE" -> delete(exchange);
-        default -> exchange.respond(405, Headers.of("allow", "POST, GET, DELETE"), NOTHING);
+        default -> exchange.respond(405, Headers.of("allow", "POST, GET, DELETE"), EMPTY_BODY);
       }
     }
   }
@@ -174,7 +174,7 @@
     if (exchange.request().method().equals("GET") || exchange.request().method().equals("HEAD")) {
       text(exchange, why.isEmpty() ? 200 : 503, why.isEmpty() ? "ok" : why);
     } else {
-      exchange.respond(405, Headers.of("allow", "GET, HEAD"), NOTHING);
+      exchange.respond(405, Headers.of("allow", "GET, HEAD"), EMPTY_BODY);
     }
   }
 
@@ -219,7 +219,7 @@
           "Invalid Request: version " + session.version + " has no batches");
       return;
     }
-    messages(exchange, session, prepared, stream);
+    handleMessages(exchange, session, prepared, stream);
   }
 
   private static boolean accepts(Headers headers, String type) {
@@ -240,15 +240,15 @@
    */
   private McpSession session(HttpServer.Exchange exchange) {
     Headers headers = exchange.request().headers();
-    String spoken = headers.get(Mcp.VERSION_HEADER);
-    if (spoken != null && !Mcp.VERSIONS.contains(spoken)) {
+    String protocolVersion = headers.get(Mcp.VERSION_HEADER);
+    if (protocolVersion != null && !Mcp.VERSIONS.contains(protocolVersion)) {
       error(
           exchange,
           400,
           NullNode.instance,
           JsonRpc.INVALID_REQUEST,
           "Bad Request: unsupported protocol version "
-              + clip(spoken)
+              + clip(protocolVersion)
               + ", expected one of "
               + Mcp.VERSIONS);
       return null;
@@ -268,27 +268,28 @@
       error(exchange, 404, NullNode.instance, JsonRpc.INVALID_REQUEST, "Session not found");
       return null;
     }
-    session.usedAt = loop.now();
+    session.lastUsedMicros = loop.now();
     return session;
   }
 
   private void initialize(HttpServer.Exchange exchange, Message.Request request) {
-    JsonNode asked = request.params() == null ? null : request.params().get("protocolVersion");
-    if (asked == null || !asked.isTextual()) {
+    JsonNode requestedVersion =
+        request.params() == null ? null : request.params().get("protocolVersion");
+    if (requestedVersion == null || !requestedVersion.isTextual()) {
       error(
           exchange,
           400,
           request.id(),
           JsonRpc.INVALID_PARAMS,
-          "/protocolVersion: expected a text, found " + asked);
+          "/protocolVersion: expected a text, found " + requestedVersion);
       return;
     }
     if (stopping) {
       error(exchange, 503, request.id(), Mcp.STOPPING, "the gateway is stopping");
       return;
     }
-    OptionalLong retryAfter = intake.newcomerRefused();
-    if (retryAfter.isPresent()) {
+    OptionalLong retryAfterMicros = preparer.newSessionRetryAfterMicros();
+    if (retryAfterMicros.isPresent()) {
       ObjectNode data = JsonNodeFactory.instance.objectNode().put("retryable", true);
       exchange.respond(
           503,
@@ -296,7 +297,7 @@
               "content-type",
               "application/json",
               "retry-after",
-              Long.toString(RequestPreparer.wholeSeconds(retryAfter.getAsLong()))),
+              Long.toString(RequestPreparer.toRetryAfterSeconds(retryAfterMicros.getAsLong()))),
           bytes(JsonRpc.error(request.id(), Mcp.LIMIT, "the gateway is at its limit", data)));
       return;
     }
@@ -310,7 +311,7 @@
       return;
     }
     McpSession session =
-        new McpSession(sessionIds.get(), Mcp.negotiate(asked.textValue()), loop.now());
+        new McpSession(sessionIds.get(), Mcp.negotiate(requestedVersion.textValue()), loop.now());
     sessions.put(session.id, session);
     ObjectNode result =
         JsonNodeFactory.instance.objectNode().put("protocolVersion", session.version);
@@ -326,7 +327,7 @@
     McpSession session = session(exchange);
     if (session != null) {
       end(session, "the client ended the session");
-      exchange.respond(204, new Headers(), NOTHING);
+      exchange.respond(204, new Headers(), EMPTY_BODY);
     }
   }
 
@@ -337,10 +338,10 @@
       call.call().leave(why);
     }
     session.calls.clear();
-    session.relayed.clear();
+    session.relayedToolCalls.clear();
     List.copyOf(session.streams.values()).forEach(ResumableEventStream::close);
-    if (session.server != null) {
-      session.server.close();
+    if (session.serverStream != null) {
+      session.serverStream.close();
     }
   }
 
@@ -356,13 +357,13 @@
     if (session == null) {
       return;
     }
-    String last = exchange.request().headers().get(Mcp.LAST_EVENT_HEADER);
-    if (last != null) {
-      resume(exchange, session, last);
+    String lastEventId = exchange.request().headers().get(Mcp.LAST_EVENT_HEADER);
+    if (lastEventId != null) {
+      resume(exchange, session, lastEventId);
       return;
     }
-    if (session.server != null) {
-      session.server.close(); // one such stream a session: the newer one wins
+    if (session.serverStream != null) {
+      session.serverStream.close(); // one such stream a session: the newer one wins
     }
     ResumableEventStream stream =
         new ResumableEventStream(
@@ -371,27 +372,27 @@
             settings.replayBytes(),
             0,
             GatewaySettings.micros(settings.keepAliveMs()),
-            new ResumableEventStream.Owner() {
+            new ResumableEventStream.Listener() {
               @Override
-              public void slow() {}
+              public void pauseProducer() {}
 
               @Override
-              public void flow() {}
+              public void resumeProducer() {}
 
               @Override
-              public void over(ResumableEventStream ended, boolean delivered) {
-                if (session.server == ended) {
-                  session.server = null;
+              public void streamClosed(ResumableEventStream ended, boolean delivered) {
+                if (session.serverStream == ended) {
+                  session.serverStream = null;
                 }
               }
             });
-    session.server = stream;
+    session.serverStream = stream;
     stream.open(exchange, session.id, false);
   }
 
-  private void resume(HttpServer.Exchange exchange, McpSession session, String last) {
-    if (last.matches("[0-9]{1,18}-[0-9]{1,18}")) {
-      String[] parts = last.split("-");
+  private void resume(HttpServer.Exchange exchange, McpSession session, String lastEventId) {
+    if (lastEventId.matches("[0-9]{1,18}-[0-9]{1,18}")) {
+      String[] parts = lastEventId.split("-");
       ResumableEventStream stream = session.streams.get(Long.parseLong(parts[0]));
       if (stream != null && stream.resume(exchange, session.id, Long.parseLong(parts[1]))) {
         return;
@@ -400,12 +401,14 @@
     text(
         exchange,
         404,
-        "the stream of event " + clip(last) + " is over or its events are not kept any more");
+        "the stream of event "
+            + clip(lastEventId)
+            + " is over or its events are not kept any more");
   }
 
   // ==== messages
 
-  private void messages(
+  private void handleMessages(
       HttpServer.Exchange exchange,
       McpSession session,
       RequestPreparer.Prepared prepared,
@@ -416,27 +419,27 @@
       if (message instanceof Message.Request request) {
         requests.add(request);
       } else if (message instanceof Message.Notification notification) {
-        notified(session, notification);
+        handleNotification(session, notification);
       } else if (message instanceof Message.Response response) {
-        responded(session, response);
+        handleResponse(session, response);
       } else if (message instanceof Message.Invalid invalid) {
         ready.add(JsonRpc.error(invalid.id(), invalid.code(), invalid.what(), null));
       }
     }
     if (requests.isEmpty() && ready.isEmpty()) {
-      exchange.respond(202, new Headers(), NOTHING);
+      exchange.respond(202, new Headers(), EMPTY_BODY);
       return;
     }
     PostResponder.ResponseMode shape =
         new PostResponder.ResponseMode(prepared.parsed().batch(), stream, requests.size());
-    PostResponder reply = new PostResponder(replies, exchange, session, shape, ready);
+    PostResponder reply = new PostResponder(responderDependencies, exchange, session, shape, ready);
     for (Message.Request request : requests) {
-      reply.take(request, prepared.readings().get(request));
+      reply.accept(request, prepared.calls().get(request));
     }
     reply.flush();
   }
 
-  private void notified(McpSession session, Message.Notification notification) {
+  private void handleNotification(McpSession session, Message.Notification notification) {
     if (notification.method().equals(Mcp.CANCELLED) && notification.params() != null) {
       JsonNode id = notification.params().get("requestId");
       McpCall call = id == null ? null : session.calls.get(id.toString());
@@ -450,15 +453,18 @@
   }
 
   /** A response to a call that the gateway relayed. What nobody waits for is logged and dropped. */
-  private void responded(McpSession session, Message.Response response) {
-    McpSession.Relayed relayed =
-        response.id().isTextual() ? session.relayed.remove(response.id().textValue()) : null;
+  private void handleResponse(McpSession session, Message.Response response) {
+    McpSession.RelayedToolCall relayed =
+        response.id().isTextual()
+            ? session.relayedToolCalls.remove(response.id().textValue())
+            : null;
     boolean taken =
         relayed != null
             && relayed
                 .call()
                 .result(
-                    relayed.callId(), CallService.toolResult(response.result(), response.error()));
+                    relayed.toolCallId(),
+                    CallService.toolResult(response.result(), response.error()));
     if (!taken) {
       LOG.atInfo()
           .addKeyValue("request", clip(response.id().toString()))
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpSession.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpSession.java
@@ -9,8 +9,8 @@
  * One client's session: its version, its calls and streams, and the tool calls that it was sent.
  */
 final class McpSession {
-  private static final int MOST_EARLY = 64;
-  private static final long EARLY_MICROS = 2_000_000;
+  private static final int MAX_EARLY_CANCELLATIONS = 64;
+  private static final long EARLY_CANCELLATION_TTL_MICROS = 2_000_000;
   final String id;
   final String version;
 
@@ -18,7 +18,7 @@
   final Map<String, McpCall> calls = new HashMap<>();
 
   /** Relayed calls that wait for the client's response, by the id they were sent under. */
-  final Map<String, Relayed> relayed = new HashMap<>();
+  final Map<String, RelayedToolCall> relayedToolCalls = new HashMap<>();
 
   final Map<Long, ResumableEventStream> streams = new HashMap<>();
 
@@ -26,38 +26,38 @@
    * Ids cancelled while no call of theirs was under way, and when: a call may still wait to be
    * read.
    */
-  private final LinkedHashMap<String, Long> early = new LinkedHashMap<>();
+  private final LinkedHashMap<String, Long> earlyCancellations = new LinkedHashMap<>();
 
-  ResumableEventStream server;
-  long usedAt;
-  long nextStream = 1;
-  long nextRelay = 1;
-  long nextCall = 1;
+  ResumableEventStream serverStream;
+  long lastUsedMicros;
+  long nextStreamNumber = 1;
+  long nextRelayNumber = 1;
+  long nextCallNumber = 1;
   boolean ended;
 
   /** A call that was sent to the client. */
-  record Relayed(CallService.Call call, String callId) {}
+  record RelayedToolCall(CallService.Call call, String toolCallId) {}
 
   /**
    * The client cancelled a call that is not under way: it has ended, never was, or its request
    * waits to be read.
    */
   void cancelledEarly(String key, long now) {
-    early.put(key, now);
-    if (early.size() > MOST_EARLY) {
-      early.remove(early.keySet().iterator().next());
+    earlyCancellations.put(key, now);
+    if (earlyCancellations.size() > MAX_EARLY_CANCELLATIONS) {
+      earlyCancellations.remove(earlyCancellations.keySet().iterator().next());
     }
   }
 
   /** Whether a call that begins was cancelled a moment ago. */
   boolean wasCancelled(String key, long now) {
-    Long at = early.remove(key);
-    return at != null && now - at < EARLY_MICROS;
+    Long at = earlyCancellations.remove(key);
+    return at != null && now - at < EARLY_CANCELLATION_TTL_MICROS;
   }
 
   McpSession(String id, String version, long now) {
     this.id = id;
     this.version = version;
-    this.usedAt = now;
+    this.lastUsedMicros = now;
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/mcp/PostResponder.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/PostResponder.java
@@ -27,21 +27,21 @@
  * What is answered to one POST: a JSON text, or an event stream as soon as a call is among its
  * requests.
  */
-final class PostResponder implements McpCall.Reply, ResumableEventStream.Owner {
-  private final Services services;
+final class PostResponder implements McpCall.Reply, ResumableEventStream.Listener {
+  private final Dependencies dependencies;
   private final HttpServer.Exchange exchange;
   private final McpSession session;
-  private final ResponseMode shape;
-  private final List<ObjectNode> ready;
-  private final List<McpCall> open = new ArrayList<>();
-  private int left;
+  private final ResponseMode mode;
+  private final List<ObjectNode> readyResponses;
+  private final List<McpCall> openCalls = new ArrayList<>();
+  private int pendingResponses;
   private ResumableEventStream stream;
 
   /**
    * What all replies of one front work with; {@code stopping} says whether new calls are turned
    * away.
    */
-  record Services(
+  record Dependencies(
       Loop loop,
       GatewaySettings settings,
       CallService calls,
@@ -57,47 +57,47 @@
 
   /** Makes the answer to one POST; {@code ready} holds what is answered already. */
   PostResponder(
-      Services services,
+      Dependencies services,
       HttpServer.Exchange exchange,
       McpSession session,
       ResponseMode shape,
       List<ObjectNode> ready) {
-    this.services = services;
+    this.dependencies = services;
     this.exchange = exchange;
     this.session = session;
-    this.shape = shape;
-    this.left = shape.requests();
-    this.ready = ready;
+    this.mode = shape;
+    this.pendingResponses = shape.requests();
+    this.readyResponses = ready;
   }
 
   /**
    * Answers a request at once or begins its call; {@code reading} is what was made of a call, null
    * for other methods.
    */
-  void take(Message.Request request, RequestPreparer.PreparedCall reading) {
+  void accept(Message.Request request, RequestPreparer.PreparedCall reading) {
     if (!request.method().equals(Mcp.TOOLS_CALL)) {
-      done(answer(request));
+      addResponse(answerDirectly(request));
     } else if (reading instanceof RequestPreparer.Malformed malformed) {
-      done(JsonRpc.error(request.id(), JsonRpc.INVALID_PARAMS, malformed.problem(), null));
+      addResponse(JsonRpc.error(request.id(), JsonRpc.INVALID_PARAMS, malformed.problem(), null));
     } else if (reading instanceof RequestPreparer.Rejected refused) {
-      boolean repeat = RequestPreparer.repeat(request.params());
-      services.intake().arrived(refused.classId(), repeat);
-      services.calls().refusedLate(refused.classId(), RequestPreparer.tenant(request), repeat);
-      done(RequestPreparer.refusal(request.id(), refused.retryAfter()));
+      boolean repeat = RequestPreparer.isRetry(request.params());
+      dependencies.intake().recordArrival(refused.classId(), repeat);
+      dependencies.calls().refusedLate(refused.classId(), RequestPreparer.tenant(request), repeat);
+      addResponse(RequestPreparer.rejection(request.id(), refused.retryAfterMicros()));
     } else if (reading instanceof RequestPreparer.Accepted accepted) {
-      services
+      dependencies
           .intake()
-          .arrived(accepted.prompt().classId(), RequestPreparer.repeat(request.params()));
-      call(request, accepted.prompt());
+          .recordArrival(accepted.prompt().classId(), RequestPreparer.isRetry(request.params()));
+      acceptToolCall(request, accepted.prompt());
     }
   }
 
-  private ObjectNode answer(Message.Request request) {
+  private ObjectNode answerDirectly(Message.Request request) {
     return switch (request.method()) {
       case Mcp.PING -> JsonRpc.result(request.id(), JsonNodeFactory.instance.objectNode());
       case Mcp.TOOLS_LIST -> {
         ObjectNode result = JsonNodeFactory.instance.objectNode();
-        result.set("tools", services.prompts().listing());
+        result.set("tools", dependencies.prompts().toolList());
         yield JsonRpc.result(request.id(), result);
       }
       case Mcp.INITIALIZE ->
@@ -115,70 +115,70 @@
     };
   }
 
-  private void call(Message.Request request, Prompt prompt) {
+  private void acceptToolCall(Message.Request request, Prompt prompt) {
     String problem = null;
     int code = Mcp.LIMIT;
     if (session.calls.containsKey(request.id().toString())) {
       code = JsonRpc.INVALID_REQUEST;
       problem =
           "Invalid Request: a call with id " + clip(request.id().toString()) + " is under way";
-    } else if (session.wasCancelled(request.id().toString(), services.loop().now())) {
+    } else if (session.wasCancelled(request.id().toString(), dependencies.loop().now())) {
       code = Mcp.FAILED;
       problem = "cancelled by the client";
-    } else if (known(request, prompt)) {
+    } else if (rejectDuplicate(request, prompt)) {
       return;
-    } else if (prompt.tools() != null && !shape.mayStream()) {
+    } else if (prompt.tools() != null && !mode.mayStream()) {
       code = JsonRpc.INVALID_PARAMS;
       problem = "/arguments/tools: tools need a client that accepts text/event-stream";
-    } else if (services.stopping().getAsBoolean()) {
+    } else if (dependencies.stopping().getAsBoolean()) {
       code = Mcp.STOPPING;
       problem = "the gateway is stopping";
-    } else if (session.calls.size() >= services.settings().front().maxCallsPerSession()) {
+    } else if (session.calls.size() >= dependencies.settings().front().maxCallsPerSession()) {
       problem =
           "no more than "
-              + services.settings().front().maxCallsPerSession()
+              + dependencies.settings().front().maxCallsPerSession()
               + " calls of a session at once";
-    } else if (!services.calls().hasRoom()) {
-      problem = "no more than " + services.settings().limits().maxCalls() + " calls at once";
+    } else if (!dependencies.calls().hasRoom()) {
+      problem = "no more than " + dependencies.settings().limits().maxCalls() + " calls at once";
     }
     if (problem != null) {
       if (code == Mcp.LIMIT || code == Mcp.STOPPING) {
-        services
+        dependencies
             .calls()
             .turnedAway(
-                prompt, RequestPreparer.tenant(request), RequestPreparer.repeat(request.params()));
+                prompt, RequestPreparer.tenant(request), RequestPreparer.isRetry(request.params()));
       }
       ObjectNode data =
           JsonNodeFactory.instance
               .objectNode()
               .put("retryable", code == Mcp.LIMIT || code == Mcp.STOPPING);
-      done(JsonRpc.error(request.id(), code, problem, data));
+      addResponse(JsonRpc.error(request.id(), code, problem, data));
       return;
     }
-    if (shape.mayStream() && stream == null) {
+    if (mode.mayStream() && stream == null) {
       stream =
           new ResumableEventStream(
-              services.loop(),
-              session.nextStream++,
-              services.settings().front().replayBytes(),
-              GatewaySettings.micros(services.settings().front().resumeWindowMs()),
-              GatewaySettings.micros(services.settings().front().keepAliveMs()),
+              dependencies.loop(),
+              session.nextStreamNumber++,
+              dependencies.settings().front().replayBytes(),
+              GatewaySettings.micros(dependencies.settings().front().resumeWindowMs()),
+              GatewaySettings.micros(dependencies.settings().front().keepAliveMs()),
               this);
       session.streams.put(stream.number(), stream);
       stream.open(exchange, session.id, session.version.compareTo(Mcp.PRIMED_SINCE) >= 0);
     } else if (stream == null) {
-      exchange.onGone(() -> leaveAll("the client's connection is gone"));
+      exchange.onGone(() -> cancelAllCalls("the client's connection is gone"));
     }
-    start(request, prompt);
+    startCall(request, prompt);
   }
 
   /**
    * Whether an earlier call under the client's key keeps this one from running; the client was told
    * what became of it.
    */
-  private boolean known(Message.Request request, Prompt prompt) {
-    String key = RequestPreparer.onceKey(request.params());
-    IdempotencyStore.Fate fate = services.calls().known(prompt, key);
+  private boolean rejectDuplicate(Message.Request request, Prompt prompt) {
+    String key = RequestPreparer.idempotencyKey(request.params());
+    IdempotencyStore.Fate fate = dependencies.calls().known(prompt, key);
     if (fate == null) {
       return false;
     }
@@ -189,11 +189,11 @@
             .put("retryable", again)
             .put("became", fate.name().toLowerCase(Locale.ROOT));
     ArrayNode told = data.putArray("relayed");
-    services
+    dependencies
         .calls()
         .relayed(key)
         .forEach(r -> told.addObject().put("tool", r.tool()).put("answered", r.answered()));
-    done(
+    addResponse(
         JsonRpc.error(
             request.id(),
             again ? Mcp.LIMIT : Mcp.FAILED,
@@ -207,27 +207,28 @@
     return true;
   }
 
-  private void start(Message.Request request, Prompt prompt) {
+  private void startCall(Message.Request request, Prompt prompt) {
     JsonNode token = request.params().path("_meta").get("progressToken");
     McpCall call =
         new McpCall(
             session,
             request.id(),
             stream == null ? null : token,
-            services.settings().classes().get(prompt.classId()).repeat().equals("safe"),
+            dependencies.settings().classes().get(prompt.classId()).repeat().equals("safe"),
             prompt.conversation(),
             this);
-    open.add(call);
+    openCalls.add(call);
     session.calls.put(call.key(), call);
-    long key = CallService.sessionKey(prompt.conversation(), session.id + "/" + session.nextCall++);
-    services
+    long key =
+        CallService.sessionKey(prompt.conversation(), session.id + "/" + session.nextCallNumber++);
+    dependencies
         .calls()
         .start(
             prompt,
             key,
             RequestPreparer.tenant(request),
-            RequestPreparer.repeat(request.params()),
-            RequestPreparer.onceKey(request.params()),
+            RequestPreparer.isRetry(request.params()),
+            RequestPreparer.idempotencyKey(request.params()),
             call);
   }
 
@@ -247,8 +248,8 @@
 
   @Override
   public void response(McpCall call, ObjectNode response) {
-    closed(call);
-    done(response);
+    removeCall(call);
+    addResponse(response);
   }
 
   @Override
@@ -263,29 +264,29 @@
 
   @Override
   public boolean flows() {
-    return stream == null || stream.flows();
+    return stream == null || stream.hasCapacity();
   }
 
   @Override
   public void cancelled(McpCall call) {
-    closed(call);
+    removeCall(call);
     if (stream == null) {
-      done(JsonRpc.error(call.id(), Mcp.FAILED, "cancelled by the client", null));
+      addResponse(JsonRpc.error(call.id(), Mcp.FAILED, "cancelled by the client", null));
     } else {
-      left--;
+      pendingResponses--;
     }
     flush();
   }
 
-  private void closed(McpCall call) {
-    open.remove(call);
+  private void removeCall(McpCall call) {
+    openCalls.remove(call);
     session.calls.remove(call.key(), call);
   }
 
-  private void done(ObjectNode response) {
-    left--;
-    ready.add(response);
-    if (stream != null || left == 0) {
+  private void addResponse(ObjectNode response) {
+    pendingResponses--;
+    readyResponses.add(response);
+    if (stream != null || pendingResponses == 0) {
       flush();
     }
   }
@@ -293,17 +294,17 @@
   /** Sends what is ready; ends the answer when nothing is owed any more. */
   void flush() {
     if (stream != null) {
-      ready.forEach(r -> stream.send(r.toString()));
-      ready.clear();
-      if (left == 0) {
+      readyResponses.forEach(r -> stream.send(r.toString()));
+      readyResponses.clear();
+      if (pendingResponses == 0) {
         stream.finish();
       }
-    } else if (left == 0 && !ready.isEmpty()) {
-      JsonNode body = ready.get(0);
-      if (shape.batch()) {
-        body = JsonNodeFactory.instance.arrayNode().addAll(ready);
+    } else if (pendingResponses == 0 && !readyResponses.isEmpty()) {
+      JsonNode body = readyResponses.get(0);
+      if (mode.batch()) {
+        body = JsonNodeFactory.instance.arrayNode().addAll(readyResponses);
       }
-      ready.clear();
+      readyResponses.clear();
       exchange.respond(
           200,
           Headers.of("content-type", "application/json", Mcp.SESSION_HEADER, session.id),
@@ -312,27 +313,27 @@
   }
 
   @Override
-  public void slow() {
-    open.forEach(c -> c.call().pause());
+  public void pauseProducer() {
+    openCalls.forEach(c -> c.call().pause());
   }
 
   @Override
-  public void flow() {
-    open.forEach(c -> c.call().resume());
+  public void resumeProducer() {
+    openCalls.forEach(c -> c.call().resume());
   }
 
   @Override
-  public void over(ResumableEventStream ended, boolean delivered) {
+  public void streamClosed(ResumableEventStream ended, boolean delivered) {
     session.streams.remove(ended.number(), ended);
     if (!session.ended) {
-      leaveAll("the client's stream was not taken up again");
+      cancelAllCalls("the client's stream was not taken up again");
     }
   }
 
-  private void leaveAll(String why) {
-    for (McpCall call : List.copyOf(open)) {
+  private void cancelAllCalls(String why) {
+    for (McpCall call : List.copyOf(openCalls)) {
       call.call().leave(why);
-      closed(call);
+      removeCall(call);
     }
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/mcp/ProgressNotification.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ProgressNotification.java
@@ -10,28 +10,28 @@
  * answer is made once.
  */
 final class ProgressNotification {
-  private static final byte[] MIDDLE = ",\"message\":\"".getBytes(StandardCharsets.US_ASCII);
-  private static final byte[] TAIL = "\"}}".getBytes(StandardCharsets.US_ASCII);
+  private static final byte[] MESSAGE_FIELD = ",\"message\":\"".getBytes(StandardCharsets.US_ASCII);
+  private static final byte[] SUFFIX = "\"}}".getBytes(StandardCharsets.US_ASCII);
   private static final byte[] HEX = "0123456789ABCDEF".getBytes(StandardCharsets.US_ASCII);
 
   /** The letter behind the backslash for characters that have a short form. */
-  private static final byte[] SHORT = new byte[128];
+  private static final byte[] SHORT_ESCAPES = new byte[128];
 
-  private final byte[] head;
+  private final byte[] prefix;
 
   static {
-    SHORT['"'] = '"';
-    SHORT['\\'] = '\\';
-    SHORT['\b'] = 'b';
-    SHORT['\f'] = 'f';
-    SHORT['\n'] = 'n';
-    SHORT['\r'] = 'r';
-    SHORT['\t'] = 't';
+    SHORT_ESCAPES['"'] = '"';
+    SHORT_ESCAPES['\\'] = '\\';
+    SHORT_ESCAPES['\b'] = 'b';
+    SHORT_ESCAPES['\f'] = 'f';
+    SHORT_ESCAPES['\n'] = 'n';
+    SHORT_ESCAPES['\r'] = 'r';
+    SHORT_ESCAPES['\t'] = 't';
   }
 
   /** For answers to the call that gave that token. */
   ProgressNotification(JsonNode token) {
-    head =
+    prefix =
         ("{\"jsonrpc\":\"2.0\",\"method\":\""
                 + Mcp.PROGRESS
                 + "\",\"params\":{\"progressToken\":"
@@ -42,21 +42,21 @@
 
   /** Adds the message of one piece; no line end is in it. */
   void write(int tokens, CharSequence piece, OutBuffer out) {
-    out.add(head).number(tokens).add(MIDDLE);
-    for (int at = 0; at < piece.length(); ) {
-      char c = piece.charAt(at);
-      if (c >= SHORT.length || c >= ' ' && SHORT[c] == 0) {
-        at = out.character(piece, at);
+    out.add(prefix).number(tokens).add(MESSAGE_FIELD);
+    for (int index = 0; index < piece.length(); ) {
+      char character = piece.charAt(index);
+      if (character >= SHORT_ESCAPES.length || character >= ' ' && SHORT_ESCAPES[character] == 0) {
+        index = out.character(piece, index);
         continue;
       }
       out.add('\\');
-      if (SHORT[c] != 0) {
-        out.add(SHORT[c]);
+      if (SHORT_ESCAPES[character] != 0) {
+        out.add(SHORT_ESCAPES[character]);
       } else {
-        out.add('u').add('0').add('0').add(HEX[c >> 4]).add(HEX[c & 0xf]);
+        out.add('u').add('0').add('0').add(HEX[character >> 4]).add(HEX[character & 0xf]);
       }
-      at++;
+      index++;
     }
-    out.add(TAIL);
+    out.add(SUFFIX);
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/mcp/RequestPreparer.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/RequestPreparer.java
@@ -24,22 +24,22 @@
 /**
  * Reads requests before they reach the loop: parses their messages, has the admission decide on
  * calls and new sessions, and makes the prompts of the calls that are let in. Any thread, but for
- * {@link #arrived}.
+ * {@link #recordArrival}.
  */
 final class RequestPreparer {
-  private static final long MICROS = 1_000;
-  private static final long SECOND = 1_000_000;
-  private static final int MOST_KEY = 200;
+  private static final long MICROS_PER_MILLI = 1_000;
+  private static final long MICROS_PER_SECOND = 1_000_000;
+  private static final int MAX_IDEMPOTENCY_KEY_LENGTH = 200;
 
   private final GatewaySettings settings;
   private final CallService calls;
   private final PromptReader prompts;
   private final Admission admission;
   private final JsonRpc rpc;
-  private final AtomicLong chances = new AtomicLong();
+  private final AtomicLong randomState = new AtomicLong();
 
   /** A request's messages, and what was made of each call among them. */
-  record Prepared(JsonRpc.Parsed parsed, Map<Message, PreparedCall> readings) {}
+  record Prepared(JsonRpc.Parsed parsed, Map<Message, PreparedCall> calls) {}
 
   /** What was made of a call. */
   sealed interface PreparedCall permits Accepted, Malformed, Rejected {}
@@ -54,7 +54,7 @@
    * A call that is refused because the gateway is at its limit; its client may come back after so
    * many microseconds.
    */
-  record Rejected(int classId, long retryAfter) implements PreparedCall {}
+  record Rejected(int classId, long retryAfterMicros) implements PreparedCall {}
 
   RequestPreparer(
       GatewaySettings settings, CallService calls, PromptReader prompts, Admission admission) {
@@ -74,48 +74,48 @@
 
   /** Parses a request and reads the prompts of its calls. */
   Prepared prepare(HttpServer.Request request) {
-    boolean asked =
+    boolean admitted =
         request.body().length >= settings.overload().heavyBytes()
-            && ToolNameScanner.tool(request.body()) != null;
+            && ToolNameScanner.toolName(request.body()) != null;
     JsonRpc.Parsed parsed = rpc.parse(request.body());
-    Map<Message, PreparedCall> made = new HashMap<>();
+    Map<Message, PreparedCall> calls = new HashMap<>();
     for (Message message : parsed.messages()) {
       if (message instanceof Message.Request call && call.method().equals(Mcp.TOOLS_CALL)) {
-        made.put(message, read(call.params(), asked && !parsed.batch()));
+        calls.put(message, prepareCall(call.params(), admitted && !parsed.batch()));
       }
     }
-    return new Prepared(parsed, made);
+    return new Prepared(parsed, calls);
   }
 
   /**
-   * Before a large call is even parsed, where its tool can be seen at a glance: {@link #read} then
-   * asks no second time.
+   * Before a large call is even parsed, where its tool can be seen at a glance: {@link
+   * #prepareCall} then asks no second time.
    */
-  HttpServer.Refusal turnsAway(HttpServer.Request request) {
+  HttpServer.Refusal rejectBeforeParsing(HttpServer.Request request) {
     Admission.Gate gate = admission.gate();
     if (gate == Admission.Gate.OPEN
         || !settings.overload().refuse()
         || !request.method().equals("POST")) {
       return null;
     }
-    String tool = ToolNameScanner.tool(request.body());
+    String tool = ToolNameScanner.toolName(request.body());
     int classId = tool == null ? -1 : prompts.classId(tool);
-    if (classId < 0 || gate.admits(value(classId), chance())) {
+    if (classId < 0 || gate.admits(priority(classId), nextRandom())) {
       return null;
     }
-    long retryAfter = gate.retryAfter(chance());
+    long retryAfterMicros = gate.retryAfter(nextRandom());
     return new HttpServer.Refusal(
-        wholeSeconds(retryAfter),
+        toRetryAfterSeconds(retryAfterMicros),
         "application/json",
-        bytes(refusal(NullNode.instance, retryAfter)),
+        bytes(rejection(NullNode.instance, retryAfterMicros)),
         () -> {
-          arrived(classId, false);
+          recordArrival(classId, false);
           calls.refusedLate(classId, null, false);
         });
   }
 
   /** The error that refuses a call for now. */
-  static ObjectNode refusal(JsonNode id, long retryAfter) {
+  static ObjectNode rejection(JsonNode id, long retryAfterMicros) {
     return JsonRpc.error(
         id,
         Mcp.REFUSED,
@@ -123,11 +123,11 @@
         JsonNodeFactory.instance
             .objectNode()
             .put("retryable", true)
-            .put("retryAfterMs", retryAfter / MICROS));
+            .put("retryAfterMs", retryAfterMicros / MICROS_PER_MILLI));
   }
 
-  /** {@code asked} says that the gate let it in by its tool already. */
-  private PreparedCall read(JsonNode params, boolean asked) {
+  /** {@code admitted} says that the gate let it in by its tool already. */
+  private PreparedCall prepareCall(JsonNode params, boolean alreadyAdmitted) {
     if (params == null || !params.path("name").isTextual()) {
       return new Malformed("/name: expected the name of a tool");
     }
@@ -135,21 +135,25 @@
     if (classId < 0) {
       return new Malformed("Unknown tool: " + clip(params.get("name").textValue()));
     }
-    double value = value(classId);
+    double priority = priority(classId);
     if (settings
         .overload()
         .refuse()) { // before the prompt is tokenized, which is the work of letting it in
       Admission.Gate gate = admission.gate();
-      if (!asked && !gate.admits(value, chance())
-          || repeat(params) && !gate.admitsRepeat(chance())) {
-        return new Rejected(classId, gate.retryAfter(chance()));
+      if (!alreadyAdmitted && !gate.admits(priority, nextRandom())
+          || isRetry(params) && !gate.admitsRepeat(nextRandom())) {
+        return new Rejected(classId, gate.retryAfter(nextRandom()));
       }
     }
     JsonNode key = params.path("_meta").get("lemondock/key");
     if (key != null
-        && (!key.isTextual() || key.textValue().isEmpty() || key.textValue().length() > MOST_KEY)) {
+        && (!key.isTextual()
+            || key.textValue().isEmpty()
+            || key.textValue().length() > MAX_IDEMPOTENCY_KEY_LENGTH)) {
       return new Malformed(
-          "/_meta/lemondock~1key: expected a text of 1 to " + MOST_KEY + " characters");
+          "/_meta/lemondock~1key: expected a text of 1 to "
+              + MAX_IDEMPOTENCY_KEY_LENGTH
+              + " characters");
     }
     JsonNode progress = params.path("_meta").get("progressToken");
     if (progress != null && !progress.isTextual() && !progress.isIntegralNumber()) {
@@ -163,44 +167,44 @@
   }
 
   /** The client's key for a call and all its repeats, null if it gave none. */
-  static String onceKey(JsonNode params) {
+  static String idempotencyKey(JsonNode params) {
     return params.path("_meta").path("lemondock/key").asText(null);
   }
 
   /** Whether the client says that it asked before. */
-  static boolean repeat(JsonNode params) {
+  static boolean isRetry(JsonNode params) {
     return params.path("_meta").path("lemondock/retry").asBoolean(false);
   }
 
-  private double value(int classId) {
-    GatewaySettings.ClassSettings c = settings.classes().get(classId);
-    return Admission.value(c.worth(), GatewaySettings.micros(c.aimMs()));
+  private double priority(int classId) {
+    GatewaySettings.ClassSettings requestClass = settings.classes().get(classId);
+    return Admission.value(requestClass.worth(), GatewaySettings.micros(requestClass.aimMs()));
   }
 
   /** A number from 0 up to 1, each time another; any thread. */
-  private double chance() {
-    long z = chances.addAndGet(0x9E3779B97F4A7C15L);
-    z = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
-    z = (z ^ z >>> 27) * 0x94D049BB133111EBL;
-    return ((z ^ z >>> 31) >>> 11) * 0x1.0p-53;
+  private double nextRandom() {
+    long mixed = randomState.addAndGet(0x9E3779B97F4A7C15L);
+    mixed = (mixed ^ mixed >>> 30) * 0xBF58476D1CE4E5B9L;
+    mixed = (mixed ^ mixed >>> 27) * 0x94D049BB133111EBL;
+    return ((mixed ^ mixed >>> 31) >>> 11) * 0x1.0p-53;
   }
 
   /** Tells the admission of a call that arrived, let in or not; on the loop. */
-  void arrived(int classId, boolean repeat) {
-    admission.arrived(value(classId), repeat);
+  void recordArrival(int classId, boolean retry) {
+    admission.arrived(priority(classId), retry);
   }
 
   /** When a client that asks for a new session may come back, empty if it is let in now. */
-  OptionalLong newcomerRefused() {
+  OptionalLong newSessionRetryAfterMicros() {
     Admission.Gate gate = admission.gate();
-    return !settings.overload().refuse() || gate.admitsNewcomer(chance())
+    return !settings.overload().refuse() || gate.admitsNewcomer(nextRandom())
         ? OptionalLong.empty()
-        : OptionalLong.of(gate.retryAfter(chance()));
+        : OptionalLong.of(gate.retryAfter(nextRandom()));
   }
 
   /** Advice on when to come back in whole seconds, as in a header field. */
-  static long wholeSeconds(long micros) {
-    return 1 + micros / SECOND;
+  static long toRetryAfterSeconds(long micros) {
+    return 1 + micros / MICROS_PER_SECOND;
   }
 
   /**
