--- a/gateway/src/main/java/lemondock/gateway/mcp/ResumableEventStream.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ResumableEventStream.java
@@ -13,52 +13,57 @@
  * lock: the loop does all but sending plain pieces while it flows, which an I/O thread may do.
  */
 final class ResumableEventStream {
-  private static final long HIGH_MARK = 64 * 1024;
+  private static final long HIGH_WATER_MARK_BYTES = 64 * 1024;
 
   /** More than an event on the direct way takes: an engine's event is smaller. */
-  private static final long ROOM = 16 * 1024;
+  private static final long DIRECT_EVENT_RESERVE_BYTES = 16 * 1024;
 
-  private static final byte[] TYPE = "event: message\n".getBytes(StandardCharsets.US_ASCII);
-  private static final byte[] ID = "id: ".getBytes(StandardCharsets.US_ASCII);
-  private static final byte[] DATA = "\ndata: ".getBytes(StandardCharsets.US_ASCII);
+  private static final byte[] EVENT_LINE = "event: message\n".getBytes(StandardCharsets.US_ASCII);
+  private static final byte[] ID_FIELD = "id: ".getBytes(StandardCharsets.US_ASCII);
+  private static final byte[] DATA_FIELD = "\ndata: ".getBytes(StandardCharsets.US_ASCII);
 
   /** Bytes of an event with a piece of an answer. */
-  private static final int USUAL = 240;
+  private static final int TYPICAL_EVENT_BYTES = 240;
 
-  private final OutBuffer out = new OutBuffer(USUAL);
+  private final OutBuffer out = new OutBuffer(TYPICAL_EVENT_BYTES);
   private final Loop loop;
   private final long number;
-  private final EventReplayBuffer log;
-  private final long window;
-  private final long keepAlive;
-  private final Owner owner;
+  private final EventReplayBuffer replayBuffer;
+  private final long resumeWindowMicros;
+  private final long keepAliveMicros;
+  private final Listener listener;
   private HttpServer.Exchange exchange;
-  private Loop.Timer limit = () -> {};
-  private Loop.Timer beat = () -> {};
+  private Loop.Timer expiryTimer = () -> {};
+  private Loop.Timer keepAliveTimer = () -> {};
   private boolean finished;
   private boolean closed;
-  private boolean slowed;
+  private boolean producerPaused;
 
   /** What a stream tells the one that fills it. */
-  interface Owner {
-    /** Produce no more until {@link #flow}. */
-    void slow();
+  interface Listener {
+    /** Produce no more until {@link #resumeProducer}. */
+    void pauseProducer();
 
     /** Produce again. */
-    void flow();
+    void resumeProducer();
 
     /** No connection came back in time, or all was delivered: the stream is over. */
-    void over(ResumableEventStream stream, boolean delivered);
+    void streamClosed(ResumableEventStream stream, boolean delivered);
   }
 
   ResumableEventStream(
-      Loop loop, long number, int replayBytes, long window, long keepAlive, Owner owner) {
+      Loop loop,
+      long number,
+      int replayBytes,
+      long resumeWindowMicros,
+      long keepAliveMicros,
+      Listener listener) {
     this.loop = loop;
     this.number = number;
-    this.log = new EventReplayBuffer(replayBytes);
-    this.window = window;
-    this.keepAlive = keepAlive;
-    this.owner = owner;
+    this.replayBuffer = new EventReplayBuffer(replayBytes);
+    this.resumeWindowMicros = resumeWindowMicros;
+    this.keepAliveMicros = keepAliveMicros;
+    this.listener = listener;
   }
 
   long number() {
@@ -73,8 +78,8 @@
    * Begins the stream on the connection of its request; a primer gives the client an id before any
    * event.
    */
-  synchronized void open(HttpServer.Exchange first, String session, boolean primer) {
-    attach(first, session);
+  synchronized void open(HttpServer.Exchange connection, String sessionId, boolean primer) {
+    attach(connection, sessionId);
     if (primer) {
       send(null);
     }
@@ -83,29 +88,30 @@
   /**
    * Goes on over another connection behind the event of that number; false if that cannot be done.
    */
-  synchronized boolean resume(HttpServer.Exchange next, String session, long lastSeen) {
-    if (!log.keeps(lastSeen) || closed) {
+  synchronized boolean resume(
+      HttpServer.Exchange connection, String sessionId, long lastSeenNumber) {
+    if (!replayBuffer.contains(lastSeenNumber) || closed) {
       return false;
     }
     if (exchange != null) {
-      HttpServer.Exchange before = exchange;
+      HttpServer.Exchange previous = exchange;
       exchange = null;
-      before.abort(); // one connection at a time: the newer one wins
+      previous.abort(); // one connection at a time: the newer one wins
     }
-    attach(next, session);
-    log.after(lastSeen, next::send);
-    log.markSent();
+    attach(connection, sessionId);
+    replayBuffer.replayAfter(lastSeenNumber, connection::send);
+    replayBuffer.markSent();
     if (finished) {
       complete();
     } else {
-      unslow();
+      resumeProducer();
     }
     return true;
   }
 
-  private void attach(HttpServer.Exchange to, String session) {
-    limit.cancel();
-    exchange = to;
+  private void attach(HttpServer.Exchange connection, String sessionId) {
+    expiryTimer.cancel();
+    exchange = connection;
     Headers headers =
         Headers.of(
             "content-type",
@@ -114,25 +120,25 @@
             "no-cache, no-transform",
             "x-accel-buffering",
             "no");
-    if (session != null) {
-      headers.add("mcp-session-id", session);
+    if (sessionId != null) {
+      headers.add("mcp-session-id", sessionId);
     }
-    to.onGone(() -> lost(to));
-    to.onDrained(this::unslow);
-    to.begin(200, headers);
-    heartbeat();
+    connection.onGone(() -> connectionLost(connection));
+    connection.onDrained(this::resumeProducer);
+    connection.begin(200, headers);
+    scheduleKeepAlive();
   }
 
-  private void heartbeat() {
-    beat.cancel();
-    beat =
+  private void scheduleKeepAlive() {
+    keepAliveTimer.cancel();
+    keepAliveTimer =
         loop.schedule(
-            keepAlive,
+            keepAliveMicros,
             () -> {
               synchronized (this) {
                 if (exchange != null) {
                   exchange.send(SseEvent.comment("keep-alive"));
-                  heartbeat();
+                  scheduleKeepAlive();
                 }
               }
             });
@@ -142,49 +148,52 @@
    * Whether a further event can be sent without telling the owner to slow down: asked on an I/O
    * thread before it sends, since slowing down is for the loop.
    */
-  synchronized boolean flows() {
-    return exchange != null && !finished && !slowed && exchange.pending() <= HIGH_MARK - ROOM;
+  synchronized boolean hasCapacity() {
+    return exchange != null
+        && !finished
+        && !producerPaused
+        && exchange.pending() <= HIGH_WATER_MARK_BYTES - DIRECT_EVENT_RESERVE_BYTES;
   }
 
   /** Sends an event whose data is a message; null sends an empty one, for its id alone. */
   synchronized void send(String data) {
     if (!finished) {
-      begin(data != null);
+      beginEvent(data != null);
       out.text(
           data == null ? "" : data); // JSON on one line: what this program writes has no line ends
       // outside of strings
-      end();
+      endEvent();
     }
   }
 
   /** Sends a piece of an answer. */
   synchronized void send(ProgressNotification progress, int tokens, CharSequence piece) {
     if (!finished) {
-      begin(true);
+      beginEvent(true);
       progress.write(tokens, piece, out);
-      end();
+      endEvent();
     }
   }
 
-  private void begin(boolean message) {
+  private void beginEvent(boolean message) {
     out.reset();
     if (message) {
-      out.add(TYPE);
+      out.add(EVENT_LINE);
     }
-    out.add(ID).number(number).add('-').number(log.nextNumber()).add(DATA);
+    out.add(ID_FIELD).number(number).add('-').number(replayBuffer.nextNumber()).add(DATA_FIELD);
   }
 
-  private void end() {
+  private void endEvent() {
     out.add('\n').add('\n');
-    log.append(out.array(), out.from(), out.length());
+    replayBuffer.append(out.array(), out.from(), out.length());
     if (exchange != null) {
       exchange.send(out);
-      log.markSent();
-      if (exchange.pending() > HIGH_MARK) {
-        slow();
+      replayBuffer.markSent();
+      if (exchange.pending() > HIGH_WATER_MARK_BYTES) {
+        pauseProducer();
       }
-    } else if (log.full()) {
-      slow();
+    } else if (replayBuffer.isFull()) {
+      pauseProducer();
     }
   }
 
@@ -202,11 +211,11 @@
   }
 
   private void complete() {
-    beat.cancel();
+    keepAliveTimer.cancel();
     HttpServer.Exchange last = exchange;
     exchange = null;
     last.finish();
-    limit = loop.schedule(window, () -> over(true));
+    expiryTimer = loop.schedule(resumeWindowMicros, () -> closeAndNotify(true));
   }
 
   /** Ends the stream at once, wherever it stands. */
@@ -218,42 +227,42 @@
       if (last != null) {
         last.finish();
       }
-      over(true);
+      closeAndNotify(true);
     }
   }
 
-  private synchronized void lost(HttpServer.Exchange by) {
-    if (exchange == by) {
+  private synchronized void connectionLost(HttpServer.Exchange connection) {
+    if (exchange == connection) {
       exchange = null;
-      beat.cancel();
-      if (window == 0) {
-        over(finished);
+      keepAliveTimer.cancel();
+      if (resumeWindowMicros == 0) {
+        closeAndNotify(finished);
       } else {
-        limit = loop.schedule(window, () -> over(finished));
+        expiryTimer = loop.schedule(resumeWindowMicros, () -> closeAndNotify(finished));
       }
     }
   }
 
-  private synchronized void over(boolean delivered) {
+  private synchronized void closeAndNotify(boolean delivered) {
     if (!closed) {
       closed = true;
-      limit.cancel();
-      beat.cancel();
-      owner.over(this, delivered);
+      expiryTimer.cancel();
+      keepAliveTimer.cancel();
+      listener.streamClosed(this, delivered);
     }
   }
 
-  private void slow() {
-    if (!slowed) {
-      slowed = true;
-      owner.slow();
+  private void pauseProducer() {
+    if (!producerPaused) {
+      producerPaused = true;
+      listener.pauseProducer();
     }
   }
 
-  private synchronized void unslow() {
-    if (slowed) {
-      slowed = false;
-      owner.flow();
+  private synchronized void resumeProducer() {
+    if (producerPaused) {
+      producerPaused = false;
+      listener.resumeProducer();
     }
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/mcp/ToolNameScanner.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ToolNameScanner.java
@@ -10,56 +10,62 @@
  */
 final class ToolNameScanner {
   /** Bytes from which on more of the content changes nothing. */
-  static final int FAR = 600;
+  static final int SCAN_LIMIT_BYTES = 600;
 
-  private static final int LONGEST = 128;
-  private static final byte[] CALL =
+  private static final int MAX_NAME_LENGTH = 128;
+  private static final byte[] METHOD_LITERAL =
       ('"' + Mcp.TOOLS_CALL + '"').getBytes(StandardCharsets.US_ASCII);
-  private static final byte[] NAME = "\"name\"".getBytes(StandardCharsets.US_ASCII);
+  private static final byte[] NAME_KEY = "\"name\"".getBytes(StandardCharsets.US_ASCII);
 
   private ToolNameScanner() {}
 
   /** The tool that a single {@code tools/call} names; null if it does not begin like one. */
-  static String tool(byte[] body) {
-    int far = Math.min(FAR, body.length);
-    if (far == 0 || body[0] != '{' || find(body, CALL, 0, far) < 0) {
+  static String toolName(byte[] body) {
+    int limit = Math.min(SCAN_LIMIT_BYTES, body.length);
+    if (limit == 0 || body[0] != '{' || indexOf(body, METHOD_LITERAL, 0, limit) < 0) {
       return null;
     }
-    int at = find(body, NAME, 0, far);
-    if (at < 0) {
+    int position = indexOf(body, NAME_KEY, 0, limit);
+    if (position < 0) {
       return null;
     }
-    at = skip(body, at + NAME.length, far);
-    if (at >= far || body[at] != ':') {
+    position = skipWhitespace(body, position + NAME_KEY.length, limit);
+    if (position >= limit || body[position] != ':') {
       return null;
     }
-    at = skip(body, at + 1, far);
-    if (at >= far || body[at] != '"') {
+    position = skipWhitespace(body, position + 1, limit);
+    if (position >= limit || body[position] != '"') {
       return null;
     }
-    int end = at + 1;
-    while (end < far && end - at <= LONGEST && body[end] != '"' && body[end] != '\\') {
+    int end = position + 1;
+    while (end < limit
+        && end - position <= MAX_NAME_LENGTH
+        && body[end] != '"'
+        && body[end] != '\\') {
       end++;
     }
-    return end < far && body[end] == '"'
-        ? new String(body, at + 1, end - at - 1, StandardCharsets.UTF_8)
+    return end < limit && body[end] == '"'
+        ? new String(body, position + 1, end - position - 1, StandardCharsets.UTF_8)
         : null;
   }
 
-  private static int skip(byte[] body, int from, int far) {
-    int at = from;
-    while (at < far
-        && (body[at] == ' ' || body[at] == '\n' || body[at] == '\r' || body[at] == '\t')) {
-      at++;
+  private static int skipWhitespace(byte[] body, int from, int limit) {
+    int position = from;
+    while (position < limit
+        && (body[position] == ' '
+            || body[position] == '\n'
+            || body[position] == '\r'
+            || body[position] == '\t')) {
+      position++;
     }
-    return at;
+    return position;
   }
 
-  private static int find(byte[] in, byte[] what, int from, int to) {
+  private static int indexOf(byte[] body, byte[] pattern, int from, int to) {
     outer:
-    for (int i = from; i + what.length <= to; i++) {
-      for (int j = 0; j < what.length; j++) {
-        if (in[i + j] != what[j]) {
+    for (int i = from; i + pattern.length <= to; i++) {
+      for (int j = 0; j < pattern.length; j++) {
+        if (body[i + j] != pattern[j]) {
           continue outer;
         }
       }
--- a/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
@@ -54,72 +54,73 @@
 public final class Reporting {
   private static final Logger LOG = LoggerFactory.getLogger(Reporting.class);
   private static final String DEFAULT_PREFIX = "lemondock";
-  private static final int COLLECTD_PACKET = 1_452;
-  private static final long SHORT_WINDOW = 10_000_000;
-  private static final long LONG_WINDOW = 60_000_000;
-  private static final int MOST_PROCESS_METERS = 200;
+  private static final int DEFAULT_PACKET_BYTES = 1_452;
+  private static final long SHORT_WINDOW_MICROS = 10_000_000;
+  private static final long LONG_WINDOW_MICROS = 60_000_000;
+  private static final int MAX_PROCESS_METERS = 200;
   private static final int STATUS_CONNECTIONS = 64;
-  private static final long STATUS_TIMEOUT = 5_000_000;
-  private static final long MICROS = 1_000;
-  private static final double PROCESS_PLACES = 1_000;
+  private static final long STATUS_TIMEOUT_MICROS = 5_000_000;
+  private static final long MIN_FINISH_MICROS = 1_000;
+  private static final double PROCESS_VALUE_SCALE = 1_000;
 
   private final GatewaySettings settings;
   private final GatewaySettings.Reporting reporting;
-  private final GatewayMetrics counted;
+  private final GatewayMetrics gatewayMetrics;
   private final Environment environment;
   private final Loop loop;
   private final Reporter reporter;
   private final DegradationDetector detector;
   private final MeterView meters = new MeterView();
-  private final MeterRegistry process;
-  private final ServiceWindow lastSeconds = new ServiceWindow(SHORT_WINDOW);
-  private final ServiceWindow lastMinute = new ServiceWindow(LONG_WINDOW);
+  private final MeterRegistry processMeters;
+  private final ServiceWindow shortWindow = new ServiceWindow(SHORT_WINDOW_MICROS);
+  private final ServiceWindow longWindow = new ServiceWindow(LONG_WINDOW_MICROS);
   private final Map<String, Series> processSeries = new LinkedHashMap<>();
-  private final Map<DegradationDetector.Key, Series> falls = new LinkedHashMap<>();
+  private final Map<DegradationDetector.Key, Series> degradations = new LinkedHashMap<>();
   private final Series notFinite;
   private HttpServer status;
   private String instance;
   private long notFiniteCount;
-  private long stamp;
+  private long stampMillis;
 
   /**
-   * Makes reports of a gateway; {@code process} holds gauges of the process that are told along.
+   * Makes reports of a gateway; {@code processMeters} holds gauges of the process that are told
+   * along.
    */
   public Reporting(
       GatewaySettings settings,
-      GatewayMetrics counted,
+      GatewayMetrics gatewayMetrics,
       Environment environment,
-      MeterRegistry process) {
+      MeterRegistry processMeters) {
     this.settings = settings;
     this.reporting = settings.reporting();
-    this.counted = counted;
+    this.gatewayMetrics = gatewayMetrics;
     this.environment = environment;
     this.loop = environment.loop();
-    this.process = process;
+    this.processMeters = processMeters;
     this.reporter =
         new Reporter(
             loop,
-            counted.tally(),
+            gatewayMetrics.tally(),
             new Reporter.Options(
                 GatewaySettings.micros(reporting.tickMs()),
                 (int) Math.round(reporting.intervalMs() / reporting.tickMs()),
                 reporting.ringBytes(),
                 reporting.ringSnapshots(),
                 GatewaySettings.micros(reporting.mostAheadMs())));
-    GatewaySettings.Detector d = reporting.detector();
-    Cusum.Settings figures =
+    GatewaySettings.Detector detectorSettings = reporting.detector();
+    Cusum.Settings cusumSettings =
         new Cusum.Settings(
-            d.leastUsual(),
-            d.mostUsual(),
-            d.fall(),
-            d.times(),
-            d.threshold(),
-            d.clear(),
-            GatewaySettings.micros(d.holdMs()),
-            GatewaySettings.micros(d.quietMs()),
-            d.memory());
-    this.detector = new DegradationDetector(() -> new Cusum(figures));
-    this.notFinite = counted.tally().series(Metrics.BOUNDS, "not_finite");
+            detectorSettings.leastUsual(),
+            detectorSettings.mostUsual(),
+            detectorSettings.fall(),
+            detectorSettings.times(),
+            detectorSettings.threshold(),
+            detectorSettings.clear(),
+            GatewaySettings.micros(detectorSettings.holdMs()),
+            GatewaySettings.micros(detectorSettings.quietMs()),
+            detectorSettings.memory());
+    this.detector = new DegradationDetector(() -> new Cusum(cusumSettings));
+    this.notFinite = gatewayMetrics.tally().series(Metrics.BOUNDS, "not_finite");
   }
 
   /**
@@ -140,7 +141,7 @@
       starts.add(destination(reporting.destinations().get(i), "/reporting/destinations/" + i));
     }
     reporter.onGauges(this::gauges);
-    reporter.onTick(this::looked);
+    reporter.onTick(this::onTick);
     if (reporting.listen() != null) {
       status =
           new HttpServer(
@@ -149,11 +150,11 @@
                   HttpLimits.DEFAULT,
                   STATUS_CONNECTIONS,
                   1 << 20,
-                  STATUS_TIMEOUT,
-                  STATUS_TIMEOUT,
-                  STATUS_TIMEOUT),
+                  STATUS_TIMEOUT_MICROS,
+                  STATUS_TIMEOUT_MICROS,
+                  STATUS_TIMEOUT_MICROS),
               this::serve);
-      status.start(environment.network(), SettingsFile.address(reporting.listen()));
+      status.start(environment.network(), SettingsFile.resolveAddress(reporting.listen()));
     }
     loop.execute(
         () -> {
@@ -163,7 +164,7 @@
   }
 
   /** Adds what hears of each look; before the start. It is called on the reports' loop. */
-  public void onLook(Reporter.Listener listener) {
+  public void addTickListener(Reporter.Listener listener) {
     reporter.onTick(listener);
   }
 
@@ -182,83 +183,86 @@
     return meters;
   }
 
-  private Runnable destination(GatewaySettings.Destination d, String pointer)
+  private Runnable destination(GatewaySettings.Destination settings, String pointer)
       throws SettingsException {
     long interval = Math.round(reporting.intervalMs());
     Identity names =
         new Identity(
             reporting.host() != null ? reporting.host() : environment.hostName(), instance);
-    InetSocketAddress at = d.address() == null ? null : SettingsFile.unresolved(d.address());
-    if (d.kind().equals("collectd")) {
+    InetSocketAddress address =
+        settings.address() == null ? null : SettingsFile.parseAddress(settings.address());
+    if (settings.kind().equals("collectd")) {
       Packets packets =
           new Packets(
               names,
-              seal(d, pointer),
-              d.packetBytes() == null ? COLLECTD_PACKET : d.packetBytes(),
+              seal(settings, pointer),
+              settings.packetBytes() == null ? DEFAULT_PACKET_BYTES : settings.packetBytes(),
               interval,
-              !"counter".equals(d.counters()));
+              !"counter".equals(settings.counters()));
       reporter.add(
           new DatagramDestination(
               loop,
-              d.name(),
-              at.getHostString(),
-              at.getPort(),
+              settings.name(),
+              address.getHostString(),
+              address.getPort(),
               environment.resolver(),
               environment.datagrams(),
               packets,
               reporter.ring(),
-              d.maxSnapshots(),
-              GatewaySettings.micros(d.maxBackoffMs())));
+              settings.maxSnapshots(),
+              GatewaySettings.micros(settings.maxBackoffMs())));
       return () -> {};
     }
-    String prefix = d.prefix() == null ? DEFAULT_PREFIX : d.prefix();
-    boolean tags = Boolean.TRUE.equals(d.tags());
+    String prefix = settings.prefix() == null ? DEFAULT_PREFIX : settings.prefix();
+    boolean tags = Boolean.TRUE.equals(settings.tags());
     Encoder encoder =
-        switch (d.kind()) {
+        switch (settings.kind()) {
           case "graphite" -> new PlainText(prefix, instance, tags);
           case "graphite-pickle" -> new Pickle(prefix, instance, tags);
           default -> new PutVal(names, interval);
         };
     Dialer dialer =
-        d.path() != null
-            ? handler -> environment.unix().accept(Path.of(d.path()), handler)
+        settings.path() != null
+            ? handler -> environment.unix().accept(Path.of(settings.path()), handler)
             : Dialer.tcp(
                 loop,
                 environment.network(),
                 environment.resolver(),
-                at.getHostString(),
-                at.getPort(),
-                GatewaySettings.micros(d.connectTimeoutMs()));
+                address.getHostString(),
+                address.getPort(),
+                GatewaySettings.micros(settings.connectTimeoutMs()));
     StreamDestination made =
         new StreamDestination(
             loop,
-            d.name(),
+            settings.name(),
             dialer,
             encoder,
             reporter.ring(),
             new StreamDestination.Options(
-                d.maxSnapshots(),
-                GatewaySettings.micros(d.resendMs()),
-                GatewaySettings.micros(d.stallMs()),
-                GatewaySettings.micros(d.backoffMs()),
-                GatewaySettings.micros(d.maxBackoffMs())),
+                settings.maxSnapshots(),
+                GatewaySettings.micros(settings.resendMs()),
+                GatewaySettings.micros(settings.stallMs()),
+                GatewaySettings.micros(settings.backoffMs()),
+                GatewaySettings.micros(settings.maxBackoffMs())),
             environment.random());
     reporter.add(made);
     return made::start;
   }
 
-  private static Seal seal(GatewaySettings.Destination d, String pointer) throws SettingsException {
-    if (d.security() == null || d.security().equals("none")) {
+  private static Seal seal(GatewaySettings.Destination settings, String pointer)
+      throws SettingsException {
+    if (settings.security() == null || settings.security().equals("none")) {
       return new Seal(Seal.Level.NONE, "", "");
     }
     String password;
     try {
       password =
-          AuthFile.password(Files.readAllLines(Path.of(d.authFile())), d.username()).orElse(null);
+          AuthFile.password(Files.readAllLines(Path.of(settings.authFile())), settings.username())
+              .orElse(null);
     } catch (IOException e) {
       throw new SettingsException(
           List.of(
-              d.authFile()
+              settings.authFile()
                   + ": "
                   + pointer
                   + "/authFile: expected a file of lines "
@@ -268,53 +272,56 @@
     if (password == null) {
       throw new SettingsException(
           List.of(
-              d.authFile()
+              settings.authFile()
                   + ": "
                   + pointer
                   + "/username: expected a line for user "
-                  + d.username()
+                  + settings.username()
                   + ", found none"));
     }
     return new Seal(
-        d.security().equals("sign") ? Seal.Level.SIGN : Seal.Level.ENCRYPT, d.username(), password);
+        settings.security().equals("sign") ? Seal.Level.SIGN : Seal.Level.ENCRYPT,
+        settings.username(),
+        password);
   }
 
   // ==== looks
 
   private void gauges(Recorder recorder) {
     MeterView.gauges(
-        process,
+        processMeters,
         (name, value) -> {
           Series series = processSeries.get(name);
-          if (series == null && processSeries.size() < MOST_PROCESS_METERS) {
-            series = counted.tally().series(Metrics.PROCESS, name);
+          if (series == null && processSeries.size() < MAX_PROCESS_METERS) {
+            series = gatewayMetrics.tally().series(Metrics.PROCESS, name);
             processSeries.put(name, series);
           }
           if (series == null) {
             return;
           }
           boolean finite =
-              Double.isFinite(value) && Math.abs(value) < Long.MAX_VALUE / (2 * PROCESS_PLACES);
+              Double.isFinite(value)
+                  && Math.abs(value) < Long.MAX_VALUE / (2 * PROCESS_VALUE_SCALE);
           notFiniteCount += finite ? 0 : 1;
           recorder.set(
-              series.first(), finite ? Math.round(value * PROCESS_PLACES) : Snapshot.ABSENT);
+              series.first(), finite ? Math.round(value * PROCESS_VALUE_SCALE) : Snapshot.ABSENT);
         });
     recorder.set(notFinite.first(), notFiniteCount);
     for (DegradationDetector.Sight sight : detector.sights()) {
       Series series =
-          falls.computeIfAbsent(
-              sight.key(), k -> counted.tally().series(Metrics.FALL, k.what(), k.zone()));
+          degradations.computeIfAbsent(
+              sight.key(), k -> gatewayMetrics.tally().series(Metrics.FALL, k.what(), k.zone()));
       recorder.set(series.slot(0), sight.fallen() ? 1 : 0);
       recorder.set(series.slot(1), sight.falls());
-      recorder.set(series.slot(2), Math.round(sight.level() * PROCESS_PLACES));
+      recorder.set(series.slot(2), Math.round(sight.level() * PROCESS_VALUE_SCALE));
     }
   }
 
-  private void looked(long at, Snapshot snapshot) {
-    stamp = at;
+  private void onTick(long at, Snapshot snapshot) {
+    stampMillis = at;
     meters.show(snapshot);
-    lastSeconds.take(loop.now(), snapshot);
-    lastMinute.take(loop.now(), snapshot);
+    shortWindow.add(loop.now(), snapshot);
+    longWindow.add(loop.now(), snapshot);
     for (DegradationDetector.Change change :
         detector.observe(loop.now(), verdicts(snapshot), attempts(snapshot))) {
       LOG.warn("{}", change.line());
@@ -324,13 +331,13 @@
 
   private static List<DegradationDetector.Count> verdicts(Snapshot snapshot) {
     List<DegradationDetector.Count> counts = new ArrayList<>();
-    for (Series s : snapshot.series()) {
-      if (s.family().equals(Metrics.VERDICTS)) {
+    for (Series series : snapshot.series()) {
+      if (series.family().equals(Metrics.VERDICTS)) {
         counts.add(
             new DegradationDetector.Count(
-                new DegradationDetector.Key(s.labels().get(0), s.labels().get(1)),
-                snapshot.values()[s.slot(0)],
-                snapshot.values()[s.slot(1)]));
+                new DegradationDetector.Key(series.labels().get(0), series.labels().get(1)),
+                snapshot.values()[series.slot(0)],
+                snapshot.values()[series.slot(1)]));
       }
     }
     return counts;
@@ -341,20 +348,20 @@
    * called off.
    */
   private static List<DegradationDetector.Count> attempts(Snapshot snapshot) {
-    int ok = Metrics.ATTEMPTS.index("ok");
-    int read = Metrics.ATTEMPTS.index("read");
-    int lastBad = Metrics.ATTEMPTS.index("cancelled");
+    int okField = Metrics.ATTEMPTS.index("ok");
+    int readField = Metrics.ATTEMPTS.index("read");
+    int lastBadField = Metrics.ATTEMPTS.index("cancelled");
     List<DegradationDetector.Count> counts = new ArrayList<>();
-    for (Series s : snapshot.series()) {
-      if (s.family().equals(Metrics.ATTEMPTS)) {
+    for (Series series : snapshot.series()) {
+      if (series.family().equals(Metrics.ATTEMPTS)) {
         long bad = 0;
-        for (int i = read + 1; i <= lastBad; i++) {
-          bad += snapshot.values()[s.slot(i)];
+        for (int i = readField + 1; i <= lastBadField; i++) {
+          bad += snapshot.values()[series.slot(i)];
         }
         counts.add(
             new DegradationDetector.Count(
-                new DegradationDetector.Key(s.labels().get(0), s.labels().get(1)),
-                snapshot.values()[s.slot(ok)] + snapshot.values()[s.slot(read)],
+                new DegradationDetector.Key(series.labels().get(0), series.labels().get(1)),
+                snapshot.values()[series.slot(okField)] + snapshot.values()[series.slot(readField)],
                 bad));
       }
     }
@@ -389,7 +396,7 @@
         .put("gateway", settings.name())
         .put("instance", instance)
         .put("zone", settings.zone())
-        .put("stampMs", stamp);
+        .put("stampMs", stampMillis);
   }
 
   private ObjectNode tally(Snapshot snapshot, boolean last) {
@@ -401,9 +408,9 @@
   private ObjectNode status() {
     ObjectNode root = head();
     ArrayNode classes = root.putArray("classes");
-    Map<String, double[]> minute = lastMinute.service();
-    lastSeconds
-        .service()
+    Map<String, double[]> minute = longWindow.valueByClass();
+    shortWindow
+        .valueByClass()
         .forEach(
             (name, service) -> {
               double[] longer = minute.getOrDefault(name, service);
@@ -442,7 +449,7 @@
     loop.execute(
         () ->
             reporter.finish(
-                Math.max(MICROS, GatewaySettings.micros(reporting.finishMs())),
+                Math.max(MIN_FINISH_MICROS, GatewaySettings.micros(reporting.finishMs())),
                 snapshot -> {
                   if (status != null) {
                     status.stopListening();
--- a/gateway/src/main/java/lemondock/gateway/reporting/ServiceWindow.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/ServiceWindow.java
@@ -13,49 +13,49 @@
  * passed in.
  */
 final class ServiceWindow {
-  private final long span;
-  private final ArrayDeque<Sample> looks = new ArrayDeque<>();
+  private final long spanMicros;
+  private final ArrayDeque<Sample> samples = new ArrayDeque<>();
 
-  private record Sample(long at, Map<String, long[]> byClass) {}
+  private record Sample(long atMicros, Map<String, long[]> byClass) {}
 
   /** A window of so many microseconds. */
   ServiceWindow(long span) {
-    this.span = span;
+    this.spanMicros = span;
   }
 
-  void take(long now, Snapshot snapshot) {
+  void add(long nowMicros, Snapshot snapshot) {
     Map<String, long[]> sums = new LinkedHashMap<>();
-    for (Series s : snapshot.series()) {
-      if (s.family().equals(Metrics.WORTH)) {
-        long[] sum = sums.computeIfAbsent(s.labels().get(0), c -> new long[2]);
-        sum[0] += snapshot.values()[s.slot(0)] + snapshot.values()[s.slot(1)];
-        sum[1] += snapshot.values()[s.slot(2)];
+    for (Series series : snapshot.series()) {
+      if (series.family().equals(Metrics.WORTH)) {
+        long[] sum = sums.computeIfAbsent(series.labels().get(0), c -> new long[2]);
+        sum[0] += snapshot.values()[series.slot(0)] + snapshot.values()[series.slot(1)];
+        sum[1] += snapshot.values()[series.slot(2)];
       }
     }
-    looks.add(new Sample(now, sums));
-    while (looks.size() > 2 && second().at() <= now - span) {
-      looks.poll();
+    samples.add(new Sample(nowMicros, sums));
+    while (samples.size() > 2 && secondSample().atMicros() <= nowMicros - spanMicros) {
+      samples.poll();
     }
   }
 
-  private Sample second() {
-    Iterator<Sample> all = looks.iterator();
+  private Sample secondSample() {
+    Iterator<Sample> all = samples.iterator();
     all.next();
     return all.next();
   }
 
   /** For each class, worth asked for and worth answered in time within the window. */
-  Map<String, double[]> service() {
-    Map<String, double[]> service = new LinkedHashMap<>();
-    if (!looks.isEmpty()) {
-      Sample first = looks.peekFirst();
-      looks
+  Map<String, double[]> valueByClass() {
+    Map<String, double[]> values = new LinkedHashMap<>();
+    if (!samples.isEmpty()) {
+      Sample first = samples.peekFirst();
+      samples
           .peekLast()
           .byClass()
           .forEach(
               (name, sum) -> {
                 long[] before = first.byClass().getOrDefault(name, new long[2]);
-                service.put(
+                values.put(
                     name,
                     new double[] {
                       (sum[0] - before[0]) / Metrics.WORTH_ONE,
@@ -63,6 +63,6 @@
                     });
               });
     }
-    return service;
+    return values;
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/reporting/SnapshotJson.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/SnapshotJson.java
@@ -19,16 +19,16 @@
   /** All families; a gauge without a value is left out of its row. */
   public static ObjectNode of(Snapshot snapshot) {
     ObjectNode root = JsonNodeFactory.instance.objectNode();
-    for (Series s : snapshot.series()) {
-      Family family = s.family();
+    for (Series series : snapshot.series()) {
+      Family family = series.family();
       ArrayNode rows = root.withArray("/" + family.name());
       ObjectNode row = rows.addObject();
-      for (int i = 0; i < s.labels().size(); i++) {
-        row.put(family.dimensions().get(i), s.labels().get(i));
+      for (int i = 0; i < series.labels().size(); i++) {
+        row.put(family.dimensions().get(i), series.labels().get(i));
       }
       for (int i = 0; i < family.fields().size(); i++) {
         Field field = family.fields().get(i);
-        long value = snapshot.values()[s.slot(i)];
+        long value = snapshot.values()[series.slot(i)];
         if (value != Snapshot.ABSENT || field.kind() == Field.Kind.COUNTER) {
           if (field.decimals() == 0) {
             row.put(field.name(), value);
--- a/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
@@ -39,10 +39,10 @@
     Reporting reporting,
     Log log) {
 
-  private static final double MICROS = 1_000;
+  private static final double MICROS_PER_MILLI = 1_000;
 
   /** The module ends a request this long before its deadline (microseconds). */
-  private static final long RESOLUTION = 2_000;
+  private static final long DEADLINE_RESOLUTION_MICROS = 2_000;
 
   /** The clients' side. */
   public record Front(
@@ -111,11 +111,11 @@
      * The time (microseconds) that a client gives a prompt of so many tokens; it grows twice as
      * fast as the aim.
      */
-    public long patience(int promptTokens) {
+    public long deadlineMicros(int promptTokens) {
       return micros(deadlineMs + 2 * aimMsPerThousandTokens * promptTokens / 1000);
     }
 
-    private RequestClass toModule() {
+    private RequestClass toRequestClass() {
       return new RequestClass(
           micros(aimMs),
           micros(aimMsPerThousandTokens),
@@ -181,7 +181,7 @@
       int heavyQueue) {
 
     /** The same for the deciding module. */
-    public Admission.Settings toAdmission() {
+    public Admission.Settings toAdmissionSettings() {
       return new Admission.Settings(
           micros(targetMs),
           micros(intervalMs),
@@ -194,7 +194,7 @@
     }
 
     /** How memory and handles in use bound what is let in. */
-    public ResourcePressure.Settings toPressure() {
+    public ResourcePressure.Settings toResourcePressureSettings() {
       return new ResourcePressure.Settings(softPart, hardPart, risePerSecond);
     }
   }
@@ -269,21 +269,23 @@
 
   /** Microseconds of a time in milliseconds. */
   public static long micros(double millis) {
-    return Math.round(millis * MICROS);
+    return Math.round(millis * MICROS_PER_MILLI);
   }
 
   /** What the module is told; it hears numbers where the settings have names. */
-  public RouterSettings toModule() {
+  public RouterSettings toRouterSettings() {
     Map<String, ServerRole> roles =
         Map.of("reader", ServerRole.READER, "writer", ServerRole.WRITER, "mixed", ServerRole.MIXED);
     return new RouterSettings(
         number,
         gateways,
         0,
-        RESOLUTION,
-        classes.stream().map(ClassSettings::toModule).toList(),
+        DEADLINE_RESOLUTION_MICROS,
+        classes.stream().map(ClassSettings::toRequestClass).toList(),
         List.of(),
-        kinds.stream().map(k -> new ServerKind(roles.get(k.role()), k.memoryTokens())).toList(),
+        kinds.stream()
+            .map(kind -> new ServerKind(roles.get(kind.role()), kind.memoryTokens()))
+            .toList(),
         new DeploymentLimits(
             limits.maxAttempts(),
             true,
--- a/gateway/src/main/java/lemondock/gateway/settings/SettingsFile.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/SettingsFile.java
@@ -26,8 +26,8 @@
 
 /** Reads and checks files of settings against a JSON Schema, which also holds the defaults. */
 public final class SettingsFile {
-  private static final long MOST_BYTES = 1024 * 1024;
-  private static final int MOST_FOUND = 60;
+  private static final long MAX_FILE_BYTES = 1024 * 1024;
+  private static final int MAX_FOUND_CHARS = 60;
   private static final JsonMapper MAPPER =
       JsonMapper.builder()
           .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
@@ -39,13 +39,13 @@
   private SettingsFile() {}
 
   /** Reads a gateway's settings. */
-  public static GatewaySettings gateway(Path file) throws SettingsException {
-    JsonNode root = read(file);
-    return gateway(file.toString(), root);
+  public static GatewaySettings readGateway(Path file) throws SettingsException {
+    JsonNode root = readJson(file);
+    return readGateway(file.toString(), root);
   }
 
   /** Checks settings at hand; {@code file} is what problems are reported under. */
-  public static GatewaySettings gateway(String file, JsonNode root) throws SettingsException {
+  public static GatewaySettings readGateway(String file, JsonNode root) throws SettingsException {
     GatewaySettings settings =
         bind(file, root, "gateway.schema.json", SettingsFile.class, GatewaySettings.class);
     List<String> problems = new ArrayList<>();
@@ -61,151 +61,191 @@
   }
 
   /** What a schema cannot say. */
-  private static void check(GatewaySettings s, Report report) {
-    if (s.number() >= s.gateways()) {
+  private static void check(GatewaySettings settings, Report report) {
+    if (settings.number() >= settings.gateways()) {
       report.problem(
-          "/number", "expected less than /gateways (" + s.gateways() + "), found " + s.number());
+          "/number",
+          "expected less than /gateways (" + settings.gateways() + "), found " + settings.number());
     }
     Set<String> names = new HashSet<>();
-    for (int i = 0; i < s.classes().size(); i++) {
-      GatewaySettings.ClassSettings c = s.classes().get(i);
-      if (!names.add(c.name())) {
+    for (int i = 0; i < settings.classes().size(); i++) {
+      GatewaySettings.ClassSettings requestClass = settings.classes().get(i);
+      if (!names.add(requestClass.name())) {
         report.problem(
-            "/classes/" + i + "/name", "expected a name used once, found " + c.name() + " again");
+            "/classes/" + i + "/name",
+            "expected a name used once, found " + requestClass.name() + " again");
       }
-      if (c.deadlineMs() < c.aimMs()) {
+      if (requestClass.deadlineMs() < requestClass.aimMs()) {
         report.problem(
             "/classes/" + i + "/deadlineMs",
-            "expected at least aimMs (" + c.aimMs() + "), found " + c.deadlineMs());
+            "expected at least aimMs ("
+                + requestClass.aimMs()
+                + "), found "
+                + requestClass.deadlineMs());
       }
-      if (c.repeat().equals("keyed") && c.repeatWindowMs() <= 0) {
+      if (requestClass.repeat().equals("keyed") && requestClass.repeatWindowMs() <= 0) {
         report.problem(
             "/classes/" + i + "/repeatWindowMs",
-            "expected a time above 0 with repeat 'keyed', found " + c.repeatWindowMs());
+            "expected a time above 0 with repeat 'keyed', found " + requestClass.repeatWindowMs());
       }
     }
     Set<String> kinds = new HashSet<>();
-    boolean reads = false;
-    boolean writes = false;
-    for (int i = 0; i < s.kinds().size(); i++) {
-      String name = s.kinds().get(i).name();
+    boolean hasReader = false;
+    boolean hasWriter = false;
+    for (int i = 0; i < settings.kinds().size(); i++) {
+      String name = settings.kinds().get(i).name();
       if (!kinds.add(name)) {
         report.problem(
             "/kinds/" + i + "/name", "expected a name used once, found " + name + " again");
       }
-      reads |= !s.kinds().get(i).role().equals("writer");
-      writes |= !s.kinds().get(i).role().equals("reader");
+      hasReader |= !settings.kinds().get(i).role().equals("writer");
+      hasWriter |= !settings.kinds().get(i).role().equals("reader");
     }
-    if (!reads || !writes) {
+    if (!hasReader || !hasWriter) {
       report.problem(
           "/kinds",
           "expected kinds that can read and kinds that can write, found "
-              + (reads ? "no writer" : "no reader"));
+              + (hasReader ? "no writer" : "no reader"));
     }
-    checkAddress("/front/listen", s.front().listen(), report);
-    if (s.discovery().address() != null) {
-      checkAddress("/discovery/address", s.discovery().address(), report);
+    checkAddress("/front/listen", settings.front().listen(), report);
+    if (settings.discovery().address() != null) {
+      checkAddress("/discovery/address", settings.discovery().address(), report);
     }
-    if (s.overload().mostAdviceMs() < s.overload().adviceMs()) {
+    if (settings.overload().mostAdviceMs() < settings.overload().adviceMs()) {
       report.problem(
           "/overload/mostAdviceMs",
           "expected at least adviceMs ("
-              + s.overload().adviceMs()
+              + settings.overload().adviceMs()
               + "), found "
-              + s.overload().mostAdviceMs());
+              + settings.overload().mostAdviceMs());
     }
-    if (s.overload().hardPart() <= s.overload().softPart()) {
+    if (settings.overload().hardPart() <= settings.overload().softPart()) {
       report.problem(
           "/overload/hardPart",
           "expected more than softPart ("
-              + s.overload().softPart()
+              + settings.overload().softPart()
               + "), found "
-              + s.overload().hardPart());
+              + settings.overload().hardPart());
     }
-    checkReporting(s.reporting(), report);
+    checkReporting(settings.reporting(), report);
   }
 
   /** Settings of reports that contradict each other. */
-  private static void checkReporting(GatewaySettings.Reporting r, Report report) {
-    if (r.intervalMs() < r.tickMs() || r.intervalMs() / r.tickMs() % 1 != 0) {
+  private static void checkReporting(GatewaySettings.Reporting reporting, Report report) {
+    if (reporting.intervalMs() < reporting.tickMs()
+        || reporting.intervalMs() / reporting.tickMs() % 1 != 0) {
       report.problem(
           "/reporting/intervalMs",
-          "expected a multiple of tickMs (" + r.tickMs() + "), found " + r.intervalMs());
+          "expected a multiple of tickMs ("
+              + reporting.tickMs()
+              + "), found "
+              + reporting.intervalMs());
     }
-    if (r.listen() != null) {
-      checkAddress("/reporting/listen", r.listen(), report);
+    if (reporting.listen() != null) {
+      checkAddress("/reporting/listen", reporting.listen(), report);
     }
-    if (r.detector().mostUsual() < r.detector().leastUsual()) {
+    if (reporting.detector().mostUsual() < reporting.detector().leastUsual()) {
       report.problem(
           "/reporting/detector/mostUsual",
           "expected at least leastUsual ("
-              + r.detector().leastUsual()
+              + reporting.detector().leastUsual()
               + "), found "
-              + r.detector().mostUsual());
+              + reporting.detector().mostUsual());
     }
     Set<String> names = new HashSet<>();
-    for (int i = 0; i < r.destinations().size(); i++) {
-      GatewaySettings.Destination d = r.destinations().get(i);
-      String at = "/reporting/destinations/" + i;
-      final boolean collectd = d.kind().equals("collectd");
-      final boolean sealed = d.security() != null && !d.security().equals("none");
-      if (!names.add(d.name())) {
-        report.problem(at + "/name", "expected a name used once, found " + d.name() + " again");
+    for (int i = 0; i < reporting.destinations().size(); i++) {
+      GatewaySettings.Destination destination = reporting.destinations().get(i);
+      String pointer = "/reporting/destinations/" + i;
+      final boolean collectd = destination.kind().equals("collectd");
+      final boolean sealed =
+          destination.security() != null && !destination.security().equals("none");
+      if (!names.add(destination.name())) {
+        report.problem(
+            pointer + "/name", "expected a name used once, found " + destination.name() + " again");
       }
-      if (d.address() != null) {
-        checkAddress(at + "/address", d.address(), report);
+      if (destination.address() != null) {
+        checkAddress(pointer + "/address", destination.address(), report);
       }
-      only(d.address(), !d.kind().equals("collectd-unixsock"), d, at + "/address", report);
-      only(d.path(), d.kind().equals("collectd-unixsock"), d, at + "/path", report);
-      only(d.prefix(), d.kind().startsWith("graphite"), d, at + "/prefix", report);
-      only(d.tags(), d.kind().startsWith("graphite"), d, at + "/tags", report);
-      only(d.security(), collectd, d, at + "/security", report);
-      only(d.packetBytes(), collectd, d, at + "/packetBytes", report);
-      only(d.counters(), collectd, d, at + "/counters", report);
-      if (sealed && (d.username() == null || d.authFile() == null)) {
+      checkAllowed(
+          destination.address(),
+          !destination.kind().equals("collectd-unixsock"),
+          destination,
+          pointer + "/address",
+          report);
+      checkAllowed(
+          destination.path(),
+          destination.kind().equals("collectd-unixsock"),
+          destination,
+          pointer + "/path",
+          report);
+      checkAllowed(
+          destination.prefix(),
+          destination.kind().startsWith("graphite"),
+          destination,
+          pointer + "/prefix",
+          report);
+      checkAllowed(
+          destination.tags(),
+          destination.kind().startsWith("graphite"),
+          destination,
+          pointer + "/tags",
+          report);
+      checkAllowed(destination.security(), collectd, destination, pointer + "/security", report);
+      checkAllowed(
+          destination.packetBytes(), collectd, destination, pointer + "/packetBytes", report);
+      checkAllowed(destination.counters(), collectd, destination, pointer + "/counters", report);
+      if (sealed && (destination.username() == null || destination.authFile() == null)) {
         report.problem(
-            at,
+            pointer,
             "expected username and authFile with security '"
-                + d.security()
+                + destination.security()
                 + "', found "
-                + (d.username() == null ? "no username" : "no authFile"));
+                + (destination.username() == null ? "no username" : "no authFile"));
       }
-      if (!sealed && (d.username() != null || d.authFile() != null)) {
+      if (!sealed && (destination.username() != null || destination.authFile() != null)) {
         report.problem(
-            at + (d.username() != null ? "/username" : "/authFile"),
+            pointer + (destination.username() != null ? "/username" : "/authFile"),
             "expected none without security 'sign' or 'encrypt', found one");
       }
-      if (d.maxBackoffMs() < d.backoffMs()) {
+      if (destination.maxBackoffMs() < destination.backoffMs()) {
         report.problem(
-            at + "/maxBackoffMs",
-            "expected at least backoffMs (" + d.backoffMs() + "), found " + d.maxBackoffMs());
+            pointer + "/maxBackoffMs",
+            "expected at least backoffMs ("
+                + destination.backoffMs()
+                + "), found "
+                + destination.maxBackoffMs());
       }
     }
   }
 
-  private static void only(
-      Object value, boolean allowed, GatewaySettings.Destination d, String pointer, Report report) {
+  private static void checkAllowed(
+      Object value,
+      boolean allowed,
+      GatewaySettings.Destination destination,
+      String pointer,
+      Report report) {
     if (value != null && !allowed) {
-      report.problem(pointer, "expected none for kind '" + d.kind() + "', found " + value);
+      report.problem(
+          pointer, "expected none for kind '" + destination.kind() + "', found " + value);
     }
   }
 
   private static void checkAddress(String pointer, String address, Report report) {
     try {
-      address(address);
+      resolveAddress(address);
     } catch (IllegalArgumentException e) {
       report.problem(pointer, "expected HOST:PORT with a port up to 65535, found " + address);
     }
   }
 
   /** The address of a text HOST:PORT; a host is resolved here, so call it off the loop. */
-  public static InetSocketAddress address(String text) {
-    InetSocketAddress named = unresolved(text);
+  public static InetSocketAddress resolveAddress(String text) {
+    InetSocketAddress named = parseAddress(text);
     return new InetSocketAddress(named.getHostString(), named.getPort());
   }
 
   /** The host and port of such a text, not looked up. */
-  public static InetSocketAddress unresolved(String text) {
+  public static InetSocketAddress parseAddress(String text) {
     int colon = text.lastIndexOf(':');
     String host = text.substring(0, colon);
     if (host.startsWith("[") && host.endsWith("]")) {
@@ -215,12 +255,16 @@
   }
 
   /** Reads JSON from a file; comments are allowed. */
-  public static JsonNode read(Path file) throws SettingsException {
+  public static JsonNode readJson(Path file) throws SettingsException {
     try {
-      if (Files.size(file) > MOST_BYTES) {
+      if (Files.size(file) > MAX_FILE_BYTES) {
         throw new SettingsException(
             List.of(
-                file + ": expected at most " + MOST_BYTES + " bytes, found " + Files.size(file)));
+                file
+                    + ": expected at most "
+                    + MAX_FILE_BYTES
+                    + " bytes, found "
+                    + Files.size(file)));
       }
       JsonNode root = MAPPER.readTree(Files.readAllBytes(file));
       if (root == null || !root.isObject()) {
@@ -266,7 +310,7 @@
     Set<ValidationMessage> messages = schema.walk(root, true).getValidationMessages();
     if (!messages.isEmpty()) {
       throw new SettingsException(
-          messages.stream().map(m -> problem(file, m)).distinct().sorted().toList());
+          messages.stream().map(message -> problem(file, message)).distinct().sorted().toList());
     }
     try {
       return MAPPER.treeToValue(root, type);
@@ -281,8 +325,8 @@
     int colon = text.indexOf(": ");
     String expected = colon >= 0 ? text.substring(colon + 2) : text;
     String found = message.getInstanceNode() == null ? "" : message.getInstanceNode().toString();
-    if (found.length() > MOST_FOUND) {
-      found = found.substring(0, MOST_FOUND) + "...";
+    if (found.length() > MAX_FOUND_CHARS) {
+      found = found.substring(0, MAX_FOUND_CHARS) + "...";
     }
     return file
         + ": "
--- a/gateway/src/test/java/lemondock/gateway/accounting/CallMetricsTest.java
+++ b/gateway/src/test/java/lemondock/gateway/accounting/CallMetricsTest.java
@@ -25,7 +25,7 @@
   void make() throws Exception {
     tally =
         new GatewayMetrics(
-            SettingsFile.gateway(
+            SettingsFile.readGateway(
                 "t",
                 new ObjectMapper()
                     .readTree(
@@ -65,52 +65,52 @@
   }
 
   private CallMetrics taken() {
-    return tally.taken(0, null, false, 1000, 0); // aim 150 ms
+    return tally.requestAccepted(0, null, false, 1000, 0); // aim 150 ms
   }
 
   @Test
   void inTimeAndAtPace() {
     CallMetrics call = taken();
-    assertEquals(150 * MS, call.aim());
-    call.delivered(150 * MS);
-    call.aimPassed();
-    call.delivered(160 * MS);
-    call.ended(240 * MS, end(Answer.OutcomeKind.SERVED, 10));
-    call.ended(250 * MS, end(Answer.OutcomeKind.FAILED, 10)); // ends once
+    assertEquals(150 * MS, call.latencyObjectiveMicros());
+    call.onDelivered(150 * MS);
+    call.onObjectivePassed();
+    call.onDelivered(160 * MS);
+    call.onEnded(240 * MS, end(Answer.OutcomeKind.SERVED, 10));
+    call.onEnded(250 * MS, end(Answer.OutcomeKind.FAILED, 10)); // ends once
     assertCounts("3 0 3 0", "1 0 1 0 0 0", "1 0");
   }
 
   @Test
   void aFirstTokenTooLateEarnsTheLateWorth() {
     CallMetrics call = taken();
-    call.aimPassed();
-    call.delivered(151 * MS);
-    call.ended(200 * MS, end(Answer.OutcomeKind.SERVED, 5));
+    call.onObjectivePassed();
+    call.onDelivered(151 * MS);
+    call.onEnded(200 * MS, end(Answer.OutcomeKind.SERVED, 5));
     assertCounts("3 0 0 0.6", "1 0 1 0 0 0", "0 1");
   }
 
   @Test
   void aStreamTooSlowEarnsTheLateWorthUpToTwiceThePace() {
     CallMetrics call = taken();
-    call.delivered(10 * MS);
-    call.ended((10 + 81) * MS, end(Answer.OutcomeKind.SERVED, 5)); // 4 gaps of 20.25 ms
+    call.onDelivered(10 * MS);
+    call.onEnded((10 + 81) * MS, end(Answer.OutcomeKind.SERVED, 5)); // 4 gaps of 20.25 ms
     CallMetrics other = taken();
-    other.delivered(10 * MS);
-    other.ended((10 + 79) * MS, end(Answer.OutcomeKind.SERVED, 5));
+    other.onDelivered(10 * MS);
+    other.onEnded((10 + 79) * MS, end(Answer.OutcomeKind.SERVED, 5));
     assertCounts("6 0 0 0.6", "2 0 2 0 0 0", "2 2");
   }
 
   @Test
   void theTimeOfToolsIsNotTheWriters() {
     CallMetrics call = taken();
-    call.delivered(100 * MS);
-    call.relayed(110 * MS);
-    call.relayed(110 * MS);
-    call.answered();
-    call.lost();
-    call.delivered(5_000 * MS);
-    call.relayed(5_010 * MS);
-    call.ended(9_000 * MS, end(Answer.OutcomeKind.SERVED, 3));
+    call.onDelivered(100 * MS);
+    call.onToolCallRelayed(110 * MS);
+    call.onToolCallRelayed(110 * MS);
+    call.onToolCallAnswered();
+    call.onToolCallLost();
+    call.onDelivered(5_000 * MS);
+    call.onToolCallRelayed(5_010 * MS);
+    call.onEnded(9_000 * MS, end(Answer.OutcomeKind.SERVED, 3));
     assertCounts("3 0 3 0", "1 0 1 0 0 0", "1 0");
     assertEquals("3 1 2", row(tally.tally().snapshot(true), Metrics.TOOLS, List.of("c"), 1));
   }
@@ -118,32 +118,34 @@
   @Test
   void aCallThatEndsWhileItsToolsRunHasLostThem() {
     CallMetrics call = taken();
-    call.relayed(10 * MS);
-    call.relayed(10 * MS);
-    call.ended(20 * MS, end(Answer.OutcomeKind.LEFT, 0));
-    assertEquals(0, call.waiting());
+    call.onToolCallRelayed(10 * MS);
+    call.onToolCallRelayed(10 * MS);
+    call.onEnded(20 * MS, end(Answer.OutcomeKind.CANCELLED, 0));
+    assertEquals(0, call.pendingToolCalls());
     assertEquals("2 0 2", row(tally.tally().snapshot(true), Metrics.TOOLS, List.of("c"), 1));
   }
 
   @Test
   void refusedFailedAndLeft() {
-    taken().ended(5 * MS, end(Answer.OutcomeKind.REFUSED, 0));
+    taken().onEnded(5 * MS, end(Answer.OutcomeKind.REJECTED, 0));
     CallMetrics failed = taken();
-    failed.delivered(10 * MS);
-    failed.ended(50 * MS, end(Answer.OutcomeKind.FAILED, 3)); // it began well: one good, one bad
+    failed.onDelivered(10 * MS);
+    failed.onEnded(50 * MS, end(Answer.OutcomeKind.FAILED, 3)); // it began well: one good, one bad
     taken()
-        .ended(5 * MS, end(Answer.OutcomeKind.LEFT, 0)); // who leaves early says nothing of service
+        .onEnded(
+            5 * MS,
+            end(Answer.OutcomeKind.CANCELLED, 0)); // who leaves early says nothing of service
     CallMetrics late = taken();
-    late.aimPassed();
-    late.ended(900 * MS, end(Answer.OutcomeKind.LEFT, 0));
-    tally.turnedAway(0, null, true);
+    late.onObjectivePassed();
+    late.onEnded(900 * MS, end(Answer.OutcomeKind.CANCELLED, 0));
+    tally.requestRejected(0, null, true);
     assertCounts("12 3 0 0", "5 1 0 2 1 2", "1 4");
   }
 
   @Test
   void whatIsNeverSentIsNoPaceAndAnswersWithoutTextAreInTime() {
     CallMetrics call = taken();
-    call.ended(50 * MS, end(Answer.OutcomeKind.SERVED, 0));
+    call.onEnded(50 * MS, end(Answer.OutcomeKind.SERVED, 0));
     assertCounts("3 0 3 0", "1 0 1 0 0 0", "1 0");
   }
 
--- a/gateway/src/test/java/lemondock/gateway/answer/AnswerTest.java
+++ b/gateway/src/test/java/lemondock/gateway/answer/AnswerTest.java
@@ -31,7 +31,8 @@
     private int lastTokens;
 
     @Override
-    public void leg(List<Answer.Turn> turns, String given, int maxTokens, boolean resumed) {
+    public void startRequest(
+        List<Answer.Turn> turns, String given, int maxTokens, boolean resumed) {
       assertEquals(0, open++, "two legs at a time");
       assertTrue(maxTokens > 0);
       legs++;
@@ -59,7 +60,7 @@
     }
 
     @Override
-    public void leave() {
+    public void cancelRequest() {
       open--;
       steps.add("leave");
     }
@@ -95,58 +96,58 @@
 
   private void served() {
     log.open--;
-    answer.served();
+    answer.onRequestCompleted();
   }
 
   private void broke() {
     log.open--;
-    answer.broke("cut");
+    answer.onStreamBroken("cut");
   }
 
   @Test
   void textThenTheEnd() {
     answer.begin();
-    answer.chunk(text("a"));
-    answer.chunk(text("b"));
-    answer.chunk(finish("stop"));
+    answer.onChunk(text("a"));
+    answer.onChunk(text("b"));
+    answer.onChunk(finish("stop"));
     served();
     assertEquals(
         List.of(new Answer.Outcome(OutcomeKind.SERVED, "ab", 2, 0, 0, "stop", false, 0, "")),
         log.endings);
-    answer.chunk(text("c"));
-    answer.served();
-    answer.leave("late");
+    answer.onChunk(text("c"));
+    answer.onRequestCompleted();
+    answer.cancel("late");
     assertEquals(1, log.endings.size());
   }
 
   @Test
   void fragmentsBecomeCallsAndResultsTheNextTurn() {
     answer.begin();
-    answer.chunk(text("x"));
-    answer.chunk(call(0, "c1", "stock", "{\"a\""));
-    answer.chunk(call(1, "c2", "price", ""));
-    answer.chunk(call(0, "", "", ":1}"));
-    answer.chunk(finish("tool_calls"));
+    answer.onChunk(text("x"));
+    answer.onChunk(call(0, "c1", "stock", "{\"a\""));
+    answer.onChunk(call(1, "c2", "price", ""));
+    answer.onChunk(call(0, "", "", ":1}"));
+    answer.onChunk(finish("tool_calls"));
     served();
     assertEquals(List.of("leg 0 '' 30", "relay stock{\"a\":1}", "relay price"), log.steps);
-    assertTrue(answer.result("c2", new ToolResult("two", false)));
-    assertFalse(answer.result("c2", new ToolResult("again", false)));
-    assertFalse(answer.result("c9", new ToolResult("unknown", false)));
-    assertTrue(answer.result("c1", new ToolResult("one", false)));
+    assertTrue(answer.onToolResult("c2", new ToolResult("two", false)));
+    assertFalse(answer.onToolResult("c2", new ToolResult("again", false)));
+    assertFalse(answer.onToolResult("c9", new ToolResult("unknown", false)));
+    assertTrue(answer.onToolResult("c1", new ToolResult("one", false)));
     assertEquals("leg 1 '' 29", log.steps.get(3));
-    assertFalse(answer.result("c1", new ToolResult("late", false)));
+    assertFalse(answer.onToolResult("c1", new ToolResult("late", false)));
   }
 
   @Test
   void aBreakGoesOnBehindWhatWasDelivered() {
     answer.begin();
-    answer.chunk(text("a"));
-    answer.chunk(text("b"));
-    answer.chunk(call(0, "c1", "stock", "{"));
+    answer.onChunk(text("a"));
+    answer.onChunk(text("b"));
+    answer.onChunk(call(0, "c1", "stock", "{"));
     broke();
     assertEquals("leg 0 'ab' 28 resumed", log.steps.get(1));
-    answer.chunk(text("c"));
-    answer.chunk(call(0, "c1", "stock", "{}"));
+    answer.onChunk(text("c"));
+    answer.onChunk(call(0, "c1", "stock", "{}"));
     served();
     assertEquals(List.of("c1/2"), log.relayed);
     assertEquals("abc", log.delivered.toString());
@@ -156,10 +157,10 @@
   void breaksAreResumedSoOftenAndNoMore() {
     answer.begin();
     for (int i = 0; i < 3; i++) {
-      answer.chunk(text("a"));
+      answer.onChunk(text("a"));
       broke();
     }
-    assertEquals(OutcomeKind.FAILED, log.endings.get(0).end());
+    assertEquals(OutcomeKind.FAILED, log.endings.get(0).kind());
     assertEquals(3, log.legs);
   }
 
@@ -167,47 +168,47 @@
   void whatMayRunOnlyOnceIsNotResumed() {
     answer = new Answer(log, new Answer.Limits(30, 3, 4, 200, 2, false));
     answer.begin();
-    answer.chunk(text("a"));
+    answer.onChunk(text("a"));
     broke();
-    assertEquals(OutcomeKind.FAILED, log.endings.get(0).end());
+    assertEquals(OutcomeKind.FAILED, log.endings.get(0).kind());
     assertFalse(log.endings.get(0).retryable());
   }
 
   @Test
   void onlyTheFirstLegsRefusalIsARefusal() {
     answer.begin();
-    answer.refused(5);
-    assertEquals(OutcomeKind.REFUSED, log.endings.get(0).end());
+    answer.onRejected(5);
+    assertEquals(OutcomeKind.REJECTED, log.endings.get(0).kind());
     assertTrue(log.endings.get(0).retryable());
     Log second = new Log();
     Answer later = new Answer(second, BOUNDS);
     later.begin();
-    later.chunk(call(0, "c", "t", "{}"));
+    later.onChunk(call(0, "c", "t", "{}"));
     second.open--;
-    later.served();
-    later.result("c", new ToolResult("", false));
-    later.refused(5);
-    assertEquals(OutcomeKind.FAILED, second.endings.get(0).end());
+    later.onRequestCompleted();
+    later.onToolResult("c", new ToolResult("", false));
+    later.onRejected(5);
+    assertEquals(OutcomeKind.FAILED, second.endings.get(0).kind());
     assertFalse(second.endings.get(0).retryable());
   }
 
   @Test
   void aToolThatDoesNotAnswerIsToldToTheModel() {
     answer.begin();
-    answer.chunk(call(0, "c", "t", "{}"));
+    answer.onChunk(call(0, "c", "t", "{}"));
     served();
-    answer.expired("c");
+    answer.onToolTimeout("c");
     assertEquals(List.of("withdraw c", "leg 1 '' 30"), log.steps.subList(2, 4));
-    assertFalse(answer.result("c", new ToolResult("late", false)));
+    assertFalse(answer.onToolResult("c", new ToolResult("late", false)));
   }
 
   @Test
   void boundsEndAnAnswer() {
     answer.begin();
     for (int i = 0; i < 5; i++) {
-      answer.chunk(call(i, "c" + i, "t", "{}"));
+      answer.onChunk(call(i, "c" + i, "t", "{}"));
     }
-    assertEquals(OutcomeKind.FAILED, log.endings.get(0).end());
+    assertEquals(OutcomeKind.FAILED, log.endings.get(0).kind());
     assertTrue(log.steps.contains("leave"));
   }
 
@@ -229,49 +230,49 @@
           if (legOpen) {
             String piece = "w" + word++ + " ";
             wanted.append(piece);
-            any.chunk(text(piece));
+            any.onChunk(text(piece));
           }
         }
         case 4, 5 -> {
           if (legOpen) {
-            any.chunk(call(random.nextInt(3), "c" + callNumber++, "t", "{}"));
+            any.onChunk(call(random.nextInt(3), "c" + callNumber++, "t", "{}"));
           }
         }
         case 6, 7 -> {
           if (legOpen) {
             seen.open--;
-            any.served();
+            any.onRequestCompleted();
           }
         }
         case 8 -> {
           if (legOpen) {
             seen.open--;
-            any.broke("cut");
+            any.onStreamBroken("cut");
           }
         }
         case 9 -> {
           String id = "c" + random.nextInt(callNumber + 1);
-          if (any.result(id, new ToolResult("r", false))) {
+          if (any.onToolResult(id, new ToolResult("r", false))) {
             assertTrue(taken.add(id + "/" + seen.relayed.size()), "a result taken twice");
           }
         }
-        case 10 -> any.expired("c" + random.nextInt(callNumber + 1));
+        case 10 -> any.onToolTimeout("c" + random.nextInt(callNumber + 1));
         default -> {
           if (random.nextInt(20) == 0) {
-            any.leave("gone");
+            any.cancel("gone");
           } else if (legOpen && random.nextInt(10) == 0) {
             seen.open--;
-            any.failed();
+            any.onFailed();
           }
         }
       }
       assertTrue(seen.endings.size() <= 1, "two endings");
       assertEquals(any.state() == Answer.State.ENDED, seen.endings.size() == 1);
       assertEquals(
-          any.state() == Answer.State.LEG,
+          any.state() == Answer.State.GENERATING,
           seen.open == 1,
           "a leg is open exactly while one is awaited");
-      assertEquals(any.state() == Answer.State.TOOLS, !any.awaited().isEmpty());
+      assertEquals(any.state() == Answer.State.AWAITING_TOOLS, !any.pendingToolCalls().isEmpty());
       assertEquals(new HashSet<>(seen.relayed).size(), seen.relayed.size(), "a call relayed twice");
       assertEquals(wanted.toString(), seen.delivered.toString());
       if (seen.endings.size() == 1) {
--- a/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
+++ b/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
@@ -207,7 +207,7 @@
 
   private static GatewaySettings someSettings() {
     try {
-      return SettingsFile.gateway(
+      return SettingsFile.readGateway(
           "t",
           new ObjectMapper()
               .readTree(
--- a/gateway/src/test/java/lemondock/gateway/discovery/EndpointRegistryTest.java
+++ b/gateway/src/test/java/lemondock/gateway/discovery/EndpointRegistryTest.java
@@ -270,7 +270,7 @@
             + "\"Checks\":[{\"CheckID\":\"_service_maintenance:w1\",\"Status\":\"critical\"}]},"
             + "{\"Service\":{\"ID\":\"w2\",\"Address\":\"127.0.0.2\",\"Port\":81,\"Meta\":{\"kind\":\"writer\"}},"
             + "\"Checks\":[{\"CheckID\":\"tcp\",\"Status\":\"critical\"}]}]";
-    List<Endpoint> entries = EndpointListCodec.ofConsul(text.getBytes(StandardCharsets.UTF_8));
+    List<Endpoint> entries = EndpointListCodec.parseConsul(text.getBytes(StandardCharsets.UTF_8));
     assertEquals(ServerLifecycle.DRAINING, entries.get(0).standing());
     assertEquals(3, entries.get(0).weight());
     assertEquals(12, entries.get(0).startedAt());
@@ -280,7 +280,7 @@
   @Test
   void theFilesFormIsReadBack() throws EndpointListCodec.MalformedListException {
     List<Endpoint> entries = List.of(entry("a", "reader", ServerLifecycle.DRAINING, 77));
-    assertEquals(entries, EndpointListCodec.ofFile(EndpointListCodec.toFile(entries)));
+    assertEquals(entries, EndpointListCodec.parseFile(EndpointListCodec.formatFile(entries)));
   }
 
   @ParameterizedTest
@@ -301,7 +301,7 @@
     String message =
         assertThrows(
                 EndpointListCodec.MalformedListException.class,
-                () -> EndpointListCodec.ofFile(text.getBytes(StandardCharsets.UTF_8)))
+                () -> EndpointListCodec.parseFile(text.getBytes(StandardCharsets.UTF_8)))
             .getMessage();
     assertTrue(message.contains(problem), message);
   }
--- a/gateway/src/test/java/lemondock/gateway/engine/EngineProtocolTest.java
+++ b/gateway/src/test/java/lemondock/gateway/engine/EngineProtocolTest.java
@@ -25,13 +25,14 @@
   @Test
   void aReadAsksForARemoteDecodeOfOneToken() throws IOException {
     ObjectNode prompt = MAPPER.createObjectNode().put("model", "m");
-    ObjectNode body = (ObjectNode) MAPPER.readTree(EngineProtocol.read(prompt, "r1"));
+    ObjectNode body = (ObjectNode) MAPPER.readTree(EngineProtocol.readRequest(prompt, "r1"));
     assertEquals(1, body.get("max_tokens").asInt());
     assertTrue(body.at("/kv_transfer_params/do_remote_decode").asBoolean());
     assertFalse(prompt.has("kv_transfer_params"));
     ObjectNode write =
         (ObjectNode)
-            MAPPER.readTree(EngineProtocol.write(prompt, "w1", body.get("kv_transfer_params"), 9));
+            MAPPER.readTree(
+                EngineProtocol.writeRequest(prompt, "w1", body.get("kv_transfer_params"), 9));
     assertTrue(
         write.get("stream").asBoolean() && write.at("/stream_options/include_usage").asBoolean());
   }
@@ -39,50 +40,51 @@
   @Test
   void repliesAreRead() {
     EngineProtocol.ReadReply reply =
-        EngineProtocol.readReply(
+        EngineProtocol.parseReadReply(
             bytes(
                 "{\"kv_transfer_params\":{\"a\":1},\"usage\":"
                     + "{\"prompt_tokens\":9,\"prompt_tokens_details\":{\"cached_tokens\":4}}}"));
     assertNull(reply.problem());
     assertEquals(4, reply.cachedTokens());
-    assertNotNull(EngineProtocol.readReply(bytes("{}")).problem());
-    assertNotNull(EngineProtocol.readReply(bytes("")).problem());
-    assertNotNull(EngineProtocol.readReply(bytes("<html>")).problem());
+    assertNotNull(EngineProtocol.parseReadReply(bytes("{}")).problem());
+    assertNotNull(EngineProtocol.parseReadReply(bytes("")).problem());
+    assertNotNull(EngineProtocol.parseReadReply(bytes("<html>")).problem());
   }
 
   @Test
   void chunksAreRead() {
     CompletionChunk chunk =
-        EngineProtocol.chunk(
+        EngineProtocol.parseChunk(
             "{\"choices\":[{\"delta\":{\"content\":\"hi\",\"tool_calls\":[{\"index\":1,"
                 + "\"id\":\"c\",\"function\":{\"name\":\"t\",\"arguments\":\"{\"}}]},\"finish_reason\":\"stop\"}]}");
     assertEquals("hi", chunk.text());
-    assertEquals("t", chunk.calls().get(0).name());
-    assertEquals("stop", chunk.finish());
-    assertTrue(EngineProtocol.chunk("[DONE]").last());
-    assertEquals("bad", EngineProtocol.chunk("{\"error\":{\"message\":\"bad\"}}").error());
-    assertNotNull(EngineProtocol.chunk("{\"choices\":").error());
+    assertEquals("t", chunk.toolCalls().get(0).name());
+    assertEquals("stop", chunk.finishReason());
+    assertTrue(EngineProtocol.parseChunk("[DONE]").last());
+    assertEquals("bad", EngineProtocol.parseChunk("{\"error\":{\"message\":\"bad\"}}").error());
+    assertNotNull(EngineProtocol.parseChunk("{\"choices\":").error());
   }
 
   @Test
   void onlyARefusalBeforeWorkProvesThatNothingRan() {
-    assertEquals(AttemptOutcome.FULL, EngineProtocol.refusal(429, bytes("")).ending());
-    assertEquals(AttemptOutcome.FULL, EngineProtocol.refusal(503, bytes("x")).ending());
+    assertEquals(AttemptOutcome.FULL, EngineProtocol.parseErrorReply(429, bytes("")).outcome());
+    assertEquals(AttemptOutcome.FULL, EngineProtocol.parseErrorReply(503, bytes("x")).outcome());
     assertTrue(
-        EngineProtocol.refusal(503, bytes("{\"error\":{\"code\":\"kv_state_missing\"}}"))
+        EngineProtocol.parseErrorReply(503, bytes("{\"error\":{\"code\":\"kv_state_missing\"}}"))
             .stateMissing());
     assertFalse(
-        EngineProtocol.refusal(500, bytes("{\"error\":{\"code\":\"kv_state_missing\"}}"))
+        EngineProtocol.parseErrorReply(500, bytes("{\"error\":{\"code\":\"kv_state_missing\"}}"))
             .stateMissing());
     for (int status : new int[] {400, 404, 500, 502, 504}) {
-      assertEquals(AttemptOutcome.ERROR, EngineProtocol.refusal(status, bytes("{}")).ending());
+      assertEquals(
+          AttemptOutcome.ERROR, EngineProtocol.parseErrorReply(status, bytes("{}")).outcome());
     }
   }
 
   @Property(tries = 2_000, seed = "20261201")
   void anyDataIsSurvived(@ForAll String data, @ForAll byte[] body) {
-    assertNotNull(EngineProtocol.chunk(data));
-    assertNotNull(EngineProtocol.readReply(body));
-    assertNotNull(EngineProtocol.refusal(500, body));
+    assertNotNull(EngineProtocol.parseChunk(data));
+    assertNotNull(EngineProtocol.parseReadReply(body));
+    assertNotNull(EngineProtocol.parseErrorReply(500, body));
   }
 }
--- a/gateway/src/test/java/lemondock/gateway/engine/TextEventParserTest.java
+++ b/gateway/src/test/java/lemondock/gateway/engine/TextEventParserTest.java
@@ -28,9 +28,9 @@
   private boolean takes(byte[] data) {
     byte[] longer =
         java.util.Arrays.copyOf(data, data.length + 7); // what is behind the length must not matter
-    boolean taken = piece.take(longer, data.length);
+    boolean taken = piece.parse(longer, data.length);
     if (taken) {
-      CompletionChunk whole = EngineProtocol.chunk(new String(data, StandardCharsets.UTF_8));
+      CompletionChunk whole = EngineProtocol.parseChunk(new String(data, StandardCharsets.UTF_8));
       assertEquals(
           new CompletionChunk(
               piece.text().toString(),
@@ -38,7 +38,7 @@
               null,
               whole.promptTokens(),
               -1,
-              piece.answerTokens(),
+              piece.completionTokens(),
               false,
               null),
           whole);
@@ -60,9 +60,9 @@
                 + " \u00fc\u20ac\uD83D\uDE00\"},\"logprobs\":{\"content\":[{\"a\":[1.5e3,-0]}]},"
                 + "\"finish_reason\":null,\"stop_reason\":null}],\"usage\":{\"prompt_tokens\":5,\"total_tokens\":7,\"completion_tokens\":2}}"));
     assertEquals(" a\u00e9\n\"\uD83D\uDE00 \u00fc\u20ac\uD83D\uDE00", piece.text().toString());
-    assertEquals(2, piece.answerTokens());
+    assertEquals(2, piece.completionTokens());
     assertTrue(takes(" { \"choices\" : [ { \"delta\" : { \"content\" : \"x\" } } ] } "));
-    assertEquals(-1, piece.answerTokens());
+    assertEquals(-1, piece.completionTokens());
   }
 
   @ParameterizedTest
--- a/gateway/src/test/java/lemondock/gateway/mcp/EventReplayBufferTest.java
+++ b/gateway/src/test/java/lemondock/gateway/mcp/EventReplayBufferTest.java
@@ -19,11 +19,11 @@
   private EventReplayBuffer log = new EventReplayBuffer(100);
 
   private List<Long> after(long number) {
-    if (!log.keeps(number)) {
+    if (!log.contains(number)) {
       return null;
     }
     List<Long> numbers = new ArrayList<>();
-    log.after(number, event -> numbers.add((long) event[0]));
+    log.replayAfter(number, event -> numbers.add((long) event[0]));
     return numbers;
   }
 
@@ -51,7 +51,7 @@
       append(10);
       log.markSent();
     }
-    assertTrue(log.bytes() <= 100);
+    assertTrue(log.sizeBytes() <= 100);
     assertNull(after(3));
     assertEquals(List.of(20L), after(19));
   }
@@ -59,12 +59,12 @@
   @Test
   void whatNobodyTookIsKeptAndSaysStop() {
     append(60);
-    assertFalse(log.full());
+    assertFalse(log.isFull());
     append(60);
-    assertTrue(log.full());
+    assertTrue(log.isFull());
     assertEquals(List.of(1L, 2L), after(0));
     log.markSent();
-    assertFalse(log.full());
+    assertFalse(log.isFull());
   }
 
   /** Against a list, over any lengths and any moments of sending. */
@@ -82,16 +82,16 @@
         log.markSent();
       }
       long from = 0;
-      while (!log.keeps(from)) {
+      while (!log.contains(from)) {
         from++;
       }
       List<byte[]> kept = new ArrayList<>();
-      log.after(from, kept::add);
+      log.replayAfter(from, kept::add);
       assertEquals(all.size() - from, kept.size());
       for (int i = 0; i < kept.size(); i++) {
         assertArrayEquals(all.get((int) from + i), kept.get(i));
       }
-      assertEquals(kept.stream().mapToInt(e -> e.length).sum(), log.bytes());
+      assertEquals(kept.stream().mapToInt(e -> e.length).sum(), log.sizeBytes());
     }
   }
 }
--- a/gateway/src/test/java/lemondock/gateway/mcp/ToolNameScannerTest.java
+++ b/gateway/src/test/java/lemondock/gateway/mcp/ToolNameScannerTest.java
@@ -11,7 +11,7 @@
 
 class ToolNameScannerTest {
   private static String tool(String body) {
-    return ToolNameScanner.tool(body.getBytes(StandardCharsets.UTF_8));
+    return ToolNameScanner.toolName(body.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
@@ -62,8 +62,9 @@
                   + "z".repeat(300))
               .getBytes(StandardCharsets.UTF_8);
       assertEquals(
-          ToolNameScanner.tool(body),
-          ToolNameScanner.tool(Arrays.copyOf(body, Math.min(body.length, ToolNameScanner.FAR))),
+          ToolNameScanner.toolName(body),
+          ToolNameScanner.toolName(
+              Arrays.copyOf(body, Math.min(body.length, ToolNameScanner.SCAN_LIMIT_BYTES))),
           "after " + before);
     }
   }
--- a/gateway/src/test/java/lemondock/gateway/settings/SettingsFileTest.java
+++ b/gateway/src/test/java/lemondock/gateway/settings/SettingsFileTest.java
@@ -26,7 +26,7 @@
   private GatewaySettings read(String text) throws IOException, SettingsException {
     Path file = folder.resolve("g.json");
     Files.writeString(file, text);
-    return SettingsFile.gateway(file);
+    return SettingsFile.readGateway(file);
   }
 
   @Test
@@ -35,11 +35,11 @@
     assertEquals(5, settings.limits().maxAttempts());
     assertEquals(250, settings.engines().connectTimeoutMs());
     assertEquals("file", settings.discovery().kind());
-    RouterSettings module = settings.toModule();
+    RouterSettings module = settings.toRouterSettings();
     assertEquals(DeduplicationScope.CELL, module.classes().get(0).group());
     assertEquals(500_000, module.classes().get(0).repeatWindow());
     assertEquals(300_000, module.rules().releaseWithin());
-    assertEquals(5_080_000, settings.classes().get(0).patience(1000));
+    assertEquals(5_080_000, settings.classes().get(0).deadlineMicros(1000));
   }
 
   @ParameterizedTest
@@ -121,7 +121,8 @@
   void aFileThatIsNotThereIsNamed() {
     assertTrue(
         assertThrows(
-                SettingsException.class, () -> SettingsFile.gateway(folder.resolve("none.json")))
+                SettingsException.class,
+                () -> SettingsFile.readGateway(folder.resolve("none.json")))
             .getMessage()
             .contains("none.json: expected a file, found none"));
   }
--- a/scenario/src/main/java/lemondock/scenario/DayScript.java
+++ b/scenario/src/main/java/lemondock/scenario/DayScript.java
@@ -64,7 +64,7 @@
 
   /** Reads a script from a file. */
   public static DayScript read(Path file) throws SettingsException {
-    return of(file.toString(), SettingsFile.read(file));
+    return of(file.toString(), SettingsFile.readJson(file));
   }
 
   private static DayScript of(String file, JsonNode root) throws SettingsException {
--- a/scenario/src/main/java/lemondock/scenario/FaultScenario.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultScenario.java
@@ -129,7 +129,7 @@
 
   /** Makes a day with the project's module. */
   public FaultScenario(DayScript script) {
-    this(script, Gateway.MODULE);
+    this(script, Gateway.DEFAULT_ROUTER_FACTORY);
   }
 
   /** Settings that the gateways of a day share: short times, so that a day is played in seconds. */
--- a/scenario/src/main/java/lemondock/scenario/Presets.java
+++ b/scenario/src/main/java/lemondock/scenario/Presets.java
@@ -65,7 +65,7 @@
         .put("targetMs", 200); // all of a fleet share one process, which has just started
     changes.accept(root);
     try {
-      return SettingsFile.gateway(name, root);
+      return SettingsFile.readGateway(name, root);
     } catch (SettingsException e) {
       throw new IllegalArgumentException(e.getMessage(), e);
     }
--- a/scenario/src/main/java/lemondock/scenario/ScenarioAuditor.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioAuditor.java
@@ -188,7 +188,7 @@
           1, c.mark + " got no final answer" + (c.brokeAt != 0 ? ", its stream just ended" : ""));
     }
     long patience =
-        cls.patience((int) (c.promptChars / CHARS_A_TOKEN))
+        cls.deadlineMicros((int) (c.promptChars / CHARS_A_TOKEN))
             + GatewaySettings.micros(settings.rules().answerSlackMs());
     long first = c.firstAt != 0 ? c.firstAt : c.endedAt;
     if (first != 0
--- a/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
@@ -299,10 +299,10 @@
       front.reporting =
           new Reporting(
               front.settings,
-              front.gateway.tally(),
+              front.gateway.metrics(),
               front.reports.environment(),
               new SimpleMeterRegistry());
-      front.reporting.onLook(
+      front.reporting.addTickListener(
           (stamp, snapshot) -> looks.looked(name, front.node.loop().now(), snapshot));
       front.reporting.start(front.gateway.address());
     } catch (IOException e) {
@@ -407,7 +407,7 @@
   public boolean awaitServers(String gateway, int count, long millis) {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
     Front front = fronts.get(gateway);
-    while (front.node.ask(front.gateway::servers) != count) {
+    while (front.node.ask(front.gateway::endpointCount) != count) {
       if (System.nanoTime() > until) {
         return false;
       }
--- a/scenario/src/test/java/lemondock/scenario/Bench.java
+++ b/scenario/src/test/java/lemondock/scenario/Bench.java
@@ -32,7 +32,7 @@
   final GatewaySettings settings;
 
   Bench(Consumer<ObjectNode> changes, EngineSettings... engines) {
-    this(changes, Gateway.MODULE, engines);
+    this(changes, Gateway.DEFAULT_ROUTER_FACTORY, engines);
   }
 
   /**
@@ -185,8 +185,8 @@
   }
 
   private String busy() {
-    int legs = fleet.node(GATEWAY).ask(fleet.gateway(GATEWAY)::legsUnderWay);
-    int calls = fleet.node(GATEWAY).ask(fleet.gateway(GATEWAY)::callsUnderWay);
+    int legs = fleet.node(GATEWAY).ask(fleet.gateway(GATEWAY)::requestsInFlight);
+    int calls = fleet.node(GATEWAY).ask(fleet.gateway(GATEWAY)::callsInFlight);
     StringBuilder busy =
         new StringBuilder(legs + calls == 0 ? "" : legs + " legs, " + calls + " calls ");
     for (String e : fleet.engines()) {
--- a/scenario/src/test/java/lemondock/scenario/HaltingGateway.java
+++ b/scenario/src/test/java/lemondock/scenario/HaltingGateway.java
@@ -28,7 +28,7 @@
   private HaltingGateway() {}
 
   public static void main(String[] args) throws Exception {
-    GatewaySettings settings = SettingsFile.gateway(Path.of(args[0]));
+    GatewaySettings settings = SettingsFile.readGateway(Path.of(args[0]));
     Node node = new Node("gateway", settings.ioThreads());
     FileSystemPort folder =
         new Halting(
@@ -47,7 +47,7 @@
                 folder),
             settings,
             new PromptReader(settings.classes()),
-            Gateway.MODULE);
+            Gateway.DEFAULT_ROUTER_FACTORY);
     gateway.start();
     System.out.println("ready");
     TimeUnit.MINUTES.sleep(2); // whoever started it ends it long before
--- a/scenario/src/test/java/lemondock/scenario/OwnLimitTest.java
+++ b/scenario/src/test/java/lemondock/scenario/OwnLimitTest.java
@@ -85,22 +85,22 @@
 
     /** All of the time, if it says so. */
     @Override
-    public long paused() {
+    public long pausedMicros() {
       return stopped ? System.nanoTime() / 1_000 : 0;
     }
 
     @Override
-    public double memory() {
+    public double memoryUsedFraction() {
       return memory;
     }
 
     @Override
-    public double handles() {
+    public double fileHandlesUsedFraction() {
       return handles;
     }
 
     @Override
-    public long mostHandles() {
+    public long maxFileHandles() {
       return most;
     }
   }
@@ -498,7 +498,7 @@
         assertTrue(opened > 0 && opened <= 999, "opened " + opened);
         assertEquals(
             opened + 1,
-            bench.fleet.node(Bench.GATEWAY).ask(bench.fleet.gateway(Bench.GATEWAY)::sessions));
+            bench.fleet.node(Bench.GATEWAY).ask(bench.fleet.gateway(Bench.GATEWAY)::sessionCount));
       } finally {
         closeAll(sockets);
       }
--- a/scenario/src/test/java/lemondock/scenario/SabotageTest.java
+++ b/scenario/src/test/java/lemondock/scenario/SabotageTest.java
@@ -122,7 +122,7 @@
                       @Override
                       public void refuse(long requestId, long retryAfter) {}
                     })));
-    assertEquals(Set.of(), broken(script, Gateway.MODULE));
+    assertEquals(Set.of(), broken(script, Gateway.DEFAULT_ROUTER_FACTORY));
   }
 
   @Test
@@ -161,7 +161,7 @@
                         settings.writersRead()),
                     seed,
                     host)));
-    assertEquals(Set.of(), broken(script, Gateway.MODULE));
+    assertEquals(Set.of(), broken(script, Gateway.DEFAULT_ROUTER_FACTORY));
   }
 
   @Test
@@ -169,7 +169,7 @@
     DayScript script = day(2.5, 60, trouble("deploy", 200, 1200, 0.4, 0.1)).fleet(2, 3, 0, 16, 5);
     assertTrue(
         broken(script, deaf(s -> s.standing() == ServerLifecycle.READY ? s : null)).contains(3));
-    assertEquals(Set.of(), broken(script, Gateway.MODULE));
+    assertEquals(Set.of(), broken(script, Gateway.DEFAULT_ROUTER_FACTORY));
   }
 
   @Test
@@ -183,7 +183,7 @@
                         new ServerEntry(
                             s.id(), s.zone(), s.kind(), s.cell(), s.standing(), s.weight(), 0)))
             .contains(4));
-    assertEquals(Set.of(), broken(script, Gateway.MODULE));
+    assertEquals(Set.of(), broken(script, Gateway.DEFAULT_ROUTER_FACTORY));
   }
 
   @Test
@@ -201,6 +201,6 @@
                           public void release(long requestId) {}
                         }))
             .contains(5));
-    assertEquals(Set.of(), broken(script, Gateway.MODULE));
+    assertEquals(Set.of(), broken(script, Gateway.DEFAULT_ROUTER_FACTORY));
   }
 }
--- a/scenario/src/test/java/lemondock/scenario/ScenarioAuditorTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ScenarioAuditorTest.java
@@ -44,7 +44,7 @@
 
   @Test
   void anAnswerMayBeLateByAsMuchAsItsGatewayStoodStill() {
-    long patience = SETTINGS.classes().get(0).patience(34) / MS;
+    long patience = SETTINGS.classes().get(0).deadlineMicros(34) / MS;
     assertEquals(Set.of(), broken(List.of(), List.of(call(patience))));
     assertEquals(Set.of(1), broken(List.of(), List.of(call(patience + 2_000))));
     assertEquals(
