--- a/gateway/src/main/java/lemondock/gateway/Gateway.java
+++ b/gateway/src/main/java/lemondock/gateway/Gateway.java
@@ -14,9 +14,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
+import lemondock.dispatch.DispatchCounts;
+import lemondock.dispatch.DispatcherEnvironment;
+import lemondock.dispatch.DispatcherOptions;
 import lemondock.dispatch.Endpoint;
 import lemondock.dispatch.EndpointRegistry;
+import lemondock.dispatch.EndpointUpdate;
 import lemondock.dispatch.RequestDispatcher;
+import lemondock.dispatch.RouterFactory;
 import lemondock.gateway.accounting.GatewayMetrics;
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.core.CallService;
@@ -101,7 +106,7 @@
       GatewayEnvironment environment,
       GatewaySettings settings,
       PromptReader prompts,
-      RequestDispatcher.ModuleMaker routerFactory) {
+      RouterFactory routerFactory) {
     this.loop = environment.loop();
     this.network = environment.network();
     this.disk = environment.disk();
@@ -134,22 +139,26 @@
             LAG_LOOK,
             GatewaySettings.micros(settings.overload().stallMs()),
             GatewaySettings.micros(settings.overload().stallGraceMs()));
-    int queues = 2 + settings.ioThreads(); // the context, the workers, each shard's thread
+    int queues = 2 + settings.ioThreads();
+    // the context, the workers, each shard's thread
+
     this.admission = new Admission(settings.overload().toAdmissionSettings(), queues);
     this.pausedAt = new long[queues];
     this.pressure = new ResourcePressure(settings.overload().toResourcePressureSettings());
     this.dispatcher =
         new RequestDispatcher<>(
-            loop,
-            new EngineClient(loop, engineClient, engines, agent, stallMonitor),
-            endpoints,
-            settings.toRouterSettings(),
-            seed,
-            settings.name() + "-" + incarnation,
-            routerFactory,
-            listSource::refresh,
-            metrics,
-            stallMonitor);
+            new DispatcherEnvironment<>(
+                loop,
+                new EngineClient(loop, engineClient, engines, agent, stallMonitor),
+                endpoints,
+                stallMonitor,
+                metrics),
+            new DispatcherOptions(
+                settings.name() + "-" + incarnation,
+                routerFactory,
+                settings.toRouterSettings(),
+                seed,
+                listSource::refresh));
     this.calls = new CallService(loop, dispatcher, settings, metrics, stallMonitor);
     this.mcp =
         new McpHttpHandler(
@@ -180,7 +189,7 @@
   }
 
   /** The module of the project. */
-  public static final RequestDispatcher.ModuleMaker DEFAULT_ROUTER_FACTORY = Control::new;
+  public static final RouterFactory DEFAULT_ROUTER_FACTORY = Control::new;
 
   private static String sessionId(SecureRandom random) {
     byte[] bytes = new byte[24];
@@ -209,7 +218,9 @@
 
   /** Takes its port and begins; call it off the loop. */
   public void start() throws IOException {
-    if (settings.durable() != null) { // first: what cannot be read must not be served over
+    if (settings.durable() != null) {
+      // first: what cannot be read must not be served over
+
       calls.guard(IdempotencyGuard.open(idempotencyFiles, settings.durable(), loop, disk));
     }
     List<Endpoint> cached = readCache();
@@ -239,8 +250,8 @@
                 @Override
                 public void onFailure(String what) {
                   LOG.atWarn().addKeyValue("why", what).log("the list of servers cannot be had");
-                  endpoints.forgetChanges();
-                  dispatcher.servers(EndpointListKind.FAILED, List.of());
+                  endpoints.requireFullUpdate();
+                  dispatcher.updateEndpoints(EndpointListKind.FAILED, List.of());
                 }
               });
         });
@@ -310,16 +321,18 @@
   private void look() {
     metrics.setInFlight(
         calls.size(),
-        dispatcher.size(),
+        dispatcher.requestsInFlight(),
         mcp.sessions(),
         mcp.streamCount(),
         calls.toolsWaiting(),
         endpoints.size(),
         (loop.now() - startedAtMicros) / SECOND);
     metrics.setOverload(admission.share(), stallMonitor.stalls(), stallMonitor.stalled());
-    dispatcher.look();
+    dispatcher.recordRouterState();
     onDisk(
-        () -> { // counting handles reads a directory
+        () -> {
+          // counting handles reads a directory
+
           double memory = resources.memoryUsedFraction();
           double handles = resources.fileHandlesUsedFraction();
           loop.execute(() -> press(memory, handles));
@@ -366,7 +379,7 @@
   }
 
   /** What the ledger has counted; loop thread only. */
-  public RequestDispatcher.Counts counts() {
+  public DispatchCounts counts() {
     return dispatcher.counts();
   }
 
@@ -377,7 +390,7 @@
 
   /** Requests that the ledger still keeps; loop thread only. */
   public int requestsInFlight() {
-    return dispatcher.size();
+    return dispatcher.requestsInFlight();
   }
 
   /** Servers listed; loop thread only. */
@@ -391,8 +404,7 @@
   }
 
   private void applyEndpoints(List<Endpoint> entries, boolean fromCache) {
-    EndpointRegistry.News update =
-        endpoints.update(entries, fromCache, loop.now(), loop.wallMillis());
+    EndpointUpdate update = endpoints.update(entries, fromCache, loop.now(), loop.wallMillis());
     update
         .skipped()
         .forEach(
@@ -406,7 +418,7 @@
           .addKeyValue("listed", endpoints.size())
           .addKeyValue("kind", update.kind())
           .log("list of servers");
-      dispatcher.servers(update.kind(), update.servers());
+      dispatcher.updateEndpoints(update.kind(), update.servers());
     }
   }
 
@@ -439,8 +451,8 @@
   private String readinessProblem() {
     boolean hasReader = false;
     boolean hasWriter = false;
-    for (Endpoint endpoint : endpoints.entries()) {
-      if (endpoint.standing() == ServerLifecycle.READY) {
+    for (Endpoint endpoint : endpoints.endpoints()) {
+      if (endpoint.lifecycle() == ServerLifecycle.READY) {
         String role =
             settings.kinds().stream()
                 .filter(kind -> kind.name().equals(endpoint.kind()))
@@ -476,7 +488,7 @@
         () -> {
           metrics.setInFlight(
               calls.size(),
-              dispatcher.size(),
+              dispatcher.requestsInFlight(),
               mcp.sessions(),
               mcp.streamCount(),
               calls.toolsWaiting(),
@@ -503,7 +515,7 @@
   private void writeCache() {
     String cache = settings.discovery().cache();
     if (cache != null) {
-      byte[] text = EndpointListCodec.formatFile(endpoints.entries());
+      byte[] text = EndpointListCodec.formatFile(endpoints.endpoints());
       onDisk(
           () -> {
             try {
--- a/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
@@ -38,14 +38,14 @@
   private static final List<AttemptOutcome> OUTCOME_FIELD_ORDER =
       List.of(
           AttemptOutcome.OK,
-          AttemptOutcome.READ,
+          AttemptOutcome.PROMPT_READ,
           AttemptOutcome.ERROR,
-          AttemptOutcome.FULL,
+          AttemptOutcome.REJECTED,
           AttemptOutcome.TIMEOUT,
           AttemptOutcome.CONNECT_FAILED,
           AttemptOutcome.RESET,
           AttemptOutcome.CANCELLED,
-          AttemptOutcome.MOOT);
+          AttemptOutcome.ABANDONED_BEFORE_SEND);
 
   private final GatewaySettings settings;
   private final Tally tally;
@@ -188,7 +188,7 @@
   // ==== attempts and states
 
   /** An attempt is made at a server. */
-  public void sent(ServerRole role, String zone) {
+  public void attemptSent(ServerRole role, String zone) {
     recorder.count(seriesFor(attempts, Metrics.ATTEMPTS, role, zone).slot(SENT_FIELD));
   }
 
@@ -218,7 +218,7 @@
   }
 
   /** A read left a state at a server of the zone. */
-  public void stateMade(String zone) {
+  public void stateReserved(String zone) {
     countState(zone, 0, 1, -1);
   }
 
@@ -228,7 +228,7 @@
   }
 
   /** A state was let go unused after so many microseconds. */
-  public void stateLetGo(String zone, long waitedMicros) {
+  public void stateReleased(String zone, long waitedMicros) {
     countState(zone, 2, -1, waitedMicros);
   }
 
@@ -290,14 +290,15 @@
   }
 
   /** Takes a look at the module; {@code zones} names the zone of a server's number, or null. */
-  public RouterStateVisitor look(java.util.function.LongFunction<String> zoneOf) {
+  public RouterStateVisitor stateVisitor(
+      java.util.function.LongFunction<java.util.Optional<String>> zoneOf) {
     Map<Series, long[]> sums = new HashMap<>();
     servers.values().forEach(byZone -> byZone.values().forEach(s -> sums.put(s, new long[4])));
     return new RouterStateVisitor() {
       @Override
       public void server(
           long id, ServerRole role, ServerLifecycle standing, boolean cold, boolean healthy) {
-        String zone = zoneOf.apply(id);
+        String zone = zoneOf.apply(id).orElse(null);
         if (zone != null) {
           long[] sum =
               sums.computeIfAbsent(
@@ -310,7 +311,7 @@
       }
 
       @Override
-      public void all(int parked, long tokensUnderWay, long room) {
+      public void totals(int parked, long tokensUnderWay, long room) {
         final long ticket = recorder.enter();
         recorder.set(module.slot(0), parked);
         recorder.set(module.slot(1), tokensUnderWay);
--- a/gateway/src/main/java/lemondock/gateway/core/CallService.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CallService.java
@@ -8,12 +8,13 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
+import lemondock.dispatch.DirectOutput;
 import lemondock.dispatch.DispatchedRequest;
-import lemondock.dispatch.EndpointRegistry;
-import lemondock.dispatch.EnginePort;
 import lemondock.dispatch.RequestDispatcher;
 import lemondock.dispatch.RequestListener;
+import lemondock.dispatch.StableHash;
 import lemondock.gateway.accounting.CallMetrics;
 import lemondock.gateway.accounting.GatewayMetrics;
 import lemondock.gateway.answer.Answer;
@@ -186,12 +187,16 @@
           call.key,
           durable -> {
             if (call.answer.state() == Answer.State.ENDED) {
-              return; // its client left meanwhile
+              return;
+              // its client left meanwhile
+
             }
             if (durable) {
               call.begin();
             } else {
-              synchronized (sink.lock()) { // nothing was sent anywhere
+              synchronized (sink.lock()) {
+                // nothing was sent anywhere
+
                 call.answer.onRejected(GatewaySettings.micros(settings.limits().retryAdviceMs()));
               }
             }
@@ -295,19 +300,19 @@
 
     @Override
     public void cancelRequest() {
-      ledger.leave(leg);
+      ledger.cancelRequest(leg);
     }
 
     /** Takes no more of the answer until {@link #resume}. */
     public void pause() {
       paused = true;
-      ledger.pause(leg);
+      ledger.pauseOutput(leg);
     }
 
     /** Takes the answer again. */
     public void resume() {
       paused = false;
-      ledger.resume(leg);
+      ledger.resumeOutput(leg);
     }
 
     private void cut(String why) {
@@ -343,9 +348,9 @@
               sink.shard(),
               body);
       legs++;
-      leg = ledger.open(spec, new Listener());
+      leg = ledger.submit(spec, new Listener());
       if (paused) {
-        ledger.pause(leg);
+        ledger.pauseOutput(leg);
       }
     }
 
@@ -407,8 +412,11 @@
     public void relay(ToolCall call) {
       waits(true);
       if (waitingAnswers > settings.limits().maxWaitingAnswers()) {
-        cut("too many answers wait for their tools"); // the newest: the others may be
+        cut("too many answers wait for their tools");
+        // the newest: the others may be
+
         // answered any moment
+
         return;
       }
       toolsWaiting++;
@@ -426,7 +434,9 @@
           durable -> {
             synchronized (sink.lock()) {
               if (!answer.pendingToolCalls().contains(call)) {
-                return; // it took so long that nobody waits for it any more
+                return;
+                // it took so long that nobody waits for it any more
+
               }
               if (durable) {
                 relayed.add(call.id());
@@ -460,7 +470,9 @@
               () -> {
                 lateness.notice(loop.now());
                 long putOff = lateness.putOff(loop.now());
-                if (putOff > 0) { // the result may wait at the socket
+                if (putOff > 0) {
+                  // the result may wait at the socket
+
                   limit(call, putOff);
                   return;
                 }
@@ -504,7 +516,7 @@
     }
 
     /** Hands a leg's events to the answer. */
-    private final class Listener implements RequestListener<CompletionChunk>, EnginePort.Lane {
+    private final class Listener implements RequestListener<CompletionChunk>, DirectOutput {
       @Override
       public void chunk(CompletionChunk chunk) {
         synchronized (sink.lock()) {
@@ -513,8 +525,8 @@
       }
 
       @Override
-      public EnginePort.Lane lane() {
-        return this;
+      public Optional<DirectOutput> directOutput() {
+        return Optional.of(this);
       }
 
       /**
@@ -522,7 +534,7 @@
        * of it.
        */
       @Override
-      public boolean take(CharSequence text, int answerTokens) {
+      public boolean offer(CharSequence text, int answerTokens) {
         if (text.length() > MOST_DIRECT) {
           return false;
         }
@@ -532,21 +544,21 @@
       }
 
       @Override
-      public void served() {
+      public void completed() {
         synchronized (sink.lock()) {
           answer.onRequestCompleted();
         }
       }
 
       @Override
-      public void broke(String what) {
+      public void interrupted(String cause) {
         synchronized (sink.lock()) {
-          answer.onStreamBroken(what);
+          answer.onStreamBroken(cause);
         }
       }
 
       @Override
-      public void refused(long retryAfterMicros) {
+      public void rejected(long retryAfterMicros) {
         synchronized (sink.lock()) {
           answer.onRejected(retryAfterMicros);
         }
@@ -588,7 +600,7 @@
    * named.
    */
   public static long sessionKey(String conversation, String fallback) {
-    return EndpointRegistry.hash(
+    return StableHash.of(
         conversation != null ? "conversation " + conversation : "call " + fallback);
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/discovery/EndpointListCodec.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/EndpointListCodec.java
@@ -67,9 +67,9 @@
           .put("kind", endpoint.kind())
           .put("zone", endpoint.zone())
           .put("rack", endpoint.rack())
-          .put("standing", endpoint.standing().name().toLowerCase(Locale.ROOT))
+          .put("standing", endpoint.lifecycle().name().toLowerCase(Locale.ROOT))
           .put("weight", endpoint.weight())
-          .put("startedAt", endpoint.startedAt());
+          .put("startedAt", endpoint.startedAtMillis());
     }
     return root.toPrettyString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
   }
--- a/gateway/src/main/java/lemondock/gateway/engine/CompletionChunk.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/CompletionChunk.java
@@ -36,7 +36,7 @@
   public record ToolCallDelta(int index, String id, String name, String arguments) {}
 
   @Override
-  public boolean carries() {
+  public boolean hasOutput() {
     return !text.isEmpty() || !toolCalls.isEmpty() || finishReason != null;
   }
 
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineProtocol.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineProtocol.java
@@ -220,7 +220,8 @@
     boolean full = status == 429 || status == 503;
     boolean stateMissing =
         full && root != null && STATE_MISSING.equals(root.path("error").path("code").asText(""));
-    return new ErrorReply(full ? AttemptOutcome.FULL : AttemptOutcome.ERROR, stateMissing, message);
+    return new ErrorReply(
+        full ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR, stateMissing, message);
   }
 
   private static String errorMessage(JsonNode root) {
--- a/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
+++ b/gateway/src/test/java/lemondock/gateway/core/LedgerTest.java
@@ -15,6 +15,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import lemondock.dispatch.DispatchedRequest;
+import lemondock.dispatch.DispatcherEnvironment;
+import lemondock.dispatch.DispatcherOptions;
 import lemondock.dispatch.Endpoint;
 import lemondock.dispatch.EndpointRegistry;
 import lemondock.dispatch.RequestDispatcher;
@@ -94,13 +96,14 @@
   /** A module that only writes down what it is told. */
   private final class Told implements RequestRouter {
     @Override
-    public void started(long now) {}
+    public void started(long nowMicros) {}
 
     @Override
-    public void servers(long now, EndpointListKind kind, List<ServerEntry> entries) {}
+    public void endpointsChanged(
+        long nowMicros, EndpointListKind kind, List<ServerEntry> servers) {}
 
     @Override
-    public void request(long now, RoutingRequest request) {
+    public void requestArrived(long nowMicros, RoutingRequest request) {
       told.add("request " + request.id());
       if (faulty) {
         throw new IllegalStateException("a defect");
@@ -108,28 +111,29 @@
     }
 
     @Override
-    public void firstToken(long now, long requestId, int attempt, long serverId, long took) {
+    public void firstToken(
+        long nowMicros, long requestId, int attempt, long serverId, long elapsedMicros) {
       told.add("first " + attempt);
     }
 
     @Override
-    public void outcome(long now, AttemptResult o) {
-      lastTook = o.took();
+    public void attemptEnded(long nowMicros, AttemptResult result) {
+      lastTook = result.elapsedMicros();
       told.add(
-          o.ending()
+          result.outcome()
               + " "
-              + o.attempt()
-              + (o.requestEnded() ? " ended" : "")
-              + (o.stateMissing() ? " missing" : ""));
+              + result.attempt()
+              + (result.requestEnded() ? " ended" : "")
+              + (result.stateMissing() ? " missing" : ""));
     }
 
     @Override
-    public void clientLeft(long now, long requestId) {
+    public void clientDisconnected(long nowMicros, long requestId) {
       told.add("left");
     }
 
     @Override
-    public void timer(long now, long token) {
+    public void timerFired(long nowMicros, long token) {
       told.add("timer " + token);
     }
   }
@@ -190,19 +194,17 @@
             false);
     ledger =
         new RequestDispatcher<>(
-            loop,
-            engines,
-            members,
-            settings,
-            1,
-            "t",
-            (s, seed, h) -> {
-              host = h;
-              return new Told();
-            },
-            () -> {},
-            new GatewayMetrics(someSettings()),
-            lateness);
+            new DispatcherEnvironment<>(
+                loop, engines, members, lateness, new GatewayMetrics(someSettings())),
+            new DispatcherOptions(
+                "t",
+                (s, seed, h) -> {
+                  host = h;
+                  return new Told();
+                },
+                settings,
+                1,
+                () -> {}));
   }
 
   private static GatewaySettings someSettings() {
@@ -222,7 +224,7 @@
   }
 
   private long open() {
-    return ledger.open(
+    return ledger.submit(
         new DispatchedRequest<>(
             0,
             0,
@@ -243,17 +245,17 @@
           }
 
           @Override
-          public void served() {
+          public void completed() {
             heard.add("served");
           }
 
           @Override
-          public void broke(String what) {
+          public void interrupted(String cause) {
             heard.add("broke");
           }
 
           @Override
-          public void refused(long retryAfterMicros) {
+          public void rejected(long retryAfterMicros) {
             heard.add("refused");
           }
 
@@ -312,9 +314,9 @@
         event("{\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}")
             + event("[DONE]")
             + "0\r\n\r\n");
-    assertEquals(List.of("request " + id, "READ 0", "first 1", "OK 1 ended"), told);
+    assertEquals(List.of("request " + id, "PROMPT_READ 0", "first 1", "OK 1 ended"), told);
     assertEquals(List.of("'a'", "''", "served"), heard.stream().distinct().toList());
-    assertEquals(0, ledger.size());
+    assertEquals(0, ledger.requestsInFlight());
     assertEquals(0, aborts());
   }
 
@@ -324,16 +326,20 @@
     Line read = send(id, reader);
     host.cancel(id, 0);
     host.cancel(id, 0);
-    read.answer(READ); // it was on its way
+    read.answer(READ);
+    // it was on its way
+
     read.cut();
     loop.run();
     assertEquals(List.of("request " + id, "CANCELLED 0"), told);
-    assertEquals(1, aborts()); // what the read may have left is let go
+    assertEquals(1, aborts());
+    // what the read may have left is let go
+
     Line second = send(id, reader);
     second.answer(READ);
     host.cancel(id, 1);
     loop.run();
-    assertEquals("READ 1", told.get(2));
+    assertEquals("PROMPT_READ 1", told.get(2));
     assertEquals(3, told.size());
   }
 
@@ -343,7 +349,7 @@
     host.send(id, 999, 0);
     host.send(id, writer, 0);
     loop.run();
-    assertEquals(List.of("request " + id, "MOOT 0", "FULL 1 missing"), told);
+    assertEquals(List.of("request " + id, "ABANDONED_BEFORE_SEND 0", "REJECTED 1 missing"), told);
     assertEquals(0, lines.size());
     host.fail(id);
     loop.run();
@@ -356,7 +362,9 @@
     send(id, reader).cut();
     host.send(id, reader, 0);
     lines.get(lines.size() - 1).end(new IOException("refused"));
-    loop.dropFirst(); // the connection that never came up
+    loop.dropFirst();
+    // the connection that never came up
+
     loop.run();
     assertEquals(List.of("request " + id, "RESET 0", "CONNECT_FAILED 1"), told);
   }
@@ -366,13 +374,15 @@
     lateness.ticked(loop.now());
     long id = open();
     final Line read = send(id, reader);
-    host.timer(7, 200_000); // the module wants to look whether the read is overdue
+    host.setTimer(7, 200_000);
+    // the router is to check whether the prefill is overdue
+
     loop.move(50_000);
     loop.standStill(3_000_000);
     assertEquals(List.of("request " + id), told, "nothing is judged before the sockets were heard");
     read.answer(READ);
     loop.move(60_000);
-    assertEquals(List.of("request " + id, "READ 0", "timer 7"), told);
+    assertEquals(List.of("request " + id, "PROMPT_READ 0", "timer 7"), told);
     assertTrue(
         lastTook >= 50_000 && lastTook <= 160_000,
         "took " + lastTook + " us, of which the process stood still 3 s");
@@ -389,7 +399,7 @@
     loop.run();
     assertEquals("RESET 1 ended", told.get(told.size() - 1));
     assertEquals(List.of("'a'", "broke"), heard);
-    assertEquals(0, ledger.size());
+    assertEquals(0, ledger.requestsInFlight());
   }
 
   @Test
@@ -411,20 +421,20 @@
   void aClientThatLeavesHearsNothingAndHoldsNothing() {
     long id = open();
     send(id, reader).answer(READ);
-    ledger.leave(id);
-    host.release(id);
+    ledger.cancelRequest(id);
+    host.releaseState(id);
     loop.run();
     assertEquals(List.of(), heard);
-    assertEquals(0, ledger.size());
+    assertEquals(0, ledger.requestsInFlight());
     long streaming = open();
     send(streaming, reader).answer(READ);
     Line write = send(streaming, writer);
     write.answer(STREAM + token("a"));
-    ledger.leave(streaming);
+    ledger.cancelRequest(streaming);
     loop.run();
     assertTrue(write.isClosed());
     assertEquals("CANCELLED 1 ended", told.get(told.size() - 1));
-    assertEquals(0, ledger.size());
+    assertEquals(0, ledger.requestsInFlight());
     assertEquals(List.of("'a'"), heard);
   }
 
@@ -432,13 +442,13 @@
   void aNewStateLetsTheOldOneGo() {
     long id = open();
     send(id, reader).answer(READ);
-    long before = ledger.counts().releases;
+    long before = ledger.counts().releases();
     send(id, reader).answer(READ);
-    assertEquals(before + 1, ledger.counts().releases);
-    host.release(id);
-    assertEquals(before + 2, ledger.counts().releases);
-    host.release(id);
-    assertEquals(before + 2, ledger.counts().releases);
+    assertEquals(before + 1, ledger.counts().releases());
+    host.releaseState(id);
+    assertEquals(before + 2, ledger.counts().releases());
+    host.releaseState(id);
+    assertEquals(before + 2, ledger.counts().releases());
   }
 
   @Test
@@ -446,8 +456,8 @@
     long id = open();
     send(id, reader).answer(READ);
     send(id, writer);
-    host.release(id);
-    assertEquals(0, ledger.counts().releases);
+    host.releaseState(id);
+    assertEquals(0, ledger.counts().releases());
   }
 
   @Test
@@ -456,22 +466,23 @@
     faulty = true;
     open();
     assertEquals(List.of("failed"), heard);
-    assertEquals(1, ledger.size());
+    assertEquals(1, ledger.requestsInFlight());
     faulty = false;
-    host.refuse(before, 0);
-    ledger.servers(EndpointListKind.CHANGES, List.of());
-    assertEquals(0, ledger.size());
+    host.reject(before, 0);
+    ledger.updateEndpoints(EndpointListKind.CHANGES, List.of());
+    assertEquals(0, ledger.requestsInFlight());
   }
 
   @Test
   void anEndIsToldOnce() {
     long id = open();
-    host.refuse(id, 5);
-    host.refuse(id, 5);
+    host.reject(id, 5);
+    host.reject(id, 5);
     host.fail(id);
-    ledger.servers(
-        EndpointListKind.CHANGES, List.of()); // the next event carries out what was decided
+    ledger.updateEndpoints(EndpointListKind.CHANGES, List.of());
+    // the next event carries out what was decided
+
     assertEquals(List.of("refused"), heard);
-    assertEquals(0, ledger.size());
+    assertEquals(0, ledger.requestsInFlight());
   }
 }
--- a/gateway/src/test/java/lemondock/gateway/discovery/EndpointRegistryTest.java
+++ b/gateway/src/test/java/lemondock/gateway/discovery/EndpointRegistryTest.java
@@ -12,6 +12,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import lemondock.dispatch.Endpoint;
 import lemondock.dispatch.EndpointRegistry;
+import lemondock.dispatch.EndpointUpdate;
+import lemondock.dispatch.StableHash;
 import lemondock.policy.EndpointListKind;
 import lemondock.policy.ServerEntry;
 import lemondock.policy.ServerLifecycle;
@@ -37,28 +39,28 @@
         startedAt);
   }
 
-  private EndpointRegistry.News hear(Endpoint... entries) {
+  private EndpointUpdate hear(Endpoint... entries) {
     return members.update(List.of(entries), false, NOW, WALL);
   }
 
   @Test
   void theFirstListIsWholeAndLaterOnesAreChanges() {
     assertEquals(
-        EndpointListKind.WHOLE,
+        EndpointListKind.FULL_LIST,
         hear(
                 entry("a", "reader", ServerLifecycle.READY, 0),
                 entry("b", "writer", ServerLifecycle.READY, 0))
             .kind());
-    EndpointRegistry.News none =
+    EndpointUpdate none =
         hear(
             entry("a", "reader", ServerLifecycle.READY, 0),
             entry("b", "writer", ServerLifecycle.READY, 0));
     assertEquals(EndpointListKind.CHANGES, none.kind());
     assertEquals(List.of(), none.servers());
-    EndpointRegistry.News drain = hear(entry("a", "reader", ServerLifecycle.DRAINING, 0));
+    EndpointUpdate drain = hear(entry("a", "reader", ServerLifecycle.DRAINING, 0));
     assertEquals(
         List.of(ServerLifecycle.DRAINING, ServerLifecycle.GONE),
-        drain.servers().stream().map(ServerEntry::standing).toList());
+        drain.servers().stream().map(ServerEntry::lifecycle).toList());
   }
 
   /** A change of a list of thousands must not cost a hash for each of them. */
@@ -70,7 +72,7 @@
             List.of("reader", "writer"),
             server -> {
               numbered.incrementAndGet();
-              return EndpointRegistry.hash(server.name());
+              return StableHash.of(server.name());
             });
     List<Endpoint> listed = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
@@ -84,7 +86,7 @@
     assertEquals(101, numbered.get());
     assertEquals(
         List.of(ServerLifecycle.DRAINING, ServerLifecycle.GONE),
-        changes.stream().map(ServerEntry::standing).toList());
+        changes.stream().map(ServerEntry::lifecycle).toList());
     assertEquals(
         List.of(first.get(3).id(), first.get(7).id()),
         changes.stream().map(ServerEntry::id).toList());
@@ -116,9 +118,9 @@
             .servers();
     assertEquals(1, news.size(), "what is known keeps its start");
     assertTrue(
-        news.get(0).startedAt() >= later - second,
-        "started " + (later - news.get(0).startedAt()) / second + " s ago");
-    assertTrue(news.get(0).startedAt() <= later);
+        news.get(0).startedAtMicros() >= later - second,
+        "started " + (later - news.get(0).startedAtMicros()) / second + " s ago");
+    assertTrue(news.get(0).startedAtMicros() <= later);
   }
 
   /**
@@ -143,8 +145,8 @@
                 WALL + hour + 2_000)
             .servers();
     assertTrue(
-        news.get(0).startedAt() >= NOW,
-        "started " + (later - news.get(0).startedAt()) / 1_000_000 + " s ago");
+        news.get(0).startedAtMicros() >= NOW,
+        "started " + (later - news.get(0).startedAtMicros()) / 1_000_000 + " s ago");
   }
 
   /**
@@ -159,7 +161,8 @@
                 entry("a", "reader", ServerLifecycle.READY, WALL - 60_000),
                 entry("b", "reader", ServerLifecycle.READY, WALL - 50_000))
             .servers();
-    assertEquals(List.of(NOW - 50_000_000), news.stream().map(ServerEntry::startedAt).toList());
+    assertEquals(
+        List.of(NOW - 50_000_000), news.stream().map(ServerEntry::startedAtMicros).toList());
   }
 
   /** One that was off the list for a while is the process that it was. */
@@ -169,7 +172,7 @@
         hear(entry("a", "reader", ServerLifecycle.READY, WALL - 60_000))
             .servers()
             .get(0)
-            .startedAt();
+            .startedAtMicros();
     hear();
     assertEquals(
         startedAt,
@@ -181,15 +184,15 @@
                 WALL + 1_000)
             .servers()
             .get(0)
-            .startedAt());
+            .startedAtMicros());
   }
 
   @Test
   void afterABreakTheListIsToldWhole() {
     hear(entry("a", "reader", ServerLifecycle.READY, 0));
-    members.forgetChanges();
+    members.requireFullUpdate();
     assertEquals(
-        EndpointListKind.WHOLE, hear(entry("a", "reader", ServerLifecycle.READY, 0)).kind());
+        EndpointListKind.FULL_LIST, hear(entry("a", "reader", ServerLifecycle.READY, 0)).kind());
     assertEquals(EndpointListKind.CACHED, members.update(List.of(), true, NOW, WALL).kind());
   }
 
@@ -217,7 +220,7 @@
         hear(entry("a", "reader", ServerLifecycle.READY, WALL - 2_000))
             .servers()
             .get(0)
-            .startedAt();
+            .startedAtMicros();
     assertEquals(NOW - 2_000_000, first);
     assertEquals(
         List.of(),
@@ -227,24 +230,26 @@
                 false,
                 NOW + 7,
                 WALL + 900)
-            .servers()); // clocks that drift apart do not make a new process
+            .servers());
+    // clocks that drift apart do not make a new process
+
     assertNotEquals(
         first,
         hear(entry("a", "reader", ServerLifecycle.READY, WALL - 1_000))
             .servers()
             .get(0)
-            .startedAt());
+            .startedAtMicros());
     assertEquals(
         NOW,
         hear(entry("a", "reader", ServerLifecycle.READY, WALL + 60_000))
             .servers()
             .get(0)
-            .startedAt());
+            .startedAtMicros());
   }
 
   @Test
   void whatCannotBeUsedIsPassedOverAndNamed() {
-    EndpointRegistry.News news =
+    EndpointUpdate news =
         hear(
             entry("a", "painter", ServerLifecycle.READY, 0),
             entry("b", "reader", ServerLifecycle.READY, 0),
@@ -258,7 +263,7 @@
   void aServerThatLeftCanStillBeToldToLetGo() {
     long id = hear(entry("a", "reader", ServerLifecycle.READY, 0)).servers().get(0).id();
     hear();
-    assertEquals("a", members.entry(id).name());
+    assertEquals("a", members.find(id).orElseThrow().name());
     assertEquals(0, members.size());
   }
 
@@ -271,10 +276,10 @@
             + "{\"Service\":{\"ID\":\"w2\",\"Address\":\"127.0.0.2\",\"Port\":81,\"Meta\":{\"kind\":\"writer\"}},"
             + "\"Checks\":[{\"CheckID\":\"tcp\",\"Status\":\"critical\"}]}]";
     List<Endpoint> entries = EndpointListCodec.parseConsul(text.getBytes(StandardCharsets.UTF_8));
-    assertEquals(ServerLifecycle.DRAINING, entries.get(0).standing());
+    assertEquals(ServerLifecycle.DRAINING, entries.get(0).lifecycle());
     assertEquals(3, entries.get(0).weight());
-    assertEquals(12, entries.get(0).startedAt());
-    assertEquals(ServerLifecycle.GONE, entries.get(1).standing());
+    assertEquals(12, entries.get(0).startedAtMillis());
+    assertEquals(ServerLifecycle.GONE, entries.get(1).lifecycle());
   }
 
   @Test
--- a/gateway/src/test/java/lemondock/gateway/engine/EngineProtocolTest.java
+++ b/gateway/src/test/java/lemondock/gateway/engine/EngineProtocolTest.java
@@ -67,8 +67,9 @@
 
   @Test
   void onlyARefusalBeforeWorkProvesThatNothingRan() {
-    assertEquals(AttemptOutcome.FULL, EngineProtocol.parseErrorReply(429, bytes("")).outcome());
-    assertEquals(AttemptOutcome.FULL, EngineProtocol.parseErrorReply(503, bytes("x")).outcome());
+    assertEquals(AttemptOutcome.REJECTED, EngineProtocol.parseErrorReply(429, bytes("")).outcome());
+    assertEquals(
+        AttemptOutcome.REJECTED, EngineProtocol.parseErrorReply(503, bytes("x")).outcome());
     assertTrue(
         EngineProtocol.parseErrorReply(503, bytes("{\"error\":{\"code\":\"kv_state_missing\"}}"))
             .stateMissing());
