--- /dev/null
+++ b/gateway/src/main/java/lemondock/gateway/QueueDelayMonitor.java
@@ -0,0 +1,117 @@
+package lemondock.gateway;
+
+import java.util.List;
+import java.util.concurrent.Executor;
+import lemondock.gateway.accounting.GatewayMetrics;
+import lemondock.net.Loop;
+import lemondock.net.Network;
+import lemondock.overload.Admission;
+import lemondock.overload.StallMonitor;
+
+/**
+ * Measures how long tasks wait for their turn in each of the gateway's queues (the loop, the
+ * workers and the I/O threads), which is the sign of overload, and tells {@link Admission}. It also
+ * drives the {@link StallMonitor}. Loop thread only.
+ */
+final class QueueDelayMonitor {
+  /** How often the stall monitor is ticked. */
+  static final long STALL_TICK_MICROS = 100_000;
+
+  private static final long BUSY_INTERVAL_MICROS = 10_000;
+  private static final long CALM_INTERVAL_MICROS = 40_000;
+  private static final int LOOP_QUEUE = 0;
+  private static final int WORKERS_QUEUE = 1;
+  private static final int FIRST_IO_QUEUE = 2;
+
+  private final Loop loop;
+  private final ProcessResources resources;
+  private final Admission admission;
+  private final StallMonitor stallMonitor;
+  private final GatewayMetrics metrics;
+
+  /** For each queue, the pauses of the process at the last probe that found it moving. */
+  private final long[] pausedMicrosAtProbe;
+
+  QueueDelayMonitor(
+      GatewayEnvironment environment,
+      int ioThreads,
+      Admission admission,
+      StallMonitor stallMonitor,
+      GatewayMetrics metrics) {
+    this.loop = environment.loop();
+    this.resources = environment.resources();
+    this.admission = admission;
+    this.stallMonitor = stallMonitor;
+    this.metrics = metrics;
+    this.pausedMicrosAtProbe = new long[queueCount(ioThreads)];
+  }
+
+  /** Queues that are watched: the loop's, the workers' and one for each I/O thread. */
+  static int queueCount(int ioThreads) {
+    return FIRST_IO_QUEUE + ioThreads;
+  }
+
+  /** Begins to sample; {@code probes} are those of the I/O threads. */
+  void start(Executor workers, List<Network.Probe> probes) {
+    sampleLoopLag(stallMonitor.ticked(loop.now()));
+    sampleLoopQueue();
+    sampleQueue(new ExecutorQueueProbe(loop, workers), WORKERS_QUEUE);
+    int ioQueues = pausedMicrosAtProbe.length - FIRST_IO_QUEUE;
+    for (int i = 0; i < Math.min(probes.size(), ioQueues); i++) {
+      sampleQueue(probes.get(i), FIRST_IO_QUEUE + i);
+    }
+  }
+
+  /** Ten times a second, how late the loop runs a timer that is due. */
+  private void sampleLoopLag(long dueMicros) {
+    loop.schedule(
+        dueMicros - loop.now(),
+        () -> {
+          metrics.recordLoopLag(loop.now() - dueMicros);
+          sampleLoopLag(stallMonitor.ticked(loop.now()));
+        });
+  }
+
+  /** Up to a hundred times a second, how long a task posted to the loop waits for its turn. */
+  private void sampleLoopQueue() {
+    long postedAt = loop.now();
+    long pausedBefore = resources.pausedMicros();
+    loop.execute(
+        () -> {
+          long delay = loop.now() - postedAt;
+          admission.waited(loop.now(), LOOP_QUEUE, delay - pausedSince(pausedBefore, delay));
+          loop.schedule(Math.max(0, interval() - delay), this::sampleLoopQueue);
+        });
+  }
+
+  /** Up to a hundred times a second, how long what comes to a queue waits in it. */
+  private void sampleQueue(Network.Probe probe, int queue) {
+    long pausedBefore = resources.pausedMicros();
+    long waitingMicros =
+        probe.ask(
+            delay ->
+                admission.waited(
+                    loop.now(), queue, delay - pausedSince(pausedMicrosAtProbe[queue], delay)));
+    if (waitingMicros > 0) {
+      admission.waiting(
+          queue, waitingMicros - pausedSince(pausedMicrosAtProbe[queue], waitingMicros));
+    } else {
+      pausedMicrosAtProbe[queue] = pausedBefore;
+    }
+    loop.schedule(interval(), () -> sampleQueue(probe, queue));
+  }
+
+  /**
+   * The part of a delay in which nothing of the process ran. A collection of 150 ms makes all that
+   * waits over it wait so long, and is over when it is over: it is no queue that grows. What piles
+   * up behind it still counts, where it has to wait.
+   */
+  private long pausedSince(long pausedBefore, long delayMicros) {
+    return Math.min(delayMicros, resources.pausedMicros() - pausedBefore);
+  }
+
+  /** Samples cost little, but an idle gateway should cost nothing: seldom while all is calm. */
+  private long interval() {
+    return admission.calm() ? CALM_INTERVAL_MICROS : BUSY_INTERVAL_MICROS;
+  }
+}
--- a/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
@@ -253,16 +253,31 @@
 
   // ==== gauges
 
-  /** What the gateway has in hand; {@code uptimeSeconds} in seconds. */
-  public void setInFlight(
+  /**
+   * What is in flight in a gateway at one moment.
+   *
+   * @param toolCalls tool calls that wait for the client's result
+   */
+  public record InFlight(
       long calls,
       long requests,
       long sessions,
       long streams,
       long toolCalls,
       long endpoints,
-      long uptimeSeconds) {
-    long[] values = {calls, requests, sessions, streams, toolCalls, endpoints, uptimeSeconds};
+      long uptimeSeconds) {}
+
+  /** Sets the gauges of what is in flight. */
+  public void setInFlight(InFlight inFlight) {
+    long[] values = {
+      inFlight.calls(),
+      inFlight.requests(),
+      inFlight.sessions(),
+      inFlight.streams(),
+      inFlight.toolCalls(),
+      inFlight.endpoints(),
+      inFlight.uptimeSeconds()
+    };
     long ticket = recorder.enter();
     for (int i = 0; i < values.length; i++) {
       recorder.set(gateway.slot(i), values[i]);
