--- a/gateway/src/test/java/lemondock/gateway/discovery/EndpointRegistryTest.java
+++ b/gateway/src/test/java/lemondock/gateway/discovery/EndpointRegistryTest.java
@@ -2,11 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -22,9 +20,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class EndpointRegistryTest {
-  private static final long NOW = 100_000_000;
-  private static final long WALL = 1_700_000_000_000L;
-  private final EndpointRegistry members = new EndpointRegistry(List.of("reader", "writer"));
+  private static final long NOW_MICROS = 100_000_000;
+  private static final long WALL_MILLIS = 1_700_000_000_000L;
+  private final EndpointRegistry registry = new EndpointRegistry(List.of("reader", "writer"));
 
   private static Endpoint entry(
       String name, String kind, ServerLifecycle standing, long startedAt) {
@@ -39,25 +37,25 @@
         startedAt);
   }
 
-  private EndpointUpdate hear(Endpoint... entries) {
-    return members.update(List.of(entries), false, NOW, WALL);
+  private EndpointUpdate applyList(Endpoint... entries) {
+    return registry.update(List.of(entries), false, NOW_MICROS, WALL_MILLIS);
   }
 
   @Test
-  void theFirstListIsWholeAndLaterOnesAreChanges() {
+  void theFirstListIsCompleteAndLaterOnesAreChanges() {
     assertEquals(
         EndpointListKind.FULL_LIST,
-        hear(
+        applyList(
                 entry("a", "reader", ServerLifecycle.READY, 0),
                 entry("b", "writer", ServerLifecycle.READY, 0))
             .kind());
     EndpointUpdate none =
-        hear(
+        applyList(
             entry("a", "reader", ServerLifecycle.READY, 0),
             entry("b", "writer", ServerLifecycle.READY, 0));
     assertEquals(EndpointListKind.CHANGES, none.kind());
     assertEquals(List.of(), none.servers());
-    EndpointUpdate drain = hear(entry("a", "reader", ServerLifecycle.DRAINING, 0));
+    EndpointUpdate drain = applyList(entry("a", "reader", ServerLifecycle.DRAINING, 0));
     assertEquals(
         List.of(ServerLifecycle.DRAINING, ServerLifecycle.GONE),
         drain.servers().stream().map(ServerEntry::lifecycle).toList());
@@ -65,7 +63,7 @@
 
   /** A change of a list of thousands must not cost a hash for each of them. */
   @Test
-  void entriesThatComeAgainUnchangedAreNotNumberedAgain() {
+  void anUnchangedEndpointKeepsItsIdWithoutHashingAgain() {
     AtomicInteger numbered = new AtomicInteger();
     EndpointRegistry counted =
         new EndpointRegistry(
@@ -76,13 +74,15 @@
             });
     List<Endpoint> listed = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
-      listed.add(entry("s" + i, "reader", ServerLifecycle.READY, WALL - i));
+      listed.add(entry("s" + i, "reader", ServerLifecycle.READY, WALL_MILLIS - i));
     }
-    final List<ServerEntry> first = counted.update(listed, false, NOW, WALL).servers();
+    final List<ServerEntry> first =
+        counted.update(listed, false, NOW_MICROS, WALL_MILLIS).servers();
     assertEquals(100, numbered.get());
-    listed.set(3, entry("s3", "reader", ServerLifecycle.DRAINING, WALL - 3));
+    listed.set(3, entry("s3", "reader", ServerLifecycle.DRAINING, WALL_MILLIS - 3));
     listed.remove(7);
-    List<ServerEntry> changes = counted.update(listed, false, NOW + 5, WALL + 3).servers();
+    List<ServerEntry> changes =
+        counted.update(listed, false, NOW_MICROS + 5, WALL_MILLIS + 3).servers();
     assertEquals(101, numbered.get());
     assertEquals(
         List.of(ServerLifecycle.DRAINING, ServerLifecycle.GONE),
@@ -92,7 +92,9 @@
         changes.stream().map(ServerEntry::id).toList());
     assertEquals(
         List.of(listed.get(5).name() + ": listed twice under " + listed.get(5).address()),
-        counted.update(List.of(listed.get(5), listed.get(5)), false, NOW, WALL).skipped());
+        counted
+            .update(List.of(listed.get(5), listed.get(5)), false, NOW_MICROS, WALL_MILLIS)
+            .skipped());
     assertEquals(1, counted.size());
   }
 
@@ -102,19 +104,19 @@
    */
   @ParameterizedTest
   @CsvSource({"0", "3600000", "-3600000", "5000", "-5000"})
-  void aStepOfTheWallClockDoesNotMakeANewServerOld(long step) {
+  void aStepOfTheWallClockDoesNotMakeANewServerLookWarm(long step) {
     long second = 1_000_000;
-    hear(entry("a", "reader", ServerLifecycle.READY, WALL - 60_000));
-    long later = NOW + 20 * second;
+    applyList(entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS - 60_000));
+    long later = NOW_MICROS + 20 * second;
     List<ServerEntry> news =
-        members
+        registry
             .update(
                 List.of(
-                    entry("a", "reader", ServerLifecycle.READY, WALL - 60_000),
-                    entry("b", "reader", ServerLifecycle.READY, WALL + 19_000)),
+                    entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS - 60_000),
+                    entry("b", "reader", ServerLifecycle.READY, WALL_MILLIS + 19_000)),
                 false,
                 later,
-                WALL + 20_000 + step)
+                WALL_MILLIS + 20_000 + step)
             .servers();
     assertEquals(1, news.size(), "what is known keeps its start");
     assertTrue(
@@ -128,24 +130,24 @@
    * the server.
    */
   @Test
-  void aProcessThatReplacesOneOfTheLastListIsNotOlderThanThat() {
+  void aReplacementProcessIsNotOlderThanTheLastList() {
     long hour = 3_600_000;
-    members.update(
-        List.of(entry("a", "reader", ServerLifecycle.READY, WALL - 60_000)),
+    registry.update(
+        List.of(entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS - 60_000)),
         false,
-        NOW,
-        WALL + hour);
-    long later = NOW + 2_000_000;
+        NOW_MICROS,
+        WALL_MILLIS + hour);
+    long later = NOW_MICROS + 2_000_000;
     List<ServerEntry> news =
-        members
+        registry
             .update(
-                List.of(entry("a", "reader", ServerLifecycle.READY, WALL + 1_000)),
+                List.of(entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS + 1_000)),
                 false,
                 later,
-                WALL + hour + 2_000)
+                WALL_MILLIS + hour + 2_000)
             .servers();
     assertTrue(
-        news.get(0).startedAtMicros() >= NOW,
+        news.get(0).startedAtMicros() >= NOW_MICROS,
         "started " + (later - news.get(0).startedAtMicros()) / 1_000_000 + " s ago");
   }
 
@@ -154,51 +156,53 @@
    * by mistake.
    */
   @Test
-  void aServerThatComesLateToTheListIsAsOldAsItSays() {
-    hear(entry("a", "reader", ServerLifecycle.READY, WALL - 60_000));
+  void aServerFirstListedLateIsAsOldAsItsStartTime() {
+    applyList(entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS - 60_000));
     List<ServerEntry> news =
-        hear(
-                entry("a", "reader", ServerLifecycle.READY, WALL - 60_000),
-                entry("b", "reader", ServerLifecycle.READY, WALL - 50_000))
+        applyList(
+                entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS - 60_000),
+                entry("b", "reader", ServerLifecycle.READY, WALL_MILLIS - 50_000))
             .servers();
     assertEquals(
-        List.of(NOW - 50_000_000), news.stream().map(ServerEntry::startedAtMicros).toList());
+        List.of(NOW_MICROS - 50_000_000), news.stream().map(ServerEntry::startedAtMicros).toList());
   }
 
   /** One that was off the list for a while is the process that it was. */
   @Test
-  void aServerThatComesBackToTheListKeepsItsStart() {
+  void aServerThatReturnsToTheListKeepsItsStartTime() {
     long startedAt =
-        hear(entry("a", "reader", ServerLifecycle.READY, WALL - 60_000))
+        applyList(entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS - 60_000))
             .servers()
             .get(0)
             .startedAtMicros();
-    hear();
+    applyList();
     assertEquals(
         startedAt,
-        members
+        registry
             .update(
-                List.of(entry("a", "reader", ServerLifecycle.READY, WALL - 60_000)),
+                List.of(entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS - 60_000)),
                 false,
-                NOW + 1_000_000,
-                WALL + 1_000)
+                NOW_MICROS + 1_000_000,
+                WALL_MILLIS + 1_000)
             .servers()
             .get(0)
             .startedAtMicros());
   }
 
   @Test
-  void afterABreakTheListIsToldWhole() {
-    hear(entry("a", "reader", ServerLifecycle.READY, 0));
-    members.requireFullUpdate();
+  void afterAnOutageTheNextUpdateIsComplete() {
+    applyList(entry("a", "reader", ServerLifecycle.READY, 0));
+    registry.requireFullUpdate();
     assertEquals(
-        EndpointListKind.FULL_LIST, hear(entry("a", "reader", ServerLifecycle.READY, 0)).kind());
-    assertEquals(EndpointListKind.CACHED, members.update(List.of(), true, NOW, WALL).kind());
+        EndpointListKind.FULL_LIST,
+        applyList(entry("a", "reader", ServerLifecycle.READY, 0)).kind());
+    assertEquals(
+        EndpointListKind.CACHED, registry.update(List.of(), true, NOW_MICROS, WALL_MILLIS).kind());
   }
 
   @Test
-  void numbersAreTheSameEverywhereAndInEveryLife() {
-    long here = hear(entry("a", "reader", ServerLifecycle.READY, 0)).servers().get(0).id();
+  void idsAreTheSameInEveryGatewayAndIncarnation() {
+    long here = applyList(entry("a", "reader", ServerLifecycle.READY, 0)).servers().get(0).id();
     long there =
         new EndpointRegistry(List.of("writer", "reader"))
             .update(
@@ -215,42 +219,42 @@
   }
 
   @Test
-  void aStartIsPutOnTheClockOnceAndANewOneIsANewProcess() {
+  void aStartTimeIsConvertedOnceAndADifferentOneIsANewProcess() {
     long first =
-        hear(entry("a", "reader", ServerLifecycle.READY, WALL - 2_000))
+        applyList(entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS - 2_000))
             .servers()
             .get(0)
             .startedAtMicros();
-    assertEquals(NOW - 2_000_000, first);
+    assertEquals(NOW_MICROS - 2_000_000, first);
     assertEquals(
         List.of(),
-        members
+        registry
             .update(
-                List.of(entry("a", "reader", ServerLifecycle.READY, WALL - 2_000)),
+                List.of(entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS - 2_000)),
                 false,
-                NOW + 7,
-                WALL + 900)
+                NOW_MICROS + 7,
+                WALL_MILLIS + 900)
             .servers());
     // clocks that drift apart do not make a new process
 
     assertNotEquals(
         first,
-        hear(entry("a", "reader", ServerLifecycle.READY, WALL - 1_000))
+        applyList(entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS - 1_000))
             .servers()
             .get(0)
             .startedAtMicros());
     assertEquals(
-        NOW,
-        hear(entry("a", "reader", ServerLifecycle.READY, WALL + 60_000))
+        NOW_MICROS,
+        applyList(entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS + 60_000))
             .servers()
             .get(0)
             .startedAtMicros());
   }
 
   @Test
-  void whatCannotBeUsedIsPassedOverAndNamed() {
+  void unusableEntriesAreSkippedWithAReason() {
     EndpointUpdate news =
-        hear(
+        applyList(
             entry("a", "painter", ServerLifecycle.READY, 0),
             entry("b", "reader", ServerLifecycle.READY, 0),
             entry("b", "reader", ServerLifecycle.READY, 0));
@@ -260,54 +264,10 @@
   }
 
   @Test
-  void aServerThatLeftCanStillBeToldToLetGo() {
-    long id = hear(entry("a", "reader", ServerLifecycle.READY, 0)).servers().get(0).id();
-    hear();
-    assertEquals("a", members.find(id).orElseThrow().name());
-    assertEquals(0, members.size());
-  }
-
-  @Test
-  void consulsFormIsRead() throws EndpointListCodec.MalformedListException {
-    String text =
-        "[{\"Node\":{\"Address\":\"127.0.0.1\"},\"Service\":{\"ID\":\"w1\",\"Address\":\"\",\"Port\":80,"
-            + "\"Meta\":{\"kind\":\"writer\",\"zone\":\"z\",\"rack\":\"r\",\"started\":\"12\"},\"Weights\":{\"Passing\":3}},"
-            + "\"Checks\":[{\"CheckID\":\"_service_maintenance:w1\",\"Status\":\"critical\"}]},"
-            + "{\"Service\":{\"ID\":\"w2\",\"Address\":\"127.0.0.2\",\"Port\":81,\"Meta\":{\"kind\":\"writer\"}},"
-            + "\"Checks\":[{\"CheckID\":\"tcp\",\"Status\":\"critical\"}]}]";
-    List<Endpoint> entries = EndpointListCodec.parseConsul(text.getBytes(StandardCharsets.UTF_8));
-    assertEquals(ServerLifecycle.DRAINING, entries.get(0).lifecycle());
-    assertEquals(3, entries.get(0).weight());
-    assertEquals(12, entries.get(0).startedAtMillis());
-    assertEquals(ServerLifecycle.GONE, entries.get(1).lifecycle());
-  }
-
-  @Test
-  void theFilesFormIsReadBack() throws EndpointListCodec.MalformedListException {
-    List<Endpoint> entries = List.of(entry("a", "reader", ServerLifecycle.DRAINING, 77));
-    assertEquals(entries, EndpointListCodec.parseFile(EndpointListCodec.formatFile(entries)));
-  }
-
-  @ParameterizedTest
-  @CsvSource(
-      delimiter = '~',
-      value = {
-        "nonsense ~ expected JSON",
-        "{\"servers\":1} ~ /servers: expected an array",
-        "{\"servers\":[{\"name\":\"\"}]} ~ /servers/0/name: expected a text",
-        "{\"servers\":[{\"name\":\"a\",\"address\":\"x\",\"kind\":\"k\"}]} ~"
-            + " /servers/0/address: expected HOST:PORT",
-        "{\"servers\":[{\"name\":\"a\",\"address\":\"127.0.0.1:1\",\"kind\":\"k\",\"weight\":-1}]}"
-            + " ~ expected a weight",
-        "{\"servers\":[{\"name\":\"a\",\"address\":\"127.0.0.1:1\",\"kind\":\"k\",\"standing\":\"x\"}]}"
-            + " ~ /servers/0/standing",
-      })
-  void whatIsWrongIsNamed(String text, String problem) {
-    String message =
-        assertThrows(
-                EndpointListCodec.MalformedListException.class,
-                () -> EndpointListCodec.parseFile(text.getBytes(StandardCharsets.UTF_8)))
-            .getMessage();
-    assertTrue(message.contains(problem), message);
+  void anEndpointThatLeftTheListIsStillFoundById() {
+    long id = applyList(entry("a", "reader", ServerLifecycle.READY, 0)).servers().get(0).id();
+    applyList();
+    assertEquals("a", registry.find(id).orElseThrow().name());
+    assertEquals(0, registry.size());
   }
 }
