--- a/dispatch/src/main/java/lemondock/dispatch/AttemptLifecycle.java
+++ b/dispatch/src/main/java/lemondock/dispatch/AttemptLifecycle.java
@@ -81,7 +81,7 @@
             request,
             serverId,
             target,
-            new EngineAttempt.AttemptOrigin(idPrefix, loop.now(), stallMonitor.stalled()));
+            new EngineAttempt.AttemptOrigin(idPrefix, loop.now(), stallMonitor.totalStallMicros()));
     request.attempts.add(attempt);
     request.attemptsInFlight++;
     counters.attempts++;
@@ -262,8 +262,8 @@
 
   /** The time since an attempt was sent, without the time for which this process stalled. */
   private long elapsedMicros(EngineAttempt<P, S, C> attempt) {
-    stallMonitor.notice(loop.now());
-    long stalledMicros = stallMonitor.stalled() - attempt.stalledMicrosBefore;
+    stallMonitor.detectStall(loop.now());
+    long stalledMicros = stallMonitor.totalStallMicros() - attempt.stalledMicrosBefore;
     return Math.max(0, loop.now() - attempt.sentAtMicros - stalledMicros);
   }
 }
--- a/dispatch/src/main/java/lemondock/dispatch/RequestDispatcher.java
+++ b/dispatch/src/main/java/lemondock/dispatch/RequestDispatcher.java
@@ -154,8 +154,8 @@
    * before anything is judged by time.
    */
   private void timerDue(long token) {
-    stallMonitor.notice(loop.now());
-    long graceMicros = stallMonitor.putOff(loop.now());
+    stallMonitor.detectStall(loop.now());
+    long graceMicros = stallMonitor.remainingGraceMicros(loop.now());
     if (graceMicros > 0) {
       loop.schedule(graceMicros, () -> timerDue(token));
     } else {
--- a/dispatch/src/test/java/lemondock/dispatch/StreamIdleTimeoutTest.java
+++ b/dispatch/src/test/java/lemondock/dispatch/StreamIdleTimeoutTest.java
@@ -26,7 +26,7 @@
   }
 
   private void tick() {
-    loop.schedule(stallMonitor.ticked(loop.now()) - loop.now(), this::tick);
+    loop.schedule(stallMonitor.onTick(loop.now()) - loop.now(), this::tick);
   }
 
   @Test
--- a/gateway/src/main/java/lemondock/gateway/Gateway.java
+++ b/gateway/src/main/java/lemondock/gateway/Gateway.java
@@ -230,7 +230,8 @@
 
   private void recordMetricsEverySecond() {
     recordInFlight();
-    metrics.setOverload(admission.share(), stallMonitor.stalls(), stallMonitor.stalled());
+    metrics.setOverload(
+        admission.admittedShare(), stallMonitor.stallCount(), stallMonitor.totalStallMicros());
     dispatcher.recordRouterState();
     resourcePressure.sample();
     loop.schedule(MICROS_PER_SECOND, this::recordMetricsEverySecond);
--- a/gateway/src/main/java/lemondock/gateway/QueueDelayMonitor.java
+++ b/gateway/src/main/java/lemondock/gateway/QueueDelayMonitor.java
@@ -53,7 +53,7 @@
 
   /** Begins to sample; {@code probes} are those of the I/O threads. */
   void start(Executor workers, List<Network.Probe> probes) {
-    sampleLoopLag(stallMonitor.ticked(loop.now()));
+    sampleLoopLag(stallMonitor.onTick(loop.now()));
     sampleLoopQueue();
     sampleQueue(new ExecutorQueueProbe(loop, workers), WORKERS_QUEUE);
     int ioQueues = pausedMicrosAtProbe.length - FIRST_IO_QUEUE;
@@ -68,7 +68,7 @@
         dueMicros - loop.now(),
         () -> {
           metrics.recordLoopLag(loop.now() - dueMicros);
-          sampleLoopLag(stallMonitor.ticked(loop.now()));
+          sampleLoopLag(stallMonitor.onTick(loop.now()));
         });
   }
 
@@ -79,7 +79,7 @@
     loop.execute(
         () -> {
           long delay = loop.now() - postedAt;
-          admission.waited(loop.now(), LOOP_QUEUE, delay - pausedSince(pausedBefore, delay));
+          admission.recordDelay(loop.now(), LOOP_QUEUE, delay - pausedSince(pausedBefore, delay));
           loop.schedule(Math.max(0, interval() - delay), this::sampleLoopQueue);
         });
   }
@@ -90,10 +90,10 @@
     long waitingMicros =
         probe.ask(
             delay ->
-                admission.waited(
+                admission.recordDelay(
                     loop.now(), queue, delay - pausedSince(pausedMicrosAtProbe[queue], delay)));
     if (waitingMicros > 0) {
-      admission.waiting(
+      admission.recordOngoingDelay(
           queue, waitingMicros - pausedSince(pausedMicrosAtProbe[queue], waitingMicros));
     } else {
       pausedMicrosAtProbe[queue] = pausedBefore;
@@ -112,6 +112,6 @@
 
   /** Samples cost little, but an idle gateway should cost nothing: seldom while all is calm. */
   private long interval() {
-    return admission.calm() ? CALM_INTERVAL_MICROS : BUSY_INTERVAL_MICROS;
+    return admission.isRelaxed() ? CALM_INTERVAL_MICROS : BUSY_INTERVAL_MICROS;
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/ResourcePressureMonitor.java
+++ b/gateway/src/main/java/lemondock/gateway/ResourcePressureMonitor.java
@@ -46,16 +46,16 @@
   }
 
   private void apply(double memoryUsed, double handlesUsed) {
-    final ResourcePressure.Resource before = pressure.shortest();
-    pressure.saw(loop.now(), memoryUsed, handlesUsed);
-    admission.pressed(loop.now(), pressure.scale());
-    if (pressure.refreshes(loop.now(), MEMORY_REFRESH_INTERVAL_MICROS)) {
+    final ResourcePressure.Resource before = pressure.scarcest();
+    pressure.update(loop.now(), memoryUsed, handlesUsed);
+    admission.limitByResources(loop.now(), pressure.admittedShare());
+    if (pressure.takeMemoryRefresh(loop.now(), MEMORY_REFRESH_INTERVAL_MICROS)) {
       disk.runOrDrop(resources::refreshMemory);
     }
-    if (pressure.shortest() != before) {
+    if (pressure.scarcest() != before) {
       LOG.atWarn()
           .addKeyValue("gateway", gatewayName)
-          .addKeyValue("short", pressure.shortest())
+          .addKeyValue("short", pressure.scarcest())
           .addKeyValue("memory", memoryUsed)
           .addKeyValue("handles", handlesUsed)
           .log("the scarcest resource has changed");
--- a/gateway/src/main/java/lemondock/gateway/core/CallService.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CallService.java
@@ -187,16 +187,12 @@
           call.key,
           durable -> {
             if (call.answer.state() == Answer.State.ENDED) {
-              return;
-              // its client left meanwhile
-
+              return; // its client left meanwhile
             }
             if (durable) {
               call.begin();
             } else {
-              synchronized (sink.lock()) {
-                // nothing was sent anywhere
-
+              synchronized (sink.lock()) { // nothing was sent anywhere
                 call.answer.onRejected(GatewaySettings.micros(settings.limits().retryAdviceMs()));
               }
             }
@@ -403,7 +399,7 @@
       count.onDelivered(loop.now());
       if (gradient != null && !begun) {
         begun = true;
-        gradient.sample(loop.now() - takenAt, open.size());
+        gradient.recordFirstToken(loop.now() - takenAt, open.size());
       }
       sink.deliver(piece, tokens);
     }
@@ -412,11 +408,8 @@
     public void relay(ToolCall call) {
       waits(true);
       if (waitingAnswers > settings.limits().maxWaitingAnswers()) {
+        // the newest: the others may be answered any moment
         cut("too many answers wait for their tools");
-        // the newest: the others may be
-
-        // answered any moment
-
         return;
       }
       toolsWaiting++;
@@ -434,9 +427,7 @@
           durable -> {
             synchronized (sink.lock()) {
               if (!answer.pendingToolCalls().contains(call)) {
-                return;
-                // it took so long that nobody waits for it any more
-
+                return; // it took so long that nobody waits for it any more
               }
               if (durable) {
                 relayed.add(call.id());
@@ -468,11 +459,9 @@
           loop.schedule(
               after,
               () -> {
-                lateness.notice(loop.now());
-                long putOff = lateness.putOff(loop.now());
-                if (putOff > 0) {
-                  // the result may wait at the socket
-
+                lateness.detectStall(loop.now());
+                long putOff = lateness.remainingGraceMicros(loop.now());
+                if (putOff > 0) { // the result may wait at the socket
                   limit(call, putOff);
                   return;
                 }
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
@@ -8,8 +8,8 @@
 import lemondock.dispatch.DirectOutput;
 import lemondock.dispatch.DispatchedRequest;
 import lemondock.dispatch.Endpoint;
+import lemondock.dispatch.EngineCall;
 import lemondock.dispatch.EnginePort;
-import lemondock.dispatch.StreamIdleTimeout;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.Loop;
 import lemondock.net.http.Headers;
@@ -21,32 +21,32 @@
 
 /**
  * The ledger's port to engines that speak the OpenAI API: carries reads, writes and aborts. Every
- * read and write ends by exactly one {@code attemptEnded} or a cancel.
+ * attempt ends exactly once, by an outcome or by a cancel.
  */
 public final class EngineClient implements EnginePort<ObjectNode, JsonNode, CompletionChunk> {
-  private static final int ABORT_TRIES = 3;
-  private static final long ABORT_AGAIN = 30_000;
+  private static final int MAX_ABORT_ATTEMPTS = 3;
+  private static final long ABORT_RETRY_DELAY_MICROS = 30_000;
 
   private final Loop loop;
-  private final StallMonitor lateness;
+  private final StallMonitor stallMonitor;
   private final HttpClient client;
-  private final String agent;
+  private final String userAgent;
   private final String apiKey;
-  private final long silence;
+  private final long streamIdleMicros;
 
-  /** Makes a client; {@code agent} names this gateway to the engines. */
+  /** Makes a client; {@code userAgent} names this gateway to the engines. */
   public EngineClient(
       Loop loop,
       HttpClient client,
       GatewaySettings.Engines settings,
-      String agent,
-      StallMonitor lateness) {
-    this.lateness = lateness;
+      String userAgent,
+      StallMonitor stallMonitor) {
+    this.stallMonitor = stallMonitor;
     this.loop = loop;
     this.client = client;
-    this.agent = agent;
+    this.userAgent = userAgent;
     this.apiKey = settings.apiKey();
-    this.silence = GatewaySettings.micros(settings.streamSilenceMs());
+    this.streamIdleMicros = GatewaySettings.micros(settings.streamSilenceMs());
   }
 
   @Override
@@ -55,11 +55,11 @@
       String attemptId,
       DispatchedRequest<ObjectNode> request,
       AttemptListener<JsonNode, CompletionChunk> attempt) {
-    InetSocketAddress to = server.address();
+    InetSocketAddress address = server.address();
     return client.send(
-            to,
+            address,
             post(
-                to,
+                address,
                 EngineProtocol.COMPLETIONS_PATH,
                 attemptId,
                 EngineProtocol.readRequest(request.prompt(), attemptId)),
@@ -92,26 +92,26 @@
       DispatchedRequest<ObjectNode> request,
       JsonNode transfer,
       AttemptListener<JsonNode, CompletionChunk> attempt) {
-    InetSocketAddress to = server.address();
+    InetSocketAddress address = server.address();
     Writing writing = new Writing(attempt);
-    writing.call =
+    writing.sentAs(
         client.send(
-            to,
+            address,
             post(
-                to,
+                address,
                 EngineProtocol.COMPLETIONS_PATH,
                 attemptId,
                 EngineProtocol.writeRequest(
                     request.prompt(), attemptId, transfer, request.maxAnswerTokens())),
             request.clientShard(),
-            writing);
+            writing));
     return writing;
   }
 
   /** Lets go of a request and of what is kept for it; tried again if it cannot be said at once. */
   @Override
   public void release(Endpoint endpoint, String attemptId, ObjectNode prompt) {
-    abort(endpoint.address(), attemptId, ABORT_TRIES);
+    abort(endpoint.address(), attemptId, MAX_ABORT_ATTEMPTS);
   }
 
   /**
@@ -122,7 +122,7 @@
     release(endpoint, attemptId, prompt);
   }
 
-  private void abort(InetSocketAddress at, String requestId, int tries) {
+  private void abort(InetSocketAddress at, String requestId, int attemptsLeft) {
     client.send(
         at,
         post(at, EngineProtocol.ABORT_PATH, requestId, EngineProtocol.abortRequest(requestId)),
@@ -132,23 +132,23 @@
 
           @Override
           public void failed(HttpClient.Failure failure, String what) {
-            if (tries > 1) {
-              loop.schedule(ABORT_AGAIN, () -> abort(at, requestId, tries - 1));
+            if (attemptsLeft > 1) {
+              loop.schedule(ABORT_RETRY_DELAY_MICROS, () -> abort(at, requestId, attemptsLeft - 1));
             }
           }
         });
   }
 
   private java.nio.ByteBuffer post(
-      InetSocketAddress to, String path, String requestId, byte[] body) {
+      InetSocketAddress address, String path, String requestId, byte[] body) {
     Headers headers =
         Headers.of(
             "host",
-            to.getHostString() + ":" + to.getPort(),
+            address.getHostString() + ":" + address.getPort(),
             "content-type",
             "application/json",
             "user-agent",
-            agent,
+            userAgent,
             "x-request-id",
             requestId);
     if (apiKey != null) {
@@ -189,31 +189,23 @@
    * A write under way. A stream that was begun and then stays silent is broken after the settings'
    * time.
    */
-  public final class Writing extends HttpClient.Keeping implements AttemptHandle {
-    private final AttemptListener<JsonNode, CompletionChunk> attempt;
-    private HttpClient.Call call;
+  public final class Writing extends EngineCall<JsonNode, CompletionChunk> {
     private boolean finished;
-    private boolean over;
-    private boolean watched;
-    private final StreamIdleTimeout quiet =
-        new StreamIdleTimeout(loop, lateness, silence, this::silent);
     private volatile DirectOutput directOutput;
     private final TextEventParser plain = new TextEventParser();
 
-    private Writing(AttemptListener<JsonNode, CompletionChunk> attempt) {
-      this.attempt = attempt;
+    private Writing(AttemptListener<JsonNode, CompletionChunk> listener) {
+      super(listener, loop, stallMonitor, streamIdleMicros);
     }
 
     @Override
-    public void pause() {
-      quiet.pause();
-      call.pause();
+    protected String silenceMessage() {
+      return "the stream stayed silent for " + streamIdleMicros / 1_000 + " ms";
     }
 
     @Override
-    public void resume() {
-      quiet.resume();
-      call.resume();
+    protected void onEnd() {
+      directOutput = null;
     }
 
     /** What is more than plain text still comes as an event. */
@@ -230,26 +222,10 @@
           || !output.offer(plain.text(), plain.completionTokens())) {
         return false;
       }
-      quiet.dataReceived();
+      dataReceived();
       return true;
     }
 
-    @Override
-    public void cancel() {
-      over();
-      call.cancel();
-    }
-
-    /**
-     * Nothing may hold it any more: a timer that is left to run out would keep the whole call until
-     * then.
-     */
-    private void over() {
-      directOutput = null;
-      over = true;
-      quiet.stop();
-    }
-
     @Override
     public Object map(SseEvent event) {
       return EngineProtocol.parseChunk(event.data());
@@ -258,62 +234,42 @@
     @Override
     public void event(Object mapped) {
       CompletionChunk chunk = (CompletionChunk) mapped;
-      if (over
+      if (hasEnded()
           || finished
               && !chunk.hasOutput()
               && chunk.error() == null
               && chunk.completionTokens() < 0) {
         return;
       }
-      quiet.dataReceived();
-      if (status() != 200 || chunk.error() != null) {
-        call.cancel();
-        end(
-            AttemptOutcome.ERROR,
-            status() != 200 ? "status " + status() + " with an event stream" : chunk.error());
-        return;
-      }
-      finished |= chunk.finishReason() != null;
-      attempt.chunkReceived(chunk);
-      if (!watched && !over && chunk.hasOutput()) {
-        watched = true;
-        quiet.start();
+      if (status() != 200) {
+        breakOff(AttemptOutcome.ERROR, "status " + status() + " with an event stream");
+      } else if (chunk.error() != null) {
+        breakOff(AttemptOutcome.ERROR, chunk.error());
+      } else {
+        finished |= chunk.finishReason() != null;
+        forward(chunk);
       }
     }
 
-    private void silent() {
-      call.cancel();
-      end(AttemptOutcome.RESET, "the stream stayed silent for " + silence / 1_000 + " ms");
-    }
-
     @Override
     public void done() {
       if (status() != 200) {
         EngineProtocol.ErrorReply refusal = EngineProtocol.parseErrorReply(status(), body());
-        over();
-        attempt.attemptEnded(refusal.outcome(), refusal.stateMissing(), refusal.message());
+        end(refusal.outcome(), refusal.stateMissing(), refusal.message());
       } else if (finished) {
-        end(AttemptOutcome.OK, "");
+        end(AttemptOutcome.OK, false, "");
       } else {
-        end(AttemptOutcome.RESET, "the stream ended without a finish_reason");
+        end(AttemptOutcome.RESET, false, "the stream ended without a finish_reason");
       }
     }
 
     @Override
     public void failed(HttpClient.Failure failure, String what) {
       if (finished) {
-        end(AttemptOutcome.OK, "");
         // all of the answer had come; only the closing mark was lost
-
+        end(AttemptOutcome.OK, false, "");
       } else {
-        end(EnginePort.outcomeOf(failure), what);
-      }
-    }
-
-    private void end(AttemptOutcome ending, String what) {
-      if (!over) {
-        over();
-        attempt.attemptEnded(ending, false, what);
+        end(EnginePort.outcomeOf(failure), false, what);
       }
     }
   }
--- a/gateway/src/main/java/lemondock/gateway/mcp/RequestPreparer.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/RequestPreparer.java
@@ -103,7 +103,7 @@
     if (classId < 0 || gate.admits(priority(classId), nextRandom())) {
       return null;
     }
-    long retryAfterMicros = gate.retryAfter(nextRandom());
+    long retryAfterMicros = gate.retryAfterMicros(nextRandom());
     return new HttpServer.Refusal(
         toRetryAfterSeconds(retryAfterMicros),
         "application/json",
@@ -136,13 +136,12 @@
       return new Malformed("Unknown tool: " + clip(params.get("name").textValue()));
     }
     double priority = priority(classId);
-    if (settings
-        .overload()
-        .refuse()) { // before the prompt is tokenized, which is the work of letting it in
+    if (settings.overload().refuse()) {
+      // before the prompt is tokenized, which is the work of admitting it
       Admission.Gate gate = admission.gate();
       if (!alreadyAdmitted && !gate.admits(priority, nextRandom())
-          || isRetry(params) && !gate.admitsRepeat(nextRandom())) {
-        return new Rejected(classId, gate.retryAfter(nextRandom()));
+          || isRetry(params) && !gate.admitsRetry(nextRandom())) {
+        return new Rejected(classId, gate.retryAfterMicros(nextRandom()));
       }
     }
     JsonNode key = params.path("_meta").get("lemondock/key");
@@ -178,7 +177,7 @@
 
   private double priority(int classId) {
     GatewaySettings.ClassSettings requestClass = settings.classes().get(classId);
-    return Admission.value(requestClass.worth(), GatewaySettings.micros(requestClass.aimMs()));
+    return Admission.priority(requestClass.worth(), GatewaySettings.micros(requestClass.aimMs()));
   }
 
   /** A number from 0 up to 1, each time another; any thread. */
@@ -191,15 +190,15 @@
 
   /** Tells the admission of a call that arrived, let in or not; on the loop. */
   void recordArrival(int classId, boolean retry) {
-    admission.arrived(priority(classId), retry);
+    admission.recordArrival(priority(classId), retry);
   }
 
   /** When a client that asks for a new session may come back, empty if it is let in now. */
   OptionalLong newSessionRetryAfterMicros() {
     Admission.Gate gate = admission.gate();
-    return !settings.overload().refuse() || gate.admitsNewcomer(nextRandom())
+    return !settings.overload().refuse() || gate.admitsNewSession(nextRandom())
         ? OptionalLong.empty()
-        : OptionalLong.of(gate.retryAfter(nextRandom()));
+        : OptionalLong.of(gate.retryAfterMicros(nextRandom()));
   }
 
   /** Advice on when to come back in whole seconds, as in a header field. */
--- a/gateway/src/test/java/lemondock/gateway/EndpointListCacheTest.java
+++ b/gateway/src/test/java/lemondock/gateway/EndpointListCacheTest.java
@@ -42,7 +42,7 @@
               2.5,
               0),
           new Endpoint(
-              "mixed-\u00fc",
+              "mixed-ü",
               new InetSocketAddress("127.0.0.3", 65535),
               "mixed",
               "default",
--- a/gateway/src/test/java/lemondock/gateway/discovery/EndpointRegistryTest.java
+++ b/gateway/src/test/java/lemondock/gateway/discovery/EndpointRegistryTest.java
@@ -234,9 +234,7 @@
                 false,
                 NOW_MICROS + 7,
                 WALL_MILLIS + 900)
-            .servers());
-    // clocks that drift apart do not make a new process
-
+            .servers()); // clocks that drift apart do not make a new process
     assertNotEquals(
         first,
         applyList(entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS - 1_000))
