--- a/benchmark/src/main/java/lemondock/benchmark/Roles.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Roles.java
@@ -40,8 +40,8 @@
 import lemondock.exporter.host.ProcessMeters;
 import lemondock.exporter.host.ReportHost;
 import lemondock.gateway.Gateway;
-import lemondock.gateway.Host;
-import lemondock.gateway.ThisProcess;
+import lemondock.gateway.GatewayEnvironment;
+import lemondock.gateway.JvmProcessResources;
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.reporting.Reporting;
 import lemondock.gateway.settings.GatewaySettings;
@@ -84,27 +84,27 @@
   }
 
   static void gateway(Path file) throws Exception {
-    GatewaySettings settings = SettingsFile.gateway(file);
+    GatewaySettings settings = SettingsFile.readGateway(file);
     Node node = new Node("gateway", settings.ioThreads());
     Gateway gateway =
         new Gateway(
-            new Host(
+            new GatewayEnvironment(
                 node.loop(),
                 node.network(),
                 Runnable::run,
                 WorkerPool.create(
                     settings.overload().heavyThreads(), settings.overload().heavyQueue(), "worker"),
-                new ThisProcess(),
+                new JvmProcessResources(),
                 null),
             settings,
             new PromptReader(settings.classes()),
-            Gateway.MODULE);
+            Gateway.DEFAULT_ROUTER_FACTORY);
     gateway.start();
     if (settings.reporting().tickMs() > 10) { // the shortest stands for no reports at all
       Reporting reporting =
           new Reporting(
               settings,
-              gateway.tally(),
+              gateway.metrics(),
               new ReportHost("reports").environment(),
               ProcessMeters.registry());
       reporting.start(gateway.address());
@@ -125,9 +125,9 @@
           "heap "
               + (runtime.totalMemory() - runtime.freeMemory()) / (1 << 20)
               + " sessions "
-              + node.ask(gateway::sessions)
+              + node.ask(gateway::sessionCount)
               + " calls "
-              + node.ask(gateway::callsUnderWay)
+              + node.ask(gateway::callsInFlight)
               + " allocated "
               + allocated());
     }
--- a/cli/src/main/java/lemondock/cli/EmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/EmulatorCommand.java
@@ -48,7 +48,7 @@
     Settings settings =
         SettingsFile.bind(
             config.toString(),
-            SettingsFile.read(config),
+            SettingsFile.readJson(config),
             "emulator.schema.json",
             EmulatorCommand.class,
             Settings.class);
@@ -79,7 +79,7 @@
               + ":"
               + engine.address().getPort());
       if (engineSettings.catalogue() != null) {
-        InetSocketAddress at = SettingsFile.address(engineSettings.catalogue());
+        InetSocketAddress at = SettingsFile.resolveAddress(engineSettings.catalogue());
         node.loop()
             .execute(
                 () ->
--- a/gateway/src/test/java/lemondock/gateway/front/EventLogTest.java
+++ b/gateway/src/test/java/lemondock/gateway/mcp/EventReplayBufferTest.java
@@ -1,4 +1,4 @@
-package lemondock.gateway.front;
+package lemondock.gateway.mcp;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -15,15 +15,15 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class EventLogTest {
-  private EventLog log = new EventLog(100);
+class EventReplayBufferTest {
+  private EventReplayBuffer log = new EventReplayBuffer(100);
 
   private List<Long> after(long number) {
-    if (!log.keeps(number)) {
+    if (!log.contains(number)) {
       return null;
     }
     List<Long> numbers = new ArrayList<>();
-    log.after(number, event -> numbers.add((long) event[0]));
+    log.replayAfter(number, event -> numbers.add((long) event[0]));
     return numbers;
   }
 
@@ -51,7 +51,7 @@
       append(10);
       log.markSent();
     }
-    assertTrue(log.bytes() <= 100);
+    assertTrue(log.sizeBytes() <= 100);
     assertNull(after(3));
     assertEquals(List.of(20L), after(19));
   }
@@ -59,19 +59,19 @@
   @Test
   void whatNobodyTookIsKeptAndSaysStop() {
     append(60);
-    assertFalse(log.full());
+    assertFalse(log.isFull());
     append(60);
-    assertTrue(log.full());
+    assertTrue(log.isFull());
     assertEquals(List.of(1L, 2L), after(0));
     log.markSent();
-    assertFalse(log.full());
+    assertFalse(log.isFull());
   }
 
   /** Against a list, over any lengths and any moments of sending. */
   @Property(tries = 1_000, seed = "20261201")
   void whatIsKeptIsWhatWasPutIn(
       @ForAll @Size(max = 60) List<@IntRange(min = 1, max = 140) Integer> steps) {
-    log = new EventLog(100); // each try its own
+    log = new EventReplayBuffer(100); // each try its own
     List<byte[]> all = new ArrayList<>();
     for (int step : steps) {
       append(step);
@@ -82,16 +82,16 @@
         log.markSent();
       }
       long from = 0;
-      while (!log.keeps(from)) {
+      while (!log.contains(from)) {
         from++;
       }
       List<byte[]> kept = new ArrayList<>();
-      log.after(from, kept::add);
+      log.replayAfter(from, kept::add);
       assertEquals(all.size() - from, kept.size());
       for (int i = 0; i < kept.size(); i++) {
         assertArrayEquals(all.get((int) from + i), kept.get(i));
       }
-      assertEquals(kept.stream().mapToInt(e -> e.length).sum(), log.bytes());
+      assertEquals(kept.stream().mapToInt(e -> e.length).sum(), log.sizeBytes());
     }
   }
 }
--- a/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
@@ -25,8 +25,8 @@
 import lemondock.emulator.Tap;
 import lemondock.exporter.host.ReportHost;
 import lemondock.gateway.Gateway;
-import lemondock.gateway.Host;
-import lemondock.gateway.Machine;
+import lemondock.gateway.GatewayEnvironment;
+import lemondock.gateway.ProcessResources;
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.reporting.Reporting;
 import lemondock.gateway.settings.GatewaySettings;
@@ -60,7 +60,8 @@
   private final PromptReader prompts;
   private final ExecutorService workers = WorkerPool.create(2, WORKERS_QUEUE, "rehearsal-worker");
   private UnaryOperator<FileSystemPort> files = f -> f;
-  private Machine machine = Machine.UNKNOWN; // one process holds all gateways: it is no one's own
+  private ProcessResources machine =
+      ProcessResources.UNKNOWN; // one process holds all gateways: it is no one's own
   private long seed;
   private Looks looks = (gateway, at, snapshot) -> {};
 
@@ -138,7 +139,7 @@
   }
 
   /** What gateways that are started from now on are told of their process. */
-  public void machine(Machine told) {
+  public void machine(ProcessResources told) {
     machine = told;
   }
 
@@ -282,7 +283,7 @@
         front.node.ask(
             () ->
                 new Gateway(
-                    new Host(
+                    new GatewayEnvironment(
                         front.node.loop(),
                         front.network,
                         front.disk,
@@ -298,10 +299,10 @@
       front.reporting =
           new Reporting(
               front.settings,
-              front.gateway.tally(),
+              front.gateway.metrics(),
               front.reports.environment(),
               new SimpleMeterRegistry());
-      front.reporting.onLook(
+      front.reporting.addTickListener(
           (stamp, snapshot) -> looks.looked(name, front.node.loop().now(), snapshot));
       front.reporting.start(front.gateway.address());
     } catch (IOException e) {
@@ -406,7 +407,7 @@
   public boolean awaitServers(String gateway, int count, long millis) {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
     Front front = fronts.get(gateway);
-    while (front.node.ask(front.gateway::servers) != count) {
+    while (front.node.ask(front.gateway::endpointCount) != count) {
       if (System.nanoTime() > until) {
         return false;
       }
--- a/scenario/src/test/java/lemondock/scenario/HaltingGateway.java
+++ b/scenario/src/test/java/lemondock/scenario/HaltingGateway.java
@@ -5,8 +5,8 @@
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 import lemondock.gateway.Gateway;
-import lemondock.gateway.Host;
-import lemondock.gateway.ThisProcess;
+import lemondock.gateway.GatewayEnvironment;
+import lemondock.gateway.JvmProcessResources;
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsFile;
@@ -28,7 +28,7 @@
   private HaltingGateway() {}
 
   public static void main(String[] args) throws Exception {
-    GatewaySettings settings = SettingsFile.gateway(Path.of(args[0]));
+    GatewaySettings settings = SettingsFile.readGateway(Path.of(args[0]));
     Node node = new Node("gateway", settings.ioThreads());
     FileSystemPort folder =
         new Halting(
@@ -37,17 +37,17 @@
             Boolean.parseBoolean(args[2]));
     Gateway gateway =
         new Gateway(
-            new Host(
+            new GatewayEnvironment(
                 node.loop(),
                 node.network(),
                 WorkerPool.create(1, DISK_QUEUE, "disk"),
                 WorkerPool.create(
                     settings.overload().heavyThreads(), settings.overload().heavyQueue(), "worker"),
-                new ThisProcess(),
+                new JvmProcessResources(),
                 folder),
             settings,
             new PromptReader(settings.classes()),
-            Gateway.MODULE);
+            Gateway.DEFAULT_ROUTER_FACTORY);
     gateway.start();
     System.out.println("ready");
     TimeUnit.MINUTES.sleep(2); // whoever started it ends it long before
