--- a/gateway/src/test/java/lemondock/gateway/core/RequestDispatcherTest.java
+++ b/gateway/src/test/java/lemondock/gateway/core/RequestDispatcherTest.java
@@ -28,6 +28,7 @@
 import lemondock.gateway.settings.SettingsException;
 import lemondock.gateway.settings.SettingsFile;
 import lemondock.net.http.HttpClient;
+import lemondock.net.http.HttpClientOptions;
 import lemondock.net.http.HttpLimits;
 import lemondock.net.testing.ScriptedConnection;
 import lemondock.net.testing.ScriptedNetwork;
@@ -60,12 +61,12 @@
 
     void answer(String text) {
       receive(text);
-      loop.run();
+      loop.runTasks();
     }
 
     void cut() {
       end(new IOException("cut"));
-      loop.run();
+      loop.runTasks();
     }
 
     @Override
@@ -74,7 +75,7 @@
     }
 
     @Override
-    public long flushed() {
+    public long flushedBytes() {
       return written.length();
     }
   }
@@ -172,7 +173,7 @@
     writer = servers.get(1).id();
     HttpClient client =
         new HttpClient(
-            loop, network, new HttpClient.Options(HttpLimits.DEFAULT, 10_000, 10, 1_000, 1 << 30));
+            loop, network, new HttpClientOptions(HttpLimits.DEFAULT, 10_000, 10, 1_000, 1 << 30));
     EngineClient engines =
         new EngineClient(
             loop,
@@ -269,7 +270,7 @@
 
   private EngineConnection send(long id, long server) {
     host.send(id, server, 0);
-    loop.run();
+    loop.runTasks();
     return connections.get(connections.size() - 1);
   }
 
@@ -329,13 +330,13 @@
     host.cancel(id, 0);
     prefill.answer(PREFILL_REPLY); // it was on its way
     prefill.cut();
-    loop.run();
+    loop.runTasks();
     assertEquals(List.of("request " + id, "CANCELLED 0"), routerEvents);
     assertEquals(1, abortsSent()); // what the prefill may have reserved is released
     EngineConnection second = send(id, reader);
     second.answer(PREFILL_REPLY);
     host.cancel(id, 1);
-    loop.run();
+    loop.runTasks();
     assertEquals("PROMPT_READ 1", routerEvents.get(2));
     assertEquals(3, routerEvents.size());
   }
@@ -345,12 +346,12 @@
     long id = submit();
     host.send(id, 999, 0);
     host.send(id, writer, 0);
-    loop.run();
+    loop.runTasks();
     assertEquals(
         List.of("request " + id, "ABANDONED_BEFORE_SEND 0", "REJECTED 1 missing"), routerEvents);
     assertEquals(0, connections.size());
     host.fail(id);
-    loop.run();
+    loop.runTasks();
     assertEquals(1, routerEvents.stream().filter(t -> t.startsWith("request")).count());
   }
 
@@ -360,8 +361,8 @@
     send(id, reader).cut();
     host.send(id, reader, 0);
     connections.get(connections.size() - 1).end(new IOException("refused"));
-    loop.dropFirst(); // the connection that never came up
-    loop.run();
+    loop.dropNextTask(); // the connection that never came up
+    loop.runTasks();
     assertEquals(List.of("request " + id, "RESET 0", "CONNECT_FAILED 1"), routerEvents);
   }
 
@@ -371,12 +372,12 @@
     long id = submit();
     final EngineConnection prefill = send(id, reader);
     host.setTimer(7, 200_000); // the router is to check whether the prefill is overdue
-    loop.move(50_000);
-    loop.standStill(3_000_000);
+    loop.advance(50_000);
+    loop.pauseFor(3_000_000);
     assertEquals(
         List.of("request " + id), routerEvents, "no timer fires before the sockets were read");
     prefill.answer(PREFILL_REPLY);
-    loop.move(60_000);
+    loop.advance(60_000);
     assertEquals(List.of("request " + id, "PROMPT_READ 0", "timer 7"), routerEvents);
     assertTrue(
         lastElapsedMicros >= 50_000 && lastElapsedMicros <= 160_000,
@@ -391,7 +392,7 @@
     decode.answer(STREAM_HEAD + token("a"));
     decode.cut();
     host.fail(id);
-    loop.run();
+    loop.runTasks();
     assertEquals("RESET 1 ended", routerEvents.get(routerEvents.size() - 1));
     assertEquals(List.of("'a'", "interrupted"), listenerEvents);
     assertEquals(0, dispatcher.requestsInFlight());
@@ -403,11 +404,11 @@
     send(id, reader).answer(PREFILL_REPLY);
     EngineConnection decode = send(id, writer);
     decode.answer(STREAM_HEAD + token("a"));
-    loop.move(60_000);
+    loop.advance(60_000);
     decode.answer(token("b"));
-    loop.move(90_000);
+    loop.advance(90_000);
     assertEquals(List.of("'a'", "'b'"), listenerEvents);
-    loop.move(20_000);
+    loop.advance(20_000);
     assertEquals(List.of("'a'", "'b'", "interrupted"), listenerEvents);
     assertTrue(decode.isClosed());
   }
@@ -418,7 +419,7 @@
     send(id, reader).answer(PREFILL_REPLY);
     dispatcher.cancelRequest(id);
     host.releaseState(id);
-    loop.run();
+    loop.runTasks();
     assertEquals(List.of(), listenerEvents);
     assertEquals(0, dispatcher.requestsInFlight());
     long streaming = submit();
@@ -426,7 +427,7 @@
     EngineConnection decode = send(streaming, writer);
     decode.answer(STREAM_HEAD + token("a"));
     dispatcher.cancelRequest(streaming);
-    loop.run();
+    loop.runTasks();
     assertTrue(decode.isClosed());
     assertEquals("CANCELLED 1 ended", routerEvents.get(routerEvents.size() - 1));
     assertEquals(0, dispatcher.requestsInFlight());
