--- a/benchmark/src/main/java/lemondock/benchmark/Affinity.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Affinity.java
@@ -52,7 +52,7 @@
    */
   private static RouterFactory maker(boolean anew, AtomicLongArray kept) {
     return (settings, seed, host) -> {
-      RequestRouter module = Gateway.MODULE.create(settings, seed, host);
+      RequestRouter module = Gateway.DEFAULT_ROUTER_FACTORY.create(settings, seed, host);
       AtomicLong sessions = new AtomicLong(1);
       return (RequestRouter)
           Proxy.newProxyInstance(
--- a/cli/src/main/java/lemondock/cli/EmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/EmulatorCommand.java
@@ -45,7 +45,7 @@
     Settings settings =
         SettingsFile.bind(
             config.toString(),
-            SettingsFile.read(config),
+            SettingsFile.readJson(config),
             "emulator.schema.json",
             EmulatorCommand.class,
             Settings.class);
@@ -76,7 +76,7 @@
               + ":"
               + engine.address().getPort());
       if (engineSettings.catalogue() != null) {
-        InetSocketAddress at = SettingsFile.address(engineSettings.catalogue());
+        InetSocketAddress at = SettingsFile.resolveAddress(engineSettings.catalogue());
         node.loop()
             .execute(
                 () ->
--- a/gateway/src/main/java/lemondock/gateway/discovery/ServerList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/EndpointListSource.java
@@ -4,22 +4,22 @@
 import lemondock.dispatch.Endpoint;
 
 /** Where lists of servers come from; all its calls to the sink are made on the loop. */
-public interface ServerList {
+public interface EndpointListSource {
   /** Begins to follow the list. */
-  void start(Sink sink);
+  void start(Listener sink);
 
   /** Asks for the whole list again, after the module wished it. */
-  void watch();
+  void refresh();
 
   /** Stops following. */
   void stop();
 
   /** What hears of the list. */
-  interface Sink {
+  interface Listener {
     /** The whole list as it is now. */
-    void whole(List<Endpoint> entries);
+    void onList(List<Endpoint> entries);
 
     /** The list could not be had; the one before stays in force. */
-    void failed(String what);
+    void onFailure(String what);
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
@@ -23,30 +23,30 @@
  * The ledger's port to engines that speak the OpenAI API: carries reads, writes and aborts. Every
  * attempt ends exactly once, by an outcome or by a cancel.
  */
-public final class EngineClient implements EnginePort<ObjectNode, JsonNode, Chunk> {
-  private static final int ABORT_TRIES = 3;
-  private static final long ABORT_AGAIN = 30_000;
+public final class EngineClient implements EnginePort<ObjectNode, JsonNode, CompletionChunk> {
+  private static final int MAX_ABORT_ATTEMPTS = 3;
+  private static final long ABORT_RETRY_DELAY_MICROS = 30_000;
 
   private final Loop loop;
-  private final StallMonitor lateness;
+  private final StallMonitor stallMonitor;
   private final HttpClient client;
-  private final String agent;
+  private final String userAgent;
   private final String apiKey;
-  private final long silence;
+  private final long streamIdleMicros;
 
-  /** Makes a client; {@code agent} names this gateway to the engines. */
+  /** Makes a client; {@code userAgent} names this gateway to the engines. */
   public EngineClient(
       Loop loop,
       HttpClient client,
       GatewaySettings.Engines settings,
-      String agent,
-      StallMonitor lateness) {
-    this.lateness = lateness;
+      String userAgent,
+      StallMonitor stallMonitor) {
+    this.stallMonitor = stallMonitor;
     this.loop = loop;
     this.client = client;
-    this.agent = agent;
+    this.userAgent = userAgent;
     this.apiKey = settings.apiKey();
-    this.silence = GatewaySettings.micros(settings.streamSilenceMs());
+    this.streamIdleMicros = GatewaySettings.micros(settings.streamSilenceMs());
   }
 
   @Override
@@ -54,15 +54,15 @@
       Endpoint server,
       String attemptId,
       DispatchedRequest<ObjectNode> request,
-      AttemptListener<JsonNode, Chunk> attempt) {
-    InetSocketAddress to = server.address();
+      AttemptListener<JsonNode, CompletionChunk> attempt) {
+    InetSocketAddress address = server.address();
     return client.send(
-            to,
+            address,
             post(
-                to,
-                EngineProtocol.COMPLETIONS,
+                address,
+                EngineProtocol.COMPLETIONS_PATH,
                 attemptId,
-                EngineProtocol.read(request.prompt(), attemptId)),
+                EngineProtocol.readRequest(request.prompt(), attemptId)),
             new Reading(attempt))
         ::cancel;
   }
@@ -73,7 +73,7 @@
       String attemptId,
       DispatchedRequest<ObjectNode> request,
       JsonNode transfer,
-      AttemptListener<JsonNode, Chunk> listener) {
+      AttemptListener<JsonNode, CompletionChunk> listener) {
     return write(server, attemptId, request, transfer, listener);
   }
 
@@ -82,7 +82,7 @@
       Endpoint server,
       String attemptId,
       DispatchedRequest<ObjectNode> request,
-      AttemptListener<JsonNode, Chunk> listener) {
+      AttemptListener<JsonNode, CompletionChunk> listener) {
     return write(server, attemptId, request, null, listener);
   }
 
@@ -91,17 +91,17 @@
       String attemptId,
       DispatchedRequest<ObjectNode> request,
       JsonNode transfer,
-      AttemptListener<JsonNode, Chunk> attempt) {
-    InetSocketAddress to = server.address();
+      AttemptListener<JsonNode, CompletionChunk> attempt) {
+    InetSocketAddress address = server.address();
     Writing writing = new Writing(attempt);
     writing.sentAs(
         client.send(
-            to,
+            address,
             post(
-                to,
-                EngineProtocol.COMPLETIONS,
+                address,
+                EngineProtocol.COMPLETIONS_PATH,
                 attemptId,
-                EngineProtocol.write(
+                EngineProtocol.writeRequest(
                     request.prompt(), attemptId, transfer, request.maxAnswerTokens())),
             request.clientShard(),
             writing));
@@ -111,7 +111,7 @@
   /** Lets go of a request and of what is kept for it; tried again if it cannot be said at once. */
   @Override
   public void release(Endpoint endpoint, String attemptId, ObjectNode prompt) {
-    abort(endpoint.address(), attemptId, ABORT_TRIES);
+    abort(endpoint.address(), attemptId, MAX_ABORT_ATTEMPTS);
   }
 
   /**
@@ -122,33 +122,33 @@
     release(endpoint, attemptId, prompt);
   }
 
-  private void abort(InetSocketAddress at, String requestId, int tries) {
+  private void abort(InetSocketAddress at, String requestId, int attemptsLeft) {
     client.send(
         at,
-        post(at, EngineProtocol.ABORT, requestId, EngineProtocol.abort(requestId)),
+        post(at, EngineProtocol.ABORT_PATH, requestId, EngineProtocol.abortRequest(requestId)),
         new HttpClient.Receiver() {
           @Override
           public void done() {}
 
           @Override
           public void failed(HttpClient.Failure failure, String what) {
-            if (tries > 1) {
-              loop.schedule(ABORT_AGAIN, () -> abort(at, requestId, tries - 1));
+            if (attemptsLeft > 1) {
+              loop.schedule(ABORT_RETRY_DELAY_MICROS, () -> abort(at, requestId, attemptsLeft - 1));
             }
           }
         });
   }
 
   private java.nio.ByteBuffer post(
-      InetSocketAddress to, String path, String requestId, byte[] body) {
+      InetSocketAddress address, String path, String requestId, byte[] body) {
     Headers headers =
         Headers.of(
             "host",
-            to.getHostString() + ":" + to.getPort(),
+            address.getHostString() + ":" + address.getPort(),
             "content-type",
             "application/json",
             "user-agent",
-            agent,
+            userAgent,
             "x-request-id",
             requestId);
     if (apiKey != null) {
@@ -158,20 +158,20 @@
   }
 
   private static final class Reading extends HttpClient.Keeping {
-    private final AttemptListener<JsonNode, Chunk> attempt;
+    private final AttemptListener<JsonNode, CompletionChunk> attempt;
 
-    Reading(AttemptListener<JsonNode, Chunk> attempt) {
+    Reading(AttemptListener<JsonNode, CompletionChunk> attempt) {
       this.attempt = attempt;
     }
 
     @Override
     public void done() {
       if (status() != 200) {
-        EngineProtocol.Refusal refusal = EngineProtocol.refusal(status(), body());
-        attempt.attemptEnded(refusal.ending(), refusal.stateMissing(), refusal.what());
+        EngineProtocol.ErrorReply refusal = EngineProtocol.parseErrorReply(status(), body());
+        attempt.attemptEnded(refusal.outcome(), refusal.stateMissing(), refusal.message());
         return;
       }
-      EngineProtocol.ReadReply reply = EngineProtocol.readReply(body());
+      EngineProtocol.ReadReply reply = EngineProtocol.parseReadReply(body());
       if (reply.problem() != null) {
         attempt.attemptEnded(AttemptOutcome.ERROR, false, reply.problem());
       } else {
@@ -189,18 +189,18 @@
    * A write under way. A stream that was begun and then stays silent is broken after the settings'
    * time.
    */
-  public final class Writing extends EngineCall<JsonNode, Chunk> {
+  public final class Writing extends EngineCall<JsonNode, CompletionChunk> {
     private boolean finished;
     private volatile DirectOutput directOutput;
-    private final PlainPiece plain = new PlainPiece();
+    private final TextEventParser plain = new TextEventParser();
 
-    private Writing(AttemptListener<JsonNode, Chunk> listener) {
-      super(listener, loop, lateness, silence);
+    private Writing(AttemptListener<JsonNode, CompletionChunk> listener) {
+      super(listener, loop, stallMonitor, streamIdleMicros);
     }
 
     @Override
     protected String silenceMessage() {
-      return "the stream stayed silent for " + silence / 1_000 + " ms";
+      return "the stream stayed silent for " + streamIdleMicros / 1_000 + " ms";
     }
 
     @Override
@@ -218,8 +218,8 @@
     public boolean direct(byte[] data, int length) {
       DirectOutput output = directOutput;
       if (output == null
-          || !plain.take(data, length)
-          || !output.offer(plain.text(), plain.answerTokens())) {
+          || !plain.parse(data, length)
+          || !output.offer(plain.text(), plain.completionTokens())) {
         return false;
       }
       dataReceived();
@@ -228,14 +228,17 @@
 
     @Override
     public Object map(SseEvent event) {
-      return EngineProtocol.chunk(event.data());
+      return EngineProtocol.parseChunk(event.data());
     }
 
     @Override
     public void event(Object mapped) {
-      Chunk chunk = (Chunk) mapped;
+      CompletionChunk chunk = (CompletionChunk) mapped;
       if (hasEnded()
-          || finished && !chunk.hasOutput() && chunk.error() == null && chunk.answerTokens() < 0) {
+          || finished
+              && !chunk.hasOutput()
+              && chunk.error() == null
+              && chunk.completionTokens() < 0) {
         return;
       }
       if (status() != 200) {
@@ -243,7 +246,7 @@
       } else if (chunk.error() != null) {
         breakOff(AttemptOutcome.ERROR, chunk.error());
       } else {
-        finished |= chunk.finish() != null;
+        finished |= chunk.finishReason() != null;
         forward(chunk);
       }
     }
@@ -251,8 +254,8 @@
     @Override
     public void done() {
       if (status() != 200) {
-        EngineProtocol.Refusal refusal = EngineProtocol.refusal(status(), body());
-        end(refusal.ending(), refusal.stateMissing(), refusal.what());
+        EngineProtocol.ErrorReply refusal = EngineProtocol.parseErrorReply(status(), body());
+        end(refusal.outcome(), refusal.stateMissing(), refusal.message());
       } else if (finished) {
         end(AttemptOutcome.OK, false, "");
       } else {
--- a/gateway/src/test/java/lemondock/gateway/core/RequestDispatcherTest.java
+++ b/gateway/src/test/java/lemondock/gateway/core/RequestDispatcherTest.java
@@ -21,8 +21,8 @@
 import lemondock.dispatch.EndpointRegistry;
 import lemondock.dispatch.RequestDispatcher;
 import lemondock.dispatch.RequestListener;
-import lemondock.gateway.count.GatewayTally;
-import lemondock.gateway.engine.Chunk;
+import lemondock.gateway.accounting.GatewayMetrics;
+import lemondock.gateway.engine.CompletionChunk;
 import lemondock.gateway.engine.EngineClient;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsException;
@@ -86,7 +86,7 @@
   private final List<String> routerEvents = new ArrayList<>();
   private final List<String> listenerEvents = new ArrayList<>();
   private RouterHost host;
-  private RequestDispatcher<ObjectNode, JsonNode, Chunk> dispatcher;
+  private RequestDispatcher<ObjectNode, JsonNode, CompletionChunk> dispatcher;
   private long reader;
   private long writer;
   private boolean routerThrows;
@@ -196,7 +196,7 @@
     dispatcher =
         new RequestDispatcher<>(
             new DispatcherEnvironment<>(
-                loop, engines, endpoints, stallMonitor, new GatewayTally(minimalSettings())),
+                loop, engines, endpoints, stallMonitor, new GatewayMetrics(minimalSettings())),
             new DispatcherOptions(
                 "t",
                 (s, seed, h) -> {
@@ -210,7 +210,7 @@
 
   private static GatewaySettings minimalSettings() {
     try {
-      return SettingsFile.gateway(
+      return SettingsFile.readGateway(
           "t",
           new ObjectMapper()
               .readTree(
@@ -241,7 +241,7 @@
             JsonNodeFactory.instance.objectNode()),
         new RequestListener<>() {
           @Override
-          public void chunk(Chunk chunk) {
+          public void chunk(CompletionChunk chunk) {
             listenerEvents.add("'" + chunk.text() + "'");
           }
 
@@ -474,8 +474,8 @@
     host.reject(id, 5);
     host.reject(id, 5);
     host.fail(id);
-    dispatcher.updateEndpoints(
-        EndpointListKind.CHANGES, List.of()); // the next event carries out what was decided
+    dispatcher.updateEndpoints(EndpointListKind.CHANGES, List.of());
+    // the next event carries out what was decided
     assertEquals(List.of("rejected"), listenerEvents);
     assertEquals(0, dispatcher.requestsInFlight());
   }
