--- a/net/src/test/java/lemondock/net/http/ClientConnectionTest.java
+++ b/net/src/test/java/lemondock/net/http/ClientConnectionTest.java
@@ -220,7 +220,7 @@
 
   /**
    * The loop is held between queueing the second request and writing it, while the surplus of the
-   * first answer comes.
+   * first response comes.
    */
   @Test
   void surplusThatComesBeforeTheNextRequestIsWrittenIsNotItsResponse() throws Exception {
@@ -234,32 +234,31 @@
         peer.getInputStream().readNBytes(10);
         write(peer, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
         assertEquals("200 ok done", first.get(10, TimeUnit.SECONDS));
-        net.loop()
-            .execute(
-                () -> {
-                  client.send(
-                      new InetSocketAddress("127.0.0.1", listening.getLocalPort()),
-                      HttpEncoder.request("GET", "/2", Headers.of("host", "a"), new byte[0]),
-                      new ResponseReceiver() {
-                        @Override
-                        public Object mapEvent(SseEvent event) {
-                          decoded.release();
-                          return event;
-                        }
+        net.executeOnLoopThread(
+            () -> {
+              client.send(
+                  new InetSocketAddress("127.0.0.1", listening.getLocalPort()),
+                  HttpEncoder.request("GET", "/2", Headers.of("host", "a"), new byte[0]),
+                  new ResponseReceiver() {
+                    @Override
+                    public Object mapEvent(SseEvent event) {
+                      decoded.release();
+                      return event;
+                    }
 
-                        @Override
-                        public void onComplete() {
-                          end.complete("done");
-                        }
+                    @Override
+                    public void onComplete() {
+                      end.complete("done");
+                    }
 
-                        @Override
-                        public void onFailure(RequestFailure failure, String what) {
-                          end.complete(failure + " " + what);
-                        }
-                      });
-                  queued.complete(null);
-                  decoded.acquireUninterruptibly();
-                });
+                    @Override
+                    public void onFailure(RequestFailure failure, String what) {
+                      end.complete(failure + " " + what);
+                    }
+                  });
+              queued.complete(null);
+              decoded.acquireUninterruptibly();
+            });
         queued.get(10, TimeUnit.SECONDS);
         write(
             peer,
--- a/net/src/test/java/lemondock/net/nio/IdleCloseTest.java
+++ b/net/src/test/java/lemondock/net/nio/IdleCloseTest.java
@@ -104,19 +104,11 @@
    */
   private void holdLoopThen(Runnable first) throws InterruptedException {
     CountDownLatch held = new CountDownLatch(1);
-    net.loop().execute(() -> hold(held, first));
+    net.executeOnLoopThread(() -> hold(held, first));
     assertTrue(held.await(5, TimeUnit.SECONDS));
   }
 
-  /**
-   * On the loop's own thread: an I/O thread that has the context just now would stand still with
-   * it, and read nothing.
-   */
   private void hold(CountDownLatch held, Runnable first) {
-    if (IoThread.current() != null) {
-      net.loop().execute(() -> hold(held, first));
-      return;
-    }
     held.countDown();
     try {
       release.await();
--- a/net/src/test/java/lemondock/net/testing/NetworkExtension.java
+++ b/net/src/test/java/lemondock/net/testing/NetworkExtension.java
@@ -29,6 +29,7 @@
 public final class NetworkExtension implements BeforeEachCallback, AfterEachCallback {
   private static final long WAIT_SECONDS = 10;
   private static final int SOCKET_TIMEOUT_MILLIS = 10_000;
+  private static final String LOOP_THREAD_NAME = "test-loop";
 
   private final int shards;
   private final int acceptorsPerShard;
@@ -46,7 +47,7 @@
   public void beforeEach(ExtensionContext context) throws IOException {
     failures = new LinkedBlockingQueue<>();
     LinkedBlockingQueue<String> thrown = failures;
-    loop = new ThreadLoop("test", e -> thrown.add(e.toString()));
+    loop = new ThreadLoop(LOOP_THREAD_NAME, e -> thrown.add(e.toString()));
     network = new AsyncNetwork(loop, shards, acceptorsPerShard);
   }
 
@@ -83,6 +84,21 @@
     return server;
   }
 
+  /**
+   * Runs a task that holds the loop still, on the loop's own thread: an I/O thread that has the
+   * loop's context just now would stand still with it, and read nothing.
+   */
+  public void executeOnLoopThread(Runnable task) {
+    loop.execute(
+        () -> {
+          if (Thread.currentThread().getName().equals(LOOP_THREAD_NAME)) {
+            task.run();
+          } else {
+            executeOnLoopThread(task);
+          }
+        });
+  }
+
   /** What a supplier gives on the loop, within 10 s. */
   public <T> T onLoop(Supplier<T> supplier) {
     CompletableFuture<T> result = new CompletableFuture<>();
