--- a/benchmark/src/main/java/lemondock/benchmark/Affinity.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Affinity.java
@@ -23,6 +23,7 @@
 import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.http.HttpClient;
+import lemondock.net.http.HttpClientOptions;
 import lemondock.net.http.HttpLimits;
 import lemondock.policy.AttemptResult;
 import lemondock.policy.RequestRouter;
@@ -52,7 +53,7 @@
    */
   private static RouterFactory maker(boolean anew, AtomicLongArray kept) {
     return (settings, seed, host) -> {
-      RequestRouter module = Gateway.MODULE.create(settings, seed, host);
+      RequestRouter module = Gateway.DEFAULT_ROUTER_FACTORY.create(settings, seed, host);
       AtomicLong sessions = new AtomicLong(1);
       return (RequestRouter)
           Proxy.newProxyInstance(
@@ -161,7 +162,7 @@
           new HttpClient(
               clients.loop(),
               clients.network(),
-              new HttpClient.Options(HttpLimits.DEFAULT, 1 << 20, 2_000, 1_000_000, 15_000_000));
+              new HttpClientOptions(HttpLimits.DEFAULT, 1 << 20, 2_000, 1_000_000, 15_000_000));
       CountDownLatch done = new CountDownLatch(CALLS);
       AtomicInteger number = new AtomicInteger();
       for (int i = 0; i < AT_A_TIME; i++) {
--- a/cli/src/main/java/lemondock/cli/GatewayCommand.java
+++ b/cli/src/main/java/lemondock/cli/GatewayCommand.java
@@ -8,8 +8,8 @@
 import lemondock.exporter.host.ProcessMeters;
 import lemondock.exporter.host.ReportHost;
 import lemondock.gateway.Gateway;
-import lemondock.gateway.Host;
-import lemondock.gateway.ThisProcess;
+import lemondock.gateway.GatewayEnvironment;
+import lemondock.gateway.JvmProcessResources;
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.reporting.Reporting;
 import lemondock.gateway.settings.GatewaySettings;
@@ -17,7 +17,7 @@
 import lemondock.idempotency.DiskFolder;
 import lemondock.net.nio.AsyncNetwork;
 import lemondock.net.nio.ThreadLoop;
-import lemondock.net.nio.Workers;
+import lemondock.net.nio.WorkerPool;
 import org.slf4j.LoggerFactory;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -37,29 +37,33 @@
 
   @Override
   public Integer call() throws Exception {
-    GatewaySettings settings = SettingsFile.gateway(config);
+    GatewaySettings settings = SettingsFile.readGateway(config);
     Logging.configure(settings.log().format(), settings.log().level());
     ThreadLoop loop =
         new ThreadLoop(
             "lemondock-loop",
             e -> LoggerFactory.getLogger(Gateway.class).error("a task of the loop failed", e));
     AsyncNetwork network = new AsyncNetwork(loop, settings.ioThreads());
-    Host machine =
-        new Host(
+    GatewayEnvironment machine =
+        new GatewayEnvironment(
             loop,
             network,
-            Workers.of(1, DISK_QUEUE, "lemondock-disk"),
-            Workers.of(
+            WorkerPool.create(1, DISK_QUEUE, "lemondock-disk"),
+            WorkerPool.create(
                 settings.overload().heavyThreads(),
                 settings.overload().heavyQueue(),
                 "lemondock-worker"),
-            new ThisProcess(),
+            new JvmProcessResources(),
             settings.durable() == null ? null : new DiskFolder(Path.of(settings.durable().path())));
     Gateway gateway =
-        new Gateway(machine, settings, new PromptReader(settings.classes()), Gateway.MODULE);
+        new Gateway(
+            machine,
+            settings,
+            new PromptReader(settings.classes()),
+            Gateway.DEFAULT_ROUTER_FACTORY);
     ReportHost host = new ReportHost("lemondock-reports");
     Reporting reporting =
-        new Reporting(settings, gateway.tally(), host.environment(), ProcessMeters.registry());
+        new Reporting(settings, gateway.metrics(), host.environment(), ProcessMeters.registry());
     gateway.start();
     reporting.start(gateway.address());
     ShutdownSignal.beforeExit(
--- a/dispatch/src/main/java/lemondock/dispatch/EnginePort.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EnginePort.java
@@ -1,6 +1,6 @@
 package lemondock.dispatch;
 
-import lemondock.net.http.HttpClient;
+import lemondock.net.http.RequestFailure;
 import lemondock.policy.AttemptOutcome;
 
 /**
@@ -66,13 +66,13 @@
   void releaseUncertain(Endpoint endpoint, String attemptId, P prompt);
 
   /** The outcome of an attempt whose HTTP request got no complete response. */
-  static AttemptOutcome outcomeOf(HttpClient.Failure failure) {
+  static AttemptOutcome outcomeOf(RequestFailure failure) {
     return switch (failure) {
       case NOT_SENT -> AttemptOutcome.CONNECT_FAILED;
-      case NO_ROOM ->
+      case LOCAL_LIMIT_REACHED ->
           AttemptOutcome
               .ABANDONED_BEFORE_SEND; // this gateway lacks a connection; the server is not at fault
-      case BROKEN -> AttemptOutcome.RESET;
+      case CONNECTION_LOST -> AttemptOutcome.RESET;
       case MALFORMED -> AttemptOutcome.ERROR;
     };
   }
--- a/gateway/src/main/java/lemondock/gateway/core/CallService.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CallService.java
@@ -15,13 +15,13 @@
 import lemondock.dispatch.RequestDispatcher;
 import lemondock.dispatch.RequestListener;
 import lemondock.dispatch.StableHash;
+import lemondock.gateway.accounting.CallMetrics;
+import lemondock.gateway.accounting.GatewayMetrics;
 import lemondock.gateway.answer.Answer;
 import lemondock.gateway.answer.Prompt;
 import lemondock.gateway.answer.ToolCall;
 import lemondock.gateway.answer.ToolResult;
-import lemondock.gateway.count.CallCount;
-import lemondock.gateway.count.GatewayTally;
-import lemondock.gateway.engine.Chunk;
+import lemondock.gateway.engine.CompletionChunk;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.idempotency.CallStatus;
 import lemondock.idempotency.RelayedToolCall;
@@ -48,9 +48,9 @@
   private static final double GOOD_TIMES = 1.5;
 
   private final Loop loop;
-  private final RequestDispatcher<ObjectNode, JsonNode, Chunk> ledger;
+  private final RequestDispatcher<ObjectNode, JsonNode, CompletionChunk> ledger;
   private final GatewaySettings settings;
-  private final GatewayTally tally;
+  private final GatewayMetrics tally;
   private final StallMonitor lateness;
   private final Set<Call> open = new HashSet<>();
 
@@ -93,15 +93,15 @@
     void withdraw(ToolCall call, String why);
 
     /** The one end; nothing follows. Not called for a call that was left by its front. */
-    void ended(Answer.Ending ending);
+    void ended(Answer.Outcome ending);
   }
 
   /** Makes an empty set of calls. */
   public CallService(
       Loop loop,
-      RequestDispatcher<ObjectNode, JsonNode, Chunk> ledger,
+      RequestDispatcher<ObjectNode, JsonNode, CompletionChunk> ledger,
       GatewaySettings settings,
-      GatewayTally tally,
+      GatewayMetrics tally,
       StallMonitor lateness) {
     this.lateness = lateness;
     this.loop = loop;
@@ -135,13 +135,13 @@
 
   /** A call was turned away because the gateway is late. */
   public void refusedLate(int classId, String tenant, boolean clientRepeat) {
-    tally.refusedLate();
-    tally.turnedAway(classId, tenant, clientRepeat);
+    tally.countLoadShed();
+    tally.requestRejected(classId, tenant, clientRepeat);
   }
 
   /** A call was turned away before it was taken; it is counted as refused. */
   public void turnedAway(Prompt prompt, String tenant, boolean clientRepeat) {
-    tally.turnedAway(prompt.classId(), tenant, clientRepeat);
+    tally.requestRejected(prompt.classId(), tenant, clientRepeat);
   }
 
   /** Has calls that must not run twice remembered; before the first call. */
@@ -193,7 +193,7 @@
               call.begin();
             } else {
               synchronized (sink.lock()) { // nothing was sent anywhere
-                call.answer.refused(GatewaySettings.micros(settings.limits().retryAdviceMs()));
+                call.answer.onRejected(GatewaySettings.micros(settings.limits().retryAdviceMs()));
               }
             }
           });
@@ -207,14 +207,14 @@
   }
 
   /** One client's call. Loop thread only. */
-  public final class Call implements Answer.Steps {
+  public final class Call implements Answer.Actions {
     private final Prompt prompt;
     private final long session;
     private final boolean clientRepeat;
     private final Sink sink;
     private final GatewaySettings.ClassSettings requestClass;
     private final Answer answer;
-    private final CallCount count;
+    private final CallMetrics count;
     private final Loop.Timer aimLimit;
     private final Map<String, Loop.Timer> toolLimits = new HashMap<>();
     private long leg;
@@ -240,12 +240,13 @@
       this.sink = sink;
       this.requestClass = settings.classes().get(prompt.classId());
       this.count =
-          tally.taken(prompt.classId(), tenant, clientRepeat, prompt.promptTokens(), loop.now());
-      this.aimLimit = loop.schedule(count.aim(), count::aimPassed);
+          tally.requestAccepted(
+              prompt.classId(), tenant, clientRepeat, prompt.promptTokens(), loop.now());
+      this.aimLimit = loop.schedule(count.latencyObjectiveMicros(), count::onObjectivePassed);
       this.answer =
           new Answer(
               this,
-              new Answer.Bounds(
+              new Answer.Limits(
                   prompt.maxTokens(),
                   requestClass.maxTurns(),
                   requestClass.maxToolCallsPerTurn(),
@@ -275,13 +276,13 @@
       if (limit != null) {
         limit.cancel();
         toolsWaiting--;
-        count.answered();
+        count.onToolCallAnswered();
         if (key != null) {
           guard.toolCallAnswered(key, remembered(callId));
         }
       }
       synchronized (sink.lock()) {
-        return answer.result(callId, kept);
+        return answer.onToolResult(callId, kept);
       }
     }
 
@@ -289,12 +290,12 @@
     public void leave(String why) {
       synchronized (sink.lock()) {
         quiet = true;
-        answer.leave(why);
+        answer.cancel(why);
       }
     }
 
     @Override
-    public void leave() {
+    public void cancelRequest() {
       ledger.cancelRequest(leg);
     }
 
@@ -313,13 +314,14 @@
     private void cut(String why) {
       synchronized (sink.lock()) {
         if (answer.state() != Answer.State.ENDED) {
-          answer.leave(why);
+          answer.cancel(why);
         }
       }
     }
 
     @Override
-    public void leg(List<Answer.Turn> turns, String partial, int maxTokens, boolean resumed) {
+    public void startRequest(
+        List<Answer.Turn> turns, String partial, int maxTokens, boolean resumed) {
       waits(false);
       ObjectNode body = body(turns, partial);
       int added = 0;
@@ -332,11 +334,11 @@
               prompt.classId(),
               0,
               session,
-              prompt.prefix(),
+              prompt.prefixKey(),
               tokens,
               prompt.prefixTokens(),
               maxTokens,
-              requestClass.patience(tokens),
+              requestClass.deadlineMicros(tokens),
               clientRepeat && legs == 0,
               resumed,
               sink.shard(),
@@ -394,7 +396,7 @@
 
     @Override
     public void deliver(CharSequence piece, int tokens) {
-      count.delivered(loop.now());
+      count.onDelivered(loop.now());
       if (gradient != null && !begun) {
         begun = true;
         gradient.recordFirstToken(loop.now() - takenAt, open.size());
@@ -406,12 +408,13 @@
     public void relay(ToolCall call) {
       waits(true);
       if (waitingAnswers > settings.limits().maxWaitingAnswers()) {
-        cut("too many answers wait for their tools"); // the newest: the others may be
-        // answered any moment
+        // the newest: the others may be answered any moment
+
+        cut("too many answers wait for their tools");
         return;
       }
       toolsWaiting++;
-      count.relayed(loop.now());
+      count.onToolCallRelayed(loop.now());
       limit(call, GatewaySettings.micros(requestClass.toolTimeoutMs()));
       if (key == null) {
         relayed.add(call.id());
@@ -424,7 +427,7 @@
           call.name(),
           durable -> {
             synchronized (sink.lock()) {
-              if (!answer.awaited().contains(call)) {
+              if (!answer.pendingToolCalls().contains(call)) {
                 return; // it took so long that nobody waits for it any more
               }
               if (durable) {
@@ -465,9 +468,9 @@
                 }
                 toolLimits.remove(call.id());
                 toolsWaiting--;
-                count.lost();
+                count.onToolCallLost();
                 synchronized (sink.lock()) {
-                  answer.expired(call.id());
+                  answer.onToolTimeout(call.id());
                 }
               }));
     }
@@ -480,9 +483,9 @@
     }
 
     @Override
-    public void ended(Answer.Ending ending) {
+    public void ended(Answer.Outcome ending) {
       aimLimit.cancel();
-      count.ended(loop.now(), ending);
+      count.onEnded(loop.now(), ending);
       toolsWaiting -= toolLimits.size();
       toolLimits.values().forEach(Loop.Timer::cancel);
       toolLimits.clear();
@@ -491,9 +494,9 @@
       if (key != null) {
         guard.callEnded(
             key,
-            ending.end() == Answer.End.SERVED
+            ending.kind() == Answer.OutcomeKind.SERVED
                 ? CallStatus.COMPLETED
-                : ending.end() == Answer.End.REFUSED || !begunLegs
+                : ending.kind() == Answer.OutcomeKind.REJECTED || !begunLegs
                     ? CallStatus.NEVER_RAN
                     : CallStatus.MAY_HAVE_RUN);
       }
@@ -503,11 +506,11 @@
     }
 
     /** Hands a leg's events to the answer. */
-    private final class Listener implements RequestListener<Chunk>, DirectOutput {
+    private final class Listener implements RequestListener<CompletionChunk>, DirectOutput {
       @Override
-      public void chunk(Chunk chunk) {
+      public void chunk(CompletionChunk chunk) {
         synchronized (sink.lock()) {
-          answer.chunk(chunk);
+          answer.onChunk(chunk);
         }
       }
 
@@ -526,35 +529,35 @@
           return false;
         }
         synchronized (sink.lock()) {
-          return count.inTurn() && sink.flows() && answer.text(text, answerTokens);
+          return count.inTurn() && sink.flows() && answer.onText(text, answerTokens);
         }
       }
 
       @Override
       public void completed() {
         synchronized (sink.lock()) {
-          answer.served();
+          answer.onRequestCompleted();
         }
       }
 
       @Override
       public void interrupted(String cause) {
         synchronized (sink.lock()) {
-          answer.broke(cause);
+          answer.onStreamBroken(cause);
         }
       }
 
       @Override
       public void rejected(long retryAfterMicros) {
         synchronized (sink.lock()) {
-          answer.refused(retryAfterMicros);
+          answer.onRejected(retryAfterMicros);
         }
       }
 
       @Override
       public void failed() {
         synchronized (sink.lock()) {
-          answer.failed();
+          answer.onFailed();
         }
       }
     }
--- a/gateway/src/main/java/lemondock/gateway/front/AccessCheck.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/DnsRebindingGuard.java
@@ -1,17 +1,17 @@
-package lemondock.gateway.front;
+package lemondock.gateway.mcp;
 
-import static lemondock.gateway.front.FrontAnswers.clip;
+import static lemondock.gateway.mcp.HttpReplies.clip;
 
 import java.util.Locale;
 import java.util.regex.Pattern;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpRequest;
 
 /**
  * Checks the Host and Origin header fields of requests, against DNS rebinding: a page of another
  * site can make a browser send requests here, but only under that site's names.
  */
-final class AccessCheck {
+final class DnsRebindingGuard {
   private static final Pattern LOOPBACK =
       Pattern.compile("(localhost|127\\.[0-9.]+|\\[::1]):[0-9]+");
 
@@ -23,15 +23,15 @@
       Pattern.compile("https?://(localhost|127\\.0\\.0\\.1|\\[::1])(:[0-9]{1,5})?");
 
   private final GatewaySettings.Front settings;
-  private final boolean loopback;
+  private final boolean listensOnLoopback;
 
-  AccessCheck(GatewaySettings.Front settings) {
+  DnsRebindingGuard(GatewaySettings.Front settings) {
     this.settings = settings;
-    this.loopback = LOOPBACK.matcher(settings.listen()).matches();
+    this.listensOnLoopback = LOOPBACK.matcher(settings.listen()).matches();
   }
 
   /** Why the request is not allowed here, null if it is. */
-  String forbidden(HttpServer.Request request) {
+  String rejectionReason(HttpRequest request) {
     String host = request.headers().get("host");
     if (host != null
         && !settings.allowedHosts().contains("*")
@@ -42,7 +42,7 @@
     if (origin != null
         && !settings.allowedOrigins().contains("*")
         && !settings.allowedOrigins().contains(origin)
-        && !(loopback && LOOPBACK_ORIGIN.matcher(origin).matches())) {
+        && !(listensOnLoopback && LOOPBACK_ORIGIN.matcher(origin).matches())) {
       return "origin " + clip(origin) + " is not allowed here";
     }
     return null;
--- a/net/src/main/java/lemondock/net/nio/UdpDatagrams.java
+++ b/net/src/main/java/lemondock/net/nio/UdpDatagramSender.java
@@ -4,18 +4,24 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.channels.DatagramChannel;
-import lemondock.net.Datagrams;
+import lemondock.net.DatagramSender;
 
-/** Datagrams over UDP; the channel is connected, so that a peer's "port unreachable" is heard. */
-public final class UdpDatagrams implements Datagrams {
+/**
+ * Sends datagrams over UDP; the channel is connected, so that a peer's "port unreachable" is heard.
+ */
+public final class UdpDatagramSender implements DatagramSender {
   private final DatagramChannel channel;
 
-  private UdpDatagrams(DatagramChannel channel) {
+  private UdpDatagramSender(DatagramChannel channel) {
     this.channel = channel;
   }
 
-  /** A sender to an address. */
-  public static UdpDatagrams open(InetSocketAddress to) throws IOException {
+  /**
+   * Opens a sender to an address.
+   *
+   * @throws IOException if there is no way to it, or the system has no socket left
+   */
+  public static UdpDatagramSender open(InetSocketAddress to) throws IOException {
     DatagramChannel channel = DatagramChannel.open();
     try {
       channel.configureBlocking(false);
@@ -24,7 +30,7 @@
       channel.close();
       throw e instanceof IOException io ? io : new IOException(e);
     }
-    return new UdpDatagrams(channel);
+    return new UdpDatagramSender(channel);
   }
 
   @Override
@@ -34,10 +40,6 @@
 
   @Override
   public void close() {
-    try {
-      channel.close();
-    } catch (IOException e) {
-      // nothing is lost: the channel is given up in any case
-    }
+    ChannelSupport.closeQuietly(channel);
   }
 }
--- a/scenario/src/test/java/lemondock/scenario/Bench.java
+++ b/scenario/src/test/java/lemondock/scenario/Bench.java
@@ -16,6 +16,7 @@
 import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.http.HttpClient;
+import lemondock.net.http.HttpClientOptions;
 import lemondock.net.http.HttpLimits;
 
 /** A small fleet with one gateway and a client, for tests. */
@@ -28,11 +29,11 @@
       new HttpClient(
           clients.loop(),
           clients.network(),
-          new HttpClient.Options(HttpLimits.DEFAULT, 1 << 20, 2_000, 1_000_000, 15_000_000));
+          new HttpClientOptions(HttpLimits.DEFAULT, 1 << 20, 2_000, 1_000_000, 15_000_000));
   final GatewaySettings settings;
 
   Bench(Consumer<ObjectNode> changes, EngineSettings... engines) {
-    this(changes, Gateway.MODULE, engines);
+    this(changes, Gateway.DEFAULT_ROUTER_FACTORY, engines);
   }
 
   /**
@@ -185,8 +186,8 @@
   }
 
   private String busy() {
-    int legs = fleet.node(GATEWAY).ask(fleet.gateway(GATEWAY)::legsUnderWay);
-    int calls = fleet.node(GATEWAY).ask(fleet.gateway(GATEWAY)::callsUnderWay);
+    int legs = fleet.node(GATEWAY).ask(fleet.gateway(GATEWAY)::requestsInFlight);
+    int calls = fleet.node(GATEWAY).ask(fleet.gateway(GATEWAY)::callsInFlight);
     StringBuilder busy =
         new StringBuilder(legs + calls == 0 ? "" : legs + " legs, " + calls + " calls ");
     for (String e : fleet.engines()) {
--- a/scenario/src/test/java/lemondock/scenario/OwnLimitTest.java
+++ b/scenario/src/test/java/lemondock/scenario/OwnLimitTest.java
@@ -18,7 +18,7 @@
 import java.util.function.Consumer;
 import lemondock.emulator.EngineSettings;
 import lemondock.emulator.Tap;
-import lemondock.gateway.Machine;
+import lemondock.gateway.ProcessResources;
 import lemondock.rpc.Mcp;
 import lemondock.scenario.McpClient.Tools;
 import org.junit.jupiter.api.Test;
@@ -77,7 +77,7 @@
   }
 
   /** A process that has as much left as a test says. */
-  private static final class Told implements Machine {
+  private static final class Told implements ProcessResources {
     private volatile double memory;
     private volatile double handles;
     private volatile long most = 10_000;
@@ -85,22 +85,22 @@
 
     /** All of the time, if it says so. */
     @Override
-    public long paused() {
+    public long pausedMicros() {
       return stopped ? System.nanoTime() / 1_000 : 0;
     }
 
     @Override
-    public double memory() {
+    public double memoryUsedFraction() {
       return memory;
     }
 
     @Override
-    public double handles() {
+    public double fileHandlesUsedFraction() {
       return handles;
     }
 
     @Override
-    public long mostHandles() {
+    public long maxFileHandles() {
       return most;
     }
   }
@@ -248,7 +248,7 @@
                                   "m" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
                       .seen()
                       .errorCode
-                  == Mcp.REFUSED);
+                  == Mcp.REJECTED);
       Bench.await(
           "the counts are judged", () -> !Bench.get(bench.begin(known, repeat)).seen().served());
       int first = 0;
@@ -353,7 +353,7 @@
                               Bench.ask(
                                   "m" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
                       .seen());
-              return refused.get().errorCode == Mcp.REFUSED;
+              return refused.get().errorCode == Mcp.REJECTED;
             });
         assertTrue(refused.get().retryable && refused.get().retryAfterMs > 0);
         assertTrue(bench.events(Tap.What.READ, refused.get().mark).isEmpty());
@@ -498,7 +498,7 @@
         assertTrue(opened > 0 && opened <= 999, "opened " + opened);
         assertEquals(
             opened + 1,
-            bench.fleet.node(Bench.GATEWAY).ask(bench.fleet.gateway(Bench.GATEWAY)::sessions));
+            bench.fleet.node(Bench.GATEWAY).ask(bench.fleet.gateway(Bench.GATEWAY)::sessionCount));
       } finally {
         closeAll(sockets);
       }
