--- a/policy/src/main/java/lemondock/policy/AttemptOutcome.java
+++ b/policy/src/main/java/lemondock/policy/AttemptOutcome.java
@@ -1,8 +1,9 @@
 package lemondock.policy;
 
 /**
- * How an attempt ended. REJECTED, CONNECT_FAILED and ABANDONED_BEFORE_SEND prove that it never ran;
- * PROMPT_READ means that a reader has read the prompt and keeps its state, with nothing answered.
+ * How an attempt ended. {@link #REJECTED}, {@link #CONNECT_FAILED} and {@link
+ * #ABANDONED_BEFORE_SEND} prove that the server never worked on it; {@link #PROMPT_READ} means that
+ * a reader has read the prompt and holds its state, with nothing answered yet.
  */
 public enum AttemptOutcome {
   OK,
--- a/policy/src/main/java/lemondock/policy/DecisionReason.java
+++ b/policy/src/main/java/lemondock/policy/DecisionReason.java
@@ -1,14 +1,14 @@
 package lemondock.policy;
 
-/** Why a request was parked, tried again, released or ended. */
+/** Why a request was queued, retried, released or ended. Names appear in debug and count lines. */
 public enum DecisionReason {
   /** Its deadline, or the end that a shutdown leaves it, has come. */
   DEADLINE_EXCEEDED,
   /** It could not end before this gateway may be killed. */
   SHUTTING_DOWN,
-  /** It waited for room until another attempt would have been too late. */
+  /** It waited in the queue until another attempt would have been too late. */
   QUEUE_TIMEOUT,
-  /** It waits for room, or for a reader that would be in time. */
+  /** It waits in the queue for capacity, or for a reader that would be in time. */
   QUEUED,
   /** No reader may take it, or each would be too late. */
   NO_READER,
@@ -22,7 +22,7 @@
   RETRY_BUDGET_EXHAUSTED,
   /** Another attempt follows one that did not end well. */
   RETRY,
-  /** An attempt took far longer than it should and was called off. */
+  /** An attempt took far longer than it should and was cancelled. */
   ATTEMPT_TIMEOUT,
   /** What readers hold, or may hold, was released. */
   STATE_RELEASED
--- a/policy/src/main/java/lemondock/policy/DeduplicationScope.java
+++ b/policy/src/main/java/lemondock/policy/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package lemondock.policy;
 
-/** The servers that drop the repeats of a keyed request: all of them, one zone's, one cell's. */
+/** The servers that drop repeats with a known idempotency key: all, one zone's, one cell's. */
 public enum DeduplicationScope {
   ALL,
   ZONE,
--- a/policy/src/main/java/lemondock/policy/EndpointListKind.java
+++ b/policy/src/main/java/lemondock/policy/EndpointListKind.java
@@ -1,8 +1,8 @@
 package lemondock.policy;
 
 /**
- * What a list event holds: changes only, the whole list, the whole list from before a restart, or
- * nothing.
+ * What an endpoint list event holds: changes only, the full list, the full list as cached before a
+ * restart, or nothing because it could not be had.
  */
 public enum EndpointListKind {
   CHANGES,
--- a/policy/src/main/java/lemondock/policy/Idempotency.java
+++ b/policy/src/main/java/lemondock/policy/Idempotency.java
@@ -1,8 +1,8 @@
 package lemondock.policy;
 
 /**
- * Whether a class's requests are safe to repeat, safe within a group and window, or may run only
- * once.
+ * Whether requests of a class may be repeated: always, with the same idempotency key within a scope
+ * and window, or never once they may have run.
  */
 public enum Idempotency {
   IDEMPOTENT,
--- a/policy/src/main/java/lemondock/policy/RequestRouter.java
+++ b/policy/src/main/java/lemondock/policy/RequestRouter.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * Events, in the order they happened; {@code now} never goes back. Each may lead to calls on {@link
- * Host}.
+ * Events of one gateway, in the order they happened, all on one thread. {@code nowMicros} never
+ * goes back. Each event may lead to calls on the {@link RouterHost} before it returns.
  */
 public interface RequestRouter {
   /** The first call, made once. */
   void started(long nowMicros);
 
-  /** News of the servers. CHANGES apply to the list held; FAILED leaves it as it is. */
+  /** The endpoint list, or changes of it; FAILED leaves the list as it is. */
   void endpointsChanged(long nowMicros, EndpointListKind kind, List<ServerEntry> entries);
 
-  /** A client's request; the module owes exactly one final answer from here on. */
+  /** A client's request; exactly one final answer is owed from here on. */
   void requestArrived(long nowMicros, RoutingRequest request);
 
-  /** The answer of this attempt has begun to stream; the attempt now belongs to the client. */
+  /** The answer of this attempt has begun to stream to the client, who gets no other. */
   void firstToken(
       long nowMicros,
       long requestId,
@@ -33,11 +33,9 @@
   /** A timer set by {@link RouterHost#setTimer} is due. */
   void timerFired(long nowMicros, long token);
 
-  /** This gateway shuts down and may be killed at {@code until}; what is under way goes on. */
+  /** Graceful shutdown: what is in flight goes on, the process may be killed at that time. */
   default void shutdownStarted(long nowMicros, long killedAtMicros) {}
 
-  /**
-   * Tells what the module sees at this moment, for reports; leads to no action and changes nothing.
-   */
+  /** Shows the state at this moment, for load reports; leads to no action. */
   default void visitState(long nowMicros, RouterStateVisitor visitor) {}
 }
--- a/policy/src/main/java/lemondock/policy/RouterHost.java
+++ b/policy/src/main/java/lemondock/policy/RouterHost.java
@@ -1,20 +1,23 @@
 package lemondock.policy;
 
-/** Actions, carried out in the order of the calls, at the time of the event that led to them. */
+/**
+ * Actions of the router, carried out in the order of the calls, at the time of the event that led
+ * to them and on its thread.
+ */
 public interface RouterHost {
-  /** Sends the request to a server; attempts count from 0. timeout 0: until the client gives up. */
+  /** Sends the next attempt, counted from 0, to a server. Timeout 0: until the client gives up. */
   void send(long requestId, long serverId, long timeoutMicros);
 
-  /** Final answer: trying again is harmless. retryAfter 0: no advice. */
+  /** Final answer: rejected, trying again is harmless. 0: without Retry-After. */
   void reject(long requestId, long retryAfterMicros);
 
-  /** Final answer that promises nothing. */
+  /** Final answer: failed, it may have had an effect. */
   void fail(long requestId);
 
   /** Stops waiting for an attempt; its outcome still comes. */
   void cancel(long requestId, int attempt);
 
-  /** Lets go of every state held for the request; allowed after its end. */
+  /** Releases every state reserved for the request; allowed after its end. */
   void releaseState(long requestId);
 
   /**
@@ -22,7 +25,7 @@
    */
   void setTimer(long token, long delayMicros);
 
-  /** Asks for the list of servers and its changes, where they come only on demand. */
+  /** Asks for the endpoint list and its changes, where they come only on demand. */
   void watchEndpoints();
 
   /** One line for the operators. */
--- a/policy/src/main/java/lemondock/policy/RouterStateVisitor.java
+++ b/policy/src/main/java/lemondock/policy/RouterStateVisitor.java
@@ -1,11 +1,11 @@
 package lemondock.policy;
 
-/** What {@link RequestRouter#visitState} tells: each server listed, then all together. */
+/** Visitor of a state snapshot, see {@link RequestRouter#visitState}: each server, then totals. */
 public interface RouterStateVisitor {
-  /** One server and what this gateway holds of it. */
+  /** One server and how this gateway judges it. */
   void server(
       long id, ServerRole role, ServerLifecycle lifecycle, boolean warmingUp, boolean healthy);
 
-  /** Requests that wait for room, tokens under way, and the tokens that may be. */
+  /** Queued requests, tokens in flight, and the tokens that may be in flight. */
   void totals(int queued, long tokensInFlight, long capacityTokens);
 }
--- a/policy/src/main/java/lemondock/policy/ServerKind.java
+++ b/policy/src/main/java/lemondock/policy/ServerKind.java
@@ -1,4 +1,8 @@
 package lemondock.policy;
 
-/** One kind of server; memory in tokens, 0 if not told. */
+/**
+ * One kind of server.
+ *
+ * @param memoryTokens tokens that one server can hold at a time; 0 if not told
+ */
 public record ServerKind(ServerRole role, long memoryTokens) {}
--- a/policy/src/main/java/lemondock/policy/ServerLifecycle.java
+++ b/policy/src/main/java/lemondock/policy/ServerLifecycle.java
@@ -1,6 +1,6 @@
 package lemondock.policy;
 
-/** What the list of servers says of one. */
+/** Lifecycle of a server, as the endpoint list has it. */
 public enum ServerLifecycle {
   READY,
   DRAINING,
--- a/policy/src/main/java/lemondock/policy/ServerRole.java
+++ b/policy/src/main/java/lemondock/policy/ServerRole.java
@@ -1,6 +1,6 @@
 package lemondock.policy;
 
-/** What a kind of server can do: read prompts, write answers, or both. */
+/** What servers of a kind can do: read prompts, write answers, or both. */
 public enum ServerRole {
   READER,
   WRITER,
--- a/policy/src/main/java/lemondock/policy/Tenant.java
+++ b/policy/src/main/java/lemondock/policy/Tenant.java
@@ -1,6 +1,9 @@
 package lemondock.policy;
 
 /**
- * One tenant and the requests a second, over all gateways, that lie within its share (0: no share).
+ * One tenant.
+ *
+ * @param quotaPerSecond requests per second, over all gateways, that lie within its quota; 0 for no
+ *     quota
  */
 public record Tenant(double quotaPerSecond) {}
--- a/policy/src/test/java/lemondock/policy/AdmissionTest.java
+++ b/policy/src/test/java/lemondock/policy/AdaptiveCapacityLimitTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What is admitted, queued or rejected before it costs work. */
-class AdmissionTest extends ControlFixture {
+class AdaptiveCapacityLimitTest extends ControlFixture {
   @Test
   void withoutAnyReaderTheRequestIsRejectedInTime() {
     startFleet(readyServer(11, WRITER, 0));
