--- a/net/src/main/java/lemondock/net/http/HttpCall.java
+++ b/net/src/main/java/lemondock/net/http/HttpCall.java
@@ -65,10 +65,10 @@
     ended = true;
   }
 
-  void fail(RequestFailure failure, String what) {
+  void fail(RequestFailure failure, String reason) {
     if (!ended) {
       ended = true;
-      receiver.onFailure(failure, what);
+      receiver.onFailure(failure, reason);
     }
   }
 }
--- a/net/src/main/java/lemondock/net/http/ResponseAssembler.java
+++ b/net/src/main/java/lemondock/net/http/ResponseAssembler.java
@@ -23,7 +23,7 @@
         public void onComplete() {}
 
         @Override
-        public void onFailure(RequestFailure failure, String what) {}
+        public void onFailure(RequestFailure failure, String reason) {}
       };
 
   /** The whole body of a response that is no event stream. */
--- a/net/src/main/java/lemondock/net/http/ResponseReceiver.java
+++ b/net/src/main/java/lemondock/net/http/ResponseReceiver.java
@@ -42,7 +42,7 @@
   /**
    * No complete response will come; nothing follows.
    *
-   * @param what the address and the cause, for log lines
+   * @param reason the address and the cause, for log lines
    */
-  void onFailure(RequestFailure failure, String what);
+  void onFailure(RequestFailure failure, String reason);
 }
