--- a/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
@@ -48,7 +48,7 @@
 
   @Override
   public void start(Listener listener) {
-    listener = listener;
+    this.listener = listener;
     query();
   }
 
