--- a/gateway/src/main/java/lemondock/gateway/EndpointListCache.java
+++ b/gateway/src/main/java/lemondock/gateway/EndpointListCache.java
@@ -4,10 +4,10 @@
 import java.io.UncheckedIOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
 import java.util.List;
 import lemondock.dispatch.Endpoint;
 import lemondock.gateway.discovery.EndpointListCodec;
+import lemondock.gateway.files.AtomicFile;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -17,7 +17,6 @@
  */
 final class EndpointListCache {
   private static final Logger LOG = LoggerFactory.getLogger(EndpointListCache.class);
-  private static final String TEMPORARY_SUFFIX = ".next";
 
   private final String file;
 
@@ -47,13 +46,7 @@
   /** Replaces the file atomically; a failure is logged, for the gateway serves on without it. */
   void write(byte[] content) {
     try {
-      Path temporary = Path.of(file + TEMPORARY_SUFFIX);
-      Files.write(temporary, content);
-      Files.move(
-          temporary,
-          Path.of(file),
-          StandardCopyOption.REPLACE_EXISTING,
-          StandardCopyOption.ATOMIC_MOVE);
+      AtomicFile.replace(Path.of(file), content);
     } catch (IOException | UncheckedIOException e) {
       LOG.warn("the endpoint list cannot be cached in {}: {}", file, e.getMessage());
     }
--- a/gateway/src/main/java/lemondock/gateway/engine/TextEventParser.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/TextEventParser.java
@@ -149,21 +149,21 @@
     }
   }
 
-  private boolean isOneOf(byte[][] names, int start, int end) {
+  private boolean isOneOf(byte[][] names, int nameStart, int nameEnd) {
     for (byte[] name : names) {
-      if (nameEquals(name, start, end)) {
+      if (nameEquals(name, nameStart, nameEnd)) {
         return true;
       }
     }
     return false;
   }
 
-  private boolean nameEquals(byte[] name, int start, int end) {
-    if (end - start != name.length) {
+  private boolean nameEquals(byte[] name, int nameStart, int nameEnd) {
+    if (nameEnd - nameStart != name.length) {
       return false;
     }
     for (int i = 0; i < name.length; i++) {
-      if (input[start + i] != name[i]) {
+      if (input[nameStart + i] != name[i]) {
         return false;
       }
     }
--- /dev/null
+++ b/gateway/src/main/java/lemondock/gateway/files/package-info.java
@@ -0,0 +1,2 @@
+/** Files that the gateway writes for itself. */
+package lemondock.gateway.files;
--- a/gateway/src/main/java/lemondock/gateway/reporting/ServiceWindow.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/ServiceWindow.java
@@ -9,8 +9,8 @@
 import lemondock.metrics.Snapshot;
 
 /**
- * Worth asked for and answered in time over the last seconds, by class; from snapshots, with time
- * passed in.
+ * Priority weight requested and answered in time over the last seconds, by class; from snapshots,
+ * with time passed in. One thread.
  */
 final class ServiceWindow {
   private final long spanMicros;
@@ -44,9 +44,12 @@
     return all.next();
   }
 
-  /** For each class, worth asked for and worth answered in time within the window. */
-  Map<String, double[]> valueByClass() {
-    Map<String, double[]> values = new LinkedHashMap<>();
+  /** Priority weight of a class's requests, and the part of it answered in time. */
+  record Service(double requested, double inTime) {}
+
+  /** For each class, what was requested and what was answered in time within the window. */
+  Map<String, Service> serviceByClass() {
+    Map<String, Service> services = new LinkedHashMap<>();
     if (!samples.isEmpty()) {
       Sample first = samples.peekFirst();
       samples
@@ -55,14 +58,13 @@
           .forEach(
               (name, sum) -> {
                 long[] before = first.byClass().getOrDefault(name, new long[2]);
-                values.put(
+                services.put(
                     name,
-                    new double[] {
-                      (sum[0] - before[0]) / Metrics.WORTH_ONE,
-                      (sum[1] - before[1]) / Metrics.WORTH_ONE
-                    });
+                    new Service(
+                        (sum[0] - before[0]) / Metrics.WORTH_ONE,
+                        (sum[1] - before[1]) / Metrics.WORTH_ONE));
               });
     }
-    return values;
+    return services;
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
@@ -3,6 +3,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import lemondock.anomaly.Cusum;
 import lemondock.overload.Admission;
 import lemondock.overload.ResourcePressure;
 import lemondock.overload.RetryBudget;
@@ -252,7 +253,22 @@
       double clear,
       double holdMs,
       double quietMs,
-      double memory) {}
+      double memory) {
+
+    /** The same for the detector, times in microseconds. */
+    public Cusum.Settings toCusumSettings() {
+      return new Cusum.Settings(
+          leastUsual,
+          mostUsual,
+          fall,
+          times,
+          threshold,
+          clear,
+          micros(holdMs),
+          micros(quietMs),
+          memory);
+    }
+  }
 
   /** One collector. */
   public record Destination(
