--- a/gateway/src/main/java/lemondock/gateway/Gateway.java
+++ b/gateway/src/main/java/lemondock/gateway/Gateway.java
@@ -27,8 +27,8 @@
 import lemondock.gateway.mcp.McpHttpHandler;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsFile;
+import lemondock.net.DelayProbe;
 import lemondock.net.Loop;
-import lemondock.net.Network;
 import lemondock.net.http.HttpClient;
 import lemondock.net.http.HttpServer;
 import lemondock.overload.Admission;
@@ -176,7 +176,7 @@
               environment.idempotencyFiles(), settings.durable(), loop, environment.disk()));
     }
     List<Endpoint> cached = endpointListCache.read();
-    List<Network.Probe> probes = environment.network().probes();
+    List<DelayProbe> probes = environment.network().delayProbes();
     server.start(environment.network(), SettingsFile.resolveAddress(settings.front().listen()));
     loop.execute(() -> startOnLoop(cached, probes));
     LOG.atInfo()
@@ -185,7 +185,7 @@
         .log("listening");
   }
 
-  private void startOnLoop(List<Endpoint> cached, List<Network.Probe> probes) {
+  private void startOnLoop(List<Endpoint> cached, List<DelayProbe> probes) {
     startedAtMicros = loop.now();
     queueDelays.start(environment.workers(), probes);
     recordMetricsEverySecond();
--- a/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
@@ -5,9 +5,12 @@
 import lemondock.dispatch.Endpoint;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.Loop;
+import lemondock.net.http.BufferingReceiver;
 import lemondock.net.http.Headers;
+import lemondock.net.http.HttpCall;
 import lemondock.net.http.HttpClient;
 import lemondock.net.http.HttpEncoder;
+import lemondock.net.http.RequestFailure;
 
 /**
  * Follows a service in a catalogue by Consul's health API with blocking queries: each query names
@@ -29,7 +32,7 @@
   private long lastIndex;
   private long backoffMicros;
   private boolean stopped;
-  private HttpClient.Call call;
+  private HttpCall call;
   private Loop.Timer timer = () -> {};
 
   /** Makes a follower; {@code userAgent} is what the catalogue sees as User-Agent. */
@@ -115,9 +118,9 @@
     timer = loop.schedule(backoffMicros, this::query);
   }
 
-  private final class CatalogueResponse extends HttpClient.Keeping {
+  private final class CatalogueResponse extends BufferingReceiver {
     @Override
-    public void done() {
+    public void onComplete() {
       timer.cancel();
       if (status() != 200) {
         ConsulEndpointList.this.retryAfterFailure("the catalogue answered " + status());
@@ -149,7 +152,7 @@
     }
 
     @Override
-    public void failed(HttpClient.Failure failure, String what) {
+    public void onFailure(RequestFailure failure, String what) {
       ConsulEndpointList.this.retryAfterFailure(what);
     }
   }
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpCall.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpCall.java
@@ -154,7 +154,7 @@
         this,
         switch (outcome.kind()) {
           case SERVED -> JsonRpc.result(id, result(outcome));
-          case REJECTED -> JsonRpc.error(id, Mcp.REFUSED, outcome.message(), data(outcome, true));
+          case REJECTED -> JsonRpc.error(id, Mcp.REJECTED, outcome.message(), data(outcome, true));
           default -> JsonRpc.error(id, Mcp.FAILED, outcome.message(), data(outcome, idempotent));
         });
   }
--- a/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
@@ -23,6 +23,7 @@
 import lemondock.net.Loop;
 import lemondock.net.http.HttpLimits;
 import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpServerOptions;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -111,7 +112,7 @@
     statusServer =
         new HttpServer(
             loop,
-            new HttpServer.Options(
+            new HttpServerOptions(
                 HttpLimits.DEFAULT,
                 STATUS_CONNECTIONS,
                 STATUS_BODIES_BYTES,
--- a/gateway/src/main/java/lemondock/gateway/reporting/StatusPage.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/StatusPage.java
@@ -12,7 +12,7 @@
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.metrics.Snapshot;
 import lemondock.net.http.Headers;
-import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpExchange;
 
 /**
  * What {@code lemondock status} and {@code lemondock metrics} read over HTTP: service of the last
@@ -49,7 +49,7 @@
   }
 
   /** Answers a request. */
-  void serve(HttpServer.Exchange exchange) {
+  void serve(HttpExchange exchange) {
     Optional<ObjectNode> page =
         switch (exchange.request().path()) {
           case "/status" -> Optional.of(status());
