--- a/gateway/src/main/java/lemondock/gateway/core/CallService.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CallService.java
@@ -409,7 +409,6 @@
       waits(true);
       if (waitingAnswers > settings.limits().maxWaitingAnswers()) {
         // the newest: the others may be answered any moment
-
         cut("too many answers wait for their tools");
         return;
       }
