--- a/gateway/src/main/java/lemondock/gateway/Gateway.java
+++ b/gateway/src/main/java/lemondock/gateway/Gateway.java
@@ -171,7 +171,7 @@
   public void start() throws IOException {
     if (settings.durable() != null) {
       // first: a log that cannot be read must not be served over
-      calls.guard(
+      calls.setIdempotencyGuard(
           IdempotencyGuard.open(
               environment.idempotencyFiles(), settings.durable(), loop, environment.disk()));
     }
@@ -244,7 +244,7 @@
             dispatcher.requestsInFlight(),
             mcp.sessions(),
             mcp.streamCount(),
-            calls.toolsWaiting(),
+            calls.pendingToolCalls(),
             endpoints.size(),
             (loop.now() - startedAtMicros) / MICROS_PER_SECOND));
   }
@@ -324,7 +324,7 @@
       return;
     }
     stopped = true;
-    calls.cutAll("the gateway stops");
+    calls.interruptAll("the gateway stops");
     mcp.close();
     endpointListSource.stop();
     loop.schedule(
--- /dev/null
+++ b/gateway/src/main/java/lemondock/gateway/core/ToolResultReader.java
@@ -0,0 +1,30 @@
+package lemondock.gateway.core;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import lemondock.gateway.answer.ToolResult;
+
+/** Reads what a client answers to a relayed {@code tools/call}. */
+public final class ToolResultReader {
+  private ToolResultReader() {}
+
+  /** The text of a result, or of an error of JSON-RPC; {@code error} is null for a result. */
+  public static ToolResult read(JsonNode result, JsonNode error) {
+    if (error != null) {
+      return new ToolResult(
+          "error " + error.path("code").asText() + ": " + error.path("message").asText(""), true);
+    }
+    StringBuilder text = new StringBuilder();
+    for (JsonNode part : result.path("content")) {
+      text.append(text.isEmpty() ? "" : "\n");
+      if (part.path("type").asText("").equals("text")) {
+        text.append(part.path("text").asText(""));
+      } else {
+        text.append(part);
+      }
+    }
+    if (text.isEmpty() && result.has("structuredContent")) {
+      text.append(result.get("structuredContent"));
+    }
+    return new ToolResult(text.toString(), result.path("isError").asBoolean(false));
+  }
+}
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpCall.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpCall.java
@@ -9,12 +9,13 @@
 import java.util.Map;
 import lemondock.gateway.answer.Answer;
 import lemondock.gateway.answer.ToolCall;
-import lemondock.gateway.core.CallService;
+import lemondock.gateway.core.CallSink;
+import lemondock.gateway.core.ClientCall;
 import lemondock.rpc.JsonRpc;
 import lemondock.rpc.Mcp;
 
 /** One {@code tools/call} of a client: turns what becomes of it into messages of the protocol. */
-final class McpCall implements CallService.Sink {
+final class McpCall implements CallSink {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final long MICROS = 1_000;
 
@@ -25,7 +26,7 @@
   private final ProgressNotification progress;
   private final String conversation;
   private final Map<String, String> relayIds = new HashMap<>();
-  private CallService.Call call;
+  private ClientCall call;
 
   /** Where a call's messages go. */
   interface Reply {
@@ -44,10 +45,10 @@
     /** The shard of the connection they go over. */
     int shard();
 
-    /** See {@link CallService.Sink#lock}. */
+    /** See {@link CallSink#outputLock}. */
     Object lock();
 
-    /** See {@link CallService.Sink#flows}. */
+    /** See {@link CallSink#acceptsDirectOutput}. */
     boolean flows();
   }
 
@@ -74,18 +75,18 @@
     return id.toString();
   }
 
-  CallService.Call call() {
+  ClientCall call() {
     return call;
   }
 
-  /** The client cancelled it; {@link CallService.Call#leave} was called. */
+  /** The client cancelled it; {@link ClientCall#cancel} was called. */
   void cancelled() {
     reply.cancelled(this);
   }
 
   @Override
-  public void taken(CallService.Call made) {
-    call = made;
+  public void accepted(ClientCall accepted) {
+    call = accepted;
   }
 
   @Override
@@ -96,17 +97,17 @@
   }
 
   @Override
-  public int shard() {
+  public int clientShard() {
     return reply.shard();
   }
 
   @Override
-  public Object lock() {
+  public Object outputLock() {
     return reply.lock();
   }
 
   @Override
-  public boolean flows() {
+  public boolean acceptsDirectOutput() {
     return reply.flows();
   }
 
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpHttpHandler.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpHttpHandler.java
@@ -18,6 +18,7 @@
 import java.util.function.Supplier;
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.core.CallService;
+import lemondock.gateway.core.ToolResultReader;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.Loop;
 import lemondock.net.http.Headers;
@@ -335,7 +336,7 @@
     session.ended = true;
     sessions.remove(session.id);
     for (McpCall call : List.copyOf(session.calls.values())) {
-      call.call().leave(why);
+      call.call().cancel(why);
     }
     session.calls.clear();
     session.relayedToolCalls.clear();
@@ -444,7 +445,7 @@
       JsonNode id = notification.params().get("requestId");
       McpCall call = id == null ? null : session.calls.get(id.toString());
       if (call != null) {
-        call.call().leave("the client cancelled");
+        call.call().cancel("the client cancelled");
         call.cancelled();
       } else if (id != null) {
         session.cancelledEarly(id.toString(), loop.now());
@@ -462,9 +463,9 @@
         relayed != null
             && relayed
                 .call()
-                .result(
+                .toolResult(
                     relayed.toolCallId(),
-                    CallService.toolResult(response.result(), response.error()));
+                    ToolResultReader.read(response.result(), response.error()));
     if (!taken) {
       LOG.atInfo()
           .addKeyValue("request", clip(response.id().toString()))
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpSession.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpSession.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import lemondock.gateway.core.CallService;
+import lemondock.gateway.core.ClientCall;
 
 /**
  * One client's session: its version, its calls and streams, and the tool calls that it was sent.
@@ -36,7 +36,7 @@
   boolean ended;
 
   /** A call that was sent to the client. */
-  record RelayedToolCall(CallService.Call call, String toolCallId) {}
+  record RelayedToolCall(ClientCall call, String toolCallId) {}
 
   /**
    * The client cancelled a call that is not under way: it has ended, never was, or its request
--- a/gateway/src/main/java/lemondock/gateway/mcp/PostResponder.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/PostResponder.java
@@ -13,6 +13,7 @@
 import java.util.function.BooleanSupplier;
 import lemondock.gateway.answer.Prompt;
 import lemondock.gateway.answer.PromptReader;
+import lemondock.gateway.core.CallRequest;
 import lemondock.gateway.core.CallService;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.idempotency.CallStatus;
@@ -82,7 +83,7 @@
     } else if (reading instanceof RequestPreparer.Rejected refused) {
       boolean repeat = RequestPreparer.isRetry(request.params());
       dependencies.intake().recordArrival(refused.classId(), repeat);
-      dependencies.calls().refusedLate(refused.classId(), RequestPreparer.tenant(request), repeat);
+      dependencies.calls().shedLoad(refused.classId(), RequestPreparer.tenant(request), repeat);
       addResponse(RequestPreparer.rejection(request.id(), refused.retryAfterMicros()));
     } else if (reading instanceof RequestPreparer.Accepted accepted) {
       dependencies
@@ -138,14 +139,14 @@
           "no more than "
               + dependencies.settings().front().maxCallsPerSession()
               + " calls of a session at once";
-    } else if (!dependencies.calls().hasRoom()) {
+    } else if (!dependencies.calls().hasCapacity()) {
       problem = "no more than " + dependencies.settings().limits().maxCalls() + " calls at once";
     }
     if (problem != null) {
       if (code == Mcp.LIMIT || code == Mcp.STOPPING) {
         dependencies
             .calls()
-            .turnedAway(
+            .rejected(
                 prompt, RequestPreparer.tenant(request), RequestPreparer.isRetry(request.params()));
       }
       ObjectNode data =
@@ -178,7 +179,8 @@
    */
   private boolean rejectDuplicate(Message.Request request, Prompt prompt) {
     String key = RequestPreparer.idempotencyKey(request.params());
-    Optional<CallStatus> blocking = dependencies.calls().blockingStatus(prompt, key);
+    Optional<CallStatus> blocking =
+        dependencies.calls().blockingStatus(prompt, Optional.ofNullable(key));
     if (blocking.isEmpty()) {
       return false;
     }
@@ -225,11 +227,12 @@
     dependencies
         .calls()
         .start(
-            prompt,
-            key,
-            RequestPreparer.tenant(request),
-            RequestPreparer.isRetry(request.params()),
-            RequestPreparer.idempotencyKey(request.params()),
+            new CallRequest(
+                prompt,
+                key,
+                Optional.ofNullable(RequestPreparer.tenant(request)),
+                RequestPreparer.isRetry(request.params()),
+                Optional.ofNullable(RequestPreparer.idempotencyKey(request.params()))),
             call);
   }
 
@@ -315,12 +318,12 @@
 
   @Override
   public void pauseProducer() {
-    openCalls.forEach(c -> c.call().pause());
+    openCalls.forEach(c -> c.call().pauseOutput());
   }
 
   @Override
   public void resumeProducer() {
-    openCalls.forEach(c -> c.call().resume());
+    openCalls.forEach(c -> c.call().resumeOutput());
   }
 
   @Override
@@ -333,7 +336,7 @@
 
   private void cancelAllCalls(String why) {
     for (McpCall call : List.copyOf(openCalls)) {
-      call.call().leave(why);
+      call.call().cancel(why);
       removeCall(call);
     }
   }
--- a/gateway/src/main/java/lemondock/gateway/mcp/RequestPreparer.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/RequestPreparer.java
@@ -110,7 +110,7 @@
         bytes(rejection(NullNode.instance, retryAfterMicros)),
         () -> {
           recordArrival(classId, false);
-          calls.refusedLate(classId, null, false);
+          calls.shedLoad(classId, null, false);
         });
   }
 
