--- a/benchmark/src/main/java/lemondock/benchmark/Affinity.java
+++ b/benchmark/src/main/java/lemondock/benchmark/AffinityBenchmark.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 import lemondock.dispatch.RouterFactory;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.Tap;
+import lemondock.emulator.TrafficObserver;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.http.HttpClient;
@@ -28,9 +28,9 @@
 import lemondock.policy.AttemptResult;
 import lemondock.policy.RequestRouter;
 import lemondock.policy.RoutingRequest;
+import lemondock.scenario.EmulatedProcess;
+import lemondock.scenario.LoopbackSettings;
 import lemondock.scenario.McpClient;
-import lemondock.scenario.Node;
-import lemondock.scenario.Presets;
 import lemondock.scenario.ScenarioFleet;
 
 /**
@@ -38,14 +38,14 @@
  * that reads it anew: tokens found kept, and the time from the leg's arrival at a reader to the
  * beginning of its writing. Nothing is held for it meanwhile in either case. Stand-ins.
  */
-final class Affinity {
+final class AffinityBenchmark {
   private static final int CALLS = 200;
   private static final int WORDS = 3_000;
   private static final int READERS = 6;
   private static final double READ_A_SECOND = 20_000;
   private static final int AT_A_TIME = 4;
 
-  private Affinity() {}
+  private AffinityBenchmark() {}
 
   /**
    * The module as it is, and one to which each leg is a conversation of its own without a shared
@@ -121,12 +121,12 @@
   }
 
   private static List<Long> run(boolean anew, AtomicLongArray kept) throws Exception {
-    int port = Presets.freePort();
+    int port = LoopbackSettings.freePort();
     GatewaySettings[] settings = new GatewaySettings[1];
     List<GatewaySettings.ClassSettings> classes =
-        Presets.gateway("x", 0, 1, "north", port, "127.0.0.1:1", s -> change(s)).classes();
+        LoopbackSettings.gateway("x", 0, 1, "north", port, "127.0.0.1:1", s -> change(s)).classes();
     try (ScenarioFleet fleet = new ScenarioFleet(classes, 1);
-        Node clients = new Node("clients", 1)) {
+        EmulatedProcess clients = new EmulatedProcess("clients", 1)) {
       for (int i = 0; i < READERS; i++) {
         EngineSettings reader = EngineSettings.quick("r" + i, "reader", "north", "r1");
         fleet.addEngine(
@@ -153,7 +153,8 @@
       fleet.addEngine(
           EngineSettings.quick("w1", "writer", "north", "r1").bounded(64, 64, 10_000_000));
       settings[0] =
-          Presets.gateway("gw", 0, 1, "north", port, fleet.catalogueAddress(), s -> change(s));
+          LoopbackSettings.gateway(
+              "gw", 0, 1, "north", port, fleet.catalogueAddress(), s -> change(s));
       fleet.addGateway(settings[0], maker(anew, kept));
       if (!fleet.awaitServers("gw", READERS + 2, 10_000)) {
         throw new IllegalStateException("the gateway does not see its servers");
@@ -181,7 +182,11 @@
   }
 
   private static void next(
-      Node clients, HttpClient http, int port, AtomicInteger number, CountDownLatch done) {
+      EmulatedProcess clients,
+      HttpClient http,
+      int port,
+      AtomicInteger number,
+      CountDownLatch done) {
     int call = number.getAndIncrement();
     if (call >= CALLS) {
       return;
@@ -216,10 +221,11 @@
   }
 
   /** For each call, from the arrival of its second read to the second beginning of writing. */
-  private static List<Long> times(List<Tap.Event> events) {
-    Map<String, List<Tap.Event>> byMark = new LinkedHashMap<>();
+  private static List<Long> times(List<TrafficObserver.Event> events) {
+    Map<String, List<TrafficObserver.Event>> byMark = new LinkedHashMap<>();
     events.stream()
-        .filter(e -> e.what() == Tap.What.READ || e.what() == Tap.What.EFFECT)
+        .filter(
+            e -> e.what() == TrafficObserver.What.READ || e.what() == TrafficObserver.What.EFFECT)
         .forEach(e -> byMark.computeIfAbsent(e.mark(), k -> new ArrayList<>()).add(e));
     List<Long> times = new ArrayList<>();
     byMark
@@ -228,14 +234,14 @@
             all -> {
               long[] reads =
                   all.stream()
-                      .filter(e -> e.what() == Tap.What.READ)
-                      .mapToLong(Tap.Event::at)
+                      .filter(e -> e.what() == TrafficObserver.What.READ)
+                      .mapToLong(TrafficObserver.Event::at)
                       .sorted()
                       .toArray();
               long[] writes =
                   all.stream()
-                      .filter(e -> e.what() == Tap.What.EFFECT)
-                      .mapToLong(Tap.Event::at)
+                      .filter(e -> e.what() == TrafficObserver.What.EFFECT)
+                      .mapToLong(TrafficObserver.Event::at)
                       .sorted()
                       .toArray();
               long from =
--- a/benchmark/src/main/java/lemondock/benchmark/Measure.java
+++ b/benchmark/src/main/java/lemondock/benchmark/BenchmarkMain.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import lemondock.emulator.collect.CollectdListener;
 import lemondock.emulator.collect.GraphiteListener;
-import lemondock.scenario.Presets;
+import lemondock.scenario.LoopbackSettings;
 import org.HdrHistogram.Histogram;
 import org.slf4j.LoggerFactory;
 
@@ -26,8 +26,8 @@
  * {@code fair}, {@code quiet}, {@code decisions}; for reports {@code recording}, {@code reports},
  * {@code reporting} and {@code detector}.
  */
-public final class Measure {
-  private Measure() {}
+public final class BenchmarkMain {
+  private BenchmarkMain() {}
 
   /** Runs a measurement, or one of its processes. */
   public static void main(String[] args) throws Exception {
@@ -35,29 +35,31 @@
     String what = args.length == 0 ? "all" : args[0];
     try {
       switch (what) {
-        case "engine" -> Roles.engine(Integer.parseInt(args[1]), Double.parseDouble(args[2]));
-        case "gateway" -> Roles.gateway(Path.of(args[1]));
-        case "relay-process" -> Roles.relay(Integer.parseInt(args[1]), Integer.parseInt(args[2]));
-        case "firehose" -> Roles.firehose(Integer.parseInt(args[1]));
+        case "engine" ->
+            BenchmarkProcesses.engine(Integer.parseInt(args[1]), Double.parseDouble(args[2]));
+        case "gateway" -> BenchmarkProcesses.gateway(Path.of(args[1]));
+        case "relay-process" ->
+            BenchmarkProcesses.relay(Integer.parseInt(args[1]), Integer.parseInt(args[2]));
+        case "firehose" -> BenchmarkProcesses.firehose(Integer.parseInt(args[1]));
         case "latency" -> latency();
         case "relay" -> relay();
-        case "affinity" -> Affinity.measure();
-        case "toolcall" -> ToolCalls.measure();
-        case "ledger" -> Ledgers.measure();
+        case "affinity" -> AffinityBenchmark.measure();
+        case "toolcall" -> ToolCallBenchmark.measure();
+        case "ledger" -> IdempotencyLogBenchmark.measure();
         case "waiting" -> waiting();
         case "open" -> open();
-        case "overload" -> Overload.measure();
-        case "recovery" -> Overload.recovery();
+        case "overload" -> OverloadBenchmark.measure();
+        case "recovery" -> OverloadBenchmark.recovery();
         case "threads" -> threads();
         case "fair" -> fair();
         case "quiet" -> quiet();
-        case "recording" -> Recording.run();
-        case "reports" -> Reports.run();
+        case "recording" -> MetricRecordingBenchmark.run();
+        case "reports" -> ReportBenchmark.run();
         case "reporting" -> reporting();
-        case "detector", "detector-days" -> DetectorDays.main(args);
-        case "decisions" -> Decisions.run();
+        case "detector", "detector-days" -> DegradationDetectorBenchmark.main(args);
+        case "decisions" -> DecisionBenchmark.run();
         case "all" -> {
-          Decisions.run();
+          DecisionBenchmark.run();
           latency();
           relay();
           open();
@@ -71,7 +73,7 @@
                     + " FILE...]");
       }
     } finally {
-      Child.endAll();
+      ChildProcess.endAll();
     }
   }
 
@@ -131,20 +133,21 @@
     int rounds = Integer.getInteger("rounds", 5);
     int words = Integer.getInteger("words", 500);
     int threads = Integer.getInteger("threads", 2);
-    Child engine = new Child("2g", "engine", "8000", "20");
-    Child netty =
-        new Child("1g", "relay-process", Integer.toString(engine.port), Integer.toString(threads));
-    Child gateway = new Child("1g", "gateway", settings(engine.port).toString());
+    ChildProcess engine = new ChildProcess("2g", "engine", "8000", "20");
+    ChildProcess netty =
+        new ChildProcess(
+            "1g", "relay-process", Integer.toString(engine.port), Integer.toString(threads));
+    ChildProcess gateway = new ChildProcess("1g", "gateway", settings(engine.port).toString());
     String[] ways = {"direct", "netty", "gateway"};
-    Child[] children = {engine, netty, gateway};
+    ChildProcess[] children = {engine, netty, gateway};
     double[][][] rows = new double[ways.length][11][rounds];
     for (int round = -1; round < rounds; round++) { // the first warms up
       for (int w = 0; w < ways.length; w++) {
         if (!ways[w].startsWith(System.getProperty("way", ""))) {
           continue;
         }
-        Child child = children[w];
-        try (Load load = new Load(2)) {
+        ChildProcess child = children[w];
+        try (StreamLoad load = new StreamLoad(2)) {
           List<String> sessions = w == 2 ? load.sessions(child.port, streams) : List.of();
           CountDownLatch done = new CountDownLatch(streams);
           final Duration before = child.cpu();
@@ -157,7 +160,7 @@
                 i,
                 child.port,
                 w == 2 ? sessions.get(i) : null,
-                w == 2 ? Load.call(i, prompt) : Load.direct(prompt),
+                w == 2 ? StreamLoad.call(i, prompt) : StreamLoad.direct(prompt),
                 true,
                 done);
             if (i % 5 == 4) {
@@ -245,29 +248,29 @@
     int streams = Integer.getInteger("streams", 500);
     int rounds = Integer.getInteger("rounds", 5);
     int words = 150;
-    Child engine = new Child("2g", "engine", "4000", "20");
+    ChildProcess engine = new ChildProcess("2g", "engine", "4000", "20");
     try (GraphiteListener good = new GraphiteListener(0, false, GraphiteListener.Fault.NONE);
         GraphiteListener pickle = new GraphiteListener(0, true, GraphiteListener.Fault.NONE);
         GraphiteListener stalled =
             new GraphiteListener(0, false, GraphiteListener.Fault.NEVER_READS);
         CollectdListener udp = new CollectdListener(0, Map.of(), 1)) {
-      int nobody = Presets.freePort();
+      int nobody = LoopbackSettings.freePort();
       Map<String, String> kinds = new LinkedHashMap<>();
       kinds.put("off", "{\"tickMs\":10,\"intervalMs\":10}");
       kinds.put("healthy", destinations(good.port(), pickle.port(), udp.port()));
       kinds.put("stalled", destinations(stalled.port(), stalled.port(), nobody));
       kinds.put("absent", destinations(nobody, nobody, nobody));
-      Map<String, Child> gateways = new LinkedHashMap<>();
+      Map<String, ChildProcess> gateways = new LinkedHashMap<>();
       for (Map.Entry<String, String> kind : kinds.entrySet()) {
         gateways.put(
             kind.getKey(),
-            new Child("1g", "gateway", settings(kind.getValue(), engine.port).toString()));
+            new ChildProcess("1g", "gateway", settings(kind.getValue(), engine.port).toString()));
       }
       Map<String, List<double[]>> results = new LinkedHashMap<>();
       for (int round = -1; round < rounds; round++) { // the first warms up
-        for (Map.Entry<String, Child> kind : gateways.entrySet()) {
-          try (Load load = new Load(2)) {
-            Child gateway = kind.getValue();
+        for (Map.Entry<String, ChildProcess> kind : gateways.entrySet()) {
+          try (StreamLoad load = new StreamLoad(2)) {
+            ChildProcess gateway = kind.getValue();
             List<String> sessions = load.sessions(gateway.port, streams);
             CountDownLatch done = new CountDownLatch(streams);
             Duration before = gateway.cpu();
@@ -277,7 +280,7 @@
                   i,
                   gateway.port,
                   sessions.get(i),
-                  Load.call(i, "#s" + i + "# stamp each word answer in " + words + " words"),
+                  StreamLoad.call(i, "#s" + i + "# stamp each word answer in " + words + " words"),
                   true,
                   done);
               if (i % 5 == 4) {
@@ -349,14 +352,14 @@
   private static void relay() throws Exception {
     int streams = 64;
     int each = 20_000;
-    Child hose = new Child("1g", "firehose", "2");
-    Child netty = new Child("1g", "relay-process", Integer.toString(hose.port), "2");
-    Child gateway = new Child("1g", "gateway", settings(hose.port).toString());
+    ChildProcess hose = new ChildProcess("1g", "firehose", "2");
+    ChildProcess netty = new ChildProcess("1g", "relay-process", Integer.toString(hose.port), "2");
+    ChildProcess gateway = new ChildProcess("1g", "gateway", settings(hose.port).toString());
     double[] perCpu = new double[2];
     for (int round = 0; round < 2; round++) {
       for (boolean through : new boolean[] {false, true}) {
-        Child relay = through ? gateway : netty;
-        try (Load load = new Load(2)) {
+        ChildProcess relay = through ? gateway : netty;
+        try (StreamLoad load = new StreamLoad(2)) {
           List<String> sessions = through ? load.sessions(gateway.port, streams) : List.of();
           CountDownLatch done = new CountDownLatch(streams);
           Duration before = relay.cpu();
@@ -367,7 +370,7 @@
                 i,
                 relay.port,
                 through ? sessions.get(i) : null,
-                through ? Load.call(i, prompt) : Load.direct(prompt),
+                through ? StreamLoad.call(i, prompt) : StreamLoad.direct(prompt),
                 false,
                 done);
           }
@@ -406,7 +409,7 @@
     int rounds = Integer.getInteger("rounds", 5);
     int streams = 64;
     int each = 20_000;
-    Child hose = new Child("1g", "firehose", "2");
+    ChildProcess hose = new ChildProcess("1g", "firehose", "2");
     System.out.println(
         streams
             + " streams of "
@@ -423,10 +426,10 @@
           file,
           Files.readString(file)
               .replace("{\"name\":\"gw\",", "{\"name\":\"gw\",\"ioThreads\":" + threads + ","));
-      Child gateway = new Child("1g", "gateway", file.toString());
+      ChildProcess gateway = new ChildProcess("1g", "gateway", file.toString());
       double[][] rows = new double[3][rounds];
       for (int round = -1; round < rounds; round++) { // the first warms up
-        try (Load load = new Load(3)) {
+        try (StreamLoad load = new StreamLoad(3)) {
           List<String> sessions = load.sessions(gateway.port, streams);
           CountDownLatch done = new CountDownLatch(streams);
           long allocated = gateway.memory()[0];
@@ -437,7 +440,7 @@
                 i,
                 gateway.port,
                 sessions.get(i),
-                Load.call(i, "send " + each + " events"),
+                StreamLoad.call(i, "send " + each + " events"),
                 false,
                 done);
           }
@@ -482,12 +485,12 @@
     int rounds = Integer.getInteger("rounds", 5);
     int streams = 200;
     int giants = 4;
-    Child engine = new Child("2g", "engine", "8000", "20");
+    ChildProcess engine = new ChildProcess("2g", "engine", "8000", "20");
     Path file = settings(engine.port);
     Files.writeString(
         file,
         Files.readString(file).replace("{\"name\":\"gw\",", "{\"name\":\"gw\",\"ioThreads\":1,"));
-    Child gateway = new Child("1g", "gateway", file.toString());
+    ChildProcess gateway = new ChildProcess("1g", "gateway", file.toString());
     System.out.println(
         streams
             + " streams of 200 tokens at 20 ms over one I/O thread, "
@@ -502,8 +505,8 @@
     for (String where : new String[] {"none", "beside the gateway", "over the same shard"}) {
       double[][] rows = new double[4][rounds];
       for (int round = -1; round < rounds; round++) { // the first warms up
-        try (Load load = new Load(2);
-            Load giant = new Load(1)) {
+        try (StreamLoad load = new StreamLoad(2);
+            StreamLoad giant = new StreamLoad(1)) {
           List<String> sessions = load.sessions(gateway.port, streams + giants);
           CountDownLatch done = new CountDownLatch(streams);
           final long begun = System.nanoTime();
@@ -514,7 +517,7 @@
                 i,
                 over ? gateway.port : engine.port,
                 over ? sessions.get(streams + i) : null,
-                over ? Load.call(i, prompt) : Load.direct(prompt),
+                over ? StreamLoad.call(i, prompt) : StreamLoad.direct(prompt),
                 false,
                 new CountDownLatch(1));
           }
@@ -523,7 +526,7 @@
                 i,
                 gateway.port,
                 sessions.get(i),
-                Load.call(i, "#s" + i + "# stamp each word answer in 200 words"),
+                StreamLoad.call(i, "#s" + i + "# stamp each word answer in 200 words"),
                 true,
                 done);
           }
@@ -549,8 +552,8 @@
   private static void quiet() throws Exception {
     final int idle = Integer.getInteger("idle", 5_000);
     int stalled = Integer.getInteger("stalled", 100);
-    Child engine = new Child("4g", "engine", "40000", "1");
-    Child gateway = new Child("1g", "gateway", settings(engine.port).toString());
+    ChildProcess engine = new ChildProcess("4g", "engine", "40000", "1");
+    ChildProcess gateway = new ChildProcess("1g", "gateway", settings(engine.port).toString());
     System.out.println(
         "| | CPU % of one processor, median (spread) of 10 times 1 s | heap MB after a"
             + " collection |\n"
@@ -574,11 +577,11 @@
       socket.close();
     }
     sockets.clear();
-    try (Load load = new Load(1)) {
+    try (StreamLoad load = new StreamLoad(1)) {
       List<String> sessions = load.sessions(gateway.port, stalled);
       for (int i = 0; i < stalled; i++) {
         byte[] body =
-            Load.call(i, "#q" + i + "# answer in 100000 words of 8000 letters without pause");
+            StreamLoad.call(i, "#q" + i + "# answer in 100000 words of 8000 letters without pause");
         sockets.add(post(gateway.port, sessions.get(i), body));
       }
       TimeUnit.SECONDS.sleep(20);
@@ -604,15 +607,15 @@
    */
   private static void waiting() throws Exception {
     int answers = Integer.getInteger("answers", 10_000);
-    Child engine = new Child("4g", "engine", "40000", "1");
-    Child gateway = new Child("512m", "gateway", settings(engine.port).toString());
+    ChildProcess engine = new ChildProcess("4g", "engine", "40000", "1");
+    ChildProcess gateway = new ChildProcess("512m", "gateway", settings(engine.port).toString());
     System.out.println(
         "| answers waiting | heap MB after a collection | CPU % of one processor | a call"
             + " of 20 tokens beside them, first token p50, p99 us |\n"
             + "| --- | --- | --- | --- |");
     List<java.net.Socket> sockets = new ArrayList<>();
     for (int most : new int[] {0, answers / 10, answers}) {
-      try (Load load = new Load(2)) {
+      try (StreamLoad load = new StreamLoad(2)) {
         List<String> sessions = new ArrayList<>();
         while (sessions.size()
             < Math.max(1, (most - sockets.size()) / 10)) { // some of many at once are refused
@@ -625,7 +628,7 @@
               post(
                   gateway.port,
                   sessions.get(i / 10 % sessions.size()),
-                  Load.toolCall(
+                  StreamLoad.toolCall(
                       1_000 + i,
                       "#w" + sockets.size() + "# call the tool stock answer in 5 words")));
           if (i % 50 == 49) {
@@ -642,7 +645,7 @@
               i,
               gateway.port,
               others.get(i % 20),
-              Load.call(i, "#o" + most + "-" + i + "# stamp each word answer in 20 words"),
+              StreamLoad.call(i, "#o" + most + "-" + i + "# stamp each word answer in 20 words"),
               true,
               done);
           TimeUnit.MILLISECONDS.sleep(5);
@@ -693,7 +696,7 @@
     return socket;
   }
 
-  private static String cpuShare(Child child) throws InterruptedException {
+  private static String cpuShare(ChildProcess child) throws InterruptedException {
     double[][] shares = new double[1][10];
     for (int i = 0; i < shares[0].length; i++) {
       Duration before = child.cpu();
@@ -706,9 +709,9 @@
   /** Streams held open at a time by a gateway with a heap of 512 MB. */
   private static void open() throws Exception {
     int streams = Integer.getInteger("open", 10_000);
-    Child engine = new Child("4g", "engine", "40000", "1000");
-    Child gateway = new Child("512m", "gateway", settings(engine.port).toString());
-    try (Load load = new Load(3)) {
+    ChildProcess engine = new ChildProcess("4g", "engine", "40000", "1000");
+    ChildProcess gateway = new ChildProcess("512m", "gateway", settings(engine.port).toString());
+    try (StreamLoad load = new StreamLoad(3)) {
       List<String> sessions = load.sessions(gateway.port, streams);
       CountDownLatch done = new CountDownLatch(streams);
       for (int i = 0; i < streams && i < sessions.size(); i++) {
@@ -716,7 +719,7 @@
             i,
             gateway.port,
             sessions.get(i),
-            Load.call(i, "#o" + i + "# answer in 40 words"),
+            StreamLoad.call(i, "#o" + i + "# answer in 40 words"),
             false,
             done);
         if (i % 50 == 49) {
--- a/benchmark/src/main/java/lemondock/benchmark/Roles.java
+++ b/benchmark/src/main/java/lemondock/benchmark/BenchmarkProcesses.java
@@ -36,7 +36,7 @@
 import java.util.regex.Pattern;
 import lemondock.emulator.EngineEmulator;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.Tap;
+import lemondock.emulator.TrafficObserver;
 import lemondock.exporter.host.ProcessMeters;
 import lemondock.exporter.host.ReportHost;
 import lemondock.gateway.Gateway;
@@ -47,17 +47,17 @@
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsFile;
 import lemondock.net.nio.WorkerPool;
-import lemondock.scenario.Node;
+import lemondock.scenario.EmulatedProcess;
 
 /**
  * What the processes of a measurement do; each prints {@code ready PORT} and runs until it is
  * ended.
  */
-final class Roles {
-  private Roles() {}
+final class BenchmarkProcesses {
+  private BenchmarkProcesses() {}
 
   static void engine(int slots, double tokenMs) throws Exception {
-    Node node = new Node("engine", 2);
+    EmulatedProcess node = new EmulatedProcess("engine", 2);
     EngineSettings settings =
         new EngineSettings(
             "mixed",
@@ -77,7 +77,9 @@
             0,
             null);
     EngineEmulator engine =
-        node.ask(() -> new EngineEmulator(node.loop(), node.network(), settings, 1, Tap.NONE));
+        node.ask(
+            () ->
+                new EngineEmulator(node.loop(), node.network(), settings, 1, TrafficObserver.NONE));
     engine.start(node.network());
     System.out.println("ready " + engine.address().getPort());
     Thread.sleep(Long.MAX_VALUE);
@@ -85,7 +87,7 @@
 
   static void gateway(Path file) throws Exception {
     GatewaySettings settings = SettingsFile.readGateway(file);
-    Node node = new Node("gateway", settings.ioThreads());
+    EmulatedProcess node = new EmulatedProcess("gateway", settings.ioThreads());
     Gateway gateway =
         new Gateway(
             new GatewayEnvironment(
--- a/benchmark/src/main/java/lemondock/benchmark/Child.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ChildProcess.java
@@ -9,18 +9,18 @@
 import java.util.List;
 
 /** A process of the measurement. */
-final class Child {
-  private static final List<Child> ALL = new ArrayList<>();
+final class ChildProcess {
+  private static final List<ChildProcess> ALL = new ArrayList<>();
 
   final Process process;
   final int port;
   private final BufferedReader out;
 
-  Child(String heap, String... args) throws IOException {
+  ChildProcess(String heap, String... args) throws IOException {
     this(List.of(), heap, args);
   }
 
-  Child(List<String> before, String heap, String... args) throws IOException {
+  ChildProcess(List<String> before, String heap, String... args) throws IOException {
     List<String> command = new ArrayList<>(before);
     command.add(ProcessHandle.current().info().command().orElse("java"));
     if (args[0].equals("gateway") && !System.getProperty("jvm", "").isEmpty()) {
@@ -31,7 +31,7 @@
             "-Xmx" + heap,
             "-cp",
             System.getProperty("java.class.path"),
-            "lemondock.benchmark.Measure"));
+            "lemondock.benchmark.BenchmarkMain"));
     command.addAll(List.of(args));
     process = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.INHERIT).start();
     ALL.add(this);
--- a/benchmark/src/main/java/lemondock/benchmark/Decisions.java
+++ b/benchmark/src/main/java/lemondock/benchmark/DecisionBenchmark.java
@@ -24,12 +24,12 @@
 import org.HdrHistogram.Histogram;
 
 /** How long the module takes for a request, with 64 servers and 400 requests under way. */
-final class Decisions {
+final class DecisionBenchmark {
   private static final int SERVERS = 64;
   private static final int UNDER_WAY = 400;
   private static final int REQUESTS = 300_000;
 
-  private Decisions() {}
+  private DecisionBenchmark() {}
 
   private record Send(long id, long server) {}
 
--- a/benchmark/src/main/java/lemondock/benchmark/DetectorDays.java
+++ b/benchmark/src/main/java/lemondock/benchmark/DegradationDetectorBenchmark.java
@@ -27,8 +27,8 @@
 import lemondock.metrics.Metrics;
 import lemondock.metrics.Series;
 import lemondock.scenario.CallRecord;
-import lemondock.scenario.DayScript;
 import lemondock.scenario.FaultScenario;
+import lemondock.scenario.ScenarioScript;
 
 /**
  * Judges the detector of falls. Days are played once, on sockets with stand-in engines, and what
@@ -36,7 +36,7 @@
  * over them. A fall is what the clients saw: over two seconds of a gateway's calls (all, or of one
  * class) at least a quarter, and four, were lost or late.
  */
-final class DetectorDays {
+final class DegradationDetectorBenchmark {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final long SECOND = 1_000_000;
   private static final long WINDOW = 2 * SECOND;
@@ -46,14 +46,14 @@
   private static final long BEFORE = 4 * SECOND;
   private static final double CHARS_A_TOKEN = 4;
 
-  private DetectorDays() {}
+  private DegradationDetectorBenchmark() {}
 
   /** Plays days and appends one line of JSON for each to the file. */
   static void play(long from, long to, Path file) throws IOException, InterruptedException {
     for (long seed = from; seed <= to; seed++) {
       ArrayNode looks = MAPPER.createArrayNode();
       FaultScenario day =
-          new FaultScenario(DayScript.draw(seed, 12))
+          new FaultScenario(ScenarioScript.draw(seed, 12))
               .onLook(
                   (gateway, at, snapshot) -> {
                     ObjectNode look = MAPPER.createObjectNode().put("g", gateway).put("at", at);
--- a/benchmark/src/main/java/lemondock/benchmark/Ledgers.java
+++ b/benchmark/src/main/java/lemondock/benchmark/IdempotencyLogBenchmark.java
@@ -25,14 +25,14 @@
  * What it costs to remember calls that may run once: the wait until a call is durable, syncs, CPU;
  * and the time to read the log again.
  */
-final class Ledgers {
+final class IdempotencyLogBenchmark {
   private static final int KEPT = 2_000_000;
   private static final long MOST_BYTES = 64 << 20;
   private static final int QUEUE = 100_000;
   private static final double[] RATES = {1, 100, 10_000};
   private static final int[] SIZES = {1_000, 10_000, 100_000, 1_000_000};
 
-  private Ledgers() {}
+  private IdempotencyLogBenchmark() {}
 
   private static IdempotencyStore book() {
     return new IdempotencyStore(new IdempotencyStore.Settings(KEPT, TimeUnit.DAYS.toMillis(1)));
@@ -74,7 +74,7 @@
       for (int kept = 0; kept < 2; kept++) {
         System.out.println(
             String.format(Locale.ROOT, "| %.0f | %s", rate, kept == 1 ? "durable" : "none")
-                + Measure.columns(rows[kept])
+                + BenchmarkMain.columns(rows[kept])
                 + " |");
       }
     }
--- a/benchmark/src/main/java/lemondock/benchmark/Recording.java
+++ b/benchmark/src/main/java/lemondock/benchmark/MetricRecordingBenchmark.java
@@ -34,7 +34,7 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
-public class Recording {
+public class MetricRecordingBenchmark {
   private final Tally tally = new Tally(8192);
   private final Recorder recorder = tally.recorder();
   private final Series worth = tally.series(Metrics.WORTH, "c", "z", "t");
@@ -101,7 +101,7 @@
   static void run() throws RunnerException {
     new Runner(
             new OptionsBuilder()
-                .include(Recording.class.getName())
+                .include(MetricRecordingBenchmark.class.getName())
                 .addProfiler(GCProfiler.class)
                 .build())
         .run();
--- a/benchmark/src/main/java/lemondock/benchmark/Overload.java
+++ b/benchmark/src/main/java/lemondock/benchmark/OverloadBenchmark.java
@@ -26,7 +26,7 @@
  * processor can do, and what they were worth in time. A call is in time when its first token comes
  * within its class's aim and its last within a second of it.
  */
-final class Overload {
+final class OverloadBenchmark {
   private static final long MICROS = 1_000_000;
   private static final int WORDS = 1_000;
   private static final int ANSWER = 20;
@@ -44,7 +44,7 @@
   private final String prompt;
   private final Map<Integer, List<String>> sessions = new HashMap<>();
 
-  Overload() {
+  OverloadBenchmark() {
     SplittableRandom random = new SplittableRandom(1);
     StringBuilder text = new StringBuilder();
     for (int i = 0; i < WORDS; i++) {
@@ -110,7 +110,7 @@
    * Sends calls at the paces given, one after the other for {@code seconds[i]} at {@code rates[i]}
    * a second.
    */
-  private Outcome run(Load load, int port, double[] rates, double[] seconds, long seed)
+  private Outcome run(StreamLoad load, int port, double[] rates, double[] seconds, long seed)
       throws InterruptedException {
     List<String> sessions = this.sessions.get(port);
     if (sessions == null) { // opened while nothing presses
@@ -143,7 +143,7 @@
         int classId = number % 4 == 3 ? 1 : 0;
         String session = sessions.get(number % sessions.size());
         byte[] body =
-            Load.call(
+            StreamLoad.call(
                 number,
                 CLASSES[classId],
                 "#o" + number + "# answer in " + ANSWER + " words " + prompt);
@@ -237,11 +237,11 @@
   }
 
   /** The offered load with the most worth in time, found by steps: what a gateway can do. */
-  private double capacity(Supplier<Load> loads, int port) throws InterruptedException {
+  private double capacity(Supplier<StreamLoad> loads, int port) throws InterruptedException {
     double best = 0;
     double at = 0;
     for (double rate = 50; rate < 20_000; rate *= 1.25) {
-      try (Load load = loads.get()) {
+      try (StreamLoad load = loads.get()) {
         double worth = run(load, port, new double[] {rate}, new double[] {4}, 5).worth();
         if (worth > best) {
           best = worth;
@@ -286,13 +286,15 @@
    */
   static void recovery() throws Exception {
     int rounds = Integer.getInteger("rounds", 5);
-    Child engine = otherProcessors("engine", "100000", "5");
-    Overload it = new Overload();
-    Child gateway = oneProcessor(overloadSettings("\"limits\":{\"maxCalls\":40000}", engine.port));
-    try (Load load = overloadLoad()) {
+    ChildProcess engine = otherProcessors("engine", "100000", "5");
+    OverloadBenchmark it = new OverloadBenchmark();
+    ChildProcess gateway =
+        oneProcessor(overloadSettings("\"limits\":{\"maxCalls\":40000}", engine.port));
+    try (StreamLoad load = overloadLoad()) {
       it.run(load, gateway.port, new double[] {100, 400}, new double[] {4, 4}, 1);
     }
-    double capacity = KNOWN > 0 ? KNOWN : it.capacity(Overload::overloadLoad, gateway.port);
+    double capacity =
+        KNOWN > 0 ? KNOWN : it.capacity(OverloadBenchmark::overloadLoad, gateway.port);
     System.out.printf(
         Locale.ROOT,
         "capacity %.0f calls a second on one processor; %d rounds%n",
@@ -301,7 +303,7 @@
     List<Double> after = new ArrayList<>();
     List<Double> broken = new ArrayList<>();
     for (int round = 0; round < rounds; round++) {
-      try (Load load = overloadLoad()) {
+      try (StreamLoad load = overloadLoad()) {
         Outcome outcome =
             it.run(
                 load,
@@ -322,7 +324,7 @@
     after.clear();
     broken.clear();
     for (int round = 0; round < rounds; round++) {
-      try (Load load = overloadLoad()) {
+      try (StreamLoad load = overloadLoad()) {
         Thread pause =
             new Thread(
                 () -> {
@@ -354,7 +356,7 @@
   }
 
   private static Path overloadSettings(String more, int engine) throws IOException {
-    Path plain = Measure.settings("{\"tickMs\":10,\"intervalMs\":10}", engine);
+    Path plain = BenchmarkMain.settings("{\"tickMs\":10,\"intervalMs\":10}", engine);
     String text = Files.readString(plain);
     int from = text.indexOf("\"classes\":[");
     text =
@@ -367,32 +369,33 @@
   }
 
   /** One processor for a gateway, if the system lets us say so; engine and load have the others. */
-  private static Child oneProcessor(Path settings) throws IOException {
-    return new Child(List.of("taskset", "-c", "0"), "1g", "gateway", settings.toString());
+  private static ChildProcess oneProcessor(Path settings) throws IOException {
+    return new ChildProcess(List.of("taskset", "-c", "0"), "1g", "gateway", settings.toString());
   }
 
-  private static Child otherProcessors(String... args) throws IOException {
-    return new Child(
+  private static ChildProcess otherProcessors(String... args) throws IOException {
+    return new ChildProcess(
         List.of("taskset", "-c", "1-" + (Runtime.getRuntime().availableProcessors() - 1)),
         "2g",
         args);
   }
 
-  private static Load overloadLoad() {
-    return new Load(3, 5_000);
+  private static StreamLoad overloadLoad() {
+    return new StreamLoad(3, 5_000);
   }
 
   /** Worth in time against offered load, by the ways to keep overload out. */
   static void measure() throws Exception {
     int rounds = Integer.getInteger("rounds", 3);
     double seconds = Integer.getInteger("seconds", 8);
-    Child engine = otherProcessors("engine", "100000", "5");
-    Overload it = new Overload();
-    Child first = oneProcessor(overloadSettings("\"limits\":{\"maxCalls\":40000}", engine.port));
-    try (Load load = overloadLoad()) { // warms up
+    ChildProcess engine = otherProcessors("engine", "100000", "5");
+    OverloadBenchmark it = new OverloadBenchmark();
+    ChildProcess first =
+        oneProcessor(overloadSettings("\"limits\":{\"maxCalls\":40000}", engine.port));
+    try (StreamLoad load = overloadLoad()) { // warms up
       it.run(load, first.port, new double[] {100, 400}, new double[] {4, 4}, 1);
     }
-    double capacity = KNOWN > 0 ? KNOWN : it.capacity(Overload::overloadLoad, first.port);
+    double capacity = KNOWN > 0 ? KNOWN : it.capacity(OverloadBenchmark::overloadLoad, first.port);
     first.process.destroy();
     final int cap =
         Math.max(4, (int) (capacity * 0.15)); // Little: an answer of 100 ms, and half as much
@@ -414,8 +417,8 @@
       if (!way.getKey().startsWith(System.getProperty("way", ""))) {
         continue;
       }
-      Child gateway = oneProcessor(overloadSettings(way.getValue(), engine.port));
-      try (Load load = overloadLoad()) {
+      ChildProcess gateway = oneProcessor(overloadSettings(way.getValue(), engine.port));
+      try (StreamLoad load = overloadLoad()) {
         it.run(load, gateway.port, new double[] {100, capacity / 2}, new double[] {4, 4}, 1);
       }
       StringBuilder line = new StringBuilder("| " + way.getKey() + " |");
@@ -423,7 +426,7 @@
         List<Double> worths = new ArrayList<>();
         List<Double> cpu = new ArrayList<>();
         for (int round = 0; round < rounds; round++) {
-          try (Load load = overloadLoad()) {
+          try (StreamLoad load = overloadLoad()) {
             Duration before = gateway.cpu();
             Outcome outcome =
                 it.run(
--- a/benchmark/src/main/java/lemondock/benchmark/Reports.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ReportBenchmark.java
@@ -24,12 +24,12 @@
  * Bytes and packets of a report, time to take and encode it, and memory of the ring, by number of
  * tenants.
  */
-final class Reports {
+final class ReportBenchmark {
   private static final String[] CLASSES = {"sale-lookup", "day-close", "card-refund", "till-move"};
   private static final int SNAPSHOTS = 360;
   private static final int ROUNDS = 5;
 
-  private Reports() {}
+  private ReportBenchmark() {}
 
   static void run() {
     System.out.println(
--- a/benchmark/src/main/java/lemondock/benchmark/Load.java
+++ b/benchmark/src/main/java/lemondock/benchmark/StreamLoad.java
@@ -17,27 +17,27 @@
 import lemondock.net.http.RequestFailure;
 import lemondock.net.http.ResponseReceiver;
 import lemondock.net.sse.SseEvent;
-import lemondock.scenario.Node;
+import lemondock.scenario.EmulatedProcess;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
 /** Streams over a gateway, or straight to an engine, and what their clients saw. */
-final class Load implements AutoCloseable {
+final class StreamLoad implements AutoCloseable {
   private static final long MICROS = 1_000_000;
-  private final List<Node> nodes = new ArrayList<>();
+  private final List<EmulatedProcess> nodes = new ArrayList<>();
   private final List<HttpClient> clients = new ArrayList<>();
   final Histogram first = new ConcurrentHistogram(60 * MICROS, 3);
   final Histogram transit = new ConcurrentHistogram(60 * MICROS, 3);
   final AtomicLong events = new AtomicLong();
   final AtomicLong failures = new AtomicLong();
 
-  Load(int loops) {
+  StreamLoad(int loops) {
     this(loops, 100_000);
   }
 
-  Load(int loops, int connections) {
+  StreamLoad(int loops, int connections) {
     for (int i = 0; i < loops; i++) {
-      Node node = new Node("load-" + i, 1);
+      EmulatedProcess node = new EmulatedProcess("load-" + i, 1);
       nodes.add(node);
       clients.add(
           new HttpClient(
@@ -168,7 +168,7 @@
   void stream(
       int number, int port, String session, byte[] body, boolean stamped, CountDownLatch done) {
     int at = number % nodes.size();
-    Node node = nodes.get(at);
+    EmulatedProcess node = nodes.get(at);
     Headers headers = headers();
     if (session != null) {
       headers.add("mcp-session-id", session);
@@ -248,6 +248,6 @@
 
   @Override
   public void close() {
-    nodes.forEach(Node::close);
+    nodes.forEach(EmulatedProcess::close);
   }
 }
--- a/benchmark/src/main/java/lemondock/benchmark/ToolCalls.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ToolCallBenchmark.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.Tap;
+import lemondock.emulator.TrafficObserver;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.http.Headers;
@@ -23,9 +23,9 @@
 import lemondock.net.http.HttpLimits;
 import lemondock.net.http.RequestFailure;
 import lemondock.net.http.ResponseReceiver;
+import lemondock.scenario.EmulatedProcess;
+import lemondock.scenario.LoopbackSettings;
 import lemondock.scenario.McpClient;
-import lemondock.scenario.Node;
-import lemondock.scenario.Presets;
 import lemondock.scenario.ScenarioFleet;
 
 /**
@@ -33,23 +33,23 @@
  * engine itself: from the end of the engine's turn that calls to the arrival of the next one, with
  * a tool that takes no time. Stand-in engine, one call at a time.
  */
-final class ToolCalls {
+final class ToolCallBenchmark {
   private static final int CALLS = 150;
   private static final String PROMPT = " call the tool stock answer in 3 words";
 
-  private ToolCalls() {}
+  private ToolCallBenchmark() {}
 
   static void measure() throws Exception {
     int rounds = Integer.getInteger("rounds", 5);
-    int port = Presets.freePort();
+    int port = LoopbackSettings.freePort();
     List<GatewaySettings.ClassSettings> classes =
-        Presets.gateway("x", 0, 1, "north", port, "127.0.0.1:1", s -> {}).classes();
+        LoopbackSettings.gateway("x", 0, 1, "north", port, "127.0.0.1:1", s -> {}).classes();
     double[][][] rows = new double[2][2][rounds];
     try (ScenarioFleet fleet = new ScenarioFleet(classes, 1);
-        Node clients = new Node("clients", 1)) {
+        EmulatedProcess clients = new EmulatedProcess("clients", 1)) {
       fleet.addEngine(EngineSettings.quick("m", "mixed", "north", "r1"));
       fleet.addGateway(
-          Presets.gateway(
+          LoopbackSettings.gateway(
               "gw",
               0,
               1,
@@ -108,9 +108,9 @@
             + "| --- | --- | --- |");
     System.out.println(
         "| the engine"
-            + Measure.columns(rows[0])
+            + BenchmarkMain.columns(rows[0])
             + " |\n| the gateway"
-            + Measure.columns(rows[1])
+            + BenchmarkMain.columns(rows[1])
             + " |");
     System.out.printf(
         Locale.ROOT, "added at p50: %.0f us%n", median(rows[1][0]) - median(rows[0][0]));
@@ -122,13 +122,14 @@
     return sorted[sorted.length / 2];
   }
 
-  private static long[] between(List<Tap.Event> events, String begin) {
-    Map<String, List<Tap.Event>> byMark = new LinkedHashMap<>();
+  private static long[] between(List<TrafficObserver.Event> events, String begin) {
+    Map<String, List<TrafficObserver.Event>> byMark = new LinkedHashMap<>();
     events.stream()
         .filter(
             e ->
                 e.mark().startsWith(begin)
-                    && (e.what() == Tap.What.WRITE || e.what() == Tap.What.ANSWERED))
+                    && (e.what() == TrafficObserver.What.WRITE
+                        || e.what() == TrafficObserver.What.ANSWERED))
         .forEach(e -> byMark.computeIfAbsent(e.mark(), k -> new ArrayList<>()).add(e));
     return byMark.values().stream()
         .filter(all -> all.size() == 4)
--- a/cli/src/main/java/lemondock/cli/CatalogueEmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/CatalogueEmulatorCommand.java
@@ -4,9 +4,9 @@
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import lemondock.emulator.CatalogueEmulator;
-import lemondock.emulator.Tap;
+import lemondock.emulator.TrafficObserver;
 import lemondock.gateway.settings.SettingsFile;
-import lemondock.scenario.Node;
+import lemondock.scenario.EmulatedProcess;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -37,8 +37,9 @@
             "catalogue-emulator.schema.json",
             CatalogueEmulatorCommand.class,
             Settings.class);
-    Node node = new Node("catalogue", 1);
-    CatalogueEmulator catalogue = node.ask(() -> new CatalogueEmulator(node.loop(), Tap.NONE));
+    EmulatedProcess node = new EmulatedProcess("catalogue", 1);
+    CatalogueEmulator catalogue =
+        node.ask(() -> new CatalogueEmulator(node.loop(), TrafficObserver.NONE));
     catalogue.start(node.network(), SettingsFile.resolveAddress(settings.listen()));
     System.out.println(
         "ready http://"
--- a/cli/src/main/java/lemondock/cli/CollectorEmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/CollectorEmulatorCommand.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.Callable;
 import lemondock.emulator.collect.CollectdListener;
 import lemondock.emulator.collect.GraphiteListener;
-import lemondock.emulator.collect.Received;
+import lemondock.emulator.collect.ReceivedReports;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -59,10 +59,10 @@
     return 0;
   }
 
-  private static String worth(Received received) {
+  private static String worth(ReceivedReports received) {
     double asked = 0;
     double inTime = 0;
-    for (Map.Entry<String, Received.Entry> e : received.newest().entrySet()) {
+    for (Map.Entry<String, ReceivedReports.Entry> e : received.newest().entrySet()) {
       if (e.getKey().contains(".worth.")) {
         double value = e.getValue().values().get(0).doubleValue();
         asked += e.getKey().endsWith(".asked") ? value : 0;
--- a/cli/src/main/java/lemondock/cli/DemoCommand.java
+++ b/cli/src/main/java/lemondock/cli/DemoCommand.java
@@ -6,7 +6,7 @@
 import lemondock.emulator.EngineSettings;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.scenario.Presets;
+import lemondock.scenario.LoopbackSettings;
 import lemondock.scenario.ScenarioFleet;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -54,7 +54,7 @@
   public Integer call() throws Exception {
     Logging.configure("text", level);
     List<GatewaySettings.ClassSettings> classes =
-        Presets.gateway("model", 0, 1, "north", 1, "127.0.0.1:1", s -> {}).classes();
+        LoopbackSettings.gateway("model", 0, 1, "north", 1, "127.0.0.1:1", s -> {}).classes();
     ScenarioFleet fleet = new ScenarioFleet(classes, 1);
     for (String zone : ZONES) {
       fleet.addEngine(
@@ -67,11 +67,11 @@
           EngineSettings.quick(zone + "-writer-2", "writer", zone, "r2").paced(5, 5, 20));
     }
     fleet.addEngine(EngineSettings.quick("north-mixed-1", "mixed", "north", "r1").paced(5, 5, 20));
-    int first = port == 0 ? Presets.freePort() : port;
-    int second = Presets.freePort();
+    int first = port == 0 ? LoopbackSettings.freePort() : port;
+    int second = LoopbackSettings.freePort();
     for (int i = 0; i < ZONES.length; i++) {
       fleet.addGateway(
-          Presets.gateway(
+          LoopbackSettings.gateway(
               "gw-" + ZONES[i],
               i,
               ZONES.length,
@@ -109,7 +109,7 @@
     ObjectNode reporting =
         settings
             .putObject("reporting")
-            .put("listen", "127.0.0.1:" + Presets.freePort())
+            .put("listen", "127.0.0.1:" + LoopbackSettings.freePort())
             .put("intervalMs", 1000);
     if (report != null) {
       reporting
--- a/cli/src/main/java/lemondock/cli/EmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/EmulatorCommand.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.Callable;
 import lemondock.emulator.EngineEmulator;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.Tap;
+import lemondock.emulator.TrafficObserver;
 import lemondock.gateway.settings.SettingsFile;
 import lemondock.net.http.Headers;
 import lemondock.net.http.HttpClient;
@@ -19,7 +19,7 @@
 import lemondock.net.http.HttpLimits;
 import lemondock.net.http.RequestFailure;
 import lemondock.net.http.ResponseReceiver;
-import lemondock.scenario.Node;
+import lemondock.scenario.EmulatedProcess;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -52,7 +52,7 @@
             "emulator.schema.json",
             EmulatorCommand.class,
             Settings.class);
-    Node node = new Node("standins", 2);
+    EmulatedProcess node = new EmulatedProcess("standins", 2);
     HttpClient client =
         new HttpClient(
             node.loop(),
@@ -69,7 +69,7 @@
                       node.network(),
                       engineSettings,
                       engineSettings.name().hashCode(),
-                      Tap.NONE));
+                      TrafficObserver.NONE));
       engine.start(node.network());
       System.out.println(
           "ready "
--- a/cli/src/main/java/lemondock/cli/PlatformEmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/PlatformEmulatorCommand.java
@@ -3,8 +3,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import lemondock.emulator.Platform;
-import lemondock.scenario.Node;
+import lemondock.emulator.PlatformEmulator;
+import lemondock.scenario.EmulatedProcess;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -47,8 +47,8 @@
   @Override
   public Integer call() throws Exception {
     Logging.configure("text", "info");
-    Node node = new Node("platform", 1);
-    Platform platform = node.ask(() -> new Platform(node.loop(), node.network()));
+    EmulatedProcess node = new EmulatedProcess("platform", 1);
+    PlatformEmulator platform = node.ask(() -> new PlatformEmulator(node.loop(), node.network()));
     platform.start(readers, writers);
     Files.writeString(configFile, platform.config(listen).toPrettyString());
     System.out.println("ready: bin/lemondock-platform " + configFile);
--- a/cli/src/main/java/lemondock/cli/ScenarioCommand.java
+++ b/cli/src/main/java/lemondock/cli/ScenarioCommand.java
@@ -6,10 +6,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import lemondock.scenario.DayScript;
 import lemondock.scenario.FaultScenario;
-import lemondock.scenario.ReportCheck;
-import lemondock.scenario.Verdict;
+import lemondock.scenario.ReportComparison;
+import lemondock.scenario.ScenarioReport;
+import lemondock.scenario.ScenarioScript;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -67,24 +67,24 @@
     Logging.configure("text", level);
     List<FaultScenario.Result> results = new ArrayList<>();
     for (long current = seed; current < seed + seeds; current++) {
-      DayScript day =
+      ScenarioScript day =
           script == null
-              ? DayScript.draw(current, seconds)
-              : DayScript.read(script).seeded(current);
+              ? ScenarioScript.draw(current, seconds)
+              : ScenarioScript.read(script).seeded(current);
       results.add(reports ? playWithReports(day) : new FaultScenario(day).play());
-      System.out.println(Verdict.line(results.get(results.size() - 1)));
+      System.out.println(ScenarioReport.line(results.get(results.size() - 1)));
     }
     Files.createDirectories(out);
-    Files.writeString(out.resolve("verdict.json"), Verdict.json(results));
-    Files.writeString(out.resolve("verdict.html"), Verdict.page(results));
+    Files.writeString(out.resolve("verdict.json"), ScenarioReport.json(results));
+    Files.writeString(out.resolve("verdict.html"), ScenarioReport.page(results));
     System.out.println(
         "verdict: " + out.resolve("verdict.json") + ", " + out.resolve("verdict.html"));
     return results.stream().allMatch(result -> result.finding().kept()) && !reportsDiffered ? 0 : 1;
   }
 
-  private FaultScenario.Result playWithReports(DayScript day)
+  private FaultScenario.Result playWithReports(ScenarioScript day)
       throws InterruptedException, IOException {
-    try (ReportCheck check = new ReportCheck()) {
+    try (ReportComparison check = new ReportComparison()) {
       FaultScenario.Result result = new FaultScenario(day).reporting(check).play();
       System.out.println(
           "reports: "
--- a/cli/src/test/java/lemondock/cli/ProgramTest.java
+++ b/cli/src/test/java/lemondock/cli/ProgramTest.java
@@ -28,8 +28,8 @@
 import java.util.function.UnaryOperator;
 import lemondock.emulator.collect.CollectdListener;
 import lemondock.emulator.collect.GraphiteListener;
-import lemondock.emulator.collect.Received;
-import lemondock.scenario.Presets;
+import lemondock.emulator.collect.ReceivedReports;
+import lemondock.scenario.LoopbackSettings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import reactor.core.publisher.Mono;
@@ -246,7 +246,7 @@
     }
   }
 
-  private static long served(Received received) {
+  private static long served(ReceivedReports received) {
     return received.newest().entrySet().stream()
         .filter(e -> e.getKey().endsWith(".served"))
         .mapToLong(e -> e.getValue().values().get(0).longValue())
@@ -313,8 +313,8 @@
    */
   @Test
   void processesOfTheirOwnAndASignalThatDrains() throws Exception {
-    int cataloguePort = Presets.freePort();
-    int gatewayPort = Presets.freePort();
+    int cataloguePort = LoopbackSettings.freePort();
+    int gatewayPort = LoopbackSettings.freePort();
     Files.writeString(folder.resolve("c.json"), "{\"listen\":\"127.0.0.1:" + cataloguePort + "\"}");
     Files.writeString(
         folder.resolve("s.json"),
--- a/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
+++ b/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
@@ -14,11 +14,11 @@
 import java.nio.file.Path;
 import java.util.List;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.collect.Received;
+import lemondock.emulator.collect.ReceivedReports;
 import lemondock.emulator.collect.UnixsockListener;
 import lemondock.gateway.Gateway;
 import lemondock.metrics.MetricCatalogue;
-import lemondock.scenario.Presets;
+import lemondock.scenario.LoopbackSettings;
 import lemondock.scenario.ScenarioFleet;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -53,20 +53,20 @@
   @Test
   void statusTallyAndPutvalTellWhatAGatewayCounts(@TempDir Path folder) throws IOException {
     Path file = folder.resolve("tally.json");
-    var classes = Presets.gateway("x", 0, 1, "north", 1, "127.0.0.1:1", s -> {}).classes();
+    var classes = LoopbackSettings.gateway("x", 0, 1, "north", 1, "127.0.0.1:1", s -> {}).classes();
     try (ScenarioFleet fleet = new ScenarioFleet(classes, 1)) {
       fleet.addEngine(EngineSettings.quick("m", "mixed", "north", "r1"));
       fleet.addGateway(
-          Presets.gateway(
+          LoopbackSettings.gateway(
               "gw",
               0,
               1,
               "north",
-              Presets.freePort(),
+              LoopbackSettings.freePort(),
               fleet.catalogueAddress(),
               s ->
                   s.putObject("reporting")
-                      .put("listen", "127.0.0.1:" + Presets.freePort())
+                      .put("listen", "127.0.0.1:" + LoopbackSettings.freePort())
                       .put("tickMs", 20)
                       .put("intervalMs", 20)
                       .put("tallyFile", file.toString())),
@@ -78,13 +78,13 @@
         Thread.onSpinWait(); // the first looks may be a moment away
       }
       assertTrue(out.contains("no fall of service is seen") && out.contains("gw-"), out);
-      assertEquals(0, run("status", address, "127.0.0.1:" + Presets.freePort()));
+      assertEquals(0, run("status", address, "127.0.0.1:" + LoopbackSettings.freePort()));
       assertTrue(out.startsWith("NO ANSWER"), out);
-      assertEquals(2, run("status", "127.0.0.1:" + Presets.freePort()));
+      assertEquals(2, run("status", "127.0.0.1:" + LoopbackSettings.freePort()));
       assertEquals(0, run("metrics", "dump", address));
       JsonNode tally = new ObjectMapper().readTree(out);
       assertEquals(false, tally.get("final").booleanValue());
-      Received received = new Received();
+      ReceivedReports received = new ReceivedReports();
       assertEquals(0, run("putval", address, "--times", "1", "--host", "till"));
       for (String line : out.split("\n")) {
         assertTrue(UnixsockListener.take(line, received), line);
--- a/emulator/src/main/java/lemondock/emulator/Script.java
+++ b/emulator/src/main/java/lemondock/emulator/AnswerScript.java
@@ -14,7 +14,7 @@
  * letters}) and for tools ({@code call the tool NAME}, once or more; {@code call the tools A and B
  * together}); they are called if the client offers them.
  */
-public final class Script {
+public final class AnswerScript {
   private static final Pattern LENGTH = Pattern.compile("answer in (\\d{1,6}) words");
   private static final Pattern LETTERS = Pattern.compile("words of (\\d{1,5}) letters");
   private static final Pattern CALL =
@@ -27,7 +27,7 @@
   private static final int SPREAD = 40;
   private static final int BEFORE_CALL = 4;
 
-  private Script() {}
+  private AnswerScript() {}
 
   /** A tool call to be made. */
   public record Call(String id, String name, String arguments) {}
--- a/emulator/src/main/java/lemondock/emulator/CatalogueEmulator.java
+++ b/emulator/src/main/java/lemondock/emulator/CatalogueEmulator.java
@@ -33,7 +33,7 @@
   private static final double LONGEST_WAIT_MS = 600_000;
 
   private final Loop loop;
-  private final Tap tap;
+  private final TrafficObserver tap;
   private final HttpServer server;
   private final Map<String, Service> services = new LinkedHashMap<>();
   private final List<Waiting> waiting = new ArrayList<>();
@@ -59,7 +59,7 @@
   private record Waiting(HttpExchange exchange, String service, String gateway) {}
 
   /** Makes an empty catalogue. */
-  public CatalogueEmulator(Loop loop, Tap tap) {
+  public CatalogueEmulator(Loop loop, TrafficObserver tap) {
     this.loop = loop;
     this.tap = tap;
     this.server =
@@ -223,10 +223,10 @@
       }
     }
     tap.hear(
-        new Tap.Event(
+        new TrafficObserver.Event(
             loop.now(),
             "catalogue",
-            Tap.What.TOLD,
+            TrafficObserver.What.TOLD,
             "",
             "",
             one.gateway(),
--- a/emulator/src/main/java/lemondock/emulator/EngineEmulator.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineEmulator.java
@@ -33,8 +33,8 @@
 /**
  * A small stand-in for a model server: it takes reads and writes by the OpenAI-compatible API with
  * {@code kv_transfer_params}, has slots, a queue, memory, kept texts, a warm-up and faults, and
- * tells a {@link Tap} what passed on its sockets. It is no model of an engine's inner workings.
- * States move by a call of its own between stand-ins.
+ * tells a {@link TrafficObserver} what passed on its sockets. It is no model of an engine's inner
+ * workings. States move by a call of its own between stand-ins.
  */
 public final class EngineEmulator implements HttpService {
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -47,11 +47,11 @@
 
   private final Loop loop;
   private final EngineSettings settings;
-  private final Tap tap;
+  private final TrafficObserver tap;
   private final SplittableRandom random;
   private final HttpServer server;
   private final HttpClient client;
-  private final Faults faults = new Faults();
+  private final EngineFaults faults = new EngineFaults();
   private final Map<Long, Integer> kept =
       new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
@@ -73,7 +73,8 @@
   private record State(int tokens, String mark, String gateway, long at) {}
 
   /** Makes an engine; it serves from {@link #start} on. */
-  public EngineEmulator(Loop loop, Network network, EngineSettings settings, long seed, Tap tap) {
+  public EngineEmulator(
+      Loop loop, Network network, EngineSettings settings, long seed, TrafficObserver tap) {
     this.loop = loop;
     this.settings = settings;
     this.tap = tap;
@@ -105,7 +106,8 @@
             settings.listen().substring(0, colon),
             Integer.parseInt(settings.listen().substring(colon + 1))));
     startedAt = loop.now();
-    hear(Tap.What.STARTED, "", "", "", Math.round(settings.warmUpMs()), settings.role());
+    hear(
+        TrafficObserver.What.STARTED, "", "", "", Math.round(settings.warmUpMs()), settings.role());
   }
 
   /** The address taken. */
@@ -114,7 +116,7 @@
   }
 
   /** What is wrong with it; change it on the loop. */
-  public Faults faults() {
+  public EngineFaults faults() {
     return faults;
   }
 
@@ -153,12 +155,19 @@
   /** Says that its process died; whoever runs it breaks its connections. */
   public void died() {
     dead = true;
-    hear(Tap.What.DIED, "", "", "", 0, "");
+    hear(TrafficObserver.What.DIED, "", "", "", 0, "");
   }
 
   private void hear(
-      Tap.What what, String id, String mark, String gateway, long value, String detail) {
-    tap.hear(new Tap.Event(loop.now(), settings.name(), what, id, mark, gateway, value, detail));
+      TrafficObserver.What what,
+      String id,
+      String mark,
+      String gateway,
+      long value,
+      String detail) {
+    tap.hear(
+        new TrafficObserver.Event(
+            loop.now(), settings.name(), what, id, mark, gateway, value, detail));
   }
 
   // ==== requests
@@ -201,7 +210,7 @@
     boolean fromState = transfer.path("do_remote_prefill").asBoolean(false);
     Job job = new Job(exchange, body, read, fromState ? transfer : null);
     hear(
-        read ? Tap.What.READ : Tap.What.WRITE,
+        read ? TrafficObserver.What.READ : TrafficObserver.What.WRITE,
         job.id,
         job.mark,
         job.gateway,
@@ -209,7 +218,7 @@
         Integer.toString(body.path("messages").size()));
     exchange.onDisconnect(job::gone);
     if (faults.raw != null && faults.hit()) {
-      hear(Tap.What.BROKEN, job.id, job.mark, job.gateway, 0, "raw");
+      hear(TrafficObserver.What.BROKEN, job.id, job.mark, job.gateway, 0, "raw");
       exchange.begin(200, Headers.of("content-type", "text/event-stream"));
       exchange.send(faults.raw);
       loop.schedule(5 * MICROS, exchange::abort);
@@ -266,7 +275,7 @@
     private boolean holds;
     private boolean effect;
     private int cached;
-    private Script.Leg leg;
+    private AnswerScript.Leg leg;
     private int at;
     private boolean paused;
     private boolean stamped;
@@ -279,7 +288,7 @@
       this.transfer = transfer;
       String header = exchange.request().headers().get("x-request-id");
       this.id = header == null ? body.path("request_id").asText("") : header;
-      this.mark = Script.mark(body.path("messages"));
+      this.mark = AnswerScript.mark(body.path("messages"));
       String agent = String.valueOf(exchange.request().headers().get("user-agent"));
       int open = agent.indexOf('(');
       this.gateway =
@@ -293,7 +302,7 @@
 
     void turnAway(String code, String what) {
       over = true;
-      hear(Tap.What.TURNED_AWAY, id, mark, gateway, 0, code);
+      hear(TrafficObserver.What.TURNED_AWAY, id, mark, gateway, 0, code);
       error(exchange, 503, code, what);
     }
 
@@ -351,7 +360,7 @@
 
     private void finishRead() {
       if (random.nextDouble() < faults.errors) {
-        hear(Tap.What.ANSWERED, id, mark, gateway, 500, "read");
+        hear(TrafficObserver.What.ANSWERED, id, mark, gateway, 500, "read");
         error(exchange, 500, "internal", "a fault of the stand-in");
         end();
         return;
@@ -361,9 +370,9 @@
         end();
         return;
       }
-      hear(Tap.What.STATE_KEPT, id, mark, gateway, tokens, "");
+      hear(TrafficObserver.What.STATE_KEPT, id, mark, gateway, tokens, "");
       if (faults.dropStates) {
-        hear(Tap.What.STATE_LET_GO, id, mark, gateway, tokens, "lost");
+        hear(TrafficObserver.What.STATE_LET_GO, id, mark, gateway, tokens, "lost");
       } else {
         states.put(id, new State(tokens, mark, gateway, loop.now()));
         memory += tokens;
@@ -397,7 +406,7 @@
           .put("remote_request_id", id)
           .put("remote_host", address().getHostString())
           .put("remote_port", address().getPort());
-      hear(Tap.What.ANSWERED, id, mark, gateway, 200, "read");
+      hear(TrafficObserver.What.ANSWERED, id, mark, gateway, 200, "read");
       exchange.respond(200, Headers.of("content-type", "application/json"), bytes(reply));
     }
 
@@ -465,9 +474,9 @@
 
     private void begin() {
       effect = true;
-      hear(Tap.What.EFFECT, id, mark, gateway, body.path("messages").size(), "");
+      hear(TrafficObserver.What.EFFECT, id, mark, gateway, body.path("messages").size(), "");
       if (random.nextDouble() < faults.errors) {
-        hear(Tap.What.ANSWERED, id, mark, gateway, 500, "write");
+        hear(TrafficObserver.What.ANSWERED, id, mark, gateway, 500, "write");
         error(exchange, 500, "internal", "a fault of the stand-in");
         end();
         return;
@@ -476,9 +485,9 @@
         loop.schedule(SECOND, this::release); // the work is done, and nobody hears of it
         return;
       }
-      leg = Script.leg(body);
-      stamped = Script.says(body.path("messages"), "stamp each word");
-      pace = Script.says(body.path("messages"), "without pause") ? 0 : settings.tokenMs();
+      leg = AnswerScript.leg(body);
+      stamped = AnswerScript.says(body.path("messages"), "stamp each word");
+      pace = AnswerScript.says(body.path("messages"), "without pause") ? 0 : settings.tokenMs();
       exchange.begin(200, Headers.of("content-type", "text/event-stream; charset=utf-8"));
       exchange.onWriteQueueDrained(
           () -> {
@@ -512,7 +521,7 @@
         return;
       }
       if (faults.breakAfter >= 0 && at >= faults.breakAfter && faults.hit()) {
-        hear(Tap.What.BROKEN, id, mark, gateway, at, "on purpose");
+        hear(TrafficObserver.What.BROKEN, id, mark, gateway, at, "on purpose");
         end();
         exchange.abort();
       } else if (faults.stallAfter >= 0 && at >= faults.stallAfter && faults.hit()) {
@@ -538,7 +547,7 @@
     private void close(boolean cut) {
       int index = 0;
       if (!cut) {
-        for (Script.Call call :
+        for (AnswerScript.Call call :
             leg.calls()) { // arguments come in two fragments, as engines send them
           int half = call.arguments().length() / 2;
           event(
@@ -575,7 +584,7 @@
       usage(last, at);
       exchange.send(SseEvent.encode(null, null, last.toString()));
       exchange.send(SseEvent.encode(null, null, "[DONE]"));
-      hear(Tap.What.ANSWERED, id, mark, gateway, 200, "write");
+      hear(TrafficObserver.What.ANSWERED, id, mark, gateway, 200, "write");
       end();
       exchange.finish();
     }
@@ -600,7 +609,7 @@
 
     /** The gateway's connection is gone: waiting work is dropped, running work stops. */
     void gone() {
-      hear(Tap.What.BROKEN, id, mark, gateway, at, effect ? "running" : "waiting");
+      hear(TrafficObserver.What.BROKEN, id, mark, gateway, at, effect ? "running" : "waiting");
       end();
     }
 
@@ -623,13 +632,13 @@
       return;
     }
     memory -= state.tokens();
-    hear(Tap.What.STATE_TAKEN, id, state.mark(), state.gateway(), state.tokens(), "");
+    hear(TrafficObserver.What.STATE_TAKEN, id, state.mark(), state.gateway(), state.tokens(), "");
     exchange.respond(200, new Headers(), new byte[0]);
   }
 
   private void abort(HttpExchange exchange, JsonNode body) {
     String id = body.path("rid").asText("");
-    hear(Tap.What.ABORT, id, "", "", 0, "");
+    hear(TrafficObserver.What.ABORT, id, "", "", 0, "");
     drop(id, "abort");
     Job job = jobs.get(id);
     if (job != null) {
@@ -646,7 +655,13 @@
     State state = states.remove(id);
     if (state != null) {
       memory -= state.tokens();
-      hear(Tap.What.STATE_LET_GO, id, state.mark(), state.gateway(), state.tokens(), why);
+      hear(
+          TrafficObserver.What.STATE_LET_GO,
+          id,
+          state.mark(),
+          state.gateway(),
+          state.tokens(),
+          why);
     }
   }
 
--- a/emulator/src/main/java/lemondock/emulator/Faults.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineFaults.java
@@ -4,7 +4,7 @@
  * What is wrong with a stand-in engine at the moment; each is off at first. Set on the engine's
  * loop.
  */
-public final class Faults {
+public final class EngineFaults {
   /** Share of requests that are answered with status 500, after the work of a first token. */
   public double errors;
 
--- a/emulator/src/main/java/lemondock/emulator/Platform.java
+++ b/emulator/src/main/java/lemondock/emulator/PlatformEmulator.java
@@ -23,7 +23,7 @@
  * discovery, each on a port of its own. Reads and tokens take fixed times; nothing queues. A body
  * that holds {@code please refuse} is turned away by every writer.
  */
-public final class Platform {
+public final class PlatformEmulator {
   private static final long SECOND = 1_000_000;
   private static final long READ = 30_000;
   private static final long TOKEN = 50_000;
@@ -38,7 +38,7 @@
   private InetSocketAddress discovery;
 
   /** Makes a platform without servers. */
-  public Platform(Loop loop, Network network) {
+  public PlatformEmulator(Loop loop, Network network) {
     this.loop = loop;
     this.network = network;
   }
--- a/emulator/src/main/java/lemondock/emulator/Tap.java
+++ b/emulator/src/main/java/lemondock/emulator/TrafficObserver.java
@@ -4,9 +4,9 @@
  * Hears what passes on a stand-in's sockets; what the auditor goes by. Called on the stand-in's
  * loop.
  */
-public interface Tap {
+public interface TrafficObserver {
   /** Hears nothing. */
-  Tap NONE = event -> {};
+  TrafficObserver NONE = event -> {};
 
   /** Takes one event. */
   void hear(Event event);
--- a/emulator/src/main/java/lemondock/emulator/collect/CollectdListener.java
+++ b/emulator/src/main/java/lemondock/emulator/collect/CollectdListener.java
@@ -33,7 +33,7 @@
 
   private final DatagramSocket socket;
   private final Map<String, String> users;
-  private final Received received = new Received();
+  private final ReceivedReports received = new ReceivedReports();
   private final List<String> notices = Collections.synchronizedList(new ArrayList<>());
   private final SplittableRandom random;
   private volatile double loss;
@@ -60,7 +60,7 @@
   }
 
   /** What was received, by {@code HOST/PLUGIN-INSTANCE/TYPE-INSTANCE}. */
-  public Received received() {
+  public ReceivedReports received() {
     return received;
   }
 
--- a/emulator/src/main/java/lemondock/emulator/collect/GraphiteListener.java
+++ b/emulator/src/main/java/lemondock/emulator/collect/GraphiteListener.java
@@ -27,7 +27,7 @@
 
   private final ServerSocket server;
   private final boolean pickle;
-  private final Received received = new Received();
+  private final ReceivedReports received = new ReceivedReports();
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
   private volatile Fault fault;
   private volatile int connections;
@@ -64,7 +64,7 @@
   }
 
   /** What was received. */
-  public Received received() {
+  public ReceivedReports received() {
     return received;
   }
 
@@ -219,7 +219,7 @@
   }
 
   /** The newest value of each path. */
-  public Map<String, Received.Entry> newest() {
+  public Map<String, ReceivedReports.Entry> newest() {
     return received.newest();
   }
 
--- a/emulator/src/main/java/lemondock/emulator/collect/Received.java
+++ b/emulator/src/main/java/lemondock/emulator/collect/ReceivedReports.java
@@ -9,7 +9,7 @@
  * What a stand-in for a collector was told: for each name the newest values by their stamps. Any
  * thread.
  */
-public final class Received {
+public final class ReceivedReports {
   private final Map<String, Entry> entries = new TreeMap<>();
   private long values;
   private long bad;
--- a/emulator/src/main/java/lemondock/emulator/collect/UnixsockListener.java
+++ b/emulator/src/main/java/lemondock/emulator/collect/UnixsockListener.java
@@ -29,7 +29,7 @@
 
   private final ServerSocketChannel server;
   private final Path path;
-  private final Received received = new Received();
+  private final ReceivedReports received = new ReceivedReports();
 
   /** Listens at a path, which must not exist. */
   public UnixsockListener(Path path) throws IOException {
@@ -40,7 +40,7 @@
   }
 
   /** What was received, by identifier. */
-  public Received received() {
+  public ReceivedReports received() {
     return received;
   }
 
@@ -73,7 +73,7 @@
   }
 
   /** Reads one line as the exec and unixsock plugins do; false if it is none. */
-  public static boolean take(String line, Received to) {
+  public static boolean take(String line, ReceivedReports to) {
     Matcher m = PUTVAL.matcher(line);
     if (!m.matches()) {
       to.bad();
--- a/faultinjection/src/main/java/lemondock/faultinjection/DiscoveryAgent.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/DiscoveryAgent.java
@@ -20,7 +20,7 @@
  */
 final class DiscoveryAgent implements AutoCloseable {
   private final String gateway;
-  private final Truth truth;
+  private final RunRecord truth;
   private final ServerSocket port;
   private final Map<String, Entry> entries = new LinkedHashMap<>();
   private final AtomicInteger version = new AtomicInteger(1);
@@ -40,7 +40,7 @@
     }
   }
 
-  DiscoveryAgent(String gateway, Truth truth) throws IOException {
+  DiscoveryAgent(String gateway, RunRecord truth) throws IOException {
     this.gateway = gateway;
     this.truth = truth;
     this.port = new ServerSocket(0, 64, InetAddress.getByName("127.0.0.1"));
@@ -93,20 +93,20 @@
   private void serve(Socket socket) {
     try (socket) {
       InputStream in = new BufferedInputStream(socket.getInputStream());
-      for (HttpText.Message message = HttpText.read(in);
+      for (HttpMessageReader.Message message = HttpMessageReader.read(in);
           message != null;
-          message = HttpText.read(in)) {
+          message = HttpMessageReader.read(in)) {
         String query = message.first().split(" ")[1];
         List<Entry> news = new ArrayList<>();
         String body = query.contains("since=") ? changes(query, news) : told(news);
         socket
             .getOutputStream()
             .write(
-                HttpText.bytes(
+                HttpMessageReader.bytes(
                     "HTTP/1.1 200 OK\r\ncontent-length: " + body.length() + "\r\n\r\n" + body));
-        long at = Micros.now();
+        long at = MonotonicClock.now();
         news.forEach(
-            entry -> truth.told.add(new Truth.Told(gateway, entry.id(), entry.state(), at)));
+            entry -> truth.told.add(new RunRecord.Told(gateway, entry.id(), entry.state(), at)));
       }
     } catch (IOException | RuntimeException e) {
       // the gateway has gone
@@ -120,10 +120,10 @@
 
   private synchronized String changes(String query, List<Entry> news) {
     int since = number(query, "since=");
-    long until = Micros.now() + number(query, "timeout_ms=") * Micros.MILLI;
+    long until = MonotonicClock.now() + number(query, "timeout_ms=") * MonotonicClock.MILLI;
     try {
-      while (version.get() <= since && Micros.now() < until) {
-        wait(Math.max(1, (until - Micros.now()) / Micros.MILLI));
+      while (version.get() <= since && MonotonicClock.now() < until) {
+        wait(Math.max(1, (until - MonotonicClock.now()) / MonotonicClock.MILLI));
       }
     } catch (InterruptedException e) {
       throw new IllegalStateException(e);
--- a/faultinjection/src/main/java/lemondock/faultinjection/Troubles.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/DisturbanceLog.java
@@ -7,11 +7,11 @@
  * The times in which something was not well, for whoever judges by what happened meanwhile.
  * Thread-safe.
  */
-final class Troubles {
+final class DisturbanceLog {
   private final List<Trouble> all = new CopyOnWriteArrayList<>();
 
   private static final class Trouble {
-    private final long began = Micros.now();
+    private final long began = MonotonicClock.now();
     private volatile long ended = Long.MAX_VALUE;
   }
 
@@ -29,7 +29,7 @@
 
   /** All is well again. */
   void end() {
-    long now = Micros.now();
+    long now = MonotonicClock.now();
     all.forEach(trouble -> trouble.ended = Math.min(trouble.ended, now));
   }
 
--- a/faultinjection/src/main/java/lemondock/faultinjection/FaultInjector.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultInjector.java
@@ -9,10 +9,10 @@
 
 /** Carries out the steps of a plan on a fleet, each on a thread of its own. */
 final class FaultInjector {
-  private static final long RESET_PAUSE = 80 * Micros.MILLI;
-  private static final long FREEZE = 130 * Micros.MILLI;
-  private static final long FREEZE_PAUSE = 700 * Micros.MILLI;
-  private static final long DOWN = 400 * Micros.MILLI;
+  private static final long RESET_PAUSE = 80 * MonotonicClock.MILLI;
+  private static final long FREEZE = 130 * MonotonicClock.MILLI;
+  private static final long FREEZE_PAUSE = 700 * MonotonicClock.MILLI;
+  private static final long DOWN = 400 * MonotonicClock.MILLI;
   private static final long HOUR_MILLIS = 3_600_000;
   private static final int SLOWEST_MILLIS = 120;
 
@@ -26,7 +26,7 @@
   void carryOut(FaultPlan.Step step) throws IOException, InterruptedException {
     SplittableRandom random = new SplittableRandom(step.seed());
     GatewayProcess gateway = fleet.gateways.get(random.nextInt(fleet.gateways.size()));
-    long until = Micros.now() + step.lasting();
+    long until = MonotonicClock.now() + step.lasting();
     switch (step.kind()) {
       case SILENT_WRITERS -> silence(mostOf(false, random), Flow.HOLD, Flow.HOLD, until, random);
       case SILENT_READERS -> silence(mostOf(true, random), Flow.HOLD, Flow.HOLD, until, random);
@@ -42,7 +42,10 @@
       case REQUESTS_HELD -> silence(someLinks(random), Flow.HOLD, Flow.PASS, until, random);
       case RESETS -> resets(someLinks(random), until);
       case SLOW_LINKS ->
-          slow(someLinks(random), (1 + random.nextInt(SLOWEST_MILLIS)) * Micros.MILLI, until);
+          slow(
+              someLinks(random),
+              (1 + random.nextInt(SLOWEST_MILLIS)) * MonotonicClock.MILLI,
+              until);
       case REFUSED -> admission(someLinks(random), Admission.RESET, until);
       case HALF_OPEN -> admission(someLinks(random), Admission.HALF_OPEN, until);
       case SERVERS_HANG -> hang(random, until);
@@ -84,7 +87,7 @@
   private void silence(
       List<Link> links, Flow toServer, Flow toClient, long until, SplittableRandom random) {
     links.forEach(link -> link.set(toServer, toClient, Admission.ACCEPT));
-    Micros.sleepUntil(until);
+    MonotonicClock.sleepUntil(until);
     if (random.nextBoolean()) {
       links.forEach(Link::reset);
     }
@@ -92,15 +95,15 @@
   }
 
   private void resets(List<Link> links, long until) {
-    while (Micros.now() < until) {
+    while (MonotonicClock.now() < until) {
       links.forEach(Link::reset);
-      Micros.sleep(RESET_PAUSE);
+      MonotonicClock.sleep(RESET_PAUSE);
     }
   }
 
   private void slow(List<Link> links, long delay, long until) {
     links.forEach(link -> link.delay(delay));
-    Micros.sleepUntil(until);
+    MonotonicClock.sleepUntil(until);
     links.forEach(Link::heal);
   }
 
@@ -110,7 +113,7 @@
           link.set(Flow.PASS, Flow.PASS, admission);
           link.reset();
         });
-    Micros.sleepUntil(until);
+    MonotonicClock.sleepUntil(until);
     links.forEach(Link::heal);
   }
 
@@ -119,7 +122,7 @@
     List<ModelServer> some =
         fleet.servers.stream().filter(server -> random.nextDouble() < share).toList();
     some.forEach(server -> server.hang(true));
-    Micros.sleepUntil(until);
+    MonotonicClock.sleepUntil(until);
     some.forEach(server -> server.hang(false));
   }
 
@@ -129,7 +132,7 @@
     for (ModelServer server : some) {
       fleet.list(server, "draining");
     }
-    Micros.sleepUntil(until);
+    MonotonicClock.sleepUntil(until);
     for (ModelServer server : some) {
       fleet.list(server, "ready");
     }
@@ -149,7 +152,7 @@
     synchronized (gateway) {
       if (gateway.alive()) {
         gateway.kill();
-        Micros.sleep(DOWN);
+        MonotonicClock.sleep(DOWN);
         fleet.restart(gateway);
         gateway.awaitReady();
       }
@@ -157,13 +160,13 @@
   }
 
   private void freezes(GatewayProcess gateway, long until) {
-    while (Micros.now() < until) {
+    while (MonotonicClock.now() < until) {
       synchronized (gateway) {
         gateway.signal("STOP");
-        Micros.sleep(FREEZE);
+        MonotonicClock.sleep(FREEZE);
         gateway.signal("CONT");
       }
-      Micros.sleep(FREEZE_PAUSE);
+      MonotonicClock.sleep(FREEZE_PAUSE);
     }
   }
 
@@ -189,7 +192,7 @@
               shim.rate(FaultShim.Fault.SOCKET, random.nextLong(100_000));
               shim.rate(FaultShim.Fault.CONNECT, random.nextLong(300_000));
               shim.rate(FaultShim.Fault.TIMEOUT, random.nextLong(3_000));
-              Micros.sleepUntil(until);
+              MonotonicClock.sleepUntil(until);
               shim.heal();
             });
   }
@@ -201,7 +204,7 @@
             shim -> {
               shim.rate(FaultShim.Fault.INTERRUPT, random.nextLong(200_000));
               shim.rate(FaultShim.Fault.SHORTEN, random.nextLong(400_000));
-              Micros.sleepUntil(until);
+              MonotonicClock.sleepUntil(until);
               shim.heal();
             });
   }
--- a/faultinjection/src/main/java/lemondock/faultinjection/FaultPlan.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultPlan.java
@@ -7,10 +7,10 @@
 
 /** What befalls a fleet in one run, drawn from a seed. */
 record FaultPlan(FleetShape shape, boolean crowd, boolean termination, List<Step> steps) {
-  private static final long FIRST_AT = 800 * Micros.MILLI;
-  private static final long LAST_AT = 8_000 * Micros.MILLI;
-  private static final long SHORTEST = 300 * Micros.MILLI;
-  private static final long LONGEST = 3_500 * Micros.MILLI;
+  private static final long FIRST_AT = 800 * MonotonicClock.MILLI;
+  private static final long LAST_AT = 8_000 * MonotonicClock.MILLI;
+  private static final long SHORTEST = 300 * MonotonicClock.MILLI;
+  private static final long LONGEST = 3_500 * MonotonicClock.MILLI;
   private static final double CROWD_SHARE = 0.25;
 
   /** One fault. */
--- a/faultinjection/src/main/java/lemondock/faultinjection/FaultProxy.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultProxy.java
@@ -71,7 +71,7 @@
     /**
      * When each trouble of this link began, and when it was over; the last is open while it lasts.
      */
-    private final Troubles troubles = new Troubles();
+    private final DisturbanceLog troubles = new DisturbanceLog();
 
     private Link(InetSocketAddress upstream) throws IOException {
       this.upstream = upstream;
@@ -177,7 +177,7 @@
           byte[] copy = new byte[count];
           into.flip().get(copy);
           held += count;
-          queue.add(new Piece(ByteBuffer.wrap(copy), Micros.now() + link.delayMicros));
+          queue.add(new Piece(ByteBuffer.wrap(copy), MonotonicClock.now() + link.delayMicros));
         }
         return true;
       } catch (IOException e) {
@@ -191,7 +191,7 @@
     /** Passes on what is due; false if the receiver's side is broken. */
     boolean write() {
       try {
-        while (passes() && !queue.isEmpty() && queue.peek().due() <= Micros.now()) {
+        while (passes() && !queue.isEmpty() && queue.peek().due() <= MonotonicClock.now()) {
           ByteBuffer bytes = queue.peek().bytes();
           held -= to.write(bytes);
           if (bytes.hasRemaining()) {
@@ -335,7 +335,7 @@
     try {
       while (!closed) {
         selector.select(POLL_MILLIS);
-        final long begun = Micros.now();
+        final long begun = MonotonicClock.now();
         for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
           task.run();
         }
@@ -348,7 +348,7 @@
         }
         selector.selectedKeys().clear();
         active.removeIf(pair -> !pair.step(buffer) || !pair.pending());
-        stalls.worked(begun, Micros.now());
+        stalls.worked(begun, MonotonicClock.now());
       }
     } catch (IOException | ClosedSelectorException e) {
       if (!closed) {
--- a/faultinjection/src/main/java/lemondock/faultinjection/FaultShim.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultShim.java
@@ -26,7 +26,7 @@
   private final Path library;
   private final Path file;
   private final MappedByteBuffer words;
-  private final Troubles troubles = new Troubles();
+  private final DisturbanceLog troubles = new DisturbanceLog();
 
   /** What can be made to fail; each has a rate in parts of a million. */
   enum Fault {
--- a/faultinjection/src/main/java/lemondock/faultinjection/GatewayProcess.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/GatewayProcess.java
@@ -19,9 +19,9 @@
  * and the signals that they get.
  */
 final class GatewayProcess implements AutoCloseable {
-  private static final long READY_WITHIN = 20 * Micros.SECOND;
+  private static final long READY_WITHIN = 20 * MonotonicClock.SECOND;
   private static final int LOOK_MILLIS = 20;
-  private static final long ARRIVALS_AFTER_TERM = 350 * Micros.MILLI;
+  private static final long ARRIVALS_AFTER_TERM = 350 * MonotonicClock.MILLI;
 
   /** Below the ports that the system gives to connections. */
   private static final int LOWEST_PORT = 10_000;
@@ -31,14 +31,14 @@
   final String name;
   private final Path project;
   private final Path folder;
-  private final Truth truth;
+  private final RunRecord truth;
   private final Optional<FaultShim> shim;
   private final int port;
   private int lives;
   private volatile Process process;
-  private volatile Truth.Life life;
+  private volatile RunRecord.Life life;
 
-  GatewayProcess(String name, Path project, Path folder, Optional<FaultShim> shim, Truth truth)
+  GatewayProcess(String name, Path project, Path folder, Optional<FaultShim> shim, RunRecord truth)
       throws IOException {
     this.name = name;
     this.project = project;
@@ -93,7 +93,7 @@
           .environment()
           .put("LEMONDOCK_NODE_OPTS", "-Dorg.slf4j.simpleLogger.defaultLogLevel=debug");
     }
-    Truth.Life begun = new Truth.Life(name, Micros.now());
+    RunRecord.Life begun = new RunRecord.Life(name, MonotonicClock.now());
     Process started = builder.start();
     process = started;
     life = begun;
@@ -103,29 +103,31 @@
         .thenAccept(
             ended -> {
               begun.exitCode = ended.exitValue();
-              begun.endedAt = Micros.now();
+              begun.endedAt = MonotonicClock.now();
             });
   }
 
   /** Waits until it is ready. */
   void awaitReady() throws IOException, InterruptedException {
-    long until = Micros.now() + READY_WITHIN;
+    long until = MonotonicClock.now() + READY_WITHIN;
     while (!healthy()) {
-      if (Micros.now() > until || !process.isAlive()) {
+      if (MonotonicClock.now() > until || !process.isAlive()) {
         throw new IOException(name + " is not ready: see its log in " + folder);
       }
       Thread.sleep(LOOK_MILLIS);
     }
-    life.readyAt = Micros.now();
+    life.readyAt = MonotonicClock.now();
   }
 
   private boolean healthy() {
     try (Socket socket = new Socket()) {
       socket.connect(new InetSocketAddress("127.0.0.1", port), 500);
       socket.setSoTimeout(500);
-      socket.getOutputStream().write(HttpText.bytes("GET /healthz HTTP/1.1\r\nhost: h\r\n\r\n"));
+      socket
+          .getOutputStream()
+          .write(HttpMessageReader.bytes("GET /healthz HTTP/1.1\r\nhost: h\r\n\r\n"));
       InputStream in = socket.getInputStream();
-      HttpText.Message answer = HttpText.read(in);
+      HttpMessageReader.Message answer = HttpMessageReader.read(in);
       return answer != null && answer.status() == 200;
     } catch (IOException | RuntimeException e) {
       return false;
@@ -143,13 +145,13 @@
 
   /** Kills the process without notice. */
   void kill() throws InterruptedException {
-    life.killedAt = Micros.now();
+    life.killedAt = MonotonicClock.now();
     process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
   }
 
   /** Sends SIGTERM, and SIGKILL so long after it if the process is still there. */
   void terminate(long killAfterMillis) throws InterruptedException {
-    life.terminatedAt = Micros.now();
+    life.terminatedAt = MonotonicClock.now();
     process.destroy();
     if (!process.waitFor(killAfterMillis, TimeUnit.MILLISECONDS)) {
       kill();
@@ -161,11 +163,11 @@
    * SIGTERM.
    */
   boolean admitted() {
-    Truth.Life now = life;
+    RunRecord.Life now = life;
     return now != null
         && now.readyAt > 0
         && now.endedAt == 0
-        && (now.terminatedAt == 0 || Micros.now() < now.terminatedAt + ARRIVALS_AFTER_TERM);
+        && (now.terminatedAt == 0 || MonotonicClock.now() < now.terminatedAt + ARRIVALS_AFTER_TERM);
   }
 
   boolean alive() {
@@ -175,7 +177,8 @@
   @Override
   public void close() {
     if (process != null) {
-      life.killedAt = life.killedAt == 0 && process.isAlive() ? Micros.now() : life.killedAt;
+      life.killedAt =
+          life.killedAt == 0 && process.isAlive() ? MonotonicClock.now() : life.killedAt;
       process.destroyForcibly();
     }
     shim.ifPresent(FaultShim::delete);
--- a/faultinjection/src/main/java/lemondock/faultinjection/HttpText.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/HttpMessageReader.java
@@ -13,10 +13,10 @@
  * A small reader of HTTP/1.1 messages for stand-ins and clients, which speak only as their own
  * peers do.
  */
-final class HttpText {
+final class HttpMessageReader {
   private static final int MOST_LINE = 16 * 1024;
 
-  private HttpText() {}
+  private HttpMessageReader() {}
 
   /**
    * A message.
@@ -42,7 +42,7 @@
     if (begin < 0) {
       return null;
     }
-    long firstByteAt = Micros.now();
+    long firstByteAt = MonotonicClock.now();
     String first = (char) begin + line(in);
     Map<String, String> headers = new HashMap<>();
     for (String line = line(in); !line.isEmpty(); line = line(in)) {
--- a/faultinjection/src/main/java/lemondock/faultinjection/Client.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/LoadClient.java
@@ -8,34 +8,34 @@
 import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 import java.util.SplittableRandom;
-import lemondock.faultinjection.Truth.ClientCall;
-import lemondock.faultinjection.Truth.Effect;
-import lemondock.faultinjection.Truth.Outcome;
+import lemondock.faultinjection.RunRecord.ClientCall;
+import lemondock.faultinjection.RunRecord.Effect;
+import lemondock.faultinjection.RunRecord.Outcome;
 
 /**
  * One client of a gateway: asks one thing at a time on a connection that it keeps, until told to
  * stop; some calls it leaves early. It goes on using an open connection whatever the gateway's
  * state.
  */
-final class Client implements Runnable {
-  private static final long ANSWER_SLACK = 500 * Micros.MILLI;
+final class LoadClient implements Runnable {
+  private static final long ANSWER_SLACK = 500 * MonotonicClock.MILLI;
   private static final int STREAM_SILENCE_MILLIS = 7_000;
   private static final int CONNECT_MILLIS = 1_000;
 
   /** Clients do not begin all at once. */
-  private static final long LONGEST_DELAY = 800 * Micros.MILLI;
+  private static final long LONGEST_DELAY = 800 * MonotonicClock.MILLI;
 
-  private static final long AWAY = 50 * Micros.MILLI;
+  private static final long AWAY = 50 * MonotonicClock.MILLI;
   private static final double ONCE_SHARE = 0.3;
   private static final double LEAVING_SHARE = 0.06;
   private static final double FRESH_SHARE = 0.05;
 
   /** A resting connection's close crosses a request only if it is heard of so soon. */
-  static final long CROSSING = 100 * Micros.MILLI;
+  static final long CROSSING = 100 * MonotonicClock.MILLI;
 
   private final String name;
   private final GatewayProcess gateway;
-  private final Truth truth;
+  private final RunRecord truth;
   private final FleetShape shape;
   private final SplittableRandom random;
   private final long thinkMicros;
@@ -45,10 +45,10 @@
   private long restingSince;
   private int calls;
 
-  Client(
+  LoadClient(
       String name,
       GatewayProcess gateway,
-      Truth truth,
+      RunRecord truth,
       FleetShape shape,
       long thinkMicros,
       long seed) {
@@ -67,17 +67,17 @@
 
   @Override
   public void run() {
-    Micros.sleep(random.nextLong(LONGEST_DELAY));
+    MonotonicClock.sleep(random.nextLong(LONGEST_DELAY));
     while (!stopped) {
       call();
-      Micros.sleep(thinkMicros / 2 + random.nextLong(thinkMicros));
+      MonotonicClock.sleep(thinkMicros / 2 + random.nextLong(thinkMicros));
     }
     drop(false);
   }
 
   private void call() {
     Effect effect = random.nextDouble() < ONCE_SHARE ? Effect.ONCE : Effect.SAFE;
-    long deadline = shape.deadlineMs() * Micros.MILLI * (60 + random.nextInt(41)) / 100;
+    long deadline = shape.deadlineMs() * MonotonicClock.MILLI * (60 + random.nextInt(41)) / 100;
     ClientCall call =
         new ClientCall(
             name + "-" + ++calls + "-" + Long.toHexString(random.nextLong() >>> 32),
@@ -88,7 +88,7 @@
       drop(false);
     }
     call.fresh = socket == null;
-    call.restedMicros = call.fresh ? 0 : Micros.now() - restingSince;
+    call.restedMicros = call.fresh ? 0 : MonotonicClock.now() - restingSince;
     try {
       if (socket == null) {
         if (!gateway.admitted()) {
@@ -97,15 +97,15 @@
         connect();
       }
     } catch (IOException e) {
-      Micros.sleep(AWAY); // nothing was taken: the gateway is down or starts
+      MonotonicClock.sleep(AWAY); // nothing was taken: the gateway is down or starts
       return;
     }
     byte[] request = request(call);
     truth.calls.put(call.id, call);
     boolean leaves = random.nextDouble() < LEAVING_SHARE;
-    long leaveAt = Micros.now() + random.nextLong(deadline / 3);
+    long leaveAt = MonotonicClock.now() + random.nextLong(deadline / 3);
     try {
-      call.sentAt = Micros.now();
+      call.sentAt = MonotonicClock.now();
       socket.getOutputStream().write(request);
     } catch (IOException e) {
       end(call, Outcome.NOT_TAKEN);
@@ -136,7 +136,7 @@
             + "\r\nx-key: k"
             + random.nextInt(40)
             + "\r\nx-deadline-ms: "
-            + call.deadlineMicros / Micros.MILLI
+            + call.deadlineMicros / MonotonicClock.MILLI
             + "\r\nx-extras: max_out=40\r\ncontent-length: "
             + body.length()
             + "\r\n\r\n";
@@ -146,8 +146,8 @@
   private void await(ClientCall call, long leaveAt) {
     long until = Math.min(leaveAt, call.sentAt + call.deadlineMicros + ANSWER_SLACK);
     try {
-      socket.setSoTimeout((int) Math.max(1, (until - Micros.now()) / Micros.MILLI));
-      HttpText.Message head = HttpText.read(in);
+      socket.setSoTimeout((int) Math.max(1, (until - MonotonicClock.now()) / MonotonicClock.MILLI));
+      HttpMessageReader.Message head = HttpMessageReader.read(in);
       if (head == null) {
         unanswered(call);
         return;
@@ -161,12 +161,12 @@
       if ("close".equals(head.header("connection"))) {
         drop(false);
       }
-      restingSince = Micros.now();
+      restingSince = MonotonicClock.now();
     } catch (SocketTimeoutException e) {
       if (until == leaveAt) {
         boolean reset = random.nextBoolean();
         drop(reset);
-        call.leftAt = Micros.now();
+        call.leftAt = MonotonicClock.now();
         end(call, Outcome.LEFT);
       } else {
         end(call, Outcome.OPEN);
@@ -182,7 +182,9 @@
     socket.setSoTimeout(STREAM_SILENCE_MILLIS);
     StringBuilder text = new StringBuilder();
     try {
-      for (byte[] chunk = HttpText.chunk(in); chunk.length > 0; chunk = HttpText.chunk(in)) {
+      for (byte[] chunk = HttpMessageReader.chunk(in);
+          chunk.length > 0;
+          chunk = HttpMessageReader.chunk(in)) {
         text.append(new String(chunk, StandardCharsets.ISO_8859_1));
       }
     } catch (IOException e) {
@@ -194,13 +196,13 @@
   }
 
   private void unanswered(ClientCall call) {
-    boolean crossed = !call.fresh && Micros.now() - call.sentAt < CROSSING;
+    boolean crossed = !call.fresh && MonotonicClock.now() - call.sentAt < CROSSING;
     end(call, crossed ? Outcome.NOT_TAKEN : Outcome.UNANSWERED);
     drop(false);
   }
 
   private static void end(ClientCall call, Outcome outcome) {
-    call.endedAt = Micros.now();
+    call.endedAt = MonotonicClock.now();
     call.outcome = outcome;
   }
 
--- a/faultinjection/src/main/java/lemondock/faultinjection/MachineStalls.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/MachineStalls.java
@@ -8,8 +8,8 @@
  * gateways' doing.
  */
 final class MachineStalls implements AutoCloseable {
-  private static final long TICK = 5 * Micros.MILLI;
-  private static final long LEAST = 25 * Micros.MILLI;
+  private static final long TICK = 5 * MonotonicClock.MILLI;
+  private static final long LEAST = 25 * MonotonicClock.MILLI;
 
   private final List<Stall> stalls = new CopyOnWriteArrayList<>();
   private final Thread thread = new Thread(this::watch, "machine-stalls");
@@ -25,9 +25,9 @@
 
   private void watch() {
     while (!closed) {
-      long due = Micros.now() + TICK;
-      Micros.sleepUntil(due);
-      long late = Micros.now() - due;
+      long due = MonotonicClock.now() + TICK;
+      MonotonicClock.sleepUntil(due);
+      long late = MonotonicClock.now() - due;
       if (late >= LEAST) {
         stalls.add(new Stall(due, due + late));
       }
--- a/faultinjection/src/main/java/lemondock/faultinjection/ModelServer.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ModelServer.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
-import lemondock.faultinjection.Truth.Arrival;
-import lemondock.faultinjection.Truth.Fate;
+import lemondock.faultinjection.RunRecord.Arrival;
+import lemondock.faultinjection.RunRecord.Fate;
 
 /**
  * A stand-in for one model server, a reader or a writer. It can hang (accepts, takes nothing), die
@@ -35,7 +35,7 @@
   final String id;
   final String zone;
   final boolean reads;
-  private final Truth truth;
+  private final RunRecord truth;
   private final int slots;
   private final long mostQueueMicros;
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
@@ -45,7 +45,8 @@
   private volatile long startedAt;
 
   /** A server with so many places; a call that finds none for that long is turned away. */
-  ModelServer(String id, String zone, boolean reads, int slots, long mostQueueMicros, Truth truth)
+  ModelServer(
+      String id, String zone, boolean reads, int slots, long mostQueueMicros, RunRecord truth)
       throws IOException {
     this.id = id;
     this.zone = zone;
@@ -128,16 +129,18 @@
           new PushbackInputStream(new BufferedInputStream(socket.getInputStream()));
       while (true) {
         socket.setSoTimeout(0);
-        HttpText.Message message = HttpText.read(in);
+        HttpMessageReader.Message message = HttpMessageReader.read(in);
         if (message == null) {
           return;
         }
         awaitRunning();
         if (message.first().startsWith("DELETE /state/")) {
           String of = message.first().split(" ")[1].substring("/state/".length());
-          truth.releases.add(new Truth.Release(of, id, Micros.now()));
+          truth.releases.add(new RunRecord.Release(of, id, MonotonicClock.now()));
           truth.states.release(of);
-          socket.getOutputStream().write(HttpText.bytes("HTTP/1.1 204 No Content\r\n\r\n"));
+          socket
+              .getOutputStream()
+              .write(HttpMessageReader.bytes("HTTP/1.1 204 No Content\r\n\r\n"));
         } else if (!attempt(message, socket, in)) {
           return;
         }
@@ -151,11 +154,11 @@
 
   private void awaitRunning() {
     while (hanging) {
-      Micros.sleep(LOOK_MICROS);
+      MonotonicClock.sleep(LOOK_MICROS);
     }
   }
 
-  private boolean attempt(HttpText.Message message, Socket socket, PushbackInputStream in)
+  private boolean attempt(HttpMessageReader.Message message, Socket socket, PushbackInputStream in)
       throws IOException {
     Arrival arrival =
         new Arrival(
@@ -163,7 +166,7 @@
             id,
             reads,
             message.firstByteAt(),
-            Micros.now(),
+            MonotonicClock.now(),
             Long.parseLong(message.header("x-deadline-ms")));
     truth.arrivals.add(arrival);
     try {
@@ -176,13 +179,13 @@
 
   /** Waits for a place; null if it has one, else what to do. */
   private Fate placed(Semaphore places, Socket socket, PushbackInputStream in) throws IOException {
-    long until = Micros.now() + mostQueueMicros;
+    long until = MonotonicClock.now() + mostQueueMicros;
     try {
       while (!places.tryAcquire(LOOK_MICROS, TimeUnit.MICROSECONDS)) {
         if (gone(socket, in)) {
           return Fate.DROPPED;
         }
-        if (Micros.now() > until) {
+        if (MonotonicClock.now() > until) {
           return Fate.NOT_RUN;
         }
       }
@@ -193,7 +196,7 @@
   }
 
   private boolean read(
-      Arrival arrival, HttpText.Message message, Socket socket, PushbackInputStream in)
+      Arrival arrival, HttpMessageReader.Message message, Socket socket, PushbackInputStream in)
       throws IOException {
     Semaphore places = free;
     Fate turnedAway = placed(places, socket, in);
@@ -201,11 +204,12 @@
       return end(arrival, turnedAway, socket, "503 Service Unavailable");
     }
     try {
-      long end = Micros.now() + READ_MICROS + message.body().length / 4 * READ_MICROS_PER_TOKEN;
-      while (Micros.now() < end) {
-        Micros.sleepUntil(Math.min(end, Micros.now() + LOOK_MICROS));
+      long end =
+          MonotonicClock.now() + READ_MICROS + message.body().length / 4 * READ_MICROS_PER_TOKEN;
+      while (MonotonicClock.now() < end) {
+        MonotonicClock.sleepUntil(Math.min(end, MonotonicClock.now() + LOOK_MICROS));
         awaitRunning();
-        if (Micros.now() < end && gone(socket, in)) {
+        if (MonotonicClock.now() < end && gone(socket, in)) {
           arrival.fate = Fate.DROPPED;
           return false;
         }
@@ -224,7 +228,7 @@
     socket
         .getOutputStream()
         .write(
-            HttpText.bytes(
+            HttpMessageReader.bytes(
                 "HTTP/1.1 202 Accepted\r\n"
                     + "content-length: 19\r\n\r\n"
                     + "{\"cached_tokens\":4}"));
@@ -260,9 +264,9 @@
   }
 
   private boolean stream(Arrival arrival, Socket socket) throws IOException {
-    Micros.sleep(FIRST_TOKEN_MICROS);
+    MonotonicClock.sleep(FIRST_TOKEN_MICROS);
     int tokens = 3 + ThreadLocalRandom.current().nextInt(20);
-    socket.getOutputStream().write(HttpText.bytes(HEAD));
+    socket.getOutputStream().write(HttpMessageReader.bytes(HEAD));
     for (int i = 0; i < tokens; i++) {
       awaitRunning();
       socket
@@ -272,7 +276,7 @@
                   "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"t"
                       + i
                       + "\"}}]}\n\n"));
-      Micros.sleep(TOKEN_MICROS);
+      MonotonicClock.sleep(TOKEN_MICROS);
     }
     awaitRunning();
     socket
@@ -282,14 +286,14 @@
                 "data:"
                     + " {\"choices\":[],\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":4}}}\n\n"
                     + "data: [DONE]\n\n"));
-    socket.getOutputStream().write(HttpText.bytes("0\r\n\r\n"));
-    arrival.streamedAt = Micros.now();
+    socket.getOutputStream().write(HttpMessageReader.bytes("0\r\n\r\n"));
+    arrival.streamedAt = MonotonicClock.now();
     arrival.streamedWhole = true;
     return true;
   }
 
   private static byte[] chunk(String data) {
-    return HttpText.bytes(Integer.toHexString(data.length()) + "\r\n" + data + "\r\n");
+    return HttpMessageReader.bytes(Integer.toHexString(data.length()) + "\r\n" + data + "\r\n");
   }
 
   private boolean end(Arrival arrival, Fate fate, Socket socket, String status) throws IOException {
@@ -297,7 +301,7 @@
     if (fate == Fate.DROPPED) {
       return false;
     }
-    socket.getOutputStream().write(HttpText.bytes("HTTP/1.1 " + status + NOT_RUN));
+    socket.getOutputStream().write(HttpMessageReader.bytes("HTTP/1.1 " + status + NOT_RUN));
     return true;
   }
 
--- a/faultinjection/src/main/java/lemondock/faultinjection/Micros.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/MonotonicClock.java
@@ -3,12 +3,12 @@
 import java.util.concurrent.locks.LockSupport;
 
 /** Monotonic time in microseconds, the one clock of a run. */
-final class Micros {
+final class MonotonicClock {
   static final long MILLI = 1_000;
   static final long SECOND = 1_000_000;
   private static final long NANOS = 1_000;
 
-  private Micros() {}
+  private MonotonicClock() {}
 
   static long now() {
     return System.nanoTime() / NANOS;
--- a/faultinjection/src/main/java/lemondock/faultinjection/ProcessFleet.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ProcessFleet.java
@@ -23,10 +23,10 @@
   private static final double READER_CAPACITY = 4 / 0.025;
 
   private static final double WRITER_CAPACITY = 10 / 0.22;
-  private static final long MOST_QUEUE = 1_500 * Micros.MILLI;
+  private static final long MOST_QUEUE = 1_500 * MonotonicClock.MILLI;
 
   final FleetShape shape;
-  final Truth truth = new Truth();
+  final RunRecord truth = new RunRecord();
   final List<ModelServer> servers = new ArrayList<>();
   final List<GatewayProcess> gateways = new ArrayList<>();
   private final FaultProxy proxy = new FaultProxy(truth.stalls);
@@ -177,8 +177,8 @@
    */
   void restartCold(ModelServer server, long downMicros) throws IOException {
     server.die();
-    Micros.sleep(downMicros);
-    truth.starts.add(new Truth.Start(server.id, Micros.now()));
+    MonotonicClock.sleep(downMicros);
+    truth.starts.add(new RunRecord.Start(server.id, MonotonicClock.now()));
     server.start(System.currentTimeMillis());
     for (GatewayProcess gateway : gateways) {
       link(gateway.name, server.id)
--- a/faultinjection/src/main/java/lemondock/faultinjection/StateTable.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ReservedStateTable.java
@@ -9,7 +9,7 @@
  * The states that readers hold for requests, in truth, and for how long each was held while no
  * write waited for it.
  */
-final class StateTable {
+final class ReservedStateTable {
   private final Map<String, List<Held>> held = new HashMap<>();
   private final List<Span> spans = new ArrayList<>();
 
@@ -37,7 +37,7 @@
 
   /** A read has ended and left its state at a server. */
   synchronized void made(String id, String server) {
-    held.computeIfAbsent(id, k -> new ArrayList<>()).add(new Held(server, Micros.now()));
+    held.computeIfAbsent(id, k -> new ArrayList<>()).add(new Held(server, MonotonicClock.now()));
   }
 
   /** A write has arrived and waits for the newest state; false if there is none. */
@@ -60,7 +60,7 @@
       Held newest = all.get(all.size() - 1);
       newest.waiting = Math.max(0, newest.waiting - 1);
       if (newest.waiting == 0) {
-        newest.idleSince = Micros.now();
+        newest.idleSince = MonotonicClock.now();
       }
     }
   }
@@ -116,7 +116,7 @@
   }
 
   private void close(String id, Held each, End how) {
-    spans.add(new Span(id, each.server, each.idleSince, Micros.now(), how));
+    spans.add(new Span(id, each.server, each.idleSince, MonotonicClock.now(), how));
   }
 
   /** All spans so far; what is still held counts as held until now. */
@@ -129,7 +129,8 @@
                 .forEach(
                     each ->
                         all.add(
-                            new Span(id, each.server, each.idleSince, Micros.now(), End.LEFT))));
+                            new Span(
+                                id, each.server, each.idleSince, MonotonicClock.now(), End.LEFT))));
     return all;
   }
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/Truth.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/RunRecord.java
@@ -10,7 +10,7 @@
  * All that truly happened in a run, told by clients, servers, discovery and whoever sends signals.
  * Thread-safe.
  */
-final class Truth {
+final class RunRecord {
   final Map<String, ClientCall> calls = new ConcurrentHashMap<>();
   final ConcurrentLinkedQueue<Arrival> arrivals = new ConcurrentLinkedQueue<>();
   final ConcurrentLinkedQueue<Release> releases = new ConcurrentLinkedQueue<>();
@@ -21,9 +21,9 @@
 
   final ConcurrentLinkedQueue<Told> told = new ConcurrentLinkedQueue<>();
   final List<Life> lives = new CopyOnWriteArrayList<>();
-  final StateTable states = new StateTable();
+  final ReservedStateTable states = new ReservedStateTable();
   final MachineStalls stalls = new MachineStalls();
-  final long origin = Micros.now();
+  final long origin = MonotonicClock.now();
 
   /** Whether a call may run more than once. */
   enum Effect {
--- a/faultinjection/src/main/java/lemondock/faultinjection/SoakAuditor.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/SoakAuditor.java
@@ -5,12 +5,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import lemondock.faultinjection.Truth.Arrival;
-import lemondock.faultinjection.Truth.ClientCall;
-import lemondock.faultinjection.Truth.Effect;
-import lemondock.faultinjection.Truth.Fate;
-import lemondock.faultinjection.Truth.Life;
-import lemondock.faultinjection.Truth.Outcome;
+import lemondock.faultinjection.RunRecord.Arrival;
+import lemondock.faultinjection.RunRecord.ClientCall;
+import lemondock.faultinjection.RunRecord.Effect;
+import lemondock.faultinjection.RunRecord.Fate;
+import lemondock.faultinjection.RunRecord.Life;
+import lemondock.faultinjection.RunRecord.Outcome;
 
 /**
  * Judges a run by what truly happened: the five rules, the deadline told to servers, attempts for
@@ -18,24 +18,24 @@
  */
 final class SoakAuditor {
   /** What the platform grants beyond the settings' limit on what is held. */
-  private static final long HELD_SLACK = 300 * Micros.MILLI;
+  private static final long HELD_SLACK = 300 * MonotonicClock.MILLI;
 
-  private static final long LEFT_SLACK = 100 * Micros.MILLI;
+  private static final long LEFT_SLACK = 100 * MonotonicClock.MILLI;
   private static final long DEADLINE_SLACK_MILLIS = 150;
-  private static final long RULE_SLACK = 50 * Micros.MILLI;
+  private static final long RULE_SLACK = 50 * MonotonicClock.MILLI;
 
   /**
    * The clients' own lateness on a busy machine, on top of the half second that a final answer may
    * be late.
    */
-  private static final long LATE_SLACK = 500 * Micros.MILLI;
+  private static final long LATE_SLACK = 500 * MonotonicClock.MILLI;
 
   /** How long a link must have been well for what comes over it to be judged by its time. */
-  private static final long CLEAN = 1_000 * Micros.MILLI;
+  private static final long CLEAN = 1_000 * MonotonicClock.MILLI;
 
   private static final int SMALL = 30;
 
-  private final Truth truth;
+  private final RunRecord truth;
   private final FleetShape shape;
   private final Links links;
   private final List<Breach> breaches = new ArrayList<>();
@@ -61,7 +61,7 @@
   /** A rule that was broken, and how. */
   record Breach(Rule rule, String what) {}
 
-  SoakAuditor(Truth truth, FleetShape shape, Links links) {
+  SoakAuditor(RunRecord truth, FleetShape shape, Links links) {
     this.truth = truth;
     this.shape = shape;
     this.links = links;
@@ -204,9 +204,10 @@
       if (!timely(call, arrival)) {
         continue;
       }
-      long leftMillis = (call.sentAt + call.deadlineMicros - arrival.firstByteAt) / Micros.MILLI;
+      long leftMillis =
+          (call.sentAt + call.deadlineMicros - arrival.firstByteAt) / MonotonicClock.MILLI;
       long lost = truth.stalls.lost(call.sentAt, arrival.firstByteAt);
-      if (arrival.toldMillis > leftMillis + DEADLINE_SLACK_MILLIS + lost / Micros.MILLI) {
+      if (arrival.toldMillis > leftMillis + DEADLINE_SLACK_MILLIS + lost / MonotonicClock.MILLI) {
         breach(
             Rule.DEADLINE_TOLD,
             arrival.server
@@ -247,7 +248,7 @@
   // ==== nothing new to draining or gone servers
 
   private void drains() {
-    for (Truth.Told told : truth.told) {
+    for (RunRecord.Told told : truth.told) {
       if (told.state().equals("ready")) {
         continue;
       }
@@ -259,10 +260,10 @@
                           && next.server().equals(told.server())
                           && next.at() > told.at()
                           && next.state().equals("ready"))
-              .mapToLong(Truth.Told::at)
+              .mapToLong(RunRecord.Told::at)
               .min()
               .orElse(Long.MAX_VALUE);
-      long from = told.at() + shape.drainGraceMs() * Micros.MILLI + RULE_SLACK;
+      long from = told.at() + shape.drainGraceMs() * MonotonicClock.MILLI + RULE_SLACK;
       for (Arrival arrival : truth.arrivals) {
         ClientCall call = truth.calls.get(arrival.id);
         if (arrival.server.equals(told.server())
@@ -290,11 +291,11 @@
   // ==== cold servers are not pushed over
 
   private void slowStarts() {
-    for (String server : truth.told.stream().map(Truth.Told::server).distinct().toList()) {
+    for (String server : truth.told.stream().map(RunRecord.Told::server).distinct().toList()) {
       List<Long> starts =
           truth.starts.stream()
               .filter(start -> start.server().equals(server))
-              .map(Truth.Start::at)
+              .map(RunRecord.Start::at)
               .toList();
       starts.forEach(start -> slowStart(server, start));
     }
@@ -305,8 +306,8 @@
    * for chance.
    */
   private void slowStart(String server, long start) {
-    long warmUp = FleetShape.WARM_UP_MS * Micros.MILLI;
-    long window = FleetShape.OVERLOAD_WINDOW_MS * Micros.MILLI;
+    long warmUp = FleetShape.WARM_UP_MS * MonotonicClock.MILLI;
+    long window = FleetShape.OVERLOAD_WINDOW_MS * MonotonicClock.MILLI;
     List<Long> got =
         truth.arrivals.stream()
             .filter(
@@ -348,8 +349,8 @@
   // ==== what is held is taken or released in time
 
   private void held() {
-    long limit = shape.releaseWithinMs() * Micros.MILLI + HELD_SLACK;
-    for (StateTable.Span span : truth.states.spans()) {
+    long limit = shape.releaseWithinMs() * MonotonicClock.MILLI + HELD_SLACK;
+    for (ReservedStateTable.Span span : truth.states.spans()) {
       ClientCall call = truth.calls.get(span.id());
       if (call == null
           || span.until() - span.from() <= limit + truth.stalls.lost(span.from(), span.until())) {
--- a/faultinjection/src/main/java/lemondock/faultinjection/SoakRun.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/SoakRun.java
@@ -9,16 +9,16 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.ConcurrentLinkedQueue;
-import lemondock.faultinjection.Truth.Outcome;
+import lemondock.faultinjection.RunRecord.Outcome;
 
 /** One seeded run: a fleet under load, its faults, and the audit. */
 final class SoakRun {
-  private static final long LOAD = 11 * Micros.SECOND;
+  private static final long LOAD = 11 * MonotonicClock.SECOND;
 
   /** After the last call: whatever is held must have been released by then. */
-  private static final long SETTLE = 1_500 * Micros.MILLI;
+  private static final long SETTLE = 1_500 * MonotonicClock.MILLI;
 
-  private static final long THINK = 40 * Micros.MILLI;
+  private static final long THINK = 40 * MonotonicClock.MILLI;
   private static final int CROWD_TIMES = 4;
   private static final long JOIN_MILLIS = 20_000;
 
@@ -48,7 +48,7 @@
           + (plan.crowd() ? " crowd" : "")
           + (plan.termination() ? " terminated" : "")
           + " machine stalled "
-          + stalledMicros / Micros.MILLI
+          + stalledMicros / MonotonicClock.MILLI
           + " ms "
           + plan.steps()
           + " "
@@ -70,28 +70,28 @@
     Files.createDirectories(folder);
     try (ProcessFleet fleet = new ProcessFleet(plan.shape(), project, folder, library, seed)) {
       fleet.start();
-      List<Client> clients = clients(fleet);
+      List<LoadClient> clients = clients(fleet);
       final List<Thread> load = clients.stream().map(client -> begun(client, "client")).toList();
       List<Thread> faults = faults(fleet);
-      Micros.sleep(LOAD);
+      MonotonicClock.sleep(LOAD);
       join(faults);
       fleet.heal();
       List<Thread> endings = plan.termination() ? terminations(fleet) : List.of();
       join(endings);
-      clients.forEach(Client::stop);
+      clients.forEach(LoadClient::stop);
       join(load);
-      Micros.sleep(SETTLE);
+      MonotonicClock.sleep(SETTLE);
       return audited(fleet);
     }
   }
 
-  private List<Client> clients(ProcessFleet fleet) {
+  private List<LoadClient> clients(ProcessFleet fleet) {
     int each = plan.shape().clientsPerGateway() * (plan.crowd() ? CROWD_TIMES : 1);
-    List<Client> clients = new ArrayList<>();
+    List<LoadClient> clients = new ArrayList<>();
     for (GatewayProcess gateway : fleet.gateways) {
       for (int i = 0; i < each; i++) {
         clients.add(
-            new Client(
+            new LoadClient(
                 gateway.name + "-c" + i,
                 gateway,
                 fleet.truth,
@@ -104,14 +104,14 @@
   }
 
   private List<Thread> faults(ProcessFleet fleet) {
-    long begin = Micros.now();
+    long begin = MonotonicClock.now();
     FaultInjector injector = new FaultInjector(fleet);
     return plan.steps().stream()
         .map(
             step ->
                 begun(
                     () -> {
-                      Micros.sleepUntil(begin + step.at());
+                      MonotonicClock.sleepUntil(begin + step.at());
                       try {
                         injector.carryOut(step);
                       } catch (IOException | InterruptedException | RuntimeException e) {
--- a/faultinjection/src/test/java/lemondock/faultinjection/HeldStateTest.java
+++ b/faultinjection/src/test/java/lemondock/faultinjection/HeldStateTest.java
@@ -24,9 +24,9 @@
 @Timeout(60)
 class HeldStateTest {
   private static final Path PROJECT = Path.of("..").toAbsolutePath().normalize();
-  private static final long BEFORE = 1_500 * Micros.MILLI;
-  private static final long SILENCE = 4_500 * Micros.MILLI;
-  private static final long AFTER = 1_500 * Micros.MILLI;
+  private static final long BEFORE = 1_500 * MonotonicClock.MILLI;
+  private static final long SILENCE = 4_500 * MonotonicClock.MILLI;
+  private static final long AFTER = 1_500 * MonotonicClock.MILLI;
   private static final int CLIENTS = 12;
 
   @TempDir Path folder;
@@ -63,25 +63,26 @@
     FleetShape shape = new FleetShape(1, 2, 3, 500, 3_500, CLIENTS, 15_000, 250);
     try (ProcessFleet fleet = new ProcessFleet(shape, PROJECT, folder, Optional.empty(), 36)) {
       fleet.start();
-      List<Client> clients = new ArrayList<>();
+      List<LoadClient> clients = new ArrayList<>();
       List<Thread> threads = new ArrayList<>();
       for (int i = 0; i < CLIENTS; i++) {
-        Client client =
-            new Client("c" + i, fleet.gateways.get(0), fleet.truth, shape, 60 * Micros.MILLI, i);
+        LoadClient client =
+            new LoadClient(
+                "c" + i, fleet.gateways.get(0), fleet.truth, shape, 60 * MonotonicClock.MILLI, i);
         clients.add(client);
         threads.add(new Thread(client));
       }
       threads.forEach(Thread::start);
-      Micros.sleep(BEFORE);
+      MonotonicClock.sleep(BEFORE);
       List<Link> links = fleet.links(gateway -> true, silent);
       links.forEach(link -> link.set(toServer, toClient, Admission.ACCEPT));
-      Micros.sleep(SILENCE);
+      MonotonicClock.sleep(SILENCE);
       links.forEach(Link::heal);
-      clients.forEach(Client::stop);
+      clients.forEach(LoadClient::stop);
       for (Thread thread : threads) {
         thread.join();
       }
-      Micros.sleep(AFTER);
+      MonotonicClock.sleep(AFTER);
       assertTrue(fleet.truth.calls.size() > CLIENTS * 3, "the test asks enough");
       List<Breach> breaches =
           new SoakAuditor(fleet.truth, shape, (gateway, server, from, until) -> false).audit();
--- a/faultinjection/src/test/java/lemondock/faultinjection/InterruptedCallsTest.java
+++ b/faultinjection/src/test/java/lemondock/faultinjection/InterruptedCallsTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import lemondock.faultinjection.FaultShim.Fault;
-import lemondock.faultinjection.Truth.Outcome;
+import lemondock.faultinjection.RunRecord.Outcome;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -21,7 +21,7 @@
 @Timeout(60)
 class InterruptedCallsTest {
   private static final Path PROJECT = Path.of("..").toAbsolutePath().normalize();
-  private static final long LOAD = 3 * Micros.SECOND;
+  private static final long LOAD = 3 * MonotonicClock.SECOND;
   private static final int CLIENTS = 8;
 
   @TempDir Path folder;
@@ -54,20 +54,21 @@
       for (Fault fault : faults) {
         fleet.gateways.get(0).shim().orElseThrow().rate(fault, 150_000);
       }
-      List<Client> clients = new ArrayList<>();
+      List<LoadClient> clients = new ArrayList<>();
       List<Thread> threads = new ArrayList<>();
       for (int i = 0; i < CLIENTS; i++) {
         clients.add(
-            new Client("c" + i, fleet.gateways.get(0), fleet.truth, shape, 40 * Micros.MILLI, i));
+            new LoadClient(
+                "c" + i, fleet.gateways.get(0), fleet.truth, shape, 40 * MonotonicClock.MILLI, i));
         threads.add(new Thread(clients.get(i)));
       }
       threads.forEach(Thread::start);
-      Micros.sleep(LOAD);
-      clients.forEach(Client::stop);
+      MonotonicClock.sleep(LOAD);
+      clients.forEach(LoadClient::stop);
       for (Thread thread : threads) {
         thread.join();
       }
-      Micros.sleep(Micros.SECOND);
+      MonotonicClock.sleep(MonotonicClock.SECOND);
       fleet.heal();
       assertEquals(
           List.of(),
--- a/faultinjection/src/test/java/lemondock/faultinjection/SoakTest.java
+++ b/faultinjection/src/test/java/lemondock/faultinjection/SoakTest.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Optional;
-import lemondock.faultinjection.Truth.Outcome;
+import lemondock.faultinjection.RunRecord.Outcome;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/scenario/src/main/java/lemondock/scenario/Node.java
+++ b/scenario/src/main/java/lemondock/scenario/EmulatedProcess.java
@@ -15,24 +15,24 @@
  * A loop and its sockets: what a process has. Killing it breaks all connections at once, as a kill
  * -9 would.
  */
-public final class Node implements AutoCloseable {
-  private static final Logger LOG = LoggerFactory.getLogger(Node.class);
+public final class EmulatedProcess implements AutoCloseable {
+  private static final Logger LOG = LoggerFactory.getLogger(EmulatedProcess.class);
 
   private final ThreadLoop loop;
   private final boolean ownLoop;
   private final AsyncNetwork network;
 
   /** A node with a loop of its own. */
-  public Node(String name, int threads) {
+  public EmulatedProcess(String name, int threads) {
     this(new ThreadLoop(name, e -> LOG.error("a task of loop {} failed", name, e)), true, threads);
   }
 
   /** A node on another's loop, with sockets of its own. */
-  public Node(Node other, int threads) {
+  public EmulatedProcess(EmulatedProcess other, int threads) {
     this(other.loop, false, threads);
   }
 
-  private Node(ThreadLoop loop, boolean ownLoop, int threads) {
+  private EmulatedProcess(ThreadLoop loop, boolean ownLoop, int threads) {
     this.loop = loop;
     this.ownLoop = ownLoop;
     try {
--- a/scenario/src/main/java/lemondock/scenario/FaultScenario.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultScenario.java
@@ -58,7 +58,7 @@
   private static final double MOST_OCCUPIED = 0.9;
   private static final double SETTLE_SECONDS = 4.5;
 
-  private final DayScript script;
+  private final ScenarioScript script;
   private final RouterFactory maker;
   private final SplittableRandom random;
   private final List<CallRecord> calls = Collections.synchronizedList(new ArrayList<>());
@@ -68,12 +68,12 @@
   private ScenarioFleet fleet;
   private Path folder;
   private UnaryOperator<FileSystemPort> files = f -> f;
-  private Node clientNode;
+  private EmulatedProcess clientNode;
   private int open;
   private int marks;
   private double impatience;
   private String hotOpening;
-  private ReportCheck reports;
+  private ReportComparison reports;
   private ScenarioFleet.Looks looks = (gateway, at, snapshot) -> {};
 
   /** A conversation that may go on. */
@@ -94,7 +94,7 @@
 
   /** What came of a day. */
   public record Result(
-      DayScript script,
+      ScenarioScript script,
       ScenarioAuditor.Finding finding,
       Map<String, Double> service,
       Map<String, Integer> endings,
@@ -104,7 +104,7 @@
       List<CallRecord> seen) {}
 
   /** Has the day's gateways report, and what arrives compared with their final tallies. */
-  public FaultScenario reporting(ReportCheck check) {
+  public FaultScenario reporting(ReportComparison check) {
     reports = check;
     return this;
   }
@@ -122,14 +122,14 @@
   }
 
   /** Makes a day; the gateways decide by what {@code maker} makes. */
-  public FaultScenario(DayScript script, RouterFactory maker) {
+  public FaultScenario(ScenarioScript script, RouterFactory maker) {
     this.script = script;
     this.maker = maker;
     this.random = new SplittableRandom(script.seed() * 31 + 7);
   }
 
   /** Makes a day with the project's module. */
-  public FaultScenario(DayScript script) {
+  public FaultScenario(ScenarioScript script) {
     this(script, Gateway.DEFAULT_ROUTER_FACTORY);
   }
 
@@ -147,7 +147,7 @@
       int port,
       String catalogue,
       Consumer<ObjectNode> more) {
-    return Presets.gateway(
+    return LoopbackSettings.gateway(
         name,
         number,
         of,
@@ -156,12 +156,14 @@
         catalogue,
         root -> {
           ArrayNode classes = root.putArray("classes");
-          Presets.requestClass(classes, "sale-lookup", 1, 400, 1600, "safe").put("tokenAimMs", 30);
-          Presets.requestClass(classes, "day-close", 3, 800, 3000, "safe")
+          LoopbackSettings.requestClass(classes, "sale-lookup", 1, 400, 1600, "safe")
+              .put("tokenAimMs", 30);
+          LoopbackSettings.requestClass(classes, "day-close", 3, 800, 3000, "safe")
               .put("tokenAimMs", 40)
               .put("toolTimeoutMs", 400);
-          Presets.requestClass(classes, "card-refund", 2, 500, 1600, "once").put("tokenAimMs", 30);
-          Presets.requestClass(classes, "till-move", 2, 500, 1600, "keyed")
+          LoopbackSettings.requestClass(classes, "card-refund", 2, 500, 1600, "once")
+              .put("tokenAimMs", 30);
+          LoopbackSettings.requestClass(classes, "till-move", 2, 500, 1600, "keyed")
               .put("group", "zone")
               .put("repeatWindowMs", 1200)
               .put("tokenAimMs", 30);
@@ -198,7 +200,7 @@
       openings.add(words("opening" + i, 100 + random.nextInt(500)));
     }
     try (ScenarioFleet made = new ScenarioFleet(model.classes(), script.seed());
-        Node node = new Node("clients", 2)) {
+        EmulatedProcess node = new EmulatedProcess("clients", 2)) {
       fleet = made;
       fleet.onLook(looks);
       fleet.files(files);
@@ -223,8 +225,8 @@
               fleet.events().stream()
                   .filter(
                       e ->
-                          e.what() == lemondock.emulator.Tap.What.READ
-                              || e.what() == lemondock.emulator.Tap.What.WRITE)
+                          e.what() == lemondock.emulator.TrafficObserver.What.READ
+                              || e.what() == lemondock.emulator.TrafficObserver.What.WRITE)
                   .count();
       return new Result(
           script,
@@ -259,7 +261,7 @@
     int number = 0;
     for (String zone : script.zones()) {
       for (int i = 0; i < script.gatewaysPerZone(); i++) {
-        int port = Presets.freePort();
+        int port = LoopbackSettings.freePort();
         String name = "gw-" + zone + "-" + i;
         fleet.addGateway(
             settings(
@@ -309,7 +311,7 @@
 
   private void run() throws InterruptedException {
     List<Act> acts = new ArrayList<>();
-    for (DayScript.Trouble t : script.troubles()) {
+    for (ScenarioScript.Trouble t : script.troubles()) {
       trouble(t, acts);
     }
     double at = 0;
@@ -562,17 +564,17 @@
     fleet.standins().loop().execute(task);
   }
 
-  private void during(DayScript.Trouble t, List<Act> acts, Runnable begin, Runnable stop) {
+  private void during(ScenarioScript.Trouble t, List<Act> acts, Runnable begin, Runnable stop) {
     acts.add(new Act(t.atMs(), begin));
     acts.add(new Act(t.atMs() + t.forMs(), stop));
   }
 
   private void fault(
-      DayScript.Trouble t,
+      ScenarioScript.Trouble t,
       List<Act> acts,
       List<String> names,
-      java.util.function.Consumer<lemondock.emulator.Faults> set,
-      java.util.function.Consumer<lemondock.emulator.Faults> clear) {
+      java.util.function.Consumer<lemondock.emulator.EngineFaults> set,
+      java.util.function.Consumer<lemondock.emulator.EngineFaults> clear) {
     during(
         t,
         acts,
@@ -580,7 +582,7 @@
         () -> onStandins(() -> names.forEach(n -> clear.accept(fleet.engine(n).faults()))));
   }
 
-  private void trouble(DayScript.Trouble t, List<Act> acts) {
+  private void trouble(ScenarioScript.Trouble t, List<Act> acts) {
     switch (t.kind()) {
       case "fast_errors" ->
           fault(t, acts, hit(t.part(), null), f -> f.errors = t.size(), f -> f.errors = 0);
@@ -672,7 +674,7 @@
   }
 
   /** Servers that grow slower step by step, die at the end and come back cold. */
-  private void ageing(DayScript.Trouble t, List<Act> acts) {
+  private void ageing(ScenarioScript.Trouble t, List<Act> acts) {
     List<String> names = hit(t.part(), null);
     for (int step = 1; step <= STEPS; step++) {
       double slower = 1 + (t.size() - 1) * step / STEPS;
@@ -685,7 +687,7 @@
   }
 
   /** Another program that takes a share of some machines, on and off. */
-  private void neighbour(DayScript.Trouble t, List<Act> acts) {
+  private void neighbour(ScenarioScript.Trouble t, List<Act> acts) {
     List<String> names = hit(t.part(), null);
     double slower = 1 / Math.max(0.1, 1 - t.size());
     for (int step = 0; step < STEPS; step++) {
@@ -724,7 +726,7 @@
   /**
    * A rolling deploy: each server drains, the list saying so late, is stopped, and comes back cold.
    */
-  private void deploy(DayScript.Trouble t, List<Act> acts) {
+  private void deploy(ScenarioScript.Trouble t, List<Act> acts) {
     double at = t.atMs();
     for (String name : hit(t.part(), null)) {
       if (reserve(name, at, at + t.forMs() + 350)) {
@@ -740,7 +742,7 @@
     }
   }
 
-  private void zoneLoss(DayScript.Trouble t, List<Act> acts) {
+  private void zoneLoss(ScenarioScript.Trouble t, List<Act> acts) {
     String zone = script.zones().get(random.nextInt(script.zones().size()));
     crash(
         fleet.engines().stream().filter(n -> n.startsWith(zone)).toList(),
--- a/scenario/src/main/java/lemondock/scenario/Presets.java
+++ b/scenario/src/main/java/lemondock/scenario/LoopbackSettings.java
@@ -13,8 +13,8 @@
 import lemondock.gateway.settings.SettingsFile;
 
 /** Settings of gateways on loopback, as the demo and rehearsals use them. */
-public final class Presets {
-  private Presets() {}
+public final class LoopbackSettings {
+  private LoopbackSettings() {}
 
   /** A port that is free now. */
   public static int freePort() {
--- a/scenario/src/main/java/lemondock/scenario/Pausable.java
+++ b/scenario/src/main/java/lemondock/scenario/PausableNetwork.java
@@ -16,7 +16,7 @@
  * wherever they next come to. The kernel goes on accepting connections and taking bytes for it. One
  * process holds all gateways of a day, so a signal would not do.
  */
-final class Pausable implements Network {
+final class PausableNetwork implements Network {
   /**
    * A gateway that stands still is let go after this even if nobody does, so that no test hangs.
    */
@@ -27,7 +27,7 @@
   private boolean standing;
   private long since;
 
-  Pausable(Network network, Loop loop) {
+  PausableNetwork(Network network, Loop loop) {
     this.network = network;
     this.loop = loop;
   }
--- a/scenario/src/main/java/lemondock/scenario/ReportCheck.java
+++ b/scenario/src/main/java/lemondock/scenario/ReportComparison.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import lemondock.emulator.collect.CollectdListener;
 import lemondock.emulator.collect.GraphiteListener;
-import lemondock.emulator.collect.Received;
+import lemondock.emulator.collect.ReceivedReports;
 import lemondock.metrics.Family;
 import lemondock.metrics.Field;
 import lemondock.metrics.Metrics;
@@ -27,7 +27,7 @@
  * Small listeners for all forms of reports, and the comparison of what they were told last with the
  * gateways' own final tallies, value by value.
  */
-public final class ReportCheck implements AutoCloseable {
+public final class ReportComparison implements AutoCloseable {
   private static final String USER = "rehearsal";
   private static final String PASSWORD = "not a secret";
   private static final long WAIT_NANOS = TimeUnit.SECONDS.toNanos(5);
@@ -41,7 +41,7 @@
   private int compared;
 
   /** Starts the listeners on free ports. */
-  public ReportCheck() {
+  public ReportComparison() {
     try {
       graphite.put("plain", new GraphiteListener(0, false, GraphiteListener.Fault.NONE));
       graphite.put("pickle", new GraphiteListener(0, true, GraphiteListener.Fault.NONE));
@@ -177,7 +177,7 @@
     return URLDecoder.decode(part.replace("+", "%2B"), StandardCharsets.UTF_8);
   }
 
-  private static Map<String, BigDecimal> ofGraphite(Received received, String instance) {
+  private static Map<String, BigDecimal> ofGraphite(ReceivedReports received, String instance) {
     Map<String, BigDecimal> values = new TreeMap<>();
     received
         .newest()
@@ -195,7 +195,7 @@
     return values;
   }
 
-  private static Map<String, BigDecimal> ofCollectd(Received received, String instance) {
+  private static Map<String, BigDecimal> ofCollectd(ReceivedReports received, String instance) {
     Map<String, BigDecimal> values = new TreeMap<>();
     received
         .newest()
@@ -213,7 +213,7 @@
                     type.length == 1
                         ? List.of()
                         : java.util.Arrays.stream(type[1].split("\\."))
-                            .map(ReportCheck::plain)
+                            .map(ReportComparison::plain)
                             .toList();
                 for (int i = 0; i < family.fields().size(); i++) {
                   Field field = family.fields().get(i);
--- a/scenario/src/main/java/lemondock/scenario/ScenarioAuditor.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioAuditor.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.Tap;
+import lemondock.emulator.TrafficObserver;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.rpc.Mcp;
 
@@ -35,12 +35,15 @@
   private static final double CHARS_A_TOKEN =
       3; // fewer than any tokenizer's mean: errs towards more patience
   private static final int MOST_TOLD = 20;
-  private static final Set<Tap.What> ENDS =
-      Set.of(Tap.What.ANSWERED, Tap.What.TURNED_AWAY, Tap.What.BROKEN);
+  private static final Set<TrafficObserver.What> ENDS =
+      Set.of(
+          TrafficObserver.What.ANSWERED,
+          TrafficObserver.What.TURNED_AWAY,
+          TrafficObserver.What.BROKEN);
 
   private final GatewaySettings settings;
   private final Map<String, EngineSettings> engines = new HashMap<>();
-  private final List<Tap.Event> events;
+  private final List<TrafficObserver.Event> events;
   private final List<CallRecord> calls;
   private final Map<String, List<Long>> kills = new HashMap<>();
   private final List<ScenarioFleet.Stood> stood;
@@ -70,13 +73,13 @@
 
   /** One read or write as its engine saw it; {@code endedAt} is Long.MAX_VALUE while it lasts. */
   private static final class Attempt {
-    private Tap.Event arrived;
+    private TrafficObserver.Event arrived;
     private long endedAt = Long.MAX_VALUE;
     private boolean turnedAway;
     private boolean effect;
 
     boolean write() {
-      return arrived.what() == Tap.What.WRITE;
+      return arrived.what() == TrafficObserver.What.WRITE;
     }
   }
 
@@ -92,7 +95,7 @@
   public ScenarioAuditor(
       GatewaySettings settings,
       List<EngineSettings> engines,
-      List<Tap.Event> events,
+      List<TrafficObserver.Event> events,
       List<CallRecord> calls,
       List<ScenarioFleet.Killed> killed,
       List<ScenarioFleet.Stood> stood,
@@ -100,7 +103,8 @@
     this.stood = stood;
     this.settings = settings;
     engines.forEach(e -> this.engines.put(e.name(), e));
-    this.events = events.stream().sorted(Comparator.comparingLong(Tap.Event::at)).toList();
+    this.events =
+        events.stream().sorted(Comparator.comparingLong(TrafficObserver.Event::at)).toList();
     this.calls = calls;
     this.end = end;
     killed.forEach(k -> kills.computeIfAbsent(k.gateway(), g -> new ArrayList<>()).add(k.at()));
@@ -131,9 +135,9 @@
   /** Puts together what belongs to one attempt. */
   private void collect() {
     Map<String, Attempt> open = new HashMap<>();
-    for (Tap.Event e : events) {
+    for (TrafficObserver.Event e : events) {
       String key = e.where() + "/" + e.requestId();
-      if (e.what() == Tap.What.READ || e.what() == Tap.What.WRITE) {
+      if (e.what() == TrafficObserver.What.READ || e.what() == TrafficObserver.What.WRITE) {
         Attempt attempt = new Attempt();
         attempt.arrived = e;
         open.put(key, attempt);
@@ -141,10 +145,10 @@
       } else if (ENDS.contains(e.what()) && open.containsKey(key)) {
         Attempt attempt = open.get(key);
         attempt.endedAt = Math.min(attempt.endedAt, e.at());
-        attempt.turnedAway |= e.what() == Tap.What.TURNED_AWAY;
-      } else if (e.what() == Tap.What.EFFECT && open.containsKey(key)) {
+        attempt.turnedAway |= e.what() == TrafficObserver.What.TURNED_AWAY;
+      } else if (e.what() == TrafficObserver.What.EFFECT && open.containsKey(key)) {
         open.get(key).effect = true;
-      } else if (e.what() == Tap.What.DIED) {
+      } else if (e.what() == TrafficObserver.What.DIED) {
         open.values().stream()
             .filter(a -> a.arrived.where().equals(e.where()))
             .forEach(a -> a.endedAt = Math.min(a.endedAt, e.at()));
@@ -345,9 +349,9 @@
   private void drains() {
     long grace = GatewaySettings.micros(settings.rules().drainGraceMs()) + TOLERANCE;
     Map<String, Map<String, Long>> closed = new HashMap<>(); // gateway -> server -> since when
-    for (Tap.Event e : events) {
+    for (TrafficObserver.Event e : events) {
       Map<String, Long> shut = closed.computeIfAbsent(e.gateway(), g -> new HashMap<>());
-      if (e.what() == Tap.What.TOLD) {
+      if (e.what() == TrafficObserver.What.TOLD) {
         Set<String> ready = new HashSet<>();
         for (String part : e.detail().split(" ")) {
           if (part.endsWith("=ready")) {
@@ -364,7 +368,7 @@
                     shut.putIfAbsent(name, e.at());
                   }
                 });
-      } else if (e.what() == Tap.What.READ || e.what() == Tap.What.WRITE) {
+      } else if (e.what() == TrafficObserver.What.READ || e.what() == TrafficObserver.What.WRITE) {
         Long since = shut.get(e.where());
         if (since != null
             && e.at() - since - stoodWithin(e.gateway(), since, e.at()) > grace
@@ -393,9 +397,9 @@
    */
   private void coldServers() {
     double window = GatewaySettings.micros(settings.rules().overloadWindowMs());
-    for (Tap.Event started : events) {
+    for (TrafficObserver.Event started : events) {
       EngineSettings s = engines.get(started.where());
-      if (started.what() != Tap.What.STARTED || s == null || started.value() <= 0) {
+      if (started.what() != TrafficObserver.What.STARTED || s == null || started.value() <= 0) {
         continue;
       }
       double perMicro = capacity(s) / 1e6;
@@ -407,8 +411,9 @@
                       e.where().equals(s.name())
                           && e.at() >= started.at()
                           && e.at() <= warm
-                          && (e.what() == Tap.What.READ || e.what() == Tap.What.WRITE))
-              .map(Tap.Event::at)
+                          && (e.what() == TrafficObserver.What.READ
+                              || e.what() == TrafficObserver.What.WRITE))
+              .map(TrafficObserver.Event::at)
               .toList();
       for (int from = 0; from < sends.size(); from++) {
         int to = from;
@@ -446,8 +451,8 @@
   private double capacity(EngineSettings s) {
     double tokens =
         events.stream()
-            .filter(e -> e.what() == Tap.What.READ)
-            .mapToLong(Tap.Event::value)
+            .filter(e -> e.what() == TrafficObserver.What.READ)
+            .mapToLong(TrafficObserver.Event::value)
             .average()
             .orElse(500);
     double answer =
@@ -465,18 +470,19 @@
    */
   private void heldStates() {
     long limit = GatewaySettings.micros(settings.rules().releaseWithinMs()) + TOLERANCE;
-    Map<String, Tap.Event> open = new LinkedHashMap<>();
+    Map<String, TrafficObserver.Event> open = new LinkedHashMap<>();
     List<Object[]> spans = new ArrayList<>();
-    for (Tap.Event e : events) {
+    for (TrafficObserver.Event e : events) {
       String key = e.where() + "/" + e.requestId();
-      if (e.what() == Tap.What.STATE_KEPT) {
+      if (e.what() == TrafficObserver.What.STATE_KEPT) {
         open.put(key, e);
-      } else if (e.what() == Tap.What.STATE_TAKEN || e.what() == Tap.What.STATE_LET_GO) {
-        Tap.Event kept = open.remove(key);
+      } else if (e.what() == TrafficObserver.What.STATE_TAKEN
+          || e.what() == TrafficObserver.What.STATE_LET_GO) {
+        TrafficObserver.Event kept = open.remove(key);
         if (kept != null) {
           spans.add(new Object[] {kept, e.at()});
         }
-      } else if (e.what() == Tap.What.DIED) {
+      } else if (e.what() == TrafficObserver.What.DIED) {
         open.entrySet()
             .removeIf(
                 o -> {
@@ -490,7 +496,7 @@
     }
     open.values().forEach(kept -> spans.add(new Object[] {kept, end}));
     for (Object[] span : spans) {
-      Tap.Event kept = (Tap.Event) span[0];
+      TrafficObserver.Event kept = (TrafficObserver.Event) span[0];
       long until = (long) span[1];
       long idle = longestIdle(kept, until);
       if (idle > limit && !killedWithin(kept.gateway(), kept.at(), until)) {
@@ -508,7 +514,7 @@
   }
 
   /** The longest time within a state's life in which no attempt of its request was out. */
-  private long longestIdle(Tap.Event kept, long until) {
+  private long longestIdle(TrafficObserver.Event kept, long until) {
     List<long[]> out = new ArrayList<>();
     for (Attempt a : attempts.getOrDefault(kept.mark(), List.of())) {
       if (a.arrived.gateway().equals(kept.gateway())) {
@@ -527,7 +533,7 @@
     return Math.max(longest, idle(kept, free, until));
   }
 
-  private long idle(Tap.Event kept, long from, long to) {
+  private long idle(TrafficObserver.Event kept, long from, long to) {
     return to - from - stoodWithin(kept.gateway(), from, to);
   }
 
--- a/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
@@ -22,7 +22,7 @@
 import lemondock.emulator.CatalogueEmulator;
 import lemondock.emulator.EngineEmulator;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.Tap;
+import lemondock.emulator.TrafficObserver;
 import lemondock.exporter.host.ReportHost;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.GatewayEnvironment;
@@ -50,11 +50,12 @@
   private static final int DISK_QUEUE = 64;
   private static final long OCCUPIED_EVERY = 20_000;
 
-  private final Node standins = new Node("standins", 2);
+  private final EmulatedProcess standins = new EmulatedProcess("standins", 2);
   private final CatalogueEmulator catalogue;
   private final Map<String, Box> boxes = new LinkedHashMap<>();
   private final Map<String, Front> fronts = new LinkedHashMap<>();
-  private final List<Tap.Event> events = Collections.synchronizedList(new ArrayList<>());
+  private final List<TrafficObserver.Event> events =
+      Collections.synchronizedList(new ArrayList<>());
   private final List<Killed> killed = Collections.synchronizedList(new ArrayList<>());
   private final List<Stood> stood = Collections.synchronizedList(new ArrayList<>());
   private final PromptReader prompts;
@@ -79,15 +80,15 @@
 
   private static final class Box {
     private EngineSettings settings;
-    private Node node;
+    private EmulatedProcess node;
     private EngineEmulator engine;
   }
 
   private static final class Front {
     private GatewaySettings settings;
     private RouterFactory maker;
-    private Node node;
-    private Pausable network;
+    private EmulatedProcess node;
+    private PausableNetwork network;
     private DiskFolder durable;
 
     private ExecutorService disk;
@@ -154,7 +155,7 @@
   }
 
   /** The stand-ins' node. */
-  public Node standins() {
+  public EmulatedProcess standins() {
     return standins;
   }
 
@@ -167,7 +168,7 @@
   }
 
   private void up(Box box, boolean cold) {
-    box.node = new Node(standins, 1);
+    box.node = new EmulatedProcess(standins, 1);
     EngineSettings now = cold ? box.settings : box.settings.warming(box.settings.coldShare(), 0);
     box.engine =
         standins.ask(
@@ -268,9 +269,9 @@
   /** Starts a gateway that was killed or stopped, with nothing but its settings. */
   public void startGateway(String name) {
     Front front = fronts.get(name);
-    front.node = new Node(name, front.settings.ioThreads());
+    front.node = new EmulatedProcess(name, front.settings.ioThreads());
     front.disk = WorkerPool.create(1, DISK_QUEUE, name + "-disk");
-    front.network = new Pausable(front.node.network(), front.node.loop());
+    front.network = new PausableNetwork(front.node.network(), front.node.loop());
     try {
       front.durable =
           front.settings.durable() == null
@@ -389,7 +390,7 @@
   }
 
   /** A gateway's node. */
-  public Node node(String name) {
+  public EmulatedProcess node(String name) {
     return fronts.get(name).node;
   }
 
@@ -417,7 +418,7 @@
   }
 
   /** What passed on the stand-ins' sockets so far. */
-  public List<Tap.Event> events() {
+  public List<TrafficObserver.Event> events() {
     synchronized (events) {
       return List.copyOf(events);
     }
--- a/scenario/src/main/java/lemondock/scenario/Verdict.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioReport.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /** Writes down what came of days: a line, JSON, and a page. */
-public final class Verdict {
+public final class ScenarioReport {
   private static final Map<Integer, String> RULES =
       Map.of(
           1,
@@ -22,7 +22,7 @@
           5,
           "nothing left held");
 
-  private Verdict() {}
+  private ScenarioReport() {}
 
   /** A line for a day. */
   public static String line(FaultScenario.Result r) {
--- a/scenario/src/main/java/lemondock/scenario/DayScript.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioScript.java
@@ -14,7 +14,7 @@
  * A day to be played: the fleet's size, its load and what goes wrong; {@code day.schema.json} holds
  * the defaults.
  */
-public record DayScript(
+public record ScenarioScript(
     String name,
     long seed,
     double seconds,
@@ -63,16 +63,17 @@
   public record Trouble(String kind, double atMs, double forMs, double part, double size) {}
 
   /** Reads a script from a file. */
-  public static DayScript read(Path file) throws SettingsException {
+  public static ScenarioScript read(Path file) throws SettingsException {
     return of(file.toString(), SettingsFile.readJson(file));
   }
 
-  private static DayScript of(String file, JsonNode root) throws SettingsException {
-    return SettingsFile.bind(file, root, "day.schema.json", DayScript.class, DayScript.class);
+  private static ScenarioScript of(String file, JsonNode root) throws SettingsException {
+    return SettingsFile.bind(
+        file, root, "day.schema.json", ScenarioScript.class, ScenarioScript.class);
   }
 
   /** A script with all defaults and no troubles. */
-  public static DayScript quiet() {
+  public static ScenarioScript quiet() {
     try {
       return of("quiet", JsonNodeFactory.instance.objectNode());
     } catch (SettingsException e) {
@@ -81,8 +82,8 @@
   }
 
   /** The same day with another seed, which draws its traffic. */
-  public DayScript seeded(long other) {
-    return new DayScript(
+  public ScenarioScript seeded(long other) {
+    return new ScenarioScript(
         name,
         other,
         seconds,
@@ -100,8 +101,8 @@
   }
 
   /** The same fleet and traffic over another time and with other troubles. */
-  public DayScript with(String other, double time, double pace, List<Trouble> bad) {
-    return new DayScript(
+  public ScenarioScript with(String other, double time, double pace, List<Trouble> bad) {
+    return new ScenarioScript(
         other,
         seed,
         time,
@@ -119,8 +120,8 @@
   }
 
   /** The same day on another fleet, one zone with one gateway. */
-  public DayScript fleet(int readers, int writers, int mixed, int places, double token) {
-    return new DayScript(
+  public ScenarioScript fleet(int readers, int writers, int mixed, int places, double token) {
+    return new ScenarioScript(
         name,
         seed,
         seconds,
@@ -138,7 +139,7 @@
   }
 
   /** A bad day drawn from a seed: three to five troubles, some of them at a time. */
-  public static DayScript draw(long seed, double seconds) {
+  public static ScenarioScript draw(long seed, double seconds) {
     SplittableRandom random = new SplittableRandom(seed);
     List<Trouble> troubles = new ArrayList<>();
     int count = 3 + random.nextInt(3);
--- a/scenario/src/test/java/lemondock/scenario/BreaksTest.java
+++ b/scenario/src/test/java/lemondock/scenario/BreakTableTest.java
@@ -21,9 +21,9 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
+import lemondock.emulator.EngineFaults;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.Faults;
-import lemondock.emulator.Tap;
+import lemondock.emulator.TrafficObserver;
 import lemondock.rpc.Mcp;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
@@ -41,7 +41,7 @@
  * come in order, and nothing is left under way.
  */
 @Timeout(60)
-class BreaksTest {
+class BreakTableTest {
   private static final String PROMPT = "call the tool stock answer in 6 words";
   private static final String BEFORE = " a0 a1 a2 a3";
   private static final String AFTER = " b0 b1 b2 b3 b4 b5";
@@ -52,8 +52,8 @@
 
   private static final int READERS = 5;
   private static final int WRITERS = 3;
-  private static final Map<String, BlockingQueue<Bench>> FREE = new HashMap<>();
-  private static final List<Bench> BENCHES = new ArrayList<>();
+  private static final Map<String, BlockingQueue<GatewayFixture>> FREE = new HashMap<>();
+  private static final List<GatewayFixture> BENCHES = new ArrayList<>();
   private static final AtomicInteger NUMBER = new AtomicInteger();
 
   /** When something breaks. */
@@ -174,11 +174,13 @@
     }
   }
 
-  private static Bench bench(String repeat) {
+  private static GatewayFixture bench(String repeat) {
     List<EngineSettings> engines = new ArrayList<>();
-    IntStream.rangeClosed(1, READERS).forEach(i -> engines.add(slow(Bench.reader("r" + i))));
-    IntStream.rangeClosed(1, WRITERS).forEach(i -> engines.add(slow(Bench.writer("w" + i))));
-    return new Bench(
+    IntStream.rangeClosed(1, READERS)
+        .forEach(i -> engines.add(slow(GatewayFixture.reader("r" + i))));
+    IntStream.rangeClosed(1, WRITERS)
+        .forEach(i -> engines.add(slow(GatewayFixture.writer("w" + i))));
+    return new GatewayFixture(
         s -> {
           ObjectNode cls = (ObjectNode) s.at("/classes/0");
           cls.put("repeat", repeat)
@@ -202,7 +204,7 @@
 
   @AfterAll
   static void stop() {
-    BENCHES.forEach(Bench::close);
+    BENCHES.forEach(GatewayFixture::close);
   }
 
   static Stream<Arguments> single() {
@@ -256,7 +258,7 @@
   }
 
   private static void check(String repeat, List<Row> rows) throws Exception {
-    Bench bench = FREE.get(repeat).take();
+    GatewayFixture bench = FREE.get(repeat).take();
     try {
       check(bench, repeat, rows);
     } finally {
@@ -264,7 +266,7 @@
     }
   }
 
-  private static void check(Bench bench, String repeat, List<Row> rows) throws Exception {
+  private static void check(GatewayFixture bench, String repeat, List<Row> rows) throws Exception {
     Run run = new Run(bench, rows, "row" + NUMBER.incrementAndGet());
     CallRecord seen = run.go();
     End wanted = End.SERVED;
@@ -298,8 +300,11 @@
     }
     if (!repeat.equals("safe")) {
       assertTrue(
-          bench.events(Tap.What.EFFECT, run.mark).stream().map(Tap.Event::value).distinct().count()
-              == bench.events(Tap.What.EFFECT, run.mark).size(),
+          bench.events(TrafficObserver.What.EFFECT, run.mark).stream()
+                  .map(TrafficObserver.Event::value)
+                  .distinct()
+                  .count()
+              == bench.events(TrafficObserver.What.EFFECT, run.mark).size(),
           "a leg ran twice");
     }
     bench.awaitIdle();
@@ -307,7 +312,7 @@
   }
 
   /** The auditor's word on all that passed on the engines' sockets and on this client's. */
-  private static void rulesKept(Bench bench, CallRecord seen) {
+  private static void rulesKept(GatewayFixture bench, CallRecord seen) {
     ScenarioAuditor.Finding finding =
         new ScenarioAuditor(
                 bench.settings,
@@ -325,20 +330,22 @@
 
   /** One answer, and what is done to it. */
   private static final class Run {
-    private final Bench bench;
+    private final GatewayFixture bench;
     private final List<Row> rows;
     private final String mark;
     private final CallRecord seen;
-    private final TalkingClient client;
+    private final ConversationClient client;
     private List<Long> numbers = List.of();
     private boolean gone;
 
-    Run(Bench bench, List<Row> rows, String mark) throws IOException, InterruptedException {
+    Run(GatewayFixture bench, List<Row> rows, String mark)
+        throws IOException, InterruptedException {
       this.bench = bench;
       this.rows = rows;
       this.mark = mark;
-      this.client = new TalkingClient(bench.port);
-      this.seen = new CallRecord(mark, Bench.GATEWAY, 0, 0, false, bench.clients.loop().now());
+      this.client = new ConversationClient(bench.port);
+      this.seen =
+          new CallRecord(mark, GatewayFixture.GATEWAY, 0, 0, false, bench.clients.loop().now());
     }
 
     private boolean has(Break what, Moment moment) {
@@ -346,15 +353,15 @@
     }
 
     /** Breaks one request at whichever engine of a kind it comes to. */
-    private void faults(String kind, Consumer<Faults> change) {
+    private void faults(String kind, Consumer<EngineFaults> change) {
       bench
           .fleet
           .standins()
           .ask(
               () -> {
-                Faults.Hits one = new Faults.Hits(1);
+                EngineFaults.Hits one = new EngineFaults.Hits(1);
                 for (int i = 1; i <= (kind.equals("r") ? READERS : WRITERS); i++) {
-                  Faults faults = bench.fleet.engine(kind + i).faults();
+                  EngineFaults faults = bench.fleet.engine(kind + i).faults();
                   faults.hits = one;
                   change.accept(faults);
                 }
@@ -390,7 +397,7 @@
       writers(Moment.TEXT, 2);
       writers(Moment.CALL, 4);
       readers(Moment.READ);
-      try (TalkingClient.Answer answer =
+      try (ConversationClient.Answer answer =
           client.call("7", "sale-lookup", "#" + mark + "# " + PROMPT, List.of("stock"))) {
         numbers = answer.numbers;
         answer.primed();
@@ -431,7 +438,7 @@
     }
 
     /** What the client's side does to the answer. */
-    private void client(TalkingClient.Answer answer, Moment moment)
+    private void client(ConversationClient.Answer answer, Moment moment)
         throws IOException, InterruptedException {
       if (has(Break.STREAM, moment)) {
         answer.resume();
@@ -475,9 +482,11 @@
         result = "{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"result\":7}";
       }
       if (has(Break.LATE, Moment.TOOL)) { // the next leg has begun: its time is over
-        Bench.await(
+        GatewayFixture.await(
             "the model told",
-            () -> bench.events(Tap.What.EFFECT, mark).stream().anyMatch(e -> e.value() > 2));
+            () ->
+                bench.events(TrafficObserver.What.EFFECT, mark).stream()
+                    .anyMatch(e -> e.value() > 2));
       }
       client.post(result);
       if (has(Break.TWICE, Moment.TOOL)) {
--- a/scenario/src/test/java/lemondock/scenario/TalkingClient.java
+++ b/scenario/src/test/java/lemondock/scenario/ConversationClient.java
@@ -21,7 +21,7 @@
  * message, may break its connection and take the stream up again, and answers tools as it is told.
  * It shares no code with the program but the names of the protocol.
  */
-final class TalkingClient {
+final class ConversationClient {
   static final ObjectMapper MAPPER = new ObjectMapper();
   static final HttpClient HTTP =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -30,7 +30,7 @@
   private final String session;
 
   /** Opens a session. */
-  TalkingClient(int port) throws IOException, InterruptedException {
+  ConversationClient(int port) throws IOException, InterruptedException {
     this.port = port;
     HttpResponse<String> opened =
         HTTP.send(
--- a/scenario/src/test/java/lemondock/scenario/CrashTest.java
+++ b/scenario/src/test/java/lemondock/scenario/CrashTest.java
@@ -25,7 +25,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Supplier;
 import java.util.stream.Stream;
-import lemondock.emulator.Tap;
+import lemondock.emulator.TrafficObserver;
 import lemondock.rpc.Mcp;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
@@ -60,11 +60,12 @@
   static void engines() {
     fleet =
         new ScenarioFleet(
-            Presets.gateway("x", 0, 1, "north", Presets.freePort(), "127.0.0.1:1", s -> {})
+            LoopbackSettings.gateway(
+                    "x", 0, 1, "north", LoopbackSettings.freePort(), "127.0.0.1:1", s -> {})
                 .classes(),
             1);
-    fleet.addEngine(Bench.reader("r"));
-    fleet.addEngine(Bench.writer("w"));
+    fleet.addEngine(GatewayFixture.reader("r"));
+    fleet.addEngine(GatewayFixture.writer("w"));
   }
 
   @AfterAll
@@ -75,12 +76,12 @@
   /** One life of the gateway. */
   private static final class Life implements AutoCloseable {
     private final Process process;
-    private final int port = Presets.freePort();
+    private final int port = LoopbackSettings.freePort();
 
     /** Null in place of a port if it died before it was ready. */
     Life(Path home, int step, boolean half) throws IOException, InterruptedException {
       ObjectNode[] root = new ObjectNode[1];
-      Presets.gateway(
+      LoopbackSettings.gateway(
           "gw",
           0,
           1,
@@ -128,7 +129,7 @@
           HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/readyz")).build();
       while (process.isAlive()) {
         try {
-          if (TalkingClient.HTTP.send(ask, HttpResponse.BodyHandlers.discarding()).statusCode()
+          if (ConversationClient.HTTP.send(ask, HttpResponse.BodyHandlers.discarding()).statusCode()
               == 200) {
             return true;
           }
@@ -164,13 +165,13 @@
   private static Try ask(Life life, String mark, String key) throws InterruptedException {
     Try seen = new Try();
     try {
-      TalkingClient client = new TalkingClient(life.port);
-      try (TalkingClient.Answer answer =
+      ConversationClient client = new ConversationClient(life.port);
+      try (ConversationClient.Answer answer =
           client.call("7", "sale-lookup", "#" + mark + "# " + PROMPT, List.of("stock"), key)) {
         for (JsonNode message = answer.next(); message != null; message = answer.next()) {
           if (message.path("method").asText().equals(Mcp.TOOLS_CALL)) {
             seen.relayed++;
-            client.post(TalkingClient.result(message.get("id"), "did"));
+            client.post(ConversationClient.result(message.get("id"), "did"));
           } else if (message.has("result") || message.has("error")) {
             seen.end = message;
           }
@@ -185,8 +186,8 @@
   /** The engines' work for a try: legs written, by their length. */
   private static List<Long> effects(String mark) {
     return fleet.events().stream()
-        .filter(e -> e.what() == Tap.What.EFFECT && e.mark().equals(mark))
-        .map(Tap.Event::value)
+        .filter(e -> e.what() == TrafficObserver.What.EFFECT && e.mark().equals(mark))
+        .map(TrafficObserver.Event::value)
         .toList();
   }
 
@@ -255,7 +256,7 @@
           int step = steps + i;
           some.add(CompletableFuture.supplyAsync(() -> dies(homes, step, half), beside));
         }
-        int died = (int) some.stream().map(Bench::get).filter(d -> d).count();
+        int died = (int) some.stream().map(GatewayFixture::get).filter(d -> d).count();
         steps += died;
         if (died < BESIDE) {
           return steps;
--- a/scenario/src/test/java/lemondock/scenario/FaultScenarioTest.java
+++ b/scenario/src/test/java/lemondock/scenario/FaultScenarioTest.java
@@ -15,7 +15,7 @@
   @Test
   void aQuietDayServesAlmostAll() throws InterruptedException {
     FaultScenario.Result result =
-        new FaultScenario(DayScript.quiet().with("quiet", 3, 60, List.of())).play();
+        new FaultScenario(ScenarioScript.quiet().with("quiet", 3, 60, List.of())).play();
     assertEquals(
         Map.of(1, List.of(), 2, List.of(), 3, List.of(), 4, List.of(), 5, List.of()),
         result.finding().breaches());
@@ -26,15 +26,15 @@
   void gatewaysThatStandStillOrAreOccupiedKeepTheRules() throws InterruptedException {
     FaultScenario.Result result =
         new FaultScenario(
-                DayScript.quiet()
+                ScenarioScript.quiet()
                     .with(
                         "frozen",
                         4,
                         60,
                         List.of(
-                            new DayScript.Trouble("gateway_freeze", 700, 1500, 0, 0),
-                            new DayScript.Trouble("fast_errors", 1000, 1500, 0.4, 0.6),
-                            new DayScript.Trouble("gateway_busy", 1500, 1500, 0, 0.8))))
+                            new ScenarioScript.Trouble("gateway_freeze", 700, 1500, 0, 0),
+                            new ScenarioScript.Trouble("fast_errors", 1000, 1500, 0.4, 0.6),
+                            new ScenarioScript.Trouble("gateway_busy", 1500, 1500, 0, 0.8))))
             .play();
     assertEquals(
         Map.of(1, List.of(), 2, List.of(), 3, List.of(), 4, List.of(), 5, List.of()),
@@ -44,11 +44,11 @@
 
   /** Gateways die all the time, and clients ask for the same calls again when they are back. */
   private static FaultScenario deaths() {
-    List<DayScript.Trouble> kills = new ArrayList<>();
+    List<ScenarioScript.Trouble> kills = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      kills.add(new DayScript.Trouble("gateway_kill", 500 + 500 * i, 300, 0, 0));
+      kills.add(new ScenarioScript.Trouble("gateway_kill", 500 + 500 * i, 300, 0, 0));
     }
-    return new FaultScenario(DayScript.quiet().with("deaths", 6, 120, kills));
+    return new FaultScenario(ScenarioScript.quiet().with("deaths", 6, 120, kills));
   }
 
   @Test
--- a/scenario/src/test/java/lemondock/scenario/HardCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
@@ -12,15 +12,15 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
-import lemondock.emulator.Faults;
-import lemondock.emulator.Tap;
+import lemondock.emulator.EngineFaults;
+import lemondock.emulator.TrafficObserver;
 import lemondock.gateway.Gateway;
 import lemondock.rpc.Mcp;
 import lemondock.scenario.McpClient.Tools;
 import org.junit.jupiter.api.Test;
 
 /** What breaks, one by one, and what must be seen on the sockets. */
-class HardCasesTest {
+class GatewayEdgeCasesTest {
   private static final String LONG = "answer in 40 words";
 
   private static void limits(ObjectNode s, double deadlineMs) {
@@ -45,7 +45,7 @@
     };
   }
 
-  private static void fault(Bench bench, String engine, Consumer<Faults> set) {
+  private static void fault(GatewayFixture bench, String engine, Consumer<EngineFaults> set) {
     bench
         .fleet
         .standins()
@@ -56,7 +56,7 @@
             });
   }
 
-  private static void faults(Bench bench, Consumer<Faults> set) {
+  private static void faults(GatewayFixture bench, Consumer<EngineFaults> set) {
     bench.fleet.engines().forEach(e -> fault(bench, e, set));
   }
 
@@ -76,8 +76,8 @@
   }
 
   /** Makes a call, which must end once and with the whole answer. */
-  private static CallRecord assertServedWhole(Bench bench) {
-    CallRecord seen = bench.call(Bench.ask("m", LONG, Tools.ANSWER));
+  private static CallRecord assertServedWhole(GatewayFixture bench) {
+    CallRecord seen = bench.call(GatewayFixture.ask("m", LONG, Tools.ANSWER));
     assertOneEnd(seen);
     assertEquals(words(40), seen.finalText);
     return seen;
@@ -87,12 +87,13 @@
 
   @Test
   void aWriterThatBreaksBeforeItsFirstToken() {
-    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
+    try (GatewayFixture bench =
+        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
       faults(
           bench,
           f -> {
             f.breakAfter = 0;
-            f.hits = new Faults.Hits(1);
+            f.hits = new EngineFaults.Hits(1);
           });
       assertServedWhole(bench);
       bench.awaitIdle();
@@ -101,53 +102,65 @@
 
   @Test
   void aWriterThatBreaksAfterSomeTokensIsGoneOnBehind() {
-    try (Bench bench =
-        new Bench(quick(), Bench.reader("r"), Bench.writer("w1"), Bench.writer("w2"))) {
+    try (GatewayFixture bench =
+        new GatewayFixture(
+            quick(),
+            GatewayFixture.reader("r"),
+            GatewayFixture.writer("w1"),
+            GatewayFixture.writer("w2"))) {
       faults(
           bench,
           f -> {
             f.breakAfter = 7;
-            f.hits = new Faults.Hits(1);
+            f.hits = new EngineFaults.Hits(1);
           });
       CallRecord seen = assertServedWhole(bench);
       assertEquals(words(40), seen.streamed.toString());
       assertEquals(40, seen.tokens);
-      assertTrue(bench.events(Tap.What.EFFECT, "m").size() >= 2);
+      assertTrue(bench.events(TrafficObserver.What.EFFECT, "m").size() >= 2);
       bench.awaitIdle();
     }
   }
 
   @Test
   void anAnswerThatMayRunOnlyOnceFailsWhenItBreaks() {
-    try (Bench bench =
-        new Bench(once(), Bench.reader("r"), Bench.writer("w1"), Bench.writer("w2"))) {
+    try (GatewayFixture bench =
+        new GatewayFixture(
+            once(),
+            GatewayFixture.reader("r"),
+            GatewayFixture.writer("w1"),
+            GatewayFixture.writer("w2"))) {
       faults(bench, f -> f.breakAfter = 7);
-      CallRecord seen = bench.call(Bench.ask("m", LONG, Tools.ANSWER));
+      CallRecord seen = bench.call(GatewayFixture.ask("m", LONG, Tools.ANSWER));
       assertOneEnd(seen);
       assertEquals(Mcp.FAILED, seen.errorCode);
       assertFalse(seen.retryable);
-      assertEquals(1, bench.events(Tap.What.EFFECT, "m").size());
+      assertEquals(1, bench.events(TrafficObserver.What.EFFECT, "m").size());
       bench.awaitIdle();
     }
   }
 
   @Test
   void aWriterThatBreaksAfterAToolCallWasRelayed() {
-    try (Bench bench =
-        new Bench(quick(), Bench.reader("r"), Bench.writer("w1"), Bench.writer("w2"))) {
+    try (GatewayFixture bench =
+        new GatewayFixture(
+            quick(),
+            GatewayFixture.reader("r"),
+            GatewayFixture.writer("w1"),
+            GatewayFixture.writer("w2"))) {
       CompletableFuture<McpClient.Call> done =
           bench.begin(
               bench.client(),
-              Bench.ask("m", "call the tool stock " + LONG, Tools.ANSWER, "stock"),
+              GatewayFixture.ask("m", "call the tool stock " + LONG, Tools.ANSWER, "stock"),
               call ->
                   faults(
                       bench,
                       f -> {
                         f.breakAfter = 6; // the first leg has four tokens: it is
                         // the second that breaks
-                        f.hits = new Faults.Hits(1);
+                        f.hits = new EngineFaults.Hits(1);
                       }));
-      CallRecord seen = Bench.get(done).seen();
+      CallRecord seen = GatewayFixture.get(done).seen();
       assertOneEnd(seen);
       assertEquals(1, seen.toolCalls.size());
       assertTrue(
@@ -160,13 +173,17 @@
 
   @Test
   void streamsThatFallSilentMidwayAreBrokenOffAndGoneOnWith() {
-    try (Bench bench =
-        new Bench(quick(), Bench.reader("r"), Bench.writer("w1"), Bench.writer("w2"))) {
+    try (GatewayFixture bench =
+        new GatewayFixture(
+            quick(),
+            GatewayFixture.reader("r"),
+            GatewayFixture.writer("w1"),
+            GatewayFixture.writer("w2"))) {
       faults(
           bench,
           f -> {
             f.stallAfter = 5;
-            f.hits = new Faults.Hits(1);
+            f.hits = new EngineFaults.Hits(1);
           });
       assertServedWhole(bench);
       bench.awaitIdle();
@@ -177,28 +194,33 @@
 
   @Test
   void aReaderThatDiesHoldingAState() {
-    try (Bench bench =
-        new Bench(quick(), Bench.reader("r1"), Bench.reader("r2"), Bench.writer("w"))) {
+    try (GatewayFixture bench =
+        new GatewayFixture(
+            quick(),
+            GatewayFixture.reader("r1"),
+            GatewayFixture.reader("r2"),
+            GatewayFixture.writer("w"))) {
       for (String reader : List.of("r1", "r2")) {
         fault(bench, reader, f -> f.dropStates = true);
       }
-      CallRecord lost = bench.call(Bench.ask("m1", LONG, Tools.ANSWER));
+      CallRecord lost = bench.call(GatewayFixture.ask("m1", LONG, Tools.ANSWER));
       assertOneEnd(lost);
       assertEquals(Mcp.REJECTED, lost.errorCode);
       assertTrue(lost.retryable);
       for (String reader : List.of("r1", "r2")) {
         fault(bench, reader, f -> f.dropStates = false);
       }
-      assertEquals(words(40), bench.call(Bench.ask("m2", LONG, Tools.ANSWER)).finalText);
+      assertEquals(words(40), bench.call(GatewayFixture.ask("m2", LONG, Tools.ANSWER)).finalText);
       bench.awaitIdle();
     }
   }
 
   @Test
   void everyReaderGone() {
-    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
+    try (GatewayFixture bench =
+        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
       bench.fleet.crash("r", 0);
-      CallRecord seen = bench.call(Bench.ask("m", LONG, Tools.ANSWER));
+      CallRecord seen = bench.call(GatewayFixture.ask("m", LONG, Tools.ANSWER));
       assertOneEnd(seen);
       assertEquals(Mcp.REJECTED, seen.errorCode);
       assertTrue(seen.retryable);
@@ -207,7 +229,8 @@
 
   @Test
   void anEmptyListAndOneWhoseServersAllChange() {
-    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
+    try (GatewayFixture bench =
+        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
       bench
           .fleet
           .standins()
@@ -216,12 +239,13 @@
                 bench.fleet.catalogue().empty(true);
                 return null;
               });
-      assertTrue(bench.fleet.awaitServers(Bench.GATEWAY, 0, 5_000));
-      assertEquals(Mcp.REJECTED, bench.call(Bench.ask("m1", LONG, Tools.ANSWER)).errorCode);
+      assertTrue(bench.fleet.awaitServers(GatewayFixture.GATEWAY, 0, 5_000));
+      assertEquals(
+          Mcp.REJECTED, bench.call(GatewayFixture.ask("m1", LONG, Tools.ANSWER)).errorCode);
       bench.fleet.crash("r", 0);
       bench.fleet.crash("w", 0);
-      bench.fleet.addEngine(Bench.reader("r9"));
-      bench.fleet.addEngine(Bench.writer("w9"));
+      bench.fleet.addEngine(GatewayFixture.reader("r9"));
+      bench.fleet.addEngine(GatewayFixture.writer("w9"));
       bench
           .fleet
           .standins()
@@ -230,38 +254,42 @@
                 bench.fleet.catalogue().empty(false);
                 return null;
               });
-      assertTrue(bench.fleet.awaitServers(Bench.GATEWAY, 2, 5_000));
-      assertEquals(words(40), bench.call(Bench.ask("m2", LONG, Tools.ANSWER)).finalText);
+      assertTrue(bench.fleet.awaitServers(GatewayFixture.GATEWAY, 2, 5_000));
+      assertEquals(words(40), bench.call(GatewayFixture.ask("m2", LONG, Tools.ANSWER)).finalText);
     }
   }
 
   @Test
   void aDrainToldWhileASendIsUnderWay() {
-    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w1"))) {
+    try (GatewayFixture bench =
+        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w1"))) {
       AtomicReference<McpClient.Call> call = new AtomicReference<>();
       CompletableFuture<McpClient.Call> done =
           bench.begin(
-              bench.client(), Bench.ask("m", "answer in 200 words", Tools.ANSWER), call::set);
-      Bench.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
+              bench.client(),
+              GatewayFixture.ask("m", "answer in 200 words", Tools.ANSWER),
+              call::set);
+      GatewayFixture.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
       bench.fleet.drain("w1", true);
-      assertEquals(words(200), Bench.get(done).seen().finalText); // what runs may end
-      assertEquals(Mcp.REJECTED, bench.call(Bench.ask("m2", LONG, Tools.ANSWER)).errorCode);
-      assertEquals(0, bench.events(Tap.What.WRITE, "m2").size());
+      assertEquals(words(200), GatewayFixture.get(done).seen().finalText); // what runs may end
+      assertEquals(
+          Mcp.REJECTED, bench.call(GatewayFixture.ask("m2", LONG, Tools.ANSWER)).errorCode);
+      assertEquals(0, bench.events(TrafficObserver.What.WRITE, "m2").size());
     }
   }
 
   // ==== engines that misbehave
 
-  private void misbehaving(Consumer<Faults> fault) {
-    try (Bench bench =
-        new Bench(
+  private void misbehaving(Consumer<EngineFaults> fault) {
+    try (GatewayFixture bench =
+        new GatewayFixture(
             quick(),
-            Bench.reader("r1"),
-            Bench.reader("r2"),
-            Bench.writer("w1"),
-            Bench.writer("w2"))) {
+            GatewayFixture.reader("r1"),
+            GatewayFixture.reader("r2"),
+            GatewayFixture.writer("w1"),
+            GatewayFixture.writer("w2"))) {
       faults(bench, fault);
-      CallRecord seen = bench.call(Bench.ask("m1", LONG, Tools.ANSWER));
+      CallRecord seen = bench.call(GatewayFixture.ask("m1", LONG, Tools.ANSWER));
       assertOneEnd(seen);
       assertTrue(
           seen.errorCode == Mcp.REJECTED || seen.errorCode == Mcp.FAILED, "code " + seen.errorCode);
@@ -274,9 +302,10 @@
             f.raw = null;
             f.badEvent = null;
           });
-      Bench.await(
+      GatewayFixture.await(
           "service again",
-          () -> bench.call(Bench.ask("m2", LONG, Tools.ANSWER)).finalText.equals(words(40)));
+          () ->
+              bench.call(GatewayFixture.ask("m2", LONG, Tools.ANSWER)).finalText.equals(words(40)));
       bench.awaitIdle();
     }
   }
@@ -293,9 +322,10 @@
 
   @Test
   void anEngineThatSendsMalformedEvents() {
-    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
+    try (GatewayFixture bench =
+        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
       fault(bench, "w", f -> f.badEvent = "{\"choices\":[");
-      CallRecord seen = bench.call(Bench.ask("m", LONG, Tools.ANSWER));
+      CallRecord seen = bench.call(GatewayFixture.ask("m", LONG, Tools.ANSWER));
       assertOneEnd(seen);
       assertEquals(
           Mcp.FAILED, seen.errorCode); // some tokens were delivered, and each going-on breaks again
@@ -305,15 +335,16 @@
 
   @Test
   void anEngineThatReportsAnErrorInItsStream() {
-    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
+    try (GatewayFixture bench =
+        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
       fault(
           bench,
           "w",
           f -> {
             f.badEvent = "{\"error\":{\"message\":\"out of memory\"}}";
-            f.hits = new Faults.Hits(1);
+            f.hits = new EngineFaults.Hits(1);
           });
-      CallRecord seen = bench.call(Bench.ask("m", LONG, Tools.ANSWER));
+      CallRecord seen = bench.call(GatewayFixture.ask("m", LONG, Tools.ANSWER));
       assertOneEnd(seen);
       assertEquals(words(40), seen.finalText);
     }
@@ -321,12 +352,15 @@
 
   // ==== clients
 
-  private void leaves(String text, Tools tools, java.util.function.Predicate<Bench> when) {
-    try (Bench bench =
-        new Bench(quick(), Bench.reader("r").paced(60, 1, 5), Bench.writer("w").paced(60, 60, 5))) {
+  private void leaves(String text, Tools tools, java.util.function.Predicate<GatewayFixture> when) {
+    try (GatewayFixture bench =
+        new GatewayFixture(
+            quick(),
+            GatewayFixture.reader("r").paced(60, 1, 5),
+            GatewayFixture.writer("w").paced(60, 60, 5))) {
       AtomicReference<McpClient.Call> call = new AtomicReference<>();
-      bench.begin(bench.client(), Bench.ask("m", text, tools, "stock"), call::set);
-      Bench.await("the moment to leave", () -> call.get() != null && when.test(bench));
+      bench.begin(bench.client(), GatewayFixture.ask("m", text, tools, "stock"), call::set);
+      GatewayFixture.await("the moment to leave", () -> call.get() != null && when.test(bench));
       bench.clients.loop().execute(call.get()::leave);
       bench.awaitIdle();
       assertEquals(0, call.get().seen().responses);
@@ -340,29 +374,39 @@
 
   @Test
   void aClientThatLeavesWhileAStateIsHeld() {
-    leaves(LONG, Tools.ANSWER, b -> !b.events(Tap.What.STATE_KEPT, "m").isEmpty());
+    leaves(LONG, Tools.ANSWER, b -> !b.events(TrafficObserver.What.STATE_KEPT, "m").isEmpty());
   }
 
   @Test
   void aClientThatLeavesMidStream() {
-    leaves("answer in 400 words", Tools.ANSWER, b -> !b.events(Tap.What.EFFECT, "m").isEmpty());
+    leaves(
+        "answer in 400 words",
+        Tools.ANSWER,
+        b -> !b.events(TrafficObserver.What.EFFECT, "m").isEmpty());
   }
 
   @Test
   void aClientThatLeavesMidCall() {
-    leaves("call the tool stock", Tools.SILENT, b -> b.events(Tap.What.ANSWERED, "m").size() == 2);
+    leaves(
+        "call the tool stock",
+        Tools.SILENT,
+        b -> b.events(TrafficObserver.What.ANSWERED, "m").size() == 2);
   }
 
   @Test
   void aToolThatNeverAnswersAnswersTwiceOrFails() {
-    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
-      CallRecord silent = bench.call(Bench.ask("m1", "call the tool stock", Tools.SILENT, "stock"));
+    try (GatewayFixture bench =
+        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
+      CallRecord silent =
+          bench.call(GatewayFixture.ask("m1", "call the tool stock", Tools.SILENT, "stock"));
       assertOneEnd(silent);
       assertTrue(silent.finalText.contains("[the tool gave no result in time]"), silent.finalText);
-      CallRecord twice = bench.call(Bench.ask("m2", "call the tool stock", Tools.TWICE, "stock"));
+      CallRecord twice =
+          bench.call(GatewayFixture.ask("m2", "call the tool stock", Tools.TWICE, "stock"));
       assertOneEnd(twice);
       assertTrue(twice.finalText.contains("[did-stock]"), twice.finalText);
-      CallRecord error = bench.call(Bench.ask("m3", "call the tool stock", Tools.ERROR, "stock"));
+      CallRecord error =
+          bench.call(GatewayFixture.ask("m3", "call the tool stock", Tools.ERROR, "stock"));
       assertOneEnd(error);
       assertTrue(error.finalText.contains("[error -32000: the tool failed]"), error.finalText);
       bench.awaitIdle();
@@ -371,10 +415,11 @@
 
   @Test
   void toolsCalledTogetherAreAnsweredInAnyOrder() {
-    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
+    try (GatewayFixture bench =
+        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
       CallRecord seen =
           bench.call(
-              Bench.ask(
+              GatewayFixture.ask(
                   "m", "call the tools stock and price together", Tools.ANSWER, "stock", "price"));
       assertOneEnd(seen);
       assertTrue(seen.finalText.contains("[did-stock|did-price]"), seen.finalText);
@@ -385,36 +430,40 @@
 
   @Test
   void aStopLetsStreamsEndAndTakesNoNewCalls() {
-    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
+    try (GatewayFixture bench =
+        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
       AtomicReference<McpClient.Call> call = new AtomicReference<>();
       McpClient client = bench.client();
       CompletableFuture<McpClient.Call> done =
-          bench.begin(client, Bench.ask("m", "answer in 300 words", Tools.ANSWER), call::set);
-      Bench.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
-      Gateway gateway = bench.fleet.gateway(Bench.GATEWAY);
+          bench.begin(
+              client, GatewayFixture.ask("m", "answer in 300 words", Tools.ANSWER), call::set);
+      GatewayFixture.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
+      Gateway gateway = bench.fleet.gateway(GatewayFixture.GATEWAY);
       CompletableFuture<Void> stopped = gateway.stop();
-      assertEquals(words(300), Bench.get(done).seen().finalText);
-      Bench.get(stopped);
+      assertEquals(words(300), GatewayFixture.get(done).seen().finalText);
+      GatewayFixture.get(stopped);
     }
   }
 
   @Test
   void aStopCutsWhatTakesTooLong() {
-    try (Bench bench =
-        new Bench(
+    try (GatewayFixture bench =
+        new GatewayFixture(
             s -> {
               limits(s, 1500);
               ((ObjectNode) s.get("limits")).put("stopWithinMs", 100);
             },
-            Bench.reader("r"),
-            Bench.writer("w").paced(1, 1, 20))) {
+            GatewayFixture.reader("r"),
+            GatewayFixture.writer("w").paced(1, 1, 20))) {
       AtomicReference<McpClient.Call> call = new AtomicReference<>();
       CompletableFuture<McpClient.Call> done =
           bench.begin(
-              bench.client(), Bench.ask("m", "answer in 400 words", Tools.ANSWER), call::set);
-      Bench.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
-      bench.fleet.gateway(Bench.GATEWAY).stop();
-      CallRecord seen = Bench.get(done).seen();
+              bench.client(),
+              GatewayFixture.ask("m", "answer in 400 words", Tools.ANSWER),
+              call::set);
+      GatewayFixture.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
+      bench.fleet.gateway(GatewayFixture.GATEWAY).stop();
+      CallRecord seen = GatewayFixture.get(done).seen();
       assertOneEnd(seen);
       assertEquals(Mcp.FAILED, seen.errorCode);
     }
@@ -424,45 +473,51 @@
 
   @Test
   void moreCallsThanTheGatewayTakes() {
-    try (Bench bench =
-        new Bench(
+    try (GatewayFixture bench =
+        new GatewayFixture(
             s -> {
               limits(s, 1500);
               ((ObjectNode) s.get("limits")).put("maxCalls", 2);
             },
-            Bench.reader("r"),
-            Bench.writer("w"))) {
+            GatewayFixture.reader("r"),
+            GatewayFixture.writer("w"))) {
       McpClient client = bench.client();
       AtomicReference<McpClient.Call> call = new AtomicReference<>();
       final List<CompletableFuture<McpClient.Call>> taken =
           List.of(
-              bench.begin(client, Bench.ask("m1", "answer in 300 words", Tools.ANSWER)),
-              bench.begin(client, Bench.ask("m2", "answer in 300 words", Tools.ANSWER), call::set));
-      Bench.await("two calls", () -> call.get() != null && call.get().seen().tokens > 0);
-      CallRecord third = Bench.get(bench.begin(client, Bench.ask("m3", LONG, Tools.ANSWER))).seen();
+              bench.begin(client, GatewayFixture.ask("m1", "answer in 300 words", Tools.ANSWER)),
+              bench.begin(
+                  client,
+                  GatewayFixture.ask("m2", "answer in 300 words", Tools.ANSWER),
+                  call::set));
+      GatewayFixture.await("two calls", () -> call.get() != null && call.get().seen().tokens > 0);
+      CallRecord third =
+          GatewayFixture.get(bench.begin(client, GatewayFixture.ask("m3", LONG, Tools.ANSWER)))
+              .seen();
       assertEquals(Mcp.LIMIT, third.errorCode);
       assertTrue(third.retryable);
-      taken.forEach(t -> assertEquals(words(300), Bench.get(t).seen().finalText));
+      taken.forEach(t -> assertEquals(words(300), GatewayFixture.get(t).seen().finalText));
     }
   }
 
   @Test
   void finalAnswersThatRaceTheDeadline() {
-    try (Bench bench =
-        new Bench(
+    try (GatewayFixture bench =
+        new GatewayFixture(
             s -> {
               limits(s, 60);
               ((ObjectNode) s.at("/classes/0")).put("aimMsPerThousandTokens", 0);
             },
-            Bench.reader("r").paced(20, 1, 1),
-            Bench.writer("w").paced(1, 28, 1))) { // a first token after about 60 ms
+            GatewayFixture.reader("r").paced(20, 1, 1),
+            GatewayFixture.writer("w").paced(1, 28, 1))) { // a first token after about 60 ms
       McpClient client = bench.client();
       List<CompletableFuture<McpClient.Call>> calls = new java.util.ArrayList<>();
       for (int i = 0; i < 40; i++) {
-        calls.add(bench.begin(client, Bench.ask("m" + i, "answer in 5 words", Tools.ANSWER)));
+        calls.add(
+            bench.begin(client, GatewayFixture.ask("m" + i, "answer in 5 words", Tools.ANSWER)));
       }
       for (CompletableFuture<McpClient.Call> call : calls) {
-        CallRecord seen = Bench.get(call).seen();
+        CallRecord seen = GatewayFixture.get(call).seen();
         assertOneEnd(seen);
         assertTrue(
             seen.served() ? seen.finalText.equals(words(5)) : seen.errorCode <= Mcp.REJECTED,
@@ -474,26 +529,28 @@
 
   @Test
   void pooledConnectionsThatTheirPeerClosedBetweenRequests() {
-    try (Bench bench = new Bench(quick(), Bench.reader("r"), Bench.writer("w"))) {
-      assertEquals(words(40), bench.call(Bench.ask("m1", LONG, Tools.ANSWER)).finalText);
+    try (GatewayFixture bench =
+        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
+      assertEquals(words(40), bench.call(GatewayFixture.ask("m1", LONG, Tools.ANSWER)).finalText);
       for (String engine : List.of("r", "w")) {
         bench.fleet.crash(engine, 10_000_000); // the list does not hear of it
         bench.fleet.restart(engine);
       }
-      Bench.await(
+      GatewayFixture.await(
           "service",
-          () -> bench.call(Bench.ask("m2", LONG, Tools.ANSWER)).finalText.equals(words(40)));
+          () ->
+              bench.call(GatewayFixture.ask("m2", LONG, Tools.ANSWER)).finalText.equals(words(40)));
       bench.awaitIdle();
     }
   }
 
   @Test
   void aClientThatReadsSlowlySlowsItsEngineAndNobodyElse() throws Exception {
-    try (Bench bench =
-        new Bench(
+    try (GatewayFixture bench =
+        new GatewayFixture(
             s -> ((ObjectNode) s.at("/classes/0")).put("maxTokens", 10_000),
-            Bench.reader("r"),
-            Bench.writer("w").paced(1, 1, 0))) {
+            GatewayFixture.reader("r"),
+            GatewayFixture.writer("w").paced(1, 1, 0))) {
       String session =
           java.net.http.HttpClient.newHttpClient()
               .send(
@@ -533,17 +590,17 @@
                         + body)
                     .getBytes(StandardCharsets.UTF_8));
         int[] before = {-2};
-        Bench.await(
+        GatewayFixture.await(
             "the engine waits",
             () -> {
               int now = bench.fleet.standins().ask(() -> bench.fleet.engine("w").written("slow"));
               boolean stands = now > 0 && now == before[0];
               before[0] = now;
-              Bench.pause(100);
+              GatewayFixture.pause(100);
               return stands;
             });
         assertTrue(before[0] < 4000, "all of 32 MB was taken: " + before[0]);
-        assertEquals(words(40), bench.call(Bench.ask("m", LONG, Tools.ANSWER)).finalText);
+        assertEquals(words(40), bench.call(GatewayFixture.ask("m", LONG, Tools.ANSWER)).finalText);
         byte[] all = socket.getInputStream().readAllBytes();
         assertTrue(all.length > 4000 * 8000);
         assertTrue(
@@ -556,60 +613,61 @@
 
   @Test
   void aGatewayAtItsLimitRefusesEarlyAndRunningStreamsGoOn() {
-    try (Bench bench =
-        new Bench(
+    try (GatewayFixture bench =
+        new GatewayFixture(
             s -> {
               s.putObject("overload").put("targetMs", 50).put("intervalMs", 10);
               s.putObject("reporting").put("tickMs", 20).put("intervalMs", 20);
             },
-            Bench.reader("r"),
-            Bench.writer("w").paced(1, 1, 20))) {
+            GatewayFixture.reader("r"),
+            GatewayFixture.writer("w").paced(1, 1, 20))) {
       McpClient client =
           bench.client(); // with a session from before: a gateway at its limit refuses
       // new ones as well
       final CompletableFuture<McpClient.Call> running =
-          bench.begin(client, Bench.ask("running", "answer in 100 words", Tools.ANSWER));
-      Bench.await("it runs", () -> !bench.events(Tap.What.WRITE, "running").isEmpty());
+          bench.begin(client, GatewayFixture.ask("running", "answer in 100 words", Tools.ANSWER));
+      GatewayFixture.await(
+          "it runs", () -> !bench.events(TrafficObserver.What.WRITE, "running").isEmpty());
       AtomicBoolean tooMuch = new AtomicBoolean(true);
       for (int i = 0; i < 3; i++) { // work always waits for the context for longer than the target
-        keepBusy(bench.fleet.node(Bench.GATEWAY), tooMuch);
+        keepBusy(bench.fleet.node(GatewayFixture.GATEWAY), tooMuch);
       }
       AtomicReference<CallRecord> refused = new AtomicReference<>();
-      Bench.await(
+      GatewayFixture.await(
           "a refusal",
           () -> {
             CallRecord seen =
-                Bench.get(
+                GatewayFixture.get(
                         bench.begin(
                             client,
-                            Bench.ask(
+                            GatewayFixture.ask(
                                 "late" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
                     .seen();
             refused.set(seen);
             return seen.errorCode == Mcp.REJECTED
-                && bench.events(Tap.What.READ, seen.mark).isEmpty();
+                && bench.events(TrafficObserver.What.READ, seen.mark).isEmpty();
           });
       tooMuch.set(false);
       assertTrue(
           refused.get().retryable && refused.get().retryAfterMs >= 250,
           "advice " + refused.get().retryAfterMs);
-      assertTrue(Bench.get(running).seen().served());
-      Bench.await(
+      assertTrue(GatewayFixture.get(running).seen().served());
+      GatewayFixture.await(
           "all is let in again",
           () ->
-              Bench.get(
+              GatewayFixture.get(
                       bench.begin(
                           client,
-                          Bench.ask(
+                          GatewayFixture.ask(
                               "after" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
                   .seen()
                   .served());
-      var tally = bench.fleet.stopGateway(Bench.GATEWAY).get("tally");
+      var tally = bench.fleet.stopGateway(GatewayFixture.GATEWAY).get("tally");
       assertTrue(tally.at("/overload/0/refused").longValue() > 0, tally.get("overload").toString());
     }
   }
 
-  private static void keepBusy(Node node, AtomicBoolean on) {
+  private static void keepBusy(EmulatedProcess node, AtomicBoolean on) {
     node.loop()
         .execute(
             () -> {
--- a/scenario/src/test/java/lemondock/scenario/Bench.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayFixture.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import lemondock.dispatch.RouterFactory;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.Tap;
+import lemondock.emulator.TrafficObserver;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.http.HttpClient;
@@ -20,11 +20,11 @@
 import lemondock.net.http.HttpLimits;
 
 /** A small fleet with one gateway and a client, for tests. */
-final class Bench implements AutoCloseable {
+final class GatewayFixture implements AutoCloseable {
   static final String GATEWAY = "gw";
   final ScenarioFleet fleet;
-  final Node clients = new Node("clients", 1);
-  final int port = Presets.freePort();
+  final EmulatedProcess clients = new EmulatedProcess("clients", 1);
+  final int port = LoopbackSettings.freePort();
   final HttpClient http =
       new HttpClient(
           clients.loop(),
@@ -32,7 +32,7 @@
           new HttpClientOptions(HttpLimits.DEFAULT, 1 << 20, 2_000, 1_000_000, 15_000_000));
   final GatewaySettings settings;
 
-  Bench(Consumer<ObjectNode> changes, EngineSettings... engines) {
+  GatewayFixture(Consumer<ObjectNode> changes, EngineSettings... engines) {
     this(changes, Gateway.DEFAULT_ROUTER_FACTORY, engines);
   }
 
@@ -41,19 +41,20 @@
    * "overload": gateway, engines and clients share this process, and a machine that is slow for a
    * moment is not what most tests are about.
    */
-  Bench(Consumer<ObjectNode> own, RouterFactory maker, EngineSettings... engines) {
+  GatewayFixture(Consumer<ObjectNode> own, RouterFactory maker, EngineSettings... engines) {
     Consumer<ObjectNode> changes =
         settings -> {
           settings.putObject("overload").put("refuse", false);
           own.accept(settings);
         };
     List<GatewaySettings.ClassSettings> classes =
-        Presets.gateway("x", 0, 1, "north", port, "127.0.0.1:1", changes).classes();
+        LoopbackSettings.gateway("x", 0, 1, "north", port, "127.0.0.1:1", changes).classes();
     fleet = new ScenarioFleet(classes, 1);
     for (EngineSettings e : engines) {
       fleet.addEngine(e);
     }
-    settings = Presets.gateway(GATEWAY, 0, 1, "north", port, fleet.catalogueAddress(), changes);
+    settings =
+        LoopbackSettings.gateway(GATEWAY, 0, 1, "north", port, fleet.catalogueAddress(), changes);
     fleet.addGateway(settings, maker);
     if (!fleet.awaitServers(GATEWAY, engines.length, 10_000)) {
       throw new IllegalStateException("the gateway does not see its servers");
@@ -142,7 +143,7 @@
     }
   }
 
-  List<Tap.Event> events(Tap.What what, String mark) {
+  List<TrafficObserver.Event> events(TrafficObserver.What what, String mark) {
     return fleet.events().stream()
         .filter(e -> e.what() == what && (mark == null || e.mark().equals(mark)))
         .toList();
