--- a/scenario/src/test/java/lemondock/scenario/OwnLimitTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayOverloadTest.java
@@ -17,26 +17,26 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.Tap;
+import lemondock.emulator.TrafficObserver;
 import lemondock.gateway.ProcessResources;
 import lemondock.rpc.Mcp;
 import lemondock.scenario.McpClient.Tools;
 import org.junit.jupiter.api.Test;
 
 /** A gateway whose own means run out, or that many clients use at a time in the worst way. */
-class OwnLimitTest {
+class GatewayOverloadTest {
   private static final int MANY = 60;
   private static final int STILL = 8;
 
   /** Words of 8,000 letters: more than the system's buffers take on both sides of the gateway. */
   private static final int LONG = 2_000;
 
-  private static Bench bench(Consumer<ObjectNode> changes) {
+  private static GatewayFixture bench(Consumer<ObjectNode> changes) {
     return bench(4, changes);
   }
 
-  private static Bench bench(double tokenMs, Consumer<ObjectNode> changes) {
-    return new Bench(
+  private static GatewayFixture bench(double tokenMs, Consumer<ObjectNode> changes) {
+    return new GatewayFixture(
         s -> {
           s.put("ioThreads", 3);
           s.withArray("classes")
@@ -57,19 +57,19 @@
     return text.toString();
   }
 
-  private static CompletableFuture<McpClient.Call> running(Bench bench, int words) {
+  private static CompletableFuture<McpClient.Call> running(GatewayFixture bench, int words) {
     AtomicReference<McpClient.Call> call = new AtomicReference<>();
     CompletableFuture<McpClient.Call> done =
         bench.begin(
             bench.client(),
-            Bench.ask("running", "answer in " + words + " words", Tools.ANSWER),
+            GatewayFixture.ask("running", "answer in " + words + " words", Tools.ANSWER),
             call::set);
-    Bench.await("it runs", () -> call.get() != null && call.get().seen().tokens > 0);
+    GatewayFixture.await("it runs", () -> call.get() != null && call.get().seen().tokens > 0);
     return done;
   }
 
   private static void assertWhole(CompletableFuture<McpClient.Call> call, int words) {
-    CallRecord seen = Bench.get(call).seen();
+    CallRecord seen = GatewayFixture.get(call).seen();
     assertEquals(words(words), seen.finalText);
     assertEquals(words(words), seen.streamed.toString());
     assertEquals(1, seen.responses);
@@ -105,19 +105,19 @@
     }
   }
 
-  private static Bench told(Told told, Consumer<ObjectNode> changes) {
-    Bench bench = bench(changes);
+  private static GatewayFixture told(Told told, Consumer<ObjectNode> changes) {
+    GatewayFixture bench = bench(changes);
     bench.fleet.machine(told);
-    bench.fleet.kill(Bench.GATEWAY);
-    bench.fleet.startGateway(Bench.GATEWAY);
-    assertTrue(bench.fleet.awaitServers(Bench.GATEWAY, 2, 10_000));
+    bench.fleet.kill(GatewayFixture.GATEWAY);
+    bench.fleet.startGateway(GatewayFixture.GATEWAY);
+    assertTrue(bench.fleet.awaitServers(GatewayFixture.GATEWAY, 2, 10_000));
     return bench;
   }
 
   @Test
   void aLargeCallIsRefusedAtAGlanceAndItsConnectionGoesOn() throws Exception {
     Told told = new Told();
-    try (Bench bench =
+    try (GatewayFixture bench =
             told(
                 told,
                 s -> s.putObject("overload").put("risePerSecond", 100).put("targetMs", 5_000));
@@ -134,7 +134,7 @@
                       + "\"}}}")
               .replace("application/json, text/event-stream", "application/json");
       String[] answer = new String[1];
-      Bench.await(
+      GatewayFixture.await(
           "a refusal",
           () -> {
             try {
@@ -152,7 +152,7 @@
               && answer[0].contains("retryAfterMs"),
           answer[0]);
       told.memory = 0;
-      Bench.await(
+      GatewayFixture.await(
           "service",
           () -> {
             try {
@@ -164,7 +164,12 @@
             return answer[0].contains(" a0 a1 a2");
           });
       assertTrue(
-          bench.fleet.stopGateway(Bench.GATEWAY).at("/tally/overload/0/refused").longValue() > 0);
+          bench
+                  .fleet
+                  .stopGateway(GatewayFixture.GATEWAY)
+                  .at("/tally/overload/0/refused")
+                  .longValue()
+              > 0);
     }
   }
 
@@ -182,23 +187,30 @@
   private static long refusedWhileItWaits(boolean stopped) {
     Told told = new Told();
     told.stopped = stopped;
-    try (Bench bench =
+    try (GatewayFixture bench =
         told(told, s -> s.putObject("overload").put("targetMs", 20).put("stallMs", 10_000))) {
       bench.awaitIdle();
-      Node gateway = bench.fleet.node(Bench.GATEWAY);
+      EmulatedProcess gateway = bench.fleet.node(GatewayFixture.GATEWAY);
       List<CompletableFuture<McpClient.Call>> calls = new ArrayList<>();
       McpClient client = bench.client();
       assertTrue(
-          Bench.get(bench.begin(client, Bench.ask("first", "answer in 2 words", Tools.ANSWER)))
+          GatewayFixture.get(
+                  bench.begin(
+                      client, GatewayFixture.ask("first", "answer in 2 words", Tools.ANSWER)))
               .seen()
               .served());
       for (int i = 0; i < 20; i++) {
-        gateway.loop().execute(() -> Bench.pause(150));
-        calls.add(bench.begin(client, Bench.ask("p" + i, "answer in 2 words", Tools.ANSWER)));
-        Bench.pause(100);
+        gateway.loop().execute(() -> GatewayFixture.pause(150));
+        calls.add(
+            bench.begin(client, GatewayFixture.ask("p" + i, "answer in 2 words", Tools.ANSWER)));
+        GatewayFixture.pause(100);
       }
-      calls.forEach(Bench::get); // the module may refuse some too, as it is late
-      return bench.fleet.stopGateway(Bench.GATEWAY).at("/tally/overload/0/refused").longValue();
+      calls.forEach(GatewayFixture::get); // the module may refuse some too, as it is late
+      return bench
+          .fleet
+          .stopGateway(GatewayFixture.GATEWAY)
+          .at("/tally/overload/0/refused")
+          .longValue();
     }
   }
 
@@ -212,7 +224,7 @@
   @Test
   void repeatsHaveABudgetWhileTheShareIsCut() {
     Told told = new Told();
-    try (Bench bench =
+    try (GatewayFixture bench =
         told(
             told,
             s ->
@@ -221,7 +233,7 @@
                     .put("repeatsPerSecond", 0)
                     .put("targetMs", 5_000))) {
       McpClient known = bench.client();
-      McpClient.Ask again = Bench.ask("again", "answer in 1 words", Tools.ANSWER);
+      McpClient.Ask again = GatewayFixture.ask("again", "answer in 1 words", Tools.ANSWER);
       McpClient.Ask repeat =
           new McpClient.Ask(
               again.tool(),
@@ -235,32 +247,35 @@
               again.mark(),
               true);
       assertTrue(
-          Bench.get(bench.begin(known, repeat)).seen().served(),
+          GatewayFixture.get(bench.begin(known, repeat)).seen().served(),
           "while all is let in there is no budget");
       told.memory = 0.875; // half of what comes may come in
-      Bench.await(
+      GatewayFixture.await(
           "a refusal",
           () ->
-              Bench.get(
+              GatewayFixture.get(
                           bench.begin(
                               known,
-                              Bench.ask(
+                              GatewayFixture.ask(
                                   "m" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
                       .seen()
                       .errorCode
                   == Mcp.REJECTED);
-      Bench.await(
-          "the counts are judged", () -> !Bench.get(bench.begin(known, repeat)).seen().served());
+      GatewayFixture.await(
+          "the counts are judged",
+          () -> !GatewayFixture.get(bench.begin(known, repeat)).seen().served());
       int first = 0;
       int again2 = 0;
       for (int i = 0; i < 60; i++) {
         first +=
-            Bench.get(bench.begin(known, Bench.ask("f" + i, "answer in 1 words", Tools.ANSWER)))
+            GatewayFixture.get(
+                        bench.begin(
+                            known, GatewayFixture.ask("f" + i, "answer in 1 words", Tools.ANSWER)))
                     .seen()
                     .served()
                 ? 1
                 : 0;
-        again2 += Bench.get(bench.begin(known, repeat)).seen().served() ? 1 : 0;
+        again2 += GatewayFixture.get(bench.begin(known, repeat)).seen().served() ? 1 : 0;
       }
       assertTrue(first > 10, "first tries let in: " + first);
       assertEquals(0, again2, "repeats let in");
@@ -269,7 +284,7 @@
 
   @Test
   void answersThatWaitForToolsTakeNoPlaceOfOthersAndAreBoundedThemselves() {
-    try (Bench bench =
+    try (GatewayFixture bench =
         bench(
             s -> {
               ((ObjectNode) s.get("limits")).put("maxCalls", 2).put("maxWaitingAnswers", 3);
@@ -281,22 +296,27 @@
         waiting.add(
             bench.begin(
                 bench.client(),
-                Bench.ask("w" + i, "call the tool stock answer in 3 words", Tools.SILENT, "stock"),
+                GatewayFixture.ask(
+                    "w" + i, "call the tool stock answer in 3 words", Tools.SILENT, "stock"),
                 call::set));
-        Bench.await("it waits", () -> call.get() != null && !call.get().seen().toolCalls.isEmpty());
+        GatewayFixture.await(
+            "it waits", () -> call.get() != null && !call.get().seen().toolCalls.isEmpty());
       }
       assertTrue(
-          bench.call(Bench.ask("m", "answer in 3 words", Tools.ANSWER)).served(),
+          bench.call(GatewayFixture.ask("m", "answer in 3 words", Tools.ANSWER)).served(),
           "starved by slow tools");
       CallRecord fourth =
           bench.call(
-              Bench.ask("w4", "call the tool stock answer in 3 words", Tools.ANSWER, "stock"));
+              GatewayFixture.ask(
+                  "w4", "call the tool stock answer in 3 words", Tools.ANSWER, "stock"));
       assertEquals(Mcp.FAILED, fourth.errorCode);
       assertEquals(List.of(), fourth.toolCalls);
-      waiting.forEach(w -> assertTrue(Bench.get(w).seen().served()));
+      waiting.forEach(w -> assertTrue(GatewayFixture.get(w).seen().served()));
       assertTrue(
           bench
-              .call(Bench.ask("w5", "call the tool stock answer in 3 words", Tools.ANSWER, "stock"))
+              .call(
+                  GatewayFixture.ask(
+                      "w5", "call the tool stock answer in 3 words", Tools.ANSWER, "stock"))
               .served());
       bench.awaitIdle();
     }
@@ -306,7 +326,7 @@
   void clientsLeaveHandlesForEngines() throws IOException {
     Told told = new Told();
     told.most = 100;
-    try (Bench bench = told(told, s -> {})) {
+    try (GatewayFixture bench = told(told, s -> {})) {
       List<Socket> sockets = new ArrayList<>();
       try {
         for (int i = 0; i < 60; i++) {
@@ -331,11 +351,13 @@
   @Test
   void memoryOrHandlesNearTheirBoundKeepNewcomersOutAndLetRunningStreamsEnd() {
     Told told = new Told();
-    try (Bench bench =
+    try (GatewayFixture bench =
         told(told, s -> s.putObject("overload").put("risePerSecond", 100).put("targetMs", 5_000))) {
       McpClient known = bench.client();
       assertTrue(
-          Bench.get(bench.begin(known, Bench.ask("before", "answer in 1 words", Tools.ANSWER)))
+          GatewayFixture.get(
+                  bench.begin(
+                      known, GatewayFixture.ask("before", "answer in 1 words", Tools.ANSWER)))
               .seen()
               .served());
       for (int way = 0; way < 2; way++) {
@@ -343,33 +365,34 @@
         told.memory = way == 0 ? 0.97 : 0;
         told.handles = way == 0 ? 0 : 0.99;
         AtomicReference<CallRecord> refused = new AtomicReference<>();
-        Bench.await(
+        GatewayFixture.await(
             "a refusal",
             () -> {
               refused.set(
-                  Bench.get(
+                  GatewayFixture.get(
                           bench.begin(
                               known,
-                              Bench.ask(
+                              GatewayFixture.ask(
                                   "m" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
                       .seen());
               return refused.get().errorCode == Mcp.REJECTED;
             });
         assertTrue(refused.get().retryable && refused.get().retryAfterMs > 0);
-        assertTrue(bench.events(Tap.What.READ, refused.get().mark).isEmpty());
+        assertTrue(bench.events(TrafficObserver.What.READ, refused.get().mark).isEmpty());
         CompletableFuture<Boolean> session = new CompletableFuture<>();
         bench.clients.loop().execute(() -> bench.client().open(session::complete));
-        assertFalse(Bench.get(session), "no new sessions either");
+        assertFalse(GatewayFixture.get(session), "no new sessions either");
         told.memory = 0;
         told.handles = 0;
         assertWhole(running, 480);
-        Bench.await(
+        GatewayFixture.await(
             "all is let in again",
             () ->
-                Bench.get(
+                GatewayFixture.get(
                         bench.begin(
                             known,
-                            Bench.ask("a" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
+                            GatewayFixture.ask(
+                                "a" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
                     .seen()
                     .served());
       }
@@ -378,18 +401,19 @@
 
   @Test
   void aServerIsNotBlamedForConnectionsThatTheGatewayDoesNotHave() {
-    try (Bench bench =
+    try (GatewayFixture bench =
         bench(20, s -> ((ObjectNode) s.get("engines")).put("maxConnectionsPerServer", 1))) {
       CompletableFuture<McpClient.Call> running = running(bench, 300);
       for (int i = 0; i < 20; i++) { // the writer's one connection is in use
-        CallRecord seen = bench.call(Bench.ask("m" + i, "answer in 3 words", Tools.ANSWER));
+        CallRecord seen =
+            bench.call(GatewayFixture.ask("m" + i, "answer in 3 words", Tools.ANSWER));
         assertEquals(1, seen.responses);
         assertTrue(seen.served() || seen.retryable, "code " + seen.errorCode);
       }
       assertWhole(running, 300);
       bench.awaitIdle();
       long moot = 0;
-      for (JsonNode row : bench.fleet.stopGateway(Bench.GATEWAY).at("/tally/attempts")) {
+      for (JsonNode row : bench.fleet.stopGateway(GatewayFixture.GATEWAY).at("/tally/attempts")) {
         assertEquals(0, row.get("connect_failed").longValue(), row.toString());
         moot += row.get("moot").longValue();
       }
@@ -420,7 +444,7 @@
             + "\"2025-06-18\"}}");
   }
 
-  private static Socket socket(Bench bench, int receiveBuffer) throws IOException {
+  private static Socket socket(GatewayFixture bench, int receiveBuffer) throws IOException {
     Socket socket = new Socket();
     if (receiveBuffer > 0) {
       socket.setReceiveBufferSize(receiveBuffer);
@@ -466,7 +490,8 @@
 
   @Test
   void fiveThousandSessionsAtOnceAreBoundedAndHoldNobodyUp() throws Exception {
-    try (Bench bench = bench(s -> ((ObjectNode) s.get("front")).put("maxSessions", 1_000))) {
+    try (GatewayFixture bench =
+        bench(s -> ((ObjectNode) s.get("front")).put("maxSessions", 1_000))) {
       CompletableFuture<McpClient.Call> running = running(bench, 400);
       List<Socket> sockets = new ArrayList<>();
       List<CompletableFuture<int[]>> answers = new ArrayList<>();
@@ -491,14 +516,17 @@
         int opened = 0;
         int refused = 0;
         for (CompletableFuture<int[]> answer : answers) {
-          opened += Bench.get(answer)[0];
-          refused += Bench.get(answer)[1];
+          opened += GatewayFixture.get(answer)[0];
+          refused += GatewayFixture.get(answer)[1];
         }
         assertEquals(5_000, opened + refused);
         assertTrue(opened > 0 && opened <= 999, "opened " + opened);
         assertEquals(
             opened + 1,
-            bench.fleet.node(Bench.GATEWAY).ask(bench.fleet.gateway(Bench.GATEWAY)::sessionCount));
+            bench
+                .fleet
+                .node(GatewayFixture.GATEWAY)
+                .ask(bench.fleet.gateway(GatewayFixture.GATEWAY)::sessionCount));
       } finally {
         closeAll(sockets);
       }
@@ -508,7 +536,7 @@
 
   @Test
   void bodiesAtTheLimitSentSlowlyByHundredsLeaveRoomForSmallOnes() throws Exception {
-    try (Bench bench =
+    try (GatewayFixture bench =
         bench(
             s ->
                 ((ObjectNode) s.get("front"))
@@ -516,7 +544,9 @@
                     .put("maxBodiesBytes", 4 << 20))) {
       McpClient known = bench.client();
       assertTrue(
-          Bench.get(bench.begin(known, Bench.ask("first", "answer in 1 words", Tools.ANSWER)))
+          GatewayFixture.get(
+                  bench.begin(
+                      known, GatewayFixture.ask("first", "answer in 1 words", Tools.ANSWER)))
               .seen()
               .served());
       List<Socket> sockets = new ArrayList<>();
@@ -534,7 +564,9 @@
         }
         for (int i = 0; i < 20; i++) {
           CallRecord seen =
-              Bench.get(bench.begin(known, Bench.ask("m" + i, "answer in 3 words", Tools.ANSWER)))
+              GatewayFixture.get(
+                      bench.begin(
+                          known, GatewayFixture.ask("m" + i, "answer in 3 words", Tools.ANSWER)))
                   .seen();
           assertTrue(seen.served(), "code " + seen.errorCode + " " + seen.oddities);
         }
@@ -547,7 +579,7 @@
 
   @Test
   void manyClientsThatNeverReadThenAllReadAtOnceGetAll() throws Exception {
-    try (Bench bench =
+    try (GatewayFixture bench =
         bench(
             0.5,
             s -> {
@@ -574,7 +606,7 @@
                       + " words of 8000 letters\"}}}"));
         }
         int[] before = {-1};
-        Bench.await(
+        GatewayFixture.await(
             "all stand still",
             () -> {
               int now = 0;
@@ -583,9 +615,11 @@
                 now += bench.fleet.standins().ask(() -> bench.fleet.engine("w").written(mark));
               }
               boolean stands =
-                  now > 0 && now == before[0] && bench.events(Tap.What.WRITE, null).size() >= STILL;
+                  now > 0
+                      && now == before[0]
+                      && bench.events(TrafficObserver.What.WRITE, null).size() >= STILL;
               before[0] = now;
-              Bench.pause(200);
+              GatewayFixture.pause(200);
               return stands;
             });
         assertTrue(before[0] < STILL * LONG, "all was taken");
@@ -596,7 +630,7 @@
                   () -> readToEnd(socket), task -> new Thread(task).start()));
         }
         for (CompletableFuture<Long> all : read) {
-          assertTrue(Bench.get(all) > 8_000L * LONG);
+          assertTrue(GatewayFixture.get(all) > 8_000L * LONG);
         }
       } finally {
         closeAll(sockets);
@@ -632,14 +666,14 @@
 
   @Test
   void resultsOfToolsComeOverConnectionsOfAnyShard() {
-    try (Bench bench = bench(s -> {})) {
+    try (GatewayFixture bench = bench(s -> {})) {
       McpClient client = bench.client();
       List<CompletableFuture<McpClient.Call>> calls = new ArrayList<>();
       for (int i = 0; i < MANY; i++) { // as many connections, and as many more for the results
         calls.add(
             bench.begin(
                 client,
-                Bench.ask(
+                GatewayFixture.ask(
                     "m" + i,
                     "call the tool stock and then call the tool price answer in" + " 20 words",
                     Tools.ANSWER,
@@ -647,7 +681,7 @@
                     "price")));
       }
       for (CompletableFuture<McpClient.Call> call : calls) {
-        CallRecord seen = Bench.get(call).seen();
+        CallRecord seen = GatewayFixture.get(call).seen();
         assertEquals(2, seen.toolCalls.size());
         assertEquals(1, seen.responses);
         assertEquals(List.of(), seen.oddities);
@@ -662,16 +696,18 @@
 
   @Test
   void aStopWhileAllShardsAreBusyLetsEveryStreamEnd() {
-    try (Bench bench = bench(s -> {})) {
+    try (GatewayFixture bench = bench(s -> {})) {
       List<CompletableFuture<McpClient.Call>> calls = new ArrayList<>();
       for (int i = 0; i < MANY; i++) {
         calls.add(
-            bench.begin(bench.client(), Bench.ask("m" + i, "answer in 200 words", Tools.ANSWER)));
+            bench.begin(
+                bench.client(), GatewayFixture.ask("m" + i, "answer in 200 words", Tools.ANSWER)));
       }
-      Bench.await("all run", () -> bench.events(Tap.What.WRITE, null).size() >= MANY);
-      CompletableFuture<Void> stopped = bench.fleet.gateway(Bench.GATEWAY).stop();
+      GatewayFixture.await(
+          "all run", () -> bench.events(TrafficObserver.What.WRITE, null).size() >= MANY);
+      CompletableFuture<Void> stopped = bench.fleet.gateway(GatewayFixture.GATEWAY).stop();
       calls.forEach(c -> assertWhole(c, 200));
-      Bench.get(stopped);
+      GatewayFixture.get(stopped);
     }
   }
 }
--- a/scenario/src/test/java/lemondock/scenario/HaltingGateway.java
+++ b/scenario/src/test/java/lemondock/scenario/HaltingGateway.java
@@ -29,7 +29,7 @@
 
   public static void main(String[] args) throws Exception {
     GatewaySettings settings = SettingsFile.readGateway(Path.of(args[0]));
-    Node node = new Node("gateway", settings.ioThreads());
+    EmulatedProcess node = new EmulatedProcess("gateway", settings.ioThreads());
     FileSystemPort folder =
         new Halting(
             new DiskFolder(Path.of(settings.durable().path())),
--- a/scenario/src/test/java/lemondock/scenario/McpProtocolTest.java
+++ b/scenario/src/test/java/lemondock/scenario/McpProtocolTest.java
@@ -33,13 +33,13 @@
 class McpProtocolTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final String BOTH = "application/json, text/event-stream";
-  private static Bench bench;
+  private static GatewayFixture bench;
   private static HttpClient http;
 
   @BeforeAll
   static void start() {
     bench =
-        new Bench(
+        new GatewayFixture(
             s -> {
               ((ObjectNode) s.get("front"))
                   .put("maxBodyBytes", 50_000)
@@ -52,8 +52,8 @@
                   .add("http://good.example");
               ((ObjectNode) s.at("/classes/0")).put("toolTimeoutMs", 1_000);
             },
-            Bench.reader("r"),
-            Bench.writer("w"));
+            GatewayFixture.reader("r"),
+            GatewayFixture.writer("w"));
     http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
   }
 
@@ -334,15 +334,17 @@
       assertEquals(200, send(ask.GET().build()).statusCode());
       assertEquals(405, send(ask.POST(HttpRequest.BodyPublishers.noBody()).build()).statusCode());
     }
-    try (Bench stopping =
-        new Bench(
-            s -> ((ObjectNode) s.get("limits")).put("stopNoticeMs", 60_000), Bench.reader("r"))) {
+    try (GatewayFixture stopping =
+        new GatewayFixture(
+            s -> ((ObjectNode) s.get("limits")).put("stopNoticeMs", 60_000),
+            GatewayFixture.reader("r"))) {
       HttpRequest ask =
           HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + stopping.port + "/readyz"))
               .build();
       assertEquals("no server that writes is ready\n", send(ask).body());
-      stopping.fleet.gateway(Bench.GATEWAY).stop();
-      Bench.await("it says that it stops", () -> send(ask).body().equals("the gateway stops\n"));
+      stopping.fleet.gateway(GatewayFixture.GATEWAY).stop();
+      GatewayFixture.await(
+          "it says that it stops", () -> send(ask).body().equals("the gateway stops\n"));
       assertEquals(503, send(ask).statusCode());
       assertEquals(
           200,
@@ -497,7 +499,7 @@
         "{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":9}}");
     JsonNode overtaken = json(post(session, call(9, "#overtaken# answer in 3 words", "")).body());
     assertEquals(Mcp.FAILED, overtaken.at("/error/code").asInt(), overtaken.toString());
-    assertTrue(bench.events(lemondock.emulator.Tap.What.READ, "overtaken").isEmpty());
+    assertTrue(bench.events(lemondock.emulator.TrafficObserver.What.READ, "overtaken").isEmpty());
     assertTrue(post(session, call(9, "answer in 3 words", "")).body().contains(" a0 a1 a2"));
     post(
         session,
--- a/scenario/src/test/java/lemondock/scenario/OnceTest.java
+++ b/scenario/src/test/java/lemondock/scenario/NonIdempotentCallsTest.java
@@ -10,7 +10,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import lemondock.emulator.Tap;
+import lemondock.emulator.TrafficObserver;
 import lemondock.idempotency.FileSystemPort;
 import lemondock.rpc.Mcp;
 import org.junit.jupiter.api.Test;
@@ -19,11 +19,11 @@
 
 /** A call that may run once, over the death of its gateway. */
 @Timeout(60)
-class OnceTest {
+class NonIdempotentCallsTest {
   @TempDir private Path folder;
 
-  private Bench bench() {
-    return new Bench(
+  private GatewayFixture bench() {
+    return new GatewayFixture(
         s -> {
           s.putObject("durable")
               .put("path", folder.resolve("calls").toString())
@@ -34,12 +34,12 @@
               .put("aimMs", 10_000);
           ((ObjectNode) s.at("/classes/1")).put("deadlineMs", 20_000).put("aimMs", 10_000);
         },
-        Bench.reader("r"),
-        Bench.writer("w"));
+        GatewayFixture.reader("r"),
+        GatewayFixture.writer("w"));
   }
 
-  private static TalkingClient.Answer call(
-      TalkingClient client, String tool, String key, String mark, String text)
+  private static ConversationClient.Answer call(
+      ConversationClient client, String tool, String key, String mark, String text)
       throws IOException, InterruptedException {
     return client.call(
         "7",
@@ -49,29 +49,29 @@
         key);
   }
 
-  private static void restart(Bench bench) {
-    bench.fleet.kill(Bench.GATEWAY);
-    bench.fleet.startGateway(Bench.GATEWAY);
-    assertTrue(bench.fleet.awaitServers(Bench.GATEWAY, 2, 10_000));
+  private static void restart(GatewayFixture bench) {
+    bench.fleet.kill(GatewayFixture.GATEWAY);
+    bench.fleet.startGateway(GatewayFixture.GATEWAY);
+    assertTrue(bench.fleet.awaitServers(GatewayFixture.GATEWAY, 2, 10_000));
   }
 
-  private static int effects(Bench bench, String mark) {
-    return bench.events(Tap.What.EFFECT, mark).size();
+  private static int effects(GatewayFixture bench, String mark) {
+    return bench.events(TrafficObserver.What.EFFECT, mark).size();
   }
 
   @Test
   void aCallThatWasRelayedIsNotRunAgainByTheNextLifeOfItsGateway() throws Exception {
-    try (Bench bench = bench()) {
-      TalkingClient.Answer first =
+    try (GatewayFixture bench = bench()) {
+      ConversationClient.Answer first =
           call(
-              new TalkingClient(bench.port),
+              new ConversationClient(bench.port),
               "sale-lookup",
               "k1",
               "m1",
               "call the tool stock answer in 5 words");
       first.relayed();
       restart(bench); // its client never answered
-      TalkingClient session = new TalkingClient(bench.port);
+      ConversationClient session = new ConversationClient(bench.port);
       JsonNode again =
           call(session, "sale-lookup", "k1", "m1-again", "call the tool stock answer in 5 words")
               .end();
@@ -81,7 +81,9 @@
       assertEquals(
           "[{\"tool\":\"stock\",\"answered\":false}]", again.at("/error/data/relayed").toString());
       assertEquals(1, effects(bench, "m1"));
-      assertTrue(bench.events(Tap.What.READ, "m1-again").isEmpty(), "nothing of it may be sent");
+      assertTrue(
+          bench.events(TrafficObserver.What.READ, "m1-again").isEmpty(),
+          "nothing of it may be sent");
       JsonNode other = call(session, "sale-lookup", "k2", "m2", "answer in 5 words").end();
       assertEquals(
           " a0 a1 a2 a3 a4", other.at("/result/content/0/text").asText(), other.toString());
@@ -90,8 +92,8 @@
 
   @Test
   void whatWasServedIsToldSoInThisLifeAndTheNextAndWhatNeverRanMayRun() throws Exception {
-    try (Bench bench = bench()) {
-      TalkingClient session = new TalkingClient(bench.port);
+    try (GatewayFixture bench = bench()) {
+      ConversationClient session = new ConversationClient(bench.port);
       assertTrue(call(session, "sale-lookup", "k1", "m1", "answer in 5 words").end().has("result"));
       assertEquals(
           "served",
@@ -107,7 +109,7 @@
                 bench.fleet.catalogue().empty(true);
                 return null;
               });
-      assertTrue(bench.fleet.awaitServers(Bench.GATEWAY, 0, 10_000));
+      assertTrue(bench.fleet.awaitServers(GatewayFixture.GATEWAY, 0, 10_000));
       assertEquals(
           Mcp.REJECTED,
           call(session, "sale-lookup", "k2", "m2", "answer in 5 words")
@@ -123,7 +125,7 @@
                 return null;
               });
       restart(bench);
-      TalkingClient next = new TalkingClient(bench.port);
+      ConversationClient next = new ConversationClient(bench.port);
       assertEquals(
           "served",
           call(next, "sale-lookup", "k1", "m1c", "answer in 5 words")
@@ -138,8 +140,8 @@
           "safe to repeat");
       assertEquals(1, effects(bench, "m1"));
       assertTrue(
-          bench.events(Tap.What.READ, "m1b").isEmpty()
-              && bench.events(Tap.What.READ, "m1c").isEmpty());
+          bench.events(TrafficObserver.What.READ, "m1b").isEmpty()
+              && bench.events(TrafficObserver.What.READ, "m1c").isEmpty());
       JsonNode bad = call(next, "sale-lookup", "x".repeat(201), "m4", "answer in 5 words").end();
       assertTrue(
           bad.at("/error/message")
@@ -186,17 +188,17 @@
 
   @Test
   void nothingIsSentBeforeItIsDurable() throws Exception {
-    try (Bench bench = bench()) {
+    try (GatewayFixture bench = bench()) {
       Failing[] disk = new Failing[1];
       bench.fleet.files(f -> disk[0] = new Failing(f, 1_000));
       restart(bench);
-      TalkingClient session = new TalkingClient(bench.port);
+      ConversationClient session = new ConversationClient(bench.port);
       disk[0].goodSyncs = 0;
       JsonNode refused = call(session, "sale-lookup", "k1", "m1", "answer in 5 words").end();
       assertEquals(Mcp.REJECTED, refused.at("/error/code").asInt(), refused.toString());
       assertTrue(
           refused.at("/error/data/retryable").asBoolean()
-              && bench.events(Tap.What.READ, "m1").isEmpty());
+              && bench.events(TrafficObserver.What.READ, "m1").isEmpty());
       assertTrue(
           call(session, "day-close", "k3", "m3", "answer in 5 words").end().has("result"),
           "needs no disk");
--- a/scenario/src/test/java/lemondock/scenario/ReportsTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ReportComparisonTest.java
@@ -11,19 +11,19 @@
 /**
  * What collectors are told agrees with the gateways' own final tally, through a day of troubles.
  */
-class ReportsTest {
+class ReportComparisonTest {
   @Test
   void allFormsAgreeWithTheFinalTallyAfterABadDay() throws InterruptedException, IOException {
-    DayScript day =
-        DayScript.quiet()
+    ScenarioScript day =
+        ScenarioScript.quiet()
             .with(
                 "reported",
                 3,
                 60,
                 List.of(
-                    new DayScript.Trouble("fast_errors", 500, 1500, 0.4, 0.8),
-                    new DayScript.Trouble("gateway_kill", 1000, 600, 0, 0)));
-    try (ReportCheck check = new ReportCheck()) {
+                    new ScenarioScript.Trouble("fast_errors", 500, 1500, 0.4, 0.8),
+                    new ScenarioScript.Trouble("gateway_kill", 1000, 600, 0, 0)));
+    try (ReportComparison check = new ReportComparison()) {
       FaultScenario.Result result = new FaultScenario(day).reporting(check).play();
       assertTrue(result.finding().kept(), result.finding().toString());
       assertEquals(List.of(), check.differences());
--- a/scenario/src/test/java/lemondock/scenario/ReportHardCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ReportEdgeCasesTest.java
@@ -18,7 +18,7 @@
 import lemondock.emulator.collect.CollectdListener;
 import lemondock.emulator.collect.GraphiteListener;
 import lemondock.emulator.collect.GraphiteListener.Fault;
-import lemondock.emulator.collect.Received;
+import lemondock.emulator.collect.ReceivedReports;
 import lemondock.emulator.collect.UnixsockListener;
 import lemondock.scenario.McpClient.Tools;
 import org.junit.jupiter.api.Test;
@@ -28,7 +28,7 @@
  * Collectors that misbehave, on sockets: requests do not notice, and neither do the other
  * collectors.
  */
-class ReportHardCasesTest {
+class ReportEdgeCasesTest {
   private static final String TEXT = "answer in 5 words";
 
   private static ObjectNode destination(ObjectNode settings, String name, String kind) {
@@ -61,16 +61,19 @@
     };
   }
 
-  private static Bench bench(Consumer<ObjectNode> settings) {
-    return new Bench(settings, Bench.reader("reader"), Bench.writer("writer"));
+  private static GatewayFixture bench(Consumer<ObjectNode> settings) {
+    return new GatewayFixture(
+        settings, GatewayFixture.reader("reader"), GatewayFixture.writer("writer"));
   }
 
-  private static void calls(Bench bench, String mark, int count) {
+  private static void calls(GatewayFixture bench, String mark, int count) {
     List<CompletableFuture<McpClient.Call>> all = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      all.add(bench.begin(bench.client(), Bench.ask(mark + i, TEXT, Tools.ANSWER).by("t" + i)));
+      all.add(
+          bench.begin(
+              bench.client(), GatewayFixture.ask(mark + i, TEXT, Tools.ANSWER).by("t" + i)));
     }
-    all.forEach(c -> assertTrue(Bench.get(c).seen().served()));
+    all.forEach(c -> assertTrue(GatewayFixture.get(c).seen().served()));
   }
 
   private static String served(JsonNode tally) {
@@ -80,7 +83,7 @@
         + "";
   }
 
-  private static long last(Received received, String end) {
+  private static long last(ReceivedReports received, String end) {
     return received.newest().entrySet().stream()
         .filter(e -> e.getKey().endsWith(end))
         .mapToLong(e -> e.getValue().values().get(0).longValue())
@@ -94,9 +97,9 @@
         GraphiteListener resets = new GraphiteListener(0, false, Fault.RESETS);
         GraphiteListener noise = new GraphiteListener(0, false, Fault.GARBAGE);
         GraphiteListener good = new GraphiteListener(0, false, Fault.NONE)) {
-      int nobody = Presets.freePort();
+      int nobody = LoopbackSettings.freePort();
       Consumer<ObjectNode> settings = graphite(never, slow, resets, noise, good);
-      try (Bench bench =
+      try (GatewayFixture bench =
           bench(
               s -> {
                 settings.accept(s);
@@ -106,16 +109,18 @@
                 destination(s, "no-socket", "collectd-unixsock").put("path", "/nowhere/at/all");
               })) {
         calls(bench, "a", 20);
-        Bench.await("the one that resets was tried again", () -> resets.connections() >= 3);
-        Bench.await("the good one goes on", () -> last(good.received(), ".served") == 20);
+        GatewayFixture.await(
+            "the one that resets was tried again", () -> resets.connections() >= 3);
+        GatewayFixture.await("the good one goes on", () -> last(good.received(), ".served") == 20);
         calls(bench, "b", 20);
         long from = System.nanoTime();
-        JsonNode tally = bench.fleet.stopGateway(Bench.GATEWAY);
+        JsonNode tally = bench.fleet.stopGateway(GatewayFixture.GATEWAY);
         double seconds = (System.nanoTime() - from) / 1e9;
         assertTrue(seconds < 5, "the stop took " + seconds + " s");
         assertEquals("40", served(tally));
-        Bench.await("the good one has the last word", () -> last(good.received(), ".served") == 40);
-        Bench.await("so has the noisy one", () -> last(noise.received(), ".served") == 40);
+        GatewayFixture.await(
+            "the good one has the last word", () -> last(good.received(), ".served") == 40);
+        GatewayFixture.await("so has the noisy one", () -> last(noise.received(), ".served") == 40);
         assertEquals(0, good.received().unreadable());
         JsonNode reports = tally.at("/tally/report");
         for (JsonNode r : reports) {
@@ -136,14 +141,15 @@
   void aCollectorThatComesBackGetsWhatItMissed() throws IOException {
     GraphiteListener first = new GraphiteListener(0, false, Fault.NONE);
     int port = first.port();
-    try (Bench bench = bench(graphite(first))) {
+    try (GatewayFixture bench = bench(graphite(first))) {
       calls(bench, "a", 5);
-      Bench.await("reported", () -> last(first.received(), ".served") == 5);
+      GatewayFixture.await("reported", () -> last(first.received(), ".served") == 5);
       first.close();
       calls(bench, "b", 5);
-      Bench.await("snapshots wait", () -> bench.fleet.reporting(Bench.GATEWAY) != null);
+      GatewayFixture.await(
+          "snapshots wait", () -> bench.fleet.reporting(GatewayFixture.GATEWAY) != null);
       try (GraphiteListener second = new GraphiteListener(port, false, Fault.NONE)) {
-        Bench.await("all of it came", () -> last(second.received(), ".served") == 10);
+        GatewayFixture.await("all of it came", () -> last(second.received(), ".served") == 10);
       }
     }
   }
@@ -152,18 +158,18 @@
   void lossAndReorderingOfDatagramsLeaveTheLastWordRight() throws IOException {
     try (CollectdListener listener = new CollectdListener(0, Map.of(), 5)) {
       listener.disturb(0.3, 0.3);
-      try (Bench bench =
+      try (GatewayFixture bench =
           bench(
               s ->
                   destination(s, "udp", "collectd")
                       .put("address", "127.0.0.1:" + listener.port()))) {
         calls(bench, "a", 20);
-        Bench.await("some came", () -> listener.received().values() > 2_000);
-        Bench.await("some came late", () -> listener.received().late() > 0);
+        GatewayFixture.await("some came", () -> listener.received().values() > 2_000);
+        GatewayFixture.await("some came late", () -> listener.received().late() > 0);
         listener.disturb(0, 0);
-        JsonNode tally = bench.fleet.stopGateway(Bench.GATEWAY);
+        JsonNode tally = bench.fleet.stopGateway(GatewayFixture.GATEWAY);
         assertEquals("20", served(tally));
-        Bench.await(
+        GatewayFixture.await(
             "the last word",
             () ->
                 listener.received().newest().entrySet().stream()
@@ -181,7 +187,7 @@
     Path users = folder.resolve("users");
     java.nio.file.Files.writeString(users, "till: wrong\n");
     try (CollectdListener listener = new CollectdListener(0, Map.of("till", "right"), 5)) {
-      try (Bench bench =
+      try (GatewayFixture bench =
           bench(
               s -> {
                 for (String form : List.of("sign", "encrypt")) {
@@ -193,7 +199,7 @@
                 }
               })) {
         calls(bench, "a", 3);
-        Bench.await("refused by the listener", () -> listener.received().unreadable() > 4);
+        GatewayFixture.await("refused by the listener", () -> listener.received().unreadable() > 4);
         assertEquals(0, listener.received().values());
       }
     }
@@ -203,11 +209,11 @@
   void theUnixsockPluginsTextIsSpokenAndItsAnswersIgnored(@TempDir Path folder) throws IOException {
     Path path = folder.resolve("sock");
     try (UnixsockListener listener = new UnixsockListener(path)) {
-      try (Bench bench =
+      try (GatewayFixture bench =
           bench(s -> destination(s, "sock", "collectd-unixsock").put("path", path.toString()))) {
         calls(bench, "a", 4);
-        JsonNode tally = bench.fleet.stopGateway(Bench.GATEWAY);
-        Bench.await(
+        JsonNode tally = bench.fleet.stopGateway(GatewayFixture.GATEWAY);
+        GatewayFixture.await(
             "the last word",
             () ->
                 listener.received().newest().entrySet().stream()
@@ -225,15 +231,15 @@
   void twoGatewaysUnderOneNameAreToldApart() throws IOException {
     try (GraphiteListener listener = new GraphiteListener(0, false, Fault.NONE)) {
       Consumer<ObjectNode> reports = graphite(listener);
-      try (Bench one = bench(reports);
-          Bench two = bench(reports)) {
+      try (GatewayFixture one = bench(reports);
+          GatewayFixture two = bench(reports)) {
         calls(one, "a", 3);
         calls(two, "b", 5);
-        String first = one.fleet.stopGateway(Bench.GATEWAY).get("instance").textValue();
-        String second = two.fleet.stopGateway(Bench.GATEWAY).get("instance").textValue();
+        String first = one.fleet.stopGateway(GatewayFixture.GATEWAY).get("instance").textValue();
+        String second = two.fleet.stopGateway(GatewayFixture.GATEWAY).get("instance").textValue();
         assertNotEquals(first, second);
         for (Map.Entry<String, Integer> e : Map.of(first, 3, second, 5).entrySet()) {
-          Bench.await(
+          GatewayFixture.await(
               "the last word of " + e.getKey(),
               () ->
                   listener.newest().entrySet().stream()
@@ -252,7 +258,7 @@
   void aFloodOfTenantsIsBoundedAndStillCountedWhole() throws IOException {
     try (GraphiteListener listener = new GraphiteListener(0, false, Fault.NONE)) {
       Consumer<ObjectNode> reports = graphite(listener);
-      try (Bench bench =
+      try (GatewayFixture bench =
           bench(
               s -> {
                 reports.accept(s);
@@ -262,7 +268,7 @@
                     .add("t39");
               })) {
         calls(bench, "a", 40);
-        JsonNode tally = bench.fleet.stopGateway(Bench.GATEWAY);
+        JsonNode tally = bench.fleet.stopGateway(GatewayFixture.GATEWAY);
         assertEquals("40", served(tally));
         TreeSet<String> tenants =
             new TreeSet<>(tally.at("/tally/requests").findValuesAsText("tenant"));
@@ -279,19 +285,21 @@
 
   @Test
   void toolCallsAndStatesAndAttemptsAreCounted() {
-    try (Bench bench = bench(s -> ((ObjectNode) s.at("/classes/0")).put("toolTimeoutMs", 300))) {
+    try (GatewayFixture bench =
+        bench(s -> ((ObjectNode) s.at("/classes/0")).put("toolTimeoutMs", 300))) {
       CallRecord seen =
           bench.call(
-              Bench.ask("m1", "call the tool stock and answer in 5 words", Tools.ANSWER, "stock"));
+              GatewayFixture.ask(
+                  "m1", "call the tool stock and answer in 5 words", Tools.ANSWER, "stock"));
       assertTrue(seen.served());
       assertTrue(
           bench
               .call(
-                  Bench.ask(
+                  GatewayFixture.ask(
                       "m2", "call the tool stock and answer in 5 words", Tools.SILENT, "stock"))
               .served());
       bench.awaitIdle();
-      JsonNode tally = bench.fleet.stopGateway(Bench.GATEWAY).get("tally");
+      JsonNode tally = bench.fleet.stopGateway(GatewayFixture.GATEWAY).get("tally");
       JsonNode tools = tally.at("/tools/0");
       assertEquals(
           "2 1 1", tools.get("relayed") + " " + tools.get("answered") + " " + tools.get("lost"));
--- a/scenario/src/test/java/lemondock/scenario/PathTest.java
+++ b/scenario/src/test/java/lemondock/scenario/RequestPathTest.java
@@ -4,34 +4,36 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import lemondock.emulator.Tap;
+import lemondock.emulator.TrafficObserver;
 import lemondock.scenario.McpClient.Tools;
 import org.junit.jupiter.api.Test;
 
 /** The whole way of a request, on loopback sockets. */
-class PathTest {
+class RequestPathTest {
   @Test
   void aCallIsReadWrittenAndStreamed() {
-    try (Bench bench = new Bench(s -> {}, Bench.reader("r"), Bench.writer("w"))) {
-      CallRecord seen = bench.call(Bench.ask("m1", "answer in 5 words", Tools.ANSWER));
+    try (GatewayFixture bench =
+        new GatewayFixture(s -> {}, GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
+      CallRecord seen = bench.call(GatewayFixture.ask("m1", "answer in 5 words", Tools.ANSWER));
       assertEquals(" a0 a1 a2 a3 a4", seen.finalText);
       assertEquals(seen.finalText, seen.streamed.toString());
       assertEquals(5, seen.tokens);
       assertEquals(1, seen.responses);
       assertEquals(List.of(), seen.oddities);
-      assertEquals(1, bench.events(Tap.What.READ, "m1").size());
-      assertEquals(1, bench.events(Tap.What.STATE_TAKEN, "m1").size());
-      assertEquals(1, bench.events(Tap.What.EFFECT, "m1").size());
+      assertEquals(1, bench.events(TrafficObserver.What.READ, "m1").size());
+      assertEquals(1, bench.events(TrafficObserver.What.STATE_TAKEN, "m1").size());
+      assertEquals(1, bench.events(TrafficObserver.What.EFFECT, "m1").size());
       bench.awaitIdle();
     }
   }
 
   @Test
   void twoToolCallsInMidStream() {
-    try (Bench bench = new Bench(s -> {}, Bench.reader("r"), Bench.writer("w"))) {
+    try (GatewayFixture bench =
+        new GatewayFixture(s -> {}, GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
       CallRecord seen =
           bench.call(
-              Bench.ask(
+              GatewayFixture.ask(
                   "m2",
                   "call the tool stock and then call the tool price",
                   Tools.ANSWER,
@@ -44,17 +46,17 @@
           seen.finalText.startsWith(" a0 a1 a2 a3[did-stock] b0 b1 b2 b3[did-price] c0"),
           seen.finalText);
       assertEquals(seen.finalText, seen.streamed.toString());
-      assertEquals(3, bench.events(Tap.What.EFFECT, "m2").size());
+      assertEquals(3, bench.events(TrafficObserver.What.EFFECT, "m2").size());
       bench.awaitIdle();
     }
   }
 
   @Test
   void aMixedServerReadsAndWritesInPlace() {
-    try (Bench bench = new Bench(s -> {}, Bench.mixed("x"))) {
-      CallRecord seen = bench.call(Bench.ask("m3", "answer in 3 words", Tools.ANSWER));
+    try (GatewayFixture bench = new GatewayFixture(s -> {}, GatewayFixture.mixed("x"))) {
+      CallRecord seen = bench.call(GatewayFixture.ask("m3", "answer in 3 words", Tools.ANSWER));
       assertEquals(" a0 a1 a2", seen.finalText);
-      assertEquals(0, bench.events(Tap.What.READ, "m3").size());
+      assertEquals(0, bench.events(TrafficObserver.What.READ, "m3").size());
       bench.awaitIdle();
     }
   }
--- a/scenario/src/test/java/lemondock/scenario/SabotageTest.java
+++ b/scenario/src/test/java/lemondock/scenario/RuleViolationTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 
 /** For each rule a gateway that breaks it on purpose; the auditor must see it on the sockets. */
-class SabotageTest {
+class RuleViolationTest {
   /** A host that hands on everything; a saboteur leaves something out. */
   private static class Host implements RouterHost {
     private final RouterHost host;
@@ -77,7 +77,7 @@
       Control control = new Control(settings, seed, host);
       return (RequestRouter)
           Proxy.newProxyInstance(
-              SabotageTest.class.getClassLoader(),
+              RuleViolationTest.class.getClassLoader(),
               new Class<?>[] {RequestRouter.class},
               (proxy, method, arguments) -> {
                 if (method.getName().equals("endpointsChanged")) {
@@ -93,23 +93,25 @@
     };
   }
 
-  private static Set<Integer> broken(DayScript script, RouterFactory maker)
+  private static Set<Integer> broken(ScenarioScript script, RouterFactory maker)
       throws InterruptedException {
     return new FaultScenario(script, maker).play().finding().broken();
   }
 
-  private static DayScript day(double seconds, double rate, DayScript.Trouble... troubles) {
-    return DayScript.quiet().with("sabotage", seconds, rate, List.of(troubles));
+  private static ScenarioScript day(
+      double seconds, double rate, ScenarioScript.Trouble... troubles) {
+    return ScenarioScript.quiet().with("sabotage", seconds, rate, List.of(troubles));
   }
 
-  private static DayScript.Trouble trouble(
+  private static ScenarioScript.Trouble trouble(
       String kind, double at, double length, double part, double size) {
-    return new DayScript.Trouble(kind, at, length, part, size);
+    return new ScenarioScript.Trouble(kind, at, length, part, size);
   }
 
   @Test
   void anAnswerNeverGivenIsSeen() throws InterruptedException {
-    DayScript script = day(1.5, 20, trouble("list_empty", 200, 3000, 1, 1)).fleet(1, 1, 0, 8, 5);
+    ScenarioScript script =
+        day(1.5, 20, trouble("list_empty", 200, 3000, 1, 1)).fleet(1, 1, 0, 8, 5);
     assertEquals(
         Set.of(1),
         broken(
@@ -127,7 +129,8 @@
 
   @Test
   void anEffectTwiceIsSeen() throws InterruptedException {
-    DayScript script = day(2, 60, trouble("fast_errors", 0, 2000, 1, 0.5)).fleet(2, 2, 0, 16, 5);
+    ScenarioScript script =
+        day(2, 60, trouble("fast_errors", 0, 2000, 1, 0.5)).fleet(2, 2, 0, 16, 5);
     assertEquals(
         Set.of(2),
         broken(
@@ -166,7 +169,8 @@
 
   @Test
   void aDrainIgnoredIsSeen() throws InterruptedException {
-    DayScript script = day(2.5, 60, trouble("deploy", 200, 1200, 0.4, 0.1)).fleet(2, 3, 0, 16, 5);
+    ScenarioScript script =
+        day(2.5, 60, trouble("deploy", 200, 1200, 0.4, 0.1)).fleet(2, 3, 0, 16, 5);
     assertTrue(
         broken(script, deaf(s -> s.lifecycle() == ServerLifecycle.READY ? s : null)).contains(3));
     assertEquals(Set.of(), broken(script, Gateway.DEFAULT_ROUTER_FACTORY));
@@ -174,7 +178,7 @@
 
   @Test
   void aColdServerPushedOverIsSeen() throws InterruptedException {
-    DayScript script = day(3, 40, trouble("crash", 300, 500, 1, 1)).fleet(1, 1, 0, 2, 20);
+    ScenarioScript script = day(3, 40, trouble("crash", 300, 500, 1, 1)).fleet(1, 1, 0, 2, 20);
     assertTrue(
         broken(
                 script,
@@ -188,7 +192,7 @@
 
   @Test
   void aStateNeverLetGoIsSeen() throws InterruptedException {
-    DayScript script = day(2, 40, trouble("give_up", 0, 2000, 1, 1)).fleet(1, 1, 0, 2, 20);
+    ScenarioScript script = day(2, 40, trouble("give_up", 0, 2000, 1, 1)).fleet(1, 1, 0, 2, 20);
     assertTrue(
         broken(
                 script,
--- a/scenario/src/test/java/lemondock/scenario/ScenarioAuditorTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ScenarioAuditorTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.Tap;
+import lemondock.emulator.TrafficObserver;
 import lemondock.gateway.settings.GatewaySettings;
 import org.junit.jupiter.api.Test;
 
@@ -18,15 +18,15 @@
   private static final EngineSettings READER = EngineSettings.quick("r", "reader", "north", "r1");
 
   private static Set<Integer> broken(
-      List<Tap.Event> events, List<CallRecord> calls, ScenarioFleet.Stood... stood) {
+      List<TrafficObserver.Event> events, List<CallRecord> calls, ScenarioFleet.Stood... stood) {
     return new ScenarioAuditor(
             SETTINGS, List.of(READER), events, calls, List.of(), List.of(stood), T0 + 60_000 * MS)
         .check()
         .broken();
   }
 
-  private static Tap.Event event(long at, Tap.What what, String detail) {
-    return new Tap.Event(T0 + at * MS, "r", what, "gw-1", "m", "gw", 10, detail);
+  private static TrafficObserver.Event event(long at, TrafficObserver.What what, String detail) {
+    return new TrafficObserver.Event(T0 + at * MS, "r", what, "gw-1", "m", "gw", 10, detail);
   }
 
   private static ScenarioFleet.Stood stood(String gateway, long from, long to) {
@@ -61,20 +61,20 @@
 
   @Test
   void aDrainIsHeardOfLaterAndAStateIsHeldLonger() {
-    List<Tap.Event> drained =
+    List<TrafficObserver.Event> drained =
         List.of(
-            event(0, Tap.What.TOLD, "r=draining"),
-            event(1_500, Tap.What.READ, ""),
-            event(1_510, Tap.What.ANSWERED, ""));
+            event(0, TrafficObserver.What.TOLD, "r=draining"),
+            event(1_500, TrafficObserver.What.READ, ""),
+            event(1_510, TrafficObserver.What.ANSWERED, ""));
     assertEquals(Set.of(3), broken(drained, List.of()));
     assertEquals(Set.of(), broken(drained, List.of(), stood("gw", 10, 1_200)));
     assertEquals(Set.of(3), broken(drained, List.of(), stood("gw", 10, 200)));
-    List<Tap.Event> held =
+    List<TrafficObserver.Event> held =
         List.of(
-            event(0, Tap.What.READ, ""),
-            event(10, Tap.What.ANSWERED, "read"),
-            event(10, Tap.What.STATE_KEPT, ""),
-            event(1_500, Tap.What.STATE_LET_GO, ""));
+            event(0, TrafficObserver.What.READ, ""),
+            event(10, TrafficObserver.What.ANSWERED, "read"),
+            event(10, TrafficObserver.What.STATE_KEPT, ""),
+            event(1_500, TrafficObserver.What.STATE_LET_GO, ""));
     assertEquals(Set.of(5), broken(held, List.of()));
     assertEquals(Set.of(), broken(held, List.of(), stood("gw", 20, 1_300)));
     assertEquals(Set.of(5), broken(held, List.of(), stood("gw", 20, 300)));
@@ -87,11 +87,12 @@
     c.firstAt = T0 + 10 * MS;
     c.endedAt = T0 + 3_000 * MS;
     c.responses = 1;
-    List<Tap.Event> twice =
+    List<TrafficObserver.Event> twice =
         List.of(
-            event(0, Tap.What.WRITE, "1"),
-            event(10, Tap.What.BROKEN, ""),
-            new Tap.Event(T0 + 2_500 * MS, "r", Tap.What.WRITE, "gw-2", "m", "gw", 10, "1"));
+            event(0, TrafficObserver.What.WRITE, "1"),
+            event(10, TrafficObserver.What.BROKEN, ""),
+            new TrafficObserver.Event(
+                T0 + 2_500 * MS, "r", TrafficObserver.What.WRITE, "gw-2", "m", "gw", 10, "1"));
     assertEquals(Set.of(2), broken(twice, List.of(c), stood("gw", 20, 2_400)));
   }
 }
--- a/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
+++ b/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.Tap;
+import lemondock.emulator.TrafficObserver;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -22,8 +22,8 @@
 class TokenPathTest {
   private static final int WORDS = 300;
 
-  private static Bench bench() {
-    return new Bench(
+  private static GatewayFixture bench() {
+    return new GatewayFixture(
         s -> {
           s.put("ioThreads", 3);
           ((ObjectNode) s.get("front")).put("resumeWindowMs", 5_000).put("replayBytes", 65_536);
@@ -46,11 +46,12 @@
    * One call whose connection is broken again and again, read at changing pace; gives what was
    * streamed and the result.
    */
-  private static String[] broken(Bench bench, int seed) throws IOException, InterruptedException {
+  private static String[] broken(GatewayFixture bench, int seed)
+      throws IOException, InterruptedException {
     SplittableRandom random = new SplittableRandom(seed);
     StringBuilder streamed = new StringBuilder();
-    try (TalkingClient.Answer answer =
-        new TalkingClient(bench.port)
+    try (ConversationClient.Answer answer =
+        new ConversationClient(bench.port)
             .call("7", "sale-lookup", "#b" + seed + "# answer in " + WORDS + " words", List.of())) {
       answer.primed();
       while (true) {
@@ -75,7 +76,7 @@
   @Test
   void noTokenIsLostOrRepeatedHoweverOftenConnectionsBreak() throws Exception {
     ExecutorService threads = Executors.newCachedThreadPool();
-    try (Bench bench = bench()) {
+    try (GatewayFixture bench = bench()) {
       List<CompletableFuture<String[]>> all = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
         int seed = i;
@@ -91,7 +92,7 @@
                 threads));
       }
       for (CompletableFuture<String[]> one : all) {
-        String[] seen = Bench.get(one);
+        String[] seen = GatewayFixture.get(one);
         assertEquals(expected(WORDS), seen[0]);
         assertEquals(seen[0], seen[1]);
       }
@@ -108,22 +109,22 @@
   @Test
   void aCallThatHasEndedIsHeldByNoTimer() {
     int calls = 150;
-    try (Bench bench =
-        new Bench(
+    try (GatewayFixture bench =
+        new GatewayFixture(
             s -> {
               ((ObjectNode) s.get("engines")).put("streamSilenceMs", 120_000);
               ((ObjectNode) s.get("front")).put("resumeWindowMs", 0);
               ((ObjectNode) s.at("/classes/0")).put("deadlineMs", 120_000).put("aimMs", 60_000);
             },
-            Bench.reader("r"),
-            Bench.writer("w"))) {
-      Node node = bench.fleet.node(Bench.GATEWAY);
+            GatewayFixture.reader("r"),
+            GatewayFixture.writer("w"))) {
+      EmulatedProcess node = bench.fleet.node(GatewayFixture.GATEWAY);
       assertEquals(
           12,
-          Bench.get(
+          GatewayFixture.get(
                   bench.begin(
                       bench.client(),
-                      Bench.ask("warm", "answer in 12 words", McpClient.Tools.ANSWER)))
+                      GatewayFixture.ask("warm", "answer in 12 words", McpClient.Tools.ANSWER)))
               .seen()
               .tokens);
       bench.awaitIdle();
@@ -134,9 +135,10 @@
           some.add(
               bench.begin(
                   bench.client(),
-                  Bench.ask("t" + i + "-" + j, "answer in 12 words", McpClient.Tools.ANSWER)));
+                  GatewayFixture.ask(
+                      "t" + i + "-" + j, "answer in 12 words", McpClient.Tools.ANSWER)));
         }
-        some.forEach(one -> assertTrue(Bench.get(one).seen().served()));
+        some.forEach(one -> assertTrue(GatewayFixture.get(one).seen().served()));
       }
       bench.awaitIdle();
       int perCall = (node.ask(node.loop()::pendingTimers) - before) / calls;
@@ -152,7 +154,7 @@
   @Test
   void manyCallsOfOneSessionOnOneStreamEndEachOnceWhileTheirNeighboursAreCancelled()
       throws Exception {
-    try (Bench bench = bench()) {
+    try (GatewayFixture bench = bench()) {
       List<CompletableFuture<McpClient.Call>> kept = new ArrayList<>();
       SplittableRandom random = new SplittableRandom(3);
       for (int i = 0; i < 80; i++) {
@@ -161,7 +163,7 @@
         CompletableFuture<McpClient.Call> done =
             bench.begin(
                 bench.client(),
-                Bench.ask("s" + i, "answer in 100 words", McpClient.Tools.ANSWER),
+                GatewayFixture.ask("s" + i, "answer in 100 words", McpClient.Tools.ANSWER),
                 call -> {
                   if (leaves) {
                     bench.clients.loop().schedule(after, call::leave);
@@ -172,7 +174,7 @@
         }
       }
       for (CompletableFuture<McpClient.Call> one : kept) {
-        CallRecord seen = Bench.get(one).seen();
+        CallRecord seen = GatewayFixture.get(one).seen();
         assertTrue(seen.served(), seen.mark);
         assertEquals(expected(100), seen.streamed.toString());
         assertEquals(1, seen.responses);
@@ -184,15 +186,17 @@
 
   @Test
   void aTokenGoesOutWhenItComesAndNotWithALaterOne() throws Exception {
-    try (Bench bench = new Bench(s -> {}, Bench.reader("r"), Bench.writer("w").paced(1, 1, 250))) {
-      try (TalkingClient.Answer answer =
-          new TalkingClient(bench.port)
+    try (GatewayFixture bench =
+        new GatewayFixture(
+            s -> {}, GatewayFixture.reader("r"), GatewayFixture.writer("w").paced(1, 1, 250))) {
+      try (ConversationClient.Answer answer =
+          new ConversationClient(bench.port)
               .call("1", "sale-lookup", "#slow# answer in 8 words", List.of())) {
         for (int tokens = 0; tokens < 3; tokens++) {
           assertEquals("notifications/progress", answer.next().path("method").asText());
         }
         assertTrue(
-            bench.events(Tap.What.ANSWERED, "slow").stream()
+            bench.events(TrafficObserver.What.ANSWERED, "slow").stream()
                 .noneMatch(e -> e.detail().equals("write")),
             "the third of eight tokens came only with the end");
       }
--- a/scenario/src/test/java/lemondock/scenario/ToolCallsTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ToolCallsTest.java
@@ -27,12 +27,12 @@
 class ToolCallsTest {
   private static final int TURNS = 3;
   private static final int WAITING = 40;
-  private static Bench bench;
+  private static GatewayFixture bench;
 
   @BeforeAll
   static void start() {
     bench =
-        new Bench(
+        new GatewayFixture(
             s -> {
               ((ObjectNode) s.get("limits")).put("maxWaitingAnswers", WAITING);
               ((ObjectNode) s.at("/classes/0"))
@@ -41,8 +41,8 @@
                   .put("maxTurns", TURNS)
                   .put("toolTimeoutMs", 20_000);
             },
-            Bench.reader("r"),
-            Bench.writer("w"));
+            GatewayFixture.reader("r"),
+            GatewayFixture.writer("w"));
   }
 
   @AfterAll
@@ -63,23 +63,23 @@
       })
   void anyIdComesBackAsItWas(String id) throws Exception {
     String json = id.replace("LONG", "y".repeat(256));
-    TalkingClient client = new TalkingClient(bench.port);
-    try (TalkingClient.Answer answer =
+    ConversationClient client = new ConversationClient(bench.port);
+    try (ConversationClient.Answer answer =
         client.call(
             json, "sale-lookup", "call the tool stock answer in 3 words", List.of("stock"))) {
       JsonNode message = answer.relayed();
       assertEquals(
-          TalkingClient.MAPPER.readTree(json), message.at("/params/_meta/lemondock~1call"));
-      assertEquals(202, client.post(TalkingClient.result(message.get("id"), "did")));
+          ConversationClient.MAPPER.readTree(json), message.at("/params/_meta/lemondock~1call"));
+      assertEquals(202, client.post(ConversationClient.result(message.get("id"), "did")));
       JsonNode end = answer.end();
-      assertEquals(TalkingClient.MAPPER.readTree(json), end.get("id"));
+      assertEquals(ConversationClient.MAPPER.readTree(json), end.get("id"));
       assertEquals(" a0 a1 a2 a3[did] b0 b1 b2", end.at("/result/content/0/text").asText());
     }
   }
 
   @Test
   void aCallWithoutAUsableIdIsRefused() throws Exception {
-    TalkingClient client = new TalkingClient(bench.port);
+    ConversationClient client = new ConversationClient(bench.port);
     assertEquals(
         400,
         client.post(
@@ -98,9 +98,9 @@
 
   @Test
   void resultsInReverseOrderStandWhereTheirCallsDo() throws Exception {
-    TalkingClient client = new TalkingClient(bench.port);
+    ConversationClient client = new ConversationClient(bench.port);
     List<String> tools = List.of("t0", "t1", "t2", "t3");
-    try (TalkingClient.Answer answer =
+    try (ConversationClient.Answer answer =
         client.call(
             "1",
             "sale-lookup",
@@ -113,7 +113,7 @@
       Collections.reverse(relayed);
       for (JsonNode call : relayed) {
         client.post(
-            TalkingClient.result(call.get("id"), "did-" + call.at("/params/name").asText()));
+            ConversationClient.result(call.get("id"), "did-" + call.at("/params/name").asText()));
       }
       assertEquals(
           " a0 a1 a2 a3[did-t0|did-t1|did-t2|did-t3] b0 b1",
@@ -122,8 +122,8 @@
   }
 
   private static JsonNode turns(int count) throws IOException, InterruptedException {
-    TalkingClient client = new TalkingClient(bench.port);
-    try (TalkingClient.Answer answer =
+    ConversationClient client = new ConversationClient(bench.port);
+    try (ConversationClient.Answer answer =
         client.call(
             "1",
             "sale-lookup",
@@ -133,7 +133,7 @@
       for (JsonNode message = answer.next(); message != null; message = answer.next()) {
         last = message;
         if (message.path("method").asText().equals(Mcp.TOOLS_CALL)) {
-          client.post(TalkingClient.result(message.get("id"), "did"));
+          client.post(ConversationClient.result(message.get("id"), "did"));
         }
       }
       return last;
@@ -156,12 +156,12 @@
    */
   @Test
   void answersThatWaitForToolsAreBoundedAndStarveNobody() throws Exception {
-    TalkingClient client = new TalkingClient(bench.port);
-    List<TalkingClient.Answer> open = new ArrayList<>();
+    ConversationClient client = new ConversationClient(bench.port);
+    List<ConversationClient.Answer> open = new ArrayList<>();
     List<JsonNode> relayed = new ArrayList<>();
     try {
       for (int i = 0; i < WAITING; i++) {
-        TalkingClient.Answer answer =
+        ConversationClient.Answer answer =
             client.call(
                 Integer.toString(10 + i),
                 "sale-lookup",
@@ -171,20 +171,21 @@
         relayed.add(answer.relayed());
       }
       JsonNode over;
-      try (TalkingClient.Answer answer =
+      try (ConversationClient.Answer answer =
           client.call(
               "90", "sale-lookup", "call the tool stock answer in 2 words", List.of("stock"))) {
         over = answer.end();
       }
       assertEquals(Mcp.FAILED, over.at("/error/code").asInt(), over.toString());
-      try (TalkingClient.Answer plain =
-          new TalkingClient(bench.port).call("91", "sale-lookup", "answer in 2 words", List.of())) {
+      try (ConversationClient.Answer plain =
+          new ConversationClient(bench.port)
+              .call("91", "sale-lookup", "answer in 2 words", List.of())) {
         assertEquals(" a0 a1", plain.end().at("/result/content/0/text").asText());
       }
       List<CompletableFuture<JsonNode>> ends = new ArrayList<>();
       for (int i = WAITING - 1; i >= 0; i--) {
-        client.post(TalkingClient.result(relayed.get(i).get("id"), "r" + i));
-        TalkingClient.Answer answer = open.get(i);
+        client.post(ConversationClient.result(relayed.get(i).get("id"), "r" + i));
+        ConversationClient.Answer answer = open.get(i);
         ends.add(
             0,
             CompletableFuture.supplyAsync(
@@ -197,12 +198,12 @@
                 }));
       }
       for (int i = 0; i < WAITING; i++) {
-        JsonNode end = Bench.get(ends.get(i));
+        JsonNode end = GatewayFixture.get(ends.get(i));
         assertNotNull(end);
         assertEquals(" a0 a1 a2 a3[r" + i + "] b0 b1", end.at("/result/content/0/text").asText());
       }
     } finally {
-      for (TalkingClient.Answer answer : open) {
+      for (ConversationClient.Answer answer : open) {
         answer.close();
       }
     }
--- a/scenario/src/test/java/lemondock/scenario/TypeScriptClientTest.java
+++ b/scenario/src/test/java/lemondock/scenario/TypeScriptClientTest.java
@@ -75,13 +75,13 @@
     try (Stream<Path> files = Files.list(CLIENT.resolve("dist/test"))) {
       tests = files.map(Path::toString).filter(f -> f.endsWith(".test.js")).toList();
     }
-    try (Bench bench =
-        new Bench(
+    try (GatewayFixture bench =
+        new GatewayFixture(
             s -> {
               ((ObjectNode) s.at("/classes/0")).put("deadlineMs", 20_000).put("aimMs", 10_000);
             },
-            Bench.reader("r"),
-            Bench.writer("w"))) {
+            GatewayFixture.reader("r"),
+            GatewayFixture.writer("w"))) {
       Outcome tested =
           run(
               Map.of("LEMONDOCK_URL", "http://127.0.0.1:" + bench.port + "/mcp"),
