--- a/gateway/src/main/java/lemondock/gateway/ExecutorQueueProbe.java
+++ b/gateway/src/main/java/lemondock/gateway/ExecutorQueueProbe.java
@@ -3,11 +3,11 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.LongConsumer;
+import lemondock.net.DelayProbe;
 import lemondock.net.Loop;
-import lemondock.net.Network;
 
 /** Tells how long a task waits in the workers' queue. Loop thread only. */
-final class ExecutorQueueProbe implements Network.Probe {
+final class ExecutorQueueProbe implements DelayProbe {
   private final Loop loop;
   private final Executor executor;
   private boolean probeQueued;
@@ -21,7 +21,7 @@
   }
 
   @Override
-  public long ask(LongConsumer delayMicros) {
+  public long measure(LongConsumer delayMicros) {
     if (probeQueued) {
       return Math.max(1, loop.now() - postedAtMicros);
     }
--- a/gateway/src/main/java/lemondock/gateway/HttpComponents.java
+++ b/gateway/src/main/java/lemondock/gateway/HttpComponents.java
@@ -9,8 +9,9 @@
 import lemondock.net.Loop;
 import lemondock.net.Network;
 import lemondock.net.http.HttpClient;
+import lemondock.net.http.HttpClientOptions;
 import lemondock.net.http.HttpLimits;
-import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpServerOptions;
 
 /** Makes the HTTP clients and the options of the HTTP server from the settings. */
 final class HttpComponents {
@@ -31,7 +32,7 @@
     return new HttpClient(
         loop,
         network,
-        new HttpClient.Options(
+        new HttpClientOptions(
             limits(Math.max(settings.maxReplyBytes(), MIN_ENGINE_REPLY_BYTES)),
             settings.maxEventBytes(),
             settings.maxConnectionsPerServer(),
@@ -50,7 +51,7 @@
         new HttpClient(
             loop,
             network,
-            new HttpClient.Options(
+            new HttpClientOptions(
                 limits(MAX_CATALOGUE_BYTES),
                 MAX_CATALOGUE_EVENT_BYTES,
                 MAX_CATALOGUE_CONNECTIONS,
@@ -59,11 +60,10 @@
     return new ConsulEndpointList(loop, client, address, discovery, userAgent);
   }
 
-  static HttpServer.Options serverOptions(
-      GatewaySettings settings, GatewayEnvironment environment) {
+  static HttpServerOptions serverOptions(GatewaySettings settings, GatewayEnvironment environment) {
     GatewaySettings.Front front = settings.front();
     double clientHandles = environment.resources().maxFileHandles() * CLIENT_HANDLES_FRACTION;
-    return new HttpServer.Options(
+    return new HttpServerOptions(
         limits(front.maxBodyBytes()),
         (int) Math.min(front.maxConnections(), clientHandles),
         front.maxBodiesBytes(),
--- a/gateway/src/main/java/lemondock/gateway/QueueDelayMonitor.java
+++ b/gateway/src/main/java/lemondock/gateway/QueueDelayMonitor.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.concurrent.Executor;
 import lemondock.gateway.accounting.GatewayMetrics;
+import lemondock.net.DelayProbe;
 import lemondock.net.Loop;
-import lemondock.net.Network;
 import lemondock.overload.Admission;
 import lemondock.overload.StallMonitor;
 
@@ -52,7 +52,7 @@
   }
 
   /** Begins to sample; {@code probes} are those of the I/O threads. */
-  void start(Executor workers, List<Network.Probe> probes) {
+  void start(Executor workers, List<DelayProbe> probes) {
     sampleLoopLag(stallMonitor.onTick(loop.now()));
     sampleLoopQueue();
     sampleQueue(new ExecutorQueueProbe(loop, workers), WORKERS_QUEUE);
@@ -85,10 +85,10 @@
   }
 
   /** Up to a hundred times a second, how long what comes to a queue waits in it. */
-  private void sampleQueue(Network.Probe probe, int queue) {
+  private void sampleQueue(DelayProbe probe, int queue) {
     long pausedBefore = resources.pausedMicros();
     long waitingMicros =
-        probe.ask(
+        probe.measure(
             delay ->
                 admission.recordDelay(
                     loop.now(), queue, delay - pausedSince(pausedMicrosAtProbe[queue], delay)));
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpHttpHandler.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpHttpHandler.java
@@ -22,11 +22,14 @@
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.Loop;
 import lemondock.net.http.Headers;
-import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpExchange;
+import lemondock.net.http.HttpRejection;
+import lemondock.net.http.HttpRequest;
+import lemondock.net.http.HttpService;
 import lemondock.overload.Admission;
 import lemondock.rpc.JsonRpc;
+import lemondock.rpc.JsonRpcMessage;
 import lemondock.rpc.Mcp;
-import lemondock.rpc.Message;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -34,7 +37,7 @@
  * The clients' front: the Model Context Protocol over Streamable HTTP. It speaks the protocol and
  * keeps sessions; what becomes of a call is decided behind {@link CallService}.
  */
-public final class McpHttpHandler implements HttpServer.Service {
+public final class McpHttpHandler implements HttpService {
   private static final Logger LOG = LoggerFactory.getLogger(McpHttpHandler.class);
   private static final String PATH = "/mcp";
   private static final byte[] EMPTY_BODY = new byte[0];
@@ -125,30 +128,30 @@
   // ==== on I/O threads
 
   @Override
-  public boolean servesContent() {
+  public boolean needsBodyToServe() {
     return false;
   }
 
   @Override
-  public Object prepare(HttpServer.Request request) {
+  public Object prepare(HttpRequest request) {
     return request.method().equals("POST") ? preparer.prepare(request) : null;
   }
 
   @Override
-  public int glance() {
+  public int earlyRejectionBytes() {
     return ToolNameScanner.SCAN_LIMIT_BYTES;
   }
 
   @Override
-  public HttpServer.Refusal turnsAway(HttpServer.Request request) {
+  public HttpRejection rejectEarly(HttpRequest request) {
     return preparer.rejectBeforeParsing(request);
   }
 
   // ==== requests
 
   @Override
-  public void serve(HttpServer.Exchange exchange) {
-    HttpServer.Request request = exchange.request();
+  public void serve(HttpExchange exchange) {
+    HttpRequest request = exchange.request();
     String forbidden = rebindingGuard.rejectionReason(request);
     if (forbidden != null) {
       text(exchange, 403, forbidden);
@@ -171,7 +174,7 @@
   }
 
   /** What a load balancer asks: 200, or 503 and why not. */
-  private static void probe(HttpServer.Exchange exchange, String why) {
+  private static void probe(HttpExchange exchange, String why) {
     if (exchange.request().method().equals("GET") || exchange.request().method().equals("HEAD")) {
       text(exchange, why.isEmpty() ? 200 : 503, why.isEmpty() ? "ok" : why);
     } else {
@@ -179,7 +182,7 @@
     }
   }
 
-  private void post(HttpServer.Exchange exchange) {
+  private void post(HttpExchange exchange) {
     Headers headers = exchange.request().headers();
     String type = headers.get("content-type");
     if (type == null || !type.split(";")[0].strip().equalsIgnoreCase("application/json")) {
@@ -196,13 +199,13 @@
       return;
     }
     RequestPreparer.Prepared prepared = (RequestPreparer.Prepared) exchange.prepared();
-    List<Message> messages = prepared.parsed().messages();
-    if (!prepared.parsed().batch() && messages.get(0) instanceof Message.Invalid invalid) {
-      error(exchange, 400, invalid.id(), invalid.code(), invalid.what());
+    List<JsonRpcMessage> messages = prepared.parsed().messages();
+    if (!prepared.parsed().batch() && messages.get(0) instanceof JsonRpcMessage.Invalid invalid) {
+      error(exchange, 400, invalid.id(), invalid.code(), invalid.reason());
       return;
     }
     if (!prepared.parsed().batch()
-        && messages.get(0) instanceof Message.Request first
+        && messages.get(0) instanceof JsonRpcMessage.Request first
         && first.method().equals(Mcp.INITIALIZE)) {
       initialize(exchange, first);
       return;
@@ -224,7 +227,7 @@
   }
 
   private static boolean accepts(Headers headers, String type) {
-    for (String value : headers.all("accept")) {
+    for (String value : headers.getAll("accept")) {
       for (String part : value.split(",")) {
         String range = part.split(";")[0].strip().toLowerCase(Locale.ROOT);
         if (range.equals(type) || range.equals("*/*") || range.equals(type.split("/")[0] + "/*")) {
@@ -239,7 +242,7 @@
    * The session that a request names, in the version it speaks; null if that was answered with an
    * error.
    */
-  private McpSession session(HttpServer.Exchange exchange) {
+  private McpSession session(HttpExchange exchange) {
     Headers headers = exchange.request().headers();
     String protocolVersion = headers.get(Mcp.VERSION_HEADER);
     if (protocolVersion != null && !Mcp.VERSIONS.contains(protocolVersion)) {
@@ -273,7 +276,7 @@
     return session;
   }
 
-  private void initialize(HttpServer.Exchange exchange, Message.Request request) {
+  private void initialize(HttpExchange exchange, JsonRpcMessage.Request request) {
     JsonNode requestedVersion =
         request.params() == null ? null : request.params().get("protocolVersion");
     if (requestedVersion == null || !requestedVersion.isTextual()) {
@@ -324,7 +327,7 @@
         bytes(JsonRpc.result(request.id(), result)));
   }
 
-  private void delete(HttpServer.Exchange exchange) {
+  private void delete(HttpExchange exchange) {
     McpSession session = session(exchange);
     if (session != null) {
       end(session, "the client ended the session");
@@ -349,7 +352,7 @@
   /**
    * The client's side of a stream: a new one for what the server says by itself, or one that broke.
    */
-  private void get(HttpServer.Exchange exchange) {
+  private void get(HttpExchange exchange) {
     if (!accepts(exchange.request().headers(), "text/event-stream")) {
       text(exchange, 406, "expected accept: text/event-stream");
       return;
@@ -391,7 +394,7 @@
     stream.open(exchange, session.id, false);
   }
 
-  private void resume(HttpServer.Exchange exchange, McpSession session, String lastEventId) {
+  private void resume(HttpExchange exchange, McpSession session, String lastEventId) {
     if (lastEventId.matches("[0-9]{1,18}-[0-9]{1,18}")) {
       String[] parts = lastEventId.split("-");
       ResumableEventStream stream = session.streams.get(Long.parseLong(parts[0]));
@@ -410,21 +413,21 @@
   // ==== messages
 
   private void handleMessages(
-      HttpServer.Exchange exchange,
+      HttpExchange exchange,
       McpSession session,
       RequestPreparer.Prepared prepared,
       boolean stream) {
-    List<Message.Request> requests = new ArrayList<>();
+    List<JsonRpcMessage.Request> requests = new ArrayList<>();
     List<ObjectNode> ready = new ArrayList<>();
-    for (Message message : prepared.parsed().messages()) {
-      if (message instanceof Message.Request request) {
+    for (JsonRpcMessage message : prepared.parsed().messages()) {
+      if (message instanceof JsonRpcMessage.Request request) {
         requests.add(request);
-      } else if (message instanceof Message.Notification notification) {
+      } else if (message instanceof JsonRpcMessage.Notification notification) {
         handleNotification(session, notification);
-      } else if (message instanceof Message.Response response) {
+      } else if (message instanceof JsonRpcMessage.Response response) {
         handleResponse(session, response);
-      } else if (message instanceof Message.Invalid invalid) {
-        ready.add(JsonRpc.error(invalid.id(), invalid.code(), invalid.what(), null));
+      } else if (message instanceof JsonRpcMessage.Invalid invalid) {
+        ready.add(JsonRpc.error(invalid.id(), invalid.code(), invalid.reason(), null));
       }
     }
     if (requests.isEmpty() && ready.isEmpty()) {
@@ -434,13 +437,13 @@
     PostResponder.ResponseMode shape =
         new PostResponder.ResponseMode(prepared.parsed().batch(), stream, requests.size());
     PostResponder reply = new PostResponder(responderDependencies, exchange, session, shape, ready);
-    for (Message.Request request : requests) {
+    for (JsonRpcMessage.Request request : requests) {
       reply.accept(request, prepared.calls().get(request));
     }
     reply.flush();
   }
 
-  private void handleNotification(McpSession session, Message.Notification notification) {
+  private void handleNotification(McpSession session, JsonRpcMessage.Notification notification) {
     if (notification.method().equals(Mcp.CANCELLED) && notification.params() != null) {
       JsonNode id = notification.params().get("requestId");
       McpCall call = id == null ? null : session.calls.get(id.toString());
@@ -454,7 +457,7 @@
   }
 
   /** A response to a call that the gateway relayed. What nobody waits for is logged and dropped. */
-  private void handleResponse(McpSession session, Message.Response response) {
+  private void handleResponse(McpSession session, JsonRpcMessage.Response response) {
     McpSession.RelayedToolCall relayed =
         response.id().isTextual()
             ? session.relayedToolCalls.remove(response.id().textValue())
--- a/gateway/src/main/java/lemondock/gateway/mcp/PostResponder.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/PostResponder.java
@@ -19,10 +19,10 @@
 import lemondock.idempotency.CallStatus;
 import lemondock.net.Loop;
 import lemondock.net.http.Headers;
-import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpExchange;
 import lemondock.rpc.JsonRpc;
+import lemondock.rpc.JsonRpcMessage;
 import lemondock.rpc.Mcp;
-import lemondock.rpc.Message;
 
 /**
  * What is answered to one POST: a JSON text, or an event stream as soon as a call is among its
@@ -30,7 +30,7 @@
  */
 final class PostResponder implements McpCall.Reply, ResumableEventStream.Listener {
   private final Dependencies dependencies;
-  private final HttpServer.Exchange exchange;
+  private final HttpExchange exchange;
   private final McpSession session;
   private final ResponseMode mode;
   private final List<ObjectNode> readyResponses;
@@ -59,7 +59,7 @@
   /** Makes the answer to one POST; {@code ready} holds what is answered already. */
   PostResponder(
       Dependencies services,
-      HttpServer.Exchange exchange,
+      HttpExchange exchange,
       McpSession session,
       ResponseMode shape,
       List<ObjectNode> ready) {
@@ -75,7 +75,7 @@
    * Answers a request at once or begins its call; {@code reading} is what was made of a call, null
    * for other methods.
    */
-  void accept(Message.Request request, RequestPreparer.PreparedCall reading) {
+  void accept(JsonRpcMessage.Request request, RequestPreparer.PreparedCall reading) {
     if (!request.method().equals(Mcp.TOOLS_CALL)) {
       addResponse(answerDirectly(request));
     } else if (reading instanceof RequestPreparer.Malformed malformed) {
@@ -93,7 +93,7 @@
     }
   }
 
-  private ObjectNode answerDirectly(Message.Request request) {
+  private ObjectNode answerDirectly(JsonRpcMessage.Request request) {
     return switch (request.method()) {
       case Mcp.PING -> JsonRpc.result(request.id(), JsonNodeFactory.instance.objectNode());
       case Mcp.TOOLS_LIST -> {
@@ -116,7 +116,7 @@
     };
   }
 
-  private void acceptToolCall(Message.Request request, Prompt prompt) {
+  private void acceptToolCall(JsonRpcMessage.Request request, Prompt prompt) {
     String problem = null;
     int code = Mcp.LIMIT;
     if (session.calls.containsKey(request.id().toString())) {
@@ -166,9 +166,12 @@
               GatewaySettings.micros(dependencies.settings().front().keepAliveMs()),
               this);
       session.streams.put(stream.number(), stream);
-      stream.open(exchange, session.id, session.version.compareTo(Mcp.PRIMED_SINCE) >= 0);
+      stream.open(
+          exchange,
+          session.id,
+          session.version.compareTo(Mcp.FIRST_VERSION_WITH_PRIMING_EVENT) >= 0);
     } else if (stream == null) {
-      exchange.onGone(() -> cancelAllCalls("the client's connection is gone"));
+      exchange.onDisconnect(() -> cancelAllCalls("the client's connection is gone"));
     }
     startCall(request, prompt);
   }
@@ -177,7 +180,7 @@
    * Whether an earlier call under the client's key keeps this one from running; the client was told
    * what became of it.
    */
-  private boolean rejectDuplicate(Message.Request request, Prompt prompt) {
+  private boolean rejectDuplicate(JsonRpcMessage.Request request, Prompt prompt) {
     String key = RequestPreparer.idempotencyKey(request.params());
     Optional<CallStatus> blocking =
         dependencies.calls().blockingStatus(prompt, Optional.ofNullable(key));
@@ -210,7 +213,7 @@
     return true;
   }
 
-  private void startCall(Message.Request request, Prompt prompt) {
+  private void startCall(JsonRpcMessage.Request request, Prompt prompt) {
     JsonNode token = request.params().path("_meta").get("progressToken");
     McpCall call =
         new McpCall(
--- a/gateway/src/main/java/lemondock/gateway/mcp/ProgressNotification.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ProgressNotification.java
@@ -42,11 +42,11 @@
 
   /** Adds the message of one piece; no line end is in it. */
   void write(int tokens, CharSequence piece, OutBuffer out) {
-    out.add(prefix).number(tokens).add(MESSAGE_FIELD);
+    out.add(prefix).addDecimal(tokens).add(MESSAGE_FIELD);
     for (int index = 0; index < piece.length(); ) {
       char character = piece.charAt(index);
       if (character >= SHORT_ESCAPES.length || character >= ' ' && SHORT_ESCAPES[character] == 0) {
-        index = out.character(piece, index);
+        index = out.addCharacterAt(piece, index);
         continue;
       }
       out.add('\\');
--- a/gateway/src/main/java/lemondock/gateway/mcp/RequestPreparer.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/RequestPreparer.java
@@ -15,11 +15,12 @@
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.core.CallService;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpRejection;
+import lemondock.net.http.HttpRequest;
 import lemondock.overload.Admission;
 import lemondock.rpc.JsonRpc;
+import lemondock.rpc.JsonRpcMessage;
 import lemondock.rpc.Mcp;
-import lemondock.rpc.Message;
 
 /**
  * Reads requests before they reach the loop: parses their messages, has the admission decide on
@@ -39,7 +40,7 @@
   private final AtomicLong randomState = new AtomicLong();
 
   /** A request's messages, and what was made of each call among them. */
-  record Prepared(JsonRpc.Parsed parsed, Map<Message, PreparedCall> calls) {}
+  record Prepared(JsonRpc.Parsed parsed, Map<JsonRpcMessage, PreparedCall> calls) {}
 
   /** What was made of a call. */
   sealed interface PreparedCall permits Accepted, Malformed, Rejected {}
@@ -69,18 +70,18 @@
                 front.maxDepth(),
                 front.maxBatch(),
                 (int) Math.min(Integer.MAX_VALUE, front.maxBodyBytes()),
-                JsonRpc.Limits.DEFAULT.numberLength()));
+                JsonRpc.Limits.DEFAULT.maxNumberLength()));
   }
 
   /** Parses a request and reads the prompts of its calls. */
-  Prepared prepare(HttpServer.Request request) {
+  Prepared prepare(HttpRequest request) {
     boolean admitted =
         request.body().length >= settings.overload().heavyBytes()
             && ToolNameScanner.toolName(request.body()) != null;
     JsonRpc.Parsed parsed = rpc.parse(request.body());
-    Map<Message, PreparedCall> calls = new HashMap<>();
-    for (Message message : parsed.messages()) {
-      if (message instanceof Message.Request call && call.method().equals(Mcp.TOOLS_CALL)) {
+    Map<JsonRpcMessage, PreparedCall> calls = new HashMap<>();
+    for (JsonRpcMessage message : parsed.messages()) {
+      if (message instanceof JsonRpcMessage.Request call && call.method().equals(Mcp.TOOLS_CALL)) {
         calls.put(message, prepareCall(call.params(), admitted && !parsed.batch()));
       }
     }
@@ -91,7 +92,7 @@
    * Before a large call is even parsed, where its tool can be seen at a glance: {@link
    * #prepareCall} then asks no second time.
    */
-  HttpServer.Refusal rejectBeforeParsing(HttpServer.Request request) {
+  HttpRejection rejectBeforeParsing(HttpRequest request) {
     Admission.Gate gate = admission.gate();
     if (gate == Admission.Gate.OPEN
         || !settings.overload().refuse()
@@ -104,7 +105,7 @@
       return null;
     }
     long retryAfterMicros = gate.retryAfterMicros(nextRandom());
-    return new HttpServer.Refusal(
+    return new HttpRejection(
         toRetryAfterSeconds(retryAfterMicros),
         "application/json",
         bytes(rejection(NullNode.instance, retryAfterMicros)),
@@ -118,7 +119,7 @@
   static ObjectNode rejection(JsonNode id, long retryAfterMicros) {
     return JsonRpc.error(
         id,
-        Mcp.REFUSED,
+        Mcp.REJECTED,
         "refused: the gateway is at its limit",
         JsonNodeFactory.instance
             .objectNode()
@@ -210,7 +211,7 @@
    * Whom the client says it calls for; it only names a row of the reports until tenants prove who
    * they are.
    */
-  static String tenant(Message.Request request) {
+  static String tenant(JsonRpcMessage.Request request) {
     return request.params().path("_meta").path("lemondock/tenant").asText(null);
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/mcp/ResumableEventStream.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ResumableEventStream.java
@@ -4,7 +4,7 @@
 import lemondock.net.Loop;
 import lemondock.net.OutBuffer;
 import lemondock.net.http.Headers;
-import lemondock.net.http.HttpServer;
+import lemondock.net.http.HttpExchange;
 import lemondock.net.sse.SseEvent;
 
 /**
@@ -32,7 +32,7 @@
   private final long resumeWindowMicros;
   private final long keepAliveMicros;
   private final Listener listener;
-  private HttpServer.Exchange exchange;
+  private HttpExchange exchange;
   private Loop.Timer expiryTimer = () -> {};
   private Loop.Timer keepAliveTimer = () -> {};
   private boolean finished;
@@ -78,7 +78,7 @@
    * Begins the stream on the connection of its request; a primer gives the client an id before any
    * event.
    */
-  synchronized void open(HttpServer.Exchange connection, String sessionId, boolean primer) {
+  synchronized void open(HttpExchange connection, String sessionId, boolean primer) {
     attach(connection, sessionId);
     if (primer) {
       send(null);
@@ -88,13 +88,12 @@
   /**
    * Goes on over another connection behind the event of that number; false if that cannot be done.
    */
-  synchronized boolean resume(
-      HttpServer.Exchange connection, String sessionId, long lastSeenNumber) {
+  synchronized boolean resume(HttpExchange connection, String sessionId, long lastSeenNumber) {
     if (!replayBuffer.contains(lastSeenNumber) || closed) {
       return false;
     }
     if (exchange != null) {
-      HttpServer.Exchange previous = exchange;
+      HttpExchange previous = exchange;
       exchange = null;
       previous.abort(); // one connection at a time: the newer one wins
     }
@@ -109,7 +108,7 @@
     return true;
   }
 
-  private void attach(HttpServer.Exchange connection, String sessionId) {
+  private void attach(HttpExchange connection, String sessionId) {
     expiryTimer.cancel();
     exchange = connection;
     Headers headers =
@@ -123,8 +122,8 @@
     if (sessionId != null) {
       headers.add("mcp-session-id", sessionId);
     }
-    connection.onGone(() -> connectionLost(connection));
-    connection.onDrained(this::resumeProducer);
+    connection.onDisconnect(() -> connectionLost(connection));
+    connection.onWriteQueueDrained(this::resumeProducer);
     connection.begin(200, headers);
     scheduleKeepAlive();
   }
@@ -152,14 +151,14 @@
     return exchange != null
         && !finished
         && !producerPaused
-        && exchange.pending() <= HIGH_WATER_MARK_BYTES - DIRECT_EVENT_RESERVE_BYTES;
+        && exchange.pendingBytes() <= HIGH_WATER_MARK_BYTES - DIRECT_EVENT_RESERVE_BYTES;
   }
 
   /** Sends an event whose data is a message; null sends an empty one, for its id alone. */
   synchronized void send(String data) {
     if (!finished) {
       beginEvent(data != null);
-      out.text(
+      out.addUtf8(
           data == null ? "" : data); // JSON on one line: what this program writes has no line ends
       // outside of strings
       endEvent();
@@ -180,16 +179,20 @@
     if (message) {
       out.add(EVENT_LINE);
     }
-    out.add(ID_FIELD).number(number).add('-').number(replayBuffer.nextNumber()).add(DATA_FIELD);
+    out.add(ID_FIELD)
+        .addDecimal(number)
+        .add('-')
+        .addDecimal(replayBuffer.nextNumber())
+        .add(DATA_FIELD);
   }
 
   private void endEvent() {
     out.add('\n').add('\n');
-    replayBuffer.append(out.array(), out.from(), out.length());
+    replayBuffer.append(out.array(), out.offset(), out.length());
     if (exchange != null) {
       exchange.send(out);
       replayBuffer.markSent();
-      if (exchange.pending() > HIGH_WATER_MARK_BYTES) {
+      if (exchange.pendingBytes() > HIGH_WATER_MARK_BYTES) {
         pauseProducer();
       }
     } else if (replayBuffer.isFull()) {
@@ -212,7 +215,7 @@
 
   private void complete() {
     keepAliveTimer.cancel();
-    HttpServer.Exchange last = exchange;
+    HttpExchange last = exchange;
     exchange = null;
     last.finish();
     expiryTimer = loop.schedule(resumeWindowMicros, () -> closeAndNotify(true));
@@ -221,7 +224,7 @@
   /** Ends the stream at once, wherever it stands. */
   synchronized void close() {
     if (!closed) {
-      HttpServer.Exchange last = exchange;
+      HttpExchange last = exchange;
       exchange = null;
       finished = true;
       if (last != null) {
@@ -231,7 +234,7 @@
     }
   }
 
-  private synchronized void connectionLost(HttpServer.Exchange connection) {
+  private synchronized void connectionLost(HttpExchange connection) {
     if (exchange == connection) {
       exchange = null;
       keepAliveTimer.cancel();
--- a/net/src/main/java/lemondock/net/Network.java
+++ b/net/src/main/java/lemondock/net/Network.java
@@ -3,25 +3,26 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
-import java.util.function.LongConsumer;
 import java.util.function.Supplier;
 
-/** Where connections come from. */
+/** Makes connections and accepts them. Loop thread only, unless a method says otherwise. */
 public interface Network {
   /**
-   * Accepts connections, each with a handler of its own.
+   * Listens on an address and accepts connections, each with a handler of its own. Any thread.
    *
-   * @param most connections open at a time over this listener; further ones are closed as they come
+   * @param maxConnections connections open at a time over this listener; further ones are closed as
+   *     they come
    * @throws IOException if the address cannot be taken
    */
-  Listener listen(InetSocketAddress address, int most, Supplier<Connection.Handler> handlers)
+  Listener listen(
+      InetSocketAddress address, int maxConnections, Supplier<Connection.Handler> handlers)
       throws IOException;
 
   /**
-   * Connects, then calls the handler; a failure or time-out is its {@code closed} without a {@code
+   * Connects, then calls the handler; a failure or timeout is its {@code closed} without a {@code
    * connected}.
    *
-   * @param timeoutMicros microseconds until an attempt counts as failed
+   * @param timeoutMicros microseconds after which the attempt fails
    */
   void connect(InetSocketAddress address, long timeoutMicros, Connection.Handler handler);
 
@@ -30,36 +31,24 @@
    * Connection#shard}.
    */
   default void connect(
-      InetSocketAddress address, long timeoutMicros, int near, Connection.Handler handler) {
+      InetSocketAddress address, long timeoutMicros, int shard, Connection.Handler handler) {
     connect(address, timeoutMicros, handler);
   }
 
   /**
-   * Ways to learn how long what comes to a socket waits for its thread, one for each; empty where
-   * nothing waits. Opens sockets, so call it off the loop, once.
+   * Probes of how long input waits for its I/O thread, one for each thread; empty where nothing
+   * waits. Opens sockets, so call it once, off the loop.
    */
-  default List<Probe> probes() throws IOException {
+  default List<DelayProbe> delayProbes() throws IOException {
     return List.of();
   }
 
-  /** Tells how late a thread is. */
-  interface Probe {
-    /**
-     * Has the thread come to something new, unless the last such thing still waits. Loop thread
-     * only.
-     *
-     * @param waited hears, on the loop, how many microseconds that took
-     * @return for how many microseconds the last one has been waiting, 0 if it does not any more
-     */
-    long ask(LongConsumer waited);
-  }
-
-  /** An open port. */
+  /** A port that is listened on. */
   interface Listener {
-    /** The address taken; tells the port where 0 was asked for. */
+    /** The address bound; tells the port where 0 was asked for. */
     InetSocketAddress address();
 
-    /** Stops accepting; open connections stay. */
+    /** Stops accepting; open connections stay. Any thread. */
     void close();
   }
 }
--- a/net/src/main/java/lemondock/net/OutBuffer.java
+++ b/net/src/main/java/lemondock/net/OutBuffer.java
@@ -3,54 +3,57 @@
 import java.util.Arrays;
 
 /**
- * Bytes being put together to go out, with room in front where a frame's head can be set once the
- * length is known. It is used again and again by one owner, so that a message costs no memory of
- * its own. Not for several threads at a time.
+ * A reusable buffer for outgoing bytes, with room in front where a frame's head can be set once the
+ * length is known. One owner uses it again and again, so that a message costs no memory of its own.
+ * For one thread at a time.
  */
 public final class OutBuffer {
   /** Bytes kept in front: enough for the head of a chunk of any length. */
-  public static final int ROOM = 16;
+  public static final int FRAME_HEAD_BYTES = 16;
 
-  private static final int KEPT = 1_024;
-  private static final int MOST_DIGITS = 20;
+  /** A buffer that a single large message made longer is not kept. */
+  private static final int MAX_KEPT_BYTES = 1_024;
 
-  private final int usual;
+  private static final int MAX_DIGITS = 20;
+
+  private final int usualBytes;
   private byte[] bytes;
-  private int from = ROOM;
-  private int end = ROOM;
+  private int offset = FRAME_HEAD_BYTES;
+  private int end = FRAME_HEAD_BYTES;
 
-  /** Makes an empty one for messages of so many bytes; a longer one makes it grow. */
-  public OutBuffer(int usual) {
-    this.usual = usual;
-    this.bytes = new byte[ROOM + usual];
+  /** Makes an empty buffer for messages of so many bytes; a longer one makes it grow. */
+  public OutBuffer(int usualBytes) {
+    this.usualBytes = usualBytes;
+    this.bytes = new byte[FRAME_HEAD_BYTES + usualBytes];
   }
 
-  /** Empties it; memory that a single large message took is let go. */
+  /** Empties it; memory that a single large message took is released. */
   public OutBuffer reset() {
-    if (bytes.length > KEPT + ROOM && bytes.length > usual + ROOM) {
-      bytes = new byte[ROOM + usual];
+    if (bytes.length > MAX_KEPT_BYTES + FRAME_HEAD_BYTES
+        && bytes.length > usualBytes + FRAME_HEAD_BYTES) {
+      bytes = new byte[FRAME_HEAD_BYTES + usualBytes];
     }
-    from = ROOM;
-    end = ROOM;
+    offset = FRAME_HEAD_BYTES;
+    end = FRAME_HEAD_BYTES;
     return this;
   }
 
   /**
-   * The array; what counts is from {@link #from} on for {@link #length} bytes, until the next
+   * The array; what counts is from {@link #offset} on for {@link #length} bytes, until the next
    * change.
    */
   public byte[] array() {
     return bytes;
   }
 
-  /** Where it begins in {@link #array}. */
-  public int from() {
-    return from;
+  /** Where the content begins in {@link #array}. */
+  public int offset() {
+    return offset;
   }
 
   /** How many bytes it holds. */
   public int length() {
-    return end - from;
+    return end - offset;
   }
 
   /** Adds one byte. */
@@ -66,16 +69,16 @@
   }
 
   /** Adds a part of an array. */
-  public OutBuffer add(byte[] more, int at, int length) {
+  public OutBuffer add(byte[] more, int from, int length) {
     reserve(length);
-    System.arraycopy(more, at, bytes, end, length);
+    System.arraycopy(more, from, bytes, end, length);
     end += length;
     return this;
   }
 
   /** Adds a number that is not negative, in decimal. */
-  public OutBuffer number(long value) {
-    reserve(MOST_DIGITS);
+  public OutBuffer addDecimal(long value) {
+    reserve(MAX_DIGITS);
     int digits = 1;
     for (long rest = value / 10; rest > 0; rest /= 10) {
       digits++;
@@ -93,7 +96,7 @@
    * Adds the character at an index of a text in UTF-8, both halves of a pair at once; gives the
    * index of the next one.
    */
-  public int character(CharSequence text, int at) {
+  public int addCharacterAt(CharSequence text, int at) {
     char c = text.charAt(at);
     reserve(4);
     if (c < 0x80) {
@@ -121,21 +124,21 @@
   }
 
   /** Adds a text in UTF-8. */
-  public OutBuffer text(CharSequence text) {
+  public OutBuffer addUtf8(CharSequence text) {
     for (int at = 0; at < text.length(); ) {
-      at = character(text, at);
+      at = addCharacterAt(text, at);
     }
     return this;
   }
 
-  /** Makes it one chunk of HTTP/1.1 content. */
-  public OutBuffer chunked() {
+  /** Frames the content as one chunk of HTTP/1.1. */
+  public OutBuffer frameAsChunk() {
     int remaining = length();
-    bytes[--from] = '\n';
-    bytes[--from] = '\r';
+    bytes[--offset] = '\n';
+    bytes[--offset] = '\r';
     do {
       int digit = remaining & 0xf;
-      bytes[--from] = (byte) (digit < 10 ? '0' + digit : 'a' + digit - 10);
+      bytes[--offset] = (byte) (digit < 10 ? '0' + digit : 'a' + digit - 10);
       remaining >>>= 4;
     } while (remaining > 0);
     return add('\r').add('\n');
