--- a/gateway/src/main/java/lemondock/gateway/front/PostReply.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/PostResponder.java
@@ -1,7 +1,7 @@
-package lemondock.gateway.front;
+package lemondock.gateway.mcp;
 
-import static lemondock.gateway.front.FrontAnswers.bytes;
-import static lemondock.gateway.front.FrontAnswers.clip;
+import static lemondock.gateway.mcp.HttpReplies.bytes;
+import static lemondock.gateway.mcp.HttpReplies.clip;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -27,75 +27,77 @@
  * What is answered to one POST: a JSON text, or an event stream as soon as a call is among its
  * requests.
  */
-final class PostReply implements McpCall.Reply, Stream.Owner {
-  private final Services services;
+final class PostResponder implements McpCall.Reply, ResumableEventStream.Listener {
+  private final Dependencies dependencies;
   private final HttpExchange exchange;
   private final McpSession session;
-  private final Shape shape;
-  private final List<ObjectNode> ready;
-  private final List<McpCall> open = new ArrayList<>();
-  private int left;
-  private Stream stream;
+  private final ResponseMode mode;
+  private final List<ObjectNode> readyResponses;
+  private final List<McpCall> openCalls = new ArrayList<>();
+  private int pendingResponses;
+  private ResumableEventStream stream;
 
   /**
    * What all replies of one front work with; {@code stopping} says whether new calls are turned
    * away.
    */
-  record Services(
+  record Dependencies(
       Loop loop,
       GatewaySettings settings,
       CallService calls,
       PromptReader prompts,
-      CallIntake intake,
+      RequestPreparer intake,
       BooleanSupplier stopping) {}
 
   /**
    * The form of an answer: whether it is a batch, whether it may become an event stream, and to how
    * many requests.
    */
-  record Shape(boolean batch, boolean mayStream, int requests) {}
+  record ResponseMode(boolean batch, boolean mayStream, int requests) {}
 
   /** Makes the answer to one POST; {@code ready} holds what is answered already. */
-  PostReply(
-      Services services,
+  PostResponder(
+      Dependencies services,
       HttpExchange exchange,
       McpSession session,
-      Shape shape,
+      ResponseMode shape,
       List<ObjectNode> ready) {
-    this.services = services;
+    this.dependencies = services;
     this.exchange = exchange;
     this.session = session;
-    this.shape = shape;
-    this.left = shape.requests();
-    this.ready = ready;
+    this.mode = shape;
+    this.pendingResponses = shape.requests();
+    this.readyResponses = ready;
   }
 
   /**
    * Answers a request at once or begins its call; {@code reading} is what was made of a call, null
    * for other methods.
    */
-  void take(JsonRpcMessage.Request request, CallIntake.Reading reading) {
+  void accept(JsonRpcMessage.Request request, RequestPreparer.PreparedCall reading) {
     if (!request.method().equals(Mcp.TOOLS_CALL)) {
-      done(answer(request));
-    } else if (reading instanceof CallIntake.Malformed malformed) {
-      done(JsonRpc.error(request.id(), JsonRpc.INVALID_PARAMS, malformed.problem(), null));
-    } else if (reading instanceof CallIntake.Refused refused) {
-      boolean repeat = CallIntake.repeat(request.params());
-      services.intake().arrived(refused.classId(), repeat);
-      services.calls().refusedLate(refused.classId(), CallIntake.tenant(request), repeat);
-      done(CallIntake.refusal(request.id(), refused.retryAfter()));
-    } else if (reading instanceof CallIntake.Accepted accepted) {
-      services.intake().arrived(accepted.prompt().classId(), CallIntake.repeat(request.params()));
-      call(request, accepted.prompt());
+      addResponse(answerDirectly(request));
+    } else if (reading instanceof RequestPreparer.Malformed malformed) {
+      addResponse(JsonRpc.error(request.id(), JsonRpc.INVALID_PARAMS, malformed.problem(), null));
+    } else if (reading instanceof RequestPreparer.Rejected refused) {
+      boolean repeat = RequestPreparer.isRetry(request.params());
+      dependencies.intake().recordArrival(refused.classId(), repeat);
+      dependencies.calls().refusedLate(refused.classId(), RequestPreparer.tenant(request), repeat);
+      addResponse(RequestPreparer.rejection(request.id(), refused.retryAfterMicros()));
+    } else if (reading instanceof RequestPreparer.Accepted accepted) {
+      dependencies
+          .intake()
+          .recordArrival(accepted.prompt().classId(), RequestPreparer.isRetry(request.params()));
+      acceptToolCall(request, accepted.prompt());
     }
   }
 
-  private ObjectNode answer(JsonRpcMessage.Request request) {
+  private ObjectNode answerDirectly(JsonRpcMessage.Request request) {
     return switch (request.method()) {
       case Mcp.PING -> JsonRpc.result(request.id(), JsonNodeFactory.instance.objectNode());
       case Mcp.TOOLS_LIST -> {
         ObjectNode result = JsonNodeFactory.instance.objectNode();
-        result.set("tools", services.prompts().listing());
+        result.set("tools", dependencies.prompts().toolList());
         yield JsonRpc.result(request.id(), result);
       }
       case Mcp.INITIALIZE ->
@@ -113,53 +115,54 @@
     };
   }
 
-  private void call(JsonRpcMessage.Request request, Prompt prompt) {
+  private void acceptToolCall(JsonRpcMessage.Request request, Prompt prompt) {
     String problem = null;
     int code = Mcp.LIMIT;
     if (session.calls.containsKey(request.id().toString())) {
       code = JsonRpc.INVALID_REQUEST;
       problem =
           "Invalid Request: a call with id " + clip(request.id().toString()) + " is under way";
-    } else if (session.wasCancelled(request.id().toString(), services.loop().now())) {
+    } else if (session.wasCancelled(request.id().toString(), dependencies.loop().now())) {
       code = Mcp.FAILED;
       problem = "cancelled by the client";
-    } else if (known(request, prompt)) {
+    } else if (rejectDuplicate(request, prompt)) {
       return;
-    } else if (prompt.tools() != null && !shape.mayStream()) {
+    } else if (prompt.tools() != null && !mode.mayStream()) {
       code = JsonRpc.INVALID_PARAMS;
       problem = "/arguments/tools: tools need a client that accepts text/event-stream";
-    } else if (services.stopping().getAsBoolean()) {
+    } else if (dependencies.stopping().getAsBoolean()) {
       code = Mcp.STOPPING;
       problem = "the gateway is stopping";
-    } else if (session.calls.size() >= services.settings().front().maxCallsPerSession()) {
+    } else if (session.calls.size() >= dependencies.settings().front().maxCallsPerSession()) {
       problem =
           "no more than "
-              + services.settings().front().maxCallsPerSession()
+              + dependencies.settings().front().maxCallsPerSession()
               + " calls of a session at once";
-    } else if (!services.calls().hasRoom()) {
-      problem = "no more than " + services.settings().limits().maxCalls() + " calls at once";
+    } else if (!dependencies.calls().hasRoom()) {
+      problem = "no more than " + dependencies.settings().limits().maxCalls() + " calls at once";
     }
     if (problem != null) {
       if (code == Mcp.LIMIT || code == Mcp.STOPPING) {
-        services
+        dependencies
             .calls()
-            .turnedAway(prompt, CallIntake.tenant(request), CallIntake.repeat(request.params()));
+            .turnedAway(
+                prompt, RequestPreparer.tenant(request), RequestPreparer.isRetry(request.params()));
       }
       ObjectNode data =
           JsonNodeFactory.instance
               .objectNode()
               .put("retryable", code == Mcp.LIMIT || code == Mcp.STOPPING);
-      done(JsonRpc.error(request.id(), code, problem, data));
+      addResponse(JsonRpc.error(request.id(), code, problem, data));
       return;
     }
-    if (shape.mayStream() && stream == null) {
+    if (mode.mayStream() && stream == null) {
       stream =
-          new Stream(
-              services.loop(),
-              session.nextStream++,
-              services.settings().front().replayBytes(),
-              GatewaySettings.micros(services.settings().front().resumeWindowMs()),
-              GatewaySettings.micros(services.settings().front().keepAliveMs()),
+          new ResumableEventStream(
+              dependencies.loop(),
+              session.nextStreamNumber++,
+              dependencies.settings().front().replayBytes(),
+              GatewaySettings.micros(dependencies.settings().front().resumeWindowMs()),
+              GatewaySettings.micros(dependencies.settings().front().keepAliveMs()),
               this);
       session.streams.put(stream.number(), stream);
       stream.open(
@@ -167,18 +170,18 @@
           session.id,
           session.version.compareTo(Mcp.FIRST_VERSION_WITH_PRIMING_EVENT) >= 0);
     } else if (stream == null) {
-      exchange.onDisconnect(() -> leaveAll("the client's connection is gone"));
+      exchange.onDisconnect(() -> cancelAllCalls("the client's connection is gone"));
     }
-    start(request, prompt);
+    startCall(request, prompt);
   }
 
   /**
    * Whether an earlier call under the client's key keeps this one from running; the client was told
    * what became of it.
    */
-  private boolean known(JsonRpcMessage.Request request, Prompt prompt) {
-    String key = CallIntake.onceKey(request.params());
-    Optional<CallStatus> blocking = services.calls().blockingStatus(prompt, key);
+  private boolean rejectDuplicate(JsonRpcMessage.Request request, Prompt prompt) {
+    String key = RequestPreparer.idempotencyKey(request.params());
+    Optional<CallStatus> blocking = dependencies.calls().blockingStatus(prompt, key);
     if (blocking.isEmpty()) {
       return false;
     }
@@ -190,11 +193,11 @@
             .put("retryable", again)
             .put("became", status.protocolName());
     ArrayNode told = data.putArray("relayed");
-    services
+    dependencies
         .calls()
         .relayedToolCalls(key)
         .forEach(r -> told.addObject().put("tool", r.tool()).put("answered", r.answered()));
-    done(
+    addResponse(
         JsonRpc.error(
             request.id(),
             again ? Mcp.LIMIT : Mcp.FAILED,
@@ -208,27 +211,28 @@
     return true;
   }
 
-  private void start(JsonRpcMessage.Request request, Prompt prompt) {
+  private void startCall(JsonRpcMessage.Request request, Prompt prompt) {
     JsonNode token = request.params().path("_meta").get("progressToken");
     McpCall call =
         new McpCall(
             session,
             request.id(),
             stream == null ? null : token,
-            services.settings().classes().get(prompt.classId()).repeat().equals("safe"),
+            dependencies.settings().classes().get(prompt.classId()).repeat().equals("safe"),
             prompt.conversation(),
             this);
-    open.add(call);
+    openCalls.add(call);
     session.calls.put(call.key(), call);
-    long key = CallService.sessionKey(prompt.conversation(), session.id + "/" + session.nextCall++);
-    services
+    long key =
+        CallService.sessionKey(prompt.conversation(), session.id + "/" + session.nextCallNumber++);
+    dependencies
         .calls()
         .start(
             prompt,
             key,
-            CallIntake.tenant(request),
-            CallIntake.repeat(request.params()),
-            CallIntake.onceKey(request.params()),
+            RequestPreparer.tenant(request),
+            RequestPreparer.isRetry(request.params()),
+            RequestPreparer.idempotencyKey(request.params()),
             call);
   }
 
@@ -240,7 +244,7 @@
   }
 
   @Override
-  public void progress(Progress progress, int tokens, CharSequence piece) {
+  public void progress(ProgressNotification progress, int tokens, CharSequence piece) {
     if (stream != null) {
       stream.send(progress, tokens, piece);
     }
@@ -248,8 +252,8 @@
 
   @Override
   public void response(McpCall call, ObjectNode response) {
-    closed(call);
-    done(response);
+    removeCall(call);
+    addResponse(response);
   }
 
   @Override
@@ -264,29 +268,29 @@
 
   @Override
   public boolean flows() {
-    return stream == null || stream.flows();
+    return stream == null || stream.hasCapacity();
   }
 
   @Override
   public void cancelled(McpCall call) {
-    closed(call);
+    removeCall(call);
     if (stream == null) {
-      done(JsonRpc.error(call.id(), Mcp.FAILED, "cancelled by the client", null));
+      addResponse(JsonRpc.error(call.id(), Mcp.FAILED, "cancelled by the client", null));
     } else {
-      left--;
+      pendingResponses--;
     }
     flush();
   }
 
-  private void closed(McpCall call) {
-    open.remove(call);
+  private void removeCall(McpCall call) {
+    openCalls.remove(call);
     session.calls.remove(call.key(), call);
   }
 
-  private void done(ObjectNode response) {
-    left--;
-    ready.add(response);
-    if (stream != null || left == 0) {
+  private void addResponse(ObjectNode response) {
+    pendingResponses--;
+    readyResponses.add(response);
+    if (stream != null || pendingResponses == 0) {
       flush();
     }
   }
@@ -294,17 +298,17 @@
   /** Sends what is ready; ends the answer when nothing is owed any more. */
   void flush() {
     if (stream != null) {
-      ready.forEach(r -> stream.send(r.toString()));
-      ready.clear();
-      if (left == 0) {
+      readyResponses.forEach(r -> stream.send(r.toString()));
+      readyResponses.clear();
+      if (pendingResponses == 0) {
         stream.finish();
       }
-    } else if (left == 0 && !ready.isEmpty()) {
-      JsonNode body = ready.get(0);
-      if (shape.batch()) {
-        body = JsonNodeFactory.instance.arrayNode().addAll(ready);
+    } else if (pendingResponses == 0 && !readyResponses.isEmpty()) {
+      JsonNode body = readyResponses.get(0);
+      if (mode.batch()) {
+        body = JsonNodeFactory.instance.arrayNode().addAll(readyResponses);
       }
-      ready.clear();
+      readyResponses.clear();
       exchange.respond(
           200,
           Headers.of("content-type", "application/json", Mcp.SESSION_HEADER, session.id),
@@ -313,27 +317,27 @@
   }
 
   @Override
-  public void slow() {
-    open.forEach(c -> c.call().pause());
+  public void pauseProducer() {
+    openCalls.forEach(c -> c.call().pause());
   }
 
   @Override
-  public void flow() {
-    open.forEach(c -> c.call().resume());
+  public void resumeProducer() {
+    openCalls.forEach(c -> c.call().resume());
   }
 
   @Override
-  public void over(Stream ended, boolean delivered) {
+  public void streamClosed(ResumableEventStream ended, boolean delivered) {
     session.streams.remove(ended.number(), ended);
     if (!session.ended) {
-      leaveAll("the client's stream was not taken up again");
+      cancelAllCalls("the client's stream was not taken up again");
     }
   }
 
-  private void leaveAll(String why) {
-    for (McpCall call : List.copyOf(open)) {
+  private void cancelAllCalls(String why) {
+    for (McpCall call : List.copyOf(openCalls)) {
       call.call().leave(why);
-      closed(call);
+      removeCall(call);
     }
   }
 }
