--- a/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
@@ -51,7 +51,7 @@
 
   @Override
   public void start(Listener listener) {
-    listener = listener;
+    this.listener = listener;
     query();
   }
 
