--- a/scenario/src/test/java/lemondock/scenario/BreakTableTest.java
+++ b/scenario/src/test/java/lemondock/scenario/BreakTableTest.java
@@ -52,8 +52,8 @@
 
   private static final int READERS = 5;
   private static final int WRITERS = 3;
-  private static final Map<String, BlockingQueue<GatewayFixture>> FREE = new HashMap<>();
-  private static final List<GatewayFixture> BENCHES = new ArrayList<>();
+  private static final Map<String, BlockingQueue<ScenarioFixture>> FREE = new HashMap<>();
+  private static final List<ScenarioFixture> BENCHES = new ArrayList<>();
   private static final AtomicInteger NUMBER = new AtomicInteger();
 
   /** When something breaks. */
@@ -174,13 +174,13 @@
     }
   }
 
-  private static GatewayFixture bench(String repeat) {
+  private static ScenarioFixture bench(String repeat) {
     List<EngineSettings> engines = new ArrayList<>();
     IntStream.rangeClosed(1, READERS)
-        .forEach(i -> engines.add(slow(GatewayFixture.reader("r" + i))));
+        .forEach(i -> engines.add(slow(ScenarioFixture.reader("r" + i))));
     IntStream.rangeClosed(1, WRITERS)
-        .forEach(i -> engines.add(slow(GatewayFixture.writer("w" + i))));
-    return new GatewayFixture(
+        .forEach(i -> engines.add(slow(ScenarioFixture.writer("w" + i))));
+    return new ScenarioFixture(
         s -> {
           ObjectNode cls = (ObjectNode) s.at("/classes/0");
           cls.put("repeat", repeat)
@@ -204,7 +204,7 @@
 
   @AfterAll
   static void stop() {
-    BENCHES.forEach(GatewayFixture::close);
+    BENCHES.forEach(ScenarioFixture::close);
   }
 
   static Stream<Arguments> single() {
@@ -258,7 +258,7 @@
   }
 
   private static void check(String repeat, List<Row> rows) throws Exception {
-    GatewayFixture bench = FREE.get(repeat).take();
+    ScenarioFixture bench = FREE.get(repeat).take();
     try {
       check(bench, repeat, rows);
     } finally {
@@ -266,7 +266,7 @@
     }
   }
 
-  private static void check(GatewayFixture bench, String repeat, List<Row> rows) throws Exception {
+  private static void check(ScenarioFixture bench, String repeat, List<Row> rows) throws Exception {
     Run run = new Run(bench, rows, "row" + NUMBER.incrementAndGet());
     CallRecord seen = run.go();
     End wanted = End.SERVED;
@@ -312,7 +312,7 @@
   }
 
   /** The auditor's word on all that passed on the engines' sockets and on this client's. */
-  private static void rulesKept(GatewayFixture bench, CallRecord seen) {
+  private static void rulesKept(ScenarioFixture bench, CallRecord seen) {
     ScenarioAuditor.Finding finding =
         new ScenarioAuditor(
                 bench.settings,
@@ -330,7 +330,7 @@
 
   /** One answer, and what is done to it. */
   private static final class Run {
-    private final GatewayFixture bench;
+    private final ScenarioFixture bench;
     private final List<Row> rows;
     private final String mark;
     private final CallRecord seen;
@@ -338,14 +338,14 @@
     private List<Long> numbers = List.of();
     private boolean gone;
 
-    Run(GatewayFixture bench, List<Row> rows, String mark)
+    Run(ScenarioFixture bench, List<Row> rows, String mark)
         throws IOException, InterruptedException {
       this.bench = bench;
       this.rows = rows;
       this.mark = mark;
       this.client = new ConversationClient(bench.port);
       this.seen =
-          new CallRecord(mark, GatewayFixture.GATEWAY, 0, 0, false, bench.clients.loop().now());
+          new CallRecord(mark, ScenarioFixture.GATEWAY, 0, 0, false, bench.clients.loop().now());
     }
 
     private boolean has(Break what, Moment moment) {
@@ -482,7 +482,7 @@
         result = "{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"result\":7}";
       }
       if (has(Break.LATE, Moment.TOOL)) { // the next leg has begun: its time is over
-        GatewayFixture.await(
+        ScenarioFixture.await(
             "the model told",
             () ->
                 bench.events(TrafficObserver.What.EFFECT, mark).stream()
--- a/scenario/src/test/java/lemondock/scenario/CrashTest.java
+++ b/scenario/src/test/java/lemondock/scenario/CrashTest.java
@@ -64,8 +64,8 @@
                     "x", 0, 1, "north", LoopbackSettings.freePort(), "127.0.0.1:1", s -> {})
                 .classes(),
             1);
-    fleet.addEngine(GatewayFixture.reader("r"));
-    fleet.addEngine(GatewayFixture.writer("w"));
+    fleet.addEngine(ScenarioFixture.reader("r"));
+    fleet.addEngine(ScenarioFixture.writer("w"));
   }
 
   @AfterAll
@@ -256,7 +256,7 @@
           int step = steps + i;
           some.add(CompletableFuture.supplyAsync(() -> dies(homes, step, half), beside));
         }
-        int died = (int) some.stream().map(GatewayFixture::get).filter(d -> d).count();
+        int died = (int) some.stream().map(ScenarioFixture::get).filter(d -> d).count();
         steps += died;
         if (died < BESIDE) {
           return steps;
--- a/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
@@ -45,7 +45,7 @@
     };
   }
 
-  private static void fault(GatewayFixture bench, String engine, Consumer<EngineFaults> set) {
+  private static void fault(ScenarioFixture bench, String engine, Consumer<EngineFaults> set) {
     bench
         .fleet
         .standins()
@@ -56,7 +56,7 @@
             });
   }
 
-  private static void faults(GatewayFixture bench, Consumer<EngineFaults> set) {
+  private static void faults(ScenarioFixture bench, Consumer<EngineFaults> set) {
     bench.fleet.engines().forEach(e -> fault(bench, e, set));
   }
 
@@ -76,8 +76,8 @@
   }
 
   /** Makes a call, which must end once and with the whole answer. */
-  private static CallRecord assertServedWhole(GatewayFixture bench) {
-    CallRecord seen = bench.call(GatewayFixture.ask("m", LONG, Tools.ANSWER));
+  private static CallRecord assertServedWhole(ScenarioFixture bench) {
+    CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, Tools.ANSWER));
     assertOneEnd(seen);
     assertEquals(words(40), seen.finalText);
     return seen;
@@ -87,8 +87,8 @@
 
   @Test
   void aWriterThatBreaksBeforeItsFirstToken() {
-    try (GatewayFixture bench =
-        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
+    try (ScenarioFixture bench =
+        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       faults(
           bench,
           f -> {
@@ -102,12 +102,12 @@
 
   @Test
   void aWriterThatBreaksAfterSomeTokensIsGoneOnBehind() {
-    try (GatewayFixture bench =
-        new GatewayFixture(
+    try (ScenarioFixture bench =
+        new ScenarioFixture(
             quick(),
-            GatewayFixture.reader("r"),
-            GatewayFixture.writer("w1"),
-            GatewayFixture.writer("w2"))) {
+            ScenarioFixture.reader("r"),
+            ScenarioFixture.writer("w1"),
+            ScenarioFixture.writer("w2"))) {
       faults(
           bench,
           f -> {
@@ -124,14 +124,14 @@
 
   @Test
   void anAnswerThatMayRunOnlyOnceFailsWhenItBreaks() {
-    try (GatewayFixture bench =
-        new GatewayFixture(
+    try (ScenarioFixture bench =
+        new ScenarioFixture(
             once(),
-            GatewayFixture.reader("r"),
-            GatewayFixture.writer("w1"),
-            GatewayFixture.writer("w2"))) {
+            ScenarioFixture.reader("r"),
+            ScenarioFixture.writer("w1"),
+            ScenarioFixture.writer("w2"))) {
       faults(bench, f -> f.breakAfter = 7);
-      CallRecord seen = bench.call(GatewayFixture.ask("m", LONG, Tools.ANSWER));
+      CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, Tools.ANSWER));
       assertOneEnd(seen);
       assertEquals(Mcp.FAILED, seen.errorCode);
       assertFalse(seen.retryable);
@@ -142,16 +142,16 @@
 
   @Test
   void aWriterThatBreaksAfterAToolCallWasRelayed() {
-    try (GatewayFixture bench =
-        new GatewayFixture(
+    try (ScenarioFixture bench =
+        new ScenarioFixture(
             quick(),
-            GatewayFixture.reader("r"),
-            GatewayFixture.writer("w1"),
-            GatewayFixture.writer("w2"))) {
+            ScenarioFixture.reader("r"),
+            ScenarioFixture.writer("w1"),
+            ScenarioFixture.writer("w2"))) {
       CompletableFuture<McpClient.Call> done =
           bench.begin(
               bench.client(),
-              GatewayFixture.ask("m", "call the tool stock " + LONG, Tools.ANSWER, "stock"),
+              ScenarioFixture.ask("m", "call the tool stock " + LONG, Tools.ANSWER, "stock"),
               call ->
                   faults(
                       bench,
@@ -160,7 +160,7 @@
                         // the second that breaks
                         f.hits = new EngineFaults.Hits(1);
                       }));
-      CallRecord seen = GatewayFixture.get(done).seen();
+      CallRecord seen = ScenarioFixture.get(done).seen();
       assertOneEnd(seen);
       assertEquals(1, seen.toolCalls.size());
       assertTrue(
@@ -173,12 +173,12 @@
 
   @Test
   void streamsThatFallSilentMidwayAreBrokenOffAndGoneOnWith() {
-    try (GatewayFixture bench =
-        new GatewayFixture(
+    try (ScenarioFixture bench =
+        new ScenarioFixture(
             quick(),
-            GatewayFixture.reader("r"),
-            GatewayFixture.writer("w1"),
-            GatewayFixture.writer("w2"))) {
+            ScenarioFixture.reader("r"),
+            ScenarioFixture.writer("w1"),
+            ScenarioFixture.writer("w2"))) {
       faults(
           bench,
           f -> {
@@ -194,33 +194,33 @@
 
   @Test
   void aReaderThatDiesHoldingAState() {
-    try (GatewayFixture bench =
-        new GatewayFixture(
+    try (ScenarioFixture bench =
+        new ScenarioFixture(
             quick(),
-            GatewayFixture.reader("r1"),
-            GatewayFixture.reader("r2"),
-            GatewayFixture.writer("w"))) {
+            ScenarioFixture.reader("r1"),
+            ScenarioFixture.reader("r2"),
+            ScenarioFixture.writer("w"))) {
       for (String reader : List.of("r1", "r2")) {
         fault(bench, reader, f -> f.dropStates = true);
       }
-      CallRecord lost = bench.call(GatewayFixture.ask("m1", LONG, Tools.ANSWER));
+      CallRecord lost = bench.call(ScenarioFixture.ask("m1", LONG, Tools.ANSWER));
       assertOneEnd(lost);
       assertEquals(Mcp.REJECTED, lost.errorCode);
       assertTrue(lost.retryable);
       for (String reader : List.of("r1", "r2")) {
         fault(bench, reader, f -> f.dropStates = false);
       }
-      assertEquals(words(40), bench.call(GatewayFixture.ask("m2", LONG, Tools.ANSWER)).finalText);
+      assertEquals(words(40), bench.call(ScenarioFixture.ask("m2", LONG, Tools.ANSWER)).finalText);
       bench.awaitIdle();
     }
   }
 
   @Test
   void everyReaderGone() {
-    try (GatewayFixture bench =
-        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
+    try (ScenarioFixture bench =
+        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       bench.fleet.crash("r", 0);
-      CallRecord seen = bench.call(GatewayFixture.ask("m", LONG, Tools.ANSWER));
+      CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, Tools.ANSWER));
       assertOneEnd(seen);
       assertEquals(Mcp.REJECTED, seen.errorCode);
       assertTrue(seen.retryable);
@@ -229,8 +229,8 @@
 
   @Test
   void anEmptyListAndOneWhoseServersAllChange() {
-    try (GatewayFixture bench =
-        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
+    try (ScenarioFixture bench =
+        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       bench
           .fleet
           .standins()
@@ -239,13 +239,13 @@
                 bench.fleet.catalogue().empty(true);
                 return null;
               });
-      assertTrue(bench.fleet.awaitServers(GatewayFixture.GATEWAY, 0, 5_000));
+      assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 0, 5_000));
       assertEquals(
-          Mcp.REJECTED, bench.call(GatewayFixture.ask("m1", LONG, Tools.ANSWER)).errorCode);
+          Mcp.REJECTED, bench.call(ScenarioFixture.ask("m1", LONG, Tools.ANSWER)).errorCode);
       bench.fleet.crash("r", 0);
       bench.fleet.crash("w", 0);
-      bench.fleet.addEngine(GatewayFixture.reader("r9"));
-      bench.fleet.addEngine(GatewayFixture.writer("w9"));
+      bench.fleet.addEngine(ScenarioFixture.reader("r9"));
+      bench.fleet.addEngine(ScenarioFixture.writer("w9"));
       bench
           .fleet
           .standins()
@@ -254,26 +254,26 @@
                 bench.fleet.catalogue().empty(false);
                 return null;
               });
-      assertTrue(bench.fleet.awaitServers(GatewayFixture.GATEWAY, 2, 5_000));
-      assertEquals(words(40), bench.call(GatewayFixture.ask("m2", LONG, Tools.ANSWER)).finalText);
+      assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 2, 5_000));
+      assertEquals(words(40), bench.call(ScenarioFixture.ask("m2", LONG, Tools.ANSWER)).finalText);
     }
   }
 
   @Test
   void aDrainToldWhileASendIsUnderWay() {
-    try (GatewayFixture bench =
-        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w1"))) {
+    try (ScenarioFixture bench =
+        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w1"))) {
       AtomicReference<McpClient.Call> call = new AtomicReference<>();
       CompletableFuture<McpClient.Call> done =
           bench.begin(
               bench.client(),
-              GatewayFixture.ask("m", "answer in 200 words", Tools.ANSWER),
+              ScenarioFixture.ask("m", "answer in 200 words", Tools.ANSWER),
               call::set);
-      GatewayFixture.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
+      ScenarioFixture.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
       bench.fleet.drain("w1", true);
-      assertEquals(words(200), GatewayFixture.get(done).seen().finalText); // what runs may end
+      assertEquals(words(200), ScenarioFixture.get(done).seen().finalText); // what runs may end
       assertEquals(
-          Mcp.REJECTED, bench.call(GatewayFixture.ask("m2", LONG, Tools.ANSWER)).errorCode);
+          Mcp.REJECTED, bench.call(ScenarioFixture.ask("m2", LONG, Tools.ANSWER)).errorCode);
       assertEquals(0, bench.events(TrafficObserver.What.WRITE, "m2").size());
     }
   }
@@ -281,15 +281,15 @@
   // ==== engines that misbehave
 
   private void misbehaving(Consumer<EngineFaults> fault) {
-    try (GatewayFixture bench =
-        new GatewayFixture(
+    try (ScenarioFixture bench =
+        new ScenarioFixture(
             quick(),
-            GatewayFixture.reader("r1"),
-            GatewayFixture.reader("r2"),
-            GatewayFixture.writer("w1"),
-            GatewayFixture.writer("w2"))) {
+            ScenarioFixture.reader("r1"),
+            ScenarioFixture.reader("r2"),
+            ScenarioFixture.writer("w1"),
+            ScenarioFixture.writer("w2"))) {
       faults(bench, fault);
-      CallRecord seen = bench.call(GatewayFixture.ask("m1", LONG, Tools.ANSWER));
+      CallRecord seen = bench.call(ScenarioFixture.ask("m1", LONG, Tools.ANSWER));
       assertOneEnd(seen);
       assertTrue(
           seen.errorCode == Mcp.REJECTED || seen.errorCode == Mcp.FAILED, "code " + seen.errorCode);
@@ -302,10 +302,13 @@
             f.raw = null;
             f.badEvent = null;
           });
-      GatewayFixture.await(
+      ScenarioFixture.await(
           "service again",
           () ->
-              bench.call(GatewayFixture.ask("m2", LONG, Tools.ANSWER)).finalText.equals(words(40)));
+              bench
+                  .call(ScenarioFixture.ask("m2", LONG, Tools.ANSWER))
+                  .finalText
+                  .equals(words(40)));
       bench.awaitIdle();
     }
   }
@@ -322,10 +325,10 @@
 
   @Test
   void anEngineThatSendsMalformedEvents() {
-    try (GatewayFixture bench =
-        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
+    try (ScenarioFixture bench =
+        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       fault(bench, "w", f -> f.badEvent = "{\"choices\":[");
-      CallRecord seen = bench.call(GatewayFixture.ask("m", LONG, Tools.ANSWER));
+      CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, Tools.ANSWER));
       assertOneEnd(seen);
       assertEquals(
           Mcp.FAILED, seen.errorCode); // some tokens were delivered, and each going-on breaks again
@@ -335,8 +338,8 @@
 
   @Test
   void anEngineThatReportsAnErrorInItsStream() {
-    try (GatewayFixture bench =
-        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
+    try (ScenarioFixture bench =
+        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       fault(
           bench,
           "w",
@@ -344,7 +347,7 @@
             f.badEvent = "{\"error\":{\"message\":\"out of memory\"}}";
             f.hits = new EngineFaults.Hits(1);
           });
-      CallRecord seen = bench.call(GatewayFixture.ask("m", LONG, Tools.ANSWER));
+      CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, Tools.ANSWER));
       assertOneEnd(seen);
       assertEquals(words(40), seen.finalText);
     }
@@ -352,15 +355,16 @@
 
   // ==== clients
 
-  private void leaves(String text, Tools tools, java.util.function.Predicate<GatewayFixture> when) {
-    try (GatewayFixture bench =
-        new GatewayFixture(
+  private void leaves(
+      String text, Tools tools, java.util.function.Predicate<ScenarioFixture> when) {
+    try (ScenarioFixture bench =
+        new ScenarioFixture(
             quick(),
-            GatewayFixture.reader("r").paced(60, 1, 5),
-            GatewayFixture.writer("w").paced(60, 60, 5))) {
+            ScenarioFixture.reader("r").paced(60, 1, 5),
+            ScenarioFixture.writer("w").paced(60, 60, 5))) {
       AtomicReference<McpClient.Call> call = new AtomicReference<>();
-      bench.begin(bench.client(), GatewayFixture.ask("m", text, tools, "stock"), call::set);
-      GatewayFixture.await("the moment to leave", () -> call.get() != null && when.test(bench));
+      bench.begin(bench.client(), ScenarioFixture.ask("m", text, tools, "stock"), call::set);
+      ScenarioFixture.await("the moment to leave", () -> call.get() != null && when.test(bench));
       bench.clients.loop().execute(call.get()::leave);
       bench.awaitIdle();
       assertEquals(0, call.get().seen().responses);
@@ -395,18 +399,18 @@
 
   @Test
   void aToolThatNeverAnswersAnswersTwiceOrFails() {
-    try (GatewayFixture bench =
-        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
+    try (ScenarioFixture bench =
+        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       CallRecord silent =
-          bench.call(GatewayFixture.ask("m1", "call the tool stock", Tools.SILENT, "stock"));
+          bench.call(ScenarioFixture.ask("m1", "call the tool stock", Tools.SILENT, "stock"));
       assertOneEnd(silent);
       assertTrue(silent.finalText.contains("[the tool gave no result in time]"), silent.finalText);
       CallRecord twice =
-          bench.call(GatewayFixture.ask("m2", "call the tool stock", Tools.TWICE, "stock"));
+          bench.call(ScenarioFixture.ask("m2", "call the tool stock", Tools.TWICE, "stock"));
       assertOneEnd(twice);
       assertTrue(twice.finalText.contains("[did-stock]"), twice.finalText);
       CallRecord error =
-          bench.call(GatewayFixture.ask("m3", "call the tool stock", Tools.ERROR, "stock"));
+          bench.call(ScenarioFixture.ask("m3", "call the tool stock", Tools.ERROR, "stock"));
       assertOneEnd(error);
       assertTrue(error.finalText.contains("[error -32000: the tool failed]"), error.finalText);
       bench.awaitIdle();
@@ -415,11 +419,11 @@
 
   @Test
   void toolsCalledTogetherAreAnsweredInAnyOrder() {
-    try (GatewayFixture bench =
-        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
+    try (ScenarioFixture bench =
+        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       CallRecord seen =
           bench.call(
-              GatewayFixture.ask(
+              ScenarioFixture.ask(
                   "m", "call the tools stock and price together", Tools.ANSWER, "stock", "price"));
       assertOneEnd(seen);
       assertTrue(seen.finalText.contains("[did-stock|did-price]"), seen.finalText);
@@ -430,40 +434,40 @@
 
   @Test
   void aStopLetsStreamsEndAndTakesNoNewCalls() {
-    try (GatewayFixture bench =
-        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
+    try (ScenarioFixture bench =
+        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       AtomicReference<McpClient.Call> call = new AtomicReference<>();
       McpClient client = bench.client();
       CompletableFuture<McpClient.Call> done =
           bench.begin(
-              client, GatewayFixture.ask("m", "answer in 300 words", Tools.ANSWER), call::set);
-      GatewayFixture.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
-      Gateway gateway = bench.fleet.gateway(GatewayFixture.GATEWAY);
+              client, ScenarioFixture.ask("m", "answer in 300 words", Tools.ANSWER), call::set);
+      ScenarioFixture.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
+      Gateway gateway = bench.fleet.gateway(ScenarioFixture.GATEWAY);
       CompletableFuture<Void> stopped = gateway.stop();
-      assertEquals(words(300), GatewayFixture.get(done).seen().finalText);
-      GatewayFixture.get(stopped);
+      assertEquals(words(300), ScenarioFixture.get(done).seen().finalText);
+      ScenarioFixture.get(stopped);
     }
   }
 
   @Test
   void aStopCutsWhatTakesTooLong() {
-    try (GatewayFixture bench =
-        new GatewayFixture(
+    try (ScenarioFixture bench =
+        new ScenarioFixture(
             s -> {
               limits(s, 1500);
               ((ObjectNode) s.get("limits")).put("stopWithinMs", 100);
             },
-            GatewayFixture.reader("r"),
-            GatewayFixture.writer("w").paced(1, 1, 20))) {
+            ScenarioFixture.reader("r"),
+            ScenarioFixture.writer("w").paced(1, 1, 20))) {
       AtomicReference<McpClient.Call> call = new AtomicReference<>();
       CompletableFuture<McpClient.Call> done =
           bench.begin(
               bench.client(),
-              GatewayFixture.ask("m", "answer in 400 words", Tools.ANSWER),
+              ScenarioFixture.ask("m", "answer in 400 words", Tools.ANSWER),
               call::set);
-      GatewayFixture.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
-      bench.fleet.gateway(GatewayFixture.GATEWAY).stop();
-      CallRecord seen = GatewayFixture.get(done).seen();
+      ScenarioFixture.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
+      bench.fleet.gateway(ScenarioFixture.GATEWAY).stop();
+      CallRecord seen = ScenarioFixture.get(done).seen();
       assertOneEnd(seen);
       assertEquals(Mcp.FAILED, seen.errorCode);
     }
@@ -473,51 +477,51 @@
 
   @Test
   void moreCallsThanTheGatewayTakes() {
-    try (GatewayFixture bench =
-        new GatewayFixture(
+    try (ScenarioFixture bench =
+        new ScenarioFixture(
             s -> {
               limits(s, 1500);
               ((ObjectNode) s.get("limits")).put("maxCalls", 2);
             },
-            GatewayFixture.reader("r"),
-            GatewayFixture.writer("w"))) {
+            ScenarioFixture.reader("r"),
+            ScenarioFixture.writer("w"))) {
       McpClient client = bench.client();
       AtomicReference<McpClient.Call> call = new AtomicReference<>();
       final List<CompletableFuture<McpClient.Call>> taken =
           List.of(
-              bench.begin(client, GatewayFixture.ask("m1", "answer in 300 words", Tools.ANSWER)),
+              bench.begin(client, ScenarioFixture.ask("m1", "answer in 300 words", Tools.ANSWER)),
               bench.begin(
                   client,
-                  GatewayFixture.ask("m2", "answer in 300 words", Tools.ANSWER),
+                  ScenarioFixture.ask("m2", "answer in 300 words", Tools.ANSWER),
                   call::set));
-      GatewayFixture.await("two calls", () -> call.get() != null && call.get().seen().tokens > 0);
+      ScenarioFixture.await("two calls", () -> call.get() != null && call.get().seen().tokens > 0);
       CallRecord third =
-          GatewayFixture.get(bench.begin(client, GatewayFixture.ask("m3", LONG, Tools.ANSWER)))
+          ScenarioFixture.get(bench.begin(client, ScenarioFixture.ask("m3", LONG, Tools.ANSWER)))
               .seen();
       assertEquals(Mcp.LIMIT, third.errorCode);
       assertTrue(third.retryable);
-      taken.forEach(t -> assertEquals(words(300), GatewayFixture.get(t).seen().finalText));
+      taken.forEach(t -> assertEquals(words(300), ScenarioFixture.get(t).seen().finalText));
     }
   }
 
   @Test
   void finalAnswersThatRaceTheDeadline() {
-    try (GatewayFixture bench =
-        new GatewayFixture(
+    try (ScenarioFixture bench =
+        new ScenarioFixture(
             s -> {
               limits(s, 60);
               ((ObjectNode) s.at("/classes/0")).put("aimMsPerThousandTokens", 0);
             },
-            GatewayFixture.reader("r").paced(20, 1, 1),
-            GatewayFixture.writer("w").paced(1, 28, 1))) { // a first token after about 60 ms
+            ScenarioFixture.reader("r").paced(20, 1, 1),
+            ScenarioFixture.writer("w").paced(1, 28, 1))) { // a first token after about 60 ms
       McpClient client = bench.client();
       List<CompletableFuture<McpClient.Call>> calls = new java.util.ArrayList<>();
       for (int i = 0; i < 40; i++) {
         calls.add(
-            bench.begin(client, GatewayFixture.ask("m" + i, "answer in 5 words", Tools.ANSWER)));
+            bench.begin(client, ScenarioFixture.ask("m" + i, "answer in 5 words", Tools.ANSWER)));
       }
       for (CompletableFuture<McpClient.Call> call : calls) {
-        CallRecord seen = GatewayFixture.get(call).seen();
+        CallRecord seen = ScenarioFixture.get(call).seen();
         assertOneEnd(seen);
         assertTrue(
             seen.served() ? seen.finalText.equals(words(5)) : seen.errorCode <= Mcp.REJECTED,
@@ -529,28 +533,31 @@
 
   @Test
   void pooledConnectionsThatTheirPeerClosedBetweenRequests() {
-    try (GatewayFixture bench =
-        new GatewayFixture(quick(), GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
-      assertEquals(words(40), bench.call(GatewayFixture.ask("m1", LONG, Tools.ANSWER)).finalText);
+    try (ScenarioFixture bench =
+        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
+      assertEquals(words(40), bench.call(ScenarioFixture.ask("m1", LONG, Tools.ANSWER)).finalText);
       for (String engine : List.of("r", "w")) {
         bench.fleet.crash(engine, 10_000_000); // the list does not hear of it
         bench.fleet.restart(engine);
       }
-      GatewayFixture.await(
+      ScenarioFixture.await(
           "service",
           () ->
-              bench.call(GatewayFixture.ask("m2", LONG, Tools.ANSWER)).finalText.equals(words(40)));
+              bench
+                  .call(ScenarioFixture.ask("m2", LONG, Tools.ANSWER))
+                  .finalText
+                  .equals(words(40)));
       bench.awaitIdle();
     }
   }
 
   @Test
   void aClientThatReadsSlowlySlowsItsEngineAndNobodyElse() throws Exception {
-    try (GatewayFixture bench =
-        new GatewayFixture(
+    try (ScenarioFixture bench =
+        new ScenarioFixture(
             s -> ((ObjectNode) s.at("/classes/0")).put("maxTokens", 10_000),
-            GatewayFixture.reader("r"),
-            GatewayFixture.writer("w").paced(1, 1, 0))) {
+            ScenarioFixture.reader("r"),
+            ScenarioFixture.writer("w").paced(1, 1, 0))) {
       String session =
           java.net.http.HttpClient.newHttpClient()
               .send(
@@ -590,17 +597,17 @@
                         + body)
                     .getBytes(StandardCharsets.UTF_8));
         int[] before = {-2};
-        GatewayFixture.await(
+        ScenarioFixture.await(
             "the engine waits",
             () -> {
               int now = bench.fleet.standins().ask(() -> bench.fleet.engine("w").written("slow"));
               boolean stands = now > 0 && now == before[0];
               before[0] = now;
-              GatewayFixture.pause(100);
+              ScenarioFixture.pause(100);
               return stands;
             });
         assertTrue(before[0] < 4000, "all of 32 MB was taken: " + before[0]);
-        assertEquals(words(40), bench.call(GatewayFixture.ask("m", LONG, Tools.ANSWER)).finalText);
+        assertEquals(words(40), bench.call(ScenarioFixture.ask("m", LONG, Tools.ANSWER)).finalText);
         byte[] all = socket.getInputStream().readAllBytes();
         assertTrue(all.length > 4000 * 8000);
         assertTrue(
@@ -613,34 +620,34 @@
 
   @Test
   void aGatewayAtItsLimitRefusesEarlyAndRunningStreamsGoOn() {
-    try (GatewayFixture bench =
-        new GatewayFixture(
+    try (ScenarioFixture bench =
+        new ScenarioFixture(
             s -> {
               s.putObject("overload").put("targetMs", 50).put("intervalMs", 10);
               s.putObject("reporting").put("tickMs", 20).put("intervalMs", 20);
             },
-            GatewayFixture.reader("r"),
-            GatewayFixture.writer("w").paced(1, 1, 20))) {
+            ScenarioFixture.reader("r"),
+            ScenarioFixture.writer("w").paced(1, 1, 20))) {
       McpClient client =
           bench.client(); // with a session from before: a gateway at its limit refuses
       // new ones as well
       final CompletableFuture<McpClient.Call> running =
-          bench.begin(client, GatewayFixture.ask("running", "answer in 100 words", Tools.ANSWER));
-      GatewayFixture.await(
+          bench.begin(client, ScenarioFixture.ask("running", "answer in 100 words", Tools.ANSWER));
+      ScenarioFixture.await(
           "it runs", () -> !bench.events(TrafficObserver.What.WRITE, "running").isEmpty());
       AtomicBoolean tooMuch = new AtomicBoolean(true);
       for (int i = 0; i < 3; i++) { // work always waits for the context for longer than the target
-        keepBusy(bench.fleet.node(GatewayFixture.GATEWAY), tooMuch);
+        keepBusy(bench.fleet.node(ScenarioFixture.GATEWAY), tooMuch);
       }
       AtomicReference<CallRecord> refused = new AtomicReference<>();
-      GatewayFixture.await(
+      ScenarioFixture.await(
           "a refusal",
           () -> {
             CallRecord seen =
-                GatewayFixture.get(
+                ScenarioFixture.get(
                         bench.begin(
                             client,
-                            GatewayFixture.ask(
+                            ScenarioFixture.ask(
                                 "late" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
                     .seen();
             refused.set(seen);
@@ -651,18 +658,18 @@
       assertTrue(
           refused.get().retryable && refused.get().retryAfterMs >= 250,
           "advice " + refused.get().retryAfterMs);
-      assertTrue(GatewayFixture.get(running).seen().served());
-      GatewayFixture.await(
+      assertTrue(ScenarioFixture.get(running).seen().served());
+      ScenarioFixture.await(
           "all is let in again",
           () ->
-              GatewayFixture.get(
+              ScenarioFixture.get(
                       bench.begin(
                           client,
-                          GatewayFixture.ask(
+                          ScenarioFixture.ask(
                               "after" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
                   .seen()
                   .served());
-      var tally = bench.fleet.stopGateway(GatewayFixture.GATEWAY).get("tally");
+      var tally = bench.fleet.stopGateway(ScenarioFixture.GATEWAY).get("tally");
       assertTrue(tally.at("/overload/0/refused").longValue() > 0, tally.get("overload").toString());
     }
   }
--- a/scenario/src/test/java/lemondock/scenario/GatewayOverloadTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayOverloadTest.java
@@ -31,12 +31,12 @@
   /** Words of 8,000 letters: more than the system's buffers take on both sides of the gateway. */
   private static final int LONG = 2_000;
 
-  private static GatewayFixture bench(Consumer<ObjectNode> changes) {
+  private static ScenarioFixture bench(Consumer<ObjectNode> changes) {
     return bench(4, changes);
   }
 
-  private static GatewayFixture bench(double tokenMs, Consumer<ObjectNode> changes) {
-    return new GatewayFixture(
+  private static ScenarioFixture bench(double tokenMs, Consumer<ObjectNode> changes) {
+    return new ScenarioFixture(
         s -> {
           s.put("ioThreads", 3);
           s.withArray("classes")
@@ -57,19 +57,19 @@
     return text.toString();
   }
 
-  private static CompletableFuture<McpClient.Call> running(GatewayFixture bench, int words) {
+  private static CompletableFuture<McpClient.Call> running(ScenarioFixture bench, int words) {
     AtomicReference<McpClient.Call> call = new AtomicReference<>();
     CompletableFuture<McpClient.Call> done =
         bench.begin(
             bench.client(),
-            GatewayFixture.ask("running", "answer in " + words + " words", Tools.ANSWER),
+            ScenarioFixture.ask("running", "answer in " + words + " words", Tools.ANSWER),
             call::set);
-    GatewayFixture.await("it runs", () -> call.get() != null && call.get().seen().tokens > 0);
+    ScenarioFixture.await("it runs", () -> call.get() != null && call.get().seen().tokens > 0);
     return done;
   }
 
   private static void assertWhole(CompletableFuture<McpClient.Call> call, int words) {
-    CallRecord seen = GatewayFixture.get(call).seen();
+    CallRecord seen = ScenarioFixture.get(call).seen();
     assertEquals(words(words), seen.finalText);
     assertEquals(words(words), seen.streamed.toString());
     assertEquals(1, seen.responses);
@@ -105,19 +105,19 @@
     }
   }
 
-  private static GatewayFixture told(Told told, Consumer<ObjectNode> changes) {
-    GatewayFixture bench = bench(changes);
+  private static ScenarioFixture told(Told told, Consumer<ObjectNode> changes) {
+    ScenarioFixture bench = bench(changes);
     bench.fleet.machine(told);
-    bench.fleet.kill(GatewayFixture.GATEWAY);
-    bench.fleet.startGateway(GatewayFixture.GATEWAY);
-    assertTrue(bench.fleet.awaitServers(GatewayFixture.GATEWAY, 2, 10_000));
+    bench.fleet.kill(ScenarioFixture.GATEWAY);
+    bench.fleet.startGateway(ScenarioFixture.GATEWAY);
+    assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 2, 10_000));
     return bench;
   }
 
   @Test
   void aLargeCallIsRefusedAtAGlanceAndItsConnectionGoesOn() throws Exception {
     Told told = new Told();
-    try (GatewayFixture bench =
+    try (ScenarioFixture bench =
             told(
                 told,
                 s -> s.putObject("overload").put("risePerSecond", 100).put("targetMs", 5_000));
@@ -134,7 +134,7 @@
                       + "\"}}}")
               .replace("application/json, text/event-stream", "application/json");
       String[] answer = new String[1];
-      GatewayFixture.await(
+      ScenarioFixture.await(
           "a refusal",
           () -> {
             try {
@@ -152,7 +152,7 @@
               && answer[0].contains("retryAfterMs"),
           answer[0]);
       told.memory = 0;
-      GatewayFixture.await(
+      ScenarioFixture.await(
           "service",
           () -> {
             try {
@@ -166,7 +166,7 @@
       assertTrue(
           bench
                   .fleet
-                  .stopGateway(GatewayFixture.GATEWAY)
+                  .stopGateway(ScenarioFixture.GATEWAY)
                   .at("/tally/overload/0/refused")
                   .longValue()
               > 0);
@@ -187,28 +187,28 @@
   private static long refusedWhileItWaits(boolean stopped) {
     Told told = new Told();
     told.stopped = stopped;
-    try (GatewayFixture bench =
+    try (ScenarioFixture bench =
         told(told, s -> s.putObject("overload").put("targetMs", 20).put("stallMs", 10_000))) {
       bench.awaitIdle();
-      EmulatedProcess gateway = bench.fleet.node(GatewayFixture.GATEWAY);
+      EmulatedProcess gateway = bench.fleet.node(ScenarioFixture.GATEWAY);
       List<CompletableFuture<McpClient.Call>> calls = new ArrayList<>();
       McpClient client = bench.client();
       assertTrue(
-          GatewayFixture.get(
+          ScenarioFixture.get(
                   bench.begin(
-                      client, GatewayFixture.ask("first", "answer in 2 words", Tools.ANSWER)))
+                      client, ScenarioFixture.ask("first", "answer in 2 words", Tools.ANSWER)))
               .seen()
               .served());
       for (int i = 0; i < 20; i++) {
-        gateway.loop().execute(() -> GatewayFixture.pause(150));
+        gateway.loop().execute(() -> ScenarioFixture.pause(150));
         calls.add(
-            bench.begin(client, GatewayFixture.ask("p" + i, "answer in 2 words", Tools.ANSWER)));
-        GatewayFixture.pause(100);
+            bench.begin(client, ScenarioFixture.ask("p" + i, "answer in 2 words", Tools.ANSWER)));
+        ScenarioFixture.pause(100);
       }
-      calls.forEach(GatewayFixture::get); // the module may refuse some too, as it is late
+      calls.forEach(ScenarioFixture::get); // the module may refuse some too, as it is late
       return bench
           .fleet
-          .stopGateway(GatewayFixture.GATEWAY)
+          .stopGateway(ScenarioFixture.GATEWAY)
           .at("/tally/overload/0/refused")
           .longValue();
     }
@@ -224,7 +224,7 @@
   @Test
   void repeatsHaveABudgetWhileTheShareIsCut() {
     Told told = new Told();
-    try (GatewayFixture bench =
+    try (ScenarioFixture bench =
         told(
             told,
             s ->
@@ -233,7 +233,7 @@
                     .put("repeatsPerSecond", 0)
                     .put("targetMs", 5_000))) {
       McpClient known = bench.client();
-      McpClient.Ask again = GatewayFixture.ask("again", "answer in 1 words", Tools.ANSWER);
+      McpClient.Ask again = ScenarioFixture.ask("again", "answer in 1 words", Tools.ANSWER);
       McpClient.Ask repeat =
           new McpClient.Ask(
               again.tool(),
@@ -247,35 +247,35 @@
               again.mark(),
               true);
       assertTrue(
-          GatewayFixture.get(bench.begin(known, repeat)).seen().served(),
+          ScenarioFixture.get(bench.begin(known, repeat)).seen().served(),
           "while all is let in there is no budget");
       told.memory = 0.875; // half of what comes may come in
-      GatewayFixture.await(
+      ScenarioFixture.await(
           "a refusal",
           () ->
-              GatewayFixture.get(
+              ScenarioFixture.get(
                           bench.begin(
                               known,
-                              GatewayFixture.ask(
+                              ScenarioFixture.ask(
                                   "m" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
                       .seen()
                       .errorCode
                   == Mcp.REJECTED);
-      GatewayFixture.await(
+      ScenarioFixture.await(
           "the counts are judged",
-          () -> !GatewayFixture.get(bench.begin(known, repeat)).seen().served());
+          () -> !ScenarioFixture.get(bench.begin(known, repeat)).seen().served());
       int first = 0;
       int again2 = 0;
       for (int i = 0; i < 60; i++) {
         first +=
-            GatewayFixture.get(
+            ScenarioFixture.get(
                         bench.begin(
-                            known, GatewayFixture.ask("f" + i, "answer in 1 words", Tools.ANSWER)))
+                            known, ScenarioFixture.ask("f" + i, "answer in 1 words", Tools.ANSWER)))
                     .seen()
                     .served()
                 ? 1
                 : 0;
-        again2 += GatewayFixture.get(bench.begin(known, repeat)).seen().served() ? 1 : 0;
+        again2 += ScenarioFixture.get(bench.begin(known, repeat)).seen().served() ? 1 : 0;
       }
       assertTrue(first > 10, "first tries let in: " + first);
       assertEquals(0, again2, "repeats let in");
@@ -284,7 +284,7 @@
 
   @Test
   void answersThatWaitForToolsTakeNoPlaceOfOthersAndAreBoundedThemselves() {
-    try (GatewayFixture bench =
+    try (ScenarioFixture bench =
         bench(
             s -> {
               ((ObjectNode) s.get("limits")).put("maxCalls", 2).put("maxWaitingAnswers", 3);
@@ -296,26 +296,26 @@
         waiting.add(
             bench.begin(
                 bench.client(),
-                GatewayFixture.ask(
+                ScenarioFixture.ask(
                     "w" + i, "call the tool stock answer in 3 words", Tools.SILENT, "stock"),
                 call::set));
-        GatewayFixture.await(
+        ScenarioFixture.await(
             "it waits", () -> call.get() != null && !call.get().seen().toolCalls.isEmpty());
       }
       assertTrue(
-          bench.call(GatewayFixture.ask("m", "answer in 3 words", Tools.ANSWER)).served(),
+          bench.call(ScenarioFixture.ask("m", "answer in 3 words", Tools.ANSWER)).served(),
           "starved by slow tools");
       CallRecord fourth =
           bench.call(
-              GatewayFixture.ask(
+              ScenarioFixture.ask(
                   "w4", "call the tool stock answer in 3 words", Tools.ANSWER, "stock"));
       assertEquals(Mcp.FAILED, fourth.errorCode);
       assertEquals(List.of(), fourth.toolCalls);
-      waiting.forEach(w -> assertTrue(GatewayFixture.get(w).seen().served()));
+      waiting.forEach(w -> assertTrue(ScenarioFixture.get(w).seen().served()));
       assertTrue(
           bench
               .call(
-                  GatewayFixture.ask(
+                  ScenarioFixture.ask(
                       "w5", "call the tool stock answer in 3 words", Tools.ANSWER, "stock"))
               .served());
       bench.awaitIdle();
@@ -326,7 +326,7 @@
   void clientsLeaveHandlesForEngines() throws IOException {
     Told told = new Told();
     told.most = 100;
-    try (GatewayFixture bench = told(told, s -> {})) {
+    try (ScenarioFixture bench = told(told, s -> {})) {
       List<Socket> sockets = new ArrayList<>();
       try {
         for (int i = 0; i < 60; i++) {
@@ -351,13 +351,13 @@
   @Test
   void memoryOrHandlesNearTheirBoundKeepNewcomersOutAndLetRunningStreamsEnd() {
     Told told = new Told();
-    try (GatewayFixture bench =
+    try (ScenarioFixture bench =
         told(told, s -> s.putObject("overload").put("risePerSecond", 100).put("targetMs", 5_000))) {
       McpClient known = bench.client();
       assertTrue(
-          GatewayFixture.get(
+          ScenarioFixture.get(
                   bench.begin(
-                      known, GatewayFixture.ask("before", "answer in 1 words", Tools.ANSWER)))
+                      known, ScenarioFixture.ask("before", "answer in 1 words", Tools.ANSWER)))
               .seen()
               .served());
       for (int way = 0; way < 2; way++) {
@@ -365,14 +365,14 @@
         told.memory = way == 0 ? 0.97 : 0;
         told.handles = way == 0 ? 0 : 0.99;
         AtomicReference<CallRecord> refused = new AtomicReference<>();
-        GatewayFixture.await(
+        ScenarioFixture.await(
             "a refusal",
             () -> {
               refused.set(
-                  GatewayFixture.get(
+                  ScenarioFixture.get(
                           bench.begin(
                               known,
-                              GatewayFixture.ask(
+                              ScenarioFixture.ask(
                                   "m" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
                       .seen());
               return refused.get().errorCode == Mcp.REJECTED;
@@ -381,17 +381,17 @@
         assertTrue(bench.events(TrafficObserver.What.READ, refused.get().mark).isEmpty());
         CompletableFuture<Boolean> session = new CompletableFuture<>();
         bench.clients.loop().execute(() -> bench.client().open(session::complete));
-        assertFalse(GatewayFixture.get(session), "no new sessions either");
+        assertFalse(ScenarioFixture.get(session), "no new sessions either");
         told.memory = 0;
         told.handles = 0;
         assertWhole(running, 480);
-        GatewayFixture.await(
+        ScenarioFixture.await(
             "all is let in again",
             () ->
-                GatewayFixture.get(
+                ScenarioFixture.get(
                         bench.begin(
                             known,
-                            GatewayFixture.ask(
+                            ScenarioFixture.ask(
                                 "a" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
                     .seen()
                     .served());
@@ -401,19 +401,19 @@
 
   @Test
   void aServerIsNotBlamedForConnectionsThatTheGatewayDoesNotHave() {
-    try (GatewayFixture bench =
+    try (ScenarioFixture bench =
         bench(20, s -> ((ObjectNode) s.get("engines")).put("maxConnectionsPerServer", 1))) {
       CompletableFuture<McpClient.Call> running = running(bench, 300);
       for (int i = 0; i < 20; i++) { // the writer's one connection is in use
         CallRecord seen =
-            bench.call(GatewayFixture.ask("m" + i, "answer in 3 words", Tools.ANSWER));
+            bench.call(ScenarioFixture.ask("m" + i, "answer in 3 words", Tools.ANSWER));
         assertEquals(1, seen.responses);
         assertTrue(seen.served() || seen.retryable, "code " + seen.errorCode);
       }
       assertWhole(running, 300);
       bench.awaitIdle();
       long moot = 0;
-      for (JsonNode row : bench.fleet.stopGateway(GatewayFixture.GATEWAY).at("/tally/attempts")) {
+      for (JsonNode row : bench.fleet.stopGateway(ScenarioFixture.GATEWAY).at("/tally/attempts")) {
         assertEquals(0, row.get("connect_failed").longValue(), row.toString());
         moot += row.get("moot").longValue();
       }
@@ -444,7 +444,7 @@
             + "\"2025-06-18\"}}");
   }
 
-  private static Socket socket(GatewayFixture bench, int receiveBuffer) throws IOException {
+  private static Socket socket(ScenarioFixture bench, int receiveBuffer) throws IOException {
     Socket socket = new Socket();
     if (receiveBuffer > 0) {
       socket.setReceiveBufferSize(receiveBuffer);
@@ -490,7 +490,7 @@
 
   @Test
   void fiveThousandSessionsAtOnceAreBoundedAndHoldNobodyUp() throws Exception {
-    try (GatewayFixture bench =
+    try (ScenarioFixture bench =
         bench(s -> ((ObjectNode) s.get("front")).put("maxSessions", 1_000))) {
       CompletableFuture<McpClient.Call> running = running(bench, 400);
       List<Socket> sockets = new ArrayList<>();
@@ -516,8 +516,8 @@
         int opened = 0;
         int refused = 0;
         for (CompletableFuture<int[]> answer : answers) {
-          opened += GatewayFixture.get(answer)[0];
-          refused += GatewayFixture.get(answer)[1];
+          opened += ScenarioFixture.get(answer)[0];
+          refused += ScenarioFixture.get(answer)[1];
         }
         assertEquals(5_000, opened + refused);
         assertTrue(opened > 0 && opened <= 999, "opened " + opened);
@@ -525,8 +525,8 @@
             opened + 1,
             bench
                 .fleet
-                .node(GatewayFixture.GATEWAY)
-                .ask(bench.fleet.gateway(GatewayFixture.GATEWAY)::sessionCount));
+                .node(ScenarioFixture.GATEWAY)
+                .ask(bench.fleet.gateway(ScenarioFixture.GATEWAY)::sessionCount));
       } finally {
         closeAll(sockets);
       }
@@ -536,7 +536,7 @@
 
   @Test
   void bodiesAtTheLimitSentSlowlyByHundredsLeaveRoomForSmallOnes() throws Exception {
-    try (GatewayFixture bench =
+    try (ScenarioFixture bench =
         bench(
             s ->
                 ((ObjectNode) s.get("front"))
@@ -544,9 +544,9 @@
                     .put("maxBodiesBytes", 4 << 20))) {
       McpClient known = bench.client();
       assertTrue(
-          GatewayFixture.get(
+          ScenarioFixture.get(
                   bench.begin(
-                      known, GatewayFixture.ask("first", "answer in 1 words", Tools.ANSWER)))
+                      known, ScenarioFixture.ask("first", "answer in 1 words", Tools.ANSWER)))
               .seen()
               .served());
       List<Socket> sockets = new ArrayList<>();
@@ -564,9 +564,9 @@
         }
         for (int i = 0; i < 20; i++) {
           CallRecord seen =
-              GatewayFixture.get(
+              ScenarioFixture.get(
                       bench.begin(
-                          known, GatewayFixture.ask("m" + i, "answer in 3 words", Tools.ANSWER)))
+                          known, ScenarioFixture.ask("m" + i, "answer in 3 words", Tools.ANSWER)))
                   .seen();
           assertTrue(seen.served(), "code " + seen.errorCode + " " + seen.oddities);
         }
@@ -579,7 +579,7 @@
 
   @Test
   void manyClientsThatNeverReadThenAllReadAtOnceGetAll() throws Exception {
-    try (GatewayFixture bench =
+    try (ScenarioFixture bench =
         bench(
             0.5,
             s -> {
@@ -606,7 +606,7 @@
                       + " words of 8000 letters\"}}}"));
         }
         int[] before = {-1};
-        GatewayFixture.await(
+        ScenarioFixture.await(
             "all stand still",
             () -> {
               int now = 0;
@@ -619,7 +619,7 @@
                       && now == before[0]
                       && bench.events(TrafficObserver.What.WRITE, null).size() >= STILL;
               before[0] = now;
-              GatewayFixture.pause(200);
+              ScenarioFixture.pause(200);
               return stands;
             });
         assertTrue(before[0] < STILL * LONG, "all was taken");
@@ -630,7 +630,7 @@
                   () -> readToEnd(socket), task -> new Thread(task).start()));
         }
         for (CompletableFuture<Long> all : read) {
-          assertTrue(GatewayFixture.get(all) > 8_000L * LONG);
+          assertTrue(ScenarioFixture.get(all) > 8_000L * LONG);
         }
       } finally {
         closeAll(sockets);
@@ -666,14 +666,14 @@
 
   @Test
   void resultsOfToolsComeOverConnectionsOfAnyShard() {
-    try (GatewayFixture bench = bench(s -> {})) {
+    try (ScenarioFixture bench = bench(s -> {})) {
       McpClient client = bench.client();
       List<CompletableFuture<McpClient.Call>> calls = new ArrayList<>();
       for (int i = 0; i < MANY; i++) { // as many connections, and as many more for the results
         calls.add(
             bench.begin(
                 client,
-                GatewayFixture.ask(
+                ScenarioFixture.ask(
                     "m" + i,
                     "call the tool stock and then call the tool price answer in" + " 20 words",
                     Tools.ANSWER,
@@ -681,7 +681,7 @@
                     "price")));
       }
       for (CompletableFuture<McpClient.Call> call : calls) {
-        CallRecord seen = GatewayFixture.get(call).seen();
+        CallRecord seen = ScenarioFixture.get(call).seen();
         assertEquals(2, seen.toolCalls.size());
         assertEquals(1, seen.responses);
         assertEquals(List.of(), seen.oddities);
@@ -696,18 +696,18 @@
 
   @Test
   void aStopWhileAllShardsAreBusyLetsEveryStreamEnd() {
-    try (GatewayFixture bench = bench(s -> {})) {
+    try (ScenarioFixture bench = bench(s -> {})) {
       List<CompletableFuture<McpClient.Call>> calls = new ArrayList<>();
       for (int i = 0; i < MANY; i++) {
         calls.add(
             bench.begin(
-                bench.client(), GatewayFixture.ask("m" + i, "answer in 200 words", Tools.ANSWER)));
+                bench.client(), ScenarioFixture.ask("m" + i, "answer in 200 words", Tools.ANSWER)));
       }
-      GatewayFixture.await(
+      ScenarioFixture.await(
           "all run", () -> bench.events(TrafficObserver.What.WRITE, null).size() >= MANY);
-      CompletableFuture<Void> stopped = bench.fleet.gateway(GatewayFixture.GATEWAY).stop();
+      CompletableFuture<Void> stopped = bench.fleet.gateway(ScenarioFixture.GATEWAY).stop();
       calls.forEach(c -> assertWhole(c, 200));
-      GatewayFixture.get(stopped);
+      ScenarioFixture.get(stopped);
     }
   }
 }
--- a/scenario/src/test/java/lemondock/scenario/McpProtocolTest.java
+++ b/scenario/src/test/java/lemondock/scenario/McpProtocolTest.java
@@ -33,13 +33,13 @@
 class McpProtocolTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final String BOTH = "application/json, text/event-stream";
-  private static GatewayFixture bench;
+  private static ScenarioFixture bench;
   private static HttpClient http;
 
   @BeforeAll
   static void start() {
     bench =
-        new GatewayFixture(
+        new ScenarioFixture(
             s -> {
               ((ObjectNode) s.get("front"))
                   .put("maxBodyBytes", 50_000)
@@ -52,8 +52,8 @@
                   .add("http://good.example");
               ((ObjectNode) s.at("/classes/0")).put("toolTimeoutMs", 1_000);
             },
-            GatewayFixture.reader("r"),
-            GatewayFixture.writer("w"));
+            ScenarioFixture.reader("r"),
+            ScenarioFixture.writer("w"));
     http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
   }
 
@@ -334,16 +334,16 @@
       assertEquals(200, send(ask.GET().build()).statusCode());
       assertEquals(405, send(ask.POST(HttpRequest.BodyPublishers.noBody()).build()).statusCode());
     }
-    try (GatewayFixture stopping =
-        new GatewayFixture(
+    try (ScenarioFixture stopping =
+        new ScenarioFixture(
             s -> ((ObjectNode) s.get("limits")).put("stopNoticeMs", 60_000),
-            GatewayFixture.reader("r"))) {
+            ScenarioFixture.reader("r"))) {
       HttpRequest ask =
           HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + stopping.port + "/readyz"))
               .build();
       assertEquals("no server that writes is ready\n", send(ask).body());
-      stopping.fleet.gateway(GatewayFixture.GATEWAY).stop();
-      GatewayFixture.await(
+      stopping.fleet.gateway(ScenarioFixture.GATEWAY).stop();
+      ScenarioFixture.await(
           "it says that it stops", () -> send(ask).body().equals("the gateway stops\n"));
       assertEquals(503, send(ask).statusCode());
       assertEquals(
--- a/scenario/src/test/java/lemondock/scenario/NonIdempotentCallsTest.java
+++ b/scenario/src/test/java/lemondock/scenario/NonIdempotentCallsTest.java
@@ -22,8 +22,8 @@
 class NonIdempotentCallsTest {
   @TempDir private Path folder;
 
-  private GatewayFixture bench() {
-    return new GatewayFixture(
+  private ScenarioFixture bench() {
+    return new ScenarioFixture(
         s -> {
           s.putObject("durable")
               .put("path", folder.resolve("calls").toString())
@@ -34,8 +34,8 @@
               .put("aimMs", 10_000);
           ((ObjectNode) s.at("/classes/1")).put("deadlineMs", 20_000).put("aimMs", 10_000);
         },
-        GatewayFixture.reader("r"),
-        GatewayFixture.writer("w"));
+        ScenarioFixture.reader("r"),
+        ScenarioFixture.writer("w"));
   }
 
   private static ConversationClient.Answer call(
@@ -49,19 +49,19 @@
         key);
   }
 
-  private static void restart(GatewayFixture bench) {
-    bench.fleet.kill(GatewayFixture.GATEWAY);
-    bench.fleet.startGateway(GatewayFixture.GATEWAY);
-    assertTrue(bench.fleet.awaitServers(GatewayFixture.GATEWAY, 2, 10_000));
+  private static void restart(ScenarioFixture bench) {
+    bench.fleet.kill(ScenarioFixture.GATEWAY);
+    bench.fleet.startGateway(ScenarioFixture.GATEWAY);
+    assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 2, 10_000));
   }
 
-  private static int effects(GatewayFixture bench, String mark) {
+  private static int effects(ScenarioFixture bench, String mark) {
     return bench.events(TrafficObserver.What.EFFECT, mark).size();
   }
 
   @Test
   void aCallThatWasRelayedIsNotRunAgainByTheNextLifeOfItsGateway() throws Exception {
-    try (GatewayFixture bench = bench()) {
+    try (ScenarioFixture bench = bench()) {
       ConversationClient.Answer first =
           call(
               new ConversationClient(bench.port),
@@ -92,7 +92,7 @@
 
   @Test
   void whatWasServedIsToldSoInThisLifeAndTheNextAndWhatNeverRanMayRun() throws Exception {
-    try (GatewayFixture bench = bench()) {
+    try (ScenarioFixture bench = bench()) {
       ConversationClient session = new ConversationClient(bench.port);
       assertTrue(call(session, "sale-lookup", "k1", "m1", "answer in 5 words").end().has("result"));
       assertEquals(
@@ -109,7 +109,7 @@
                 bench.fleet.catalogue().empty(true);
                 return null;
               });
-      assertTrue(bench.fleet.awaitServers(GatewayFixture.GATEWAY, 0, 10_000));
+      assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 0, 10_000));
       assertEquals(
           Mcp.REJECTED,
           call(session, "sale-lookup", "k2", "m2", "answer in 5 words")
@@ -188,7 +188,7 @@
 
   @Test
   void nothingIsSentBeforeItIsDurable() throws Exception {
-    try (GatewayFixture bench = bench()) {
+    try (ScenarioFixture bench = bench()) {
       Failing[] disk = new Failing[1];
       bench.fleet.files(f -> disk[0] = new Failing(f, 1_000));
       restart(bench);
--- a/scenario/src/test/java/lemondock/scenario/ReportEdgeCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ReportEdgeCasesTest.java
@@ -61,19 +61,19 @@
     };
   }
 
-  private static GatewayFixture bench(Consumer<ObjectNode> settings) {
-    return new GatewayFixture(
-        settings, GatewayFixture.reader("reader"), GatewayFixture.writer("writer"));
+  private static ScenarioFixture bench(Consumer<ObjectNode> settings) {
+    return new ScenarioFixture(
+        settings, ScenarioFixture.reader("reader"), ScenarioFixture.writer("writer"));
   }
 
-  private static void calls(GatewayFixture bench, String mark, int count) {
+  private static void calls(ScenarioFixture bench, String mark, int count) {
     List<CompletableFuture<McpClient.Call>> all = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       all.add(
           bench.begin(
-              bench.client(), GatewayFixture.ask(mark + i, TEXT, Tools.ANSWER).by("t" + i)));
+              bench.client(), ScenarioFixture.ask(mark + i, TEXT, Tools.ANSWER).by("t" + i)));
     }
-    all.forEach(c -> assertTrue(GatewayFixture.get(c).seen().served()));
+    all.forEach(c -> assertTrue(ScenarioFixture.get(c).seen().served()));
   }
 
   private static String served(JsonNode tally) {
@@ -99,7 +99,7 @@
         GraphiteListener good = new GraphiteListener(0, false, Fault.NONE)) {
       int nobody = LoopbackSettings.freePort();
       Consumer<ObjectNode> settings = graphite(never, slow, resets, noise, good);
-      try (GatewayFixture bench =
+      try (ScenarioFixture bench =
           bench(
               s -> {
                 settings.accept(s);
@@ -109,18 +109,19 @@
                 destination(s, "no-socket", "collectd-unixsock").put("path", "/nowhere/at/all");
               })) {
         calls(bench, "a", 20);
-        GatewayFixture.await(
+        ScenarioFixture.await(
             "the one that resets was tried again", () -> resets.connections() >= 3);
-        GatewayFixture.await("the good one goes on", () -> last(good.received(), ".served") == 20);
+        ScenarioFixture.await("the good one goes on", () -> last(good.received(), ".served") == 20);
         calls(bench, "b", 20);
         long from = System.nanoTime();
-        JsonNode tally = bench.fleet.stopGateway(GatewayFixture.GATEWAY);
+        JsonNode tally = bench.fleet.stopGateway(ScenarioFixture.GATEWAY);
         double seconds = (System.nanoTime() - from) / 1e9;
         assertTrue(seconds < 5, "the stop took " + seconds + " s");
         assertEquals("40", served(tally));
-        GatewayFixture.await(
+        ScenarioFixture.await(
             "the good one has the last word", () -> last(good.received(), ".served") == 40);
-        GatewayFixture.await("so has the noisy one", () -> last(noise.received(), ".served") == 40);
+        ScenarioFixture.await(
+            "so has the noisy one", () -> last(noise.received(), ".served") == 40);
         assertEquals(0, good.received().unreadable());
         JsonNode reports = tally.at("/tally/report");
         for (JsonNode r : reports) {
@@ -141,15 +142,15 @@
   void aCollectorThatComesBackGetsWhatItMissed() throws IOException {
     GraphiteListener first = new GraphiteListener(0, false, Fault.NONE);
     int port = first.port();
-    try (GatewayFixture bench = bench(graphite(first))) {
+    try (ScenarioFixture bench = bench(graphite(first))) {
       calls(bench, "a", 5);
-      GatewayFixture.await("reported", () -> last(first.received(), ".served") == 5);
+      ScenarioFixture.await("reported", () -> last(first.received(), ".served") == 5);
       first.close();
       calls(bench, "b", 5);
-      GatewayFixture.await(
-          "snapshots wait", () -> bench.fleet.reporting(GatewayFixture.GATEWAY) != null);
+      ScenarioFixture.await(
+          "snapshots wait", () -> bench.fleet.reporting(ScenarioFixture.GATEWAY) != null);
       try (GraphiteListener second = new GraphiteListener(port, false, Fault.NONE)) {
-        GatewayFixture.await("all of it came", () -> last(second.received(), ".served") == 10);
+        ScenarioFixture.await("all of it came", () -> last(second.received(), ".served") == 10);
       }
     }
   }
@@ -158,18 +159,18 @@
   void lossAndReorderingOfDatagramsLeaveTheLastWordRight() throws IOException {
     try (CollectdListener listener = new CollectdListener(0, Map.of(), 5)) {
       listener.disturb(0.3, 0.3);
-      try (GatewayFixture bench =
+      try (ScenarioFixture bench =
           bench(
               s ->
                   destination(s, "udp", "collectd")
                       .put("address", "127.0.0.1:" + listener.port()))) {
         calls(bench, "a", 20);
-        GatewayFixture.await("some came", () -> listener.received().values() > 2_000);
-        GatewayFixture.await("some came late", () -> listener.received().late() > 0);
+        ScenarioFixture.await("some came", () -> listener.received().values() > 2_000);
+        ScenarioFixture.await("some came late", () -> listener.received().late() > 0);
         listener.disturb(0, 0);
-        JsonNode tally = bench.fleet.stopGateway(GatewayFixture.GATEWAY);
+        JsonNode tally = bench.fleet.stopGateway(ScenarioFixture.GATEWAY);
         assertEquals("20", served(tally));
-        GatewayFixture.await(
+        ScenarioFixture.await(
             "the last word",
             () ->
                 listener.received().newest().entrySet().stream()
@@ -187,7 +188,7 @@
     Path users = folder.resolve("users");
     java.nio.file.Files.writeString(users, "till: wrong\n");
     try (CollectdListener listener = new CollectdListener(0, Map.of("till", "right"), 5)) {
-      try (GatewayFixture bench =
+      try (ScenarioFixture bench =
           bench(
               s -> {
                 for (String form : List.of("sign", "encrypt")) {
@@ -199,7 +200,8 @@
                 }
               })) {
         calls(bench, "a", 3);
-        GatewayFixture.await("refused by the listener", () -> listener.received().unreadable() > 4);
+        ScenarioFixture.await(
+            "refused by the listener", () -> listener.received().unreadable() > 4);
         assertEquals(0, listener.received().values());
       }
     }
@@ -209,11 +211,11 @@
   void theUnixsockPluginsTextIsSpokenAndItsAnswersIgnored(@TempDir Path folder) throws IOException {
     Path path = folder.resolve("sock");
     try (UnixsockListener listener = new UnixsockListener(path)) {
-      try (GatewayFixture bench =
+      try (ScenarioFixture bench =
           bench(s -> destination(s, "sock", "collectd-unixsock").put("path", path.toString()))) {
         calls(bench, "a", 4);
-        JsonNode tally = bench.fleet.stopGateway(GatewayFixture.GATEWAY);
-        GatewayFixture.await(
+        JsonNode tally = bench.fleet.stopGateway(ScenarioFixture.GATEWAY);
+        ScenarioFixture.await(
             "the last word",
             () ->
                 listener.received().newest().entrySet().stream()
@@ -231,15 +233,15 @@
   void twoGatewaysUnderOneNameAreToldApart() throws IOException {
     try (GraphiteListener listener = new GraphiteListener(0, false, Fault.NONE)) {
       Consumer<ObjectNode> reports = graphite(listener);
-      try (GatewayFixture one = bench(reports);
-          GatewayFixture two = bench(reports)) {
+      try (ScenarioFixture one = bench(reports);
+          ScenarioFixture two = bench(reports)) {
         calls(one, "a", 3);
         calls(two, "b", 5);
-        String first = one.fleet.stopGateway(GatewayFixture.GATEWAY).get("instance").textValue();
-        String second = two.fleet.stopGateway(GatewayFixture.GATEWAY).get("instance").textValue();
+        String first = one.fleet.stopGateway(ScenarioFixture.GATEWAY).get("instance").textValue();
+        String second = two.fleet.stopGateway(ScenarioFixture.GATEWAY).get("instance").textValue();
         assertNotEquals(first, second);
         for (Map.Entry<String, Integer> e : Map.of(first, 3, second, 5).entrySet()) {
-          GatewayFixture.await(
+          ScenarioFixture.await(
               "the last word of " + e.getKey(),
               () ->
                   listener.newest().entrySet().stream()
@@ -258,7 +260,7 @@
   void aFloodOfTenantsIsBoundedAndStillCountedWhole() throws IOException {
     try (GraphiteListener listener = new GraphiteListener(0, false, Fault.NONE)) {
       Consumer<ObjectNode> reports = graphite(listener);
-      try (GatewayFixture bench =
+      try (ScenarioFixture bench =
           bench(
               s -> {
                 reports.accept(s);
@@ -268,7 +270,7 @@
                     .add("t39");
               })) {
         calls(bench, "a", 40);
-        JsonNode tally = bench.fleet.stopGateway(GatewayFixture.GATEWAY);
+        JsonNode tally = bench.fleet.stopGateway(ScenarioFixture.GATEWAY);
         assertEquals("40", served(tally));
         TreeSet<String> tenants =
             new TreeSet<>(tally.at("/tally/requests").findValuesAsText("tenant"));
@@ -285,21 +287,21 @@
 
   @Test
   void toolCallsAndStatesAndAttemptsAreCounted() {
-    try (GatewayFixture bench =
+    try (ScenarioFixture bench =
         bench(s -> ((ObjectNode) s.at("/classes/0")).put("toolTimeoutMs", 300))) {
       CallRecord seen =
           bench.call(
-              GatewayFixture.ask(
+              ScenarioFixture.ask(
                   "m1", "call the tool stock and answer in 5 words", Tools.ANSWER, "stock"));
       assertTrue(seen.served());
       assertTrue(
           bench
               .call(
-                  GatewayFixture.ask(
+                  ScenarioFixture.ask(
                       "m2", "call the tool stock and answer in 5 words", Tools.SILENT, "stock"))
               .served());
       bench.awaitIdle();
-      JsonNode tally = bench.fleet.stopGateway(GatewayFixture.GATEWAY).get("tally");
+      JsonNode tally = bench.fleet.stopGateway(ScenarioFixture.GATEWAY).get("tally");
       JsonNode tools = tally.at("/tools/0");
       assertEquals(
           "2 1 1", tools.get("relayed") + " " + tools.get("answered") + " " + tools.get("lost"));
--- a/scenario/src/test/java/lemondock/scenario/RequestPathTest.java
+++ b/scenario/src/test/java/lemondock/scenario/RequestPathTest.java
@@ -12,9 +12,9 @@
 class RequestPathTest {
   @Test
   void aCallIsReadWrittenAndStreamed() {
-    try (GatewayFixture bench =
-        new GatewayFixture(s -> {}, GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
-      CallRecord seen = bench.call(GatewayFixture.ask("m1", "answer in 5 words", Tools.ANSWER));
+    try (ScenarioFixture bench =
+        new ScenarioFixture(s -> {}, ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
+      CallRecord seen = bench.call(ScenarioFixture.ask("m1", "answer in 5 words", Tools.ANSWER));
       assertEquals(" a0 a1 a2 a3 a4", seen.finalText);
       assertEquals(seen.finalText, seen.streamed.toString());
       assertEquals(5, seen.tokens);
@@ -29,11 +29,11 @@
 
   @Test
   void twoToolCallsInMidStream() {
-    try (GatewayFixture bench =
-        new GatewayFixture(s -> {}, GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
+    try (ScenarioFixture bench =
+        new ScenarioFixture(s -> {}, ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       CallRecord seen =
           bench.call(
-              GatewayFixture.ask(
+              ScenarioFixture.ask(
                   "m2",
                   "call the tool stock and then call the tool price",
                   Tools.ANSWER,
@@ -53,8 +53,8 @@
 
   @Test
   void aMixedServerReadsAndWritesInPlace() {
-    try (GatewayFixture bench = new GatewayFixture(s -> {}, GatewayFixture.mixed("x"))) {
-      CallRecord seen = bench.call(GatewayFixture.ask("m3", "answer in 3 words", Tools.ANSWER));
+    try (ScenarioFixture bench = new ScenarioFixture(s -> {}, ScenarioFixture.mixed("x"))) {
+      CallRecord seen = bench.call(ScenarioFixture.ask("m3", "answer in 3 words", Tools.ANSWER));
       assertEquals(" a0 a1 a2", seen.finalText);
       assertEquals(0, bench.events(TrafficObserver.What.READ, "m3").size());
       bench.awaitIdle();
--- a/scenario/src/test/java/lemondock/scenario/GatewayFixture.java
+++ b/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
@@ -20,7 +20,7 @@
 import lemondock.net.http.HttpLimits;
 
 /** A small fleet with one gateway and a client, for tests. */
-final class GatewayFixture implements AutoCloseable {
+final class ScenarioFixture implements AutoCloseable {
   static final String GATEWAY = "gw";
   final ScenarioFleet fleet;
   final EmulatedProcess clients = new EmulatedProcess("clients", 1);
@@ -32,7 +32,7 @@
           new HttpClientOptions(HttpLimits.DEFAULT, 1 << 20, 2_000, 1_000_000, 15_000_000));
   final GatewaySettings settings;
 
-  GatewayFixture(Consumer<ObjectNode> changes, EngineSettings... engines) {
+  ScenarioFixture(Consumer<ObjectNode> changes, EngineSettings... engines) {
     this(changes, Gateway.DEFAULT_ROUTER_FACTORY, engines);
   }
 
@@ -41,7 +41,7 @@
    * "overload": gateway, engines and clients share this process, and a machine that is slow for a
    * moment is not what most tests are about.
    */
-  GatewayFixture(Consumer<ObjectNode> own, RouterFactory maker, EngineSettings... engines) {
+  ScenarioFixture(Consumer<ObjectNode> own, RouterFactory maker, EngineSettings... engines) {
     Consumer<ObjectNode> changes =
         settings -> {
           settings.putObject("overload").put("refuse", false);
--- a/scenario/src/test/java/lemondock/scenario/SdkClientTest.java
+++ b/scenario/src/test/java/lemondock/scenario/SdkClientTest.java
@@ -23,7 +23,7 @@
 class SdkClientTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
-  private static HttpClientStreamableHttpTransport transport(GatewayFixture bench) {
+  private static HttpClientStreamableHttpTransport transport(ScenarioFixture bench) {
     return HttpClientStreamableHttpTransport.builder("http://127.0.0.1:" + bench.port)
         .endpoint("/mcp")
         .build();
@@ -31,8 +31,8 @@
 
   @Test
   void itsClientListsAndCallsTools() {
-    try (GatewayFixture bench =
-        new GatewayFixture(s -> {}, GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
+    try (ScenarioFixture bench =
+        new ScenarioFixture(s -> {}, ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       // by their numbers: the SDK hands notifications to several threads of its own
       ConcurrentSkipListMap<Double, String> progress = new ConcurrentSkipListMap<>();
       try (McpSyncClient client =
@@ -53,7 +53,7 @@
                     .progressToken("t")
                     .build());
         assertEquals(" a0 a1 a2 a3", ((McpSchema.TextContent) result.content().get(0)).text());
-        GatewayFixture.await(
+        ScenarioFixture.await(
             "progress", () -> String.join("", progress.values()).equals(" a0 a1 a2 a3"));
       }
       bench.awaitIdle();
@@ -66,8 +66,8 @@
    */
   @Test
   void itsSessionAnswersToolCallsInMidStream() {
-    try (GatewayFixture bench =
-        new GatewayFixture(s -> {}, GatewayFixture.reader("r"), GatewayFixture.writer("w"))) {
+    try (ScenarioFixture bench =
+        new ScenarioFixture(s -> {}, ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       ConcurrentLinkedQueue<String> asked = new ConcurrentLinkedQueue<>();
       McpClientSession.RequestHandler<Map<String, Object>> handler =
           params -> {
--- a/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
+++ b/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
@@ -22,8 +22,8 @@
 class TokenPathTest {
   private static final int WORDS = 300;
 
-  private static GatewayFixture bench() {
-    return new GatewayFixture(
+  private static ScenarioFixture bench() {
+    return new ScenarioFixture(
         s -> {
           s.put("ioThreads", 3);
           ((ObjectNode) s.get("front")).put("resumeWindowMs", 5_000).put("replayBytes", 65_536);
@@ -46,7 +46,7 @@
    * One call whose connection is broken again and again, read at changing pace; gives what was
    * streamed and the result.
    */
-  private static String[] broken(GatewayFixture bench, int seed)
+  private static String[] broken(ScenarioFixture bench, int seed)
       throws IOException, InterruptedException {
     SplittableRandom random = new SplittableRandom(seed);
     StringBuilder streamed = new StringBuilder();
@@ -76,7 +76,7 @@
   @Test
   void noTokenIsLostOrRepeatedHoweverOftenConnectionsBreak() throws Exception {
     ExecutorService threads = Executors.newCachedThreadPool();
-    try (GatewayFixture bench = bench()) {
+    try (ScenarioFixture bench = bench()) {
       List<CompletableFuture<String[]>> all = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
         int seed = i;
@@ -92,7 +92,7 @@
                 threads));
       }
       for (CompletableFuture<String[]> one : all) {
-        String[] seen = GatewayFixture.get(one);
+        String[] seen = ScenarioFixture.get(one);
         assertEquals(expected(WORDS), seen[0]);
         assertEquals(seen[0], seen[1]);
       }
@@ -109,22 +109,22 @@
   @Test
   void aCallThatHasEndedIsHeldByNoTimer() {
     int calls = 150;
-    try (GatewayFixture bench =
-        new GatewayFixture(
+    try (ScenarioFixture bench =
+        new ScenarioFixture(
             s -> {
               ((ObjectNode) s.get("engines")).put("streamSilenceMs", 120_000);
               ((ObjectNode) s.get("front")).put("resumeWindowMs", 0);
               ((ObjectNode) s.at("/classes/0")).put("deadlineMs", 120_000).put("aimMs", 60_000);
             },
-            GatewayFixture.reader("r"),
-            GatewayFixture.writer("w"))) {
-      EmulatedProcess node = bench.fleet.node(GatewayFixture.GATEWAY);
+            ScenarioFixture.reader("r"),
+            ScenarioFixture.writer("w"))) {
+      EmulatedProcess node = bench.fleet.node(ScenarioFixture.GATEWAY);
       assertEquals(
           12,
-          GatewayFixture.get(
+          ScenarioFixture.get(
                   bench.begin(
                       bench.client(),
-                      GatewayFixture.ask("warm", "answer in 12 words", McpClient.Tools.ANSWER)))
+                      ScenarioFixture.ask("warm", "answer in 12 words", McpClient.Tools.ANSWER)))
               .seen()
               .tokens);
       bench.awaitIdle();
@@ -135,10 +135,10 @@
           some.add(
               bench.begin(
                   bench.client(),
-                  GatewayFixture.ask(
+                  ScenarioFixture.ask(
                       "t" + i + "-" + j, "answer in 12 words", McpClient.Tools.ANSWER)));
         }
-        some.forEach(one -> assertTrue(GatewayFixture.get(one).seen().served()));
+        some.forEach(one -> assertTrue(ScenarioFixture.get(one).seen().served()));
       }
       bench.awaitIdle();
       int perCall = (node.ask(node.loop()::pendingTimers) - before) / calls;
@@ -154,7 +154,7 @@
   @Test
   void manyCallsOfOneSessionOnOneStreamEndEachOnceWhileTheirNeighboursAreCancelled()
       throws Exception {
-    try (GatewayFixture bench = bench()) {
+    try (ScenarioFixture bench = bench()) {
       List<CompletableFuture<McpClient.Call>> kept = new ArrayList<>();
       SplittableRandom random = new SplittableRandom(3);
       for (int i = 0; i < 80; i++) {
@@ -163,7 +163,7 @@
         CompletableFuture<McpClient.Call> done =
             bench.begin(
                 bench.client(),
-                GatewayFixture.ask("s" + i, "answer in 100 words", McpClient.Tools.ANSWER),
+                ScenarioFixture.ask("s" + i, "answer in 100 words", McpClient.Tools.ANSWER),
                 call -> {
                   if (leaves) {
                     bench.clients.loop().schedule(after, call::leave);
@@ -174,7 +174,7 @@
         }
       }
       for (CompletableFuture<McpClient.Call> one : kept) {
-        CallRecord seen = GatewayFixture.get(one).seen();
+        CallRecord seen = ScenarioFixture.get(one).seen();
         assertTrue(seen.served(), seen.mark);
         assertEquals(expected(100), seen.streamed.toString());
         assertEquals(1, seen.responses);
@@ -186,9 +186,9 @@
 
   @Test
   void aTokenGoesOutWhenItComesAndNotWithALaterOne() throws Exception {
-    try (GatewayFixture bench =
-        new GatewayFixture(
-            s -> {}, GatewayFixture.reader("r"), GatewayFixture.writer("w").paced(1, 1, 250))) {
+    try (ScenarioFixture bench =
+        new ScenarioFixture(
+            s -> {}, ScenarioFixture.reader("r"), ScenarioFixture.writer("w").paced(1, 1, 250))) {
       try (ConversationClient.Answer answer =
           new ConversationClient(bench.port)
               .call("1", "sale-lookup", "#slow# answer in 8 words", List.of())) {
--- a/scenario/src/test/java/lemondock/scenario/ToolCallsTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ToolCallsTest.java
@@ -27,12 +27,12 @@
 class ToolCallsTest {
   private static final int TURNS = 3;
   private static final int WAITING = 40;
-  private static GatewayFixture bench;
+  private static ScenarioFixture bench;
 
   @BeforeAll
   static void start() {
     bench =
-        new GatewayFixture(
+        new ScenarioFixture(
             s -> {
               ((ObjectNode) s.get("limits")).put("maxWaitingAnswers", WAITING);
               ((ObjectNode) s.at("/classes/0"))
@@ -41,8 +41,8 @@
                   .put("maxTurns", TURNS)
                   .put("toolTimeoutMs", 20_000);
             },
-            GatewayFixture.reader("r"),
-            GatewayFixture.writer("w"));
+            ScenarioFixture.reader("r"),
+            ScenarioFixture.writer("w"));
   }
 
   @AfterAll
@@ -198,7 +198,7 @@
                 }));
       }
       for (int i = 0; i < WAITING; i++) {
-        JsonNode end = GatewayFixture.get(ends.get(i));
+        JsonNode end = ScenarioFixture.get(ends.get(i));
         assertNotNull(end);
         assertEquals(" a0 a1 a2 a3[r" + i + "] b0 b1", end.at("/result/content/0/text").asText());
       }
--- a/scenario/src/test/java/lemondock/scenario/TypeScriptClientTest.java
+++ b/scenario/src/test/java/lemondock/scenario/TypeScriptClientTest.java
@@ -75,13 +75,13 @@
     try (Stream<Path> files = Files.list(CLIENT.resolve("dist/test"))) {
       tests = files.map(Path::toString).filter(f -> f.endsWith(".test.js")).toList();
     }
-    try (GatewayFixture bench =
-        new GatewayFixture(
+    try (ScenarioFixture bench =
+        new ScenarioFixture(
             s -> {
               ((ObjectNode) s.at("/classes/0")).put("deadlineMs", 20_000).put("aimMs", 10_000);
             },
-            GatewayFixture.reader("r"),
-            GatewayFixture.writer("w"))) {
+            ScenarioFixture.reader("r"),
+            ScenarioFixture.writer("w"))) {
       Outcome tested =
           run(
               Map.of("LEMONDOCK_URL", "http://127.0.0.1:" + bench.port + "/mcp"),
