--- a/gateway/src/main/java/lemondock/gateway/accounting/CallMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/CallMetrics.java
@@ -60,8 +60,7 @@
   }
 
   /**
-   * Whether a piece of the turn under way was delivered; further ones change nothing that is
-   * counted.
+   * Whether a piece of the current turn was delivered; further ones change nothing that is counted.
    */
   public boolean inTurn() {
     return turnStartedAtMicros != 0;
--- a/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
@@ -143,9 +143,7 @@
     return new CallMetrics(this, series, request, nowMicros, latencyObjectiveMicros);
   }
 
-  /**
-   * A request was turned away before it was taken, for a bound of the gateway or because it stops.
-   */
+  /** A request was rejected before it was taken, for a bound of the gateway or because it stops. */
   public void requestRejected(int classId, String tenant, boolean retry) {
     ClassSeries series = classes.get(classId);
     TenantSeries request = tenantSeries(series, classId, tenant);
@@ -299,12 +297,12 @@
     recorder.exit(ticket);
   }
 
-  /** A request was refused because the gateway is late; it is counted as turned away too. */
+  /** A request was refused because the gateway is late; it is counted as rejected too. */
   public void countLoadShed() {
     recorder.count(overload.slot(1));
   }
 
-  /** Takes a look at the module; {@code zones} names the zone of a server's number, or null. */
+  /** Takes a look at the router; {@code zones} names the zone of a server's number, or null. */
   public RouterStateVisitor stateVisitor(
       java.util.function.LongFunction<java.util.Optional<String>> zoneOf) {
     Map<Series, long[]> sums = new HashMap<>();
--- a/gateway/src/main/java/lemondock/gateway/answer/Answer.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/Answer.java
@@ -8,15 +8,15 @@
 import lemondock.gateway.engine.CompletionChunk;
 
 /**
- * The states of one client's answer, which is made of legs (each a read and a write) with tool
+ * The states of one client's answer, which is made of requests (each a read and a write) with tool
  * calls between them. It decides what an event leads to and does no I/O; {@link Actions} carries it
  * out.
  *
  * <p>Three promises rest on it. The answer ends once: every way out passes {@link #finishReason},
- * which closes all others. No call is relayed twice: calls are relayed when their leg is whole, and
- * a leg that breaks before relays none, while one that is whole is never asked for again. No token
- * comes twice or is missing: after a break the next leg is given what was delivered and goes on
- * behind it.
+ * which closes all others. No call is relayed twice: calls are relayed when their request is whole,
+ * and a request that breaks before relays none, while one that is whole is never asked for again.
+ * No token comes twice or is missing: after a break the next request is given what was delivered
+ * and goes on behind it.
  */
 public final class Answer {
   private final Actions actions;
@@ -38,7 +38,7 @@
 
   /** Where an answer stands. */
   public enum State {
-    /** A leg is under way. */
+    /** A request is in flight. */
     GENERATING,
     /** Calls were relayed and not all have their results. */
     AWAITING_TOOLS,
@@ -57,13 +57,13 @@
   /**
    * What an answer may take.
    *
-   * @param maxTokens tokens over all legs
-   * @param maxTurns legs that end in tool calls
+   * @param maxTokens tokens over all requests
+   * @param maxTurns requests that end in tool calls
    * @param maxToolCallsPerTurn tool calls of one turn
    * @param maxArgumentChars characters of all arguments of one turn
-   * @param maxResumptions legs begun anew after a break
-   * @param mayResume whether a broken leg may be begun anew at all: its class is safe to repeat and
-   *     streams resume
+   * @param maxResumptions requests begun anew after a break
+   * @param mayResume whether a broken request may be begun anew at all: its class is safe to repeat
+   *     and streams resume
    */
   public record Limits(
       int maxTokens,
@@ -94,7 +94,7 @@
   /** What an answer asks for. */
   public interface Actions {
     /**
-     * Begins a leg: the client's prompt, then the turns, then, if {@code partial} is not empty,
+     * Begins a request: the client's prompt, then the turns, then, if {@code partial} is not empty,
      * what was delivered of this turn, to be gone on with.
      */
     void startRequest(List<Turn> turns, String partial, int maxTokens, boolean resumed);
@@ -108,7 +108,7 @@
     /** Tells the client that a relayed call's result is not wanted any more. */
     void withdraw(ToolCall call, String why);
 
-    /** Ends the leg under way, if there is one. */
+    /** Ends the request in flight, if there is one. */
     void cancelRequest();
 
     /** The one end. */
@@ -127,7 +127,7 @@
     this.limits = limits;
   }
 
-  /** Asks for the first leg. */
+  /** Asks for the first request. */
   public void begin() {
     actions.startRequest(List.of(), "", limits.maxTokens(), false);
   }
@@ -144,9 +144,9 @@
         : relayedCalls.stream().filter(c -> !toolResults.containsKey(c.id())).toList();
   }
 
-  // ==== the leg
+  // ==== the request
 
-  /** A piece of the leg's stream. */
+  /** A piece of the request's stream. */
   public void onChunk(CompletionChunk chunk) {
     if (state != State.GENERATING) {
       return;
@@ -176,7 +176,7 @@
     }
   }
 
-  /** A piece of text and nothing else, as most of a stream is; false if no leg is under way. */
+  /** A piece of text and nothing else, as most of a stream is; false if no request is in flight. */
   public boolean onText(CharSequence piece, int completionTokens) {
     if (state == State.GENERATING) {
       deliver(piece, completionTokens);
@@ -196,7 +196,7 @@
     }
   }
 
-  /** The leg is whole: the answer ends, or its calls are relayed. */
+  /** The request is whole: the answer ends, or its calls are relayed. */
   public void onRequestCompleted() {
     if (state != State.GENERATING) {
       return;
@@ -259,8 +259,8 @@
   }
 
   /**
-   * The leg was turned away. Only the first leg's refusal is the client's: later ones follow tokens
-   * or calls.
+   * The request was rejected. Only the first request's refusal is the client's: later ones follow
+   * tokens or calls.
    */
   public void onRejected(long retryAfterMicros) {
     if (state == State.GENERATING) {
@@ -283,7 +283,7 @@
     }
   }
 
-  /** The leg was given up. */
+  /** The request was given up. */
   public void onFailed() {
     if (state == State.GENERATING) {
       fail("no server answered in time", false);
--- a/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
@@ -25,7 +25,7 @@
 
 /**
  * Reads the arguments of a call, checks them against the tool's published schema and counts tokens
- * with a tokenizer library. What it counts informs the module; it decides nothing. Safe for any
+ * with a tokenizer library. What it counts informs the router; it decides nothing. Safe for any
  * thread.
  */
 public final class PromptReader {
--- a/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
@@ -57,7 +57,7 @@
 
   @Override
   public void refresh() {
-    // a query is always under way or about to be repeated
+    // a query is always in flight or about to be repeated
   }
 
   @Override
--- a/gateway/src/main/java/lemondock/gateway/discovery/EndpointListCodec.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/EndpointListCodec.java
@@ -14,8 +14,8 @@
 import lemondock.policy.ServerLifecycle;
 
 /**
- * The two forms in which lists of servers are written: the project's file and Consul's health API.
- * No I/O.
+ * The two forms in which endpoint lists are written: the project's file and Consul's health API. No
+ * I/O.
  */
 public final class EndpointListCodec {
   private static final ObjectMapper MAPPER = new ObjectMapper();
--- a/gateway/src/main/java/lemondock/gateway/discovery/EndpointListSource.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/EndpointListSource.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import lemondock.dispatch.Endpoint;
 
-/** Where lists of servers come from; all its calls to the sink are made on the loop. */
+/** Where endpoint lists come from; all its calls to the sink are made on the loop. */
 public interface EndpointListSource {
   /** Begins to follow the list. */
   void start(Listener sink);
 
-  /** Asks for the whole list again, after the module wished it. */
+  /** Asks for the whole list again, after the router wished it. */
   void refresh();
 
   /** Stops following. */
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
@@ -23,8 +23,8 @@
 import lemondock.policy.AttemptOutcome;
 
 /**
- * The ledger's port to engines that speak the OpenAI API: carries reads, writes and aborts. Every
- * attempt ends exactly once, by an outcome or by a cancel.
+ * The dispatcher's port to engines that speak the OpenAI API: carries reads, writes and aborts.
+ * Every attempt ends exactly once, by an outcome or by a cancel.
  */
 public final class EngineClient implements EnginePort<ObjectNode, JsonNode, CompletionChunk> {
   private static final int MAX_ABORT_ATTEMPTS = 3;
@@ -111,15 +111,13 @@
     return writing;
   }
 
-  /** Lets go of a request and of what is kept for it; tried again if it cannot be said at once. */
+  /** Releases a request and what is kept for it; retried if it cannot be sent at once. */
   @Override
   public void release(Endpoint endpoint, String attemptId, ObjectNode prompt) {
     abort(endpoint.address(), attemptId, MAX_ABORT_ATTEMPTS);
   }
 
-  /**
-   * Each attempt has a name of its own here, so that what it may have left is let go of at once.
-   */
+  /** Each attempt has a name of its own here, so that what it may have left is released at once. */
   @Override
   public void releaseUncertain(Endpoint endpoint, String attemptId, ObjectNode prompt) {
     release(endpoint, attemptId, prompt);
@@ -189,7 +187,7 @@
   }
 
   /**
-   * A write under way. A stream that was begun and then stays silent is broken after the settings'
+   * A write in flight. A stream that was begun and then stays silent is broken after the settings'
    * time.
    */
   public final class Writing extends EngineCall<JsonNode, CompletionChunk> {
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineProtocol.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineProtocol.java
@@ -202,7 +202,7 @@
     }
   }
 
-  /** A response that is no success, as the module hears of it. */
+  /** A response that is no success, as the router hears of it. */
   public record ErrorReply(AttemptOutcome outcome, boolean stateMissing, String message) {}
 
   /**
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpHttpHandler.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpHttpHandler.java
@@ -81,7 +81,7 @@
         new PostResponder.Dependencies(loop, settings, calls, prompts, preparer, () -> stopping);
   }
 
-  /** Begins to let go of idle sessions. */
+  /** Begins to end idle sessions. */
   public void start() {
     loop.schedule(
         IDLE_SWEEP_INTERVAL_MICROS,
@@ -104,7 +104,7 @@
     draining = true;
   }
 
-  /** Takes no new sessions and calls from here on; those under way go on. */
+  /** Takes no new sessions and calls from here on; those in flight go on. */
   public void stopAccepting() {
     stopping = true;
   }
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpSession.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpSession.java
@@ -14,7 +14,7 @@
   final String id;
   final String version;
 
-  /** Calls under way by the JSON text of their ids, so that 1 and "1" differ. */
+  /** Calls in flight by the JSON text of their ids, so that 1 and "1" differ. */
   final Map<String, McpCall> calls = new HashMap<>();
 
   /** Relayed calls that wait for the client's response, by the id they were sent under. */
@@ -23,7 +23,7 @@
   final Map<Long, ResumableEventStream> streams = new HashMap<>();
 
   /**
-   * Ids cancelled while no call of theirs was under way, and when: a call may still wait to be
+   * Ids cancelled while no call of theirs was in flight, and when: a call may still wait to be
    * read.
    */
   private final LinkedHashMap<String, Long> earlyCancellations = new LinkedHashMap<>();
@@ -39,7 +39,7 @@
   record RelayedToolCall(CallService.Call call, String toolCallId) {}
 
   /**
-   * The client cancelled a call that is not under way: it has ended, never was, or its request
+   * The client cancelled a call that is not in flight: it has ended, never was, or its request
    * waits to be read.
    */
   void cancelledEarly(String key, long now) {
--- /dev/null
+++ b/gateway/src/main/java/lemondock/gateway/package-info.java
@@ -0,0 +1,6 @@
+/**
+ * The gateway on the project's own protocol, MCP over HTTP: its composition, life cycle and the
+ * resources of its process. {@link lemondock.gateway.Gateway} connects the packages below; all
+ * decisions are made on one loop thread.
+ */
+package lemondock.gateway;
--- a/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
@@ -42,7 +42,7 @@
 
   private static final double MICROS_PER_MILLI = 1_000;
 
-  /** The module ends a request this long before its deadline (microseconds). */
+  /** The router ends a request this long before its deadline (microseconds). */
   private static final long DEADLINE_RESOLUTION_MICROS = 2_000;
 
   /** The clients' side. */
@@ -76,7 +76,7 @@
       int maxEventBytes,
       String apiKey) {}
 
-  /** Where the list of servers comes from. */
+  /** Where the endpoint list comes from. */
   public record Discovery(
       String kind,
       String path,
@@ -243,7 +243,7 @@
       Detector detector,
       List<Destination> destinations) {}
 
-  /** The detector of falls; see {@code Cusum.Settings}. */
+  /** The detector of degradations; see {@code Cusum.Settings}. */
   public record Detector(
       double leastUsual,
       double mostUsual,
@@ -298,7 +298,7 @@
     return Math.round(millis * MICROS_PER_MILLI);
   }
 
-  /** What the module is told; it hears numbers where the settings have names. */
+  /** What the router is told; it hears numbers where the settings have names. */
   public RouterSettings toRouterSettings() {
     Map<String, ServerRole> roles =
         Map.of("reader", ServerRole.READER, "writer", ServerRole.WRITER, "mixed", ServerRole.MIXED);
