--- a/policy/src/main/java/lemondock/policy/ServerState.java
+++ b/policy/src/main/java/lemondock/policy/ServerState.java
@@ -18,7 +18,7 @@
   ServerEntry entry;
   ServerLifecycle lifecycle;
 
-  // ServerModel
+  // ServerModel; writeTokensInFlight: AdaptiveCapacityLimit
   final LinkedHashSet<Attempt> unansweredAttempts = new LinkedHashSet<>(); // in order of sending
   long readTokensInFlight;
   long writeTokensInFlight;
