--- a/cli/src/main/java/lemondock/cli/Lemondock.java
+++ b/cli/src/main/java/lemondock/cli/Lemondock.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.Callable;
 import lemondock.gateway.Gateway;
 import lemondock.platform.PlatformMain;
-import lemondock.simulator.WireHost;
+import lemondock.simulator.SimulatorAdapter;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
@@ -35,8 +35,6 @@
       Lemondock.SimulatorAdapterCommand.class
     })
 public final class Lemondock implements Callable<Integer> {
-  private static final String[] WIRE_HOST_ARGUMENTS = {"wirehost"};
-
   /** Tells the version. */
   static final class Version implements CommandLine.IVersionProvider {
     @Override
@@ -49,7 +47,7 @@
   public static void main(String[] args) throws IOException, InterruptedException {
     // These two start without the command line around them, as their callers start them.
     if (args.length == 1 && isCommand(args[0], "simulator-adapter", "wirehost")) {
-      WireHost.main(WIRE_HOST_ARGUMENTS);
+      SimulatorAdapter.main(args);
       return;
     }
     if (args.length > 0 && isCommand(args[0], "platform-gateway", "node")) {
@@ -116,7 +114,7 @@
   static final class SimulatorAdapterCommand implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
-      WireHost.main(WIRE_HOST_ARGUMENTS);
+      SimulatorAdapter.main(new String[] {"simulator-adapter"});
       return 0;
     }
   }
--- /dev/null
+++ b/simulator/src/main/java/lemondock/simulator/EndpointEntry.java
@@ -0,0 +1,44 @@
+package lemondock.simulator;
+
+import java.nio.ByteBuffer;
+import lemondock.policy.ServerEntry;
+import lemondock.policy.ServerLifecycle;
+
+/** The layout of one server in an endpoint list. */
+final class EndpointEntry {
+  static final int BYTES = 23;
+
+  private static final int SERVER_ID = 0;
+  private static final int ZONE = 4;
+  private static final int KIND = 6;
+  private static final int CELL = 8;
+  private static final int CONDITION = 10;
+  private static final int WEIGHT = 11;
+  private static final int STARTED_AT_MILLIS = 15;
+
+  private static final int CONDITION_DRAINING = 0;
+  private static final int CONDITION_READY = 2;
+  private static final int CONDITION_GONE = 3;
+
+  private EndpointEntry() {}
+
+  static ServerEntry read(EventFrame frame, ByteBuffer body, int offset) {
+    return new ServerEntry(
+        EventFrame.unsigned(body, offset + SERVER_ID),
+        EventFrame.unsignedShort(body, offset + ZONE),
+        EventFrame.unsignedShort(body, offset + KIND),
+        EventFrame.unsignedShort(body, offset + CELL),
+        lifecycle(frame, EventFrame.unsignedByte(body, offset + CONDITION)),
+        body.getFloat(offset + WEIGHT),
+        EventFrame.micros(body.getDouble(offset + STARTED_AT_MILLIS)));
+  }
+
+  private static ServerLifecycle lifecycle(EventFrame frame, int condition) {
+    return switch (condition) {
+      case CONDITION_READY -> ServerLifecycle.READY;
+      case CONDITION_DRAINING -> ServerLifecycle.DRAINING;
+      case CONDITION_GONE -> ServerLifecycle.GONE;
+      default -> throw frame.malformed("unknown server condition " + condition);
+    };
+  }
+}
--- /dev/null
+++ b/simulator/src/main/java/lemondock/simulator/EventRecord.java
@@ -0,0 +1,215 @@
+package lemondock.simulator;
+
+import java.nio.ByteBuffer;
+import java.util.List;
+import java.util.Optional;
+import lemondock.policy.AttemptOutcome;
+import lemondock.policy.AttemptResult;
+import lemondock.policy.EndpointListKind;
+import lemondock.policy.RoutingRequest;
+import lemondock.policy.ServerEntry;
+
+/**
+ * One record of a frame. Each method reads the fields of the kinds of event that have them; the
+ * constants are offsets from the start of the record, whose first byte is the event's code.
+ */
+final class EventRecord {
+  static final int BYTES = 64;
+
+  /** The field that most events begin with: an instance, a request or a timer. */
+  private static final int ID = 1;
+
+  private static final int FIRST_TOKEN_ATTEMPT = 9;
+  private static final int FIRST_TOKEN_SERVER = 11;
+  private static final int FIRST_TOKEN_TIME_MILLIS = 15;
+
+  private static final int RESULT_ENDS_REQUEST = 9;
+  private static final int RESULT_OUTCOME = 10;
+  private static final int RESULT_TIME_MILLIS = 12;
+  private static final int RESULT_ATTEMPT = 20;
+  private static final int RESULT_SERVER = 22;
+  private static final int RESULT_DETAIL = 26;
+
+  private static final int REQUEST_CLASS = 9;
+  private static final int REQUEST_TENANT = 11;
+  private static final int REQUEST_SESSION = 15;
+  private static final int REQUEST_TIMEOUT_MILLIS = 23;
+  private static final int REQUEST_WRITE_HINT_MILLIS = 31;
+  private static final int REQUEST_PREFIX = 39;
+  private static final int REQUEST_PROMPT_TOKENS = 47;
+  private static final int REQUEST_PREFIX_TOKENS = 51;
+  private static final int REQUEST_MAX_ANSWER_TOKENS = 55;
+  private static final int REQUEST_FLAGS = 59;
+
+  private static final int FLAG_HAS_WRITE_HINT = 1;
+  private static final int FLAG_CLIENT_RETRY = 2;
+  private static final int FLAG_RESUMED = 16;
+
+  private static final int LIST_KIND = 1;
+  private static final int LIST_NUMBER = 6;
+  private static final int LIST_CONTENT_NUMBER = 1;
+  private static final int LIST_CONTENT_START = 5;
+  private static final int LIST_CONTENT_COUNT = 9;
+
+  private static final int START_SEED = 1;
+  private static final int START_SETTINGS = 9;
+  private static final int START_SETTINGS_LENGTH = 13;
+
+  private static final int OUTCOME_PROMPT_READ = 102;
+
+  /** In the order of their codes. */
+  private static final List<AttemptOutcome> OUTCOMES =
+      List.of(
+          AttemptOutcome.OK,
+          AttemptOutcome.ERROR,
+          AttemptOutcome.REJECTED,
+          AttemptOutcome.TIMEOUT,
+          AttemptOutcome.CONNECT_FAILED,
+          AttemptOutcome.RESET,
+          AttemptOutcome.CANCELLED,
+          AttemptOutcome.ABANDONED_BEFORE_SEND);
+
+  /** The detail of a rejection for want of the request's state. */
+  private static final int DETAIL_STATE_MISSING = 1;
+
+  /** In the order of their codes. */
+  private static final List<EndpointListKind> LIST_KINDS =
+      List.of(
+          EndpointListKind.CHANGES,
+          EndpointListKind.FULL_LIST,
+          EndpointListKind.CACHED,
+          EndpointListKind.FAILED);
+
+  private final EventFrame frame;
+  private final ByteBuffer body;
+  private final int offset;
+
+  EventRecord(EventFrame frame, ByteBuffer body, int offset) {
+    this.frame = frame;
+    this.body = body;
+    this.offset = offset;
+  }
+
+  /** The code as it is on the wire. */
+  int wireCode() {
+    return unsignedByte(0);
+  }
+
+  Optional<EventCode> code() {
+    return EventCode.of(wireCode());
+  }
+
+  long instance() {
+    return unsigned(ID);
+  }
+
+  /** The request, or the timer, that the event is about. */
+  long id() {
+    return body.getLong(offset + ID);
+  }
+
+  int firstTokenAttempt() {
+    return unsignedShort(FIRST_TOKEN_ATTEMPT);
+  }
+
+  long firstTokenServer() {
+    return unsigned(FIRST_TOKEN_SERVER);
+  }
+
+  long timeToFirstTokenMicros() {
+    return micros(FIRST_TOKEN_TIME_MILLIS);
+  }
+
+  EndpointListKind listKind() {
+    int code = unsignedByte(LIST_KIND);
+    if (code >= LIST_KINDS.size()) {
+      throw frame.malformed("unknown kind of list " + code);
+    }
+    return LIST_KINDS.get(code);
+  }
+
+  /** The number of the endpoint list that an instance gets. */
+  int listNumber() {
+    return body.getInt(offset + LIST_NUMBER);
+  }
+
+  /** The number under which this record gives the content of an endpoint list. */
+  int listContentNumber() {
+    return body.getInt(offset + LIST_CONTENT_NUMBER);
+  }
+
+  List<ServerEntry> listContent() {
+    return frame.endpoints(unsigned(LIST_CONTENT_START), unsigned(LIST_CONTENT_COUNT));
+  }
+
+  long seed() {
+    return body.getLong(offset + START_SEED);
+  }
+
+  String settings() {
+    return frame.text(unsigned(START_SETTINGS), unsigned(START_SETTINGS_LENGTH));
+  }
+
+  RoutingRequest request() {
+    int flags = unsignedByte(REQUEST_FLAGS);
+    return new RoutingRequest(
+        id(),
+        unsignedShort(REQUEST_CLASS),
+        body.getInt(offset + REQUEST_TENANT),
+        body.getLong(offset + REQUEST_SESSION),
+        body.getLong(offset + REQUEST_PREFIX),
+        tokens(REQUEST_PROMPT_TOKENS),
+        tokens(REQUEST_PREFIX_TOKENS),
+        tokens(REQUEST_MAX_ANSWER_TOKENS),
+        micros(REQUEST_TIMEOUT_MILLIS),
+        (flags & FLAG_HAS_WRITE_HINT) != 0 ? micros(REQUEST_WRITE_HINT_MILLIS) : 0,
+        (flags & FLAG_CLIENT_RETRY) != 0,
+        (flags & FLAG_RESUMED) != 0);
+  }
+
+  AttemptResult attemptResult() {
+    AttemptOutcome outcome = outcome();
+    boolean hasCachedTokens = outcome == AttemptOutcome.PROMPT_READ || outcome == AttemptOutcome.OK;
+    int detail = body.getInt(offset + RESULT_DETAIL);
+    return new AttemptResult(
+        id(),
+        unsignedShort(RESULT_ATTEMPT),
+        unsigned(RESULT_SERVER),
+        outcome,
+        micros(RESULT_TIME_MILLIS),
+        unsignedByte(RESULT_ENDS_REQUEST) != 0,
+        hasCachedTokens ? detail : 0,
+        outcome == AttemptOutcome.REJECTED && detail == DETAIL_STATE_MISSING);
+  }
+
+  private AttemptOutcome outcome() {
+    int code = unsignedShort(RESULT_OUTCOME);
+    if (code == OUTCOME_PROMPT_READ) {
+      return AttemptOutcome.PROMPT_READ;
+    }
+    if (code >= OUTCOMES.size()) {
+      throw frame.malformed("unknown outcome " + code);
+    }
+    return OUTCOMES.get(code);
+  }
+
+  private int unsignedByte(int field) {
+    return EventFrame.unsignedByte(body, offset + field);
+  }
+
+  private int unsignedShort(int field) {
+    return EventFrame.unsignedShort(body, offset + field);
+  }
+
+  private long unsigned(int field) {
+    return EventFrame.unsigned(body, offset + field);
+  }
+
+  private int tokens(int field) {
+    return Math.round(body.getFloat(offset + field));
+  }
+
+  private long micros(int field) {
+    return EventFrame.micros(body.getDouble(offset + field));
+  }
+}
--- a/simulator/src/main/java/lemondock/simulator/Reply.java
+++ b/simulator/src/main/java/lemondock/simulator/ReplyFrame.java
@@ -7,22 +7,22 @@
 import lemondock.policy.RouterHost;
 
 /** Collects the actions of one batch and lays them out as a reply frame. */
-final class Reply {
+final class ReplyFrame {
   private static final int ACTION_BYTES = 24;
   private static final int HEADER_BYTES = 8;
 
-  /** Action codes of the wire. */
-  private static final int FORWARD = 10;
+  // Codes of the actions; behind each the wire's own word.
+  private static final int SEND = 10; // forward
 
-  private static final int NOT_NOW = 20;
-  private static final int FAIL = 30;
-  private static final int CALL_OFF = 40;
-  private static final int SET_ALARM = 50;
-  private static final int WRITE_LOG = 90;
-  private static final int BROKEN = 100;
-  private static final int KEEP_INFORMED = 110;
-  private static final int DROP_STATE = 150;
-  private static final int ON_BEHALF = 160;
+  private static final int REJECT = 20; // not_now
+  private static final int FAIL = 30; // fail
+  private static final int CANCEL = 40; // call_off
+  private static final int SET_TIMER = 50; // set_alarm
+  private static final int LOG = 90; // write_log
+  private static final int REPORT_FAILURE = 100; // broken
+  private static final int WATCH_ENDPOINTS = 110; // keep_informed
+  private static final int RELEASE_STATE = 150; // drop_state
+  private static final int SELECT_INSTANCE = 160; // on_behalf
 
   private final ByteArrayOutputStream records = new ByteArrayOutputStream();
   private final ByteArrayOutputStream tail = new ByteArrayOutputStream();
@@ -34,11 +34,13 @@
     return new InstanceHost(instance);
   }
 
+  /** Says that the router of an instance threw an exception. */
   void reportFailure(long instance, String text) {
-    addText(instance, BROKEN, text);
+    addText(instance, REPORT_FAILURE, text);
   }
 
-  byte[] frame() {
+  /** The bytes of the frame; the next frame is begun. */
+  byte[] takeBytes() {
     ByteBuffer frame =
         ByteBuffer.allocate(HEADER_BYTES + records.size() + tail.size())
             .order(ByteOrder.LITTLE_ENDIAN);
@@ -54,7 +56,7 @@
   private ByteBuffer action(long instance, int code) {
     if (currentInstance != instance) {
       currentInstance = instance;
-      addRecord(record(ON_BEHALF).putInt((int) instance));
+      addRecord(record(SELECT_INSTANCE).putInt((int) instance));
     }
     return record(code);
   }
@@ -75,7 +77,7 @@
   }
 
   private static double millis(long micros) {
-    return micros / WireHost.MICROS_PER_MILLI;
+    return micros / EventFrame.MICROS_PER_MILLI;
   }
 
   private final class InstanceHost implements RouterHost {
@@ -86,17 +88,17 @@
     }
 
     @Override
-    public void send(long requestId, long serverId, long timeout) {
+    public void send(long requestId, long serverId, long timeoutMicros) {
       addRecord(
-          action(instance, FORWARD)
+          action(instance, SEND)
               .putLong(requestId)
               .putInt((int) serverId)
-              .putDouble(millis(timeout)));
+              .putDouble(millis(timeoutMicros)));
     }
 
     @Override
-    public void reject(long requestId, long retryAfter) {
-      addRecord(action(instance, NOT_NOW).putLong(requestId).putDouble(millis(retryAfter)));
+    public void reject(long requestId, long retryAfterMicros) {
+      addRecord(action(instance, REJECT).putLong(requestId).putDouble(millis(retryAfterMicros)));
     }
 
     @Override
@@ -106,27 +108,27 @@
 
     @Override
     public void cancel(long requestId, int attempt) {
-      addRecord(action(instance, CALL_OFF).putLong(requestId).putShort((short) attempt));
+      addRecord(action(instance, CANCEL).putLong(requestId).putShort((short) attempt));
     }
 
     @Override
     public void releaseState(long requestId) {
-      addRecord(action(instance, DROP_STATE).putLong(requestId));
+      addRecord(action(instance, RELEASE_STATE).putLong(requestId));
     }
 
     @Override
-    public void setTimer(long token, long delay) {
-      addRecord(action(instance, SET_ALARM).putLong(token).putDouble(millis(delay)));
+    public void setTimer(long token, long delayMicros) {
+      addRecord(action(instance, SET_TIMER).putLong(token).putDouble(millis(delayMicros)));
     }
 
     @Override
     public void watchEndpoints() {
-      addRecord(action(instance, KEEP_INFORMED).put((byte) 1));
+      addRecord(action(instance, WATCH_ENDPOINTS).put((byte) 1));
     }
 
     @Override
     public void log(String line) {
-      addText(instance, WRITE_LOG, line);
+      addText(instance, LOG, line);
     }
   }
 }
--- a/simulator/src/main/java/lemondock/simulator/SettingsText.java
+++ b/simulator/src/main/java/lemondock/simulator/SettingsText.java
@@ -96,7 +96,8 @@
               deduplicationScope(prefix + "group"),
               micros(prefix + "repeat-window-ms"),
               Math.round(
-                  item(tokenIntervals, i, "specifics.token-aim-ms") * WireHost.MICROS_PER_MILLI)));
+                  item(tokenIntervals, i, "specifics.token-aim-ms")
+                      * EventFrame.MICROS_PER_MILLI)));
     }
     return List.copyOf(classes);
   }
@@ -186,7 +187,7 @@
   }
 
   private long micros(String name) {
-    return Math.round(number(name) * WireHost.MICROS_PER_MILLI);
+    return Math.round(number(name) * EventFrame.MICROS_PER_MILLI);
   }
 
   private int count(String name) {
--- a/simulator/src/main/java/lemondock/simulator/package-info.java
+++ b/simulator/src/main/java/lemondock/simulator/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The adapter that runs the routing decisions on a simulator's wire: {@code WireHost} reads frames
- * of events from standard input and hands each event to its instance of {@link
+ * The adapter that runs the routing decisions on a simulator's wire: {@code SimulatorAdapter} reads
+ * frames of events from standard input and hands each event to its instance of {@link
  * lemondock.policy.Control}, {@code Reply} lays the actions out as the frame that answers. Frames
  * are little-endian; their times are milliseconds, those of the routing decisions microseconds.
  *
--- a/simulator/src/test/java/lemondock/simulator/WireHostTest.java
+++ b/simulator/src/test/java/lemondock/simulator/SimulatorAdapterTest.java
@@ -18,8 +18,8 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** The adapter on bytes made here. */
-class WireHostTest {
+/** Frames in, frames out: the adapter on hand-made bytes. */
+class SimulatorAdapterTest {
   private static final String SETTINGS =
       """
       me=0
@@ -37,18 +37,35 @@
       some.new.key=whatever
       """;
 
+  private static final int EVENT_BYTES = 64;
+  private static final int ACTION_BYTES = 24;
+  private static final int REPLY_HEADER_BYTES = 8;
+
+  // Codes of the wire, written out here: the test is not to share the adapter's mistakes.
+  private static final int SELECT_INSTANCE = 30;
+  private static final int ENDPOINTS_CHANGED = 50;
+  private static final int INSTANCE_STOPPED = 70;
+  private static final int UNKNOWN = 77;
+  private static final int ENDPOINT_LIST = 80;
+  private static final int TIMER_FIRED = 90;
+  private static final int INSTANCE_STARTED = 120;
+  private static final int REQUEST_ARRIVED = 130;
+  private static final byte ACTION_SEND = 10;
+  private static final byte ACTION_SELECT_INSTANCE = (byte) 160;
+
   private final List<byte[]> records = new ArrayList<>();
   private final ByteArrayOutputStream tail = new ByteArrayOutputStream();
 
-  private WireHostTest record(int code, Consumer<ByteBuffer> fields) {
-    ByteBuffer record = ByteBuffer.allocate(64).order(ByteOrder.LITTLE_ENDIAN).put((byte) code);
+  private SimulatorAdapterTest record(int code, Consumer<ByteBuffer> fields) {
+    ByteBuffer record =
+        ByteBuffer.allocate(EVENT_BYTES).order(ByteOrder.LITTLE_ENDIAN).put((byte) code);
     fields.accept(record);
     records.add(record.array());
     return this;
   }
 
   private byte[] frame(double clock) {
-    int size = records.size() * 64 + tail.size();
+    int size = records.size() * EVENT_BYTES + tail.size();
     ByteBuffer frame = ByteBuffer.allocate(16 + size).order(ByteOrder.LITTLE_ENDIAN);
     frame.putInt(size).putInt(records.size()).putDouble(clock);
     records.forEach(frame::put);
@@ -58,16 +75,16 @@
     return frame.array();
   }
 
-  private WireHostTest init(String settings) {
+  private SimulatorAdapterTest init(String settings) {
     byte[] text = settings.getBytes(StandardCharsets.UTF_8);
-    record(30, b -> b.putInt(3));
-    record(120, b -> b.putLong(99).putInt(tail.size()).putInt(text.length));
+    record(SELECT_INSTANCE, b -> b.putInt(3));
+    record(INSTANCE_STARTED, b -> b.putLong(99).putInt(tail.size()).putInt(text.length));
     tail.writeBytes(text);
     return this;
   }
 
-  private WireHostTest servers(int... kinds) {
-    record(80, b -> b.putInt(0).putInt(tail.size()).putInt(kinds.length));
+  private SimulatorAdapterTest servers(int... kinds) {
+    record(ENDPOINT_LIST, b -> b.putInt(0).putInt(tail.size()).putInt(kinds.length));
     for (int i = 0; i < kinds.length; i++) {
       tail.writeBytes(
           ByteBuffer.allocate(23)
@@ -81,12 +98,12 @@
               .putDouble(0)
               .array());
     }
-    return record(50, b -> b.put((byte) 2).putInt(1).putInt(0));
+    return record(ENDPOINTS_CHANGED, b -> b.put((byte) 2).putInt(1).putInt(0));
   }
 
-  private WireHostTest request(long id) {
+  private SimulatorAdapterTest request(long id) {
     return record(
-        130,
+        REQUEST_ARRIVED,
         b ->
             b.putLong(id)
                 .putShort((short) 0)
@@ -105,75 +122,85 @@
     ByteArrayOutputStream in = new ByteArrayOutputStream();
     Arrays.stream(frames).forEach(in::writeBytes);
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    new WireHost().run(new ByteArrayInputStream(in.toByteArray()), out);
+    new SimulatorAdapter().run(new ByteArrayInputStream(in.toByteArray()), out);
     return out.toByteArray();
   }
 
-  private static String refusal(byte[]... frames) {
+  private static String errorOf(byte[]... frames) {
     return assertThrows(MalformedInputException.class, () -> play(frames)).getMessage();
   }
 
   @Test
   void anEmptyBatchGetsAnEmptyReply() throws IOException {
     assertArrayEquals(
-        new byte[8], play(HexFormat.of().parseHex("00000000" + "00000000" + "00000000206ec040")));
+        new byte[REPLY_HEADER_BYTES],
+        play(HexFormat.of().parseHex("00000000" + "00000000" + "00000000206ec040")));
   }
 
   @Test
   void aRequestIsSentToTheReader() throws IOException {
     byte[] out = play(init(SETTINGS).servers(0, 1).request(77).frame(1000));
     ByteBuffer reply = ByteBuffer.wrap(out).order(ByteOrder.LITTLE_ENDIAN);
-    assertEquals(out.length - 8, reply.getInt());
+    assertEquals(out.length - REPLY_HEADER_BYTES, reply.getInt());
     int count = reply.getInt();
-    assertEquals((byte) 160, reply.get(8));
-    assertEquals(3, reply.getInt(9));
+    assertEquals(ACTION_SELECT_INSTANCE, reply.get(REPLY_HEADER_BYTES));
+    assertEquals(3, reply.getInt(REPLY_HEADER_BYTES + 1));
     boolean sent = false;
     for (int i = 0; i < count; i++) {
-      int at = 8 + i * 24;
-      sent |= reply.get(at) == 10 && reply.getLong(at + 1) == 77 && reply.getInt(at + 9) == 100;
+      int offset = REPLY_HEADER_BYTES + i * ACTION_BYTES;
+      sent |=
+          reply.get(offset) == ACTION_SEND
+              && reply.getLong(offset + 1) == 77
+              && reply.getInt(offset + 9) == 100;
     }
     assertTrue(sent);
   }
 
   @Test
-  void instancesStartAndStop() throws IOException {
+  void anInstanceCanBeStoppedAndStartedAgain() throws IOException {
     byte[] first = init(SETTINGS).servers(0, 1).frame(1000);
     byte[] second =
-        record(30, b -> b.putInt(3)).record(70, b -> {}).init(SETTINGS).servers(0, 1).frame(1002);
+        record(SELECT_INSTANCE, b -> b.putInt(3))
+            .record(INSTANCE_STOPPED, b -> {})
+            .init(SETTINGS)
+            .servers(0, 1)
+            .frame(1002);
     assertTrue(play(first, second).length > 16);
   }
 
   @Test
-  void malformedFramesAreNamed() {
-    assertTrue(refusal(new byte[7]).contains("within the header"));
-    assertTrue(refusal(Arrays.copyOf(init(SETTINGS).frame(1), 40)).contains("input ends after"));
+  void theErrorOfAMalformedFrameNamesTheProblem() {
+    assertTrue(errorOf(new byte[7]).contains("within the header"));
+    assertTrue(errorOf(Arrays.copyOf(init(SETTINGS).frame(1), 40)).contains("input ends after"));
     byte[] wrong = init(SETTINGS).frame(1);
     wrong[4] = 99;
-    assertTrue(refusal(wrong).contains("do not fit"));
+    assertTrue(errorOf(wrong).contains("do not fit"));
     assertTrue(
-        refusal(init(SETTINGS).record(77, b -> {}).frame(1)).contains("unknown event code 77"));
-    assertTrue(refusal(record(90, b -> {}).frame(1)).contains("before any 'to'"));
+        errorOf(init(SETTINGS).record(UNKNOWN, b -> {}).frame(1))
+            .contains("unknown event code 77"));
+    assertTrue(errorOf(record(TIMER_FIRED, b -> {}).frame(1)).contains("before any 'to'"));
     assertTrue(
-        refusal(record(30, b -> b.putInt(1)).record(90, b -> {}).frame(1)).contains("not started"));
+        errorOf(record(SELECT_INSTANCE, b -> b.putInt(1)).record(TIMER_FIRED, b -> {}).frame(1))
+            .contains("not started"));
     assertTrue(
-        refusal(record(80, b -> b.putInt(0).putInt(0).putInt(5)).frame(1))
+        errorOf(record(ENDPOINT_LIST, b -> b.putInt(0).putInt(0).putInt(5)).frame(1))
             .contains("past the end"));
   }
 
   @Test
-  void malformedSettingsAreNamed() {
-    assertTrue(refusal(init(SETTINGS.replace("1200.0", "soon")).frame(1)).contains("goal-time-ms"));
-    assertTrue(refusal(init(SETTINGS.replace("repeatable", "maybe")).frame(1)).contains("maybe"));
+  void theErrorOfMalformedSettingsNamesTheSetting() {
+    assertTrue(errorOf(init(SETTINGS.replace("1200.0", "soon")).frame(1)).contains("goal-time-ms"));
+    assertTrue(errorOf(init(SETTINGS.replace("repeatable", "maybe")).frame(1)).contains("maybe"));
     assertTrue(
-        refusal(init(SETTINGS.replace("read,write", "read,think")).frame(1)).contains("think"));
-    assertTrue(refusal(init("nonsense\n").frame(1)).contains("nonsense"));
+        errorOf(init(SETTINGS.replace("read,write", "read,think")).frame(1)).contains("think"));
+    assertTrue(errorOf(init("nonsense\n").frame(1)).contains("nonsense"));
     assertTrue(
-        refusal(init(SETTINGS.replace("max-attempts=4", "max-attempts=0")).frame(1))
+        errorOf(init(SETTINGS.replace("max-attempts=4", "max-attempts=0")).frame(1))
             .contains("attempt"));
   }
 
   @Test
-  void anExceptionInTheModuleBecomesBroken() throws IOException {
+  void anExceptionOfTheRouterIsReportedAsFailure() throws IOException {
     byte[] out = play(init(SETTINGS).servers(0, 9).frame(1000));
     assertTrue(new String(out, StandardCharsets.ISO_8859_1).contains("unknown kind"));
   }
