--- a/benchmark/src/main/java/lemondock/benchmark/BenchmarkMain.java
+++ b/benchmark/src/main/java/lemondock/benchmark/BenchmarkMain.java
@@ -66,7 +66,7 @@
         }
         default ->
             System.err.println(
-                "usage: measure"
+                "usage: benchmark"
                     + " [all|latency|relay|open|overload|recovery|threads|fair"
                     + "|quiet|waiting|ledger|affinity|toolcall"
                     + "|decisions|recording|reports|reporting|detector"
--- a/cli/src/main/java/lemondock/cli/DemoCommand.java
+++ b/cli/src/main/java/lemondock/cli/DemoCommand.java
@@ -15,7 +15,7 @@
 @Command(
     name = "demo",
     mixinStandardHelpOptions = true,
-    description = "Runs two gateways, a catalogue and stand-in engines in two zones on loopback.")
+    description = "Runs two gateways, a catalogue and emulated engines in two zones on loopback.")
 final class DemoCommand implements Callable<Integer> {
   private static final String[] ZONES = {"north", "south"};
 
