--- a/dispatch/src/main/java/lemondock/dispatch/AttemptMetrics.java
+++ b/dispatch/src/main/java/lemondock/dispatch/AttemptMetrics.java
@@ -46,7 +46,7 @@
           long id, ServerRole role, ServerLifecycle standing, boolean cold, boolean healthy) {}
 
       @Override
-      public void totals(int parked, long tokensUnderWay, long room) {}
+      public void totals(int queued, long tokensInFlight, long capacityTokens) {}
     };
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
@@ -324,11 +324,11 @@
       }
 
       @Override
-      public void totals(int parked, long tokensUnderWay, long room) {
+      public void totals(int queued, long tokensInFlight, long capacityTokens) {
         final long ticket = recorder.enter();
-        recorder.set(module.slot(0), parked);
-        recorder.set(module.slot(1), tokensUnderWay);
-        recorder.set(module.slot(2), room);
+        recorder.set(module.slot(0), queued);
+        recorder.set(module.slot(1), tokensInFlight);
+        recorder.set(module.slot(2), capacityTokens);
         sums.forEach(
             (s, sum) -> {
               for (int i = 0; i < sum.length; i++) {
--- a/metrics/src/main/java/lemondock/metrics/Metrics.java
+++ b/metrics/src/main/java/lemondock/metrics/Metrics.java
@@ -155,7 +155,7 @@
           gauge("tokens_under_way", "1", "tokens of prompts and answers under way"),
           gauge("room", "1", "tokens that the module lets be under way"));
 
-  /** Servers as the module sees them. */
+  /** Servers as the router sees them. */
   public static final Family SERVERS =
       Family.values(
           "servers",
--- a/policy/src/main/java/lemondock/policy/RequestCompletion.java
+++ b/policy/src/main/java/lemondock/policy/RequestCompletion.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /**
- * Ends requests. Guards rule 1: each request gets exactly one final answer from the module, unless
+ * Ends requests. Guards rule 1: each request gets exactly one final answer from the router, unless
  * its stream or its client ended it first; and a rejection, which invites the client to try again,
  * only where that is harmless.
  */
--- a/policy/src/main/java/lemondock/policy/RequestTimer.java
+++ b/policy/src/main/java/lemondock/policy/RequestTimer.java
@@ -1,7 +1,7 @@
 package lemondock.policy;
 
 /**
- * The kinds of timer that the module sets. The host's timers carry one number, the token, which
+ * The kinds of timer that the router sets. The host's timers carry one number, the token, which
  * holds the kind and the request; request 0 stands for timers that belong to no request.
  */
 enum RequestTimer {
--- a/policy/src/main/java/lemondock/policy/RouterHost.java
+++ b/policy/src/main/java/lemondock/policy/RouterHost.java
@@ -32,7 +32,7 @@
   void log(String line);
 
   /**
-   * Why the module did what it did with a request, for whoever traces that request; never built per
+   * Why the router did what it did with a request, for whoever traces that request; never built per
    * request.
    */
   default void trace(long requestId, DecisionReason reason) {}
--- a/policy/src/main/java/lemondock/policy/SettingsCheck.java
+++ b/policy/src/main/java/lemondock/policy/SettingsCheck.java
@@ -1,6 +1,6 @@
 package lemondock.policy;
 
-/** Checks that the settings given to the module do not contradict each other. */
+/** Checks that the settings given to the router do not contradict each other. */
 final class SettingsCheck {
   private SettingsCheck() {}
 
