--- a/benchmark/src/main/java/lemondock/benchmark/AffinityBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/AffinityBenchmark.java
@@ -121,12 +121,12 @@
   }
 
   private static List<Long> run(boolean anew, AtomicLongArray kept) throws Exception {
-    int port = LoopbackSettings.freePort();
     GatewaySettings[] settings = new GatewaySettings[1];
     List<GatewaySettings.ClassSettings> classes =
-        LoopbackSettings.gateway("x", 0, 1, "north", port, "127.0.0.1:1", s -> change(s)).classes();
+        LoopbackSettings.gateway("x", 0, 1, "north", 1, "127.0.0.1:1", s -> change(s)).classes();
     try (ScenarioFleet fleet = new ScenarioFleet(classes, 1);
         EmulatedProcess clients = new EmulatedProcess("clients", 1)) {
+      int port = fleet.reservePort();
       for (int i = 0; i < READERS; i++) {
         EngineSettings reader = EngineSettings.quick("r" + i, "reader", "north", "r1");
         fleet.addEngine(
--- a/benchmark/src/main/java/lemondock/benchmark/BenchmarkMain.java
+++ b/benchmark/src/main/java/lemondock/benchmark/BenchmarkMain.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import lemondock.emulator.collect.CollectdListener;
 import lemondock.emulator.collect.GraphiteListener;
-import lemondock.scenario.LoopbackSettings;
+import lemondock.net.nio.LoopbackPort;
 import org.HdrHistogram.Histogram;
 import org.slf4j.LoggerFactory;
 
@@ -253,8 +253,9 @@
         GraphiteListener pickle = new GraphiteListener(0, true, GraphiteListener.Fault.NONE);
         GraphiteListener stalled =
             new GraphiteListener(0, false, GraphiteListener.Fault.NEVER_READS);
-        CollectdListener udp = new CollectdListener(0, Map.of(), 1)) {
-      int nobody = LoopbackSettings.freePort();
+        CollectdListener udp = new CollectdListener(0, Map.of(), 1);
+        LoopbackPort unused = LoopbackPort.reserve()) {
+      int nobody = unused.number();
       Map<String, String> kinds = new LinkedHashMap<>();
       kinds.put("off", "{\"tickMs\":10,\"intervalMs\":10}");
       kinds.put("healthy", destinations(good.port(), pickle.port(), udp.port()));
--- a/benchmark/src/main/java/lemondock/benchmark/ToolCallBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ToolCallBenchmark.java
@@ -41,12 +41,12 @@
 
   static void measure() throws Exception {
     int rounds = Integer.getInteger("rounds", 5);
-    int port = LoopbackSettings.freePort();
     List<GatewaySettings.ClassSettings> classes =
-        LoopbackSettings.gateway("x", 0, 1, "north", port, "127.0.0.1:1", s -> {}).classes();
+        LoopbackSettings.gateway("x", 0, 1, "north", 1, "127.0.0.1:1", s -> {}).classes();
     double[][][] rows = new double[2][2][rounds];
     try (ScenarioFleet fleet = new ScenarioFleet(classes, 1);
         EmulatedProcess clients = new EmulatedProcess("clients", 1)) {
+      int port = fleet.reservePort();
       fleet.addEngine(EngineSettings.quick("m", "mixed", "north", "r1"));
       fleet.addGateway(
           LoopbackSettings.gateway(
--- a/cli/src/main/java/lemondock/cli/DemoCommand.java
+++ b/cli/src/main/java/lemondock/cli/DemoCommand.java
@@ -67,8 +67,8 @@
           EngineSettings.quick(zone + "-writer-2", "writer", zone, "r2").paced(5, 5, 20));
     }
     fleet.addEngine(EngineSettings.quick("north-mixed-1", "mixed", "north", "r1").paced(5, 5, 20));
-    int first = port == 0 ? LoopbackSettings.freePort() : port;
-    int second = LoopbackSettings.freePort();
+    int first = port == 0 ? fleet.reservePort() : port;
+    int second = fleet.reservePort();
     for (int i = 0; i < ZONES.length; i++) {
       fleet.addGateway(
           LoopbackSettings.gateway(
@@ -78,7 +78,7 @@
               ZONES[i],
               i == 0 ? first : second,
               fleet.catalogueAddress(),
-              this::reporting),
+              settings -> addReporting(settings, fleet.reservePort())),
           Gateway.DEFAULT_ROUTER_FACTORY);
     }
     for (String gateway : fleet.gateways()) {
@@ -105,11 +105,11 @@
     return 0;
   }
 
-  private void reporting(ObjectNode settings) {
+  private void addReporting(ObjectNode settings, int statusPort) {
     ObjectNode reporting =
         settings
             .putObject("reporting")
-            .put("listen", "127.0.0.1:" + LoopbackSettings.freePort())
+            .put("listen", "127.0.0.1:" + statusPort)
             .put("intervalMs", 1000);
     if (report != null) {
       reporting
--- a/cli/src/test/java/lemondock/cli/LauncherTest.java
+++ b/cli/src/test/java/lemondock/cli/LauncherTest.java
@@ -9,7 +9,6 @@
 import java.io.IOException;
 import java.io.InputStreamReader;
 import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -17,6 +16,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import lemondock.net.nio.LoopbackPort;
+import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -41,8 +42,13 @@
 
   @TempDir private Path folder;
 
+  private final LoopbackPort port = LoopbackPort.reserve();
   private String said = "";
-  private int port;
+
+  @AfterEach
+  void releasePort() {
+    port.close();
+  }
 
   /** The same JSON, each bracket, comma and colon on a line of its own or beside blanks. */
   private static String indented(String json) {
@@ -67,12 +73,9 @@
       Files.createSymbolicLink(
           programs.resolve("java"), Path.of(System.getProperty("java.home"), "bin", "java"));
     }
-    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      port = free.getLocalPort();
-    }
     Path config =
         Files.writeString(
-            folder.resolve("config.json"), json.formatted("127.0.0.1:" + port, memory));
+            folder.resolve("config.json"), json.formatted("127.0.0.1:" + port.number(), memory));
     ProcessBuilder builder =
         new ProcessBuilder("/bin/sh", "-c", before + run)
             .directory(Path.of("..").toFile())
@@ -147,7 +150,7 @@
         assertTrue(process.isAlive(), line);
       }
       for (int i = 0; i < 150; i++) {
-        idle.add(new Socket(InetAddress.getLoopbackAddress(), port));
+        idle.add(new Socket(InetAddress.getLoopbackAddress(), port.number()));
       }
       Thread.sleep(300); // past the moment in which descriptors ran out
       long before =
@@ -162,7 +165,7 @@
       for (Socket each : idle) {
         each.close();
       }
-      try (Socket asks = new Socket(InetAddress.getLoopbackAddress(), port)) {
+      try (Socket asks = new Socket(InetAddress.getLoopbackAddress(), port.number())) {
         asks.setSoTimeout(10_000);
         asks.getOutputStream()
             .write("GET /healthz HTTP/1.1\r\nhost: h\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
--- a/cli/src/test/java/lemondock/cli/ProgramTest.java
+++ b/cli/src/test/java/lemondock/cli/ProgramTest.java
@@ -29,7 +29,7 @@
 import lemondock.emulator.collect.CollectdListener;
 import lemondock.emulator.collect.GraphiteListener;
 import lemondock.emulator.collect.ReceivedReports;
-import lemondock.scenario.LoopbackSettings;
+import lemondock.net.nio.LoopbackPort;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import reactor.core.publisher.Mono;
@@ -313,8 +313,13 @@
    */
   @Test
   void processesOfTheirOwnAndASignalThatDrains() throws Exception {
-    int cataloguePort = LoopbackSettings.freePort();
-    int gatewayPort = LoopbackSettings.freePort();
+    try (LoopbackPort cataloguePort = LoopbackPort.reserve();
+        LoopbackPort gatewayPort = LoopbackPort.reserve()) {
+      drainOnSignal(cataloguePort.number(), gatewayPort.number());
+    }
+  }
+
+  private void drainOnSignal(int cataloguePort, int gatewayPort) throws Exception {
     Files.writeString(folder.resolve("c.json"), "{\"listen\":\"127.0.0.1:" + cataloguePort + "\"}");
     Files.writeString(
         folder.resolve("s.json"),
--- a/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
+++ b/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
@@ -62,11 +62,11 @@
               0,
               1,
               "north",
-              LoopbackSettings.freePort(),
+              fleet.reservePort(),
               fleet.catalogueAddress(),
               s ->
                   s.putObject("reporting")
-                      .put("listen", "127.0.0.1:" + LoopbackSettings.freePort())
+                      .put("listen", "127.0.0.1:" + fleet.reservePort())
                       .put("tickMs", 20)
                       .put("intervalMs", 20)
                       .put("tallyFile", file.toString())),
@@ -78,9 +78,9 @@
         Thread.onSpinWait(); // the first looks may be a moment away
       }
       assertTrue(out.contains("no fall of service is seen") && out.contains("gw-"), out);
-      assertEquals(0, run("status", address, "127.0.0.1:" + LoopbackSettings.freePort()));
+      assertEquals(0, run("status", address, "127.0.0.1:" + fleet.reservePort()));
       assertTrue(out.startsWith("NO ANSWER"), out);
-      assertEquals(2, run("status", "127.0.0.1:" + LoopbackSettings.freePort()));
+      assertEquals(2, run("status", "127.0.0.1:" + fleet.reservePort()));
       assertEquals(0, run("metrics", "dump", address));
       JsonNode tally = new ObjectMapper().readTree(out);
       assertEquals(false, tally.get("final").booleanValue());
--- a/faultinjection/src/main/java/lemondock/faultinjection/GatewayProcess.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/GatewayProcess.java
@@ -2,17 +2,13 @@
 
 import java.io.IOException;
 import java.io.InputStream;
-import java.net.BindException;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.util.Optional;
-import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
+import lemondock.net.nio.LoopbackPort;
 
 /**
  * One gateway: real processes of {@code bin/lemondock-platform}, one after another at one address,
@@ -23,17 +19,12 @@
   private static final int LOOK_MILLIS = 20;
   private static final long ARRIVALS_AFTER_TERM = 350 * MonotonicClock.MILLI;
 
-  /** Below the ports that the system gives to connections. */
-  private static final int LOWEST_PORT = 10_000;
-
-  private static final int PORTS = 20_000;
-
   final String name;
   private final Path project;
   private final Path folder;
   private final RunRecord truth;
   private final Optional<FaultShim> shim;
-  private final int port;
+  private final LoopbackPort port = LoopbackPort.reserve();
   private int lives;
   private volatile Process process;
   private volatile RunRecord.Life life;
@@ -45,22 +36,10 @@
     this.folder = folder;
     this.shim = shim;
     this.truth = truth;
-    this.port = freePort();
-  }
-
-  private static int freePort() throws IOException {
-    while (true) {
-      int candidate = LOWEST_PORT + ThreadLocalRandom.current().nextInt(PORTS);
-      try (ServerSocket free = new ServerSocket(candidate, 1, InetAddress.getByName("127.0.0.1"))) {
-        return free.getLocalPort();
-      } catch (BindException e) {
-        // taken: try another
-      }
-    }
   }
 
   int port() {
-    return port;
+    return port.number();
   }
 
   Optional<FaultShim> shim() {
@@ -121,7 +100,7 @@
 
   private boolean healthy() {
     try (Socket socket = new Socket()) {
-      socket.connect(new InetSocketAddress("127.0.0.1", port), 500);
+      socket.connect(port.address(), 500);
       socket.setSoTimeout(500);
       socket
           .getOutputStream()
@@ -182,5 +161,6 @@
       process.destroyForcibly();
     }
     shim.ifPresent(FaultShim::delete);
+    port.close();
   }
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/ModelServer.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ModelServer.java
@@ -3,7 +3,6 @@
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.PushbackInputStream;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -15,6 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import lemondock.faultinjection.RunRecord.Arrival;
 import lemondock.faultinjection.RunRecord.Fate;
+import lemondock.net.nio.LoopbackPort;
 
 /**
  * A stand-in for one model server, a reader or a writer. It can hang (accepts, takes nothing), die
@@ -40,6 +40,7 @@
   private final long mostQueueMicros;
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
   private volatile Semaphore free;
+  private final LoopbackPort reservedPort = LoopbackPort.reserve();
   private volatile ServerSocket port;
   private volatile boolean hanging;
   private volatile long startedAt;
@@ -57,15 +58,11 @@
     start(0);
   }
 
-  /**
-   * Starts, at the address that it had if it ran before; {@code since} is the wall time told, 0 for
-   * long ago.
-   */
+  /** Starts, always at the same address; {@code since} is the wall time told, 0 for long ago. */
   void start(long since) throws IOException {
-    int number = port == null ? 0 : port.getLocalPort();
     ServerSocket next = new ServerSocket();
     next.setReuseAddress(true);
-    next.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), number), 256);
+    next.bind(reservedPort.address(), 256);
     free = new Semaphore(slots, true);
     startedAt = since;
     port = next;
@@ -96,7 +93,7 @@
   }
 
   InetSocketAddress address() {
-    return new InetSocketAddress("127.0.0.1", port.getLocalPort());
+    return reservedPort.address();
   }
 
   /** Wall time of its last start in milliseconds, 0 for long ago. */
@@ -325,5 +322,6 @@
   public void close() {
     die();
     hanging = false;
+    reservedPort.close();
   }
 }
--- a/scenario/src/main/java/lemondock/scenario/FaultScenario.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultScenario.java
@@ -261,7 +261,7 @@
     int number = 0;
     for (String zone : script.zones()) {
       for (int i = 0; i < script.gatewaysPerZone(); i++) {
-        int port = LoopbackSettings.freePort();
+        int port = fleet.reservePort();
         String name = "gw-" + zone + "-" + i;
         fleet.addGateway(
             settings(
--- a/scenario/src/main/java/lemondock/scenario/LoopbackSettings.java
+++ b/scenario/src/main/java/lemondock/scenario/LoopbackSettings.java
@@ -3,10 +3,6 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.io.IOException;
-import java.io.UncheckedIOException;
-import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.util.function.Consumer;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsException;
@@ -16,15 +12,6 @@
 public final class LoopbackSettings {
   private LoopbackSettings() {}
 
-  /** A port that is free now. */
-  public static int freePort() {
-    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      return socket.getLocalPort();
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
-    }
-  }
-
   /**
    * Settings of a gateway that follows a catalogue, with changes to the JSON before it is checked.
    */
--- a/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
@@ -34,6 +34,7 @@
 import lemondock.idempotency.DiskFolder;
 import lemondock.idempotency.FileSystemPort;
 import lemondock.metrics.Snapshot;
+import lemondock.net.nio.LoopbackPort;
 import lemondock.net.nio.ThreadLoop;
 import lemondock.net.nio.WorkerPool;
 
@@ -44,6 +45,7 @@
  */
 public final class ScenarioFleet implements AutoCloseable {
   private static final String SERVICE = "engines";
+  private static final String ANY_LOOPBACK_PORT = "127.0.0.1:0";
   private static final long LONG_AGO = 1;
   private static final long STOP_SECONDS = 30;
   private static final int WORKERS_QUEUE = 256;
@@ -58,6 +60,7 @@
       Collections.synchronizedList(new ArrayList<>());
   private final List<Killed> killed = Collections.synchronizedList(new ArrayList<>());
   private final List<Stood> stood = Collections.synchronizedList(new ArrayList<>());
+  private final List<LoopbackPort> reservedPorts = Collections.synchronizedList(new ArrayList<>());
   private final PromptReader prompts;
   private final ExecutorService workers = WorkerPool.create(2, WORKERS_QUEUE, "rehearsal-worker");
   private UnaryOperator<FileSystemPort> files = f -> f;
@@ -144,6 +147,13 @@
     machine = told;
   }
 
+  /** A loopback port that nobody else of the machine is given until the fleet is closed. */
+  public int reservePort() {
+    LoopbackPort port = LoopbackPort.reserve();
+    reservedPorts.add(port);
+    return port.number();
+  }
+
   /** Where the catalogue listens. */
   public String catalogueAddress() {
     return "127.0.0.1:" + catalogue.address().getPort();
@@ -162,7 +172,10 @@
   /** Starts an engine that has been up for long, and lists it. */
   public void addEngine(EngineSettings settings) {
     Box box = new Box();
-    box.settings = settings;
+    box.settings =
+        settings.listen().equals(ANY_LOOPBACK_PORT)
+            ? settings.at("127.0.0.1:" + reservePort())
+            : settings;
     boxes.put(settings.name(), box);
     up(box, false);
   }
@@ -452,5 +465,6 @@
     boxes.values().forEach(b -> b.node.close());
     standins.close();
     workers.shutdownNow();
+    reservedPorts.forEach(LoopbackPort::close);
   }
 }
--- a/scenario/src/test/java/lemondock/scenario/CrashTest.java
+++ b/scenario/src/test/java/lemondock/scenario/CrashTest.java
@@ -60,10 +60,7 @@
   static void engines() {
     fleet =
         new ScenarioFleet(
-            LoopbackSettings.gateway(
-                    "x", 0, 1, "north", LoopbackSettings.freePort(), "127.0.0.1:1", s -> {})
-                .classes(),
-            1);
+            LoopbackSettings.gateway("x", 0, 1, "north", 1, "127.0.0.1:1", s -> {}).classes(), 1);
     fleet.addEngine(ScenarioFixture.reader("r"));
     fleet.addEngine(ScenarioFixture.writer("w"));
   }
@@ -76,10 +73,12 @@
   /** One life of the gateway. */
   private static final class Life implements AutoCloseable {
     private final Process process;
-    private final int port = LoopbackSettings.freePort();
+    private final int port = fleet.reservePort();
+    private final Path errors;
 
     /** Null in place of a port if it died before it was ready. */
     Life(Path home, int step, boolean half) throws IOException, InterruptedException {
+      errors = home.resolve("stderr-" + port + ".txt");
       ObjectNode[] root = new ObjectNode[1];
       LoopbackSettings.gateway(
           "gw",
@@ -112,7 +111,7 @@
                   settings.toString(),
                   Integer.toString(step),
                   Boolean.toString(half))
-              .redirectError(ProcessBuilder.Redirect.DISCARD)
+              .redirectError(errors.toFile())
               .start();
       BufferedReader out =
           new BufferedReader(
@@ -141,6 +140,16 @@
       return false;
     }
 
+    /** What its process wrote to standard error, and how it ended if it has. */
+    String diagnosis() {
+      try {
+        String ended = process.isAlive() ? "it lives" : "it ended with " + process.exitValue();
+        return ended + "; standard error: " + Files.readString(errors);
+      } catch (IOException e) {
+        return "no standard error: " + e;
+      }
+    }
+
     /** Whether it died at its step; it is ended in any case. */
     boolean died() throws InterruptedException {
       boolean itself =
@@ -206,7 +215,7 @@
         died = life.died();
       }
       try (Life next = new Life(home, 0, false)) {
-        assertTrue(next.ready(), where + ": it must come up again");
+        assertTrue(next.ready(), () -> where + ": it must come up again, " + next.diagnosis());
         Try again = ask(next, mark + "b", "k");
         assertNotNull(again.end, where);
         if (again.end.has("result")) {
@@ -292,7 +301,7 @@
   void killedAtEachStepWhileTheLogBeginsAnew() throws Exception {
     Path full = home();
     try (Life life = new Life(full, 0, false)) {
-      assertTrue(life.ready());
+      assertTrue(life.ready(), life::diagnosis);
       for (int i = 0; Files.size(newest(full)) < 4_096; i++) {
         assertTrue(ask(life, "fill" + i, "fill" + i + "x".repeat(80)).end.has("result"));
       }
--- a/scenario/src/test/java/lemondock/scenario/ReportEdgeCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ReportEdgeCasesTest.java
@@ -20,6 +20,7 @@
 import lemondock.emulator.collect.GraphiteListener.Fault;
 import lemondock.emulator.collect.ReceivedReports;
 import lemondock.emulator.collect.UnixsockListener;
+import lemondock.net.nio.LoopbackPort;
 import lemondock.scenario.McpClient.Tools;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -96,8 +97,9 @@
         GraphiteListener slow = new GraphiteListener(0, false, Fault.BYTE_A_SECOND);
         GraphiteListener resets = new GraphiteListener(0, false, Fault.RESETS);
         GraphiteListener noise = new GraphiteListener(0, false, Fault.GARBAGE);
-        GraphiteListener good = new GraphiteListener(0, false, Fault.NONE)) {
-      int nobody = LoopbackSettings.freePort();
+        GraphiteListener good = new GraphiteListener(0, false, Fault.NONE);
+        LoopbackPort unused = LoopbackPort.reserve()) {
+      int nobody = unused.number();
       Consumer<ObjectNode> settings = graphite(never, slow, resets, noise, good);
       try (ScenarioFixture bench =
           bench(
--- a/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
+++ b/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
@@ -24,7 +24,7 @@
   static final String GATEWAY = "gw";
   final ScenarioFleet fleet;
   final EmulatedProcess clients = new EmulatedProcess("clients", 1);
-  final int port = LoopbackSettings.freePort();
+  final int port;
   final HttpClient http =
       new HttpClient(
           clients.loop(),
@@ -48,8 +48,9 @@
           own.accept(settings);
         };
     List<GatewaySettings.ClassSettings> classes =
-        LoopbackSettings.gateway("x", 0, 1, "north", port, "127.0.0.1:1", changes).classes();
+        LoopbackSettings.gateway("x", 0, 1, "north", 1, "127.0.0.1:1", changes).classes();
     fleet = new ScenarioFleet(classes, 1);
+    port = fleet.reservePort();
     for (EngineSettings e : engines) {
       fleet.addEngine(e);
     }
