--- a/benchmark/src/main/java/lemondock/benchmark/AffinityBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/AffinityBenchmark.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 import lemondock.dispatch.RouterFactory;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.TrafficObserver;
+import lemondock.emulator.TrafficEvent;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.http.HttpClient;
@@ -32,6 +32,8 @@
 import lemondock.scenario.LoopbackSettings;
 import lemondock.scenario.McpClient;
 import lemondock.scenario.ScenarioFleet;
+import lemondock.scenario.ToolBehaviour;
+import lemondock.scenario.ToolCallRequest;
 
 /**
  * What is won by sending the leg behind a tool call to the reader that has the text, against one
@@ -149,9 +151,9 @@
                 null));
       }
       fleet.addEngine(
-          EngineSettings.quick("w0", "writer", "north", "r1").bounded(64, 64, 10_000_000));
+          EngineSettings.quick("w0", "writer", "north", "r1").withLimits(64, 64, 10_000_000));
       fleet.addEngine(
-          EngineSettings.quick("w1", "writer", "north", "r1").bounded(64, 64, 10_000_000));
+          EngineSettings.quick("w1", "writer", "north", "r1").withLimits(64, 64, 10_000_000));
       settings[0] =
           LoopbackSettings.gateway(
               "gw", 0, 1, "north", port, fleet.catalogueAddress(), s -> change(s));
@@ -203,13 +205,13 @@
     client.open(
         ok ->
             client.call(
-                new McpClient.Ask(
+                new ToolCallRequest(
                     "sale-lookup",
                     0,
                     messages,
                     "talk-" + call,
                     List.of("stock"),
-                    McpClient.Tools.ANSWER,
+                    ToolBehaviour.ANSWER,
                     20_000,
                     100,
                     "m" + call,
@@ -221,11 +223,13 @@
   }
 
   /** For each call, from the arrival of its second read to the second beginning of writing. */
-  private static List<Long> times(List<TrafficObserver.Event> events) {
-    Map<String, List<TrafficObserver.Event>> byMark = new LinkedHashMap<>();
+  private static List<Long> times(List<TrafficEvent> events) {
+    Map<String, List<TrafficEvent>> byMark = new LinkedHashMap<>();
     events.stream()
         .filter(
-            e -> e.what() == TrafficObserver.What.READ || e.what() == TrafficObserver.What.EFFECT)
+            e ->
+                e.kind() == TrafficEvent.Kind.PREFILL
+                    || e.kind() == TrafficEvent.Kind.DECODE_STARTED)
         .forEach(e -> byMark.computeIfAbsent(e.mark(), k -> new ArrayList<>()).add(e));
     List<Long> times = new ArrayList<>();
     byMark
@@ -234,14 +238,14 @@
             all -> {
               long[] reads =
                   all.stream()
-                      .filter(e -> e.what() == TrafficObserver.What.READ)
-                      .mapToLong(TrafficObserver.Event::at)
+                      .filter(e -> e.kind() == TrafficEvent.Kind.PREFILL)
+                      .mapToLong(TrafficEvent::atMicros)
                       .sorted()
                       .toArray();
               long[] writes =
                   all.stream()
-                      .filter(e -> e.what() == TrafficObserver.What.EFFECT)
-                      .mapToLong(TrafficObserver.Event::at)
+                      .filter(e -> e.kind() == TrafficEvent.Kind.DECODE_STARTED)
+                      .mapToLong(TrafficEvent::atMicros)
                       .sorted()
                       .toArray();
               long from =
--- a/benchmark/src/main/java/lemondock/benchmark/BenchmarkProcesses.java
+++ b/benchmark/src/main/java/lemondock/benchmark/BenchmarkProcesses.java
@@ -77,7 +77,7 @@
             0,
             null);
     EngineEmulator engine =
-        node.ask(
+        node.invokeAndWait(
             () ->
                 new EngineEmulator(node.loop(), node.network(), settings, 1, TrafficObserver.NONE));
     engine.start(node.network());
@@ -127,9 +127,9 @@
           "heap "
               + (runtime.totalMemory() - runtime.freeMemory()) / (1 << 20)
               + " sessions "
-              + node.ask(gateway::sessionCount)
+              + node.invokeAndWait(gateway::sessionCount)
               + " calls "
-              + node.ask(gateway::callsInFlight)
+              + node.invokeAndWait(gateway::callsInFlight)
               + " allocated "
               + allocated());
     }
--- a/benchmark/src/main/java/lemondock/benchmark/DegradationDetectorBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/DegradationDetectorBenchmark.java
@@ -28,7 +28,9 @@
 import lemondock.metrics.Series;
 import lemondock.scenario.CallRecord;
 import lemondock.scenario.FaultScenario;
+import lemondock.scenario.ScenarioResult;
 import lemondock.scenario.ScenarioScript;
+import lemondock.scenario.ScenarioSettings;
 
 /**
  * Judges the detector of falls. Days are played once, on sockets with stand-in engines, and what
@@ -54,7 +56,7 @@
       ArrayNode looks = MAPPER.createArrayNode();
       FaultScenario day =
           new FaultScenario(ScenarioScript.draw(seed, 12))
-              .onLook(
+              .onSnapshot(
                   (gateway, at, snapshot) -> {
                     ObjectNode look = MAPPER.createObjectNode().put("g", gateway).put("at", at);
                     ObjectNode counts = look.putObject("n");
@@ -70,22 +72,24 @@
                       looks.add(look);
                     }
                   });
-      FaultScenario.Result result = day.play();
+      ScenarioResult result = day.play();
       ObjectNode line =
           MAPPER
               .createObjectNode()
               .put("seed", seed)
-              .put("kept", result.finding().kept())
+              .put("kept", result.audit().allRulesKept())
               .put("troubles", result.script().describe());
       ArrayNode calls = line.putArray("calls");
-      List<GatewaySettings.ClassSettings> classes = FaultScenario.classes();
-      for (CallRecord c : result.seen()) {
-        if (!c.notTaken && c.leftAt == 0 && (c.endedAt != 0 || c.brokeAt == 0)) {
+      List<GatewaySettings.ClassSettings> classes = ScenarioSettings.requestClasses();
+      for (CallRecord c : result.callRecords()) {
+        if (!c.notAccepted
+            && c.cancelledAtMicros == 0
+            && (c.answeredAtMicros != 0 || c.connectionLostAtMicros == 0)) {
           calls
               .addObject()
               .put("g", c.gateway)
               .put("c", classes.get(c.classId).name())
-              .put("at", c.calledAt)
+              .put("at", c.calledAtMicros)
               .put("good", good(classes.get(c.classId), c));
         }
       }
@@ -101,9 +105,9 @@
           "day "
               + seed
               + ": "
-              + (result.finding().kept()
+              + (result.audit().allRulesKept()
                   ? "rules kept"
-                  : "RULES BROKEN " + result.finding().breaches()));
+                  : "RULES BROKEN " + result.audit().violations()));
     }
   }
 
@@ -111,11 +115,11 @@
     double aim =
         GatewaySettings.micros(
             c.aimMs() + c.aimMsPerThousandTokens() * seen.promptChars / CHARS_A_TOKEN / 1000);
-    long first = seen.firstAt != 0 ? seen.firstAt : seen.endedAt;
+    long first = seen.firstMessageAtMicros != 0 ? seen.firstMessageAtMicros : seen.answeredAtMicros;
     return seen.served()
-        && first - seen.calledAt <= aim
+        && first - seen.calledAtMicros <= aim
         && (!seen.toolCalls.isEmpty()
-            || seen.endedAt - seen.firstAt
+            || seen.answeredAtMicros - seen.firstMessageAtMicros
                 <= GatewaySettings.micros(Math.max(1, seen.tokens) * c.tokenAimMs()));
   }
 
--- a/benchmark/src/main/java/lemondock/benchmark/ToolCallBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ToolCallBenchmark.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.TrafficObserver;
+import lemondock.emulator.TrafficEvent;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.http.Headers;
@@ -27,6 +27,8 @@
 import lemondock.scenario.LoopbackSettings;
 import lemondock.scenario.McpClient;
 import lemondock.scenario.ScenarioFleet;
+import lemondock.scenario.ToolBehaviour;
+import lemondock.scenario.ToolCallRequest;
 
 /**
  * What a tool call takes more when it is relayed by a gateway than when a client speaks with the
@@ -122,18 +124,18 @@
     return sorted[sorted.length / 2];
   }
 
-  private static long[] between(List<TrafficObserver.Event> events, String begin) {
-    Map<String, List<TrafficObserver.Event>> byMark = new LinkedHashMap<>();
+  private static long[] between(List<TrafficEvent> events, String begin) {
+    Map<String, List<TrafficEvent>> byMark = new LinkedHashMap<>();
     events.stream()
         .filter(
             e ->
                 e.mark().startsWith(begin)
-                    && (e.what() == TrafficObserver.What.WRITE
-                        || e.what() == TrafficObserver.What.ANSWERED))
+                    && (e.kind() == TrafficEvent.Kind.DECODE
+                        || e.kind() == TrafficEvent.Kind.ANSWERED))
         .forEach(e -> byMark.computeIfAbsent(e.mark(), k -> new ArrayList<>()).add(e));
     return byMark.values().stream()
         .filter(all -> all.size() == 4)
-        .mapToLong(all -> all.get(2).at() - all.get(1).at())
+        .mapToLong(all -> all.get(2).atMicros() - all.get(1).atMicros())
         .sorted()
         .toArray();
   }
@@ -147,13 +149,13 @@
     client.open(
         ok ->
             client.call(
-                new McpClient.Ask(
+                new ToolCallRequest(
                     "sale-lookup",
                     0,
                     messages,
                     null,
                     List.of("stock"),
-                    McpClient.Tools.ANSWER,
+                    ToolBehaviour.ANSWER,
                     0,
                     100,
                     mark + number,
--- a/cli/src/main/java/lemondock/cli/CatalogueEmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/CatalogueEmulatorCommand.java
@@ -39,7 +39,7 @@
             Settings.class);
     EmulatedProcess node = new EmulatedProcess("catalogue", 1);
     CatalogueEmulator catalogue =
-        node.ask(() -> new CatalogueEmulator(node.loop(), TrafficObserver.NONE));
+        node.invokeAndWait(() -> new CatalogueEmulator(node.loop(), TrafficObserver.NONE));
     catalogue.start(node.network(), SettingsFile.resolveAddress(settings.listen()));
     System.out.println(
         "ready http://"
--- a/cli/src/main/java/lemondock/cli/DemoCommand.java
+++ b/cli/src/main/java/lemondock/cli/DemoCommand.java
@@ -58,15 +58,16 @@
     ScenarioFleet fleet = new ScenarioFleet(classes, 1);
     for (String zone : ZONES) {
       fleet.addEngine(
-          EngineSettings.quick(zone + "-reader-1", "reader", zone, "r1").paced(5, 5, 20));
+          EngineSettings.quick(zone + "-reader-1", "reader", zone, "r1").withLatencies(5, 5, 20));
       fleet.addEngine(
-          EngineSettings.quick(zone + "-reader-2", "reader", zone, "r2").paced(5, 5, 20));
+          EngineSettings.quick(zone + "-reader-2", "reader", zone, "r2").withLatencies(5, 5, 20));
       fleet.addEngine(
-          EngineSettings.quick(zone + "-writer-1", "writer", zone, "r1").paced(5, 5, 20));
+          EngineSettings.quick(zone + "-writer-1", "writer", zone, "r1").withLatencies(5, 5, 20));
       fleet.addEngine(
-          EngineSettings.quick(zone + "-writer-2", "writer", zone, "r2").paced(5, 5, 20));
+          EngineSettings.quick(zone + "-writer-2", "writer", zone, "r2").withLatencies(5, 5, 20));
     }
-    fleet.addEngine(EngineSettings.quick("north-mixed-1", "mixed", "north", "r1").paced(5, 5, 20));
+    fleet.addEngine(
+        EngineSettings.quick("north-mixed-1", "mixed", "north", "r1").withLatencies(5, 5, 20));
     int first = port == 0 ? fleet.reservePort() : port;
     int second = fleet.reservePort();
     for (int i = 0; i < ZONES.length; i++) {
--- a/cli/src/main/java/lemondock/cli/EmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/EmulatorCommand.java
@@ -62,7 +62,7 @@
     long started = System.currentTimeMillis();
     for (EngineSettings engineSettings : settings.engines()) {
       EngineEmulator engine =
-          node.ask(
+          node.invokeAndWait(
               () ->
                   new EngineEmulator(
                       node.loop(),
--- a/cli/src/main/java/lemondock/cli/PlatformEmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/PlatformEmulatorCommand.java
@@ -48,7 +48,8 @@
   public Integer call() throws Exception {
     Logging.configure("text", "info");
     EmulatedProcess node = new EmulatedProcess("platform", 1);
-    PlatformEmulator platform = node.ask(() -> new PlatformEmulator(node.loop(), node.network()));
+    PlatformEmulator platform =
+        node.invokeAndWait(() -> new PlatformEmulator(node.loop(), node.network()));
     platform.start(readers, writers);
     Files.writeString(configFile, platform.config(listen).toPrettyString());
     System.out.println("ready: bin/lemondock-platform " + configFile);
--- a/cli/src/main/java/lemondock/cli/ScenarioCommand.java
+++ b/cli/src/main/java/lemondock/cli/ScenarioCommand.java
@@ -9,6 +9,7 @@
 import lemondock.scenario.FaultScenario;
 import lemondock.scenario.ReportComparison;
 import lemondock.scenario.ScenarioReport;
+import lemondock.scenario.ScenarioResult;
 import lemondock.scenario.ScenarioScript;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -65,12 +66,12 @@
   @Override
   public Integer call() throws Exception {
     Logging.configure("text", level);
-    List<FaultScenario.Result> results = new ArrayList<>();
+    List<ScenarioResult> results = new ArrayList<>();
     for (long current = seed; current < seed + seeds; current++) {
       ScenarioScript day =
           script == null
               ? ScenarioScript.draw(current, seconds)
-              : ScenarioScript.read(script).seeded(current);
+              : ScenarioScript.read(script).withSeed(current);
       results.add(reports ? playWithReports(day) : new FaultScenario(day).play());
       System.out.println(ScenarioReport.line(results.get(results.size() - 1)));
     }
@@ -79,13 +80,15 @@
     Files.writeString(out.resolve("verdict.html"), ScenarioReport.page(results));
     System.out.println(
         "verdict: " + out.resolve("verdict.json") + ", " + out.resolve("verdict.html"));
-    return results.stream().allMatch(result -> result.finding().kept()) && !reportsDiffered ? 0 : 1;
+    return results.stream().allMatch(result -> result.audit().allRulesKept()) && !reportsDiffered
+        ? 0
+        : 1;
   }
 
-  private FaultScenario.Result playWithReports(ScenarioScript day)
+  private ScenarioResult playWithReports(ScenarioScript day)
       throws InterruptedException, IOException {
     try (ReportComparison check = new ReportComparison()) {
-      FaultScenario.Result result = new FaultScenario(day).reporting(check).play();
+      ScenarioResult result = new FaultScenario(day).reporting(check).play();
       System.out.println(
           "reports: "
               + check.compared()
--- a/emulator/src/main/java/lemondock/emulator/CatalogueEmulator.java
+++ b/emulator/src/main/java/lemondock/emulator/CatalogueEmulator.java
@@ -33,7 +33,7 @@
   private static final double LONGEST_WAIT_MS = 600_000;
 
   private final Loop loop;
-  private final TrafficObserver tap;
+  private final TrafficObserver observer;
   private final HttpServer server;
   private final Map<String, Service> services = new LinkedHashMap<>();
   private final List<Waiting> waiting = new ArrayList<>();
@@ -59,9 +59,9 @@
   private record Waiting(HttpExchange exchange, String service, String gateway) {}
 
   /** Makes an empty catalogue. */
-  public CatalogueEmulator(Loop loop, TrafficObserver tap) {
+  public CatalogueEmulator(Loop loop, TrafficObserver observer) {
     this.loop = loop;
-    this.tap = tap;
+    this.observer = observer;
     this.server =
         new HttpServer(
             loop,
@@ -222,11 +222,11 @@
         standings.append(s.id()).append(s.maintenance() ? "=draining " : "=ready ");
       }
     }
-    tap.hear(
-        new TrafficObserver.Event(
+    observer.onEvent(
+        new TrafficEvent(
             loop.now(),
             "catalogue",
-            TrafficObserver.What.TOLD,
+            TrafficEvent.Kind.ENDPOINTS_SENT,
             "",
             "",
             one.gateway(),
--- a/emulator/src/main/java/lemondock/emulator/EngineEmulator.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineEmulator.java
@@ -47,7 +47,7 @@
 
   private final Loop loop;
   private final EngineSettings settings;
-  private final TrafficObserver tap;
+  private final TrafficObserver observer;
   private final SplittableRandom random;
   private final HttpServer server;
   private final HttpClient client;
@@ -74,10 +74,10 @@
 
   /** Makes an engine; it serves from {@link #start} on. */
   public EngineEmulator(
-      Loop loop, Network network, EngineSettings settings, long seed, TrafficObserver tap) {
+      Loop loop, Network network, EngineSettings settings, long seed, TrafficObserver observer) {
     this.loop = loop;
     this.settings = settings;
-    this.tap = tap;
+    this.observer = observer;
     this.random = new SplittableRandom(seed);
     this.client =
         new HttpClient(
@@ -106,8 +106,7 @@
             settings.listen().substring(0, colon),
             Integer.parseInt(settings.listen().substring(colon + 1))));
     startedAt = loop.now();
-    hear(
-        TrafficObserver.What.STARTED, "", "", "", Math.round(settings.warmUpMs()), settings.role());
+    hear(TrafficEvent.Kind.STARTED, "", "", "", Math.round(settings.warmUpMs()), settings.role());
   }
 
   /** The address taken. */
@@ -155,19 +154,13 @@
   /** Says that its process died; whoever runs it breaks its connections. */
   public void died() {
     dead = true;
-    hear(TrafficObserver.What.DIED, "", "", "", 0, "");
+    hear(TrafficEvent.Kind.DIED, "", "", "", 0, "");
   }
 
   private void hear(
-      TrafficObserver.What what,
-      String id,
-      String mark,
-      String gateway,
-      long value,
-      String detail) {
-    tap.hear(
-        new TrafficObserver.Event(
-            loop.now(), settings.name(), what, id, mark, gateway, value, detail));
+      TrafficEvent.Kind what, String id, String mark, String gateway, long value, String detail) {
+    observer.onEvent(
+        new TrafficEvent(loop.now(), settings.name(), what, id, mark, gateway, value, detail));
   }
 
   // ==== requests
@@ -210,7 +203,7 @@
     boolean fromState = transfer.path("do_remote_prefill").asBoolean(false);
     Job job = new Job(exchange, body, read, fromState ? transfer : null);
     hear(
-        read ? TrafficObserver.What.READ : TrafficObserver.What.WRITE,
+        read ? TrafficEvent.Kind.PREFILL : TrafficEvent.Kind.DECODE,
         job.id,
         job.mark,
         job.gateway,
@@ -218,7 +211,7 @@
         Integer.toString(body.path("messages").size()));
     exchange.onDisconnect(job::gone);
     if (faults.raw != null && faults.hit()) {
-      hear(TrafficObserver.What.BROKEN, job.id, job.mark, job.gateway, 0, "raw");
+      hear(TrafficEvent.Kind.CONNECTION_LOST, job.id, job.mark, job.gateway, 0, "raw");
       exchange.begin(200, Headers.of("content-type", "text/event-stream"));
       exchange.send(faults.raw);
       loop.schedule(5 * MICROS, exchange::abort);
@@ -302,7 +295,7 @@
 
     void turnAway(String code, String what) {
       over = true;
-      hear(TrafficObserver.What.TURNED_AWAY, id, mark, gateway, 0, code);
+      hear(TrafficEvent.Kind.REJECTED, id, mark, gateway, 0, code);
       error(exchange, 503, code, what);
     }
 
@@ -360,7 +353,7 @@
 
     private void finishRead() {
       if (random.nextDouble() < faults.errors) {
-        hear(TrafficObserver.What.ANSWERED, id, mark, gateway, 500, "read");
+        hear(TrafficEvent.Kind.ANSWERED, id, mark, gateway, 500, "read");
         error(exchange, 500, "internal", "a fault of the stand-in");
         end();
         return;
@@ -370,9 +363,9 @@
         end();
         return;
       }
-      hear(TrafficObserver.What.STATE_KEPT, id, mark, gateway, tokens, "");
+      hear(TrafficEvent.Kind.STATE_RESERVED, id, mark, gateway, tokens, "");
       if (faults.dropStates) {
-        hear(TrafficObserver.What.STATE_LET_GO, id, mark, gateway, tokens, "lost");
+        hear(TrafficEvent.Kind.STATE_RELEASED, id, mark, gateway, tokens, "lost");
       } else {
         states.put(id, new State(tokens, mark, gateway, loop.now()));
         memory += tokens;
@@ -406,7 +399,7 @@
           .put("remote_request_id", id)
           .put("remote_host", address().getHostString())
           .put("remote_port", address().getPort());
-      hear(TrafficObserver.What.ANSWERED, id, mark, gateway, 200, "read");
+      hear(TrafficEvent.Kind.ANSWERED, id, mark, gateway, 200, "read");
       exchange.respond(200, Headers.of("content-type", "application/json"), bytes(reply));
     }
 
@@ -474,9 +467,9 @@
 
     private void begin() {
       effect = true;
-      hear(TrafficObserver.What.EFFECT, id, mark, gateway, body.path("messages").size(), "");
+      hear(TrafficEvent.Kind.DECODE_STARTED, id, mark, gateway, body.path("messages").size(), "");
       if (random.nextDouble() < faults.errors) {
-        hear(TrafficObserver.What.ANSWERED, id, mark, gateway, 500, "write");
+        hear(TrafficEvent.Kind.ANSWERED, id, mark, gateway, 500, "write");
         error(exchange, 500, "internal", "a fault of the stand-in");
         end();
         return;
@@ -521,7 +514,7 @@
         return;
       }
       if (faults.breakAfter >= 0 && at >= faults.breakAfter && faults.hit()) {
-        hear(TrafficObserver.What.BROKEN, id, mark, gateway, at, "on purpose");
+        hear(TrafficEvent.Kind.CONNECTION_LOST, id, mark, gateway, at, "on purpose");
         end();
         exchange.abort();
       } else if (faults.stallAfter >= 0 && at >= faults.stallAfter && faults.hit()) {
@@ -584,7 +577,7 @@
       usage(last, at);
       exchange.send(SseEvent.encode(null, null, last.toString()));
       exchange.send(SseEvent.encode(null, null, "[DONE]"));
-      hear(TrafficObserver.What.ANSWERED, id, mark, gateway, 200, "write");
+      hear(TrafficEvent.Kind.ANSWERED, id, mark, gateway, 200, "write");
       end();
       exchange.finish();
     }
@@ -609,7 +602,8 @@
 
     /** The gateway's connection is gone: waiting work is dropped, running work stops. */
     void gone() {
-      hear(TrafficObserver.What.BROKEN, id, mark, gateway, at, effect ? "running" : "waiting");
+      hear(
+          TrafficEvent.Kind.CONNECTION_LOST, id, mark, gateway, at, effect ? "running" : "waiting");
       end();
     }
 
@@ -632,13 +626,13 @@
       return;
     }
     memory -= state.tokens();
-    hear(TrafficObserver.What.STATE_TAKEN, id, state.mark(), state.gateway(), state.tokens(), "");
+    hear(TrafficEvent.Kind.STATE_FETCHED, id, state.mark(), state.gateway(), state.tokens(), "");
     exchange.respond(200, new Headers(), new byte[0]);
   }
 
   private void abort(HttpExchange exchange, JsonNode body) {
     String id = body.path("rid").asText("");
-    hear(TrafficObserver.What.ABORT, id, "", "", 0, "");
+    hear(TrafficEvent.Kind.ABORT, id, "", "", 0, "");
     drop(id, "abort");
     Job job = jobs.get(id);
     if (job != null) {
@@ -656,12 +650,7 @@
     if (state != null) {
       memory -= state.tokens();
       hear(
-          TrafficObserver.What.STATE_LET_GO,
-          id,
-          state.mark(),
-          state.gateway(),
-          state.tokens(),
-          why);
+          TrafficEvent.Kind.STATE_RELEASED, id, state.mark(), state.gateway(), state.tokens(), why);
     }
   }
 
--- a/emulator/src/main/java/lemondock/emulator/EngineSettings.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineSettings.java
@@ -54,7 +54,7 @@
   }
 
   /** The same with other paces. */
-  public EngineSettings paced(double reads, double first, double token) {
+  public EngineSettings withLatencies(double reads, double first, double token) {
     return new EngineSettings(
         name,
         listen,
@@ -75,7 +75,7 @@
   }
 
   /** The same with other bounds. */
-  public EngineSettings bounded(int most, int waiting, long memory) {
+  public EngineSettings withLimits(int most, int waiting, long memory) {
     return new EngineSettings(
         name,
         listen,
@@ -96,7 +96,7 @@
   }
 
   /** The same with a warm-up. */
-  public EngineSettings warming(double share, double time) {
+  public EngineSettings withWarmUp(double share, double time) {
     return new EngineSettings(
         name,
         listen,
--- a/scenario/src/main/java/lemondock/scenario/EmulatedProcess.java
+++ b/scenario/src/main/java/lemondock/scenario/EmulatedProcess.java
@@ -53,7 +53,7 @@
   }
 
   /** Does something on the loop and waits for what it gives. */
-  public <T> T ask(Supplier<T> task) {
+  public <T> T invokeAndWait(Supplier<T> task) {
     if (loop.inLoop()) {
       return task.get();
     }
@@ -81,7 +81,7 @@
   /** Breaks all connections, frees the ports and stops. */
   @Override
   public void close() {
-    ask(
+    invokeAndWait(
         () -> {
           network.abortAll();
           if (ownLoop) {
--- a/scenario/src/main/java/lemondock/scenario/FaultScenario.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultScenario.java
@@ -16,11 +16,11 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
 import java.util.stream.Stream;
 import lemondock.dispatch.RouterFactory;
 import lemondock.emulator.EngineSettings;
+import lemondock.emulator.TrafficEvent;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.idempotency.FileSystemPort;
@@ -74,7 +74,7 @@
   private double impatience;
   private String hotOpening;
   private ReportComparison reports;
-  private ScenarioFleet.Looks looks = (gateway, at, snapshot) -> {};
+  private SnapshotListener looks = (gateway, at, snapshot) -> {};
 
   /** A conversation that may go on. */
   private static final class Talk {
@@ -92,17 +92,6 @@
     }
   }
 
-  /** What came of a day. */
-  public record Result(
-      ScenarioScript script,
-      ScenarioAuditor.Finding finding,
-      Map<String, Double> service,
-      Map<String, Integer> endings,
-      int calls,
-      int engineRequests,
-      double seconds,
-      List<CallRecord> seen) {}
-
   /** Has the day's gateways report, and what arrives compared with their final tallies. */
   public FaultScenario reporting(ReportComparison check) {
     reports = check;
@@ -110,7 +99,7 @@
   }
 
   /** Hears of each look that the gateways' reports take. */
-  public FaultScenario onLook(ScenarioFleet.Looks hears) {
+  public FaultScenario onSnapshot(SnapshotListener hears) {
     looks = hears;
     return this;
   }
@@ -133,58 +122,8 @@
     this(script, Gateway.DEFAULT_ROUTER_FACTORY);
   }
 
-  /** Settings that the gateways of a day share: short times, so that a day is played in seconds. */
-  static GatewaySettings settings(
-      String name, int number, int of, String zone, int port, String catalogue) {
-    return settings(name, number, of, zone, port, catalogue, root -> {});
-  }
-
-  private static GatewaySettings settings(
-      String name,
-      int number,
-      int of,
-      String zone,
-      int port,
-      String catalogue,
-      Consumer<ObjectNode> more) {
-    return LoopbackSettings.gateway(
-        name,
-        number,
-        of,
-        zone,
-        port,
-        catalogue,
-        root -> {
-          ArrayNode classes = root.putArray("classes");
-          LoopbackSettings.requestClass(classes, "sale-lookup", 1, 400, 1600, "safe")
-              .put("tokenAimMs", 30);
-          LoopbackSettings.requestClass(classes, "day-close", 3, 800, 3000, "safe")
-              .put("tokenAimMs", 40)
-              .put("toolTimeoutMs", 400);
-          LoopbackSettings.requestClass(classes, "card-refund", 2, 500, 1600, "once")
-              .put("tokenAimMs", 30);
-          LoopbackSettings.requestClass(classes, "till-move", 2, 500, 1600, "keyed")
-              .put("group", "zone")
-              .put("repeatWindowMs", 1200)
-              .put("tokenAimMs", 30);
-          ((ObjectNode) root.get("front")).put("resumeWindowMs", 0);
-          ((ObjectNode) root.get("rules"))
-              .put("drainGraceMs", 300)
-              .put("warmUpMs", 3000)
-              .put("overloadWindowMs", 700);
-          ((ObjectNode) root.get("engines")).put("streamSilenceMs", 1200);
-          root.put("seed", 1000 + number);
-          more.accept(root);
-        });
-  }
-
-  /** The classes of a day's requests. */
-  public static List<GatewaySettings.ClassSettings> classes() {
-    return settings("model", 0, 1, "north", 1, "127.0.0.1:1").classes();
-  }
-
   /** Plays the day and judges it. */
-  public Result play() throws InterruptedException {
+  public ScenarioResult play() throws InterruptedException {
     try {
       return playIn(Files.createTempDirectory("lemondock-day"));
     } catch (IOException e) {
@@ -192,17 +131,17 @@
     }
   }
 
-  private Result playIn(Path own) throws InterruptedException, IOException {
+  private ScenarioResult playIn(Path own) throws InterruptedException, IOException {
     folder = own;
     long begun = System.nanoTime();
-    GatewaySettings model = settings("model", 0, 1, "north", 1, "127.0.0.1:1");
+    GatewaySettings model = ScenarioSettings.model();
     for (int i = 0; i < OPENINGS; i++) {
       openings.add(words("opening" + i, 100 + random.nextInt(500)));
     }
     try (ScenarioFleet made = new ScenarioFleet(model.classes(), script.seed());
         EmulatedProcess node = new EmulatedProcess("clients", 2)) {
       fleet = made;
-      fleet.onLook(looks);
+      fleet.onSnapshot(looks);
       fleet.files(files);
       clientNode = node;
       build();
@@ -225,10 +164,10 @@
               fleet.events().stream()
                   .filter(
                       e ->
-                          e.what() == lemondock.emulator.TrafficObserver.What.READ
-                              || e.what() == lemondock.emulator.TrafficObserver.What.WRITE)
+                          e.kind() == TrafficEvent.Kind.PREFILL
+                              || e.kind() == TrafficEvent.Kind.DECODE)
                   .count();
-      return new Result(
+      return new ScenarioResult(
           script,
           auditor.check(),
           auditor.service(),
@@ -264,7 +203,7 @@
         int port = fleet.reservePort();
         String name = "gw-" + zone + "-" + i;
         fleet.addGateway(
-            settings(
+            ScenarioSettings.gateway(
                 name,
                 number++,
                 of,
@@ -299,9 +238,9 @@
     for (int i = 0; i < count; i++) {
       fleet.addEngine(
           EngineSettings.quick(zone + "-" + role + "-" + i, role, zone, "rack-" + i % 2)
-              .paced(4, 4, script.tokenMs())
-              .bounded(Math.max(1, slots), 16, 100_000)
-              .warming(0.3, 3000));
+              .withLatencies(4, 4, script.tokenMs())
+              .withLimits(Math.max(1, slots), 16, 100_000)
+              .withWarmUp(0.3, 3000));
     }
   }
 
@@ -311,7 +250,7 @@
 
   private void run() throws InterruptedException {
     List<Act> acts = new ArrayList<>();
-    for (ScenarioScript.Trouble t : script.troubles()) {
+    for (ScriptedFault t : script.faults()) {
       trouble(t, acts);
     }
     double at = 0;
@@ -329,7 +268,7 @@
       act.act().run();
     }
     long until = System.nanoTime() + (long) (SETTLE_SECONDS * 1e9);
-    while (clientNode.ask(() -> open) > 0 && System.nanoTime() < until) {
+    while (clientNode.invokeAndWait(() -> open) > 0 && System.nanoTime() < until) {
       TimeUnit.MILLISECONDS.sleep(20);
     }
     TimeUnit.MILLISECONDS.sleep(
@@ -357,14 +296,14 @@
     String mark = "c" + script.seed() + "-" + ++marks;
     String text = "#" + mark + "# " + words(mark, 20 + random.nextInt(60));
     List<String> tools = List.of();
-    McpClient.Tools behaviour = McpClient.Tools.ANSWER;
-    if (talk.classId == 1 && random.nextDouble() < script.withTools() * 3) {
+    ToolBehaviour behaviour = ToolBehaviour.ANSWER;
+    if (talk.classId == 1 && random.nextDouble() < script.toolShare() * 3) {
       tools = List.of("stock", "price");
       text +=
           random.nextInt(3) == 0
               ? " call the tools stock and price together"
               : " call the tool stock and then call the tool price";
-      behaviour = McpClient.Tools.values()[random.nextInt(10) < 7 ? 0 : random.nextInt(4)];
+      behaviour = ToolBehaviour.values()[random.nextInt(10) < 7 ? 0 : random.nextInt(4)];
     }
     text += " answer in " + (8 + random.nextInt(30)) + " words";
     talk.messages.addObject().put("role", "user").put("content", text);
@@ -389,7 +328,7 @@
       String gateway,
       String mark,
       List<String> tools,
-      McpClient.Tools behaviour,
+      ToolBehaviour behaviour,
       int number) {
     open++;
     McpClient client = clients.get(gateway).get(random.nextInt(CLIENTS_A_GATEWAY));
@@ -398,8 +337,8 @@
     ObjectNode last = (ObjectNode) messages.get(messages.size() - 1);
     last.put(
         "content", last.get("content").asText().replace("#" + mark + "#", "#" + tryMark + "#"));
-    McpClient.Ask ask =
-        new McpClient.Ask(
+    ToolCallRequest ask =
+        new ToolCallRequest(
                 model().classes().get(talk.classId).name(),
                 talk.classId,
                 messages,
@@ -410,8 +349,8 @@
                 200,
                 tryMark,
                 number > 1)
-            .by(TENANTS.get(talk.name.hashCode() & 3))
-            .under(mark);
+            .withTenant(TENANTS.get(talk.name.hashCode() & 3))
+            .withIdempotencyKey(mark);
     boolean[] over = {false};
     client.open(
         ok -> {
@@ -434,7 +373,7 @@
                     ended(talk, gateway, mark, tools, behaviour, number, done.seen());
                   });
           calls.add(call.seen());
-          if (random.nextDouble() < script.givingUp() + impatience) {
+          if (random.nextDouble() < script.abandonShare() + impatience) {
             clientNode
                 .loop()
                 .schedule(
@@ -459,20 +398,20 @@
       String gateway,
       String mark,
       List<String> tools,
-      McpClient.Tools behaviour,
+      ToolBehaviour behaviour,
       int number,
       CallRecord seen) {
     boolean safe = model().classes().get(talk.classId).repeat().equals("safe");
-    if (!safe && number > 1 && number < MOST_TRIES && (seen.notTaken || seen.retryable)) {
+    if (!safe && number > 1 && number < MOST_TRIES && (seen.notAccepted || seen.retryable)) {
       again(talk, gateway, mark, tools, behaviour, number); // an earlier try may have run there
       return;
     }
     if (seen.served()) {
       talk.messages.addObject().put("role", "assistant").put("content", seen.finalText);
       rest(talk);
-    } else if (seen.notTaken || seen.retryable || safe && seen.brokeAt != 0) {
+    } else if (seen.notAccepted || seen.retryable || safe && seen.connectionLostAtMicros != 0) {
       elsewhere(talk, gateway, mark, tools, behaviour, number);
-    } else if (seen.brokeAt != 0 && number < MOST_TRIES) {
+    } else if (seen.connectionLostAtMicros != 0 && number < MOST_TRIES) {
       again(
           talk, gateway, mark, tools, behaviour,
           number); // only this gateway knows what became of it
@@ -486,7 +425,7 @@
       String gateway,
       String mark,
       List<String> tools,
-      McpClient.Tools behaviour,
+      ToolBehaviour behaviour,
       int number) {
     askAfter(ONCE_RETRY_MICROS, talk, gateway, mark, tools, behaviour, number + 1);
   }
@@ -497,7 +436,7 @@
       String gateway,
       String mark,
       List<String> tools,
-      McpClient.Tools behaviour,
+      ToolBehaviour behaviour,
       int number) {
     clientNode
         .loop()
@@ -514,7 +453,7 @@
       String gateway,
       String mark,
       List<String> tools,
-      McpClient.Tools behaviour,
+      ToolBehaviour behaviour,
       int number) {
     if (number >= MOST_TRIES) {
       rest(talk);
@@ -561,16 +500,16 @@
   }
 
   private void onStandins(Runnable task) {
-    fleet.standins().loop().execute(task);
+    fleet.emulators().loop().execute(task);
   }
 
-  private void during(ScenarioScript.Trouble t, List<Act> acts, Runnable begin, Runnable stop) {
+  private void during(ScriptedFault t, List<Act> acts, Runnable begin, Runnable stop) {
     acts.add(new Act(t.atMs(), begin));
     acts.add(new Act(t.atMs() + t.forMs(), stop));
   }
 
   private void fault(
-      ScenarioScript.Trouble t,
+      ScriptedFault t,
       List<Act> acts,
       List<String> names,
       java.util.function.Consumer<lemondock.emulator.EngineFaults> set,
@@ -582,57 +521,57 @@
         () -> onStandins(() -> names.forEach(n -> clear.accept(fleet.engine(n).faults()))));
   }
 
-  private void trouble(ScenarioScript.Trouble t, List<Act> acts) {
+  private void trouble(ScriptedFault t, List<Act> acts) {
     switch (t.kind()) {
-      case "fast_errors" ->
+      case FAST_ERRORS ->
           fault(t, acts, hit(t.part(), null), f -> f.errors = t.size(), f -> f.errors = 0);
-      case "slow" -> fault(t, acts, hit(t.part(), null), f -> f.slow = t.size(), f -> f.slow = 1);
-      case "shared_slow" ->
+      case SLOW -> fault(t, acts, hit(t.part(), null), f -> f.slow = t.size(), f -> f.slow = 1);
+      case SHARED_SLOW ->
           fault(t, acts, fleet.engines(), f -> f.slow = t.size() / 2 + 1, f -> f.slow = 1);
-      case "answer_lost" ->
+      case ANSWER_LOST ->
           fault(
               t, acts, hit(t.part(), null), f -> f.lostAnswers = t.size(), f -> f.lostAnswers = 0);
-      case "silent" ->
+      case SILENT ->
           fault(t, acts, hit(t.part(), null), f -> f.silent = true, f -> f.silent = false);
-      case "states_lost" ->
+      case STATES_LOST ->
           fault(
               t,
               acts,
               hit(t.part(), "reader"),
               f -> f.dropStates = true,
               f -> f.dropStates = false);
-      case "stream_break" ->
+      case STREAM_BREAK ->
           fault(t, acts, hit(t.part(), "writer"), f -> f.breakAfter = 3, f -> f.breakAfter = -1);
-      case "forget" ->
+      case FORGET ->
           acts.add(
               new Act(
                   t.atMs(),
                   () ->
                       onStandins(
                           () -> hit(t.part(), null).forEach(n -> fleet.engine(n).forget()))));
-      case "give_up" -> during(t, acts, () -> impatience = t.size() / 2, () -> impatience = 0);
-      case "hot_opening" ->
+      case GIVE_UP -> during(t, acts, () -> impatience = t.size() / 2, () -> impatience = 0);
+      case HOT_OPENING ->
           during(t, acts, () -> hotOpening = words("hot", 900), () -> hotOpening = null);
-      case "list_fails" ->
+      case LIST_FAILS ->
           during(
               t,
               acts,
               () -> onStandins(() -> fleet.catalogue().failing(true)),
               () -> onStandins(() -> fleet.catalogue().failing(false)));
-      case "list_empty" ->
+      case LIST_EMPTY ->
           during(
               t,
               acts,
               () -> onStandins(() -> fleet.catalogue().empty(true)),
               () -> onStandins(() -> fleet.catalogue().empty(false)));
-      case "crash" -> crash(hit(t.part(), null), t.atMs(), t.forMs(), acts);
-      case "ageing" -> ageing(t, acts);
-      case "neighbour" -> neighbour(t, acts);
-      case "deploy" -> deploy(t, acts);
-      case "zone_loss" -> zoneLoss(t, acts);
-      case "gateway_kill" -> killGateway(anyGateway(), t.atMs(), Math.min(t.forMs(), 1200), acts);
-      case "gateway_freeze" -> freeze(anyGateway(), t.atMs(), t.forMs(), acts);
-      case "gateway_busy" -> {
+      case CRASH -> crash(hit(t.part(), null), t.atMs(), t.forMs(), acts);
+      case AGEING -> ageing(t, acts);
+      case NEIGHBOUR -> neighbour(t, acts);
+      case DEPLOY -> deploy(t, acts);
+      case ZONE_LOSS -> zoneLoss(t, acts);
+      case GATEWAY_KILL -> killGateway(anyGateway(), t.atMs(), Math.min(t.forMs(), 1200), acts);
+      case GATEWAY_FREEZE -> freeze(anyGateway(), t.atMs(), t.forMs(), acts);
+      case GATEWAY_BUSY -> {
         String name = anyGateway();
         acts.add(
             new Act(
@@ -641,14 +580,14 @@
                     fleet.occupy(
                         name, Math.min(MOST_OCCUPIED, t.size()), (long) (t.forMs() * MICROS))));
       }
-      case "gateways_roll" -> {
+      case GATEWAYS_ROLL -> {
         double at = t.atMs();
         for (String gateway : fleet.gateways()) {
           killGateway(gateway, at, 400, acts);
           at += 700;
         }
       }
-      default -> throw new IllegalArgumentException("unknown trouble " + t.kind());
+      default -> throw new IllegalArgumentException("unknown fault " + t.kind());
     }
   }
 
@@ -674,7 +613,7 @@
   }
 
   /** Servers that grow slower step by step, die at the end and come back cold. */
-  private void ageing(ScenarioScript.Trouble t, List<Act> acts) {
+  private void ageing(ScriptedFault t, List<Act> acts) {
     List<String> names = hit(t.part(), null);
     for (int step = 1; step <= STEPS; step++) {
       double slower = 1 + (t.size() - 1) * step / STEPS;
@@ -687,7 +626,7 @@
   }
 
   /** Another program that takes a share of some machines, on and off. */
-  private void neighbour(ScenarioScript.Trouble t, List<Act> acts) {
+  private void neighbour(ScriptedFault t, List<Act> acts) {
     List<String> names = hit(t.part(), null);
     double slower = 1 / Math.max(0.1, 1 - t.size());
     for (int step = 0; step < STEPS; step++) {
@@ -726,7 +665,7 @@
   /**
    * A rolling deploy: each server drains, the list saying so late, is stopped, and comes back cold.
    */
-  private void deploy(ScenarioScript.Trouble t, List<Act> acts) {
+  private void deploy(ScriptedFault t, List<Act> acts) {
     double at = t.atMs();
     for (String name : hit(t.part(), null)) {
       if (reserve(name, at, at + t.forMs() + 350)) {
@@ -742,7 +681,7 @@
     }
   }
 
-  private void zoneLoss(ScenarioScript.Trouble t, List<Act> acts) {
+  private void zoneLoss(ScriptedFault t, List<Act> acts) {
     String zone = script.zones().get(random.nextInt(script.zones().size()));
     crash(
         fleet.engines().stream().filter(n -> n.startsWith(zone)).toList(),
--- a/scenario/src/main/java/lemondock/scenario/McpClient.java
+++ b/scenario/src/main/java/lemondock/scenario/McpClient.java
@@ -40,91 +40,6 @@
   private final List<Consumer<Boolean>> waiting = new ArrayList<>();
   private int nextId = 1;
 
-  /** How a client treats the tool calls it is sent. */
-  public enum Tools {
-    ANSWER,
-    ERROR,
-    SILENT,
-    TWICE,
-    LATE
-  }
-
-  /** What a call asks for. */
-  public record Ask(
-      String tool,
-      int classId,
-      ArrayNode messages,
-      String conversation,
-      List<String> tools,
-      Tools behaviour,
-      long toolMicros,
-      int maxTokens,
-      String mark,
-      boolean retry,
-      String tenant,
-      String key) {
-    /** A call that names no tenant. */
-    public Ask(
-        String tool,
-        int classId,
-        ArrayNode messages,
-        String conversation,
-        List<String> tools,
-        Tools behaviour,
-        long toolMicros,
-        int maxTokens,
-        String mark,
-        boolean retry) {
-      this(
-          tool,
-          classId,
-          messages,
-          conversation,
-          tools,
-          behaviour,
-          toolMicros,
-          maxTokens,
-          mark,
-          retry,
-          null,
-          null);
-    }
-
-    /** The same call for a tenant. */
-    public Ask by(String name) {
-      return new Ask(
-          tool,
-          classId,
-          messages,
-          conversation,
-          tools,
-          behaviour,
-          toolMicros,
-          maxTokens,
-          mark,
-          retry,
-          name,
-          key);
-    }
-
-    /** The same call under a key that all its repeats have. */
-    public Ask under(String name) {
-      return new Ask(
-          tool,
-          classId,
-          messages,
-          conversation,
-          tools,
-          behaviour,
-          toolMicros,
-          maxTokens,
-          mark,
-          retry,
-          tenant,
-          name);
-    }
-  }
-
   /** Makes a client of a gateway. */
   public McpClient(Loop loop, HttpClient http, InetSocketAddress address, String gateway) {
     this.loop = loop;
@@ -223,49 +138,51 @@
    * Calls a tool; the session must be open. {@code then} hears of the end, whatever it is but
    * leaving.
    */
-  public Call call(Ask ask, Consumer<Call> then) {
-    return new Call(ask, then);
+  public Call call(ToolCallRequest request, Consumer<Call> then) {
+    return new Call(request, then);
   }
 
   /** One call under way. */
   public final class Call implements ResponseReceiver {
-    private final Ask ask;
+    private final ToolCallRequest request;
     private final int id = nextId++;
     private final Consumer<Call> then;
     private final CallRecord seen;
     private final HttpCall http;
     private boolean told;
 
-    private Call(Ask ask, Consumer<Call> then) {
-      this.ask = ask;
+    private Call(ToolCallRequest request, Consumer<Call> then) {
+      this.request = request;
       this.then = then;
-      ObjectNode params = JsonNodeFactory.instance.objectNode().put("name", ask.tool());
+      ObjectNode params = JsonNodeFactory.instance.objectNode().put("name", request.tool());
       ObjectNode arguments = params.putObject("arguments");
-      arguments.set("messages", ask.messages());
-      arguments.put("max_tokens", ask.maxTokens());
-      if (ask.conversation() != null) {
-        arguments.put("conversation", ask.conversation());
+      arguments.set("messages", request.messages());
+      arguments.put("max_tokens", request.maxTokens());
+      if (request.conversation() != null) {
+        arguments.put("conversation", request.conversation());
       }
       ArrayNode tools = arguments.putArray("tools");
-      ask.tools()
+      request
+          .tools()
           .forEach(
               t -> tools.addObject().put("name", t).putObject("inputSchema").put("type", "object"));
       ObjectNode meta = params.putObject("_meta").put("progressToken", id);
-      if (ask.retry()) {
+      if (request.retry()) {
         meta.put("lemondock/retry", true);
       }
-      if (ask.key() != null) {
-        meta.put("lemondock/key", ask.key());
+      if (request.idempotencyKey() != null) {
+        meta.put("lemondock/key", request.idempotencyKey());
       }
-      if (ask.tenant() != null) {
-        meta.put("lemondock/tenant", ask.tenant());
+      if (request.tenant() != null) {
+        meta.put("lemondock/tenant", request.tenant());
       }
       int chars = 0;
-      for (JsonNode m : ask.messages()) {
+      for (JsonNode m : request.messages()) {
         chars += m.path("content").asText().length();
       }
       this.seen =
-          new CallRecord(ask.mark(), gateway, ask.classId(), chars, ask.retry(), loop.now());
+          new CallRecord(
+              request.mark(), gateway, request.classId(), chars, request.retry(), loop.now());
       this.http =
           post(
               JsonRpc.request(JsonNodeFactory.instance.numberNode(id), Mcp.TOOLS_CALL, params),
@@ -278,14 +195,14 @@
     }
 
     /** What was asked. */
-    public Ask ask() {
-      return ask;
+    public ToolCallRequest request() {
+      return request;
     }
 
     /** Gives up: says so, and closes the connection. */
     public void leave() {
-      if (seen.endedAt == 0 && seen.brokeAt == 0) {
-        seen.leftAt = loop.now();
+      if (seen.answeredAtMicros == 0 && seen.connectionLostAtMicros == 0) {
+        seen.cancelledAtMicros = loop.now();
         post(
             JsonRpc.notification(
                 Mcp.CANCELLED,
@@ -301,18 +218,18 @@
     @Override
     public void onHead(HttpEvent.ResponseHead head) {
       if (head.status() == 404) {
-        seen.notTaken = true;
+        seen.notAccepted = true;
         reset();
       } else if (head.status() == 503) {
-        seen.notTaken = true; // at its limit
+        seen.notAccepted = true; // at its limit
       } else if (head.status() != 200) {
-        seen.oddities.add("status " + head.status());
+        seen.protocolViolations.add("status " + head.status());
       }
     }
 
     @Override
     public void onBody(byte[] bytes) {
-      if (seen.notTaken) {
+      if (seen.notAccepted) {
         return;
       }
       take(new String(bytes, StandardCharsets.UTF_8));
@@ -328,8 +245,8 @@
 
     private void take(String json) {
       JsonRpcMessage message = RPC.parse(json.getBytes(StandardCharsets.UTF_8)).messages().get(0);
-      if (seen.endedAt != 0) {
-        seen.afterEnd++;
+      if (seen.answeredAtMicros != 0) {
+        seen.messagesAfterAnswer++;
       } else if (message instanceof JsonRpcMessage.Notification n
           && n.method().equals(Mcp.PROGRESS)) {
         progress(n.params());
@@ -338,42 +255,44 @@
       } else if (message instanceof JsonRpcMessage.Response r && r.id().asInt(-1) == id) {
         response(r);
       } else if (!(message instanceof JsonRpcMessage.Notification)) {
-        seen.oddities.add("unexpected message " + json);
+        seen.protocolViolations.add("unexpected message " + json);
       }
     }
 
     private void progress(JsonNode params) {
-      seen.firstAt = seen.firstAt == 0 ? loop.now() : seen.firstAt;
+      seen.firstMessageAtMicros =
+          seen.firstMessageAtMicros == 0 ? loop.now() : seen.firstMessageAtMicros;
       int count = params.path("progress").asInt();
       if (count <= seen.tokens) {
-        seen.oddities.add("progress went from " + seen.tokens + " to " + count);
+        seen.protocolViolations.add("progress went from " + seen.tokens + " to " + count);
       }
       seen.tokens = count;
       seen.streamed.append(params.path("message").asText());
     }
 
-    private void tool(JsonRpcMessage.Request request) {
-      seen.firstAt = seen.firstAt == 0 ? loop.now() : seen.firstAt;
+    private void tool(JsonRpcMessage.Request toolCall) {
+      seen.firstMessageAtMicros =
+          seen.firstMessageAtMicros == 0 ? loop.now() : seen.firstMessageAtMicros;
       seen.toolCalls.add(
-          request.params().path("name").asText() + request.params().path("arguments"));
+          toolCall.params().path("name").asText() + toolCall.params().path("arguments"));
       ObjectNode answer;
-      if (ask.behaviour() == Tools.ERROR) {
-        answer = JsonRpc.error(request.id(), -32000, "the tool failed", null);
+      if (request.toolBehaviour() == ToolBehaviour.ERROR) {
+        answer = JsonRpc.error(toolCall.id(), -32000, "the tool failed", null);
       } else {
         ObjectNode result = JsonNodeFactory.instance.objectNode();
         result
             .putArray("content")
             .addObject()
             .put("type", "text")
-            .put("text", "did-" + request.params().path("name").asText());
-        answer = JsonRpc.result(request.id(), result);
+            .put("text", "did-" + toolCall.params().path("name").asText());
+        answer = JsonRpc.result(toolCall.id(), result);
       }
-      if (ask.behaviour() != Tools.SILENT) {
+      if (request.toolBehaviour() != ToolBehaviour.SILENT) {
         loop.schedule(
-            ask.toolMicros(),
+            request.toolDelayMicros(),
             () -> {
               post(answer, new Quiet());
-              if (ask.behaviour() == Tools.TWICE) {
+              if (request.toolBehaviour() == ToolBehaviour.TWICE) {
                 post(answer, new Quiet());
               }
             });
@@ -382,11 +301,11 @@
 
     private void response(JsonRpcMessage.Response response) {
       seen.responses++;
-      seen.endedAt = loop.now();
+      seen.answeredAtMicros = loop.now();
       if (response.error() != null) {
         seen.errorCode = response.error().path("code").asInt();
         seen.retryable = response.error().path("data").path("retryable").asBoolean(false);
-        seen.became = response.error().path("data").path("became").asText(null);
+        seen.earlierAttemptOutcome = response.error().path("data").path("became").asText(null);
         seen.retryAfterMs = response.error().path("data").path("retryAfterMs").asLong(0);
       } else {
         seen.finalText = response.result().path("content").path(0).path("text").asText();
@@ -400,9 +319,9 @@
 
     @Override
     public void onFailure(RequestFailure failure, String what) {
-      if (seen.endedAt == 0) {
-        seen.brokeAt = loop.now();
-        seen.notTaken |=
+      if (seen.answeredAtMicros == 0) {
+        seen.connectionLostAtMicros = loop.now();
+        seen.notAccepted |=
             failure == RequestFailure.NOT_SENT || failure == RequestFailure.LOCAL_LIMIT_REACHED;
       }
       reset();
@@ -410,8 +329,8 @@
     }
 
     private void over() {
-      if (seen.endedAt == 0 && seen.brokeAt == 0) {
-        seen.brokeAt = loop.now(); // the stream ended without a response
+      if (seen.answeredAtMicros == 0 && seen.connectionLostAtMicros == 0) {
+        seen.connectionLostAtMicros = loop.now(); // the stream ended without a response
       }
       if (!told) {
         told = true;
--- a/scenario/src/main/java/lemondock/scenario/ScenarioAuditor.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioAuditor.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.TrafficObserver;
+import lemondock.emulator.TrafficEvent;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.rpc.Mcp;
 
@@ -35,51 +35,31 @@
   private static final double CHARS_A_TOKEN =
       3; // fewer than any tokenizer's mean: errs towards more patience
   private static final int MOST_TOLD = 20;
-  private static final Set<TrafficObserver.What> ENDS =
+  private static final Set<TrafficEvent.Kind> ENDS =
       Set.of(
-          TrafficObserver.What.ANSWERED,
-          TrafficObserver.What.TURNED_AWAY,
-          TrafficObserver.What.BROKEN);
+          TrafficEvent.Kind.ANSWERED,
+          TrafficEvent.Kind.REJECTED,
+          TrafficEvent.Kind.CONNECTION_LOST);
 
   private final GatewaySettings settings;
   private final Map<String, EngineSettings> engines = new HashMap<>();
-  private final List<TrafficObserver.Event> events;
+  private final List<TrafficEvent> events;
   private final List<CallRecord> calls;
   private final Map<String, List<Long>> kills = new HashMap<>();
-  private final List<ScenarioFleet.Stood> stood;
+  private final List<GatewayPause> stood;
   private final long end;
   private final Map<Integer, List<String>> breaches = new TreeMap<>();
   private final Map<String, List<Attempt>> attempts = new LinkedHashMap<>();
 
-  /** What the auditor found: breaches by rule, an empty list for a rule that was kept. */
-  public record Finding(Map<Integer, List<String>> breaches) {
-    /** Whether all rules were kept. */
-    public boolean kept() {
-      return breaches.values().stream().allMatch(List::isEmpty);
-    }
-
-    /** Rules that were broken. */
-    public Set<Integer> broken() {
-      Set<Integer> broken = new HashSet<>();
-      breaches.forEach(
-          (rule, found) -> {
-            if (!found.isEmpty()) {
-              broken.add(rule);
-            }
-          });
-      return broken;
-    }
-  }
-
   /** One read or write as its engine saw it; {@code endedAt} is Long.MAX_VALUE while it lasts. */
   private static final class Attempt {
-    private TrafficObserver.Event arrived;
+    private TrafficEvent arrived;
     private long endedAt = Long.MAX_VALUE;
     private boolean turnedAway;
     private boolean effect;
 
     boolean write() {
-      return arrived.what() == TrafficObserver.What.WRITE;
+      return arrived.kind() == TrafficEvent.Kind.DECODE;
     }
   }
 
@@ -95,23 +75,23 @@
   public ScenarioAuditor(
       GatewaySettings settings,
       List<EngineSettings> engines,
-      List<TrafficObserver.Event> events,
+      List<TrafficEvent> events,
       List<CallRecord> calls,
-      List<ScenarioFleet.Killed> killed,
-      List<ScenarioFleet.Stood> stood,
+      List<GatewayKill> killed,
+      List<GatewayPause> stood,
       long end) {
     this.stood = stood;
     this.settings = settings;
     engines.forEach(e -> this.engines.put(e.name(), e));
-    this.events =
-        events.stream().sorted(Comparator.comparingLong(TrafficObserver.Event::at)).toList();
+    this.events = events.stream().sorted(Comparator.comparingLong(TrafficEvent::atMicros)).toList();
     this.calls = calls;
     this.end = end;
-    killed.forEach(k -> kills.computeIfAbsent(k.gateway(), g -> new ArrayList<>()).add(k.at()));
+    killed.forEach(
+        k -> kills.computeIfAbsent(k.gateway(), g -> new ArrayList<>()).add(k.atMicros()));
   }
 
   /** Checks all rules. */
-  public Finding check() {
+  public AuditResult check() {
     for (int rule = 1; rule <= 5; rule++) {
       breaches.put(rule, new ArrayList<>());
     }
@@ -122,7 +102,7 @@
     drains();
     coldServers();
     heldStates();
-    return new Finding(breaches);
+    return new AuditResult(breaches);
   }
 
   private void breach(int rule, String what) {
@@ -135,23 +115,23 @@
   /** Puts together what belongs to one attempt. */
   private void collect() {
     Map<String, Attempt> open = new HashMap<>();
-    for (TrafficObserver.Event e : events) {
-      String key = e.where() + "/" + e.requestId();
-      if (e.what() == TrafficObserver.What.READ || e.what() == TrafficObserver.What.WRITE) {
+    for (TrafficEvent e : events) {
+      String key = e.server() + "/" + e.requestId();
+      if (e.kind() == TrafficEvent.Kind.PREFILL || e.kind() == TrafficEvent.Kind.DECODE) {
         Attempt attempt = new Attempt();
         attempt.arrived = e;
         open.put(key, attempt);
         attempts.computeIfAbsent(e.mark(), m -> new ArrayList<>()).add(attempt);
-      } else if (ENDS.contains(e.what()) && open.containsKey(key)) {
+      } else if (ENDS.contains(e.kind()) && open.containsKey(key)) {
         Attempt attempt = open.get(key);
-        attempt.endedAt = Math.min(attempt.endedAt, e.at());
-        attempt.turnedAway |= e.what() == TrafficObserver.What.TURNED_AWAY;
-      } else if (e.what() == TrafficObserver.What.EFFECT && open.containsKey(key)) {
+        attempt.endedAt = Math.min(attempt.endedAt, e.atMicros());
+        attempt.turnedAway |= e.kind() == TrafficEvent.Kind.REJECTED;
+      } else if (e.kind() == TrafficEvent.Kind.DECODE_STARTED && open.containsKey(key)) {
         open.get(key).effect = true;
-      } else if (e.what() == TrafficObserver.What.DIED) {
+      } else if (e.kind() == TrafficEvent.Kind.DIED) {
         open.values().stream()
-            .filter(a -> a.arrived.where().equals(e.where()))
-            .forEach(a -> a.endedAt = Math.min(a.endedAt, e.at()));
+            .filter(a -> a.arrived.server().equals(e.server()))
+            .forEach(a -> a.endedAt = Math.min(a.endedAt, e.atMicros()));
       }
     }
   }
@@ -165,7 +145,10 @@
   private long stoodWithin(String gateway, long from, long to) {
     return stood.stream()
         .filter(s -> s.gateway().equals(gateway))
-        .mapToLong(s -> Math.max(0, Math.min(to, s.to() + AFTERMATH) - Math.max(from, s.from())))
+        .mapToLong(
+            s ->
+                Math.max(
+                    0, Math.min(to, s.toMicros() + AFTERMATH) - Math.max(from, s.fromMicros())))
         .sum();
   }
 
@@ -174,34 +157,41 @@
   /** Each request taken gets exactly one final answer in time, nothing after. */
   private void oneAnswer(CallRecord c) {
     final GatewaySettings.ClassSettings cls = settings.classes().get(c.classId);
-    long last = c.leftAt != 0 ? c.leftAt : c.endedAt != 0 ? c.endedAt : end;
-    if (c.notTaken || killedWithin(c.gateway, c.calledAt, last + TOLERANCE)) {
+    long last =
+        c.cancelledAtMicros != 0
+            ? c.cancelledAtMicros
+            : c.answeredAtMicros != 0 ? c.answeredAtMicros : end;
+    if (c.notAccepted || killedWithin(c.gateway, c.calledAtMicros, last + TOLERANCE)) {
       return;
     }
     if (c.responses > 1) {
       breach(1, c.mark + " got " + c.responses + " responses");
     }
-    if (c.afterEnd > 0) {
-      breach(1, c.mark + " got " + c.afterEnd + " messages after its final answer");
+    if (c.messagesAfterAnswer > 0) {
+      breach(1, c.mark + " got " + c.messagesAfterAnswer + " messages after its final answer");
     }
-    if (c.leftAt != 0) {
+    if (c.cancelledAtMicros != 0) {
       return;
     }
     if (c.responses == 0) {
       breach(
-          1, c.mark + " got no final answer" + (c.brokeAt != 0 ? ", its stream just ended" : ""));
+          1,
+          c.mark
+              + " got no final answer"
+              + (c.connectionLostAtMicros != 0 ? ", its stream just ended" : ""));
     }
     long patience =
         cls.deadlineMicros((int) (c.promptChars / CHARS_A_TOKEN))
             + GatewaySettings.micros(settings.rules().answerSlackMs());
-    long first = c.firstAt != 0 ? c.firstAt : c.endedAt;
+    long first = c.firstMessageAtMicros != 0 ? c.firstMessageAtMicros : c.answeredAtMicros;
     if (first != 0
-        && first - c.calledAt - stoodWithin(c.gateway, c.calledAt, first) > patience + TOLERANCE) {
+        && first - c.calledAtMicros - stoodWithin(c.gateway, c.calledAtMicros, first)
+            > patience + TOLERANCE) {
       breach(
           1,
           c.mark
               + " heard first after "
-              + (first - c.calledAt) / MICROS
+              + (first - c.calledAtMicros) / MICROS
               + " ms of "
               + patience / MICROS);
     }
@@ -226,8 +216,8 @@
         }
       }
     }
-    if (!c.oddities.isEmpty()) {
-      breach(1, c.mark + ": " + c.oddities);
+    if (!c.protocolViolations.isEmpty()) {
+      breach(1, c.mark + ": " + c.protocolViolations);
     }
   }
 
@@ -292,20 +282,20 @@
             2,
             c.mark
                 + " may run only once and was sent to "
-                + first.arrived.where()
+                + first.arrived.server()
                 + " and "
-                + again.arrived.where());
+                + again.arrived.server());
         continue;
       }
-      EngineSettings a = engines.get(first.arrived.where());
-      EngineSettings b = engines.get(again.arrived.where());
+      EngineSettings a = engines.get(first.arrived.server());
+      EngineSettings b = engines.get(again.arrived.server());
       boolean inGroup =
           switch (cls.group()) {
             case "zone" -> a.zone().equals(b.zone());
             case "rack" -> a.zone().equals(b.zone()) && a.rack().equals(b.rack());
             default -> true;
           };
-      long after = again.arrived.at() - first.arrived.at();
+      long after = again.arrived.atMicros() - first.arrived.atMicros();
       if (!inGroup || after > GatewaySettings.micros(cls.repeatWindowMs()) + TOLERANCE) {
         breach(
             2,
@@ -328,14 +318,15 @@
       for (int j = i + 1; j < all.size(); j++) {
         Attempt a = all.get(i);
         Attempt b = all.get(j);
-        if (Math.min(a.endedAt, b.endedAt) - Math.max(a.arrived.at(), b.arrived.at()) > TOLERANCE) {
+        if (Math.min(a.endedAt, b.endedAt) - Math.max(a.arrived.atMicros(), b.arrived.atMicros())
+            > TOLERANCE) {
           breach(
               2,
               c.mark
                   + " was out at "
-                  + a.arrived.where()
+                  + a.arrived.server()
                   + " and "
-                  + b.arrived.where()
+                  + b.arrived.server()
                   + " at a time");
           return;
         }
@@ -349,9 +340,9 @@
   private void drains() {
     long grace = GatewaySettings.micros(settings.rules().drainGraceMs()) + TOLERANCE;
     Map<String, Map<String, Long>> closed = new HashMap<>(); // gateway -> server -> since when
-    for (TrafficObserver.Event e : events) {
+    for (TrafficEvent e : events) {
       Map<String, Long> shut = closed.computeIfAbsent(e.gateway(), g -> new HashMap<>());
-      if (e.what() == TrafficObserver.What.TOLD) {
+      if (e.kind() == TrafficEvent.Kind.ENDPOINTS_SENT) {
         Set<String> ready = new HashSet<>();
         for (String part : e.detail().split(" ")) {
           if (part.endsWith("=ready")) {
@@ -365,23 +356,23 @@
                   if (ready.contains(name)) {
                     shut.remove(name);
                   } else {
-                    shut.putIfAbsent(name, e.at());
+                    shut.putIfAbsent(name, e.atMicros());
                   }
                 });
-      } else if (e.what() == TrafficObserver.What.READ || e.what() == TrafficObserver.What.WRITE) {
-        Long since = shut.get(e.where());
+      } else if (e.kind() == TrafficEvent.Kind.PREFILL || e.kind() == TrafficEvent.Kind.DECODE) {
+        Long since = shut.get(e.server());
         if (since != null
-            && e.at() - since - stoodWithin(e.gateway(), since, e.at()) > grace
-            && !killedWithin(e.gateway(), since, e.at())) {
+            && e.atMicros() - since - stoodWithin(e.gateway(), since, e.atMicros()) > grace
+            && !killedWithin(e.gateway(), since, e.atMicros())) {
           breach(
               3,
               e.gateway()
                   + " sent "
                   + e.requestId()
                   + " to "
-                  + e.where()
+                  + e.server()
                   + " "
-                  + (e.at() - since) / MICROS
+                  + (e.atMicros() - since) / MICROS
                   + " ms after it was told that it drains or is gone");
         }
       }
@@ -397,23 +388,23 @@
    */
   private void coldServers() {
     double window = GatewaySettings.micros(settings.rules().overloadWindowMs());
-    for (TrafficObserver.Event started : events) {
-      EngineSettings s = engines.get(started.where());
-      if (started.what() != TrafficObserver.What.STARTED || s == null || started.value() <= 0) {
+    for (TrafficEvent started : events) {
+      EngineSettings s = engines.get(started.server());
+      if (started.kind() != TrafficEvent.Kind.STARTED || s == null || started.value() <= 0) {
         continue;
       }
       double perMicro = capacity(s) / 1e6;
-      double warm = started.at() + (double) started.value() * MICROS;
+      double warm = started.atMicros() + (double) started.value() * MICROS;
       List<Long> sends =
           events.stream()
               .filter(
                   e ->
-                      e.where().equals(s.name())
-                          && e.at() >= started.at()
-                          && e.at() <= warm
-                          && (e.what() == TrafficObserver.What.READ
-                              || e.what() == TrafficObserver.What.WRITE))
-              .map(TrafficObserver.Event::at)
+                      e.server().equals(s.name())
+                          && e.atMicros() >= started.atMicros()
+                          && e.atMicros() <= warm
+                          && (e.kind() == TrafficEvent.Kind.PREFILL
+                              || e.kind() == TrafficEvent.Kind.DECODE))
+              .map(TrafficEvent::atMicros)
               .toList();
       for (int from = 0; from < sends.size(); from++) {
         int to = from;
@@ -425,7 +416,7 @@
                 + (1 - s.coldShare())
                     * Math.min(
                         1,
-                        (sends.get(from) + window / 2 - started.at())
+                        (sends.get(from) + window / 2 - started.atMicros())
                             / ((double) started.value() * MICROS));
         double budget = settings.rules().overloadFactor() * share * perMicro * window;
         if (to - from > budget + 2 + 2 * Math.sqrt(budget)) {
@@ -437,7 +428,7 @@
                   + " requests in "
                   + (long) (window / MICROS)
                   + " ms, "
-                  + (sends.get(from) - started.at()) / MICROS
+                  + (sends.get(from) - started.atMicros()) / MICROS
                   + " ms after its start, of "
                   + Math.round(budget)
                   + " that it bears");
@@ -451,8 +442,8 @@
   private double capacity(EngineSettings s) {
     double tokens =
         events.stream()
-            .filter(e -> e.what() == TrafficObserver.What.READ)
-            .mapToLong(TrafficObserver.Event::value)
+            .filter(e -> e.kind() == TrafficEvent.Kind.PREFILL)
+            .mapToLong(TrafficEvent::value)
             .average()
             .orElse(500);
     double answer =
@@ -470,25 +461,25 @@
    */
   private void heldStates() {
     long limit = GatewaySettings.micros(settings.rules().releaseWithinMs()) + TOLERANCE;
-    Map<String, TrafficObserver.Event> open = new LinkedHashMap<>();
+    Map<String, TrafficEvent> open = new LinkedHashMap<>();
     List<Object[]> spans = new ArrayList<>();
-    for (TrafficObserver.Event e : events) {
-      String key = e.where() + "/" + e.requestId();
-      if (e.what() == TrafficObserver.What.STATE_KEPT) {
+    for (TrafficEvent e : events) {
+      String key = e.server() + "/" + e.requestId();
+      if (e.kind() == TrafficEvent.Kind.STATE_RESERVED) {
         open.put(key, e);
-      } else if (e.what() == TrafficObserver.What.STATE_TAKEN
-          || e.what() == TrafficObserver.What.STATE_LET_GO) {
-        TrafficObserver.Event kept = open.remove(key);
+      } else if (e.kind() == TrafficEvent.Kind.STATE_FETCHED
+          || e.kind() == TrafficEvent.Kind.STATE_RELEASED) {
+        TrafficEvent kept = open.remove(key);
         if (kept != null) {
-          spans.add(new Object[] {kept, e.at()});
+          spans.add(new Object[] {kept, e.atMicros()});
         }
-      } else if (e.what() == TrafficObserver.What.DIED) {
+      } else if (e.kind() == TrafficEvent.Kind.DIED) {
         open.entrySet()
             .removeIf(
                 o -> {
-                  boolean here = o.getValue().where().equals(e.where());
+                  boolean here = o.getValue().server().equals(e.server());
                   if (here) {
-                    spans.add(new Object[] {o.getValue(), e.at()});
+                    spans.add(new Object[] {o.getValue(), e.atMicros()});
                   }
                   return here;
                 });
@@ -496,16 +487,16 @@
     }
     open.values().forEach(kept -> spans.add(new Object[] {kept, end}));
     for (Object[] span : spans) {
-      TrafficObserver.Event kept = (TrafficObserver.Event) span[0];
+      TrafficEvent kept = (TrafficEvent) span[0];
       long until = (long) span[1];
       long idle = longestIdle(kept, until);
-      if (idle > limit && !killedWithin(kept.gateway(), kept.at(), until)) {
+      if (idle > limit && !killedWithin(kept.gateway(), kept.atMicros(), until)) {
         breach(
             5,
             "a state of "
                 + kept.mark()
                 + " was held at "
-                + kept.where()
+                + kept.server()
                 + " for "
                 + idle / MICROS
                 + " ms with none of its attempts out");
@@ -514,16 +505,16 @@
   }
 
   /** The longest time within a state's life in which no attempt of its request was out. */
-  private long longestIdle(TrafficObserver.Event kept, long until) {
+  private long longestIdle(TrafficEvent kept, long until) {
     List<long[]> out = new ArrayList<>();
     for (Attempt a : attempts.getOrDefault(kept.mark(), List.of())) {
       if (a.arrived.gateway().equals(kept.gateway())) {
-        out.add(new long[] {a.arrived.at(), a.endedAt});
+        out.add(new long[] {a.arrived.atMicros(), a.endedAt});
       }
     }
     out.sort(Comparator.comparingLong(o -> o[0]));
     long longest = 0;
-    long free = kept.at();
+    long free = kept.atMicros();
     for (long[] span : out) {
       if (span[0] > free) {
         longest = Math.max(longest, idle(kept, free, Math.min(span[0], until)));
@@ -533,7 +524,7 @@
     return Math.max(longest, idle(kept, free, until));
   }
 
-  private long idle(TrafficObserver.Event kept, long from, long to) {
+  private long idle(TrafficEvent kept, long from, long to) {
     return to - from - stoodWithin(kept.gateway(), from, to);
   }
 
@@ -551,7 +542,7 @@
     }
     for (List<CallRecord> tries : asks.values()) {
       GatewaySettings.ClassSettings cls = settings.classes().get(tries.get(0).classId);
-      long from = tries.get(0).calledAt;
+      long from = tries.get(0).calledAtMicros;
       double best = tries.stream().mapToDouble(c -> worth(cls, c, from)).max().orElse(0);
       for (String name : List.of("all", cls.name())) {
         double[] sum = sums.computeIfAbsent(name, n -> new double[2]);
@@ -565,14 +556,14 @@
   }
 
   private double worth(GatewaySettings.ClassSettings cls, CallRecord c, long from) {
-    if (!c.served() || c.firstAt == 0) {
+    if (!c.served() || c.firstMessageAtMicros == 0) {
       return 0;
     }
     double aim = cls.aimMs() + cls.aimMsPerThousandTokens() * c.promptChars / 4000;
-    boolean prompt = (c.firstAt - from) / (double) MICROS <= aim;
+    boolean prompt = (c.firstMessageAtMicros - from) / (double) MICROS <= aim;
     boolean steady =
         !c.toolCalls.isEmpty()
-            || (c.endedAt - c.firstAt) / (double) MICROS
+            || (c.answeredAtMicros - c.firstMessageAtMicros) / (double) MICROS
                 <= Math.max(1, c.tokens) * cls.tokenAimMs();
     return cls.worth() * (prompt && steady ? 1 : cls.lateWorth());
   }
@@ -582,9 +573,9 @@
     Map<String, Integer> counts = new TreeMap<>();
     for (CallRecord c : calls) {
       String ending =
-          c.notTaken
+          c.notAccepted
               ? "not taken"
-              : c.leftAt != 0
+              : c.cancelledAtMicros != 0
                   ? "left"
                   : c.served()
                       ? "served"
--- a/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
@@ -22,7 +22,7 @@
 import lemondock.emulator.CatalogueEmulator;
 import lemondock.emulator.EngineEmulator;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.TrafficObserver;
+import lemondock.emulator.TrafficEvent;
 import lemondock.exporter.host.ReportHost;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.GatewayEnvironment;
@@ -33,7 +33,6 @@
 import lemondock.gateway.settings.SettingsException;
 import lemondock.idempotency.DiskFolder;
 import lemondock.idempotency.FileSystemPort;
-import lemondock.metrics.Snapshot;
 import lemondock.net.nio.LoopbackPort;
 import lemondock.net.nio.ThreadLoop;
 import lemondock.net.nio.WorkerPool;
@@ -56,10 +55,9 @@
   private final CatalogueEmulator catalogue;
   private final Map<String, Box> boxes = new LinkedHashMap<>();
   private final Map<String, Front> fronts = new LinkedHashMap<>();
-  private final List<TrafficObserver.Event> events =
-      Collections.synchronizedList(new ArrayList<>());
-  private final List<Killed> killed = Collections.synchronizedList(new ArrayList<>());
-  private final List<Stood> stood = Collections.synchronizedList(new ArrayList<>());
+  private final List<TrafficEvent> events = Collections.synchronizedList(new ArrayList<>());
+  private final List<GatewayKill> killed = Collections.synchronizedList(new ArrayList<>());
+  private final List<GatewayPause> stood = Collections.synchronizedList(new ArrayList<>());
   private final List<LoopbackPort> reservedPorts = Collections.synchronizedList(new ArrayList<>());
   private final PromptReader prompts;
   private final ExecutorService workers = WorkerPool.create(2, WORKERS_QUEUE, "rehearsal-worker");
@@ -67,19 +65,7 @@
   private ProcessResources machine =
       ProcessResources.UNKNOWN; // one process holds all gateways: it is no one's own
   private long seed;
-  private Looks looks = (gateway, at, snapshot) -> {};
-
-  /** Hears of each look that a gateway's reports take. */
-  public interface Looks {
-    /** On the reports' loop of that gateway; {@code at} is microseconds of the machine's clock. */
-    void looked(String gateway, long at, Snapshot snapshot);
-  }
-
-  /** A gateway's death. */
-  public record Killed(String gateway, long at) {}
-
-  /** A time for which a gateway stood still, in microseconds. */
-  public record Stood(String gateway, long from, long to) {}
+  private SnapshotListener looks = (gateway, at, snapshot) -> {};
 
   private static final class Box {
     private EngineSettings settings;
@@ -124,7 +110,8 @@
   public ScenarioFleet(List<GatewaySettings.ClassSettings> classes, long seed) {
     this.seed = seed;
     this.prompts = new PromptReader(classes);
-    this.catalogue = standins.ask(() -> new CatalogueEmulator(standins.loop(), events::add));
+    this.catalogue =
+        standins.invokeAndWait(() -> new CatalogueEmulator(standins.loop(), events::add));
     try {
       catalogue.start(standins.network(), new InetSocketAddress("127.0.0.1", 0));
     } catch (IOException e) {
@@ -133,7 +120,7 @@
   }
 
   /** Hears of all looks from now on; before gateways are added. */
-  public void onLook(Looks hears) {
+  public void onSnapshot(SnapshotListener hears) {
     looks = hears;
   }
 
@@ -165,7 +152,7 @@
   }
 
   /** The stand-ins' node. */
-  public EmulatedProcess standins() {
+  public EmulatedProcess emulators() {
     return standins;
   }
 
@@ -182,9 +169,9 @@
 
   private void up(Box box, boolean cold) {
     box.node = new EmulatedProcess(standins, 1);
-    EngineSettings now = cold ? box.settings : box.settings.warming(box.settings.coldShare(), 0);
+    EngineSettings now = cold ? box.settings : box.settings.withWarmUp(box.settings.coldShare(), 0);
     box.engine =
-        standins.ask(
+        standins.invokeAndWait(
             () ->
                 new EngineEmulator(standins.loop(), box.node.network(), now, ++seed, events::add));
     try {
@@ -196,7 +183,7 @@
     box.settings = box.settings.at("127.0.0.1:" + address.getPort());
     EngineSettings s = box.settings;
     long started = cold ? System.currentTimeMillis() : LONG_AGO;
-    standins.ask(
+    standins.invokeAndWait(
         () -> {
           catalogue.put(
               new CatalogueEmulator.Service(
@@ -222,13 +209,13 @@
   /** Kills an engine: its connections break at once; the catalogue hears of it after the delay. */
   public void crash(String name, long noticeMicros) {
     Box box = boxes.get(name);
-    standins.ask(
+    standins.invokeAndWait(
         () -> {
           box.engine.died();
           return null;
         });
     box.node.close();
-    standins.ask(
+    standins.invokeAndWait(
         () ->
             standins
                 .loop()
@@ -248,7 +235,7 @@
 
   /** Lets an engine drain, or not any more. */
   public void drain(String name, boolean on) {
-    standins.ask(
+    standins.invokeAndWait(
         () -> {
           catalogue.maintenance(name, on);
           return null;
@@ -294,7 +281,7 @@
       throw new UncheckedIOException(e);
     }
     front.gateway =
-        front.node.ask(
+        front.node.invokeAndWait(
             () ->
                 new Gateway(
                     new GatewayEnvironment(
@@ -317,7 +304,7 @@
               front.reports.environment(),
               new SimpleMeterRegistry());
       front.reporting.addTickListener(
-          (stamp, snapshot) -> looks.looked(name, front.node.loop().now(), snapshot));
+          (stamp, snapshot) -> looks.onSnapshot(name, front.node.loop().now(), snapshot));
       front.reporting.start(front.gateway.address());
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -330,7 +317,7 @@
   public void kill(String name) {
     Front front = fronts.get(name);
     goOn(name);
-    killed.add(new Killed(name, front.node.loop().now()));
+    killed.add(new GatewayKill(name, front.node.loop().now()));
     front.node.close();
     front.reports.close();
     front.release();
@@ -355,7 +342,7 @@
     Front front = fronts.get(name);
     long since = front.network.goOn();
     if (since != 0) {
-      stood.add(new Stood(name, since, front.node.loop().now()));
+      stood.add(new GatewayPause(name, since, front.node.loop().now()));
     }
   }
 
@@ -421,7 +408,7 @@
   public boolean awaitServers(String gateway, int count, long millis) {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
     Front front = fronts.get(gateway);
-    while (front.node.ask(front.gateway::endpointCount) != count) {
+    while (front.node.invokeAndWait(front.gateway::endpointCount) != count) {
       if (System.nanoTime() > until) {
         return false;
       }
@@ -431,21 +418,21 @@
   }
 
   /** What passed on the stand-ins' sockets so far. */
-  public List<TrafficObserver.Event> events() {
+  public List<TrafficEvent> events() {
     synchronized (events) {
       return List.copyOf(events);
     }
   }
 
   /** Gateways killed so far. */
-  public List<Killed> killed() {
+  public List<GatewayKill> killed() {
     synchronized (killed) {
       return List.copyOf(killed);
     }
   }
 
   /** Times for which gateways stood still so far. */
-  public List<Stood> stood() {
+  public List<GatewayPause> stood() {
     synchronized (stood) {
       return List.copyOf(stood);
     }
--- a/scenario/src/main/java/lemondock/scenario/ScenarioReport.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioReport.java
@@ -25,39 +25,39 @@
   private ScenarioReport() {}
 
   /** A line for a day. */
-  public static String line(FaultScenario.Result r) {
+  public static String line(ScenarioResult r) {
     return String.format(
         Locale.ROOT,
         "%s seed %d: %s; worth in time %.3f; %d calls %s; %s",
         r.script().name(),
         r.script().seed(),
-        r.finding().kept()
+        r.audit().allRulesKept()
             ? "rules kept"
-            : "RULES BROKEN " + r.finding().broken() + " " + r.finding().breaches(),
-        r.service().getOrDefault("all", 0.0),
-        r.calls(),
-        r.endings(),
+            : "RULES BROKEN " + r.audit().violatedRules() + " " + r.audit().violations(),
+        r.valueInTimeShares().getOrDefault("all", 0.0),
+        r.callCount(),
+        r.outcomeCounts(),
         r.script().describe());
   }
 
   /** All of it. */
-  public static String json(List<FaultScenario.Result> results) {
+  public static String json(List<ScenarioResult> results) {
     ObjectNode root = JsonNodeFactory.instance.objectNode();
-    root.put("kept", results.stream().allMatch(r -> r.finding().kept()));
+    root.put("kept", results.stream().allMatch(r -> r.audit().allRulesKept()));
     root.put("engines", "stand-in");
     ArrayNode days = root.putArray("days");
-    for (FaultScenario.Result r : results) {
+    for (ScenarioResult r : results) {
       ObjectNode day =
           days.addObject()
               .put("name", r.script().name())
               .put("seed", r.script().seed())
-              .put("kept", r.finding().kept())
-              .put("calls", r.calls())
+              .put("kept", r.audit().allRulesKept())
+              .put("calls", r.callCount())
               .put("engineRequests", r.engineRequests())
               .put("seconds", r.seconds());
       ObjectNode rules = day.putObject("rules");
-      r.finding()
-          .breaches()
+      r.audit()
+          .violations()
           .forEach(
               (rule, found) -> {
                 ObjectNode one =
@@ -69,16 +69,16 @@
                 found.forEach(breaches::add);
               });
       ObjectNode service = day.putObject("worthInTime");
-      r.service().forEach(service::put);
+      r.valueInTimeShares().forEach(service::put);
       ObjectNode endings = day.putObject("endings");
-      r.endings().forEach(endings::put);
+      r.outcomeCounts().forEach(endings::put);
       day.set("script", r.script().toJson());
     }
     return root.toPrettyString() + "\n";
   }
 
   /** A page for a person. */
-  public static String page(List<FaultScenario.Result> results) {
+  public static String page(List<ScenarioResult> results) {
     StringBuilder html =
         new StringBuilder(
             "<!doctype html><meta charset=\"utf-8\"><title>Bad"
@@ -89,7 +89,7 @@
                 + " loopback, stand-in"
                 + " engines</h1><table><tr><th>day<th>troubles<th>rules<th>worth in"
                 + " time<th>calls</tr>");
-    for (FaultScenario.Result r : results) {
+    for (ScenarioResult r : results) {
       html.append("<tr><td>")
           .append(escape(r.script().name()))
           .append(", seed ")
@@ -97,11 +97,11 @@
           .append("<td>")
           .append(escape(r.script().describe()))
           .append("<td>");
-      if (r.finding().kept()) {
+      if (r.audit().allRulesKept()) {
         html.append("all five kept");
       }
-      r.finding()
-          .breaches()
+      r.audit()
+          .violations()
           .forEach(
               (rule, found) ->
                   found.forEach(
@@ -114,7 +114,7 @@
                               .append(escape(f))
                               .append("</div>")));
       html.append("<td>");
-      r.service()
+      r.valueInTimeShares()
           .forEach(
               (name, worth) ->
                   html.append(escape(name))
@@ -122,9 +122,9 @@
                       .append(String.format(Locale.ROOT, "%.3f", worth))
                       .append("<br>"));
       html.append("<td>")
-          .append(r.calls())
+          .append(r.callCount())
           .append("<br>")
-          .append(escape(r.endings().toString()))
+          .append(escape(r.outcomeCounts().toString()))
           .append("</tr>");
     }
     return html.append("</table>\n").toString();
--- a/scenario/src/main/java/lemondock/scenario/ScenarioScript.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioScript.java
@@ -1,18 +1,29 @@
 package lemondock.scenario;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
+import java.util.stream.Collectors;
 import lemondock.gateway.settings.SettingsException;
 import lemondock.gateway.settings.SettingsFile;
 
 /**
- * A day to be played: the fleet's size, its load and what goes wrong; {@code day.schema.json} holds
- * the defaults.
+ * A scenario to be played: the fleet, its load and the faults; {@code day.schema.json} holds the
+ * defaults and the bounds.
+ *
+ * @param seed draws the traffic
+ * @param seconds time for which clients arrive
+ * @param rate arrivals of clients a second
+ * @param slots parallel requests of an engine of the kind {@code mixed}
+ * @param tokenMs time between two tokens of an answer
+ * @param abandonShare share of calls that their client abandons
+ * @param toolShare share of calls that may lead to tool calls
  */
 public record ScenarioScript(
     String name,
@@ -26,66 +37,36 @@
     int mixedPerZone,
     int slots,
     double tokenMs,
-    double givingUp,
-    double withTools,
-    List<Trouble> troubles) {
+    @JsonProperty("givingUp") double abandonShare,
+    @JsonProperty("withTools") double toolShare,
+    @JsonProperty("troubles") List<ScriptedFault> faults) {
 
-  private static final String[] KINDS = {
-    "fast_errors",
-    "slow",
-    "shared_slow",
-    "forget",
-    "answer_lost",
-    "silent",
-    "crash",
-    "deploy",
-    "zone_loss",
-    "gateway_kill",
-    "gateways_roll",
-    "give_up",
-    "stream_break",
-    "hot_opening",
-    "states_lost",
-    "list_fails",
-    "list_empty",
-    "ageing",
-    "neighbour",
-    "gateway_freeze",
-    "gateway_busy"
-  };
-
-  /**
-   * One trouble.
-   *
-   * @param part share of the engines that it hits
-   * @param size how bad it is, by kind: a share of requests, or how many times slower
-   */
-  public record Trouble(String kind, double atMs, double forMs, double part, double size) {}
+  private static final ObjectMapper MAPPER = new ObjectMapper();
 
   /** Reads a script from a file. */
   public static ScenarioScript read(Path file) throws SettingsException {
-    return of(file.toString(), SettingsFile.readJson(file));
+    return bind(file.toString(), SettingsFile.readJson(file));
   }
 
-  private static ScenarioScript of(String file, JsonNode root) throws SettingsException {
+  private static ScenarioScript bind(String file, JsonNode root) throws SettingsException {
     return SettingsFile.bind(
         file, root, "day.schema.json", ScenarioScript.class, ScenarioScript.class);
   }
 
-  /** A script with all defaults and no troubles. */
-  public static ScenarioScript quiet() {
+  /** A script with all defaults and no faults. */
+  public static ScenarioScript withDefaults() {
     try {
-      return of("quiet", JsonNodeFactory.instance.objectNode());
+      return bind("quiet", JsonNodeFactory.instance.objectNode());
     } catch (SettingsException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  /** The same day with another seed, which draws its traffic. */
-  public ScenarioScript seeded(long other) {
+  /** The same scenario with another seed. */
+  public ScenarioScript withSeed(long newSeed) {
     return new ScenarioScript(
         name,
-        other,
+        newSeed,
         seconds,
         rate,
         zones,
@@ -95,18 +76,19 @@
         mixedPerZone,
         slots,
         tokenMs,
-        givingUp,
-        withTools,
-        troubles);
+        abandonShare,
+        toolShare,
+        faults);
   }
 
-  /** The same fleet and traffic over another time and with other troubles. */
-  public ScenarioScript with(String other, double time, double pace, List<Trouble> bad) {
+  /** The same fleet under another load and other faults. */
+  public ScenarioScript withLoad(
+      String newName, double newSeconds, double newRate, List<ScriptedFault> newFaults) {
     return new ScenarioScript(
-        other,
+        newName,
         seed,
-        time,
-        pace,
+        newSeconds,
+        newRate,
         zones,
         gatewaysPerZone,
         readersPerZone,
@@ -114,13 +96,14 @@
         mixedPerZone,
         slots,
         tokenMs,
-        givingUp,
-        withTools,
-        bad);
+        abandonShare,
+        toolShare,
+        newFaults);
   }
 
-  /** The same day on another fleet, one zone with one gateway. */
-  public ScenarioScript fleet(int readers, int writers, int mixed, int places, double token) {
+  /** The same load and faults on another fleet, one zone with one gateway. */
+  public ScenarioScript withFleet(
+      int readers, int writers, int mixed, int newSlots, double newTokenMs) {
     return new ScenarioScript(
         name,
         seed,
@@ -131,47 +114,56 @@
         readers,
         writers,
         mixed,
-        places,
-        token,
-        givingUp,
-        withTools,
-        troubles);
+        newSlots,
+        newTokenMs,
+        abandonShare,
+        toolShare,
+        faults);
   }
 
-  /** A bad day drawn from a seed: three to five troubles, some of them at a time. */
+  /** Draws a scenario from a seed: three to five faults, some of them at the same time. */
   public static ScenarioScript draw(long seed, double seconds) {
     SplittableRandom random = new SplittableRandom(seed);
-    List<Trouble> troubles = new ArrayList<>();
+    List<ScriptedFault> faults = new ArrayList<>();
     int count = 3 + random.nextInt(3);
     for (int i = 0; i < count; i++) {
-      String kind = KINDS[random.nextInt(KINDS.length)];
-      double from = seconds * 1000 * (0.1 + 0.6 * random.nextDouble());
-      double length = 800 + 2200 * random.nextDouble();
-      double size =
-          switch (kind) {
-            case "slow", "shared_slow", "ageing" -> 2 + 6 * random.nextDouble();
-            default -> 0.2 + 0.6 * random.nextDouble();
-          };
-      troubles.add(new Trouble(kind, from, length, 0.15 + 0.4 * random.nextDouble(), size));
+      faults.add(drawFault(random, seconds));
     }
-    return quiet().seeded(seed).with("bad-" + seed, seconds, quiet().rate(), List.copyOf(troubles));
+    ScenarioScript defaults = withDefaults();
+    return defaults
+        .withSeed(seed)
+        .withLoad("bad-" + seed, seconds, defaults.rate(), List.copyOf(faults));
+  }
+
+  /** The order of the draws is part of what a seed means. */
+  private static ScriptedFault drawFault(SplittableRandom random, double seconds) {
+    FaultKind[] kinds = FaultKind.values();
+    FaultKind kind = kinds[random.nextInt(kinds.length)];
+    double atMs = seconds * 1000 * (0.1 + 0.6 * random.nextDouble());
+    double forMs = 800 + 2200 * random.nextDouble();
+    double size =
+        switch (kind) {
+          case SLOW, SHARED_SLOW, AGEING -> 2 + 6 * random.nextDouble();
+          default -> 0.2 + 0.6 * random.nextDouble();
+        };
+    double part = 0.15 + 0.4 * random.nextDouble();
+    return new ScriptedFault(kind, atMs, forMs, part, size);
   }
 
-  /** A line that tells the troubles. */
+  /** The faults on one line. */
   public String describe() {
-    StringBuilder text = new StringBuilder();
-    for (Trouble t : troubles) {
-      text.append(text.isEmpty() ? "" : ", ")
-          .append(t.kind())
-          .append(" at ")
-          .append(Math.round(t.atMs() / 100) / 10.0)
-          .append(" s");
+    if (faults.isEmpty()) {
+      return "no trouble";
     }
-    return text.isEmpty() ? "no trouble" : text.toString();
+    return faults.stream()
+        .map(
+            fault ->
+                fault.kind().scriptName() + " at " + Math.round(fault.atMs() / 100) / 10.0 + " s")
+        .collect(Collectors.joining(", "));
   }
 
   /** The script as JSON, as a file would hold it. */
   public ObjectNode toJson() {
-    return new com.fasterxml.jackson.databind.ObjectMapper().valueToTree(this);
+    return MAPPER.valueToTree(this);
   }
 }
--- a/scenario/src/test/java/lemondock/scenario/BreakTableTest.java
+++ b/scenario/src/test/java/lemondock/scenario/BreakTableTest.java
@@ -23,7 +23,7 @@
 import java.util.stream.Stream;
 import lemondock.emulator.EngineFaults;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.TrafficObserver;
+import lemondock.emulator.TrafficEvent;
 import lemondock.rpc.Mcp;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
@@ -199,7 +199,7 @@
 
   /** Slow enough for a client to do something within a token's time; no row hangs on it. */
   private static EngineSettings slow(EngineSettings engine) {
-    return engine.paced(engine.readMs(), engine.firstMs(), 10);
+    return engine.withLatencies(engine.readMs(), engine.firstMs(), 10);
   }
 
   @AfterAll
@@ -300,11 +300,11 @@
     }
     if (!repeat.equals("safe")) {
       assertTrue(
-          bench.events(TrafficObserver.What.EFFECT, run.mark).stream()
-                  .map(TrafficObserver.Event::value)
+          bench.events(TrafficEvent.Kind.DECODE_STARTED, run.mark).stream()
+                  .map(TrafficEvent::value)
                   .distinct()
                   .count()
-              == bench.events(TrafficObserver.What.EFFECT, run.mark).size(),
+              == bench.events(TrafficEvent.Kind.DECODE_STARTED, run.mark).size(),
           "a leg ran twice");
     }
     bench.awaitIdle();
@@ -313,7 +313,7 @@
 
   /** The auditor's word on all that passed on the engines' sockets and on this client's. */
   private static void rulesKept(ScenarioFixture bench, CallRecord seen) {
-    ScenarioAuditor.Finding finding =
+    AuditResult finding =
         new ScenarioAuditor(
                 bench.settings,
                 bench.fleet.engineSettings(),
@@ -325,7 +325,7 @@
                 List.of(),
                 bench.clients.loop().now())
             .check();
-    assertTrue(finding.kept(), finding.breaches().toString());
+    assertTrue(finding.allRulesKept(), finding.violations().toString());
   }
 
   /** One answer, and what is done to it. */
@@ -356,8 +356,8 @@
     private void faults(String kind, Consumer<EngineFaults> change) {
       bench
           .fleet
-          .standins()
-          .ask(
+          .emulators()
+          .invokeAndWait(
               () -> {
                 EngineFaults.Hits one = new EngineFaults.Hits(1);
                 for (int i = 1; i <= (kind.equals("r") ? READERS : WRITERS); i++) {
@@ -407,9 +407,12 @@
         for (JsonNode message = gone ? null : answer.next();
             message != null;
             message = gone ? null : answer.next()) {
-          seen.firstAt = seen.firstAt == 0 ? bench.clients.loop().now() : seen.firstAt;
+          seen.firstMessageAtMicros =
+              seen.firstMessageAtMicros == 0
+                  ? bench.clients.loop().now()
+                  : seen.firstMessageAtMicros;
           if (seen.responses > 0) {
-            seen.afterEnd++;
+            seen.messagesAfterAnswer++;
           }
           if (message.path("method").asText().equals(Mcp.PROGRESS)) {
             seen.streamed.append(message.at("/params/message").asText());
@@ -444,21 +447,22 @@
         answer.resume();
       }
       if (has(Break.CANCEL, moment)) {
-        seen.leftAt = bench.clients.loop().now();
+        seen.cancelledAtMicros = bench.clients.loop().now();
         client.post(
             "{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":7}}");
       } else if (has(Break.LEAVE, moment)) {
-        seen.leftAt = bench.clients.loop().now();
+        seen.cancelledAtMicros = bench.clients.loop().now();
         answer.close();
         gone = true;
       } else if (has(Break.DELETE, moment)) {
-        seen.leftAt = bench.clients.loop().now();
+        seen.cancelledAtMicros = bench.clients.loop().now();
         client.delete();
       }
     }
 
     private void tool(JsonNode id) throws IOException, InterruptedException {
-      if (has(Break.NEVER, Moment.TOOL) || seen.leftAt != 0 && !has(Break.CANCEL, Moment.TOOL)) {
+      if (has(Break.NEVER, Moment.TOOL)
+          || seen.cancelledAtMicros != 0 && !has(Break.CANCEL, Moment.TOOL)) {
         return;
       } // after a cancel the result comes all the same, and nobody may mind
       String text =
@@ -485,7 +489,7 @@
         ScenarioFixture.await(
             "the model told",
             () ->
-                bench.events(TrafficObserver.What.EFFECT, mark).stream()
+                bench.events(TrafficEvent.Kind.DECODE_STARTED, mark).stream()
                     .anyMatch(e -> e.value() > 2));
       }
       client.post(result);
@@ -497,7 +501,7 @@
     private void end(JsonNode message) {
       assertNotNull(message.get("id"));
       seen.responses++;
-      seen.endedAt = bench.clients.loop().now();
+      seen.answeredAtMicros = bench.clients.loop().now();
       if (message.has("error")) {
         seen.errorCode = message.at("/error/code").asInt();
         seen.retryable = message.at("/error/data/retryable").asBoolean(false);
--- a/scenario/src/test/java/lemondock/scenario/CrashTest.java
+++ b/scenario/src/test/java/lemondock/scenario/CrashTest.java
@@ -25,7 +25,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Supplier;
 import java.util.stream.Stream;
-import lemondock.emulator.TrafficObserver;
+import lemondock.emulator.TrafficEvent;
 import lemondock.rpc.Mcp;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
@@ -195,8 +195,8 @@
   /** The engines' work for a try: legs written, by their length. */
   private static List<Long> effects(String mark) {
     return fleet.events().stream()
-        .filter(e -> e.what() == TrafficObserver.What.EFFECT && e.mark().equals(mark))
-        .map(TrafficObserver.Event::value)
+        .filter(e -> e.kind() == TrafficEvent.Kind.DECODE_STARTED && e.mark().equals(mark))
+        .map(TrafficEvent::value)
         .toList();
   }
 
--- a/scenario/src/test/java/lemondock/scenario/FaultScenarioTest.java
+++ b/scenario/src/test/java/lemondock/scenario/FaultScenarioTest.java
@@ -14,57 +14,61 @@
 class FaultScenarioTest {
   @Test
   void aQuietDayServesAlmostAll() throws InterruptedException {
-    FaultScenario.Result result =
-        new FaultScenario(ScenarioScript.quiet().with("quiet", 3, 60, List.of())).play();
+    ScenarioResult result =
+        new FaultScenario(ScenarioScript.withDefaults().withLoad("quiet", 3, 60, List.of())).play();
     assertEquals(
         Map.of(1, List.of(), 2, List.of(), 3, List.of(), 4, List.of(), 5, List.of()),
-        result.finding().breaches());
-    assertTrue(result.service().get("all") > 0.8, result.service() + " " + result.endings());
+        result.audit().violations());
+    assertTrue(
+        result.valueInTimeShares().get("all") > 0.8,
+        result.valueInTimeShares() + " " + result.outcomeCounts());
   }
 
   @Test
   void gatewaysThatStandStillOrAreOccupiedKeepTheRules() throws InterruptedException {
-    FaultScenario.Result result =
+    ScenarioResult result =
         new FaultScenario(
-                ScenarioScript.quiet()
-                    .with(
+                ScenarioScript.withDefaults()
+                    .withLoad(
                         "frozen",
                         4,
                         60,
                         List.of(
-                            new ScenarioScript.Trouble("gateway_freeze", 700, 1500, 0, 0),
-                            new ScenarioScript.Trouble("fast_errors", 1000, 1500, 0.4, 0.6),
-                            new ScenarioScript.Trouble("gateway_busy", 1500, 1500, 0, 0.8))))
+                            new ScriptedFault(FaultKind.GATEWAY_FREEZE, 700, 1500, 0, 0),
+                            new ScriptedFault(FaultKind.FAST_ERRORS, 1000, 1500, 0.4, 0.6),
+                            new ScriptedFault(FaultKind.GATEWAY_BUSY, 1500, 1500, 0, 0.8))))
             .play();
     assertEquals(
         Map.of(1, List.of(), 2, List.of(), 3, List.of(), 4, List.of(), 5, List.of()),
-        result.finding().breaches());
-    assertTrue(result.service().get("all") > 0.5, result.service() + " " + result.endings());
+        result.audit().violations());
+    assertTrue(
+        result.valueInTimeShares().get("all") > 0.5,
+        result.valueInTimeShares() + " " + result.outcomeCounts());
   }
 
   /** Gateways die all the time, and clients ask for the same calls again when they are back. */
   private static FaultScenario deaths() {
-    List<ScenarioScript.Trouble> kills = new ArrayList<>();
+    List<ScriptedFault> kills = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      kills.add(new ScenarioScript.Trouble("gateway_kill", 500 + 500 * i, 300, 0, 0));
+      kills.add(new ScriptedFault(FaultKind.GATEWAY_KILL, 500 + 500 * i, 300, 0, 0));
     }
-    return new FaultScenario(ScenarioScript.quiet().with("deaths", 6, 120, kills));
+    return new FaultScenario(ScenarioScript.withDefaults().withLoad("deaths", 6, 120, kills));
   }
 
   @Test
   void whatMayRunOnceDoesSoOverTheDeathsOfItsGateways() throws InterruptedException {
-    FaultScenario.Result result = deaths().play();
+    ScenarioResult result = deaths().play();
     assertEquals(
         Map.of(1, List.of(), 2, List.of(), 3, List.of(), 4, List.of(), 5, List.of()),
-        result.finding().breaches());
+        result.audit().violations());
     assertTrue(
-        result.seen().stream().anyMatch(c -> "may_have_run".equals(c.became)),
+        result.callRecords().stream().anyMatch(c -> "may_have_run".equals(c.earlierAttemptOutcome)),
         "no call was asked for again");
   }
 
   @Test
   void gatewaysThatForgetAreSeenToRunCallsAgain() throws InterruptedException {
-    assertEquals(Set.of(2), deaths().files(Forgetful::new).play().finding().broken());
+    assertEquals(Set.of(2), deaths().files(Forgetful::new).play().audit().violatedRules());
   }
 
   /** A folder that is found empty. */
--- a/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
@@ -13,10 +13,9 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
 import lemondock.emulator.EngineFaults;
-import lemondock.emulator.TrafficObserver;
+import lemondock.emulator.TrafficEvent;
 import lemondock.gateway.Gateway;
 import lemondock.rpc.Mcp;
-import lemondock.scenario.McpClient.Tools;
 import org.junit.jupiter.api.Test;
 
 /** What breaks, one by one, and what must be seen on the sockets. */
@@ -48,8 +47,8 @@
   private static void fault(ScenarioFixture bench, String engine, Consumer<EngineFaults> set) {
     bench
         .fleet
-        .standins()
-        .ask(
+        .emulators()
+        .invokeAndWait(
             () -> {
               set.accept(bench.fleet.engine(engine).faults());
               return null;
@@ -62,8 +61,8 @@
 
   private static void assertOneEnd(CallRecord seen) {
     assertEquals(1, seen.responses);
-    assertEquals(0, seen.afterEnd);
-    assertEquals(List.of(), seen.oddities);
+    assertEquals(0, seen.messagesAfterAnswer);
+    assertEquals(List.of(), seen.protocolViolations);
   }
 
   /** The whole text of an answer of so many words in its last turn, without tools. */
@@ -77,7 +76,7 @@
 
   /** Makes a call, which must end once and with the whole answer. */
   private static CallRecord assertServedWhole(ScenarioFixture bench) {
-    CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, Tools.ANSWER));
+    CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, ToolBehaviour.ANSWER));
     assertOneEnd(seen);
     assertEquals(words(40), seen.finalText);
     return seen;
@@ -117,7 +116,7 @@
       CallRecord seen = assertServedWhole(bench);
       assertEquals(words(40), seen.streamed.toString());
       assertEquals(40, seen.tokens);
-      assertTrue(bench.events(TrafficObserver.What.EFFECT, "m").size() >= 2);
+      assertTrue(bench.events(TrafficEvent.Kind.DECODE_STARTED, "m").size() >= 2);
       bench.awaitIdle();
     }
   }
@@ -131,11 +130,11 @@
             ScenarioFixture.writer("w1"),
             ScenarioFixture.writer("w2"))) {
       faults(bench, f -> f.breakAfter = 7);
-      CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, Tools.ANSWER));
+      CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, ToolBehaviour.ANSWER));
       assertOneEnd(seen);
       assertEquals(Mcp.FAILED, seen.errorCode);
       assertFalse(seen.retryable);
-      assertEquals(1, bench.events(TrafficObserver.What.EFFECT, "m").size());
+      assertEquals(1, bench.events(TrafficEvent.Kind.DECODE_STARTED, "m").size());
       bench.awaitIdle();
     }
   }
@@ -151,7 +150,8 @@
       CompletableFuture<McpClient.Call> done =
           bench.begin(
               bench.client(),
-              ScenarioFixture.ask("m", "call the tool stock " + LONG, Tools.ANSWER, "stock"),
+              ScenarioFixture.ask(
+                  "m", "call the tool stock " + LONG, ToolBehaviour.ANSWER, "stock"),
               call ->
                   faults(
                       bench,
@@ -203,14 +203,15 @@
       for (String reader : List.of("r1", "r2")) {
         fault(bench, reader, f -> f.dropStates = true);
       }
-      CallRecord lost = bench.call(ScenarioFixture.ask("m1", LONG, Tools.ANSWER));
+      CallRecord lost = bench.call(ScenarioFixture.ask("m1", LONG, ToolBehaviour.ANSWER));
       assertOneEnd(lost);
       assertEquals(Mcp.REJECTED, lost.errorCode);
       assertTrue(lost.retryable);
       for (String reader : List.of("r1", "r2")) {
         fault(bench, reader, f -> f.dropStates = false);
       }
-      assertEquals(words(40), bench.call(ScenarioFixture.ask("m2", LONG, Tools.ANSWER)).finalText);
+      assertEquals(
+          words(40), bench.call(ScenarioFixture.ask("m2", LONG, ToolBehaviour.ANSWER)).finalText);
       bench.awaitIdle();
     }
   }
@@ -220,7 +221,7 @@
     try (ScenarioFixture bench =
         new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       bench.fleet.crash("r", 0);
-      CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, Tools.ANSWER));
+      CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, ToolBehaviour.ANSWER));
       assertOneEnd(seen);
       assertEquals(Mcp.REJECTED, seen.errorCode);
       assertTrue(seen.retryable);
@@ -233,29 +234,31 @@
         new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       bench
           .fleet
-          .standins()
-          .ask(
+          .emulators()
+          .invokeAndWait(
               () -> {
                 bench.fleet.catalogue().empty(true);
                 return null;
               });
       assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 0, 5_000));
       assertEquals(
-          Mcp.REJECTED, bench.call(ScenarioFixture.ask("m1", LONG, Tools.ANSWER)).errorCode);
+          Mcp.REJECTED,
+          bench.call(ScenarioFixture.ask("m1", LONG, ToolBehaviour.ANSWER)).errorCode);
       bench.fleet.crash("r", 0);
       bench.fleet.crash("w", 0);
       bench.fleet.addEngine(ScenarioFixture.reader("r9"));
       bench.fleet.addEngine(ScenarioFixture.writer("w9"));
       bench
           .fleet
-          .standins()
-          .ask(
+          .emulators()
+          .invokeAndWait(
               () -> {
                 bench.fleet.catalogue().empty(false);
                 return null;
               });
       assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 2, 5_000));
-      assertEquals(words(40), bench.call(ScenarioFixture.ask("m2", LONG, Tools.ANSWER)).finalText);
+      assertEquals(
+          words(40), bench.call(ScenarioFixture.ask("m2", LONG, ToolBehaviour.ANSWER)).finalText);
     }
   }
 
@@ -267,14 +270,15 @@
       CompletableFuture<McpClient.Call> done =
           bench.begin(
               bench.client(),
-              ScenarioFixture.ask("m", "answer in 200 words", Tools.ANSWER),
+              ScenarioFixture.ask("m", "answer in 200 words", ToolBehaviour.ANSWER),
               call::set);
       ScenarioFixture.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
       bench.fleet.drain("w1", true);
       assertEquals(words(200), ScenarioFixture.get(done).seen().finalText); // what runs may end
       assertEquals(
-          Mcp.REJECTED, bench.call(ScenarioFixture.ask("m2", LONG, Tools.ANSWER)).errorCode);
-      assertEquals(0, bench.events(TrafficObserver.What.WRITE, "m2").size());
+          Mcp.REJECTED,
+          bench.call(ScenarioFixture.ask("m2", LONG, ToolBehaviour.ANSWER)).errorCode);
+      assertEquals(0, bench.events(TrafficEvent.Kind.DECODE, "m2").size());
     }
   }
 
@@ -289,11 +293,11 @@
             ScenarioFixture.writer("w1"),
             ScenarioFixture.writer("w2"))) {
       faults(bench, fault);
-      CallRecord seen = bench.call(ScenarioFixture.ask("m1", LONG, Tools.ANSWER));
+      CallRecord seen = bench.call(ScenarioFixture.ask("m1", LONG, ToolBehaviour.ANSWER));
       assertOneEnd(seen);
       assertTrue(
           seen.errorCode == Mcp.REJECTED || seen.errorCode == Mcp.FAILED, "code " + seen.errorCode);
-      long took = TimeUnit.MICROSECONDS.toMillis(seen.endedAt - seen.calledAt);
+      long took = TimeUnit.MICROSECONDS.toMillis(seen.answeredAtMicros - seen.calledAtMicros);
       assertTrue(took < 2_000, "after " + took + " ms");
       faults(
           bench,
@@ -306,7 +310,7 @@
           "service again",
           () ->
               bench
-                  .call(ScenarioFixture.ask("m2", LONG, Tools.ANSWER))
+                  .call(ScenarioFixture.ask("m2", LONG, ToolBehaviour.ANSWER))
                   .finalText
                   .equals(words(40)));
       bench.awaitIdle();
@@ -328,7 +332,7 @@
     try (ScenarioFixture bench =
         new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       fault(bench, "w", f -> f.badEvent = "{\"choices\":[");
-      CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, Tools.ANSWER));
+      CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, ToolBehaviour.ANSWER));
       assertOneEnd(seen);
       assertEquals(
           Mcp.FAILED, seen.errorCode); // some tokens were delivered, and each going-on breaks again
@@ -347,7 +351,7 @@
             f.badEvent = "{\"error\":{\"message\":\"out of memory\"}}";
             f.hits = new EngineFaults.Hits(1);
           });
-      CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, Tools.ANSWER));
+      CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, ToolBehaviour.ANSWER));
       assertOneEnd(seen);
       assertEquals(words(40), seen.finalText);
     }
@@ -356,14 +360,17 @@
   // ==== clients
 
   private void leaves(
-      String text, Tools tools, java.util.function.Predicate<ScenarioFixture> when) {
+      String text,
+      ToolBehaviour toolBehaviour,
+      java.util.function.Predicate<ScenarioFixture> when) {
     try (ScenarioFixture bench =
         new ScenarioFixture(
             quick(),
-            ScenarioFixture.reader("r").paced(60, 1, 5),
-            ScenarioFixture.writer("w").paced(60, 60, 5))) {
+            ScenarioFixture.reader("r").withLatencies(60, 1, 5),
+            ScenarioFixture.writer("w").withLatencies(60, 60, 5))) {
       AtomicReference<McpClient.Call> call = new AtomicReference<>();
-      bench.begin(bench.client(), ScenarioFixture.ask("m", text, tools, "stock"), call::set);
+      bench.begin(
+          bench.client(), ScenarioFixture.ask("m", text, toolBehaviour, "stock"), call::set);
       ScenarioFixture.await("the moment to leave", () -> call.get() != null && when.test(bench));
       bench.clients.loop().execute(call.get()::leave);
       bench.awaitIdle();
@@ -373,28 +380,31 @@
 
   @Test
   void aClientThatLeavesBeforeTheRead() {
-    leaves(LONG, Tools.ANSWER, b -> true);
+    leaves(LONG, ToolBehaviour.ANSWER, b -> true);
   }
 
   @Test
   void aClientThatLeavesWhileAStateIsHeld() {
-    leaves(LONG, Tools.ANSWER, b -> !b.events(TrafficObserver.What.STATE_KEPT, "m").isEmpty());
+    leaves(
+        LONG,
+        ToolBehaviour.ANSWER,
+        b -> !b.events(TrafficEvent.Kind.STATE_RESERVED, "m").isEmpty());
   }
 
   @Test
   void aClientThatLeavesMidStream() {
     leaves(
         "answer in 400 words",
-        Tools.ANSWER,
-        b -> !b.events(TrafficObserver.What.EFFECT, "m").isEmpty());
+        ToolBehaviour.ANSWER,
+        b -> !b.events(TrafficEvent.Kind.DECODE_STARTED, "m").isEmpty());
   }
 
   @Test
   void aClientThatLeavesMidCall() {
     leaves(
         "call the tool stock",
-        Tools.SILENT,
-        b -> b.events(TrafficObserver.What.ANSWERED, "m").size() == 2);
+        ToolBehaviour.SILENT,
+        b -> b.events(TrafficEvent.Kind.ANSWERED, "m").size() == 2);
   }
 
   @Test
@@ -402,15 +412,18 @@
     try (ScenarioFixture bench =
         new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       CallRecord silent =
-          bench.call(ScenarioFixture.ask("m1", "call the tool stock", Tools.SILENT, "stock"));
+          bench.call(
+              ScenarioFixture.ask("m1", "call the tool stock", ToolBehaviour.SILENT, "stock"));
       assertOneEnd(silent);
       assertTrue(silent.finalText.contains("[the tool gave no result in time]"), silent.finalText);
       CallRecord twice =
-          bench.call(ScenarioFixture.ask("m2", "call the tool stock", Tools.TWICE, "stock"));
+          bench.call(
+              ScenarioFixture.ask("m2", "call the tool stock", ToolBehaviour.TWICE, "stock"));
       assertOneEnd(twice);
       assertTrue(twice.finalText.contains("[did-stock]"), twice.finalText);
       CallRecord error =
-          bench.call(ScenarioFixture.ask("m3", "call the tool stock", Tools.ERROR, "stock"));
+          bench.call(
+              ScenarioFixture.ask("m3", "call the tool stock", ToolBehaviour.ERROR, "stock"));
       assertOneEnd(error);
       assertTrue(error.finalText.contains("[error -32000: the tool failed]"), error.finalText);
       bench.awaitIdle();
@@ -424,7 +437,11 @@
       CallRecord seen =
           bench.call(
               ScenarioFixture.ask(
-                  "m", "call the tools stock and price together", Tools.ANSWER, "stock", "price"));
+                  "m",
+                  "call the tools stock and price together",
+                  ToolBehaviour.ANSWER,
+                  "stock",
+                  "price"));
       assertOneEnd(seen);
       assertTrue(seen.finalText.contains("[did-stock|did-price]"), seen.finalText);
     }
@@ -440,7 +457,9 @@
       McpClient client = bench.client();
       CompletableFuture<McpClient.Call> done =
           bench.begin(
-              client, ScenarioFixture.ask("m", "answer in 300 words", Tools.ANSWER), call::set);
+              client,
+              ScenarioFixture.ask("m", "answer in 300 words", ToolBehaviour.ANSWER),
+              call::set);
       ScenarioFixture.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
       Gateway gateway = bench.fleet.gateway(ScenarioFixture.GATEWAY);
       CompletableFuture<Void> stopped = gateway.stop();
@@ -458,12 +477,12 @@
               ((ObjectNode) s.get("limits")).put("stopWithinMs", 100);
             },
             ScenarioFixture.reader("r"),
-            ScenarioFixture.writer("w").paced(1, 1, 20))) {
+            ScenarioFixture.writer("w").withLatencies(1, 1, 20))) {
       AtomicReference<McpClient.Call> call = new AtomicReference<>();
       CompletableFuture<McpClient.Call> done =
           bench.begin(
               bench.client(),
-              ScenarioFixture.ask("m", "answer in 400 words", Tools.ANSWER),
+              ScenarioFixture.ask("m", "answer in 400 words", ToolBehaviour.ANSWER),
               call::set);
       ScenarioFixture.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
       bench.fleet.gateway(ScenarioFixture.GATEWAY).stop();
@@ -489,14 +508,16 @@
       AtomicReference<McpClient.Call> call = new AtomicReference<>();
       final List<CompletableFuture<McpClient.Call>> taken =
           List.of(
-              bench.begin(client, ScenarioFixture.ask("m1", "answer in 300 words", Tools.ANSWER)),
+              bench.begin(
+                  client, ScenarioFixture.ask("m1", "answer in 300 words", ToolBehaviour.ANSWER)),
               bench.begin(
                   client,
-                  ScenarioFixture.ask("m2", "answer in 300 words", Tools.ANSWER),
+                  ScenarioFixture.ask("m2", "answer in 300 words", ToolBehaviour.ANSWER),
                   call::set));
       ScenarioFixture.await("two calls", () -> call.get() != null && call.get().seen().tokens > 0);
       CallRecord third =
-          ScenarioFixture.get(bench.begin(client, ScenarioFixture.ask("m3", LONG, Tools.ANSWER)))
+          ScenarioFixture.get(
+                  bench.begin(client, ScenarioFixture.ask("m3", LONG, ToolBehaviour.ANSWER)))
               .seen();
       assertEquals(Mcp.LIMIT, third.errorCode);
       assertTrue(third.retryable);
@@ -512,13 +533,15 @@
               limits(s, 60);
               ((ObjectNode) s.at("/classes/0")).put("aimMsPerThousandTokens", 0);
             },
-            ScenarioFixture.reader("r").paced(20, 1, 1),
-            ScenarioFixture.writer("w").paced(1, 28, 1))) { // a first token after about 60 ms
+            ScenarioFixture.reader("r").withLatencies(20, 1, 1),
+            ScenarioFixture.writer("w")
+                .withLatencies(1, 28, 1))) { // a first token after about 60 ms
       McpClient client = bench.client();
       List<CompletableFuture<McpClient.Call>> calls = new java.util.ArrayList<>();
       for (int i = 0; i < 40; i++) {
         calls.add(
-            bench.begin(client, ScenarioFixture.ask("m" + i, "answer in 5 words", Tools.ANSWER)));
+            bench.begin(
+                client, ScenarioFixture.ask("m" + i, "answer in 5 words", ToolBehaviour.ANSWER)));
       }
       for (CompletableFuture<McpClient.Call> call : calls) {
         CallRecord seen = ScenarioFixture.get(call).seen();
@@ -535,7 +558,8 @@
   void pooledConnectionsThatTheirPeerClosedBetweenRequests() {
     try (ScenarioFixture bench =
         new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
-      assertEquals(words(40), bench.call(ScenarioFixture.ask("m1", LONG, Tools.ANSWER)).finalText);
+      assertEquals(
+          words(40), bench.call(ScenarioFixture.ask("m1", LONG, ToolBehaviour.ANSWER)).finalText);
       for (String engine : List.of("r", "w")) {
         bench.fleet.crash(engine, 10_000_000); // the list does not hear of it
         bench.fleet.restart(engine);
@@ -544,7 +568,7 @@
           "service",
           () ->
               bench
-                  .call(ScenarioFixture.ask("m2", LONG, Tools.ANSWER))
+                  .call(ScenarioFixture.ask("m2", LONG, ToolBehaviour.ANSWER))
                   .finalText
                   .equals(words(40)));
       bench.awaitIdle();
@@ -557,7 +581,7 @@
         new ScenarioFixture(
             s -> ((ObjectNode) s.at("/classes/0")).put("maxTokens", 10_000),
             ScenarioFixture.reader("r"),
-            ScenarioFixture.writer("w").paced(1, 1, 0))) {
+            ScenarioFixture.writer("w").withLatencies(1, 1, 0))) {
       String session =
           java.net.http.HttpClient.newHttpClient()
               .send(
@@ -600,14 +624,19 @@
         ScenarioFixture.await(
             "the engine waits",
             () -> {
-              int now = bench.fleet.standins().ask(() -> bench.fleet.engine("w").written("slow"));
+              int now =
+                  bench
+                      .fleet
+                      .emulators()
+                      .invokeAndWait(() -> bench.fleet.engine("w").written("slow"));
               boolean stands = now > 0 && now == before[0];
               before[0] = now;
               ScenarioFixture.pause(100);
               return stands;
             });
         assertTrue(before[0] < 4000, "all of 32 MB was taken: " + before[0]);
-        assertEquals(words(40), bench.call(ScenarioFixture.ask("m", LONG, Tools.ANSWER)).finalText);
+        assertEquals(
+            words(40), bench.call(ScenarioFixture.ask("m", LONG, ToolBehaviour.ANSWER)).finalText);
         byte[] all = socket.getInputStream().readAllBytes();
         assertTrue(all.length > 4000 * 8000);
         assertTrue(
@@ -627,14 +656,15 @@
               s.putObject("reporting").put("tickMs", 20).put("intervalMs", 20);
             },
             ScenarioFixture.reader("r"),
-            ScenarioFixture.writer("w").paced(1, 1, 20))) {
+            ScenarioFixture.writer("w").withLatencies(1, 1, 20))) {
       McpClient client =
           bench.client(); // with a session from before: a gateway at its limit refuses
       // new ones as well
       final CompletableFuture<McpClient.Call> running =
-          bench.begin(client, ScenarioFixture.ask("running", "answer in 100 words", Tools.ANSWER));
+          bench.begin(
+              client, ScenarioFixture.ask("running", "answer in 100 words", ToolBehaviour.ANSWER));
       ScenarioFixture.await(
-          "it runs", () -> !bench.events(TrafficObserver.What.WRITE, "running").isEmpty());
+          "it runs", () -> !bench.events(TrafficEvent.Kind.DECODE, "running").isEmpty());
       AtomicBoolean tooMuch = new AtomicBoolean(true);
       for (int i = 0; i < 3; i++) { // work always waits for the context for longer than the target
         keepBusy(bench.fleet.node(ScenarioFixture.GATEWAY), tooMuch);
@@ -648,11 +678,13 @@
                         bench.begin(
                             client,
                             ScenarioFixture.ask(
-                                "late" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
+                                "late" + System.nanoTime(),
+                                "answer in 1 words",
+                                ToolBehaviour.ANSWER)))
                     .seen();
             refused.set(seen);
             return seen.errorCode == Mcp.REJECTED
-                && bench.events(TrafficObserver.What.READ, seen.mark).isEmpty();
+                && bench.events(TrafficEvent.Kind.PREFILL, seen.mark).isEmpty();
           });
       tooMuch.set(false);
       assertTrue(
@@ -666,7 +698,9 @@
                       bench.begin(
                           client,
                           ScenarioFixture.ask(
-                              "after" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
+                              "after" + System.nanoTime(),
+                              "answer in 1 words",
+                              ToolBehaviour.ANSWER)))
                   .seen()
                   .served());
       var tally = bench.fleet.stopGateway(ScenarioFixture.GATEWAY).get("tally");
--- a/scenario/src/test/java/lemondock/scenario/GatewayOverloadTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayOverloadTest.java
@@ -17,10 +17,9 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.TrafficObserver;
+import lemondock.emulator.TrafficEvent;
 import lemondock.gateway.ProcessResources;
 import lemondock.rpc.Mcp;
-import lemondock.scenario.McpClient.Tools;
 import org.junit.jupiter.api.Test;
 
 /** A gateway whose own means run out, or that many clients use at a time in the worst way. */
@@ -43,10 +42,10 @@
               .forEach(c -> ((ObjectNode) c).put("aimMs", 20_000).put("deadlineMs", 60_000));
           changes.accept(s);
         },
-        EngineSettings.quick("r", "reader", "north", "r1").bounded(64, 256, 10_000_000),
+        EngineSettings.quick("r", "reader", "north", "r1").withLimits(64, 256, 10_000_000),
         EngineSettings.quick("w", "writer", "north", "r1")
-            .paced(1, 1, tokenMs)
-            .bounded(256, 256, 10_000_000));
+            .withLatencies(1, 1, tokenMs)
+            .withLimits(256, 256, 10_000_000));
   }
 
   private static String words(int count) {
@@ -62,7 +61,7 @@
     CompletableFuture<McpClient.Call> done =
         bench.begin(
             bench.client(),
-            ScenarioFixture.ask("running", "answer in " + words + " words", Tools.ANSWER),
+            ScenarioFixture.ask("running", "answer in " + words + " words", ToolBehaviour.ANSWER),
             call::set);
     ScenarioFixture.await("it runs", () -> call.get() != null && call.get().seen().tokens > 0);
     return done;
@@ -73,7 +72,7 @@
     assertEquals(words(words), seen.finalText);
     assertEquals(words(words), seen.streamed.toString());
     assertEquals(1, seen.responses);
-    assertEquals(0, seen.afterEnd);
+    assertEquals(0, seen.messagesAfterAnswer);
   }
 
   /** A process that has as much left as a test says. */
@@ -196,13 +195,15 @@
       assertTrue(
           ScenarioFixture.get(
                   bench.begin(
-                      client, ScenarioFixture.ask("first", "answer in 2 words", Tools.ANSWER)))
+                      client,
+                      ScenarioFixture.ask("first", "answer in 2 words", ToolBehaviour.ANSWER)))
               .seen()
               .served());
       for (int i = 0; i < 20; i++) {
         gateway.loop().execute(() -> ScenarioFixture.pause(150));
         calls.add(
-            bench.begin(client, ScenarioFixture.ask("p" + i, "answer in 2 words", Tools.ANSWER)));
+            bench.begin(
+                client, ScenarioFixture.ask("p" + i, "answer in 2 words", ToolBehaviour.ANSWER)));
         ScenarioFixture.pause(100);
       }
       calls.forEach(ScenarioFixture::get); // the module may refuse some too, as it is late
@@ -233,16 +234,17 @@
                     .put("repeatsPerSecond", 0)
                     .put("targetMs", 5_000))) {
       McpClient known = bench.client();
-      McpClient.Ask again = ScenarioFixture.ask("again", "answer in 1 words", Tools.ANSWER);
-      McpClient.Ask repeat =
-          new McpClient.Ask(
+      ToolCallRequest again =
+          ScenarioFixture.ask("again", "answer in 1 words", ToolBehaviour.ANSWER);
+      ToolCallRequest repeat =
+          new ToolCallRequest(
               again.tool(),
               again.classId(),
               again.messages(),
               again.conversation(),
               again.tools(),
-              again.behaviour(),
-              again.toolMicros(),
+              again.toolBehaviour(),
+              again.toolDelayMicros(),
               again.maxTokens(),
               again.mark(),
               true);
@@ -257,7 +259,9 @@
                           bench.begin(
                               known,
                               ScenarioFixture.ask(
-                                  "m" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
+                                  "m" + System.nanoTime(),
+                                  "answer in 1 words",
+                                  ToolBehaviour.ANSWER)))
                       .seen()
                       .errorCode
                   == Mcp.REJECTED);
@@ -270,7 +274,9 @@
         first +=
             ScenarioFixture.get(
                         bench.begin(
-                            known, ScenarioFixture.ask("f" + i, "answer in 1 words", Tools.ANSWER)))
+                            known,
+                            ScenarioFixture.ask(
+                                "f" + i, "answer in 1 words", ToolBehaviour.ANSWER)))
                     .seen()
                     .served()
                 ? 1
@@ -297,18 +303,21 @@
             bench.begin(
                 bench.client(),
                 ScenarioFixture.ask(
-                    "w" + i, "call the tool stock answer in 3 words", Tools.SILENT, "stock"),
+                    "w" + i,
+                    "call the tool stock answer in 3 words",
+                    ToolBehaviour.SILENT,
+                    "stock"),
                 call::set));
         ScenarioFixture.await(
             "it waits", () -> call.get() != null && !call.get().seen().toolCalls.isEmpty());
       }
       assertTrue(
-          bench.call(ScenarioFixture.ask("m", "answer in 3 words", Tools.ANSWER)).served(),
+          bench.call(ScenarioFixture.ask("m", "answer in 3 words", ToolBehaviour.ANSWER)).served(),
           "starved by slow tools");
       CallRecord fourth =
           bench.call(
               ScenarioFixture.ask(
-                  "w4", "call the tool stock answer in 3 words", Tools.ANSWER, "stock"));
+                  "w4", "call the tool stock answer in 3 words", ToolBehaviour.ANSWER, "stock"));
       assertEquals(Mcp.FAILED, fourth.errorCode);
       assertEquals(List.of(), fourth.toolCalls);
       waiting.forEach(w -> assertTrue(ScenarioFixture.get(w).seen().served()));
@@ -316,7 +325,7 @@
           bench
               .call(
                   ScenarioFixture.ask(
-                      "w5", "call the tool stock answer in 3 words", Tools.ANSWER, "stock"))
+                      "w5", "call the tool stock answer in 3 words", ToolBehaviour.ANSWER, "stock"))
               .served());
       bench.awaitIdle();
     }
@@ -357,7 +366,8 @@
       assertTrue(
           ScenarioFixture.get(
                   bench.begin(
-                      known, ScenarioFixture.ask("before", "answer in 1 words", Tools.ANSWER)))
+                      known,
+                      ScenarioFixture.ask("before", "answer in 1 words", ToolBehaviour.ANSWER)))
               .seen()
               .served());
       for (int way = 0; way < 2; way++) {
@@ -373,12 +383,14 @@
                           bench.begin(
                               known,
                               ScenarioFixture.ask(
-                                  "m" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
+                                  "m" + System.nanoTime(),
+                                  "answer in 1 words",
+                                  ToolBehaviour.ANSWER)))
                       .seen());
               return refused.get().errorCode == Mcp.REJECTED;
             });
         assertTrue(refused.get().retryable && refused.get().retryAfterMs > 0);
-        assertTrue(bench.events(TrafficObserver.What.READ, refused.get().mark).isEmpty());
+        assertTrue(bench.events(TrafficEvent.Kind.PREFILL, refused.get().mark).isEmpty());
         CompletableFuture<Boolean> session = new CompletableFuture<>();
         bench.clients.loop().execute(() -> bench.client().open(session::complete));
         assertFalse(ScenarioFixture.get(session), "no new sessions either");
@@ -392,7 +404,9 @@
                         bench.begin(
                             known,
                             ScenarioFixture.ask(
-                                "a" + System.nanoTime(), "answer in 1 words", Tools.ANSWER)))
+                                "a" + System.nanoTime(),
+                                "answer in 1 words",
+                                ToolBehaviour.ANSWER)))
                     .seen()
                     .served());
       }
@@ -406,7 +420,7 @@
       CompletableFuture<McpClient.Call> running = running(bench, 300);
       for (int i = 0; i < 20; i++) { // the writer's one connection is in use
         CallRecord seen =
-            bench.call(ScenarioFixture.ask("m" + i, "answer in 3 words", Tools.ANSWER));
+            bench.call(ScenarioFixture.ask("m" + i, "answer in 3 words", ToolBehaviour.ANSWER));
         assertEquals(1, seen.responses);
         assertTrue(seen.served() || seen.retryable, "code " + seen.errorCode);
       }
@@ -526,7 +540,7 @@
             bench
                 .fleet
                 .node(ScenarioFixture.GATEWAY)
-                .ask(bench.fleet.gateway(ScenarioFixture.GATEWAY)::sessionCount));
+                .invokeAndWait(bench.fleet.gateway(ScenarioFixture.GATEWAY)::sessionCount));
       } finally {
         closeAll(sockets);
       }
@@ -546,7 +560,8 @@
       assertTrue(
           ScenarioFixture.get(
                   bench.begin(
-                      known, ScenarioFixture.ask("first", "answer in 1 words", Tools.ANSWER)))
+                      known,
+                      ScenarioFixture.ask("first", "answer in 1 words", ToolBehaviour.ANSWER)))
               .seen()
               .served());
       List<Socket> sockets = new ArrayList<>();
@@ -566,9 +581,10 @@
           CallRecord seen =
               ScenarioFixture.get(
                       bench.begin(
-                          known, ScenarioFixture.ask("m" + i, "answer in 3 words", Tools.ANSWER)))
+                          known,
+                          ScenarioFixture.ask("m" + i, "answer in 3 words", ToolBehaviour.ANSWER)))
                   .seen();
-          assertTrue(seen.served(), "code " + seen.errorCode + " " + seen.oddities);
+          assertTrue(seen.served(), "code " + seen.errorCode + " " + seen.protocolViolations);
         }
       } finally {
         closeAll(sockets);
@@ -612,12 +628,16 @@
               int now = 0;
               for (int i = 0; i < STILL; i++) {
                 String mark = "n" + i;
-                now += bench.fleet.standins().ask(() -> bench.fleet.engine("w").written(mark));
+                now +=
+                    bench
+                        .fleet
+                        .emulators()
+                        .invokeAndWait(() -> bench.fleet.engine("w").written(mark));
               }
               boolean stands =
                   now > 0
                       && now == before[0]
-                      && bench.events(TrafficObserver.What.WRITE, null).size() >= STILL;
+                      && bench.events(TrafficEvent.Kind.DECODE, null).size() >= STILL;
               before[0] = now;
               ScenarioFixture.pause(200);
               return stands;
@@ -676,7 +696,7 @@
                 ScenarioFixture.ask(
                     "m" + i,
                     "call the tool stock and then call the tool price answer in" + " 20 words",
-                    Tools.ANSWER,
+                    ToolBehaviour.ANSWER,
                     "stock",
                     "price")));
       }
@@ -684,7 +704,7 @@
         CallRecord seen = ScenarioFixture.get(call).seen();
         assertEquals(2, seen.toolCalls.size());
         assertEquals(1, seen.responses);
-        assertEquals(List.of(), seen.oddities);
+        assertEquals(List.of(), seen.protocolViolations);
         assertEquals(seen.finalText, seen.streamed.toString());
         assertTrue(
             seen.finalText.contains("[did-stock]") && seen.finalText.contains("[did-price]"),
@@ -701,10 +721,11 @@
       for (int i = 0; i < MANY; i++) {
         calls.add(
             bench.begin(
-                bench.client(), ScenarioFixture.ask("m" + i, "answer in 200 words", Tools.ANSWER)));
+                bench.client(),
+                ScenarioFixture.ask("m" + i, "answer in 200 words", ToolBehaviour.ANSWER)));
       }
       ScenarioFixture.await(
-          "all run", () -> bench.events(TrafficObserver.What.WRITE, null).size() >= MANY);
+          "all run", () -> bench.events(TrafficEvent.Kind.DECODE, null).size() >= MANY);
       CompletableFuture<Void> stopped = bench.fleet.gateway(ScenarioFixture.GATEWAY).stop();
       calls.forEach(c -> assertWhole(c, 200));
       ScenarioFixture.get(stopped);
--- a/scenario/src/test/java/lemondock/scenario/McpProtocolTest.java
+++ b/scenario/src/test/java/lemondock/scenario/McpProtocolTest.java
@@ -499,7 +499,7 @@
         "{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":9}}");
     JsonNode overtaken = json(post(session, call(9, "#overtaken# answer in 3 words", "")).body());
     assertEquals(Mcp.FAILED, overtaken.at("/error/code").asInt(), overtaken.toString());
-    assertTrue(bench.events(lemondock.emulator.TrafficObserver.What.READ, "overtaken").isEmpty());
+    assertTrue(bench.events(lemondock.emulator.TrafficEvent.Kind.PREFILL, "overtaken").isEmpty());
     assertTrue(post(session, call(9, "answer in 3 words", "")).body().contains(" a0 a1 a2"));
     post(
         session,
--- a/scenario/src/test/java/lemondock/scenario/NonIdempotentCallsTest.java
+++ b/scenario/src/test/java/lemondock/scenario/NonIdempotentCallsTest.java
@@ -10,7 +10,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import lemondock.emulator.TrafficObserver;
+import lemondock.emulator.TrafficEvent;
 import lemondock.idempotency.FileSystemPort;
 import lemondock.rpc.Mcp;
 import org.junit.jupiter.api.Test;
@@ -56,7 +56,7 @@
   }
 
   private static int effects(ScenarioFixture bench, String mark) {
-    return bench.events(TrafficObserver.What.EFFECT, mark).size();
+    return bench.events(TrafficEvent.Kind.DECODE_STARTED, mark).size();
   }
 
   @Test
@@ -82,7 +82,7 @@
           "[{\"tool\":\"stock\",\"answered\":false}]", again.at("/error/data/relayed").toString());
       assertEquals(1, effects(bench, "m1"));
       assertTrue(
-          bench.events(TrafficObserver.What.READ, "m1-again").isEmpty(),
+          bench.events(TrafficEvent.Kind.PREFILL, "m1-again").isEmpty(),
           "nothing of it may be sent");
       JsonNode other = call(session, "sale-lookup", "k2", "m2", "answer in 5 words").end();
       assertEquals(
@@ -103,8 +103,8 @@
               .asText());
       bench
           .fleet
-          .standins()
-          .ask(
+          .emulators()
+          .invokeAndWait(
               () -> {
                 bench.fleet.catalogue().empty(true);
                 return null;
@@ -118,8 +118,8 @@
               .asInt());
       bench
           .fleet
-          .standins()
-          .ask(
+          .emulators()
+          .invokeAndWait(
               () -> {
                 bench.fleet.catalogue().empty(false);
                 return null;
@@ -140,8 +140,8 @@
           "safe to repeat");
       assertEquals(1, effects(bench, "m1"));
       assertTrue(
-          bench.events(TrafficObserver.What.READ, "m1b").isEmpty()
-              && bench.events(TrafficObserver.What.READ, "m1c").isEmpty());
+          bench.events(TrafficEvent.Kind.PREFILL, "m1b").isEmpty()
+              && bench.events(TrafficEvent.Kind.PREFILL, "m1c").isEmpty());
       JsonNode bad = call(next, "sale-lookup", "x".repeat(201), "m4", "answer in 5 words").end();
       assertTrue(
           bad.at("/error/message")
@@ -198,7 +198,7 @@
       assertEquals(Mcp.REJECTED, refused.at("/error/code").asInt(), refused.toString());
       assertTrue(
           refused.at("/error/data/retryable").asBoolean()
-              && bench.events(TrafficObserver.What.READ, "m1").isEmpty());
+              && bench.events(TrafficEvent.Kind.PREFILL, "m1").isEmpty());
       assertTrue(
           call(session, "day-close", "k3", "m3", "answer in 5 words").end().has("result"),
           "needs no disk");
--- a/scenario/src/test/java/lemondock/scenario/ReportComparisonTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ReportComparisonTest.java
@@ -15,17 +15,17 @@
   @Test
   void allFormsAgreeWithTheFinalTallyAfterABadDay() throws InterruptedException, IOException {
     ScenarioScript day =
-        ScenarioScript.quiet()
-            .with(
+        ScenarioScript.withDefaults()
+            .withLoad(
                 "reported",
                 3,
                 60,
                 List.of(
-                    new ScenarioScript.Trouble("fast_errors", 500, 1500, 0.4, 0.8),
-                    new ScenarioScript.Trouble("gateway_kill", 1000, 600, 0, 0)));
+                    new ScriptedFault(FaultKind.FAST_ERRORS, 500, 1500, 0.4, 0.8),
+                    new ScriptedFault(FaultKind.GATEWAY_KILL, 1000, 600, 0, 0)));
     try (ReportComparison check = new ReportComparison()) {
-      FaultScenario.Result result = new FaultScenario(day).reporting(check).play();
-      assertTrue(result.finding().kept(), result.finding().toString());
+      ScenarioResult result = new FaultScenario(day).reporting(check).play();
+      assertTrue(result.audit().allRulesKept(), result.audit().toString());
       assertEquals(List.of(), check.differences());
       assertTrue(check.compared() > 1_000, "compared only " + check.compared());
       for (String form : List.of("bare", "signed", "encrypted")) {
@@ -54,7 +54,7 @@
               row.toString());
         }
       }
-      assertTrue(served > 50 && served <= result.calls(), "served " + served);
+      assertTrue(served > 50 && served <= result.callCount(), "served " + served);
     }
   }
 }
--- a/scenario/src/test/java/lemondock/scenario/ReportEdgeCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ReportEdgeCasesTest.java
@@ -21,7 +21,6 @@
 import lemondock.emulator.collect.ReceivedReports;
 import lemondock.emulator.collect.UnixsockListener;
 import lemondock.net.nio.LoopbackPort;
-import lemondock.scenario.McpClient.Tools;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -72,7 +71,8 @@
     for (int i = 0; i < count; i++) {
       all.add(
           bench.begin(
-              bench.client(), ScenarioFixture.ask(mark + i, TEXT, Tools.ANSWER).by("t" + i)));
+              bench.client(),
+              ScenarioFixture.ask(mark + i, TEXT, ToolBehaviour.ANSWER).withTenant("t" + i)));
     }
     all.forEach(c -> assertTrue(ScenarioFixture.get(c).seen().served()));
   }
@@ -294,13 +294,19 @@
       CallRecord seen =
           bench.call(
               ScenarioFixture.ask(
-                  "m1", "call the tool stock and answer in 5 words", Tools.ANSWER, "stock"));
+                  "m1",
+                  "call the tool stock and answer in 5 words",
+                  ToolBehaviour.ANSWER,
+                  "stock"));
       assertTrue(seen.served());
       assertTrue(
           bench
               .call(
                   ScenarioFixture.ask(
-                      "m2", "call the tool stock and answer in 5 words", Tools.SILENT, "stock"))
+                      "m2",
+                      "call the tool stock and answer in 5 words",
+                      ToolBehaviour.SILENT,
+                      "stock"))
               .served());
       bench.awaitIdle();
       JsonNode tally = bench.fleet.stopGateway(ScenarioFixture.GATEWAY).get("tally");
--- a/scenario/src/test/java/lemondock/scenario/RequestPathTest.java
+++ b/scenario/src/test/java/lemondock/scenario/RequestPathTest.java
@@ -4,8 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import lemondock.emulator.TrafficObserver;
-import lemondock.scenario.McpClient.Tools;
+import lemondock.emulator.TrafficEvent;
 import org.junit.jupiter.api.Test;
 
 /** The whole way of a request, on loopback sockets. */
@@ -14,15 +13,16 @@
   void aCallIsReadWrittenAndStreamed() {
     try (ScenarioFixture bench =
         new ScenarioFixture(s -> {}, ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
-      CallRecord seen = bench.call(ScenarioFixture.ask("m1", "answer in 5 words", Tools.ANSWER));
+      CallRecord seen =
+          bench.call(ScenarioFixture.ask("m1", "answer in 5 words", ToolBehaviour.ANSWER));
       assertEquals(" a0 a1 a2 a3 a4", seen.finalText);
       assertEquals(seen.finalText, seen.streamed.toString());
       assertEquals(5, seen.tokens);
       assertEquals(1, seen.responses);
-      assertEquals(List.of(), seen.oddities);
-      assertEquals(1, bench.events(TrafficObserver.What.READ, "m1").size());
-      assertEquals(1, bench.events(TrafficObserver.What.STATE_TAKEN, "m1").size());
-      assertEquals(1, bench.events(TrafficObserver.What.EFFECT, "m1").size());
+      assertEquals(List.of(), seen.protocolViolations);
+      assertEquals(1, bench.events(TrafficEvent.Kind.PREFILL, "m1").size());
+      assertEquals(1, bench.events(TrafficEvent.Kind.STATE_FETCHED, "m1").size());
+      assertEquals(1, bench.events(TrafficEvent.Kind.DECODE_STARTED, "m1").size());
       bench.awaitIdle();
     }
   }
@@ -36,7 +36,7 @@
               ScenarioFixture.ask(
                   "m2",
                   "call the tool stock and then call the tool price",
-                  Tools.ANSWER,
+                  ToolBehaviour.ANSWER,
                   "stock",
                   "price"));
       assertEquals(
@@ -46,7 +46,7 @@
           seen.finalText.startsWith(" a0 a1 a2 a3[did-stock] b0 b1 b2 b3[did-price] c0"),
           seen.finalText);
       assertEquals(seen.finalText, seen.streamed.toString());
-      assertEquals(3, bench.events(TrafficObserver.What.EFFECT, "m2").size());
+      assertEquals(3, bench.events(TrafficEvent.Kind.DECODE_STARTED, "m2").size());
       bench.awaitIdle();
     }
   }
@@ -54,9 +54,10 @@
   @Test
   void aMixedServerReadsAndWritesInPlace() {
     try (ScenarioFixture bench = new ScenarioFixture(s -> {}, ScenarioFixture.mixed("x"))) {
-      CallRecord seen = bench.call(ScenarioFixture.ask("m3", "answer in 3 words", Tools.ANSWER));
+      CallRecord seen =
+          bench.call(ScenarioFixture.ask("m3", "answer in 3 words", ToolBehaviour.ANSWER));
       assertEquals(" a0 a1 a2", seen.finalText);
-      assertEquals(0, bench.events(TrafficObserver.What.READ, "m3").size());
+      assertEquals(0, bench.events(TrafficEvent.Kind.PREFILL, "m3").size());
       bench.awaitIdle();
     }
   }
--- a/scenario/src/test/java/lemondock/scenario/RuleViolationTest.java
+++ b/scenario/src/test/java/lemondock/scenario/RuleViolationTest.java
@@ -95,23 +95,22 @@
 
   private static Set<Integer> broken(ScenarioScript script, RouterFactory maker)
       throws InterruptedException {
-    return new FaultScenario(script, maker).play().finding().broken();
+    return new FaultScenario(script, maker).play().audit().violatedRules();
   }
 
-  private static ScenarioScript day(
-      double seconds, double rate, ScenarioScript.Trouble... troubles) {
-    return ScenarioScript.quiet().with("sabotage", seconds, rate, List.of(troubles));
+  private static ScenarioScript day(double seconds, double rate, ScriptedFault... faults) {
+    return ScenarioScript.withDefaults().withLoad("sabotage", seconds, rate, List.of(faults));
   }
 
-  private static ScenarioScript.Trouble trouble(
-      String kind, double at, double length, double part, double size) {
-    return new ScenarioScript.Trouble(kind, at, length, part, size);
+  private static ScriptedFault fault(
+      FaultKind kind, double at, double length, double part, double size) {
+    return new ScriptedFault(kind, at, length, part, size);
   }
 
   @Test
   void anAnswerNeverGivenIsSeen() throws InterruptedException {
     ScenarioScript script =
-        day(1.5, 20, trouble("list_empty", 200, 3000, 1, 1)).fleet(1, 1, 0, 8, 5);
+        day(1.5, 20, fault(FaultKind.LIST_EMPTY, 200, 3000, 1, 1)).withFleet(1, 1, 0, 8, 5);
     assertEquals(
         Set.of(1),
         broken(
@@ -130,7 +129,7 @@
   @Test
   void anEffectTwiceIsSeen() throws InterruptedException {
     ScenarioScript script =
-        day(2, 60, trouble("fast_errors", 0, 2000, 1, 0.5)).fleet(2, 2, 0, 16, 5);
+        day(2, 60, fault(FaultKind.FAST_ERRORS, 0, 2000, 1, 0.5)).withFleet(2, 2, 0, 16, 5);
     assertEquals(
         Set.of(2),
         broken(
@@ -170,7 +169,7 @@
   @Test
   void aDrainIgnoredIsSeen() throws InterruptedException {
     ScenarioScript script =
-        day(2.5, 60, trouble("deploy", 200, 1200, 0.4, 0.1)).fleet(2, 3, 0, 16, 5);
+        day(2.5, 60, fault(FaultKind.DEPLOY, 200, 1200, 0.4, 0.1)).withFleet(2, 3, 0, 16, 5);
     assertTrue(
         broken(script, deaf(s -> s.lifecycle() == ServerLifecycle.READY ? s : null)).contains(3));
     assertEquals(Set.of(), broken(script, Gateway.DEFAULT_ROUTER_FACTORY));
@@ -178,7 +177,8 @@
 
   @Test
   void aColdServerPushedOverIsSeen() throws InterruptedException {
-    ScenarioScript script = day(3, 40, trouble("crash", 300, 500, 1, 1)).fleet(1, 1, 0, 2, 20);
+    ScenarioScript script =
+        day(3, 40, fault(FaultKind.CRASH, 300, 500, 1, 1)).withFleet(1, 1, 0, 2, 20);
     assertTrue(
         broken(
                 script,
@@ -192,7 +192,8 @@
 
   @Test
   void aStateNeverLetGoIsSeen() throws InterruptedException {
-    ScenarioScript script = day(2, 40, trouble("give_up", 0, 2000, 1, 1)).fleet(1, 1, 0, 2, 20);
+    ScenarioScript script =
+        day(2, 40, fault(FaultKind.GIVE_UP, 0, 2000, 1, 1)).withFleet(1, 1, 0, 2, 20);
     assertTrue(
         broken(
                 script,
--- a/scenario/src/test/java/lemondock/scenario/ScenarioAuditorTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ScenarioAuditorTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.TrafficObserver;
+import lemondock.emulator.TrafficEvent;
 import lemondock.gateway.settings.GatewaySettings;
 import org.junit.jupiter.api.Test;
 
@@ -14,30 +14,30 @@
   private static final long MS = 1_000;
   private static final long T0 = 1_000_000 * MS;
   private static final GatewaySettings SETTINGS =
-      FaultScenario.settings("gw", 0, 1, "north", 1, "127.0.0.1:1");
+      ScenarioSettings.gateway("gw", 0, 1, "north", 1, "127.0.0.1:1");
   private static final EngineSettings READER = EngineSettings.quick("r", "reader", "north", "r1");
 
   private static Set<Integer> broken(
-      List<TrafficObserver.Event> events, List<CallRecord> calls, ScenarioFleet.Stood... stood) {
+      List<TrafficEvent> events, List<CallRecord> calls, GatewayPause... stood) {
     return new ScenarioAuditor(
             SETTINGS, List.of(READER), events, calls, List.of(), List.of(stood), T0 + 60_000 * MS)
         .check()
-        .broken();
+        .violatedRules();
   }
 
-  private static TrafficObserver.Event event(long at, TrafficObserver.What what, String detail) {
-    return new TrafficObserver.Event(T0 + at * MS, "r", what, "gw-1", "m", "gw", 10, detail);
+  private static TrafficEvent event(long at, TrafficEvent.Kind what, String detail) {
+    return new TrafficEvent(T0 + at * MS, "r", what, "gw-1", "m", "gw", 10, detail);
   }
 
-  private static ScenarioFleet.Stood stood(String gateway, long from, long to) {
-    return new ScenarioFleet.Stood(gateway, T0 + from * MS, T0 + to * MS);
+  private static GatewayPause stood(String gateway, long from, long to) {
+    return new GatewayPause(gateway, T0 + from * MS, T0 + to * MS);
   }
 
   /** Answered whole, the first token after so many milliseconds. */
   private static CallRecord call(long first) {
     CallRecord c = new CallRecord("m", "gw", 0, 100, false, T0);
-    c.firstAt = T0 + first * MS;
-    c.endedAt = c.firstAt + 10 * MS;
+    c.firstMessageAtMicros = T0 + first * MS;
+    c.answeredAtMicros = c.firstMessageAtMicros + 10 * MS;
     c.responses = 1;
     return c;
   }
@@ -61,20 +61,20 @@
 
   @Test
   void aDrainIsHeardOfLaterAndAStateIsHeldLonger() {
-    List<TrafficObserver.Event> drained =
+    List<TrafficEvent> drained =
         List.of(
-            event(0, TrafficObserver.What.TOLD, "r=draining"),
-            event(1_500, TrafficObserver.What.READ, ""),
-            event(1_510, TrafficObserver.What.ANSWERED, ""));
+            event(0, TrafficEvent.Kind.ENDPOINTS_SENT, "r=draining"),
+            event(1_500, TrafficEvent.Kind.PREFILL, ""),
+            event(1_510, TrafficEvent.Kind.ANSWERED, ""));
     assertEquals(Set.of(3), broken(drained, List.of()));
     assertEquals(Set.of(), broken(drained, List.of(), stood("gw", 10, 1_200)));
     assertEquals(Set.of(3), broken(drained, List.of(), stood("gw", 10, 200)));
-    List<TrafficObserver.Event> held =
+    List<TrafficEvent> held =
         List.of(
-            event(0, TrafficObserver.What.READ, ""),
-            event(10, TrafficObserver.What.ANSWERED, "read"),
-            event(10, TrafficObserver.What.STATE_KEPT, ""),
-            event(1_500, TrafficObserver.What.STATE_LET_GO, ""));
+            event(0, TrafficEvent.Kind.PREFILL, ""),
+            event(10, TrafficEvent.Kind.ANSWERED, "read"),
+            event(10, TrafficEvent.Kind.STATE_RESERVED, ""),
+            event(1_500, TrafficEvent.Kind.STATE_RELEASED, ""));
     assertEquals(Set.of(5), broken(held, List.of()));
     assertEquals(Set.of(), broken(held, List.of(), stood("gw", 20, 1_300)));
     assertEquals(Set.of(5), broken(held, List.of(), stood("gw", 20, 300)));
@@ -84,15 +84,15 @@
   void aWindowOfRepetitionIsNoLongerForIt() {
     int keyed = 3;
     CallRecord c = new CallRecord("m", "gw", keyed, 100, false, T0);
-    c.firstAt = T0 + 10 * MS;
-    c.endedAt = T0 + 3_000 * MS;
+    c.firstMessageAtMicros = T0 + 10 * MS;
+    c.answeredAtMicros = T0 + 3_000 * MS;
     c.responses = 1;
-    List<TrafficObserver.Event> twice =
+    List<TrafficEvent> twice =
         List.of(
-            event(0, TrafficObserver.What.WRITE, "1"),
-            event(10, TrafficObserver.What.BROKEN, ""),
-            new TrafficObserver.Event(
-                T0 + 2_500 * MS, "r", TrafficObserver.What.WRITE, "gw-2", "m", "gw", 10, "1"));
+            event(0, TrafficEvent.Kind.DECODE, "1"),
+            event(10, TrafficEvent.Kind.CONNECTION_LOST, ""),
+            new TrafficEvent(
+                T0 + 2_500 * MS, "r", TrafficEvent.Kind.DECODE, "gw-2", "m", "gw", 10, "1"));
     assertEquals(Set.of(2), broken(twice, List.of(c), stood("gw", 20, 2_400)));
   }
 }
--- a/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
+++ b/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import lemondock.dispatch.RouterFactory;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.TrafficObserver;
+import lemondock.emulator.TrafficEvent;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.http.HttpClient;
@@ -78,16 +78,16 @@
     return new McpClient(clients.loop(), http, new InetSocketAddress("127.0.0.1", port), GATEWAY);
   }
 
-  static McpClient.Ask ask(String mark, String text, McpClient.Tools behaviour, String... tools) {
+  static ToolCallRequest ask(String mark, String text, ToolBehaviour behaviour, String... tools) {
     return ask("sale-lookup", 0, mark, text, behaviour, tools);
   }
 
-  static McpClient.Ask ask(
+  static ToolCallRequest ask(
       String tool,
       int classId,
       String mark,
       String text,
-      McpClient.Tools behaviour,
+      ToolBehaviour behaviour,
       String... tools) {
     ArrayNode messages = JsonNodeFactory.instance.arrayNode();
     messages
@@ -95,7 +95,7 @@
         .put("role", "system")
         .put("content", "You help the vendors of the market.");
     messages.addObject().put("role", "user").put("content", "#" + mark + "# " + text);
-    return new McpClient.Ask(
+    return new ToolCallRequest(
         tool,
         classId,
         messages,
@@ -109,12 +109,12 @@
   }
 
   /** Begins a call; the future ends with it. */
-  CompletableFuture<McpClient.Call> begin(McpClient client, McpClient.Ask ask) {
+  CompletableFuture<McpClient.Call> begin(McpClient client, ToolCallRequest ask) {
     return begin(client, ask, call -> {});
   }
 
   CompletableFuture<McpClient.Call> begin(
-      McpClient client, McpClient.Ask ask, Consumer<McpClient.Call> begun) {
+      McpClient client, ToolCallRequest ask, Consumer<McpClient.Call> begun) {
     CompletableFuture<McpClient.Call> done = new CompletableFuture<>();
     clients
         .loop()
@@ -132,7 +132,7 @@
     return done;
   }
 
-  CallRecord call(McpClient.Ask ask) {
+  CallRecord call(ToolCallRequest ask) {
     return get(begin(client(), ask)).seen();
   }
 
@@ -144,9 +144,9 @@
     }
   }
 
-  List<TrafficObserver.Event> events(TrafficObserver.What what, String mark) {
+  List<TrafficEvent> events(TrafficEvent.Kind kind, String mark) {
     return fleet.events().stream()
-        .filter(e -> e.what() == what && (mark == null || e.mark().equals(mark)))
+        .filter(e -> e.kind() == kind && (mark == null || e.mark().equals(mark)))
         .toList();
   }
 
@@ -188,14 +188,14 @@
   }
 
   private String busy() {
-    int legs = fleet.node(GATEWAY).ask(fleet.gateway(GATEWAY)::requestsInFlight);
-    int calls = fleet.node(GATEWAY).ask(fleet.gateway(GATEWAY)::callsInFlight);
+    int legs = fleet.node(GATEWAY).invokeAndWait(fleet.gateway(GATEWAY)::requestsInFlight);
+    int calls = fleet.node(GATEWAY).invokeAndWait(fleet.gateway(GATEWAY)::callsInFlight);
     StringBuilder busy =
         new StringBuilder(legs + calls == 0 ? "" : legs + " legs, " + calls + " calls ");
     for (String e : fleet.engines()) {
       fleet
-          .standins()
-          .ask(
+          .emulators()
+          .invokeAndWait(
               () ->
                   fleet.engine(e).states() + fleet.engine(e).running() == 0
                       ? busy
--- a/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
+++ b/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import lemondock.emulator.EngineSettings;
-import lemondock.emulator.TrafficObserver;
+import lemondock.emulator.TrafficEvent;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -28,10 +28,10 @@
           s.put("ioThreads", 3);
           ((ObjectNode) s.get("front")).put("resumeWindowMs", 5_000).put("replayBytes", 65_536);
         },
-        EngineSettings.quick("r", "reader", "north", "r1").bounded(64, 256, 10_000_000),
+        EngineSettings.quick("r", "reader", "north", "r1").withLimits(64, 256, 10_000_000),
         EngineSettings.quick("w", "writer", "north", "r1")
-            .paced(1, 1, 1)
-            .bounded(256, 256, 10_000_000));
+            .withLatencies(1, 1, 1)
+            .withLimits(256, 256, 10_000_000));
   }
 
   private static String expected(int words) {
@@ -124,11 +124,11 @@
           ScenarioFixture.get(
                   bench.begin(
                       bench.client(),
-                      ScenarioFixture.ask("warm", "answer in 12 words", McpClient.Tools.ANSWER)))
+                      ScenarioFixture.ask("warm", "answer in 12 words", ToolBehaviour.ANSWER)))
               .seen()
               .tokens);
       bench.awaitIdle();
-      int before = node.ask(node.loop()::pendingTimers);
+      int before = node.invokeAndWait(node.loop()::pendingTimers);
       for (int i = 0; i < calls; i += 10) {
         List<CompletableFuture<McpClient.Call>> some = new ArrayList<>();
         for (int j = 0; j < 10; j++) {
@@ -136,12 +136,12 @@
               bench.begin(
                   bench.client(),
                   ScenarioFixture.ask(
-                      "t" + i + "-" + j, "answer in 12 words", McpClient.Tools.ANSWER)));
+                      "t" + i + "-" + j, "answer in 12 words", ToolBehaviour.ANSWER)));
         }
         some.forEach(one -> assertTrue(ScenarioFixture.get(one).seen().served()));
       }
       bench.awaitIdle();
-      int perCall = (node.ask(node.loop()::pendingTimers) - before) / calls;
+      int perCall = (node.invokeAndWait(node.loop()::pendingTimers) - before) / calls;
       assertTrue(
           perCall <= 3,
           "the module's own, for its deadline and each attempt, hold a number each; found"
@@ -163,7 +163,7 @@
         CompletableFuture<McpClient.Call> done =
             bench.begin(
                 bench.client(),
-                ScenarioFixture.ask("s" + i, "answer in 100 words", McpClient.Tools.ANSWER),
+                ScenarioFixture.ask("s" + i, "answer in 100 words", ToolBehaviour.ANSWER),
                 call -> {
                   if (leaves) {
                     bench.clients.loop().schedule(after, call::leave);
@@ -178,7 +178,7 @@
         assertTrue(seen.served(), seen.mark);
         assertEquals(expected(100), seen.streamed.toString());
         assertEquals(1, seen.responses);
-        assertEquals(0, seen.afterEnd);
+        assertEquals(0, seen.messagesAfterAnswer);
       }
       bench.awaitIdle();
     }
@@ -188,7 +188,9 @@
   void aTokenGoesOutWhenItComesAndNotWithALaterOne() throws Exception {
     try (ScenarioFixture bench =
         new ScenarioFixture(
-            s -> {}, ScenarioFixture.reader("r"), ScenarioFixture.writer("w").paced(1, 1, 250))) {
+            s -> {},
+            ScenarioFixture.reader("r"),
+            ScenarioFixture.writer("w").withLatencies(1, 1, 250))) {
       try (ConversationClient.Answer answer =
           new ConversationClient(bench.port)
               .call("1", "sale-lookup", "#slow# answer in 8 words", List.of())) {
@@ -196,7 +198,7 @@
           assertEquals("notifications/progress", answer.next().path("method").asText());
         }
         assertTrue(
-            bench.events(TrafficObserver.What.ANSWERED, "slow").stream()
+            bench.events(TrafficEvent.Kind.ANSWERED, "slow").stream()
                 .noneMatch(e -> e.detail().equals("write")),
             "the third of eight tokens came only with the end");
       }
