--- a/cli/src/main/java/lemondock/cli/ScenarioCommand.java
+++ b/cli/src/main/java/lemondock/cli/ScenarioCommand.java
@@ -88,7 +88,7 @@
   private ScenarioResult playWithReports(ScenarioScript day)
       throws InterruptedException, IOException {
     try (ReportComparison check = new ReportComparison()) {
-      ScenarioResult result = new FaultScenario(day).reporting(check).play();
+      ScenarioResult result = new FaultScenario(day).compareReports(check).play();
       System.out.println(
           "reports: "
               + check.compared()
--- /dev/null
+++ b/scenario/src/main/java/lemondock/scenario/ClientLoad.java
@@ -0,0 +1,270 @@
+package lemondock.scenario;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import lemondock.gateway.settings.GatewaySettings;
+import lemondock.net.http.HttpClient;
+import lemondock.net.http.HttpClientOptions;
+import lemondock.net.http.HttpLimits;
+
+/**
+ * The clients of a scenario: they arrive at random, have conversations with tool calls, retry what
+ * failed and abandon some calls. All state belongs to the clients' loop unless a field says
+ * otherwise.
+ */
+final class ClientLoad {
+  private static final long MICROS_PER_MILLI = 1_000;
+  private static final long RETRY_DELAY_MICROS = 80_000;
+
+  /**
+   * A call that is not idempotent is retried at the same gateway, which may have to restart first.
+   */
+  private static final long SAME_GATEWAY_RETRY_DELAY_MICROS = 700_000;
+
+  private static final int CLIENTS_PER_GATEWAY = 8;
+  private static final long TOOL_DELAY_MICROS = 20_000;
+  private static final int MAX_TOKENS = 200;
+  private static final double MAX_PATIENCE_MS = 700;
+  private static final int TOOL_CALLING_CLASS = 1;
+
+  /** Names that a collector's protocol would take for something else, unless they are escaped. */
+  private static final List<String> TENANTS =
+      List.of("omaruru.tills", "swakop market", "mondesa/traders", "henties");
+
+  private final ScenarioScript script;
+  private final SplittableRandom random;
+  private final ScenarioFleet fleet;
+  private final EmulatedProcess clientProcess;
+  private final List<GatewaySettings.ClassSettings> classes = ScenarioSettings.requestClasses();
+  private final ConversationSource conversations;
+  private final Map<String, List<McpClient>> clientsByGateway = new HashMap<>();
+
+  /** Added to on the clients' loop, read by the thread that plays the scenario. */
+  private final List<CallRecord> callRecords = Collections.synchronizedList(new ArrayList<>());
+
+  private int openCalls;
+  private int callsPlanned;
+
+  /** Set by the thread that plays the scenario. */
+  private volatile double additionalAbandonShare;
+
+  /** Draws the prefixes of the conversations; the fleet's gateways must have been started. */
+  ClientLoad(
+      ScenarioScript script,
+      SplittableRandom random,
+      ScenarioFleet fleet,
+      EmulatedProcess clientProcess) {
+    this.script = script;
+    this.random = random;
+    this.fleet = fleet;
+    this.clientProcess = clientProcess;
+    this.conversations = new ConversationSource(script.seed(), random);
+    createClients();
+  }
+
+  private void createClients() {
+    HttpClient http =
+        new HttpClient(
+            clientProcess.loop(),
+            clientProcess.network(),
+            new HttpClientOptions(HttpLimits.DEFAULT, 1 << 20, 5_000, 500_000, 15_000_000));
+    for (String gateway : fleet.gateways()) {
+      List<McpClient> clients = new ArrayList<>();
+      for (int i = 0; i < CLIENTS_PER_GATEWAY; i++) {
+        clients.add(
+            new McpClient(clientProcess.loop(), http, fleet.gateway(gateway).address(), gateway));
+      }
+      clientsByGateway.put(gateway, clients);
+    }
+  }
+
+  /** Draws the arrivals of clients. */
+  void scheduleArrivals(Timetable timetable) {
+    double atMs = 0;
+    while (atMs < script.seconds() * 1000) {
+      atMs += -Math.log(1 - random.nextDouble()) * 1000 / script.rate();
+      timetable.add(atMs, () -> clientProcess.loop().execute(this::arrive));
+    }
+  }
+
+  /** Has clients abandon more of their calls than the script says; any thread. */
+  void setAdditionalAbandonShare(double share) {
+    additionalAbandonShare = share;
+  }
+
+  /** Where conversations begin. */
+  ConversationSource conversations() {
+    return conversations;
+  }
+
+  /** Calls that have not ended, retries that wait included; any thread. */
+  int openCalls() {
+    return clientProcess.invokeAndWait(() -> openCalls);
+  }
+
+  /** What the clients saw of all calls; any thread. */
+  List<CallRecord> callRecords() {
+    return List.copyOf(callRecords);
+  }
+
+  private void arrive() {
+    List<String> gateways = fleet.gateways();
+    final String gateway = gateways.get(random.nextInt(gateways.size()));
+    Conversation conversation = conversations.nextTurn(callsPlanned);
+    String mark = "c" + script.seed() + "-" + ++callsPlanned;
+    String text = "#" + mark + "# " + RandomText.words(mark, 20 + random.nextInt(60));
+    List<String> tools = List.of();
+    ToolBehaviour toolBehaviour = ToolBehaviour.ANSWER;
+    if (conversation.classId() == TOOL_CALLING_CLASS
+        && random.nextDouble() < script.toolShare() * 3) {
+      tools = List.of("stock", "price");
+      text +=
+          random.nextInt(3) == 0
+              ? " call the tools stock and price together"
+              : " call the tool stock and then call the tool price";
+      toolBehaviour = drawToolBehaviour();
+    }
+    text += " answer in " + (8 + random.nextInt(30)) + " words";
+    conversation.addUserMessage(text);
+    CallAttempt.PlannedCall call =
+        new CallAttempt.PlannedCall(conversation, mark, tools, toolBehaviour);
+    begin(new CallAttempt(call, gateway, 1));
+  }
+
+  private ToolBehaviour drawToolBehaviour() {
+    if (random.nextInt(10) < 7) {
+      return ToolBehaviour.ANSWER;
+    }
+    return switch (random.nextInt(4)) {
+      case 0 -> ToolBehaviour.ANSWER;
+      case 1 -> ToolBehaviour.ERROR;
+      case 2 -> ToolBehaviour.SILENT;
+      default -> ToolBehaviour.TWICE;
+    };
+  }
+
+  private void begin(CallAttempt attempt) {
+    openCalls++;
+    McpClient client =
+        clientsByGateway.get(attempt.gateway()).get(random.nextInt(CLIENTS_PER_GATEWAY));
+    ToolCallRequest request = request(attempt);
+    client.open(
+        isOpen -> {
+          if (isOpen) {
+            call(client, attempt, request);
+          } else if (mayHaveRunAt(attempt)) {
+            retryAtSameGateway(attempt);
+          } else {
+            retryElsewhere(attempt);
+          }
+        });
+  }
+
+  private ToolCallRequest request(CallAttempt attempt) {
+    Conversation conversation = attempt.conversation();
+    return new ToolCallRequest(
+            requestClass(attempt).name(),
+            conversation.classId(),
+            attempt.messages(),
+            conversation.name(),
+            attempt.call().tools(),
+            attempt.call().toolBehaviour(),
+            TOOL_DELAY_MICROS,
+            MAX_TOKENS,
+            attempt.mark(),
+            attempt.isRetry())
+        .withTenant(TENANTS.get(conversation.name().hashCode() & 3))
+        .withIdempotencyKey(attempt.call().mark());
+  }
+
+  private void call(McpClient client, CallAttempt attempt, ToolCallRequest request) {
+    boolean[] isOver = {false};
+    McpClient.Call call =
+        client.call(
+            request,
+            ended -> {
+              isOver[0] = true;
+              onEnd(attempt, ended.seen());
+            });
+    callRecords.add(call.seen());
+    if (random.nextDouble() < script.abandonShare() + additionalAbandonShare) {
+      long patienceMicros = (long) (random.nextDouble() * MAX_PATIENCE_MS * MICROS_PER_MILLI);
+      clientProcess
+          .loop()
+          .schedule(
+              patienceMicros,
+              () -> {
+                if (!isOver[0]) {
+                  isOver[0] = true;
+                  call.leave();
+                  endTurn(attempt);
+                }
+              });
+    }
+  }
+
+  private void onEnd(CallAttempt attempt, CallRecord record) {
+    boolean canRetryElsewhere = record.notAccepted || record.retryable;
+    boolean connectionLost = record.connectionLostAtMicros != 0;
+    if (mayHaveRunAt(attempt) && canRetryElsewhere) {
+      retryAtSameGateway(attempt);
+    } else if (record.served()) {
+      attempt.conversation().addAnswer(record.finalText);
+      endTurn(attempt);
+    } else if (canRetryElsewhere || isIdempotent(attempt) && connectionLost) {
+      retryElsewhere(attempt);
+    } else if (connectionLost && !attempt.isLast()) {
+      retryAtSameGateway(attempt); // only this gateway knows the outcome
+    } else {
+      endTurn(attempt);
+    }
+  }
+
+  /** Whether an earlier attempt at the same gateway may have run, which may not be repeated. */
+  private boolean mayHaveRunAt(CallAttempt attempt) {
+    return !isIdempotent(attempt) && attempt.isRetry() && !attempt.isLast();
+  }
+
+  private boolean isIdempotent(CallAttempt attempt) {
+    return requestClass(attempt).repeat().equals("safe");
+  }
+
+  private GatewaySettings.ClassSettings requestClass(CallAttempt attempt) {
+    return classes.get(attempt.conversation().classId());
+  }
+
+  private void retryAtSameGateway(CallAttempt attempt) {
+    beginAfter(SAME_GATEWAY_RETRY_DELAY_MICROS, attempt.retryAt(attempt.gateway()));
+  }
+
+  private void retryElsewhere(CallAttempt attempt) {
+    if (attempt.isLast()) {
+      endTurn(attempt);
+      return;
+    }
+    List<String> gateways = fleet.gateways();
+    int offset = 1 + random.nextInt(Math.max(1, gateways.size() - 1));
+    int next = (gateways.indexOf(attempt.gateway()) + offset) % gateways.size();
+    beginAfter(RETRY_DELAY_MICROS, attempt.retryAt(gateways.get(next)));
+  }
+
+  private void beginAfter(long delayMicros, CallAttempt attempt) {
+    clientProcess
+        .loop()
+        .schedule(
+            delayMicros,
+            () -> {
+              openCalls--;
+              begin(attempt);
+            });
+  }
+
+  private void endTurn(CallAttempt attempt) {
+    openCalls--;
+    attempt.conversation().endTurn();
+  }
+}
--- /dev/null
+++ b/scenario/src/main/java/lemondock/scenario/FaultInjector.java
@@ -0,0 +1,286 @@
+package lemondock.scenario;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.function.BiConsumer;
+import java.util.function.Consumer;
+import lemondock.emulator.CatalogueEmulator;
+import lemondock.emulator.EngineFaults;
+
+/**
+ * Puts a script's faults on the timetable. Which engines and gateways a fault hits is drawn when it
+ * is scheduled, in the script's order, except for {@link FaultKind#FORGET}, which draws when it
+ * begins.
+ */
+final class FaultInjector {
+  private static final long MICROS_PER_MILLI = 1_000;
+  private static final long MAX_CRASH_NOTICE_MICROS = 250_000;
+  private static final int GRADUAL_STEPS = 6;
+  private static final double RESTART_AFTER_AGEING_MS = 400;
+  private static final double MAX_GATEWAY_KILL_MS = 1200;
+  private static final double ROLLING_KILL_MS = 400;
+  private static final double ROLLING_KILL_INTERVAL_MS = 700;
+  private static final double MAX_OCCUPIED_SHARE = 0.9;
+  private static final double OUTAGE_MARGIN_MS = 50;
+  private static final double DRAIN_LISTED_AFTER_MS = 150;
+  private static final double DEPLOY_RESTART_MS = 200;
+  private static final double DEPLOY_INTERVAL_MS = 300;
+  private static final int BREAK_AFTER_TOKENS = 3;
+
+  private final ScenarioScript script;
+  private final SplittableRandom random;
+  private final ScenarioFleet fleet;
+  private final ClientLoad load;
+  private final Timetable timetable;
+  private final Map<String, Double> downUntilMs = new HashMap<>();
+
+  FaultInjector(
+      ScenarioScript script,
+      SplittableRandom random,
+      ScenarioFleet fleet,
+      ClientLoad load,
+      Timetable timetable) {
+    this.script = script;
+    this.random = random;
+    this.fleet = fleet;
+    this.load = load;
+    this.timetable = timetable;
+  }
+
+  /** Schedules all faults of the script. */
+  void schedule() {
+    script.faults().forEach(this::schedule);
+  }
+
+  private void schedule(ScriptedFault fault) {
+    switch (fault.kind()) {
+      case FAST_ERRORS, SLOW, SHARED_SLOW, ANSWER_LOST, SILENT, STATES_LOST, STREAM_BREAK ->
+          scheduleEngineFault(fault);
+      case FORGET ->
+          timetable.add(
+              fault.atMs(),
+              () ->
+                  runOnEmulators(
+                      () -> pickEngines(fault).forEach(name -> fleet.engine(name).forget())));
+      case AGEING -> scheduleAgeing(fault);
+      case NEIGHBOUR -> scheduleNeighbour(fault);
+      case CRASH -> scheduleCrash(pickEngines(fault), fault.atMs(), fault.forMs());
+      case DEPLOY -> scheduleDeploy(fault);
+      case ZONE_LOSS -> scheduleZoneLoss(fault);
+      case GATEWAY_KILL, GATEWAYS_ROLL, GATEWAY_FREEZE, GATEWAY_BUSY -> scheduleGatewayFault(fault);
+      case GIVE_UP ->
+          scheduleSpan(
+              fault,
+              () -> load.setAdditionalAbandonShare(fault.size() / 2),
+              () -> load.setAdditionalAbandonShare(0));
+      case HOT_OPENING ->
+          scheduleSpan(
+              fault,
+              () -> load.conversations().setHotSystemPrompt(true),
+              () -> load.conversations().setHotSystemPrompt(false));
+      case LIST_FAILS -> scheduleCatalogueFault(fault, CatalogueEmulator::failing);
+      case LIST_EMPTY -> scheduleCatalogueFault(fault, CatalogueEmulator::empty);
+      default -> throw new IllegalArgumentException("unknown fault " + fault.kind());
+    }
+  }
+
+  /** Has one action begin a fault and another end it. */
+  private void scheduleSpan(ScriptedFault fault, Runnable begin, Runnable end) {
+    timetable.add(fault.atMs(), begin);
+    timetable.add(fault.endMs(), end);
+  }
+
+  private void scheduleCatalogueFault(
+      ScriptedFault fault, BiConsumer<CatalogueEmulator, Boolean> setter) {
+    scheduleSpan(
+        fault,
+        () -> runOnEmulators(() -> setter.accept(fleet.catalogue(), true)),
+        () -> runOnEmulators(() -> setter.accept(fleet.catalogue(), false)));
+  }
+
+  // Faults of engines that stay up.
+
+  private void scheduleEngineFault(ScriptedFault fault) {
+    double size = fault.size();
+    switch (fault.kind()) {
+      case FAST_ERRORS ->
+          setDuring(fault, pickEngines(fault), f -> f.errors = size, f -> f.errors = 0);
+      case SLOW -> setDuring(fault, pickEngines(fault), f -> f.slow = size, f -> f.slow = 1);
+      case SHARED_SLOW ->
+          setDuring(fault, fleet.engines(), f -> f.slow = size / 2 + 1, f -> f.slow = 1);
+      case ANSWER_LOST ->
+          setDuring(fault, pickEngines(fault), f -> f.lostAnswers = size, f -> f.lostAnswers = 0);
+      case SILENT ->
+          setDuring(fault, pickEngines(fault), f -> f.silent = true, f -> f.silent = false);
+      case STATES_LOST ->
+          setDuring(
+              fault,
+              pickEngines(fault, "reader"),
+              f -> f.dropStates = true,
+              f -> f.dropStates = false);
+      case STREAM_BREAK ->
+          setDuring(
+              fault,
+              pickEngines(fault, "writer"),
+              f -> f.breakAfter = BREAK_AFTER_TOKENS,
+              f -> f.breakAfter = -1);
+      default -> throw new IllegalArgumentException("no fault of an engine: " + fault.kind());
+    }
+  }
+
+  private void setDuring(
+      ScriptedFault fault,
+      List<String> engines,
+      Consumer<EngineFaults> set,
+      Consumer<EngineFaults> clear) {
+    scheduleSpan(fault, () -> changeFaults(engines, set), () -> changeFaults(engines, clear));
+  }
+
+  private void changeFaults(List<String> engines, Consumer<EngineFaults> change) {
+    runOnEmulators(() -> engines.forEach(name -> change.accept(fleet.engine(name).faults())));
+  }
+
+  private void runOnEmulators(Runnable task) {
+    fleet.emulators().loop().execute(task);
+  }
+
+  /** Engines that become slower step by step, die at the end and come back cold. */
+  private void scheduleAgeing(ScriptedFault fault) {
+    List<String> engines = pickEngines(fault);
+    for (int step = 1; step <= GRADUAL_STEPS; step++) {
+      double factor = 1 + (fault.size() - 1) * step / GRADUAL_STEPS;
+      timetable.add(
+          fault.atMs() + fault.forMs() * (step - 1) / GRADUAL_STEPS,
+          () -> changeFaults(engines, f -> f.slow = factor));
+    }
+    scheduleCrash(engines, fault.endMs(), RESTART_AFTER_AGEING_MS);
+  }
+
+  /** Another program that takes a share of some machines, on and off. */
+  private void scheduleNeighbour(ScriptedFault fault) {
+    List<String> engines = pickEngines(fault);
+    double factor = 1 / Math.max(0.1, 1 - fault.size());
+    for (int step = 0; step < GRADUAL_STEPS; step++) {
+      double stepFactor = step % 2 == 0 ? factor : 1;
+      timetable.add(
+          fault.atMs() + fault.forMs() * step / GRADUAL_STEPS,
+          () -> changeFaults(engines, f -> f.slow = stepFactor));
+    }
+    timetable.add(fault.endMs(), () -> changeFaults(engines, f -> f.slow = 1));
+  }
+
+  // Faults that take processes down.
+
+  private void scheduleCrash(List<String> engines, double atMs, double forMs) {
+    long noticeMicros = Math.min(MAX_CRASH_NOTICE_MICROS, (long) (forMs * MICROS_PER_MILLI / 2));
+    for (String name : engines) {
+      if (reserveOutage(name, atMs, atMs + forMs)) {
+        timetable.add(atMs, () -> fleet.crash(name, noticeMicros));
+        timetable.add(atMs + forMs, () -> fleet.restart(name));
+      }
+    }
+  }
+
+  /**
+   * A rolling deployment: each engine drains, the catalogue lists that late, it is stopped, and it
+   * comes back cold.
+   */
+  private void scheduleDeploy(ScriptedFault fault) {
+    double atMs = fault.atMs();
+    for (String name : pickEngines(fault)) {
+      double stopAtMs = atMs + DRAIN_LISTED_AFTER_MS + fault.forMs();
+      double restartAtMs = stopAtMs + DEPLOY_RESTART_MS;
+      if (reserveOutage(name, atMs, restartAtMs)) {
+        if (fault.size() >= 0.5) { // it rejects work before the list says why
+          timetable.add(atMs, () -> changeFaults(List.of(name), f -> f.full = true));
+        }
+        timetable.add(atMs + DRAIN_LISTED_AFTER_MS, () -> fleet.drain(name, true));
+        timetable.add(stopAtMs, () -> fleet.crash(name, 0));
+        timetable.add(restartAtMs, () -> fleet.restart(name));
+        atMs += DEPLOY_INTERVAL_MS;
+      }
+    }
+  }
+
+  private void scheduleZoneLoss(ScriptedFault fault) {
+    String zone = script.zones().get(random.nextInt(script.zones().size()));
+    List<String> engines = fleet.engines().stream().filter(name -> name.startsWith(zone)).toList();
+    scheduleCrash(engines, fault.atMs(), fault.forMs());
+    fleet.gateways().stream()
+        .filter(name -> name.startsWith("gw-" + zone))
+        .forEach(name -> scheduleGatewayKill(name, fault.atMs(), fault.forMs()));
+  }
+
+  private void scheduleGatewayFault(ScriptedFault fault) {
+    switch (fault.kind()) {
+      case GATEWAY_KILL ->
+          scheduleGatewayKill(
+              pickGateway(), fault.atMs(), Math.min(fault.forMs(), MAX_GATEWAY_KILL_MS));
+      case GATEWAYS_ROLL -> {
+        double atMs = fault.atMs();
+        for (String name : fleet.gateways()) {
+          scheduleGatewayKill(name, atMs, ROLLING_KILL_MS);
+          atMs += ROLLING_KILL_INTERVAL_MS;
+        }
+      }
+      case GATEWAY_FREEZE -> {
+        String name = pickGateway();
+        if (reserveOutage(name, fault.atMs(), fault.endMs())) {
+          scheduleSpan(fault, () -> fleet.freeze(name), () -> fleet.goOn(name));
+        }
+      }
+      case GATEWAY_BUSY -> {
+        String name = pickGateway();
+        double share = Math.min(MAX_OCCUPIED_SHARE, fault.size());
+        long micros = (long) (fault.forMs() * MICROS_PER_MILLI);
+        timetable.add(fault.atMs(), () -> fleet.occupy(name, share, micros));
+      }
+      default -> throw new IllegalArgumentException("no fault of a gateway: " + fault.kind());
+    }
+  }
+
+  private void scheduleGatewayKill(String name, double atMs, double forMs) {
+    if (reserveOutage(name, atMs, atMs + forMs)) {
+      timetable.add(atMs, () -> fleet.kill(name));
+      timetable.add(atMs + forMs, () -> fleet.startGateway(name));
+    }
+  }
+
+  /** Whether the process is up at that time; if so it counts as down until the end. */
+  private boolean reserveOutage(String name, double fromMs, double untilMs) {
+    if (downUntilMs.getOrDefault(name, -1.0) >= fromMs) {
+      return false;
+    }
+    downUntilMs.put(name, untilMs + OUTAGE_MARGIN_MS);
+    return true;
+  }
+
+  // Draws.
+
+  private List<String> pickEngines(ScriptedFault fault) {
+    return pick(fault.part(), fleet.engines());
+  }
+
+  private List<String> pickEngines(ScriptedFault fault, String role) {
+    return pick(
+        fault.part(), fleet.engines().stream().filter(name -> name.contains(role)).toList());
+  }
+
+  private List<String> pick(double part, List<String> names) {
+    List<String> rest = new ArrayList<>(names);
+    int count = Math.max(1, (int) Math.round(part * rest.size()));
+    List<String> picked = new ArrayList<>();
+    while (picked.size() < count) {
+      picked.add(rest.remove(random.nextInt(rest.size())));
+    }
+    return picked;
+  }
+
+  private String pickGateway() {
+    List<String> gateways = fleet.gateways();
+    return gateways.get(random.nextInt(gateways.size()));
+  }
+}
--- a/scenario/src/main/java/lemondock/scenario/ReportComparison.java
+++ b/scenario/src/main/java/lemondock/scenario/ReportComparison.java
@@ -57,7 +57,7 @@
   }
 
   /** Names the listeners as destinations in a gateway's settings of reports. */
-  public void settings(ObjectNode reporting) {
+  public void addDestinations(ObjectNode reporting) {
     ArrayNode destinations = reporting.put("host", "rehearsal").putArray("destinations");
     graphite.forEach(
         (name, l) ->
--- a/scenario/src/test/java/lemondock/scenario/FaultScenarioTest.java
+++ b/scenario/src/test/java/lemondock/scenario/FaultScenarioTest.java
@@ -68,7 +68,8 @@
 
   @Test
   void gatewaysThatForgetAreSeenToRunCallsAgain() throws InterruptedException {
-    assertEquals(Set.of(2), deaths().files(Forgetful::new).play().audit().violatedRules());
+    assertEquals(
+        Set.of(2), deaths().decorateFileSystem(Forgetful::new).play().audit().violatedRules());
   }
 
   /** A folder that is found empty. */
--- a/scenario/src/test/java/lemondock/scenario/ReportComparisonTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ReportComparisonTest.java
@@ -24,7 +24,7 @@
                     new ScriptedFault(FaultKind.FAST_ERRORS, 500, 1500, 0.4, 0.8),
                     new ScriptedFault(FaultKind.GATEWAY_KILL, 1000, 600, 0, 0)));
     try (ReportComparison check = new ReportComparison()) {
-      ScenarioResult result = new FaultScenario(day).reporting(check).play();
+      ScenarioResult result = new FaultScenario(day).compareReports(check).play();
       assertTrue(result.audit().allRulesKept(), result.audit().toString());
       assertEquals(List.of(), check.differences());
       assertTrue(check.compared() > 1_000, "compared only " + check.compared());
