--- a/scenario/src/main/java/lemondock/scenario/CallRecord.java
+++ b/scenario/src/main/java/lemondock/scenario/CallRecord.java
@@ -56,4 +56,9 @@
   public boolean served() {
     return responses > 0 && errorCode == 0;
   }
+
+  /** The mark that all attempts of a client at one call share. */
+  String markOfFirstAttempt() {
+    return mark.replaceAll("-try\\d+$", "");
+  }
 }
--- a/scenario/src/main/java/lemondock/scenario/FaultScenario.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultScenario.java
@@ -14,6 +14,7 @@
 import lemondock.dispatch.RouterFactory;
 import lemondock.emulator.TrafficEvent;
 import lemondock.gateway.Gateway;
+import lemondock.gateway.settings.GatewaySettings;
 import lemondock.idempotency.FileSystemPort;
 
 /**
@@ -118,9 +119,10 @@
 
   private ScenarioResult result(
       ScenarioFleet fleet, List<CallRecord> calls, long endMicros, long startNanos) {
-    ScenarioAuditor auditor =
-        new ScenarioAuditor(
-            ScenarioSettings.model(),
+    GatewaySettings model = ScenarioSettings.model();
+    ScenarioRecording recording =
+        new ScenarioRecording(
+            model,
             fleet.engineSettings(),
             fleet.events(),
             calls,
@@ -129,9 +131,9 @@
             endMicros);
     return new ScenarioResult(
         script,
-        auditor.check(),
-        auditor.service(),
-        auditor.endings(),
+        ScenarioAuditor.check(recording),
+        ServiceStatistics.valueInTimeShares(model.classes(), calls),
+        ServiceStatistics.outcomeCounts(calls),
         calls.size(),
         countEngineRequests(fleet.events()),
         (System.nanoTime() - startNanos) / 1e9,
--- a/scenario/src/test/java/lemondock/scenario/BreakTableTest.java
+++ b/scenario/src/test/java/lemondock/scenario/BreakTableTest.java
@@ -313,19 +313,19 @@
 
   /** The auditor's word on all that passed on the engines' sockets and on this client's. */
   private static void rulesKept(ScenarioFixture bench, CallRecord seen) {
-    AuditResult finding =
-        new ScenarioAuditor(
-                bench.settings,
-                bench.fleet.engineSettings(),
-                bench.fleet.events().stream()
-                    .filter(e -> e.mark().isEmpty() || e.mark().equals(seen.mark))
-                    .toList(),
-                List.of(seen),
-                List.of(),
-                List.of(),
-                bench.clients.loop().now())
-            .check();
-    assertTrue(finding.allRulesKept(), finding.violations().toString());
+    ScenarioRecording recording =
+        new ScenarioRecording(
+            bench.settings,
+            bench.fleet.engineSettings(),
+            bench.fleet.events().stream()
+                .filter(e -> e.mark().isEmpty() || e.mark().equals(seen.mark))
+                .toList(),
+            List.of(seen),
+            List.of(),
+            List.of(),
+            bench.clients.loop().now());
+    AuditResult audit = ScenarioAuditor.check(recording);
+    assertTrue(audit.allRulesKept(), audit.violations().toString());
   }
 
   /** One answer, and what is done to it. */
--- a/scenario/src/test/java/lemondock/scenario/ScenarioAuditorTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ScenarioAuditorTest.java
@@ -17,19 +17,19 @@
       ScenarioSettings.gateway("gw", 0, 1, "north", 1, "127.0.0.1:1");
   private static final EngineSettings READER = EngineSettings.quick("r", "reader", "north", "r1");
 
-  private static Set<Integer> broken(
-      List<TrafficEvent> events, List<CallRecord> calls, GatewayPause... stood) {
-    return new ScenarioAuditor(
-            SETTINGS, List.of(READER), events, calls, List.of(), List.of(stood), T0 + 60_000 * MS)
-        .check()
-        .violatedRules();
+  private static Set<Integer> violatedRules(
+      List<TrafficEvent> events, List<CallRecord> calls, GatewayPause... pauses) {
+    ScenarioRecording recording =
+        new ScenarioRecording(
+            SETTINGS, List.of(READER), events, calls, List.of(), List.of(pauses), T0 + 60_000 * MS);
+    return ScenarioAuditor.check(recording).violatedRules();
   }
 
   private static TrafficEvent event(long at, TrafficEvent.Kind what, String detail) {
     return new TrafficEvent(T0 + at * MS, "r", what, "gw-1", "m", "gw", 10, detail);
   }
 
-  private static GatewayPause stood(String gateway, long from, long to) {
+  private static GatewayPause pause(String gateway, long from, long to) {
     return new GatewayPause(gateway, T0 + from * MS, T0 + to * MS);
   }
 
@@ -45,17 +45,18 @@
   @Test
   void anAnswerMayBeLateByAsMuchAsItsGatewayStoodStill() {
     long patience = SETTINGS.classes().get(0).deadlineMicros(34) / MS;
-    assertEquals(Set.of(), broken(List.of(), List.of(call(patience))));
-    assertEquals(Set.of(1), broken(List.of(), List.of(call(patience + 2_000))));
+    assertEquals(Set.of(), violatedRules(List.of(), List.of(call(patience))));
+    assertEquals(Set.of(1), violatedRules(List.of(), List.of(call(patience + 2_000))));
     assertEquals(
-        Set.of(), broken(List.of(), List.of(call(patience + 2_000)), stood("gw", 500, 2_500)));
+        Set.of(),
+        violatedRules(List.of(), List.of(call(patience + 2_000)), pause("gw", 500, 2_500)));
     assertEquals(
         Set.of(1),
-        broken(List.of(), List.of(call(patience + 4_000)), stood("gw", 500, 2_500)),
+        violatedRules(List.of(), List.of(call(patience + 4_000)), pause("gw", 500, 2_500)),
         "and by no more");
     assertEquals(
         Set.of(1),
-        broken(List.of(), List.of(call(patience + 2_000)), stood("gw-2", 500, 2_500)),
+        violatedRules(List.of(), List.of(call(patience + 2_000)), pause("gw-2", 500, 2_500)),
         "not by another's");
   }
 
@@ -66,18 +67,18 @@
             event(0, TrafficEvent.Kind.ENDPOINTS_SENT, "r=draining"),
             event(1_500, TrafficEvent.Kind.PREFILL, ""),
             event(1_510, TrafficEvent.Kind.ANSWERED, ""));
-    assertEquals(Set.of(3), broken(drained, List.of()));
-    assertEquals(Set.of(), broken(drained, List.of(), stood("gw", 10, 1_200)));
-    assertEquals(Set.of(3), broken(drained, List.of(), stood("gw", 10, 200)));
+    assertEquals(Set.of(3), violatedRules(drained, List.of()));
+    assertEquals(Set.of(), violatedRules(drained, List.of(), pause("gw", 10, 1_200)));
+    assertEquals(Set.of(3), violatedRules(drained, List.of(), pause("gw", 10, 200)));
     List<TrafficEvent> held =
         List.of(
             event(0, TrafficEvent.Kind.PREFILL, ""),
             event(10, TrafficEvent.Kind.ANSWERED, "read"),
             event(10, TrafficEvent.Kind.STATE_RESERVED, ""),
             event(1_500, TrafficEvent.Kind.STATE_RELEASED, ""));
-    assertEquals(Set.of(5), broken(held, List.of()));
-    assertEquals(Set.of(), broken(held, List.of(), stood("gw", 20, 1_300)));
-    assertEquals(Set.of(5), broken(held, List.of(), stood("gw", 20, 300)));
+    assertEquals(Set.of(5), violatedRules(held, List.of()));
+    assertEquals(Set.of(), violatedRules(held, List.of(), pause("gw", 20, 1_300)));
+    assertEquals(Set.of(5), violatedRules(held, List.of(), pause("gw", 20, 300)));
   }
 
   @Test
@@ -93,6 +94,6 @@
             event(10, TrafficEvent.Kind.CONNECTION_LOST, ""),
             new TrafficEvent(
                 T0 + 2_500 * MS, "r", TrafficEvent.Kind.DECODE, "gw-2", "m", "gw", 10, "1"));
-    assertEquals(Set.of(2), broken(twice, List.of(c), stood("gw", 20, 2_400)));
+    assertEquals(Set.of(2), violatedRules(twice, List.of(c), pause("gw", 20, 2_400)));
   }
 }
