--- /dev/null
+++ b/emulator/src/main/java/lemondock/emulator/AnswerStream.java
@@ -0,0 +1,115 @@
+package lemondock.emulator;
+
+import lemondock.emulator.EngineMessages.FinishReason;
+import lemondock.net.http.Headers;
+import lemondock.net.http.HttpExchange;
+
+/** Sends an answer token by token, as events of a stream. Loop thread only. */
+final class AnswerStream {
+  /** Bytes that the client has not taken from which on the stream waits. */
+  private static final long HIGH_WATER_BYTES = 64 * 1024;
+
+  private final EngineContext engine;
+  private final EngineJob job;
+  private final EngineRequest request;
+  private final HttpExchange exchange;
+  private final AnswerScript.Leg script;
+  private final boolean stampsTokens;
+  private final double tokenMs;
+  private int tokensSent;
+  private boolean paused;
+
+  AnswerStream(EngineContext engine, EngineJob job) {
+    this.engine = engine;
+    this.job = job;
+    this.request = job.request();
+    this.exchange = job.exchange();
+    this.script = AnswerScript.leg(request.body());
+    this.stampsTokens = AnswerScript.says(request.messages(), "stamp each word");
+    boolean unpaced = AnswerScript.says(request.messages(), "without pause");
+    this.tokenMs = unpaced ? 0 : engine.settings().tokenMs();
+  }
+
+  int tokensSent() {
+    return tokensSent;
+  }
+
+  void begin() {
+    exchange.begin(200, Headers.of("content-type", "text/event-stream; charset=utf-8"));
+    exchange.onWriteQueueDrained(
+        () -> {
+          if (paused) {
+            paused = false;
+            sendNext();
+          }
+        });
+    send(EngineMessages.roleDelta(), FinishReason.NONE);
+    sendNext();
+  }
+
+  private void sendNext() {
+    if (job.isOver()) {
+      return;
+    }
+    EngineFaults faults = engine.faults();
+    if (faults.breakAfter >= 0 && tokensSent >= faults.breakAfter && faults.hit()) {
+      job.record(TrafficEvent.Kind.CONNECTION_LOST, tokensSent, "on purpose");
+      job.end();
+      exchange.abort();
+    } else if (faults.stallAfter >= 0 && tokensSent >= faults.stallAfter && faults.hit()) {
+      paused = false; // nothing more is ever sent
+    } else if (faults.badEvent != null && tokensSent == 1 && faults.hit()) {
+      exchange.send(EngineMessages.event(faults.badEvent));
+      tokensSent++;
+      job.after(tokenMs, this::sendNext);
+    } else if (tokensSent < Math.min(script.pieces().size(), request.maxTokens())) {
+      sendToken();
+    } else {
+      finish();
+    }
+  }
+
+  private void sendToken() {
+    String piece = stampsTokens ? " " + engine.loop().now() : script.pieces().get(tokensSent);
+    tokensSent++;
+    send(EngineMessages.contentDelta(piece), FinishReason.NONE);
+    if (exchange.pendingBytes() > HIGH_WATER_BYTES) {
+      paused = true;
+    } else {
+      job.after(tokenMs, this::sendNext);
+    }
+  }
+
+  private void finish() {
+    boolean truncated = tokensSent >= request.maxTokens() && tokensSent < script.pieces().size();
+    if (truncated) {
+      send("{}", FinishReason.LENGTH);
+    } else {
+      sendToolCalls();
+      send("{}", script.calls().isEmpty() ? FinishReason.STOP : FinishReason.TOOL_CALLS);
+    }
+    exchange.send(EngineMessages.usageChunk(request, tokensSent, job.cachedTokens()));
+    exchange.send(EngineMessages.STREAM_END);
+    job.record(TrafficEvent.Kind.ANSWERED, 200, "write");
+    job.end();
+    exchange.finish();
+  }
+
+  /** Arguments come in two fragments, as engines send them. */
+  private void sendToolCalls() {
+    int index = 0;
+    for (AnswerScript.Call call : script.calls()) {
+      String arguments = call.arguments();
+      int half = arguments.length() / 2;
+      send(
+          EngineMessages.toolCallDelta(index, call, arguments.substring(0, half)),
+          FinishReason.NONE);
+      send(EngineMessages.argumentsDelta(index, arguments.substring(half)), FinishReason.NONE);
+      index++;
+    }
+  }
+
+  private void send(String delta, FinishReason finishReason) {
+    exchange.send(EngineMessages.chunk(request, delta, finishReason, tokensSent));
+  }
+}
--- /dev/null
+++ b/emulator/src/main/java/lemondock/emulator/EngineRequest.java
@@ -0,0 +1,74 @@
+package lemondock.emulator;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import lemondock.net.http.HttpRequest;
+
+/** A request for a chat completion, as an engine reads it. */
+final class EngineRequest {
+  private static final int CHARS_PER_TOKEN = 4;
+
+  private final JsonNode body;
+  private final TrafficSource source;
+  private final int promptTokens;
+
+  EngineRequest(HttpRequest http, JsonNode body) {
+    this.body = body;
+    String header = http.headers().get("x-request-id");
+    String id = header == null ? body.path("request_id").asText("") : header;
+    this.source =
+        new TrafficSource(
+            id, AnswerScript.mark(body.path("messages")), TrafficSource.gatewayOf(http));
+    int chars = 0;
+    for (JsonNode message : messages()) {
+      chars += text(message).length();
+    }
+    this.promptTokens = Math.max(1, tokens(chars));
+  }
+
+  static int tokens(int chars) {
+    return chars / CHARS_PER_TOKEN;
+  }
+
+  static String text(JsonNode message) {
+    return message.path("content").asText("");
+  }
+
+  String id() {
+    return source.requestId();
+  }
+
+  TrafficSource source() {
+    return source;
+  }
+
+  JsonNode body() {
+    return body;
+  }
+
+  JsonNode messages() {
+    return body.path("messages");
+  }
+
+  int promptTokens() {
+    return promptTokens;
+  }
+
+  int maxTokens() {
+    return body.path("max_tokens").asInt(Integer.MAX_VALUE);
+  }
+
+  /** Whether only the prompt is to be read, and its state reserved for a writer. */
+  boolean isPrefill() {
+    return transfer().path("do_remote_decode").asBoolean(false);
+  }
+
+  /** Whether the state of the prompt is to be fetched from another engine. */
+  boolean hasRemoteState() {
+    return transfer().path("do_remote_prefill").asBoolean(false);
+  }
+
+  /** The {@code kv_transfer_params}, which say where a remote state is; a missing node if none. */
+  JsonNode transfer() {
+    return body.path("kv_transfer_params");
+  }
+}
--- a/scenario/src/main/java/lemondock/scenario/FaultInjector.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultInjector.java
@@ -64,7 +64,9 @@
               fault.atMs(),
               () ->
                   runOnEmulators(
-                      () -> pickEngines(fault).forEach(name -> fleet.engine(name).forget())));
+                      () ->
+                          pickEngines(fault)
+                              .forEach(name -> fleet.engine(name).clearPrefixCache())));
       case AGEING -> scheduleAgeing(fault);
       case NEIGHBOUR -> scheduleNeighbour(fault);
       case CRASH -> scheduleCrash(pickEngines(fault), fault.atMs(), fault.forMs());
--- a/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
@@ -211,7 +211,7 @@
     Box box = boxes.get(name);
     standins.invokeAndWait(
         () -> {
-          box.engine.died();
+          box.engine.die();
           return null;
         });
     box.node.close();
--- a/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
@@ -628,7 +628,7 @@
                   bench
                       .fleet
                       .emulators()
-                      .invokeAndWait(() -> bench.fleet.engine("w").written("slow"));
+                      .invokeAndWait(() -> bench.fleet.engine("w").tokensSent("slow").orElse(-1));
               boolean stands = now > 0 && now == before[0];
               before[0] = now;
               ScenarioFixture.pause(100);
--- a/scenario/src/test/java/lemondock/scenario/GatewayOverloadTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayOverloadTest.java
@@ -632,7 +632,7 @@
                     bench
                         .fleet
                         .emulators()
-                        .invokeAndWait(() -> bench.fleet.engine("w").written(mark));
+                        .invokeAndWait(() -> bench.fleet.engine("w").tokensSent(mark).orElse(-1));
               }
               boolean stands =
                   now > 0
--- a/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
+++ b/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
@@ -197,7 +197,7 @@
           .emulators()
           .invokeAndWait(
               () ->
-                  fleet.engine(e).states() + fleet.engine(e).running() == 0
+                  fleet.engine(e).reservedStates() + fleet.engine(e).runningRequests() == 0
                       ? busy
                       : busy.append(e).append(": ").append(fleet.engine(e).load()).append(' '));
     }
