--- a/emulator/src/main/java/lemondock/emulator/CatalogueEmulator.java
+++ b/emulator/src/main/java/lemondock/emulator/CatalogueEmulator.java
@@ -2,9 +2,6 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.JsonNodeFactory;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -12,6 +9,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
 import lemondock.net.Loop;
 import lemondock.net.Network;
 import lemondock.net.http.Headers;
@@ -22,26 +22,41 @@
 import lemondock.net.http.HttpService;
 
 /**
- * A stand-in for the part of Consul's HTTP API that lists services: health of a service with
- * blocking queries, and the agent's register, deregister and maintenance. It has one node and no
- * checks but maintenance.
+ * Emulates the part of Consul's HTTP API that lists services: the health of a service with blocking
+ * queries, and the agent's register, deregister and maintenance. It has one node and no checks but
+ * maintenance.
+ *
+ * <p>Loop thread only, unless a method says otherwise.
  */
 public final class CatalogueEmulator implements HttpService {
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private static final long MICROS = 1_000;
-  private static final long SECOND = 1_000_000;
-  private static final double LONGEST_WAIT_MS = 600_000;
+  private static final String NAME = "catalogue";
+  private static final String HEALTH_PATH = "/v1/health/service/";
+  private static final String REGISTER_PATH = "/v1/agent/service/register";
+  private static final String DEREGISTER_PATH = "/v1/agent/service/deregister/";
+  private static final String MAINTENANCE_PATH = "/v1/agent/service/maintenance/";
+  private static final byte[] EMPTY = new byte[0];
+
+  private static final long MICROS_PER_MILLI = 1_000;
+  private static final long MICROS_PER_SECOND = 1_000_000;
+  private static final Pattern WAIT = Pattern.compile("([0-9]{1,9})(ms|s|m)");
+  private static final long DEFAULT_WAIT_MICROS = 300 * MICROS_PER_SECOND;
+  private static final double MAX_WAIT_MS = 600_000;
 
   private final Loop loop;
-  private final TrafficObserver observer;
+  private final TrafficRecorder traffic;
   private final HttpServer server;
   private final Map<String, Service> services = new LinkedHashMap<>();
-  private final List<Waiting> waiting = new ArrayList<>();
+  private final List<BlockingQuery> blockingQueries = new ArrayList<>();
   private long index = 1;
   private boolean failing;
   private boolean empty;
 
-  /** One service instance. */
+  /**
+   * One instance of a service.
+   *
+   * @param maintenance whether it is in maintenance, which is how it drains
+   */
   public record Service(
       String id,
       String service,
@@ -50,134 +65,146 @@
       Map<String, String> meta,
       boolean maintenance,
       int weight) {
-    /** The same in or out of maintenance, which is how it drains. */
-    public Service maintenance(boolean on) {
+    /** The same in or out of maintenance. */
+    public Service withMaintenance(boolean on) {
       return new Service(id, service, address, port, meta, on, weight);
     }
   }
 
-  private record Waiting(HttpExchange exchange, String service, String gateway) {}
+  /** A query that waits for a change. */
+  private record BlockingQuery(HttpExchange exchange, String service, String gateway) {}
 
   /** Makes an empty catalogue. */
   public CatalogueEmulator(Loop loop, TrafficObserver observer) {
     this.loop = loop;
-    this.observer = observer;
-    this.server =
-        new HttpServer(
-            loop,
-            new HttpServerOptions(
-                HttpLimits.DEFAULT,
-                4_096,
-                64 * 1024 * 1024,
-                700 * SECOND,
-                10 * SECOND,
-                60 * SECOND),
-            this);
+    this.traffic = new TrafficRecorder(loop, NAME, observer);
+    this.server = new HttpServer(loop, serverOptions(), this);
+  }
+
+  private static HttpServerOptions serverOptions() {
+    return new HttpServerOptions(
+        HttpLimits.DEFAULT,
+        4_096,
+        64 * 1024 * 1024,
+        700 * MICROS_PER_SECOND,
+        10 * MICROS_PER_SECOND,
+        60 * MICROS_PER_SECOND);
   }
 
-  /** Takes a port. */
+  /** Takes a port; any thread. */
   public void start(Network network, InetSocketAddress address) throws IOException {
     server.start(network, address);
   }
 
-  /** The address taken. */
+  /** The address taken; any thread. */
   public InetSocketAddress address() {
     return server.address();
   }
 
-  /** Adds or changes an instance; loop thread only. */
+  /** Adds or changes an instance. */
   public void put(Service service) {
     services.put(service.id(), service);
-    changed();
+    onChange();
   }
 
-  /** Takes an instance off; loop thread only. */
+  /** Removes an instance, if there is one of that id. */
   public void remove(String id) {
     if (services.remove(id) != null) {
-      changed();
+      onChange();
     }
   }
 
-  /** Lets an instance drain, or not any more; loop thread only. */
-  public void maintenance(String id, boolean on) {
+  /** Has an instance drain, or not any more. */
+  public void setMaintenance(String id, boolean on) {
     Service service = services.get(id);
     if (service != null) {
-      put(service.maintenance(on));
+      put(service.withMaintenance(on));
     }
   }
 
-  /** Whether it answers with status 500 from now on; loop thread only. */
-  public void failing(boolean on) {
+  /** Whether it answers with status 500 from now on. */
+  public void setFailing(boolean on) {
     failing = on;
     if (on) {
-      List.copyOf(waiting).forEach(w -> w.exchange().respond(500, new Headers(), new byte[0]));
-      waiting.clear();
+      List.copyOf(blockingQueries).forEach(query -> respondEmpty(query.exchange(), 500));
+      blockingQueries.clear();
     }
   }
 
-  /** Whether it says that there are no instances at all; loop thread only. */
-  public void empty(boolean on) {
+  /** Whether it lists no instances at all. */
+  public void setEmpty(boolean on) {
     empty = on;
-    changed();
+    onChange();
   }
 
-  private void changed() {
+  private void onChange() {
     index++;
-    List<Waiting> now = List.copyOf(waiting);
-    waiting.clear();
-    now.forEach(this::tell);
+    List<BlockingQuery> queries = List.copyOf(blockingQueries);
+    blockingQueries.clear();
+    queries.forEach(this::respond);
   }
 
   @Override
   public void serve(HttpExchange exchange) {
-    String path = exchange.request().path();
-    String method = exchange.request().method();
     if (failing) {
-      exchange.respond(500, new Headers(), new byte[0]);
-    } else if (method.equals("GET") && path.startsWith("/v1/health/service/")) {
-      health(exchange, path.substring("/v1/health/service/".length()));
-    } else if (method.equals("PUT") && path.equals("/v1/agent/service/register")) {
+      respondEmpty(exchange, 500);
+      return;
+    }
+    String path = exchange.request().path();
+    switch (exchange.request().method()) {
+      case "GET" -> serveGet(exchange, path);
+      case "PUT" -> servePut(exchange, path);
+      default -> respondEmpty(exchange, 404);
+    }
+  }
+
+  private static void respondEmpty(HttpExchange exchange, int status) {
+    exchange.respond(status, new Headers(), EMPTY);
+  }
+
+  private void serveGet(HttpExchange exchange, String path) {
+    if (path.startsWith(HEALTH_PATH)) {
+      health(exchange, path.substring(HEALTH_PATH.length()));
+    } else {
+      respondEmpty(exchange, 404);
+    }
+  }
+
+  private void servePut(HttpExchange exchange, String path) {
+    if (path.equals(REGISTER_PATH)) {
       register(exchange);
-    } else if (method.equals("PUT") && path.startsWith("/v1/agent/service/deregister/")) {
-      remove(path.substring("/v1/agent/service/deregister/".length()));
-      exchange.respond(200, new Headers(), new byte[0]);
-    } else if (method.equals("PUT") && path.startsWith("/v1/agent/service/maintenance/")) {
-      maintenance(
-          path.substring("/v1/agent/service/maintenance/".length()),
-          "true".equals(exchange.request().queryParameter("enable")));
-      exchange.respond(200, new Headers(), new byte[0]);
+    } else if (path.startsWith(DEREGISTER_PATH)) {
+      remove(path.substring(DEREGISTER_PATH.length()));
+      respondEmpty(exchange, 200);
+    } else if (path.startsWith(MAINTENANCE_PATH)) {
+      boolean on = "true".equals(exchange.request().queryParameter("enable"));
+      setMaintenance(path.substring(MAINTENANCE_PATH.length()), on);
+      respondEmpty(exchange, 200);
     } else {
-      exchange.respond(404, new Headers(), new byte[0]);
+      respondEmpty(exchange, 404);
     }
   }
 
   private void health(HttpExchange exchange, String service) {
-    String agent = String.valueOf(exchange.request().headers().get("user-agent"));
-    int open = agent.indexOf('(');
-    Waiting one =
-        new Waiting(
-            exchange,
-            service,
-            open >= 0 && agent.endsWith(")")
-                ? agent.substring(open + 1, agent.length() - 1)
-                : agent);
-    long asked = number(exchange.request().queryParameter("index"));
-    if (asked < index) {
-      tell(one);
+    BlockingQuery query =
+        new BlockingQuery(exchange, service, TrafficSource.gatewayOf(exchange.request()));
+    if (parseIndex(exchange.request().queryParameter("index")) < index) {
+      respond(query);
       return;
     }
-    waiting.add(one);
-    exchange.onDisconnect(() -> waiting.remove(one));
+    blockingQueries.add(query);
+    exchange.onDisconnect(() -> blockingQueries.remove(query));
     loop.schedule(
-        waitOf(exchange.request().queryParameter("wait")),
+        parseWaitMicros(exchange.request().queryParameter("wait")),
         () -> {
-          if (waiting.remove(one)) {
-            tell(one);
+          if (blockingQueries.remove(query)) {
+            respond(query);
           }
         });
   }
 
-  private static long number(String text) {
+  /** The index that a client has seen; 0 if it named none. */
+  private static long parseIndex(String text) {
     try {
       return text == null ? 0 : Long.parseLong(text);
     } catch (NumberFormatException e) {
@@ -185,58 +212,41 @@
     }
   }
 
-  private static long waitOf(String text) {
-    if (text != null && text.matches("[0-9]{1,9}(ms|s|m)")) {
-      double value = Double.parseDouble(text.replaceAll("[a-z]", ""));
-      double millis =
-          text.endsWith("ms") ? value : text.endsWith("s") ? value * 1000 : value * 60_000;
-      return (long) (Math.min(millis, LONGEST_WAIT_MS) * MICROS);
+  private static long parseWaitMicros(String text) {
+    Matcher matcher = WAIT.matcher(text == null ? "" : text);
+    if (!matcher.matches()) {
+      return DEFAULT_WAIT_MICROS;
     }
-    return 300 * SECOND;
+    double value = Double.parseDouble(matcher.group(1));
+    double millis =
+        switch (matcher.group(2)) {
+          case "ms" -> value;
+          case "s" -> value * 1000;
+          default -> value * 60_000;
+        };
+    return (long) (Math.min(millis, MAX_WAIT_MS) * MICROS_PER_MILLI);
   }
 
-  private void tell(Waiting one) {
-    ArrayNode all = JsonNodeFactory.instance.arrayNode();
-    StringBuilder standings = new StringBuilder();
-    for (Service s : services.values()) {
-      if (!empty && s.service().equals(one.service())) {
-        ObjectNode entry = all.addObject();
-        entry.putObject("Node").put("Node", "standin").put("Address", s.address());
-        ObjectNode service =
-            entry
-                .putObject("Service")
-                .put("ID", s.id())
-                .put("Service", s.service())
-                .put("Address", s.address())
-                .put("Port", s.port());
-        ObjectNode meta = service.putObject("Meta");
-        s.meta().forEach(meta::put);
-        service.putObject("Weights").put("Passing", s.weight()).put("Warning", 1);
-        ArrayNode checks = entry.putArray("Checks");
-        if (s.maintenance()) {
-          checks
-              .addObject()
-              .put("CheckID", "_service_maintenance:" + s.id())
-              .put("Status", "critical");
-        }
-        standings.append(s.id()).append(s.maintenance() ? "=draining " : "=ready ");
-      }
-    }
-    observer.onEvent(
-        new TrafficEvent(
-            loop.now(),
-            "catalogue",
-            TrafficEvent.Kind.ENDPOINTS_SENT,
-            "",
-            "",
-            one.gateway(),
-            index,
-            standings.toString().strip()));
-    one.exchange()
+  private void respond(BlockingQuery query) {
+    List<Service> listed =
+        services.values().stream()
+            .filter(service -> !empty && service.service().equals(query.service()))
+            .toList();
+    String lifecycles =
+        listed.stream()
+            .map(service -> service.id() + (service.maintenance() ? "=draining" : "=ready"))
+            .collect(Collectors.joining(" "));
+    traffic.record(
+        TrafficEvent.Kind.ENDPOINTS_SENT,
+        new TrafficSource("", "", query.gateway()),
+        index,
+        lifecycles);
+    query
+        .exchange()
         .respond(
             200,
             Headers.of("content-type", "application/json", "x-consul-index", Long.toString(index)),
-            all.toString().getBytes(StandardCharsets.UTF_8));
+            ConsulJson.healthResponse(listed));
   }
 
   private void register(HttpExchange exchange) {
@@ -244,29 +254,18 @@
     try {
       body = MAPPER.readTree(exchange.request().body());
     } catch (IOException e) {
-      exchange.respond(400, new Headers(), "no JSON".getBytes(StandardCharsets.UTF_8));
+      respondBadRequest(exchange, "no JSON");
       return;
     }
-    String name = body.path("Name").asText("");
-    int port = body.path("Port").asInt(0);
-    if (name.isEmpty() || port <= 0) {
-      exchange.respond(
-          400, new Headers(), "expected Name and Port".getBytes(StandardCharsets.UTF_8));
+    if (body.path("Name").asText("").isEmpty() || body.path("Port").asInt(0) <= 0) {
+      respondBadRequest(exchange, "expected Name and Port");
       return;
     }
-    Map<String, String> meta = new LinkedHashMap<>();
-    body.path("Meta")
-        .properties()
-        .forEach(entry -> meta.put(entry.getKey(), entry.getValue().asText()));
-    put(
-        new Service(
-            body.path("ID").asText(name),
-            name,
-            body.path("Address").asText("127.0.0.1"),
-            port,
-            meta,
-            false,
-            body.path("Weights").path("Passing").asInt(1)));
-    exchange.respond(200, new Headers(), new byte[0]);
+    put(ConsulJson.parseRegistration(body));
+    respondEmpty(exchange, 200);
+  }
+
+  private static void respondBadRequest(HttpExchange exchange, String message) {
+    exchange.respond(400, new Headers(), message.getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/scenario/src/main/java/lemondock/scenario/FaultInjector.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultInjector.java
@@ -83,8 +83,8 @@
               fault,
               () -> load.conversations().setHotSystemPrompt(true),
               () -> load.conversations().setHotSystemPrompt(false));
-      case LIST_FAILS -> scheduleCatalogueFault(fault, CatalogueEmulator::failing);
-      case LIST_EMPTY -> scheduleCatalogueFault(fault, CatalogueEmulator::empty);
+      case LIST_FAILS -> scheduleCatalogueFault(fault, CatalogueEmulator::setFailing);
+      case LIST_EMPTY -> scheduleCatalogueFault(fault, CatalogueEmulator::setEmpty);
       default -> throw new IllegalArgumentException("unknown fault " + fault.kind());
     }
   }
--- a/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
@@ -237,7 +237,7 @@
   public void drain(String name, boolean on) {
     standins.invokeAndWait(
         () -> {
-          catalogue.maintenance(name, on);
+          catalogue.setMaintenance(name, on);
           return null;
         });
   }
--- a/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
@@ -237,7 +237,7 @@
           .emulators()
           .invokeAndWait(
               () -> {
-                bench.fleet.catalogue().empty(true);
+                bench.fleet.catalogue().setEmpty(true);
                 return null;
               });
       assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 0, 5_000));
@@ -253,7 +253,7 @@
           .emulators()
           .invokeAndWait(
               () -> {
-                bench.fleet.catalogue().empty(false);
+                bench.fleet.catalogue().setEmpty(false);
                 return null;
               });
       assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 2, 5_000));
--- a/scenario/src/test/java/lemondock/scenario/NonIdempotentCallsTest.java
+++ b/scenario/src/test/java/lemondock/scenario/NonIdempotentCallsTest.java
@@ -106,7 +106,7 @@
           .emulators()
           .invokeAndWait(
               () -> {
-                bench.fleet.catalogue().empty(true);
+                bench.fleet.catalogue().setEmpty(true);
                 return null;
               });
       assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 0, 10_000));
@@ -121,7 +121,7 @@
           .emulators()
           .invokeAndWait(
               () -> {
-                bench.fleet.catalogue().empty(false);
+                bench.fleet.catalogue().setEmpty(false);
                 return null;
               });
       restart(bench);
