--- a/emulator/src/main/java/lemondock/emulator/EngineSettings.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineSettings.java
@@ -117,7 +117,7 @@
   }
 
   /** The same on a port. */
-  public EngineSettings at(String address) {
+  public EngineSettings withListen(String address) {
     return new EngineSettings(
         name,
         address,
--- a/scenario/src/main/java/lemondock/scenario/FaultInjector.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultInjector.java
@@ -180,8 +180,8 @@
     long noticeMicros = Math.min(MAX_CRASH_NOTICE_MICROS, (long) (forMs * MICROS_PER_MILLI / 2));
     for (String name : engines) {
       if (reserveOutage(name, atMs, atMs + forMs)) {
-        timetable.add(atMs, () -> fleet.crash(name, noticeMicros));
-        timetable.add(atMs + forMs, () -> fleet.restart(name));
+        timetable.add(atMs, () -> fleet.crashEngine(name, noticeMicros));
+        timetable.add(atMs + forMs, () -> fleet.restartEngine(name));
       }
     }
   }
@@ -199,9 +199,9 @@
         if (fault.size() >= 0.5) { // it rejects work before the list says why
           timetable.add(atMs, () -> changeFaults(List.of(name), f -> f.full = true));
         }
-        timetable.add(atMs + DRAIN_LISTED_AFTER_MS, () -> fleet.drain(name, true));
-        timetable.add(stopAtMs, () -> fleet.crash(name, 0));
-        timetable.add(restartAtMs, () -> fleet.restart(name));
+        timetable.add(atMs + DRAIN_LISTED_AFTER_MS, () -> fleet.setEngineDraining(name, true));
+        timetable.add(stopAtMs, () -> fleet.crashEngine(name, 0));
+        timetable.add(restartAtMs, () -> fleet.restartEngine(name));
         atMs += DEPLOY_INTERVAL_MS;
       }
     }
@@ -231,14 +231,14 @@
       case GATEWAY_FREEZE -> {
         String name = pickGateway();
         if (reserveOutage(name, fault.atMs(), fault.endMs())) {
-          scheduleSpan(fault, () -> fleet.freeze(name), () -> fleet.goOn(name));
+          scheduleSpan(fault, () -> fleet.pauseGateway(name), () -> fleet.resumeGateway(name));
         }
       }
       case GATEWAY_BUSY -> {
         String name = pickGateway();
         double share = Math.min(MAX_OCCUPIED_SHARE, fault.size());
         long micros = (long) (fault.forMs() * MICROS_PER_MILLI);
-        timetable.add(fault.atMs(), () -> fleet.occupy(name, share, micros));
+        timetable.add(fault.atMs(), () -> fleet.occupyGateway(name, share, micros));
       }
       default -> throw new IllegalArgumentException("no fault of a gateway: " + fault.kind());
     }
@@ -246,7 +246,7 @@
 
   private void scheduleGatewayKill(String name, double atMs, double forMs) {
     if (reserveOutage(name, atMs, atMs + forMs)) {
-      timetable.add(atMs, () -> fleet.kill(name));
+      timetable.add(atMs, () -> fleet.killGateway(name));
       timetable.add(atMs + forMs, () -> fleet.startGateway(name));
     }
   }
--- a/scenario/src/main/java/lemondock/scenario/FaultScenario.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultScenario.java
@@ -94,7 +94,7 @@
     try (ScenarioFleet fleet = new ScenarioFleet(ScenarioSettings.requestClasses(), script.seed());
         EmulatedProcess clientProcess = new EmulatedProcess("clients", 2)) {
       fleet.onSnapshot(snapshotListener);
-      fleet.files(fileSystemDecorator);
+      fleet.decorateFileSystem(fileSystemDecorator);
       new FleetBuilder(script, routerFactory, folder, reports).build(fleet);
       ClientLoad load = new ClientLoad(script, random, fleet, clientProcess);
       Timetable timetable = new Timetable();
@@ -126,8 +126,8 @@
             fleet.engineSettings(),
             fleet.events(),
             calls,
-            fleet.killed(),
-            fleet.stood(),
+            fleet.kills(),
+            fleet.pauses(),
             endMicros);
     return new ScenarioResult(
         script,
--- a/scenario/src/main/java/lemondock/scenario/PausableNetwork.java
+++ b/scenario/src/main/java/lemondock/scenario/PausableNetwork.java
@@ -4,6 +4,7 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import lemondock.net.Connection;
@@ -12,52 +13,54 @@
 import lemondock.net.Network;
 
 /**
- * Makes a gateway stand still as SIGSTOP does to a process: its loop and its I/O threads wait
- * wherever they next come to. The kernel goes on accepting connections and taking bytes for it. One
- * process holds all gateways of a day, so a signal would not do.
+ * Pauses a gateway as SIGSTOP does a process: its loop and its I/O threads block wherever they next
+ * come to. The kernel goes on accepting connections and taking bytes for it. One process holds all
+ * gateways of a scenario, so a signal would not do.
  */
 final class PausableNetwork implements Network {
-  /**
-   * A gateway that stands still is let go after this even if nobody does, so that no test hangs.
-   */
-  private static final long LONGEST_SECONDS = 30;
+  /** A paused gateway is resumed after this even if nobody does, so that no test hangs. */
+  private static final long MAX_PAUSE_SECONDS = 30;
+
+  private static final long WAIT_MS = 1_000;
 
   private final Network network;
   private final Loop loop;
-  private boolean standing;
-  private long since;
+
+  // Under the lock of this object.
+  private boolean paused;
+  private long pausedSinceMicros;
 
   PausableNetwork(Network network, Loop loop) {
     this.network = network;
     this.loop = loop;
   }
 
-  /** Stands still from the loop's next task on; {@code begun} hears of the moment. */
-  void stand(Runnable begun) {
+  /** Pauses from the loop's next task on; {@code onPaused} runs on the loop just before. */
+  void pause(Runnable onPaused) {
     loop.execute(
         () -> {
           synchronized (this) {
-            standing = true;
-            since = loop.now();
+            paused = true;
+            pausedSinceMicros = loop.now();
           }
-          begun.run();
-          pass();
+          onPaused.run();
+          blockWhilePaused();
         });
   }
 
-  /** Goes on; tells the microseconds at which it came to stand, 0 if it did not. */
-  synchronized long goOn() {
-    long stood = standing ? since : 0;
-    standing = false;
+  /** Resumes; tells when it was paused by the loop's clock, empty if it was not. Any thread. */
+  synchronized Optional<Long> resume() {
+    Optional<Long> since = paused ? Optional.of(pausedSinceMicros) : Optional.empty();
+    paused = false;
     notifyAll();
-    return stood;
+    return since;
   }
 
-  private synchronized void pass() {
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONGEST_SECONDS);
-    while (standing && System.nanoTime() < until) {
+  private synchronized void blockWhilePaused() {
+    long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_PAUSE_SECONDS);
+    while (paused && System.nanoTime() < untilNanos) {
       try {
-        wait(1_000);
+        wait(WAIT_MS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt(); // the channel group ends its threads so
         return;
@@ -66,20 +69,21 @@
   }
 
   @Override
-  public Listener listen(InetSocketAddress address, int most, Supplier<Connection.Handler> handlers)
+  public Listener listen(
+      InetSocketAddress address, int maxConnections, Supplier<Connection.Handler> handlers)
       throws IOException {
-    return network.listen(address, most, () -> new Held(handlers.get()));
+    return network.listen(address, maxConnections, () -> new PausableHandler(handlers.get()));
   }
 
   @Override
   public void connect(InetSocketAddress address, long timeoutMicros, Connection.Handler handler) {
-    network.connect(address, timeoutMicros, new Held(handler));
+    network.connect(address, timeoutMicros, new PausableHandler(handler));
   }
 
   @Override
   public void connect(
-      InetSocketAddress address, long timeoutMicros, int near, Connection.Handler handler) {
-    network.connect(address, timeoutMicros, near, new Held(handler));
+      InetSocketAddress address, long timeoutMicros, int shard, Connection.Handler handler) {
+    network.connect(address, timeoutMicros, shard, new PausableHandler(handler));
   }
 
   @Override
@@ -87,11 +91,11 @@
     return network.delayProbes();
   }
 
-  /** What comes on I/O threads waits; the rest comes on the loop, which waits itself. */
-  private final class Held implements Connection.Handler {
+  /** Blocks what comes on I/O threads; the rest comes on the loop, which is blocked itself. */
+  private final class PausableHandler implements Connection.Handler {
     private final Connection.Handler handler;
 
-    Held(Connection.Handler handler) {
+    PausableHandler(Connection.Handler handler) {
       this.handler = handler;
     }
 
@@ -102,7 +106,7 @@
 
     @Override
     public void decode(ByteBuffer bytes, List<Object> events) {
-      pass();
+      blockWhilePaused();
       handler.decode(bytes, events);
     }
 
--- a/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
@@ -1,137 +1,96 @@
 package lemondock.scenario;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.ExecutionException;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.TimeoutException;
-import java.util.concurrent.locks.LockSupport;
 import java.util.function.UnaryOperator;
 import lemondock.dispatch.RouterFactory;
 import lemondock.emulator.CatalogueEmulator;
 import lemondock.emulator.EngineEmulator;
 import lemondock.emulator.EngineSettings;
 import lemondock.emulator.TrafficEvent;
-import lemondock.exporter.host.ReportHost;
 import lemondock.gateway.Gateway;
-import lemondock.gateway.GatewayEnvironment;
 import lemondock.gateway.ProcessResources;
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.reporting.Reporting;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.gateway.settings.SettingsException;
-import lemondock.idempotency.DiskFolder;
 import lemondock.idempotency.FileSystemPort;
 import lemondock.net.nio.LoopbackPort;
-import lemondock.net.nio.ThreadLoop;
 import lemondock.net.nio.WorkerPool;
 
 /**
- * Gateways, engines and a catalogue in one process, over real loopback sockets. Each gateway and
- * each engine has sockets of its own and can be killed by itself. What passes is written down for
- * the auditor.
+ * Gateways, emulated engines and a catalogue in one process, over real loopback sockets. Each
+ * gateway and each engine has sockets of its own and can be killed by itself. What passes on the
+ * emulators' sockets is recorded for the auditor.
+ *
+ * <p>One thread starts, kills and closes; others may read.
  */
 public final class ScenarioFleet implements AutoCloseable {
-  private static final String SERVICE = "engines";
   private static final String ANY_LOOPBACK_PORT = "127.0.0.1:0";
-  private static final long LONG_AGO = 1;
-  private static final long STOP_SECONDS = 30;
-  private static final int WORKERS_QUEUE = 256;
-  private static final int DISK_QUEUE = 64;
-  private static final long OCCUPIED_EVERY = 20_000;
+  private static final int WORKERS = 2;
+  private static final int WORKER_QUEUE_SIZE = 256;
 
-  private final EmulatedProcess standins = new EmulatedProcess("standins", 2);
+  private final EmulatedProcess emulators = new EmulatedProcess("standins", 2);
   private final CatalogueEmulator catalogue;
-  private final Map<String, Box> boxes = new LinkedHashMap<>();
-  private final Map<String, Front> fronts = new LinkedHashMap<>();
+  private final Map<String, EmulatedEngine> engines = new LinkedHashMap<>();
+  private final Map<String, EmulatedGateway> gateways = new LinkedHashMap<>();
   private final List<TrafficEvent> events = Collections.synchronizedList(new ArrayList<>());
-  private final List<GatewayKill> killed = Collections.synchronizedList(new ArrayList<>());
-  private final List<GatewayPause> stood = Collections.synchronizedList(new ArrayList<>());
+  private final List<GatewayKill> kills = Collections.synchronizedList(new ArrayList<>());
+  private final List<GatewayPause> pauses = Collections.synchronizedList(new ArrayList<>());
   private final List<LoopbackPort> reservedPorts = Collections.synchronizedList(new ArrayList<>());
   private final PromptReader prompts;
-  private final ExecutorService workers = WorkerPool.create(2, WORKERS_QUEUE, "rehearsal-worker");
-  private UnaryOperator<FileSystemPort> files = f -> f;
-  private ProcessResources machine =
-      ProcessResources.UNKNOWN; // one process holds all gateways: it is no one's own
-  private long seed;
-  private SnapshotListener looks = (gateway, at, snapshot) -> {};
-
-  private static final class Box {
-    private EngineSettings settings;
-    private EmulatedProcess node;
-    private EngineEmulator engine;
-  }
-
-  private static final class Front {
-    private GatewaySettings settings;
-    private RouterFactory maker;
-    private EmulatedProcess node;
-    private PausableNetwork network;
-    private DiskFolder durable;
-
-    private ExecutorService disk;
-
-    /** What a dead process had not written is not written later. */
-    void release() {
-      disk.shutdownNow();
-      try {
-        if (!disk.awaitTermination(STOP_SECONDS, TimeUnit.SECONDS)) {
-          throw new IllegalStateException("the disk does not end");
-        }
-      } catch (InterruptedException e) {
-        Thread.currentThread().interrupt();
-      }
-      try {
-        if (durable != null) {
-          durable.close();
-        }
-      } catch (IOException e) {
-        throw new UncheckedIOException(e);
-      }
-    }
+  private final ExecutorService workers =
+      WorkerPool.create(WORKERS, WORKER_QUEUE_SIZE, "rehearsal-worker");
+  private UnaryOperator<FileSystemPort> fileSystemDecorator = UnaryOperator.identity();
 
-    private Gateway gateway;
-    private ReportHost reports;
-    private Reporting reporting;
-  }
+  /** One process holds all gateways: what it uses says nothing about one of them. */
+  private ProcessResources processResources = ProcessResources.UNKNOWN;
+
+  private SnapshotListener snapshotListener = (gateway, atMicros, snapshot) -> {};
+  private long lastEngineSeed;
 
-  /** Makes a fleet without engines and gateways; {@code classes} are those of its gateways. */
+  /**
+   * Makes a fleet without engines and gateways.
+   *
+   * @param classes the request classes of its gateways
+   * @param seed draws which requests the engines' faults hit
+   */
   public ScenarioFleet(List<GatewaySettings.ClassSettings> classes, long seed) {
-    this.seed = seed;
+    this.lastEngineSeed = seed;
     this.prompts = new PromptReader(classes);
     this.catalogue =
-        standins.invokeAndWait(() -> new CatalogueEmulator(standins.loop(), events::add));
+        emulators.invokeAndWait(() -> new CatalogueEmulator(emulators.loop(), events::add));
     try {
-      catalogue.start(standins.network(), new InetSocketAddress("127.0.0.1", 0));
+      catalogue.start(emulators.network(), new InetSocketAddress("127.0.0.1", 0));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  /** Hears of all looks from now on; before gateways are added. */
-  public void onSnapshot(SnapshotListener hears) {
-    looks = hears;
+  /** Sets the receiver of metrics snapshots; before gateways are added. */
+  public void onSnapshot(SnapshotListener listener) {
+    snapshotListener = listener;
   }
 
-  /** Puts something before the durable folders of gateways that are started from now on. */
-  public void files(UnaryOperator<FileSystemPort> before) {
-    files = before;
+  /**
+   * Puts a decorator before the file systems of the idempotency logs of gateways that are started
+   * from now on.
+   */
+  public void decorateFileSystem(UnaryOperator<FileSystemPort> decorator) {
+    fileSystemDecorator = decorator;
   }
 
-  /** What gateways that are started from now on are told of their process. */
-  public void machine(ProcessResources told) {
-    machine = told;
+  /** What gateways that are started from now on read of their process. */
+  public void setProcessResources(ProcessResources resources) {
+    processResources = resources;
   }
 
   /** A loopback port that nobody else of the machine is given until the fleet is closed. */
@@ -146,270 +105,129 @@
     return "127.0.0.1:" + catalogue.address().getPort();
   }
 
-  /** The catalogue, for its faults; use it on {@link #standins}. */
+  /** The catalogue, for its faults; use it on the loop of {@link #emulators}. */
   public CatalogueEmulator catalogue() {
     return catalogue;
   }
 
-  /** The stand-ins' node. */
+  /** The process of the emulators, whose loop they share. */
   public EmulatedProcess emulators() {
-    return standins;
+    return emulators;
   }
 
   /** Starts an engine that has been up for long, and lists it. */
   public void addEngine(EngineSettings settings) {
-    Box box = new Box();
-    box.settings =
+    EngineSettings withPort =
         settings.listen().equals(ANY_LOOPBACK_PORT)
-            ? settings.at("127.0.0.1:" + reservePort())
+            ? settings.withListen("127.0.0.1:" + reservePort())
             : settings;
-    boxes.put(settings.name(), box);
-    up(box, false);
+    engines.put(
+        settings.name(),
+        EmulatedEngine.startWarm(emulators, catalogue, events::add, withPort, ++lastEngineSeed));
   }
 
-  private void up(Box box, boolean cold) {
-    box.node = new EmulatedProcess(standins, 1);
-    EngineSettings now = cold ? box.settings : box.settings.withWarmUp(box.settings.coldShare(), 0);
-    box.engine =
-        standins.invokeAndWait(
-            () ->
-                new EngineEmulator(standins.loop(), box.node.network(), now, ++seed, events::add));
-    try {
-      box.engine.start(box.node.network());
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
-    }
-    InetSocketAddress address = box.engine.address();
-    box.settings = box.settings.at("127.0.0.1:" + address.getPort());
-    EngineSettings s = box.settings;
-    long started = cold ? System.currentTimeMillis() : LONG_AGO;
-    standins.invokeAndWait(
-        () -> {
-          catalogue.put(
-              new CatalogueEmulator.Service(
-                  s.name(),
-                  SERVICE,
-                  "127.0.0.1",
-                  address.getPort(),
-                  Map.of(
-                      "kind",
-                      s.kind(),
-                      "zone",
-                      s.zone(),
-                      "rack",
-                      s.rack(),
-                      "started",
-                      Long.toString(started)),
-                  false,
-                  1));
-          return null;
-        });
-  }
-
-  /** Kills an engine: its connections break at once; the catalogue hears of it after the delay. */
-  public void crash(String name, long noticeMicros) {
-    Box box = boxes.get(name);
-    standins.invokeAndWait(
-        () -> {
-          box.engine.die();
-          return null;
-        });
-    box.node.close();
-    standins.invokeAndWait(
-        () ->
-            standins
-                .loop()
-                .schedule(
-                    noticeMicros,
-                    () -> {
-                      if (box.node != null) {
-                        catalogue.remove(name);
-                      }
-                    }));
+  /** Kills an engine: its connections break at once; the catalogue drops it after a delay. */
+  public void crashEngine(String name, long noticeMicros) {
+    engines.get(name).crash(noticeMicros);
   }
 
   /** Starts a dead engine again, cold, on its old port. */
-  public void restart(String name) {
-    up(boxes.get(name), true);
+  public void restartEngine(String name) {
+    engines.get(name).restart(++lastEngineSeed);
   }
 
-  /** Lets an engine drain, or not any more. */
-  public void drain(String name, boolean on) {
-    standins.invokeAndWait(
-        () -> {
-          catalogue.setMaintenance(name, on);
-          return null;
-        });
+  /** Lists an engine as draining, or not any more. */
+  public void setEngineDraining(String name, boolean draining) {
+    engines.get(name).setDraining(draining);
   }
 
-  /** An engine; use it on {@link #standins}. */
+  /** An engine; use it on the loop of {@link #emulators}. */
   public EngineEmulator engine(String name) {
-    return boxes.get(name).engine;
+    return engines.get(name).emulator();
   }
 
   /** Names of the engines, in the order in which they were added. */
   public List<String> engines() {
-    return List.copyOf(boxes.keySet());
+    return List.copyOf(engines.keySet());
   }
 
   /** Settings of all engines. */
   public List<EngineSettings> engineSettings() {
-    return boxes.values().stream().map(b -> b.settings).toList();
+    return engines.values().stream().map(EmulatedEngine::settings).toList();
   }
 
   /** Starts a gateway; its settings must name {@link #catalogueAddress}. */
-  public void addGateway(GatewaySettings settings, RouterFactory maker) {
-    Front front = new Front();
-    front.settings = settings;
-    front.maker = maker;
-    fronts.put(settings.name(), front);
-    startGateway(settings.name());
+  public void addGateway(GatewaySettings settings, RouterFactory routerFactory) {
+    gateways.put(
+        settings.name(), new EmulatedGateway(settings, routerFactory, gatewayEnvironment()));
   }
 
-  /** Starts a gateway that was killed or stopped, with nothing but its settings. */
+  /** Starts a gateway that was killed or stopped, with nothing but its settings and its disk. */
   public void startGateway(String name) {
-    Front front = fronts.get(name);
-    front.node = new EmulatedProcess(name, front.settings.ioThreads());
-    front.disk = WorkerPool.create(1, DISK_QUEUE, name + "-disk");
-    front.network = new PausableNetwork(front.node.network(), front.node.loop());
-    try {
-      front.durable =
-          front.settings.durable() == null
-              ? null
-              : new DiskFolder(Path.of(front.settings.durable().path()));
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
-    }
-    front.gateway =
-        front.node.invokeAndWait(
-            () ->
-                new Gateway(
-                    new GatewayEnvironment(
-                        front.node.loop(),
-                        front.network,
-                        front.disk,
-                        workers,
-                        machine,
-                        front.durable == null ? null : files.apply(front.durable)),
-                    front.settings,
-                    prompts,
-                    front.maker));
-    try {
-      front.gateway.start();
-      front.reports = new ReportHost(name + "-reports");
-      front.reporting =
-          new Reporting(
-              front.settings,
-              front.gateway.metrics(),
-              front.reports.environment(),
-              new SimpleMeterRegistry());
-      front.reporting.addTickListener(
-          (stamp, snapshot) -> looks.onSnapshot(name, front.node.loop().now(), snapshot));
-      front.reporting.start(front.gateway.address());
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
-    } catch (SettingsException e) {
-      throw new IllegalArgumentException(e.getMessage(), e);
-    }
+    gateways.get(name).start(gatewayEnvironment());
+  }
+
+  private EmulatedGateway.Environment gatewayEnvironment() {
+    return new EmulatedGateway.Environment(
+        workers, processResources, fileSystemDecorator, prompts, snapshotListener);
   }
 
   /** Kills a gateway at once. */
-  public void kill(String name) {
-    Front front = fronts.get(name);
-    goOn(name);
-    killed.add(new GatewayKill(name, front.node.loop().now()));
-    front.node.close();
-    front.reports.close();
-    front.release();
-  }
-
-  /** Has a gateway stand still, as one whose process was stopped; returns when it does. */
-  public void freeze(String name) {
-    CountDownLatch begun = new CountDownLatch(1);
-    fronts.get(name).network.stand(begun::countDown);
-    try {
-      if (!begun.await(STOP_SECONDS, TimeUnit.SECONDS)) {
-        throw new IllegalStateException("gateway " + name + " does not come to stand");
-      }
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
-      throw new IllegalStateException(e);
-    }
+  public void killGateway(String name) {
+    resumeGateway(name);
+    kills.add(gateways.get(name).kill());
   }
 
-  /** Lets a gateway go on that stands still; harmless for any other. */
-  public void goOn(String name) {
-    Front front = fronts.get(name);
-    long since = front.network.goOn();
-    if (since != 0) {
-      stood.add(new GatewayPause(name, since, front.node.loop().now()));
-    }
+  /** Pauses a gateway, as SIGSTOP does a process; returns when it is paused. */
+  public void pauseGateway(String name) {
+    gateways.get(name).pause();
   }
 
-  /**
-   * Takes a share of a gateway's decision context from it for some time, as a neighbour on its
-   * machine would.
-   */
-  public void occupy(String name, double share, long micros) {
-    ThreadLoop loop = fronts.get(name).node.loop();
-    loop.execute(() -> occupy(loop, share, loop.now() + micros));
+  /** Resumes a paused gateway; harmless for any other. */
+  public void resumeGateway(String name) {
+    gateways.get(name).resume().ifPresent(pauses::add);
   }
 
-  private static void occupy(ThreadLoop loop, double share, long until) {
-    long free = loop.now() + (long) (share * OCCUPIED_EVERY);
-    while (loop.now() < free) {
-      LockSupport.parkNanos((free - loop.now()) * 1_000);
-    }
-    if (loop.now() < until) {
-      loop.schedule((long) ((1 - share) * OCCUPIED_EVERY), () -> occupy(loop, share, until));
-    }
+  /** Takes a share of a gateway's loop for some time, as another program on its machine would. */
+  public void occupyGateway(String name, double share, long micros) {
+    gateways.get(name).occupy(share, micros);
   }
 
-  /** Stops a gateway in order; gives its final tally. */
+  /** Shuts a gateway down gracefully; gives its final metrics. */
   public ObjectNode stopGateway(String name) {
-    Front front = fronts.get(name);
-    try {
-      front.gateway.stop().get(STOP_SECONDS, TimeUnit.SECONDS);
-      return front.reporting.finish().get(STOP_SECONDS, TimeUnit.SECONDS);
-    } catch (ExecutionException | TimeoutException e) {
-      throw new IllegalStateException("gateway " + name + " does not stop", e);
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
-      throw new IllegalStateException(e);
-    }
+    return gateways.get(name).stop();
   }
 
   /** A gateway's reports. */
   public Reporting reporting(String name) {
-    return fronts.get(name).reporting;
+    return gateways.get(name).reporting();
   }
 
   /** A gateway. */
   public Gateway gateway(String name) {
-    return fronts.get(name).gateway;
+    return gateways.get(name).gateway();
   }
 
-  /** A gateway's node. */
-  public EmulatedProcess node(String name) {
-    return fronts.get(name).node;
+  /** A gateway's process. */
+  public EmulatedProcess gatewayProcess(String name) {
+    return gateways.get(name).process();
   }
 
-  /** Names of the gateways. */
+  /** Names of the gateways, in the order in which they were added. */
   public List<String> gateways() {
-    return List.copyOf(fronts.keySet());
+    return List.copyOf(gateways.keySet());
   }
 
   /** A gateway's settings. */
   public GatewaySettings gatewaySettings(String name) {
-    return fronts.get(name).settings;
+    return gateways.get(name).settings();
   }
 
-  /** Waits until a gateway lists so many servers; false if it does not in time. */
-  public boolean awaitServers(String gateway, int count, long millis) {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-    Front front = fronts.get(gateway);
-    while (front.node.invokeAndWait(front.gateway::endpointCount) != count) {
-      if (System.nanoTime() > until) {
+  /** Waits until a gateway knows so many servers; false if it does not in time. */
+  public boolean awaitServers(String gateway, int count, long timeoutMs) {
+    long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+    while (gateways.get(gateway).endpointCount() != count) {
+      if (System.nanoTime() > untilNanos) {
         return false;
       }
       Thread.onSpinWait();
@@ -417,40 +235,32 @@
     return true;
   }
 
-  /** What passed on the stand-ins' sockets so far. */
+  /** What passed on the emulators' sockets so far. */
   public List<TrafficEvent> events() {
-    synchronized (events) {
-      return List.copyOf(events);
-    }
+    return copy(events);
   }
 
   /** Gateways killed so far. */
-  public List<GatewayKill> killed() {
-    synchronized (killed) {
-      return List.copyOf(killed);
-    }
+  public List<GatewayKill> kills() {
+    return copy(kills);
+  }
+
+  /** Pauses of gateways so far. */
+  public List<GatewayPause> pauses() {
+    return copy(pauses);
   }
 
-  /** Times for which gateways stood still so far. */
-  public List<GatewayPause> stood() {
-    synchronized (stood) {
-      return List.copyOf(stood);
+  private static <T> List<T> copy(List<T> synchronizedList) {
+    synchronized (synchronizedList) {
+      return List.copyOf(synchronizedList);
     }
   }
 
   @Override
   public void close() {
-    fronts
-        .values()
-        .forEach(
-            f -> {
-              f.network.goOn();
-              f.node.close();
-              f.reports.close();
-              f.release();
-            });
-    boxes.values().forEach(b -> b.node.close());
-    standins.close();
+    gateways.values().forEach(EmulatedGateway::close);
+    engines.values().forEach(EmulatedEngine::close);
+    emulators.close();
     workers.shutdownNow();
     reservedPorts.forEach(LoopbackPort::close);
   }
--- a/scenario/src/test/java/lemondock/scenario/BreakTableTest.java
+++ b/scenario/src/test/java/lemondock/scenario/BreakTableTest.java
@@ -365,7 +365,6 @@
                   faults.hits = one;
                   change.accept(faults);
                 }
-                return null;
               });
     }
 
--- a/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
@@ -51,7 +51,6 @@
         .invokeAndWait(
             () -> {
               set.accept(bench.fleet.engine(engine).faults());
-              return null;
             });
   }
 
@@ -220,7 +219,7 @@
   void everyReaderGone() {
     try (ScenarioFixture bench =
         new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
-      bench.fleet.crash("r", 0);
+      bench.fleet.crashEngine("r", 0);
       CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, ToolBehaviour.ANSWER));
       assertOneEnd(seen);
       assertEquals(Mcp.REJECTED, seen.errorCode);
@@ -238,14 +237,13 @@
           .invokeAndWait(
               () -> {
                 bench.fleet.catalogue().setEmpty(true);
-                return null;
               });
       assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 0, 5_000));
       assertEquals(
           Mcp.REJECTED,
           bench.call(ScenarioFixture.ask("m1", LONG, ToolBehaviour.ANSWER)).errorCode);
-      bench.fleet.crash("r", 0);
-      bench.fleet.crash("w", 0);
+      bench.fleet.crashEngine("r", 0);
+      bench.fleet.crashEngine("w", 0);
       bench.fleet.addEngine(ScenarioFixture.reader("r9"));
       bench.fleet.addEngine(ScenarioFixture.writer("w9"));
       bench
@@ -254,7 +252,6 @@
           .invokeAndWait(
               () -> {
                 bench.fleet.catalogue().setEmpty(false);
-                return null;
               });
       assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 2, 5_000));
       assertEquals(
@@ -273,7 +270,7 @@
               ScenarioFixture.ask("m", "answer in 200 words", ToolBehaviour.ANSWER),
               call::set);
       ScenarioFixture.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
-      bench.fleet.drain("w1", true);
+      bench.fleet.setEngineDraining("w1", true);
       assertEquals(words(200), ScenarioFixture.get(done).seen().finalText); // what runs may end
       assertEquals(
           Mcp.REJECTED,
@@ -561,8 +558,8 @@
       assertEquals(
           words(40), bench.call(ScenarioFixture.ask("m1", LONG, ToolBehaviour.ANSWER)).finalText);
       for (String engine : List.of("r", "w")) {
-        bench.fleet.crash(engine, 10_000_000); // the list does not hear of it
-        bench.fleet.restart(engine);
+        bench.fleet.crashEngine(engine, 10_000_000); // the list does not hear of it
+        bench.fleet.restartEngine(engine);
       }
       ScenarioFixture.await(
           "service",
@@ -667,7 +664,7 @@
           "it runs", () -> !bench.events(TrafficEvent.Kind.DECODE, "running").isEmpty());
       AtomicBoolean tooMuch = new AtomicBoolean(true);
       for (int i = 0; i < 3; i++) { // work always waits for the context for longer than the target
-        keepBusy(bench.fleet.node(ScenarioFixture.GATEWAY), tooMuch);
+        keepBusy(bench.fleet.gatewayProcess(ScenarioFixture.GATEWAY), tooMuch);
       }
       AtomicReference<CallRecord> refused = new AtomicReference<>();
       ScenarioFixture.await(
--- a/scenario/src/test/java/lemondock/scenario/GatewayOverloadTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayOverloadTest.java
@@ -106,8 +106,8 @@
 
   private static ScenarioFixture told(Told told, Consumer<ObjectNode> changes) {
     ScenarioFixture bench = bench(changes);
-    bench.fleet.machine(told);
-    bench.fleet.kill(ScenarioFixture.GATEWAY);
+    bench.fleet.setProcessResources(told);
+    bench.fleet.killGateway(ScenarioFixture.GATEWAY);
     bench.fleet.startGateway(ScenarioFixture.GATEWAY);
     assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 2, 10_000));
     return bench;
@@ -189,7 +189,7 @@
     try (ScenarioFixture bench =
         told(told, s -> s.putObject("overload").put("targetMs", 20).put("stallMs", 10_000))) {
       bench.awaitIdle();
-      EmulatedProcess gateway = bench.fleet.node(ScenarioFixture.GATEWAY);
+      EmulatedProcess gateway = bench.fleet.gatewayProcess(ScenarioFixture.GATEWAY);
       List<CompletableFuture<McpClient.Call>> calls = new ArrayList<>();
       McpClient client = bench.client();
       assertTrue(
@@ -539,7 +539,7 @@
             opened + 1,
             bench
                 .fleet
-                .node(ScenarioFixture.GATEWAY)
+                .gatewayProcess(ScenarioFixture.GATEWAY)
                 .invokeAndWait(bench.fleet.gateway(ScenarioFixture.GATEWAY)::sessionCount));
       } finally {
         closeAll(sockets);
--- a/scenario/src/test/java/lemondock/scenario/NonIdempotentCallsTest.java
+++ b/scenario/src/test/java/lemondock/scenario/NonIdempotentCallsTest.java
@@ -50,7 +50,7 @@
   }
 
   private static void restart(ScenarioFixture bench) {
-    bench.fleet.kill(ScenarioFixture.GATEWAY);
+    bench.fleet.killGateway(ScenarioFixture.GATEWAY);
     bench.fleet.startGateway(ScenarioFixture.GATEWAY);
     assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 2, 10_000));
   }
@@ -107,7 +107,6 @@
           .invokeAndWait(
               () -> {
                 bench.fleet.catalogue().setEmpty(true);
-                return null;
               });
       assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 0, 10_000));
       assertEquals(
@@ -122,7 +121,6 @@
           .invokeAndWait(
               () -> {
                 bench.fleet.catalogue().setEmpty(false);
-                return null;
               });
       restart(bench);
       ConversationClient next = new ConversationClient(bench.port);
@@ -190,7 +188,7 @@
   void nothingIsSentBeforeItIsDurable() throws Exception {
     try (ScenarioFixture bench = bench()) {
       Failing[] disk = new Failing[1];
-      bench.fleet.files(f -> disk[0] = new Failing(f, 1_000));
+      bench.fleet.decorateFileSystem(f -> disk[0] = new Failing(f, 1_000));
       restart(bench);
       ConversationClient session = new ConversationClient(bench.port);
       disk[0].goodSyncs = 0;
--- a/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
+++ b/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
@@ -188,10 +188,12 @@
   }
 
   private String busy() {
-    int legs = fleet.node(GATEWAY).invokeAndWait(fleet.gateway(GATEWAY)::requestsInFlight);
-    int calls = fleet.node(GATEWAY).invokeAndWait(fleet.gateway(GATEWAY)::callsInFlight);
+    int requests =
+        fleet.gatewayProcess(GATEWAY).invokeAndWait(fleet.gateway(GATEWAY)::requestsInFlight);
+    int calls = fleet.gatewayProcess(GATEWAY).invokeAndWait(fleet.gateway(GATEWAY)::callsInFlight);
     StringBuilder busy =
-        new StringBuilder(legs + calls == 0 ? "" : legs + " legs, " + calls + " calls ");
+        new StringBuilder(
+            requests + calls == 0 ? "" : requests + " requests, " + calls + " calls ");
     for (String e : fleet.engines()) {
       fleet
           .emulators()
--- a/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
+++ b/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
@@ -118,7 +118,7 @@
             },
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w"))) {
-      EmulatedProcess node = bench.fleet.node(ScenarioFixture.GATEWAY);
+      EmulatedProcess node = bench.fleet.gatewayProcess(ScenarioFixture.GATEWAY);
       assertEquals(
           12,
           ScenarioFixture.get(
