--- a/scenario/src/main/java/lemondock/scenario/CallRecord.java
+++ b/scenario/src/main/java/lemondock/scenario/CallRecord.java
@@ -5,36 +5,53 @@
 
 /**
  * What one client saw of one call on its own socket. Times are microseconds of the machine's
- * monotonic clock.
+ * monotonic clock, 0 for what did not happen. Written on the client's loop; read there, or when the
+ * call is over.
  */
 public final class CallRecord {
+  /** Name of the call in its prompt; a retry has a suffix. */
   public final String mark;
+
   public final String gateway;
   public final int classId;
   public final int promptChars;
   public final boolean retry;
   public final long calledAtMicros;
+
+  /** The first progress, or the first relayed tool call. */
   public long firstMessageAtMicros;
+
   public long answeredAtMicros;
   public long cancelledAtMicros;
+
+  /** The connection was lost, or the stream ended, without an answer. */
   public long connectionLostAtMicros;
 
-  /** The gateway could not be reached, or did not know the session: it never took the call. */
+  /** The gateway could not be reached, rejected the call early, or did not know the session. */
   public boolean notAccepted;
 
+  /** Final answers. */
   public int responses;
+
   public int messagesAfterAnswer;
   public int tokens;
+
+  /** The JSON-RPC error of the answer, 0 for a result. */
   public int errorCode;
+
   public boolean retryable;
   public long retryAfterMs;
 
-  /** What the gateway says became of an earlier try; null if it says nothing. */
+  /** What the gateway says of an earlier attempt's outcome; null if it says nothing. */
   public String earlierAttemptOutcome;
 
   public String finalText = "";
   public final StringBuilder streamed = new StringBuilder();
+
+  /** Name and arguments of each relayed tool call. */
   public final List<String> toolCalls = new ArrayList<>();
+
+  /** What the protocol does not allow, in words. */
   public final List<String> protocolViolations = new ArrayList<>();
 
   CallRecord(
--- a/scenario/src/main/java/lemondock/scenario/ClientLoad.java
+++ b/scenario/src/main/java/lemondock/scenario/ClientLoad.java
@@ -183,14 +183,14 @@
 
   private void call(McpClient client, CallAttempt attempt, ToolCallRequest request) {
     boolean[] isOver = {false};
-    McpClient.Call call =
+    McpCall call =
         client.call(
             request,
             ended -> {
               isOver[0] = true;
-              onEnd(attempt, ended.seen());
+              onEnd(attempt, ended.record());
             });
-    callRecords.add(call.seen());
+    callRecords.add(call.record());
     if (random.nextDouble() < script.abandonShare() + additionalAbandonShare) {
       long patienceMicros = (long) (random.nextDouble() * MAX_PATIENCE_MS * MICROS_PER_MILLI);
       clientProcess
@@ -200,7 +200,7 @@
               () -> {
                 if (!isOver[0]) {
                   isOver[0] = true;
-                  call.leave();
+                  call.cancel();
                   endTurn(attempt);
                 }
               });
--- a/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
@@ -146,7 +146,7 @@
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w1"),
             ScenarioFixture.writer("w2"))) {
-      CompletableFuture<McpClient.Call> done =
+      CompletableFuture<McpCall> done =
           bench.begin(
               bench.client(),
               ScenarioFixture.ask(
@@ -159,7 +159,7 @@
                         // the second that breaks
                         f.hits = new EngineFaults.Hits(1);
                       }));
-      CallRecord seen = ScenarioFixture.get(done).seen();
+      CallRecord seen = ScenarioFixture.get(done).record();
       assertOneEnd(seen);
       assertEquals(1, seen.toolCalls.size());
       assertTrue(
@@ -263,15 +263,15 @@
   void aDrainToldWhileASendIsUnderWay() {
     try (ScenarioFixture bench =
         new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w1"))) {
-      AtomicReference<McpClient.Call> call = new AtomicReference<>();
-      CompletableFuture<McpClient.Call> done =
+      AtomicReference<McpCall> call = new AtomicReference<>();
+      CompletableFuture<McpCall> done =
           bench.begin(
               bench.client(),
               ScenarioFixture.ask("m", "answer in 200 words", ToolBehaviour.ANSWER),
               call::set);
-      ScenarioFixture.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
+      ScenarioFixture.await("tokens", () -> call.get() != null && call.get().record().tokens > 3);
       bench.fleet.setEngineDraining("w1", true);
-      assertEquals(words(200), ScenarioFixture.get(done).seen().finalText); // what runs may end
+      assertEquals(words(200), ScenarioFixture.get(done).record().finalText); // what runs may end
       assertEquals(
           Mcp.REJECTED,
           bench.call(ScenarioFixture.ask("m2", LONG, ToolBehaviour.ANSWER)).errorCode);
@@ -365,13 +365,13 @@
             quick(),
             ScenarioFixture.reader("r").withLatencies(60, 1, 5),
             ScenarioFixture.writer("w").withLatencies(60, 60, 5))) {
-      AtomicReference<McpClient.Call> call = new AtomicReference<>();
+      AtomicReference<McpCall> call = new AtomicReference<>();
       bench.begin(
           bench.client(), ScenarioFixture.ask("m", text, toolBehaviour, "stock"), call::set);
       ScenarioFixture.await("the moment to leave", () -> call.get() != null && when.test(bench));
-      bench.clients.loop().execute(call.get()::leave);
+      bench.clients.loop().execute(call.get()::cancel);
       bench.awaitIdle();
-      assertEquals(0, call.get().seen().responses);
+      assertEquals(0, call.get().record().responses);
     }
   }
 
@@ -450,17 +450,17 @@
   void aStopLetsStreamsEndAndTakesNoNewCalls() {
     try (ScenarioFixture bench =
         new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
-      AtomicReference<McpClient.Call> call = new AtomicReference<>();
+      AtomicReference<McpCall> call = new AtomicReference<>();
       McpClient client = bench.client();
-      CompletableFuture<McpClient.Call> done =
+      CompletableFuture<McpCall> done =
           bench.begin(
               client,
               ScenarioFixture.ask("m", "answer in 300 words", ToolBehaviour.ANSWER),
               call::set);
-      ScenarioFixture.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
+      ScenarioFixture.await("tokens", () -> call.get() != null && call.get().record().tokens > 3);
       Gateway gateway = bench.fleet.gateway(ScenarioFixture.GATEWAY);
       CompletableFuture<Void> stopped = gateway.stop();
-      assertEquals(words(300), ScenarioFixture.get(done).seen().finalText);
+      assertEquals(words(300), ScenarioFixture.get(done).record().finalText);
       ScenarioFixture.get(stopped);
     }
   }
@@ -475,15 +475,15 @@
             },
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w").withLatencies(1, 1, 20))) {
-      AtomicReference<McpClient.Call> call = new AtomicReference<>();
-      CompletableFuture<McpClient.Call> done =
+      AtomicReference<McpCall> call = new AtomicReference<>();
+      CompletableFuture<McpCall> done =
           bench.begin(
               bench.client(),
               ScenarioFixture.ask("m", "answer in 400 words", ToolBehaviour.ANSWER),
               call::set);
-      ScenarioFixture.await("tokens", () -> call.get() != null && call.get().seen().tokens > 3);
+      ScenarioFixture.await("tokens", () -> call.get() != null && call.get().record().tokens > 3);
       bench.fleet.gateway(ScenarioFixture.GATEWAY).stop();
-      CallRecord seen = ScenarioFixture.get(done).seen();
+      CallRecord seen = ScenarioFixture.get(done).record();
       assertOneEnd(seen);
       assertEquals(Mcp.FAILED, seen.errorCode);
     }
@@ -502,8 +502,8 @@
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w"))) {
       McpClient client = bench.client();
-      AtomicReference<McpClient.Call> call = new AtomicReference<>();
-      final List<CompletableFuture<McpClient.Call>> taken =
+      AtomicReference<McpCall> call = new AtomicReference<>();
+      final List<CompletableFuture<McpCall>> taken =
           List.of(
               bench.begin(
                   client, ScenarioFixture.ask("m1", "answer in 300 words", ToolBehaviour.ANSWER)),
@@ -511,14 +511,15 @@
                   client,
                   ScenarioFixture.ask("m2", "answer in 300 words", ToolBehaviour.ANSWER),
                   call::set));
-      ScenarioFixture.await("two calls", () -> call.get() != null && call.get().seen().tokens > 0);
+      ScenarioFixture.await(
+          "two calls", () -> call.get() != null && call.get().record().tokens > 0);
       CallRecord third =
           ScenarioFixture.get(
                   bench.begin(client, ScenarioFixture.ask("m3", LONG, ToolBehaviour.ANSWER)))
-              .seen();
+              .record();
       assertEquals(Mcp.LIMIT, third.errorCode);
       assertTrue(third.retryable);
-      taken.forEach(t -> assertEquals(words(300), ScenarioFixture.get(t).seen().finalText));
+      taken.forEach(t -> assertEquals(words(300), ScenarioFixture.get(t).record().finalText));
     }
   }
 
@@ -534,14 +535,14 @@
             ScenarioFixture.writer("w")
                 .withLatencies(1, 28, 1))) { // a first token after about 60 ms
       McpClient client = bench.client();
-      List<CompletableFuture<McpClient.Call>> calls = new java.util.ArrayList<>();
+      List<CompletableFuture<McpCall>> calls = new java.util.ArrayList<>();
       for (int i = 0; i < 40; i++) {
         calls.add(
             bench.begin(
                 client, ScenarioFixture.ask("m" + i, "answer in 5 words", ToolBehaviour.ANSWER)));
       }
-      for (CompletableFuture<McpClient.Call> call : calls) {
-        CallRecord seen = ScenarioFixture.get(call).seen();
+      for (CompletableFuture<McpCall> call : calls) {
+        CallRecord seen = ScenarioFixture.get(call).record();
         assertOneEnd(seen);
         assertTrue(
             seen.served() ? seen.finalText.equals(words(5)) : seen.errorCode <= Mcp.REJECTED,
@@ -657,7 +658,7 @@
       McpClient client =
           bench.client(); // with a session from before: a gateway at its limit refuses
       // new ones as well
-      final CompletableFuture<McpClient.Call> running =
+      final CompletableFuture<McpCall> running =
           bench.begin(
               client, ScenarioFixture.ask("running", "answer in 100 words", ToolBehaviour.ANSWER));
       ScenarioFixture.await(
@@ -678,7 +679,7 @@
                                 "late" + System.nanoTime(),
                                 "answer in 1 words",
                                 ToolBehaviour.ANSWER)))
-                    .seen();
+                    .record();
             refused.set(seen);
             return seen.errorCode == Mcp.REJECTED
                 && bench.events(TrafficEvent.Kind.PREFILL, seen.mark).isEmpty();
@@ -687,7 +688,7 @@
       assertTrue(
           refused.get().retryable && refused.get().retryAfterMs >= 250,
           "advice " + refused.get().retryAfterMs);
-      assertTrue(ScenarioFixture.get(running).seen().served());
+      assertTrue(ScenarioFixture.get(running).record().served());
       ScenarioFixture.await(
           "all is let in again",
           () ->
@@ -698,7 +699,7 @@
                               "after" + System.nanoTime(),
                               "answer in 1 words",
                               ToolBehaviour.ANSWER)))
-                  .seen()
+                  .record()
                   .served());
       var tally = bench.fleet.stopGateway(ScenarioFixture.GATEWAY).get("tally");
       assertTrue(tally.at("/overload/0/refused").longValue() > 0, tally.get("overload").toString());
--- a/scenario/src/test/java/lemondock/scenario/GatewayOverloadTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayOverloadTest.java
@@ -56,19 +56,19 @@
     return text.toString();
   }
 
-  private static CompletableFuture<McpClient.Call> running(ScenarioFixture bench, int words) {
-    AtomicReference<McpClient.Call> call = new AtomicReference<>();
-    CompletableFuture<McpClient.Call> done =
+  private static CompletableFuture<McpCall> running(ScenarioFixture bench, int words) {
+    AtomicReference<McpCall> call = new AtomicReference<>();
+    CompletableFuture<McpCall> done =
         bench.begin(
             bench.client(),
             ScenarioFixture.ask("running", "answer in " + words + " words", ToolBehaviour.ANSWER),
             call::set);
-    ScenarioFixture.await("it runs", () -> call.get() != null && call.get().seen().tokens > 0);
+    ScenarioFixture.await("it runs", () -> call.get() != null && call.get().record().tokens > 0);
     return done;
   }
 
-  private static void assertWhole(CompletableFuture<McpClient.Call> call, int words) {
-    CallRecord seen = ScenarioFixture.get(call).seen();
+  private static void assertWhole(CompletableFuture<McpCall> call, int words) {
+    CallRecord seen = ScenarioFixture.get(call).record();
     assertEquals(words(words), seen.finalText);
     assertEquals(words(words), seen.streamed.toString());
     assertEquals(1, seen.responses);
@@ -190,14 +190,14 @@
         told(told, s -> s.putObject("overload").put("targetMs", 20).put("stallMs", 10_000))) {
       bench.awaitIdle();
       EmulatedProcess gateway = bench.fleet.gatewayProcess(ScenarioFixture.GATEWAY);
-      List<CompletableFuture<McpClient.Call>> calls = new ArrayList<>();
+      List<CompletableFuture<McpCall>> calls = new ArrayList<>();
       McpClient client = bench.client();
       assertTrue(
           ScenarioFixture.get(
                   bench.begin(
                       client,
                       ScenarioFixture.ask("first", "answer in 2 words", ToolBehaviour.ANSWER)))
-              .seen()
+              .record()
               .served());
       for (int i = 0; i < 20; i++) {
         gateway.loop().execute(() -> ScenarioFixture.pause(150));
@@ -249,7 +249,7 @@
               again.mark(),
               true);
       assertTrue(
-          ScenarioFixture.get(bench.begin(known, repeat)).seen().served(),
+          ScenarioFixture.get(bench.begin(known, repeat)).record().served(),
           "while all is let in there is no budget");
       told.memory = 0.875; // half of what comes may come in
       ScenarioFixture.await(
@@ -262,12 +262,12 @@
                                   "m" + System.nanoTime(),
                                   "answer in 1 words",
                                   ToolBehaviour.ANSWER)))
-                      .seen()
+                      .record()
                       .errorCode
                   == Mcp.REJECTED);
       ScenarioFixture.await(
           "the counts are judged",
-          () -> !ScenarioFixture.get(bench.begin(known, repeat)).seen().served());
+          () -> !ScenarioFixture.get(bench.begin(known, repeat)).record().served());
       int first = 0;
       int again2 = 0;
       for (int i = 0; i < 60; i++) {
@@ -277,11 +277,11 @@
                             known,
                             ScenarioFixture.ask(
                                 "f" + i, "answer in 1 words", ToolBehaviour.ANSWER)))
-                    .seen()
+                    .record()
                     .served()
                 ? 1
                 : 0;
-        again2 += ScenarioFixture.get(bench.begin(known, repeat)).seen().served() ? 1 : 0;
+        again2 += ScenarioFixture.get(bench.begin(known, repeat)).record().served() ? 1 : 0;
       }
       assertTrue(first > 10, "first tries let in: " + first);
       assertEquals(0, again2, "repeats let in");
@@ -296,9 +296,9 @@
               ((ObjectNode) s.get("limits")).put("maxCalls", 2).put("maxWaitingAnswers", 3);
               s.withArray("classes").forEach(c -> ((ObjectNode) c).put("toolTimeoutMs", 3_000));
             })) {
-      List<CompletableFuture<McpClient.Call>> waiting = new ArrayList<>();
+      List<CompletableFuture<McpCall>> waiting = new ArrayList<>();
       for (int i = 0; i < 3; i++) {
-        AtomicReference<McpClient.Call> call = new AtomicReference<>();
+        AtomicReference<McpCall> call = new AtomicReference<>();
         waiting.add(
             bench.begin(
                 bench.client(),
@@ -309,7 +309,7 @@
                     "stock"),
                 call::set));
         ScenarioFixture.await(
-            "it waits", () -> call.get() != null && !call.get().seen().toolCalls.isEmpty());
+            "it waits", () -> call.get() != null && !call.get().record().toolCalls.isEmpty());
       }
       assertTrue(
           bench.call(ScenarioFixture.ask("m", "answer in 3 words", ToolBehaviour.ANSWER)).served(),
@@ -320,7 +320,7 @@
                   "w4", "call the tool stock answer in 3 words", ToolBehaviour.ANSWER, "stock"));
       assertEquals(Mcp.FAILED, fourth.errorCode);
       assertEquals(List.of(), fourth.toolCalls);
-      waiting.forEach(w -> assertTrue(ScenarioFixture.get(w).seen().served()));
+      waiting.forEach(w -> assertTrue(ScenarioFixture.get(w).record().served()));
       assertTrue(
           bench
               .call(
@@ -368,10 +368,10 @@
                   bench.begin(
                       known,
                       ScenarioFixture.ask("before", "answer in 1 words", ToolBehaviour.ANSWER)))
-              .seen()
+              .record()
               .served());
       for (int way = 0; way < 2; way++) {
-        final CompletableFuture<McpClient.Call> running = running(bench, 480);
+        final CompletableFuture<McpCall> running = running(bench, 480);
         told.memory = way == 0 ? 0.97 : 0;
         told.handles = way == 0 ? 0 : 0.99;
         AtomicReference<CallRecord> refused = new AtomicReference<>();
@@ -386,7 +386,7 @@
                                   "m" + System.nanoTime(),
                                   "answer in 1 words",
                                   ToolBehaviour.ANSWER)))
-                      .seen());
+                      .record());
               return refused.get().errorCode == Mcp.REJECTED;
             });
         assertTrue(refused.get().retryable && refused.get().retryAfterMs > 0);
@@ -407,7 +407,7 @@
                                 "a" + System.nanoTime(),
                                 "answer in 1 words",
                                 ToolBehaviour.ANSWER)))
-                    .seen()
+                    .record()
                     .served());
       }
     }
@@ -417,7 +417,7 @@
   void aServerIsNotBlamedForConnectionsThatTheGatewayDoesNotHave() {
     try (ScenarioFixture bench =
         bench(20, s -> ((ObjectNode) s.get("engines")).put("maxConnectionsPerServer", 1))) {
-      CompletableFuture<McpClient.Call> running = running(bench, 300);
+      CompletableFuture<McpCall> running = running(bench, 300);
       for (int i = 0; i < 20; i++) { // the writer's one connection is in use
         CallRecord seen =
             bench.call(ScenarioFixture.ask("m" + i, "answer in 3 words", ToolBehaviour.ANSWER));
@@ -506,7 +506,7 @@
   void fiveThousandSessionsAtOnceAreBoundedAndHoldNobodyUp() throws Exception {
     try (ScenarioFixture bench =
         bench(s -> ((ObjectNode) s.get("front")).put("maxSessions", 1_000))) {
-      CompletableFuture<McpClient.Call> running = running(bench, 400);
+      CompletableFuture<McpCall> running = running(bench, 400);
       List<Socket> sockets = new ArrayList<>();
       List<CompletableFuture<int[]>> answers = new ArrayList<>();
       try {
@@ -562,7 +562,7 @@
                   bench.begin(
                       known,
                       ScenarioFixture.ask("first", "answer in 1 words", ToolBehaviour.ANSWER)))
-              .seen()
+              .record()
               .served());
       List<Socket> sockets = new ArrayList<>();
       try {
@@ -583,7 +583,7 @@
                       bench.begin(
                           known,
                           ScenarioFixture.ask("m" + i, "answer in 3 words", ToolBehaviour.ANSWER)))
-                  .seen();
+                  .record();
           assertTrue(seen.served(), "code " + seen.errorCode + " " + seen.protocolViolations);
         }
       } finally {
@@ -688,7 +688,7 @@
   void resultsOfToolsComeOverConnectionsOfAnyShard() {
     try (ScenarioFixture bench = bench(s -> {})) {
       McpClient client = bench.client();
-      List<CompletableFuture<McpClient.Call>> calls = new ArrayList<>();
+      List<CompletableFuture<McpCall>> calls = new ArrayList<>();
       for (int i = 0; i < MANY; i++) { // as many connections, and as many more for the results
         calls.add(
             bench.begin(
@@ -700,8 +700,8 @@
                     "stock",
                     "price")));
       }
-      for (CompletableFuture<McpClient.Call> call : calls) {
-        CallRecord seen = ScenarioFixture.get(call).seen();
+      for (CompletableFuture<McpCall> call : calls) {
+        CallRecord seen = ScenarioFixture.get(call).record();
         assertEquals(2, seen.toolCalls.size());
         assertEquals(1, seen.responses);
         assertEquals(List.of(), seen.protocolViolations);
@@ -717,7 +717,7 @@
   @Test
   void aStopWhileAllShardsAreBusyLetsEveryStreamEnd() {
     try (ScenarioFixture bench = bench(s -> {})) {
-      List<CompletableFuture<McpClient.Call>> calls = new ArrayList<>();
+      List<CompletableFuture<McpCall>> calls = new ArrayList<>();
       for (int i = 0; i < MANY; i++) {
         calls.add(
             bench.begin(
--- a/scenario/src/test/java/lemondock/scenario/ReportEdgeCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ReportEdgeCasesTest.java
@@ -67,14 +67,14 @@
   }
 
   private static void calls(ScenarioFixture bench, String mark, int count) {
-    List<CompletableFuture<McpClient.Call>> all = new ArrayList<>();
+    List<CompletableFuture<McpCall>> all = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       all.add(
           bench.begin(
               bench.client(),
               ScenarioFixture.ask(mark + i, TEXT, ToolBehaviour.ANSWER).withTenant("t" + i)));
     }
-    all.forEach(c -> assertTrue(ScenarioFixture.get(c).seen().served()));
+    all.forEach(c -> assertTrue(ScenarioFixture.get(c).record().served()));
   }
 
   private static String served(JsonNode tally) {
--- a/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
+++ b/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
@@ -109,13 +109,12 @@
   }
 
   /** Begins a call; the future ends with it. */
-  CompletableFuture<McpClient.Call> begin(McpClient client, ToolCallRequest ask) {
+  CompletableFuture<McpCall> begin(McpClient client, ToolCallRequest ask) {
     return begin(client, ask, call -> {});
   }
 
-  CompletableFuture<McpClient.Call> begin(
-      McpClient client, ToolCallRequest ask, Consumer<McpClient.Call> begun) {
-    CompletableFuture<McpClient.Call> done = new CompletableFuture<>();
+  CompletableFuture<McpCall> begin(McpClient client, ToolCallRequest ask, Consumer<McpCall> begun) {
+    CompletableFuture<McpCall> done = new CompletableFuture<>();
     clients
         .loop()
         .execute(
@@ -133,7 +132,7 @@
   }
 
   CallRecord call(ToolCallRequest ask) {
-    return get(begin(client(), ask)).seen();
+    return get(begin(client(), ask)).record();
   }
 
   static <T> T get(CompletableFuture<T> future) {
--- a/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
+++ b/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
@@ -125,12 +125,12 @@
                   bench.begin(
                       bench.client(),
                       ScenarioFixture.ask("warm", "answer in 12 words", ToolBehaviour.ANSWER)))
-              .seen()
+              .record()
               .tokens);
       bench.awaitIdle();
       int before = node.invokeAndWait(node.loop()::pendingTimers);
       for (int i = 0; i < calls; i += 10) {
-        List<CompletableFuture<McpClient.Call>> some = new ArrayList<>();
+        List<CompletableFuture<McpCall>> some = new ArrayList<>();
         for (int j = 0; j < 10; j++) {
           some.add(
               bench.begin(
@@ -138,7 +138,7 @@
                   ScenarioFixture.ask(
                       "t" + i + "-" + j, "answer in 12 words", ToolBehaviour.ANSWER)));
         }
-        some.forEach(one -> assertTrue(ScenarioFixture.get(one).seen().served()));
+        some.forEach(one -> assertTrue(ScenarioFixture.get(one).record().served()));
       }
       bench.awaitIdle();
       int perCall = (node.invokeAndWait(node.loop()::pendingTimers) - before) / calls;
@@ -155,26 +155,26 @@
   void manyCallsOfOneSessionOnOneStreamEndEachOnceWhileTheirNeighboursAreCancelled()
       throws Exception {
     try (ScenarioFixture bench = bench()) {
-      List<CompletableFuture<McpClient.Call>> kept = new ArrayList<>();
+      List<CompletableFuture<McpCall>> kept = new ArrayList<>();
       SplittableRandom random = new SplittableRandom(3);
       for (int i = 0; i < 80; i++) {
         boolean leaves = i % 2 == 1;
         long after = random.nextLong(150_000);
-        CompletableFuture<McpClient.Call> done =
+        CompletableFuture<McpCall> done =
             bench.begin(
                 bench.client(),
                 ScenarioFixture.ask("s" + i, "answer in 100 words", ToolBehaviour.ANSWER),
                 call -> {
                   if (leaves) {
-                    bench.clients.loop().schedule(after, call::leave);
+                    bench.clients.loop().schedule(after, call::cancel);
                   }
                 });
         if (!leaves) {
           kept.add(done);
         }
       }
-      for (CompletableFuture<McpClient.Call> one : kept) {
-        CallRecord seen = ScenarioFixture.get(one).seen();
+      for (CompletableFuture<McpCall> one : kept) {
+        CallRecord seen = ScenarioFixture.get(one).record();
         assertTrue(seen.served(), seen.mark);
         assertEquals(expected(100), seen.streamed.toString());
         assertEquals(1, seen.responses);
