--- a/policy/src/main/java/lemondock/policy/RequestClass.java
+++ b/policy/src/main/java/lemondock/policy/RequestClass.java
@@ -1,5 +1,7 @@
 package lemondock.policy;
 
+import java.util.Objects;
+
 /**
  * One class of requests. Times in microseconds; objective and deadline run from the request's
  * arrival to its first token.
@@ -9,6 +11,7 @@
  * @param deadlineMicros when the first token, or another final answer, must have come
  * @param priorityWeight what an answer in time counts; classes of lower weight are rejected first
  * @param latePriorityWeight what a late answer counts
+ * @param idempotency whether its requests may be repeated
  * @param deduplicationScope which servers drop the repeats of a request with an idempotency key
  * @param deduplicationWindowMicros for how long they do
  * @param tokenIntervalObjectiveMicros wanted time between two tokens of an answer; 0 if not told
@@ -22,4 +25,97 @@
     Idempotency idempotency,
     DeduplicationScope deduplicationScope,
     long deduplicationWindowMicros,
-    long tokenIntervalObjectiveMicros) {}
+    long tokenIntervalObjectiveMicros) {
+
+  /** Begins one; what is not set is 0, or all servers for the scope. */
+  public static Builder builder() {
+    return new Builder();
+  }
+
+  /** Collects the components of a {@link RequestClass}. For one thread. */
+  public static final class Builder {
+    private long latencyObjectiveMicros;
+    private long objectiveMicrosPerThousandTokens;
+    private long deadlineMicros;
+    private double priorityWeight;
+    private double latePriorityWeight;
+    private Idempotency idempotency;
+    private DeduplicationScope deduplicationScope = DeduplicationScope.ALL;
+    private long deduplicationWindowMicros;
+    private long tokenIntervalObjectiveMicros;
+
+    private Builder() {}
+
+    /** When the first token should come, for a prompt without tokens. */
+    public Builder latencyObjectiveMicros(long value) {
+      latencyObjectiveMicros = value;
+      return this;
+    }
+
+    /** What each thousand tokens of the prompt add to it. */
+    public Builder objectiveMicrosPerThousandTokens(long value) {
+      objectiveMicrosPerThousandTokens = value;
+      return this;
+    }
+
+    /** When the first token, or another final answer, must have come. */
+    public Builder deadlineMicros(long value) {
+      deadlineMicros = value;
+      return this;
+    }
+
+    /** What an answer in time counts; classes of lower weight are rejected first. */
+    public Builder priorityWeight(double value) {
+      priorityWeight = value;
+      return this;
+    }
+
+    /** What a late answer counts. */
+    public Builder latePriorityWeight(double value) {
+      latePriorityWeight = value;
+      return this;
+    }
+
+    /** Whether its requests may be repeated. */
+    public Builder idempotency(Idempotency value) {
+      idempotency = value;
+      return this;
+    }
+
+    /** Which servers drop the repeats of a request with an idempotency key. */
+    public Builder deduplicationScope(DeduplicationScope value) {
+      deduplicationScope = value;
+      return this;
+    }
+
+    /** For how long they do. */
+    public Builder deduplicationWindowMicros(long value) {
+      deduplicationWindowMicros = value;
+      return this;
+    }
+
+    /** Wanted time between two tokens of an answer; 0 if not told. */
+    public Builder tokenIntervalObjectiveMicros(long value) {
+      tokenIntervalObjectiveMicros = value;
+      return this;
+    }
+
+    /**
+     * The {@link RequestClass}.
+     *
+     * @throws NullPointerException if idempotency is not set
+     */
+    public RequestClass build() {
+      return new RequestClass(
+          latencyObjectiveMicros,
+          objectiveMicrosPerThousandTokens,
+          deadlineMicros,
+          priorityWeight,
+          latePriorityWeight,
+          Objects.requireNonNull(idempotency, "idempotency"),
+          deduplicationScope,
+          deduplicationWindowMicros,
+          tokenIntervalObjectiveMicros);
+    }
+  }
+}
--- a/policy/src/main/java/lemondock/policy/ServiceRules.java
+++ b/policy/src/main/java/lemondock/policy/ServiceRules.java
@@ -18,4 +18,77 @@
     long slowStartMicros,
     double overloadFactor,
     long overloadWindowMicros,
-    long releaseWithinMicros) {}
+    long releaseWithinMicros) {
+
+  /** Begins one; what is not set is 0. */
+  public static Builder builder() {
+    return new Builder();
+  }
+
+  /** Collects the components of a {@link ServiceRules}. For one thread. */
+  public static final class Builder {
+    private long answerSlackMicros;
+    private long drainGraceMicros;
+    private double slowStartInitialShare;
+    private long slowStartMicros;
+    private double overloadFactor;
+    private long overloadWindowMicros;
+    private long releaseWithinMicros;
+
+    private Builder() {}
+
+    /** How long after its deadline a final answer may still come. */
+    public Builder answerSlackMicros(long value) {
+      answerSlackMicros = value;
+      return this;
+    }
+
+    /** How long after a server began to drain something new may still reach it. */
+    public Builder drainGraceMicros(long value) {
+      drainGraceMicros = value;
+      return this;
+    }
+
+    /** The part of its capacity with which a server starts at least. */
+    public Builder slowStartInitialShare(double value) {
+      slowStartInitialShare = value;
+      return this;
+    }
+
+    /** Time until a server that has started bears all of its capacity. */
+    public Builder slowStartMicros(long value) {
+      slowStartMicros = value;
+      return this;
+    }
+
+    /** How many times its capacity at that time a server in slow start bears. */
+    public Builder overloadFactor(double value) {
+      overloadFactor = value;
+      return this;
+    }
+
+    /** The time over which that is counted. */
+    public Builder overloadWindowMicros(long value) {
+      overloadWindowMicros = value;
+      return this;
+    }
+
+    /** How long a reader may hold a state that nobody takes; 0 for no limit. */
+    public Builder releaseWithinMicros(long value) {
+      releaseWithinMicros = value;
+      return this;
+    }
+
+    /** The {@link ServiceRules}. */
+    public ServiceRules build() {
+      return new ServiceRules(
+          answerSlackMicros,
+          drainGraceMicros,
+          slowStartInitialShare,
+          slowStartMicros,
+          overloadFactor,
+          overloadWindowMicros,
+          releaseWithinMicros);
+    }
+  }
+}
--- a/simulator/src/main/java/lemondock/simulator/EndpointEntry.java
+++ b/simulator/src/main/java/lemondock/simulator/EndpointEntry.java
@@ -23,14 +23,15 @@
   private EndpointEntry() {}
 
   static ServerEntry read(EventFrame frame, ByteBuffer body, int offset) {
-    return new ServerEntry(
-        EventFrame.unsigned(body, offset + SERVER_ID),
-        EventFrame.unsignedShort(body, offset + ZONE),
-        EventFrame.unsignedShort(body, offset + KIND),
-        EventFrame.unsignedShort(body, offset + CELL),
-        lifecycle(frame, EventFrame.unsignedByte(body, offset + CONDITION)),
-        body.getFloat(offset + WEIGHT),
-        EventFrame.micros(body.getDouble(offset + STARTED_AT_MILLIS)));
+    return ServerEntry.builder()
+        .id(EventFrame.unsigned(body, offset + SERVER_ID))
+        .zone(EventFrame.unsignedShort(body, offset + ZONE))
+        .kind(EventFrame.unsignedShort(body, offset + KIND))
+        .cell(EventFrame.unsignedShort(body, offset + CELL))
+        .lifecycle(lifecycle(frame, EventFrame.unsignedByte(body, offset + CONDITION)))
+        .weight(body.getFloat(offset + WEIGHT))
+        .startedAtMicros(EventFrame.micros(body.getDouble(offset + STARTED_AT_MILLIS)))
+        .build();
   }
 
   private static ServerLifecycle lifecycle(EventFrame frame, int condition) {
--- a/simulator/src/main/java/lemondock/simulator/EventRecord.java
+++ b/simulator/src/main/java/lemondock/simulator/EventRecord.java
@@ -152,34 +152,37 @@
 
   RoutingRequest request() {
     int flags = unsignedByte(REQUEST_FLAGS);
-    return new RoutingRequest(
-        id(),
-        unsignedShort(REQUEST_CLASS),
-        body.getInt(offset + REQUEST_TENANT),
-        body.getLong(offset + REQUEST_SESSION),
-        body.getLong(offset + REQUEST_PREFIX),
-        tokens(REQUEST_PROMPT_TOKENS),
-        tokens(REQUEST_PREFIX_TOKENS),
-        tokens(REQUEST_MAX_ANSWER_TOKENS),
-        micros(REQUEST_TIMEOUT_MILLIS),
-        (flags & FLAG_HAS_WRITE_HINT) != 0 ? micros(REQUEST_WRITE_HINT_MILLIS) : 0,
-        (flags & FLAG_CLIENT_RETRY) != 0,
-        (flags & FLAG_RESUMED) != 0);
+    return RoutingRequest.builder()
+        .id(id())
+        .classId(unsignedShort(REQUEST_CLASS))
+        .tenantId(body.getInt(offset + REQUEST_TENANT))
+        .sessionId(body.getLong(offset + REQUEST_SESSION))
+        .prefixId(body.getLong(offset + REQUEST_PREFIX))
+        .promptTokens(tokens(REQUEST_PROMPT_TOKENS))
+        .prefixTokens(tokens(REQUEST_PREFIX_TOKENS))
+        .maxAnswerTokens(tokens(REQUEST_MAX_ANSWER_TOKENS))
+        .clientTimeoutMicros(micros(REQUEST_TIMEOUT_MILLIS))
+        .expectedWriteMicros(
+            (flags & FLAG_HAS_WRITE_HINT) != 0 ? micros(REQUEST_WRITE_HINT_MILLIS) : 0)
+        .clientRetry((flags & FLAG_CLIENT_RETRY) != 0)
+        .resumed((flags & FLAG_RESUMED) != 0)
+        .build();
   }
 
   AttemptResult attemptResult() {
     AttemptOutcome outcome = outcome();
     boolean hasCachedTokens = outcome == AttemptOutcome.PROMPT_READ || outcome == AttemptOutcome.OK;
     int detail = body.getInt(offset + RESULT_DETAIL);
-    return new AttemptResult(
-        id(),
-        unsignedShort(RESULT_ATTEMPT),
-        unsigned(RESULT_SERVER),
-        outcome,
-        micros(RESULT_TIME_MILLIS),
-        unsignedByte(RESULT_ENDS_REQUEST) != 0,
-        hasCachedTokens ? detail : 0,
-        outcome == AttemptOutcome.REJECTED && detail == DETAIL_STATE_MISSING);
+    return AttemptResult.builder()
+        .requestId(id())
+        .attempt(unsignedShort(RESULT_ATTEMPT))
+        .serverId(unsigned(RESULT_SERVER))
+        .outcome(outcome)
+        .elapsedMicros(micros(RESULT_TIME_MILLIS))
+        .requestEnded(unsignedByte(RESULT_ENDS_REQUEST) != 0)
+        .cachedTokens(hasCachedTokens ? detail : 0)
+        .stateMissing(outcome == AttemptOutcome.REJECTED && detail == DETAIL_STATE_MISSING)
+        .build();
   }
 
   private AttemptOutcome outcome() {
--- a/simulator/src/main/java/lemondock/simulator/SettingsText.java
+++ b/simulator/src/main/java/lemondock/simulator/SettingsText.java
@@ -65,18 +65,19 @@
   }
 
   private RouterSettings settings() {
-    return new RouterSettings(
-        (int) number("me"),
-        (int) number("siblings"),
-        (int) number("az"),
-        micros("resolution-ms"),
-        classes(),
-        tenants(),
-        kinds(),
-        limits(),
-        rules(),
-        flag("specifics.resume"),
-        flag("specifics.local-read"));
+    return RouterSettings.builder()
+        .gatewayIndex((int) number("me"))
+        .gatewayCount((int) number("siblings"))
+        .zone((int) number("az"))
+        .timerResolutionMicros(micros("resolution-ms"))
+        .classes(classes())
+        .tenants(tenants())
+        .serverKinds(kinds())
+        .limits(limits())
+        .rules(rules())
+        .streamsResume(flag("specifics.resume"))
+        .writersRead(flag("specifics.local-read"))
+        .build();
   }
 
   private List<RequestClass> classes() {
@@ -86,18 +87,21 @@
     for (int i = 0; i < count("classes.count"); i++) {
       String prefix = "classes." + i + ".";
       classes.add(
-          new RequestClass(
-              micros(prefix + "goal-time-ms"),
-              Math.round(item(objectiveStretch, i, "specifics.aim-us-per-1000-prompt-tokens")),
-              micros(prefix + "deadline-ms"),
-              number(prefix + "credit"),
-              number(prefix + "late-worth"),
-              idempotency(prefix + "repeat"),
-              deduplicationScope(prefix + "group"),
-              micros(prefix + "repeat-window-ms"),
-              Math.round(
-                  item(tokenIntervals, i, "specifics.token-aim-ms")
-                      * EventFrame.MICROS_PER_MILLI)));
+          RequestClass.builder()
+              .latencyObjectiveMicros(micros(prefix + "goal-time-ms"))
+              .objectiveMicrosPerThousandTokens(
+                  Math.round(item(objectiveStretch, i, "specifics.aim-us-per-1000-prompt-tokens")))
+              .deadlineMicros(micros(prefix + "deadline-ms"))
+              .priorityWeight(number(prefix + "credit"))
+              .latePriorityWeight(number(prefix + "late-worth"))
+              .idempotency(idempotency(prefix + "repeat"))
+              .deduplicationScope(deduplicationScope(prefix + "group"))
+              .deduplicationWindowMicros(micros(prefix + "repeat-window-ms"))
+              .tokenIntervalObjectiveMicros(
+                  Math.round(
+                      item(tokenIntervals, i, "specifics.token-aim-ms")
+                          * EventFrame.MICROS_PER_MILLI))
+              .build());
     }
     return List.copyOf(classes);
   }
@@ -130,27 +134,29 @@
   }
 
   private DeploymentLimits limits() {
-    return new DeploymentLimits(
-        (int) number("limits.max-attempts"),
-        flag("limits.cancel"),
-        flag("limits.second-copies"),
-        flag("limits.may-probe"),
-        flag("limits.peers"),
-        flag("limits.retry-after"),
-        micros("limits.max-retry-after-ms"),
-        micros("limits.connect-timeout-ms"),
-        "ask".equals(values.get("registry-mode")));
+    return DeploymentLimits.builder()
+        .maxAttempts((int) number("limits.max-attempts"))
+        .mayCancel(flag("limits.cancel"))
+        .mayHedge(flag("limits.second-copies"))
+        .mayProbe(flag("limits.may-probe"))
+        .mayGossip(flag("limits.peers"))
+        .sendsRetryAfter(flag("limits.retry-after"))
+        .maxRetryAfterMicros(micros("limits.max-retry-after-ms"))
+        .connectTimeoutMicros(micros("limits.connect-timeout-ms"))
+        .pollsEndpointList("ask".equals(values.get("registry-mode")))
+        .build();
   }
 
   private ServiceRules rules() {
-    return new ServiceRules(
-        micros("obligations.answer-slack-ms"),
-        micros("obligations.stop-sending-within-ms"),
-        number("obligations.cold-share"),
-        micros("obligations.warm-up-ms"),
-        number("obligations.overload-factor"),
-        micros("obligations.fall-ms"),
-        micros("specifics.release-within-ms"));
+    return ServiceRules.builder()
+        .answerSlackMicros(micros("obligations.answer-slack-ms"))
+        .drainGraceMicros(micros("obligations.stop-sending-within-ms"))
+        .slowStartInitialShare(number("obligations.cold-share"))
+        .slowStartMicros(micros("obligations.warm-up-ms"))
+        .overloadFactor(number("obligations.overload-factor"))
+        .overloadWindowMicros(micros("obligations.fall-ms"))
+        .releaseWithinMicros(micros("specifics.release-within-ms"))
+        .build();
   }
 
   private Idempotency idempotency(String name) {
