--- a/policy/src/main/java/lemondock/policy/AdaptiveCapacityLimit.java
+++ b/policy/src/main/java/lemondock/policy/AdaptiveCapacityLimit.java
@@ -51,35 +51,36 @@
 
   /** Whether the writer can take the request's answer and write it at the wanted pace. */
   boolean hasCapacity(ServerState server, InFlightRequest request) {
-    double lateMicros = request.objectiveMicros * LatencyEstimator.LATE_FIRST_TOKEN_SHARE;
+    double lateMicros = request.objectiveMicros() * LatencyEstimator.LATE_FIRST_TOKEN_SHARE;
     return streamPace(server) < SATURATED_PACE
         && servers.latency().estimatedWaitMicros(server) <= lateMicros
-        && (server.writeTokensInFlight == 0
-            || server.writeTokensInFlight + request.writeTokens() <= share * server.memoryTokens());
+        && (server.writeTokensInFlight() == 0
+            || server.writeTokensInFlight() + request.writeTokens()
+                <= share * server.memoryTokens());
   }
 
   private double streamPace(ServerState server) {
     return mixedFleet
-        ? Math.max(server.streamPace, server.roleStatistics.streamPace)
-        : server.streamPace;
+        ? Math.max(server.streamPace().lastSet(), server.roleStatistics().streamPace())
+        : server.streamPace().lastSet();
   }
 
   /** An attempt is sent. */
   void recordSent(Attempt attempt) {
-    tokensInFlight += attempt.tokens;
+    tokensInFlight += attempt.tokens();
     if (attempt.writes()) {
-      attempt.server.writeTokensInFlight += attempt.tokens;
-      writeTokensInFlight += attempt.tokens;
-      attempt.writeTokensInFlightAtSend = writeTokensInFlight;
+      attempt.server().addWriteTokensInFlight(attempt.tokens());
+      writeTokensInFlight += attempt.tokens();
+      attempt.setWriteTokensInFlightAtSend(writeTokensInFlight);
     }
   }
 
   /** An attempt has ended. */
   void recordEnded(Attempt attempt) {
-    tokensInFlight -= attempt.tokens;
+    tokensInFlight -= attempt.tokens();
     if (attempt.writes()) {
-      attempt.server.writeTokensInFlight -= attempt.tokens;
-      writeTokensInFlight -= attempt.tokens;
+      attempt.server().addWriteTokensInFlight(-attempt.tokens());
+      writeTokensInFlight -= attempt.tokens();
     }
   }
 
@@ -88,14 +89,14 @@
    * lost and says nothing.
    */
   void recordFirstToken(InFlightRequest request, Attempt attempt, long timeToFirstTokenMicros) {
-    double lateMicros = request.objectiveMicros * LatencyEstimator.LATE_FIRST_TOKEN_SHARE;
+    double lateMicros = request.objectiveMicros() * LatencyEstimator.LATE_FIRST_TOKEN_SHARE;
     if (timeToFirstTokenMicros > lateMicros) {
       decrease(attempt);
       return;
     }
     double open = share * memoryTokens() * quota.allowedShare(request);
-    if (attempt.writeTokensInFlightAtSend > open * INCREASE_UTILIZATION) {
-      share = Math.min(1, share + attempt.tokens / memoryTokens());
+    if (attempt.writeTokensInFlightAtSend() > open * INCREASE_UTILIZATION) {
+      share = Math.min(1, share + attempt.tokens() / memoryTokens());
     }
   }
 
@@ -117,7 +118,7 @@
 
   /** Late writes settle at one in so many, for a decrease takes a multiple of an increase. */
   private void decrease(Attempt attempt) {
-    share -= Math.min(share, DECREASE_FACTOR * attempt.tokens / memoryTokens());
+    share -= Math.min(share, DECREASE_FACTOR * attempt.tokens() / memoryTokens());
   }
 
   private double memoryTokens() {
--- a/policy/src/main/java/lemondock/policy/AdmissionQueue.java
+++ b/policy/src/main/java/lemondock/policy/AdmissionQueue.java
@@ -20,8 +20,9 @@
   private static final long SCAN_INTERVAL_MICROS = 50_000L;
 
   private static final Comparator<InFlightRequest> PRIORITY_THEN_AGE =
-      Comparator.<InFlightRequest>comparingDouble(request -> -request.requestClass.priorityWeight())
-          .thenComparing(request -> request.arrivedAtMicros)
+      Comparator.<InFlightRequest>comparingDouble(
+              request -> -request.requestClass().priorityWeight())
+          .thenComparing(InFlightRequest::arrivedAtMicros)
           .thenComparing(InFlightRequest::id);
 
   private final DecisionClock clock;
@@ -39,9 +40,9 @@
     host.trace(request.id(), DecisionReason.QUEUED);
     long longestMicros =
         Math.min(
-            (long) (request.objectiveMicros * MAX_WAIT_OBJECTIVE_SHARE),
-            request.attributes.clientTimeoutMicros() / 2);
-    long leftMicros = longestMicros - (clock.nowMicros() - request.arrivedAtMicros);
+            (long) (request.objectiveMicros() * MAX_WAIT_OBJECTIVE_SHARE),
+            request.attributes().clientTimeoutMicros() / 2);
+    long leftMicros = longestMicros - (clock.nowMicros() - request.arrivedAtMicros());
     host.setTimer(RequestTimer.QUEUE_TIMEOUT.token(request.id()), Math.max(0, leftMicros));
     scheduleScan();
   }
--- a/policy/src/main/java/lemondock/policy/AdmissionQuota.java
+++ b/policy/src/main/java/lemondock/policy/AdmissionQuota.java
@@ -32,10 +32,10 @@
   }
 
   double allowedShare(InFlightRequest request) {
-    if (isOverQuota(request.attributes.tenantId())) {
+    if (isOverQuota(request.attributes().tenantId())) {
       return OVER_QUOTA_SHARE;
     }
-    return hasHigherPriorityClass(request.requestClass) ? LOWER_PRIORITY_SHARE : 1;
+    return hasHigherPriorityClass(request.requestClass()) ? LOWER_PRIORITY_SHARE : 1;
   }
 
   private boolean isOverQuota(int tenantId) {
--- a/policy/src/main/java/lemondock/policy/Attempt.java
+++ b/policy/src/main/java/lemondock/policy/Attempt.java
@@ -1,66 +1,168 @@
 package lemondock.policy;
 
+import java.util.EnumSet;
+import java.util.Set;
+
 /** One attempt of a request at one server, from its sending to its end. Times in microseconds. */
 final class Attempt {
-  final ServerState server;
-  final AttemptWork work;
-  final long sentAtMicros;
-  final long expectedMicros;
+  private static final Set<AttemptOutcome> NEVER_RAN =
+      EnumSet.of(
+          AttemptOutcome.REJECTED,
+          AttemptOutcome.CONNECT_FAILED,
+          AttemptOutcome.ABANDONED_BEFORE_SEND);
+
+  private final ServerState server;
+  private final AttemptWork work;
+  private final long sentAtMicros;
+  private final long expectedMicros;
+  private final long tokens;
+  private final long uncachedTokens;
+
+  // Written once, as it is sent: by ServerQueue, and by AdaptiveCapacityLimit.
+  private long readQueueTokensAtSend;
+  private long writeTokensInFlightAtSend;
+
+  // Written by AttemptTimeouts.
+  private long timeoutAtMicros;
+  private long timeoutExtendedAtMicros;
+  private boolean timedOut;
+
+  // Written by AttemptRecorder.
+  private long timeToFirstTokenMicros;
+  private boolean ended;
+  private boolean failed;
+  private boolean neverRan;
+
+  Attempt(AttemptPlan plan, long sentAtMicros, long tokens) {
+    this.server = plan.server();
+    this.work = plan.work();
+    this.sentAtMicros = sentAtMicros;
+    this.expectedMicros = plan.expectedMicros();
+    this.tokens = tokens;
+    this.uncachedTokens = plan.uncachedTokens();
+  }
+
+  ServerState server() {
+    return server;
+  }
+
+  AttemptWork work() {
+    return work;
+  }
+
+  boolean reads() {
+    return work.reads();
+  }
+
+  boolean writes() {
+    return work.writes();
+  }
+
+  long sentAtMicros() {
+    return sentAtMicros;
+  }
+
+  /** What it should take until it is answered. */
+  long expectedMicros() {
+    return expectedMicros;
+  }
 
   /** Tokens of prompt and answer, in flight until the attempt ends. */
-  final long tokens;
+  long tokens() {
+    return tokens;
+  }
 
   /** Prompt tokens that the server was expected to read; 0 for a write. */
-  final long uncachedTokens;
+  long uncachedTokens() {
+    return uncachedTokens;
+  }
 
   /** All tokens to be read at the server once this attempt was sent, its own included. */
-  long readQueueTokensAtSend;
+  long readQueueTokensAtSend() {
+    return readQueueTokensAtSend;
+  }
+
+  void setReadQueueTokensAtSend(long queuedTokens) {
+    readQueueTokensAtSend = queuedTokens;
+  }
 
   /** All tokens in flight at writers of this gateway once this attempt was sent. */
-  long writeTokensInFlightAtSend;
+  long writeTokensInFlightAtSend() {
+    return writeTokensInFlightAtSend;
+  }
+
+  void setWriteTokensInFlightAtSend(long inFlightTokens) {
+    writeTokensInFlightAtSend = inFlightTokens;
+  }
 
   /** When the attempt counts as overdue; 0 where it is never cancelled for being slow. */
-  long timeoutAtMicros;
+  long timeoutAtMicros() {
+    return timeoutAtMicros;
+  }
 
-  /** When the timeout was last extended because the server's queue moved. */
-  long timeoutExtendedAtMicros;
+  void setTimeoutAt(long micros) {
+    timeoutAtMicros = micros;
+  }
 
-  /** 0 while no token has come. */
-  long timeToFirstTokenMicros;
+  /** The server's queue moves, so that the attempt is given more time from now on. */
+  void extendTimeout(long nowMicros) {
+    timeoutExtendedAtMicros = nowMicros;
+  }
 
-  boolean ended;
+  /** Whether the server's queue has moved since the attempt was last given time. */
+  boolean queueHasMovedSinceTimeoutStarted() {
+    return queueHasMovedSince(Math.max(sentAtMicros, timeoutExtendedAtMicros));
+  }
 
-  /** It took too long and was cancelled for it. */
-  boolean timedOut;
+  /** Whether older work has come back from the server since that moment: its queue moves. */
+  boolean queueHasMovedSince(long sinceMicros) {
+    return server.queue().hasMovedSince(sinceMicros, this);
+  }
 
-  /**
-   * It ended without what it was sent for; its server is avoided for the request's next attempt.
-   */
-  boolean failed;
+  /** Whether it took too long and was cancelled for it. */
+  boolean timedOut() {
+    return timedOut;
+  }
 
-  /** Its outcome proves that the server never worked on it. */
-  boolean neverRan;
+  void markTimedOut() {
+    timedOut = true;
+  }
 
-  Attempt(AttemptPlan plan, long sentAtMicros, long tokens) {
-    this.server = plan.server();
-    this.work = plan.work();
-    this.sentAtMicros = sentAtMicros;
-    this.expectedMicros = plan.expectedMicros();
-    this.tokens = tokens;
-    this.uncachedTokens = plan.uncachedTokens();
+  /** Time from its sending to its first token; 0 while none has come. */
+  long timeToFirstTokenMicros() {
+    return timeToFirstTokenMicros;
   }
 
-  boolean reads() {
-    return work.reads();
+  boolean hasFirstToken() {
+    return timeToFirstTokenMicros > 0;
   }
 
-  boolean writes() {
-    return work.writes();
+  /** The answer has begun after that time. */
+  void recordFirstToken(long elapsedMicros) {
+    timeToFirstTokenMicros = Math.max(1, elapsedMicros);
   }
 
-  /** Whether older work has come back from the server since that moment: its queue moves. */
-  boolean queueHasMovedSince(long sinceMicros) {
-    return server.lastAnswerAtMicros > sinceMicros
-        && server.newestAnsweredSentAtMicros <= sentAtMicros;
+  boolean ended() {
+    return ended;
+  }
+
+  /** It has ended with that outcome. */
+  void end(AttemptOutcome outcome) {
+    ended = true;
+    neverRan = NEVER_RAN.contains(outcome);
+    failed = outcome != AttemptOutcome.PROMPT_READ && !(timedOut && !writes());
+  }
+
+  /**
+   * Whether it ended without what it was sent for: its server is avoided for the request's next
+   * attempt. A read that was cancelled for being slow does not count.
+   */
+  boolean failed() {
+    return failed;
+  }
+
+  /** Whether its outcome proves that the server never worked on it. */
+  boolean neverRan() {
+    return neverRan;
   }
 }
--- a/policy/src/main/java/lemondock/policy/AttemptRecorder.java
+++ b/policy/src/main/java/lemondock/policy/AttemptRecorder.java
@@ -1,16 +1,7 @@
 package lemondock.policy;
 
-import java.util.EnumSet;
-import java.util.Set;
-
 /** Records what attempts show: tokens in flight, health, speed, capacity and cached text. */
 final class AttemptRecorder {
-  private static final Set<AttemptOutcome> NEVER_RAN =
-      EnumSet.of(
-          AttemptOutcome.REJECTED,
-          AttemptOutcome.CONNECT_FAILED,
-          AttemptOutcome.ABANDONED_BEFORE_SEND);
-
   private final ServerModel servers;
   private final AdaptiveCapacityLimit capacity;
   private final SessionTable sessions;
@@ -29,27 +20,21 @@
 
   /** The answer of the attempt has begun. */
   void firstToken(InFlightRequest request, Attempt attempt, long timeToFirstTokenMicros) {
-    attempt.timeToFirstTokenMicros = Math.max(1, timeToFirstTokenMicros);
+    attempt.recordFirstToken(timeToFirstTokenMicros);
     servers.recordAnswer(attempt, AttemptVerdict.SUCCESS);
     servers.latency().recordFirstToken(attempt, timeToFirstTokenMicros);
     capacity.recordFirstToken(request, attempt, timeToFirstTokenMicros);
     if (attempt.reads()) {
-      sessions.recordRead(request.attributes, attempt.server);
+      sessions.recordRead(request.attributes(), attempt.server());
     }
   }
 
   /** The attempt has ended. */
   void ended(InFlightRequest request, Attempt attempt, AttemptResult result) {
     AttemptOutcome outcome = result.outcome();
-    attempt.ended = true;
-    attempt.neverRan = NEVER_RAN.contains(outcome);
-    attempt.failed =
-        outcome != AttemptOutcome.PROMPT_READ && !(attempt.timedOut && !attempt.writes());
-    request.attemptsInFlight--;
+    attempt.end(outcome);
+    request.attemptEnded(attempt);
     capacity.recordEnded(attempt);
-    if (request.possibleEffect == attempt && attempt.neverRan) {
-      request.possibleEffect = null;
-    }
     servers.recordAnswer(attempt, verdict(attempt, outcome));
     recordOutcome(request, attempt, result);
   }
@@ -58,19 +43,19 @@
     return switch (outcome) {
       case PROMPT_READ, OK -> AttemptVerdict.SUCCESS;
       case REJECTED, ABANDONED_BEFORE_SEND -> AttemptVerdict.NEUTRAL;
-      case CANCELLED -> attempt.timedOut ? AttemptVerdict.FAILURE : AttemptVerdict.NEUTRAL;
+      case CANCELLED -> attempt.timedOut() ? AttemptVerdict.FAILURE : AttemptVerdict.NEUTRAL;
       default -> AttemptVerdict.FAILURE;
     };
   }
 
   private void recordOutcome(InFlightRequest request, Attempt attempt, AttemptResult result) {
-    long uncachedTokens = Math.max(0, request.attributes.promptTokens() - result.cachedTokens());
+    long uncachedTokens = Math.max(0, request.attributes().promptTokens() - result.cachedTokens());
     switch (result.outcome()) {
       case PROMPT_READ -> {
         recordUncached(request, attempt, uncachedTokens);
         long readTokens = uncachedTokens + ReaderSelector.READ_OVERHEAD_TOKENS;
         servers.latency().recordRead(attempt, readTokens, result.elapsedMicros());
-        sessions.recordRead(request.attributes, attempt.server);
+        sessions.recordRead(request.attributes(), attempt.server());
       }
       case OK -> {
         recordUncached(request, attempt, uncachedTokens);
@@ -78,7 +63,7 @@
       }
       case REJECTED -> {
         if (!result.stateMissing()) {
-          servers.latency().recordRejection(attempt.server);
+          servers.latency().recordRejection(attempt.server());
           capacity.recordRejection(attempt);
         }
       }
@@ -90,7 +75,7 @@
 
   private void recordUncached(InFlightRequest request, Attempt attempt, long uncachedTokens) {
     if (attempt.reads()) {
-      cachedPrompts.recordRead(request.attributes.classId(), uncachedTokens);
+      cachedPrompts.recordRead(request.attributes().classId(), uncachedTokens);
     }
   }
 }
--- a/policy/src/main/java/lemondock/policy/AttemptSender.java
+++ b/policy/src/main/java/lemondock/policy/AttemptSender.java
@@ -26,12 +26,8 @@
     Attempt attempt = new Attempt(plan, clock.nowMicros(), request.writeTokens());
     capacity.recordSent(attempt);
     servers.recordSent(attempt);
-    if (attempt.writes() && request.possibleEffect == null) {
-      request.possibleEffect = attempt;
-    }
-    request.attempts.add(attempt);
-    request.attemptsInFlight++;
-    host.send(request.id(), attempt.server.id(), 0);
+    request.addAttempt(attempt);
+    host.send(request.id(), attempt.server().id(), 0);
     timeouts.start(request, attempt);
     return attempt;
   }
--- a/policy/src/main/java/lemondock/policy/AttemptTimeouts.java
+++ b/policy/src/main/java/lemondock/policy/AttemptTimeouts.java
@@ -43,14 +43,14 @@
     if (!mayCancel || RetryPolicy.isNonRepeatableWrite(request, attempt)) {
       return;
     }
-    long earlier = request.attempts.stream().filter(other -> other.timedOut).count();
+    long earlier = request.timedOutAttempts();
     double base =
         earlier == 0
             ? request.remainingObjectiveMicros(clock.nowMicros())
-            : request.objectiveMicros * (1L << earlier);
+            : request.objectiveMicros() * (1L << earlier);
     long timeoutMicros =
         (long) Math.max(1, Math.max(base * OBJECTIVE_SHARE, slowAfterMicros(attempt)));
-    attempt.timeoutAtMicros = clock.nowMicros() + timeoutMicros;
+    attempt.setTimeoutAt(clock.nowMicros() + timeoutMicros);
     host.setTimer(RequestTimer.ATTEMPT_TIMEOUT.token(request.id()), timeoutMicros);
   }
 
@@ -60,36 +60,35 @@
     if (!mayTimeOut(request, attempt)) {
       return;
     }
-    long watchedSince = Math.max(attempt.sentAtMicros, attempt.timeoutExtendedAtMicros);
-    if (attempt.queueHasMovedSince(watchedSince)) {
-      attempt.timeoutExtendedAtMicros = clock.nowMicros();
+    if (attempt.queueHasMovedSinceTimeoutStarted()) {
+      attempt.extendTimeout(clock.nowMicros());
       start(request, attempt);
       return;
     }
-    attempt.timedOut = true;
+    attempt.markTimedOut();
     host.trace(request.id(), DecisionReason.ATTEMPT_TIMEOUT);
     latency.recordTimeout(attempt);
-    host.cancel(request.id(), request.attempts.size() - 1);
+    host.cancel(request.id(), request.attemptCount() - 1);
   }
 
   private boolean mayTimeOut(InFlightRequest request, Attempt attempt) {
-    return !attempt.ended
+    return !attempt.ended()
         && !RetryPolicy.isNonRepeatableWrite(request, attempt)
-        && clock.nowMicros() >= attempt.timeoutAtMicros
+        && clock.nowMicros() >= attempt.timeoutAtMicros()
         && !retryPolicy.attemptsExhausted(request)
         && retryPolicy.hasBudget();
   }
 
   /** A read without an answer for so long has likely lost it: soon it is cancelled. */
   long suspectAfterMicros(Attempt attempt) {
-    long leftMicros = attempt.timeoutAtMicros - clock.nowMicros();
+    long leftMicros = attempt.timeoutAtMicros() - clock.nowMicros();
     return leftMicros > 0 ? (long) (leftMicros * SUSPECT_SHARE) : slowAfterMicros(attempt);
   }
 
   /** What an attempt may take before it is more than slow. */
   private static long slowAfterMicros(Attempt attempt) {
     return (long)
-        (attempt.expectedMicros * EXPECTED_FACTOR
-            + attempt.server.roleStatistics.waitMicros * ROLE_WAIT_FACTOR);
+        (attempt.expectedMicros() * EXPECTED_FACTOR
+            + attempt.server().roleStatistics().waitMicros() * ROLE_WAIT_FACTOR);
   }
 }
--- a/policy/src/main/java/lemondock/policy/CachedPromptEstimator.java
+++ b/policy/src/main/java/lemondock/policy/CachedPromptEstimator.java
@@ -1,5 +1,7 @@
 package lemondock.policy;
 
+import java.util.Optional;
+
 /** Estimates how much of a prompt a server has to read because it has not cached it. */
 final class CachedPromptEstimator {
   private final SlowStart slowStart;
@@ -22,7 +24,7 @@
    * @param primaryCount how many servers of the ranking are primaries
    */
   long uncachedTokens(InFlightRequest request, ServerState server, int rank, int primaryCount) {
-    RoutingRequest attributes = request.attributes;
+    RoutingRequest attributes = request.attributes();
     boolean settledPrimary = rank < primaryCount && !slowStart.isWarmingUp(server);
     long cached = knownCachedTokens(request, server, settledPrimary);
     long uncached = Math.max(0, attributes.promptTokens() - cached);
@@ -32,13 +34,13 @@
 
   private static long knownCachedTokens(
       InFlightRequest request, ServerState server, boolean settledPrimary) {
-    RoutingRequest attributes = request.attributes;
+    RoutingRequest attributes = request.attributes();
     boolean prefixCached =
-        settledPrimary && attributes.prefixId() != 0
-            || server.prefixUsedAtMicros.containsKey(attributes.prefixId());
+        settledPrimary && attributes.prefixId() != 0 || server.knowsPrefix(attributes.prefixId());
     long cached = prefixCached ? attributes.prefixTokens() : 0;
-    if (request.session.isPresent() && request.session.get().serverId() == server.id()) {
-      cached = Math.max(cached, request.session.get().cachedTokens());
+    Optional<SessionEntry> session = request.session();
+    if (session.isPresent() && session.get().serverId() == server.id()) {
+      cached = Math.max(cached, session.get().cachedTokens());
     }
     return cached;
   }
--- a/policy/src/main/java/lemondock/policy/Control.java
+++ b/policy/src/main/java/lemondock/policy/Control.java
@@ -52,7 +52,7 @@
    *
    * @param seed of the generator that makes all random choices; equal seeds and events give equal
    *     actions
-   * @throws IllegalArgumentException if the settings contradict each other; the message says how
+   * @throws InvalidRouterInputException if the settings contradict each other; the message says how
    */
   public Control(RouterSettings settings, long seed, RouterHost host) {
     SettingsCheck.check(settings);
@@ -132,34 +132,48 @@
       long serverId,
       long timeToFirstTokenMicros) {
     clock.advanceTo(nowMicros);
-    InFlightRequest request = inFlight.get(requestId);
-    if (request == null || attemptNumber >= request.attempts.size()) {
-      return;
-    }
-    request.streaming = true;
+    find(requestId)
+        .ifPresent(
+            request ->
+                request
+                    .attempt(attemptNumber)
+                    .ifPresent(attempt -> beginStream(request, attempt, timeToFirstTokenMicros)));
+  }
+
+  private Optional<InFlightRequest> find(long requestId) {
+    return Optional.ofNullable(inFlight.get(requestId));
+  }
+
+  private void beginStream(InFlightRequest request, Attempt attempt, long timeToFirstTokenMicros) {
+    request.setStreaming(true);
     stateReleases.firstToken(request);
-    recorder.firstToken(request, request.attempts.get(attemptNumber), timeToFirstTokenMicros);
+    recorder.firstToken(request, attempt, timeToFirstTokenMicros);
     dispatchQueued();
   }
 
   @Override
   public void attemptEnded(long nowMicros, AttemptResult result) {
     clock.advanceTo(nowMicros);
-    InFlightRequest request = inFlight.get(result.requestId());
-    if (request == null
-        || result.attempt() >= request.attempts.size()
-        || request.attempts.get(result.attempt()).ended) {
-      return;
-    }
-    Attempt attempt = request.attempts.get(result.attempt());
+    find(result.requestId())
+        .ifPresent(
+            request ->
+                request
+                    .attempt(result.attempt())
+                    .filter(attempt -> !attempt.ended())
+                    .ifPresent(attempt -> endAttempt(request, attempt, result)));
+  }
+
+  private void endAttempt(InFlightRequest request, Attempt attempt, AttemptResult result) {
     recorder.ended(request, attempt, result);
-    request.ended |= result.requestEnded();
-    if (attempt.timeToFirstTokenMicros > 0) {
+    if (result.requestEnded()) {
+      request.end();
+    }
+    if (attempt.hasFirstToken()) {
       // A stream that ends without ending its request leaves it unanswered.
-      request.streaming = false;
+      request.setStreaming(false);
     }
     stateReleases.attemptEnded(request, attempt, result);
-    if (request.ended || request.streaming) {
+    if (request.ended() || request.streaming()) {
       stateReleases.releaseIfIdle(request);
     } else {
       continueRequest(request);
@@ -172,10 +186,7 @@
   @Override
   public void clientDisconnected(long nowMicros, long requestId) {
     clock.advanceTo(nowMicros);
-    InFlightRequest request = inFlight.get(requestId);
-    if (request != null && !request.ended) {
-      completion.abandon(request);
-    }
+    find(requestId).filter(request -> !request.ended()).ifPresent(completion::abandon);
   }
 
   @Override
@@ -202,8 +213,8 @@
 
   /** The request of a timer, if it still waits for its answer. */
   private Optional<InFlightRequest> unansweredRequest(long token) {
-    return Optional.ofNullable(inFlight.get(RequestTimer.requestIdOf(token)))
-        .filter(request -> !request.ended && !request.streaming);
+    return find(RequestTimer.requestIdOf(token))
+        .filter(request -> !request.ended() && !request.streaming());
   }
 
   @Override
@@ -217,9 +228,9 @@
 
   /** Whether the longest answer, begun as late as may be, would go on beyond the kill. */
   private boolean mayOutliveShutdown(InFlightRequest request) {
-    RoutingRequest attributes = request.attributes;
+    RoutingRequest attributes = request.attributes();
     long longestAnswerMicros =
-        attributes.maxAnswerTokens() * request.requestClass.tokenIntervalObjectiveMicros();
+        attributes.maxAnswerTokens() * request.requestClass().tokenIntervalObjectiveMicros();
     long longestMicros = attributes.clientTimeoutMicros() + longestAnswerMicros;
     return killedAtMicros < NEVER && clock.nowMicros() + longestMicros > killedAtMicros;
   }
@@ -230,7 +241,7 @@
     for (ServerState server : servers.table().all()) {
       boolean warmingUp = servers.slowStart().isWarmingUp(server);
       boolean healthy = servers.outliers().isHealthy(server);
-      visitor.server(server.id(), server.role(), server.lifecycle, warmingUp, healthy);
+      visitor.server(server.id(), server.role(), server.lifecycle(), warmingUp, healthy);
     }
     visitor.totals(queue.size(), capacity.tokensInFlight(), capacity.capacityTokens());
   }
@@ -248,15 +259,15 @@
   private boolean dispatchRead(InFlightRequest request) {
     Optional<AttemptPlan> read = readerSelector.select(request);
     double leftMicros = request.remainingObjectiveMicros(clock.nowMicros()) * READ_OBJECTIVE_SHARE;
-    if (read.isEmpty() || read.get().expectedMicros() * request.lateReadThreshold > leftMicros) {
+    if (read.isEmpty() || read.get().expectedMicros() * request.lateReadThreshold() > leftMicros) {
       return false;
     }
     send(request, read.get());
     return true;
   }
 
-  private void dispatchWrite(InFlightRequest request) {
-    Optional<AttemptPlan> write = writerSelector.select(request);
+  private void dispatchWrite(InFlightRequest request, ServerState stateHolder) {
+    Optional<AttemptPlan> write = writerSelector.select(request, stateHolder);
     if (write.isPresent()) {
       send(request, write.get());
     } else {
@@ -266,22 +277,22 @@
 
   private void send(InFlightRequest request, AttemptPlan plan) {
     Attempt attempt = sender.send(request, plan);
-    if (attempt.work == AttemptWork.READ) {
+    if (attempt.work() == AttemptWork.READ) {
       stateReleases.readSent(request, timeouts.suspectAfterMicros(attempt));
     }
   }
 
   /** After an attempt that left the request unanswered: writes what was read, retries, or ends. */
   private void continueRequest(InFlightRequest request) {
-    if (request.attemptsInFlight > 0) {
+    if (request.hasAttemptInFlight()) {
       return;
     }
     Attempt last = request.lastAttempt();
-    if (last.neverRan && request.reservedState.isDue(clock.nowMicros())) {
+    if (last.neverRan() && request.reservedState().isDue(clock.nowMicros())) {
       // Writers that never come up: a further one would hold the state beyond its time.
       stateReleases.releaseIfIdle(request);
     }
-    boolean retry = !last.reads() || request.stateHolder == null;
+    boolean retry = !last.reads() || request.stateHolder().isEmpty();
     boolean readAnew = retryPolicy.mayHaveConsumedState(request, last);
     Optional<DecisionReason> refusal = retryPolicy.takeFurtherAttempt(request, retry);
     if (refusal.isPresent()) {
@@ -291,8 +302,8 @@
     if (retry) {
       host.trace(request.id(), DecisionReason.RETRY);
     }
-    if (request.stateHolder != null && !readAnew) {
-      dispatchWrite(request);
+    if (request.stateHolder().isPresent() && !readAnew) {
+      dispatchWrite(request, request.stateHolder().get());
     } else if (!dispatchRead(request)) {
       completion.complete(request, DecisionReason.NO_READER);
     }
@@ -319,8 +330,8 @@
             + ", ejected "
             + ejected
             + ", reads wait us "
-            + (long) servers.table().statistics(ServerRole.READER).waitMicros
+            + (long) servers.table().statistics(ServerRole.READER).waitMicros()
             + ", writes "
-            + (long) servers.table().statistics(ServerRole.WRITER).waitMicros);
+            + (long) servers.table().statistics(ServerRole.WRITER).waitMicros());
   }
 }
--- a/policy/src/main/java/lemondock/policy/DecayingCounter.java
+++ b/policy/src/main/java/lemondock/policy/DecayingCounter.java
@@ -2,22 +2,17 @@
 
 /** Counts events with exponential decay and so tells their recent rate. */
 final class DecayingCounter {
-  private static final long DECAY_MICROS = 15_000_000L;
+  private static final long LIFE_MICROS = 15_000_000L;
   private static final double MICROS_PER_SECOND = 1e6;
 
-  private double count;
-  private long updatedAtMicros;
+  private final DecayingValue count = new DecayingValue(LIFE_MICROS);
 
+  /** An event has happened. */
   void add(long nowMicros) {
-    count = 1 + decayedCount(nowMicros);
-    updatedAtMicros = nowMicros;
+    count.set(1 + count.at(nowMicros), nowMicros);
   }
 
   double perSecond(long nowMicros) {
-    return decayedCount(nowMicros) * MICROS_PER_SECOND / DECAY_MICROS;
-  }
-
-  private double decayedCount(long nowMicros) {
-    return ExponentialDecay.decay(count, nowMicros - updatedAtMicros, DECAY_MICROS);
+    return count.at(nowMicros) * MICROS_PER_SECOND / LIFE_MICROS;
   }
 }
--- /dev/null
+++ b/policy/src/main/java/lemondock/policy/DecayingValue.java
@@ -0,0 +1,33 @@
+package lemondock.policy;
+
+/**
+ * A number that fades towards zero with time alone, falling to 1/e in its life time. Times in
+ * microseconds. Single-threaded, like all of the package.
+ */
+final class DecayingValue {
+  private final long lifeMicros;
+  private double value;
+  private long updatedAtMicros;
+
+  /** Begins with zero. */
+  DecayingValue(long lifeMicros) {
+    this.lifeMicros = lifeMicros;
+  }
+
+  /** What is left of the value at that moment. */
+  double at(long nowMicros) {
+    // Most servers of a large fleet are unseen: their values are zero and need no exponential.
+    return value == 0 ? 0 : value * Math.exp(-(double) (nowMicros - updatedAtMicros) / lifeMicros);
+  }
+
+  /** The value as it was last set, without what has faded of it since. */
+  double lastSet() {
+    return value;
+  }
+
+  /** Replaces the value; it fades from that moment on. */
+  void set(double newValue, long nowMicros) {
+    value = newValue;
+    updatedAtMicros = nowMicros;
+  }
+}
--- a/policy/src/main/java/lemondock/policy/DeduplicationScope.java
+++ b/policy/src/main/java/lemondock/policy/DeduplicationScope.java
@@ -1,8 +1,11 @@
 package lemondock.policy;
 
-/** The servers that drop repeats with a known idempotency key: all, one zone's, one cell's. */
+/** The servers that drop a repeat of what one of them has had under the same idempotency key. */
 public enum DeduplicationScope {
+  /** All servers. */
   ALL,
+  /** The servers of the zone. */
   ZONE,
+  /** The servers of the cell. */
   CELL
 }
--- a/policy/src/main/java/lemondock/policy/EndpointListKind.java
+++ b/policy/src/main/java/lemondock/policy/EndpointListKind.java
@@ -1,12 +1,13 @@
 package lemondock.policy;
 
-/**
- * What an endpoint list event holds: changes only, the full list, the full list as cached before a
- * restart, or nothing because it could not be had.
- */
+/** What an endpoint list event holds. */
 public enum EndpointListKind {
+  /** Only the servers that have changed. */
   CHANGES,
+  /** All servers. */
   FULL_LIST,
+  /** All servers, as they were cached before a restart. */
   CACHED,
+  /** Nothing: the list could not be had. */
   FAILED
 }
--- a/policy/src/main/java/lemondock/policy/Idempotency.java
+++ b/policy/src/main/java/lemondock/policy/Idempotency.java
@@ -1,11 +1,11 @@
 package lemondock.policy;
 
-/**
- * Whether requests of a class may be repeated: always, with the same idempotency key within a scope
- * and window, or never once they may have run.
- */
+/** Whether requests of a class may be repeated. */
 public enum Idempotency {
+  /** Always. */
   IDEMPOTENT,
+  /** With the same idempotency key, within the class's scope and window. */
   IDEMPOTENCY_KEY,
+  /** Never once they may have run. */
   NON_IDEMPOTENT
 }
--- a/policy/src/main/java/lemondock/policy/LatencyEstimator.java
+++ b/policy/src/main/java/lemondock/policy/LatencyEstimator.java
@@ -22,13 +22,10 @@
   private static final double WAIT_WEIGHT = 0.5;
 
   /** Waits fall to 1/e in this time. */
-  private static final long WAIT_DECAY_MICROS = 10_000_000L;
+  static final long WAIT_LIFE_MICROS = 10_000_000L;
 
-  /** Weight of a faster case in what work takes unhindered. */
-  private static final double FASTER_WEIGHT = 0.3;
-
-  /** Growth of what work takes unhindered at each slower case. */
-  private static final double SLOWER_FACTOR = 1.1;
+  /** Paces of streams fall to 1/e in this time. */
+  static final long PACE_LIFE_MICROS = 8_000_000L;
 
   private final SlowStart slowStart;
   private final DecisionClock clock;
@@ -43,51 +40,38 @@
    * oldest attempt that is unanswered and not overtaken.
    */
   double estimatedWaitMicros(ServerState server) {
-    double seen = decayedWait(server);
-    for (Attempt attempt : server.unansweredAttempts) {
-      if (attempt.sentAtMicros > server.newestAnsweredSentAtMicros) {
-        return Math.max(seen, clock.nowMicros() - attempt.sentAtMicros - attempt.expectedMicros);
-      }
-    }
-    return seen;
+    long now = clock.nowMicros();
+    return Math.max(server.waitMicros().at(now), server.queue().overdueMicros(now));
   }
 
   /** What a read of so many tokens should take here, behind those already in the queue. */
   long expectedReadMicros(ServerState server, long uncachedTokens) {
     double readMicros =
-        server.roleStatistics.microsPerReadToken
-            * (server.readTokensInFlight + uncachedTokens)
+        server.roleStatistics().microsPerReadToken()
+            * (server.queue().readTokens() + uncachedTokens)
             / slowStart.relativeSpeed(server);
     return (long) (estimatedWaitMicros(server) + readMicros);
   }
 
   /** Load of a writer with the request added: its tokens, weighted by wait, weight and speed. */
   double writeLoad(InFlightRequest request, ServerState server) {
-    double lateMicros = request.objectiveMicros * LATE_FIRST_TOKEN_SHARE;
+    double lateMicros = request.objectiveMicros() * LATE_FIRST_TOKEN_SHARE;
     double tokens =
-        (server.writeTokensInFlight + request.writeTokens())
+        (server.writeTokensInFlight() + request.writeTokens())
             * (1 + estimatedWaitMicros(server) / lateMicros);
-    return tokens / (server.entry.weight() * slowStart.relativeSpeed(server));
+    return tokens / (server.entry().weight() * slowStart.relativeSpeed(server));
   }
 
-  /** An attempt has been answered, well or not. */
-  void recordAnswer(Attempt attempt, boolean success) {
-    ServerState server = attempt.server;
+  /** The server has answered an attempt, well or not: its pace fades until now. */
+  void recordAnswer(ServerState server) {
     long now = clock.nowMicros();
-    long ageMicros = now - server.streamPaceUpdatedAtMicros;
-    server.streamPace =
-        ExponentialDecay.decay(server.streamPace, ageMicros, OutlierDetector.SCORE_DECAY_MICROS);
-    server.streamPaceUpdatedAtMicros = now;
-    if (success) {
-      server.lastAnswerAtMicros = now;
-      server.newestAnsweredSentAtMicros =
-          Math.max(server.newestAnsweredSentAtMicros, attempt.sentAtMicros);
-    }
+    server.streamPace().set(server.streamPace().at(now), now);
   }
 
   /** An attempt that is cancelled now has waited at least so long. */
   void recordTimeout(Attempt attempt) {
-    recordWait(attempt.server, clock.nowMicros() - attempt.sentAtMicros - attempt.expectedMicros);
+    recordWait(
+        attempt.server(), clock.nowMicros() - attempt.sentAtMicros() - attempt.expectedMicros());
   }
 
   /** The server rejected an attempt for want of capacity. */
@@ -97,55 +81,41 @@
 
   /** A read has ended; the tokens are those that the server really had to read. */
   void recordRead(Attempt attempt, long uncachedTokens, long elapsedMicros) {
-    double queuedTokens = attempt.readQueueTokensAtSend - attempt.uncachedTokens + uncachedTokens;
-    double speed = slowStart.relativeSpeed(attempt.server);
-    RoleStatistics role = attempt.server.roleStatistics;
-    role.microsPerReadToken =
-        trackMinimum(role.microsPerReadToken, elapsedMicros * speed / queuedTokens);
-    recordWait(attempt.server, elapsedMicros - role.microsPerReadToken * queuedTokens / speed);
+    double queuedTokens =
+        attempt.readQueueTokensAtSend() - attempt.uncachedTokens() + uncachedTokens;
+    double speed = slowStart.relativeSpeed(attempt.server());
+    RoleStatistics role = attempt.server().roleStatistics();
+    role.recordReadSpeed(elapsedMicros * speed / queuedTokens);
+    recordWait(attempt.server(), elapsedMicros - role.microsPerReadToken() * queuedTokens / speed);
   }
 
   /** The first token of an answer has come. */
   void recordFirstToken(Attempt attempt, long timeToFirstTokenMicros) {
     if (attempt.reads()) {
-      recordRead(attempt, attempt.uncachedTokens, timeToFirstTokenMicros);
+      recordRead(attempt, attempt.uncachedTokens(), timeToFirstTokenMicros);
       return;
     }
-    RoleStatistics role = attempt.server.roleStatistics;
-    role.firstTokenMicros = trackMinimum(role.firstTokenMicros, timeToFirstTokenMicros);
-    recordWait(attempt.server, timeToFirstTokenMicros - role.firstTokenMicros);
+    RoleStatistics role = attempt.server().roleStatistics();
+    role.recordFirstToken(timeToFirstTokenMicros);
+    recordWait(attempt.server(), timeToFirstTokenMicros - role.firstTokenMicros());
   }
 
   /** A stream has ended: its time over the time that its class wants. */
   void recordStreamPace(InFlightRequest request, Attempt attempt, long elapsedMicros) {
-    long wantedMicros = request.answerTokens * request.requestClass.tokenIntervalObjectiveMicros();
-    double pace = (elapsedMicros - attempt.timeToFirstTokenMicros) / Math.max(1.0, wantedMicros);
-    ServerState server = attempt.server;
-    server.streamPace += PACE_WEIGHT * (pace - server.streamPace);
-    server.roleStatistics.streamPace +=
-        RoleStatistics.WEIGHT * (pace - server.roleStatistics.streamPace);
+    long wantedMicros =
+        request.answerTokens() * request.requestClass().tokenIntervalObjectiveMicros();
+    double pace = (elapsedMicros - attempt.timeToFirstTokenMicros()) / Math.max(1.0, wantedMicros);
+    long now = clock.nowMicros();
+    DecayingValue known = attempt.server().streamPace();
+    known.set(known.at(now) + PACE_WEIGHT * (pace - known.at(now)), now);
+    attempt.server().roleStatistics().recordStreamPace(pace);
   }
 
   private void recordWait(ServerState server, double waitMicros) {
     double wait = Math.max(0, waitMicros);
-    double seen = decayedWait(server);
-    server.waitMicros = seen + WAIT_WEIGHT * (wait - seen);
-    server.waitUpdatedAtMicros = clock.nowMicros();
-    RoleStatistics role = server.roleStatistics;
-    role.waitCount++;
-    role.waitMicros +=
-        Math.max(RoleStatistics.WEIGHT, 1.0 / role.waitCount) * (wait - role.waitMicros);
-  }
-
-  private double decayedWait(ServerState server) {
-    long ageMicros = clock.nowMicros() - server.waitUpdatedAtMicros;
-    return ExponentialDecay.decay(server.waitMicros, ageMicros, WAIT_DECAY_MICROS);
-  }
-
-  /** Follows what work takes when nothing is in its way: falls quickly, rises slowly. */
-  private static double trackMinimum(double known, double seen) {
-    return seen < known
-        ? known + FASTER_WEIGHT * (seen - known)
-        : Math.min(seen, known * SLOWER_FACTOR);
+    long now = clock.nowMicros();
+    double known = server.waitMicros().at(now);
+    server.waitMicros().set(known + WAIT_WEIGHT * (wait - known), now);
+    server.roleStatistics().recordWait(wait);
   }
 }
--- a/policy/src/main/java/lemondock/policy/OutlierDetector.java
+++ b/policy/src/main/java/lemondock/policy/OutlierDetector.java
@@ -21,7 +21,7 @@
   private static final double TRIAL_EXCESS = 0.12;
 
   /** Scores fall to 1/e in this time. */
-  static final long SCORE_DECAY_MICROS = 8_000_000L;
+  static final long SCORE_LIFE_MICROS = 8_000_000L;
 
   private final DecisionClock clock;
 
@@ -30,29 +30,25 @@
   }
 
   boolean isHealthy(ServerState server) {
-    double excess = failureRate(server) - server.roleStatistics.failureRate;
-    return excess < TRIAL_EXCESS || excess < EJECTION_EXCESS && server.unansweredAttempts.isEmpty();
+    double excess = failureRate(server) - server.roleStatistics().failureRate();
+    return excess < TRIAL_EXCESS || excess < EJECTION_EXCESS && server.queue().isEmpty();
   }
 
   void recordOutcome(ServerState server, boolean success) {
-    RoleStatistics role = server.roleStatistics;
-    role.failureRate += RoleStatistics.WEIGHT * ((success ? 0 : 1) - role.failureRate);
-    server.failureScore =
-        decayedScore(server, server.failureScore) * OLDER_OUTCOMES_WEIGHT + (success ? 0 : 1);
-    server.successScore =
-        decayedScore(server, server.successScore) * OLDER_OUTCOMES_WEIGHT + (success ? 1 : 0);
-    server.scoredAtMicros = clock.nowMicros();
+    server.roleStatistics().recordOutcome(success);
+    addOutcome(server.failures(), !success);
+    addOutcome(server.successes(), success);
   }
 
-  private double failureRate(ServerState server) {
-    double failures = decayedScore(server, server.failureScore);
-    double successes = decayedScore(server, server.successScore);
-    return (failures + PRIOR_OUTCOMES * server.roleStatistics.failureRate)
-        / (failures + successes + PRIOR_OUTCOMES);
+  private void addOutcome(DecayingValue score, boolean counts) {
+    long now = clock.nowMicros();
+    score.set(score.at(now) * OLDER_OUTCOMES_WEIGHT + (counts ? 1 : 0), now);
   }
 
-  private double decayedScore(ServerState server, double score) {
-    long ageMicros = clock.nowMicros() - server.scoredAtMicros;
-    return ExponentialDecay.decay(score, ageMicros, SCORE_DECAY_MICROS);
+  private double failureRate(ServerState server) {
+    double failures = server.failures().at(clock.nowMicros());
+    double successes = server.successes().at(clock.nowMicros());
+    return (failures + PRIOR_OUTCOMES * server.roleStatistics().failureRate())
+        / (failures + successes + PRIOR_OUTCOMES);
   }
 }
--- a/policy/src/main/java/lemondock/policy/ReaderSelector.java
+++ b/policy/src/main/java/lemondock/policy/ReaderSelector.java
@@ -56,9 +56,9 @@
 
   /** The read to send; empty if no server may take it. */
   Optional<AttemptPlan> select(InFlightRequest request) {
-    request.session = sessions.find(request.attributes.sessionId());
+    request.setSession(sessions.find(request.attributes().sessionId()));
     List<ReadOption> options = rankedOptions(request);
-    double primaryMicros = request.objectiveMicros * PRIMARY_OBJECTIVE_SHARE;
+    double primaryMicros = request.objectiveMicros() * PRIMARY_OBJECTIVE_SHARE;
     if (options.stream()
         .anyMatch(option -> option.suitable && option.expectedMicros() <= primaryMicros)) {
       // Else readers are jammed and mixed servers help out.
@@ -75,7 +75,8 @@
   }
 
   private static boolean isSessionReader(InFlightRequest request, ServerState server) {
-    return request.session.isPresent() && request.session.get().serverId() == server.id();
+    Optional<SessionEntry> session = request.session();
+    return session.isPresent() && session.get().serverId() == server.id();
   }
 
   /**
@@ -84,7 +85,7 @@
    * that all gateways pick alike.
    */
   private List<ReadOption> rankedOptions(InFlightRequest request) {
-    RoutingRequest attributes = request.attributes;
+    RoutingRequest attributes = request.attributes();
     long key = attributes.prefixId() != 0 ? attributes.prefixId() : attributes.sessionId();
     List<ServerState> ranked = new ArrayList<>(eligibility.readers(request));
     ranking.sort(ranked, key);
--- a/policy/src/main/java/lemondock/policy/RendezvousRanking.java
+++ b/policy/src/main/java/lemondock/policy/RendezvousRanking.java
@@ -18,9 +18,9 @@
   void sort(List<ServerState> servers, long key) {
     for (ServerState server : servers) {
       double hash = unitInterval(mix(key ^ mix(server.id())));
-      server.hashRank = -Math.log(hash) / slowStart.relativeSpeed(server);
+      server.setHashRank(-Math.log(hash) / slowStart.relativeSpeed(server));
     }
-    servers.sort(Comparator.comparingDouble(server -> server.hashRank));
+    servers.sort(Comparator.comparingDouble(ServerState::hashRank));
   }
 
   /** A hash as a number between 0 and 1, neither of them, the smaller the larger the hash. */
--- a/policy/src/main/java/lemondock/policy/RequestCompletion.java
+++ b/policy/src/main/java/lemondock/policy/RequestCompletion.java
@@ -32,7 +32,7 @@
 
   /** Gives the one final answer and ends what is in flight. */
   void complete(InFlightRequest request, DecisionReason reason) {
-    request.ended = true;
+    request.end();
     host.trace(request.id(), reason);
     if (isSafeToRetry(request)) {
       host.reject(request.id(), retryAfterMicros());
@@ -44,16 +44,16 @@
 
   /** The client has left and is owed nothing: ends what is in flight. */
   void abandon(InFlightRequest request) {
-    request.ended = true;
+    request.end();
     cancelAttempts(request);
   }
 
   private static boolean isSafeToRetry(InFlightRequest request) {
-    Idempotency idempotency = request.requestClass.idempotency();
+    Idempotency idempotency = request.requestClass().idempotency();
     return idempotency == Idempotency.IDEMPOTENT
-        || request.possibleEffect == null && request.attemptsInFlight == 0
+        || request.possibleEffect().isEmpty() && !request.hasAttemptInFlight()
         || idempotency == Idempotency.IDEMPOTENCY_KEY
-            && request.requestClass.deduplicationScope() == DeduplicationScope.ALL;
+            && request.requestClass().deduplicationScope() == DeduplicationScope.ALL;
   }
 
   private long retryAfterMicros() {
@@ -63,11 +63,8 @@
   }
 
   private void cancelAttempts(InFlightRequest request) {
-    boolean cancels = limits.mayCancel() && !request.streaming;
-    for (int number = 0; number < request.attempts.size(); number++) {
-      if (cancels && !request.attempts.get(number).ended) {
-        host.cancel(request.id(), number);
-      }
+    if (limits.mayCancel() && !request.streaming()) {
+      request.attemptNumbersInFlight().forEach(number -> host.cancel(request.id(), number));
     }
     stateReleases.releaseIfIdle(request);
     forgetIfEnded(request);
@@ -76,7 +73,7 @@
   /** Takes the request out of the queue, and out of all once it is over. */
   void forgetIfEnded(InFlightRequest request) {
     queue.remove(request);
-    if (request.ended && request.attemptsInFlight == 0) {
+    if (request.ended() && !request.hasAttemptInFlight()) {
       inFlight.remove(request.id());
     }
   }
--- a/policy/src/main/java/lemondock/policy/RetryPolicy.java
+++ b/policy/src/main/java/lemondock/policy/RetryPolicy.java
@@ -33,33 +33,34 @@
    * request whose writes all provably never ran may go anywhere.
    */
   boolean mayRepeat(InFlightRequest request, ServerState server) {
-    Idempotency idempotency = request.requestClass.idempotency();
-    if (request.possibleEffect == null || idempotency == Idempotency.IDEMPOTENT) {
+    RequestClass requestClass = request.requestClass();
+    Idempotency idempotency = requestClass.idempotency();
+    if (request.possibleEffect().isEmpty() || idempotency == Idempotency.IDEMPOTENT) {
       return true;
     }
+    Attempt first = request.possibleEffect().get();
     return idempotency == Idempotency.IDEMPOTENCY_KEY
-        && isInDeduplicationScope(request, server)
-        && isInDeduplicationWindow(request);
+        && isInDeduplicationScope(requestClass, first.server().entry(), server.entry())
+        && isInDeduplicationWindow(requestClass, first);
   }
 
-  private static boolean isInDeduplicationScope(InFlightRequest request, ServerState server) {
-    ServerEntry first = request.possibleEffect.server.entry;
-    return switch (request.requestClass.deduplicationScope()) {
+  private static boolean isInDeduplicationScope(
+      RequestClass requestClass, ServerEntry first, ServerEntry server) {
+    return switch (requestClass.deduplicationScope()) {
       case ALL -> true;
-      case ZONE -> first.zone() == server.entry.zone();
-      case CELL -> first.cell() == server.entry.cell();
+      case ZONE -> first.zone() == server.zone();
+      case CELL -> first.cell() == server.cell();
     };
   }
 
-  private boolean isInDeduplicationWindow(InFlightRequest request) {
-    long ageMicros = clock.nowMicros() - request.possibleEffect.sentAtMicros;
-    long windowMicros = request.requestClass.deduplicationWindowMicros();
-    return ageMicros < windowMicros - timerResolutionMicros;
+  private boolean isInDeduplicationWindow(RequestClass requestClass, Attempt first) {
+    long ageMicros = clock.nowMicros() - first.sentAtMicros();
+    return ageMicros < requestClass.deduplicationWindowMicros() - timerResolutionMicros;
   }
 
   /** A write that may not simply be repeated; it is never cancelled for being slow. */
   static boolean isNonRepeatableWrite(InFlightRequest request, Attempt attempt) {
-    return attempt.writes() && request.requestClass.idempotency() != Idempotency.IDEMPOTENT;
+    return attempt.writes() && request.requestClass().idempotency() != Idempotency.IDEMPOTENT;
   }
 
   /**
@@ -68,19 +69,19 @@
    */
   boolean mayHaveConsumedState(InFlightRequest request, Attempt write) {
     return write.writes()
-        && !write.neverRan
+        && !write.neverRan()
         && !isNonRepeatableWrite(request, write)
         && attemptsLeft(request) > 1;
   }
 
   /** Whether too few attempts are left to reach an answer: a read and a write, or a write alone. */
   boolean attemptsExhausted(InFlightRequest request) {
-    int needed = request.stateHolder == null ? 2 : 1;
+    int needed = request.stateHolder().isEmpty() ? 2 : 1;
     return attemptsLeft(request) < needed;
   }
 
   private int attemptsLeft(InFlightRequest request) {
-    return maxAttempts - request.attempts.size();
+    return maxAttempts - request.attemptCount();
   }
 
   /**
@@ -101,8 +102,8 @@
   }
 
   private Optional<DecisionReason> whyNoFurtherAttempt(InFlightRequest request, boolean retry) {
-    long ageMicros = clock.nowMicros() - request.arrivedAtMicros;
-    if (ageMicros >= request.attributes.clientTimeoutMicros()) {
+    long ageMicros = clock.nowMicros() - request.arrivedAtMicros();
+    if (ageMicros >= request.attributes().clientTimeoutMicros()) {
       return Optional.of(DecisionReason.CLIENT_TIMEOUT);
     }
     if (attemptsExhausted(request)) {
--- a/policy/src/main/java/lemondock/policy/RoleStatistics.java
+++ b/policy/src/main/java/lemondock/policy/RoleStatistics.java
@@ -2,7 +2,7 @@
 
 /**
  * What all servers of one role have shown. It stands in for what is not known of a single server:
- * one of many gateways sees each server too rarely.
+ * one of many gateways sees each server too rarely. Times in microseconds.
  */
 final class RoleStatistics {
   /** Weight of a new outcome, wait or pace. */
@@ -10,29 +10,100 @@
 
   private static final double INITIAL_MICROS_PER_READ_TOKEN = 100;
   private static final double INITIAL_FIRST_TOKEN_MICROS = 50_000;
+
+  /** Weight of a faster case in what work takes unhindered. */
+  private static final double FASTER_WEIGHT = 0.3;
+
+  /** Growth of what work takes unhindered at each slower case. */
+  private static final double SLOWER_FACTOR = 1.1;
+
   private static final long NEVER = Long.MIN_VALUE;
 
-  /** Time to read a token, and from a write's sending to its first token, when nothing hinders. */
-  double microsPerReadToken = INITIAL_MICROS_PER_READ_TOKEN;
+  // Written by LatencyEstimator.
+  private double microsPerReadToken = INITIAL_MICROS_PER_READ_TOKEN;
+  private double firstTokenMicros = INITIAL_FIRST_TOKEN_MICROS;
+  private double streamPace;
+  private double waitMicros;
+  private int waitCount;
 
-  double firstTokenMicros = INITIAL_FIRST_TOKEN_MICROS;
+  // Written by OutlierDetector.
+  private double failureRate;
 
-  /** Share of attempts that fail. */
-  double failureRate;
+  // Written by SlowStart; ServerTable invalidates it.
+  private double warmAnswersPerSecond;
+  private long warmRateComputedAtMicros = NEVER;
+
+  /** Time to read a token when nothing hinders it. */
+  double microsPerReadToken() {
+    return microsPerReadToken;
+  }
+
+  /** A read has taken so long for each token. */
+  void recordReadSpeed(double seenMicrosPerToken) {
+    microsPerReadToken = trackMinimum(microsPerReadToken, seenMicrosPerToken);
+  }
+
+  /** Time from a write's sending to its first token when nothing hinders it. */
+  double firstTokenMicros() {
+    return firstTokenMicros;
+  }
+
+  /** The first token of a write has come so long after its sending. */
+  void recordFirstToken(double seenMicros) {
+    firstTokenMicros = trackMinimum(firstTokenMicros, seenMicros);
+  }
+
+  /** Follows what work takes when nothing is in its way: falls quickly, rises slowly. */
+  private static double trackMinimum(double known, double seen) {
+    return seen < known
+        ? known + FASTER_WEIGHT * (seen - known)
+        : Math.min(seen, known * SLOWER_FACTOR);
+  }
 
   /** Time of streams over the time that their class wants. */
-  double streamPace;
+  double streamPace() {
+    return streamPace;
+  }
+
+  void recordStreamPace(double pace) {
+    streamPace += WEIGHT * (pace - streamPace);
+  }
+
+  /** Mean wait of work in queues. */
+  double waitMicros() {
+    return waitMicros;
+  }
+
+  void recordWait(double wait) {
+    waitCount++;
+    waitMicros += Math.max(WEIGHT, 1.0 / waitCount) * (wait - waitMicros);
+  }
 
-  /** Mean wait of work in queues, and how many waits it was taken from. */
-  double waitMicros;
+  /** Share of attempts that fail. */
+  double failureRate() {
+    return failureRate;
+  }
 
-  int waitCount;
+  void recordOutcome(boolean success) {
+    failureRate += WEIGHT * ((success ? 0 : 1) - failureRate);
+  }
 
-  /** Answers per second of one warm server to this gateway, as of the time beside it. */
-  double warmAnswersPerSecond;
+  /** Answers per second of one warm server to this gateway, as last computed. */
+  double warmAnswersPerSecond() {
+    return warmAnswersPerSecond;
+  }
 
-  long warmRateComputedAtMicros = NEVER;
+  /** Whether that rate was computed at this moment, so that it need not be computed again. */
+  boolean isWarmRateOf(long nowMicros) {
+    return warmRateComputedAtMicros == nowMicros;
+  }
+
+  void setWarmRate(double answersPerSecond, long nowMicros) {
+    warmAnswersPerSecond = answersPerSecond;
+    warmRateComputedAtMicros = nowMicros;
+  }
 
+  /** Has the rate computed again within the event at hand. */
   void invalidateWarmRate() {
     warmRateComputedAtMicros = NEVER;
   }
--- a/policy/src/main/java/lemondock/policy/ServerEligibility.java
+++ b/policy/src/main/java/lemondock/policy/ServerEligibility.java
@@ -34,18 +34,13 @@
             .filter(server -> mayReceive(server) && retryPolicy.mayRepeat(request, server))
             .toList();
     List<ServerState> healthy = preferIfAny(allowed, servers.outliers()::isHealthy);
-    return preferIfAny(healthy, server -> !hasFailed(request, server));
+    return preferIfAny(healthy, server -> !request.hasFailedAt(server));
   }
 
   private boolean mayReceive(ServerState server) {
     return server.isReady() && servers.slowStart().hasCredit(server);
   }
 
-  private static boolean hasFailed(InFlightRequest request, ServerState server) {
-    return request.attempts.stream()
-        .anyMatch(attempt -> attempt.server == server && attempt.failed);
-  }
-
   /** The servers that pass the test, or all where none does. */
   static List<ServerState> preferIfAny(List<ServerState> from, Predicate<ServerState> test) {
     List<ServerState> passing = from.stream().filter(test).toList();
--- a/policy/src/main/java/lemondock/policy/ServerRole.java
+++ b/policy/src/main/java/lemondock/policy/ServerRole.java
@@ -1,8 +1,11 @@
 package lemondock.policy;
 
-/** What servers of a kind can do: read prompts, write answers, or both. */
+/** What servers of a kind can do. */
 public enum ServerRole {
+  /** Reads prompts (prefill). */
   READER,
+  /** Writes answers (decode). */
   WRITER,
+  /** Reads prompts and writes the answers in place. */
   MIXED
 }
--- a/policy/src/main/java/lemondock/policy/ServerTable.java
+++ b/policy/src/main/java/lemondock/policy/ServerTable.java
@@ -29,7 +29,7 @@
   /** Applies an endpoint list or its changes; {@link EndpointListKind#FAILED} has none. */
   void apply(EndpointListKind listKind, List<ServerEntry> entries) {
     if (listKind != EndpointListKind.CHANGES) {
-      servers.values().forEach(server -> server.lifecycle = ServerLifecycle.GONE);
+      servers.values().forEach(ServerState::markGone);
     }
     statisticsByRole.values().forEach(RoleStatistics::invalidateWarmRate);
     entries.forEach(this::update);
@@ -41,24 +41,30 @@
   /**
    * A new process at a known id starts from nothing; attempts in flight still count for the old
    * one.
+   *
+   * @throws InvalidRouterInputException if the settings have no such kind
    */
   private void update(ServerEntry entry) {
     if (entry.kind() >= kinds.size()) {
-      throw new IllegalArgumentException("server of an unknown kind");
+      throw new InvalidRouterInputException(
+          "entries[id=" + entry.id() + "].kind", entry.kind(), "server of an unknown kind");
     }
-    ServerState server = servers.get(entry.id());
-    if (server == null || server.entry.startedAtMicros() != entry.startedAtMicros()) {
-      ServerKind kind = kinds.get(entry.kind());
-      RoleStatistics statistics = statisticsByRole.get(kind.role());
-      server = new ServerState(kind, statistics, random.nextDouble(), clock.nowMicros());
-      servers.put(entry.id(), server);
+    ServerState known = servers.get(entry.id());
+    if (known == null || known.entry().startedAtMicros() != entry.startedAtMicros()) {
+      servers.put(entry.id(), newServer(entry));
+    } else {
+      known.update(entry);
     }
-    server.entry = entry;
-    server.lifecycle = entry.lifecycle();
+  }
+
+  private ServerState newServer(ServerEntry entry) {
+    ServerKind kind = kinds.get(entry.kind());
+    SlowStartCredit credit = new SlowStartCredit(random.nextDouble(), clock.nowMicros());
+    return new ServerState(entry, kind, statisticsByRole.get(kind.role()), credit);
   }
 
   private static boolean isRemovable(ServerState server) {
-    return server.lifecycle == ServerLifecycle.GONE && server.unansweredAttempts.isEmpty();
+    return server.lifecycle() == ServerLifecycle.GONE && server.queue().isEmpty();
   }
 
   private List<ServerState> readyServersExcept(ServerRole role) {
@@ -91,9 +97,9 @@
     List<ServerState> zone =
         readers.stream()
             .filter(server -> server.role() == ServerRole.READER)
-            .filter(server -> server.entry.zone() == entry.zone())
+            .filter(server -> server.entry().zone() == entry.zone())
             .toList();
-    long cell = zone.stream().filter(server -> server.entry.cell() == entry.cell()).count();
+    long cell = zone.stream().filter(server -> server.entry().cell() == entry.cell()).count();
     return cell / Math.max(1.0, zone.size());
   }
 }
--- a/policy/src/main/java/lemondock/policy/SessionTable.java
+++ b/policy/src/main/java/lemondock/policy/SessionTable.java
@@ -36,19 +36,14 @@
       sessions.put(request.sessionId(), entry);
     }
     if (request.prefixId() != 0) {
-      server.prefixUsedAtMicros.put(request.prefixId(), now);
+      server.recordPrefix(request.prefixId(), now);
     }
   }
 
   /** Drops what has been idle for too long. */
   void reap() {
-    sessions.values().removeIf(entry -> isExpired(entry.usedAtMicros()));
-    for (ServerState server : servers.all()) {
-      server.prefixUsedAtMicros.values().removeIf(this::isExpired);
-    }
-  }
-
-  private boolean isExpired(long usedAtMicros) {
-    return clock.nowMicros() - usedAtMicros > TTL_MICROS;
+    long oldestMicros = clock.nowMicros() - TTL_MICROS;
+    sessions.values().removeIf(entry -> entry.usedAtMicros() < oldestMicros);
+    servers.all().forEach(server -> server.forgetPrefixesUsedBefore(oldestMicros));
   }
 }
--- a/policy/src/main/java/lemondock/policy/SlowStart.java
+++ b/policy/src/main/java/lemondock/policy/SlowStart.java
@@ -19,14 +19,13 @@
   /** What a server in slow start gets from all gateways together at least. */
   private static final double MIN_REQUESTS_PER_SECOND = 1.0;
 
-  private static final double MAX_CREDIT = 1;
-  private static final double MICROS_PER_SECOND = 1e6;
-
   private final ServiceRules rules;
   private final int gatewayCount;
   private final ServerTable servers;
   private final DecisionClock clock;
-  private double meanRequestTokens; // prompt and answer
+
+  /** Prompt and answer; 0 before the first request. */
+  private double meanRequestTokens;
 
   SlowStart(RouterSettings settings, ServerTable servers, DecisionClock clock) {
     this.rules = settings.rules();
@@ -37,7 +36,7 @@
 
   /** Whether the server started so recently that it is still slower than its like. */
   boolean isWarmingUp(ServerState server) {
-    long startedAt = server.entry.startedAtMicros();
+    long startedAt = server.entry().startedAtMicros();
     return startedAt > 0 && clock.nowMicros() - startedAt <= rules.slowStartMicros();
   }
 
@@ -47,7 +46,7 @@
       return 1;
     }
     double least = Math.min(1, Math.max(MIN_SPEED, rules.slowStartInitialShare()));
-    long ageMicros = clock.nowMicros() - server.entry.startedAtMicros();
+    long ageMicros = clock.nowMicros() - server.entry().startedAtMicros();
     return least + (1 - least) * ageMicros / rules.slowStartMicros();
   }
 
@@ -58,19 +57,14 @@
     }
     double part = relativeSpeed(server) * rules.overloadFactor() * SAFETY_FACTOR;
     double least = MIN_REQUESTS_PER_SECOND / Math.max(1, gatewayCount);
-    double earnedPerSecond = Math.max(warmAnswersPerSecond(server.roleStatistics) * part, least);
-    long elapsedMicros = clock.nowMicros() - server.slowStartCreditAtMicros;
-    server.slowStartCredit =
-        Math.min(
-            MAX_CREDIT,
-            server.slowStartCredit + earnedPerSecond * elapsedMicros / MICROS_PER_SECOND);
-    server.slowStartCreditAtMicros = clock.nowMicros();
-    return server.slowStartCredit >= 1;
+    double earnedPerSecond = Math.max(warmAnswersPerSecond(server.roleStatistics()) * part, least);
+    server.slowStartCredit().earn(earnedPerSecond, clock.nowMicros());
+    return server.slowStartCredit().holdsRequest();
   }
 
   /** An attempt is sent to the server. */
   void spendCredit(ServerState server, long tokens) {
-    server.slowStartCredit -= Math.max(MIN_REQUEST_COST, tokens / meanRequestTokens);
+    server.slowStartCredit().spend(Math.max(MIN_REQUEST_COST, tokens / meanRequestTokens));
   }
 
   /** A request has arrived: it counts in what a mean request is. */
@@ -81,8 +75,8 @@
 
   /** The server has answered an attempt well: it counts in what a warm server answers. */
   void recordAnswer(ServerState server) {
-    server.answerRate.add(clock.nowMicros());
-    server.roleStatistics.invalidateWarmRate();
+    server.answerRate().add(clock.nowMicros());
+    server.roleStatistics().invalidateWarmRate();
   }
 
   /**
@@ -91,15 +85,15 @@
    */
   private double warmAnswersPerSecond(RoleStatistics role) {
     long now = clock.nowMicros();
-    if (role.warmRateComputedAtMicros != now) {
-      role.warmAnswersPerSecond =
+    if (!role.isWarmRateOf(now)) {
+      double answersPerSecond =
           servers.all().stream()
-              .filter(peer -> peer.roleStatistics == role && peer.isReady() && !isWarmingUp(peer))
-              .mapToDouble(peer -> peer.answerRate.perSecond(now))
+              .filter(peer -> peer.roleStatistics() == role && peer.isReady() && !isWarmingUp(peer))
+              .mapToDouble(peer -> peer.answerRate().perSecond(now))
               .average()
-              .orElse(role.warmAnswersPerSecond);
-      role.warmRateComputedAtMicros = now;
+              .orElse(role.warmAnswersPerSecond());
+      role.setWarmRate(answersPerSecond, now);
     }
-    return role.warmAnswersPerSecond;
+    return role.warmAnswersPerSecond();
   }
 }
--- a/policy/src/main/java/lemondock/policy/StateReleasePolicy.java
+++ b/policy/src/main/java/lemondock/policy/StateReleasePolicy.java
@@ -23,36 +23,36 @@
 
   /** A plain read was sent; without an answer by then it is taken to have ended and lost it. */
   void readSent(InFlightRequest request, long suspectAfterMicros) {
-    request.reservedState.readSent(clock.nowMicros(), suspectAfterMicros);
+    request.reservedState().readSent(clock.nowMicros(), suspectAfterMicros);
     schedule(request);
   }
 
   /** A writer has begun to answer: nothing is held any more. */
   void firstToken(InFlightRequest request) {
-    request.stateHolder = null;
-    request.reservedState.cleared();
+    request.clearStateHolder();
+    request.reservedState().cleared();
   }
 
   /** An attempt has ended. */
   void attemptEnded(InFlightRequest request, Attempt attempt, AttemptResult result) {
     if (result.outcome() == AttemptOutcome.REJECTED && result.stateMissing()) {
-      request.stateHolder = null;
+      request.clearStateHolder();
     }
     if (result.outcome() == AttemptOutcome.PROMPT_READ) {
-      request.stateHolder = attempt.server;
-      request.reservedState.readAnswered(clock.nowMicros());
+      request.setStateHolder(attempt.server());
+      request.reservedState().readAnswered(clock.nowMicros());
     } else if (result.outcome() == AttemptOutcome.OK || result.stateMissing()) {
-      request.reservedState.cleared();
-    } else if (attempt.work == AttemptWork.READ) {
-      request.reservedState.readFailed(clock.nowMicros(), attempt.neverRan);
+      request.reservedState().cleared();
+    } else if (attempt.work() == AttemptWork.READ) {
+      request.reservedState().readFailed(clock.nowMicros(), attempt.neverRan());
     } else {
-      request.reservedState.writeFailed(clock.nowMicros());
+      request.reservedState().writeFailed(clock.nowMicros());
     }
   }
 
   /** Releases at the end of a request, and again when a late read leaves a state. */
   void releaseIfIdle(InFlightRequest request) {
-    if (request.reservedState.mayBeReserved() && request.attemptsInFlight == 0) {
+    if (request.reservedState().mayBeReserved() && !request.hasAttemptInFlight()) {
       release(request);
     }
   }
@@ -64,7 +64,7 @@
       timerAtMicros = NEVER;
     }
     for (InFlightRequest request : inFlight) {
-      if (request.reservedState.isDue(now)) {
+      if (request.reservedState().isDue(now)) {
         releaseOrPostpone(request);
       }
     }
@@ -72,8 +72,8 @@
   }
 
   private void releaseOrPostpone(InFlightRequest request) {
-    if (request.reservedState.onlyReading() && queueHasMovedLately(request.lastAttempt())) {
-      request.reservedState.postpone(clock.nowMicros());
+    if (request.reservedState().onlyReading() && queueHasMovedLately(request.lastAttempt())) {
+      request.reservedState().postpone(clock.nowMicros());
     } else {
       release(request);
     }
@@ -81,17 +81,15 @@
 
   /** Whether the queue of the read has moved in the latter half of the read's time. */
   private boolean queueHasMovedLately(Attempt read) {
-    long halfMicros = (clock.nowMicros() - read.sentAtMicros) / 2;
-    return read.queueHasMovedSince(read.sentAtMicros + halfMicros);
+    long halfMicros = (clock.nowMicros() - read.sentAtMicros()) / 2;
+    return read.queueHasMovedSince(read.sentAtMicros() + halfMicros);
   }
 
   private void release(InFlightRequest request) {
     host.trace(request.id(), DecisionReason.STATE_RELEASED);
     host.releaseState(request.id());
-    request.stateHolder = null;
-    boolean writing =
-        request.attempts.stream().anyMatch(attempt -> attempt.writes() && !attempt.ended);
-    request.reservedState.released(clock.nowMicros(), writing);
+    request.clearStateHolder();
+    request.reservedState().released(clock.nowMicros(), request.hasWriteInFlight());
   }
 
   /**
@@ -99,7 +97,7 @@
    * cannot be cancelled, and would outlive most of them.
    */
   void schedule(InFlightRequest request) {
-    long dueAtMicros = request.reservedState.dueAtMicros();
+    long dueAtMicros = request.reservedState().dueAtMicros();
     if (dueAtMicros < timerAtMicros) {
       timerAtMicros = dueAtMicros;
       long delayMicros = Math.max(1, dueAtMicros - clock.nowMicros());
--- a/policy/src/main/java/lemondock/policy/WriterSelector.java
+++ b/policy/src/main/java/lemondock/policy/WriterSelector.java
@@ -32,45 +32,45 @@
     this.random = random;
   }
 
-  /** The write of what the request's state holder has read; empty if no server may take it. */
-  Optional<AttemptPlan> select(InFlightRequest request) {
-    return Optional.ofNullable(selectServer(request))
-        .map(
-            server ->
-                new AttemptPlan(
-                    server, AttemptWork.WRITE, 0, (long) server.roleStatistics.firstTokenMicros));
+  /** The write of what the state holder has read; empty if no server may take it. */
+  Optional<AttemptPlan> select(InFlightRequest request, ServerState stateHolder) {
+    return selectServer(request, stateHolder.entry()).map(WriterSelector::planWrite);
   }
 
-  private ServerState selectServer(InFlightRequest request) {
-    ServerEntry reader = request.stateHolder.entry;
+  private static AttemptPlan planWrite(ServerState server) {
+    long expectedMicros = (long) server.roleStatistics().firstTokenMicros();
+    return new AttemptPlan(server, AttemptWork.WRITE, 0, expectedMicros);
+  }
+
+  private Optional<ServerState> selectServer(InFlightRequest request, ServerEntry reader) {
     List<ServerState> able =
         preferIfAny(eligibility.writers(request), server -> capacity.hasCapacity(server, request));
-    List<ServerState> zone = preferIfAny(able, server -> server.entry.zone() == reader.zone());
+    List<ServerState> zone = preferIfAny(able, server -> server.entry().zone() == reader.zone());
+    if (zone.isEmpty()) {
+      return Optional.empty();
+    }
     List<ServerState> cell =
-        zone.stream().filter(server -> server.entry.cell() == reader.cell()).toList();
+        zone.stream().filter(server -> server.entry().cell() == reader.cell()).toList();
     if (cell.isEmpty()) {
-      return lessLoaded(request, draw(zone), draw(zone));
+      return Optional.of(lessLoaded(request, draw(zone), draw(zone)));
     }
     double readerShare = servers.table().readerShareOfCell(reader);
     if (random.nextDouble() * readerShare * zone.size() >= cell.size()) {
-      return draw(preferIfAny(zone, server -> server.entry.cell() != reader.cell()));
+      return Optional.of(draw(preferIfAny(zone, server -> server.entry().cell() != reader.cell())));
     }
-    return lessLoaded(request, draw(cell), draw(zone));
+    return Optional.of(lessLoaded(request, draw(cell), draw(zone)));
   }
 
   private ServerState lessLoaded(InFlightRequest request, ServerState near, ServerState far) {
-    if (near == null) {
-      return null;
-    }
-    double factor = near.entry.cell() == far.entry.cell() ? 1 : REMOTE_LOAD_FACTOR;
+    double factor = near.entry().cell() == far.entry().cell() ? 1 : REMOTE_LOAD_FACTOR;
     LatencyEstimator latency = servers.latency();
     return latency.writeLoad(request, far) >= latency.writeLoad(request, near) * factor
         ? near
         : far;
   }
 
-  /** Any of the servers, null if there is none. */
+  /** Any of the servers, of which there is at least one. */
   private ServerState draw(List<ServerState> from) {
-    return from.isEmpty() ? null : from.get(random.nextInt(from.size()));
+    return from.get(random.nextInt(from.size()));
   }
 }
--- a/policy/src/test/java/lemondock/policy/AdaptiveCapacityLimitTest.java
+++ b/policy/src/test/java/lemondock/policy/AdaptiveCapacityLimitTest.java
@@ -37,7 +37,7 @@
     startSmallFleet();
     for (int i = 0; i < 2000; i++) {
       assertNotEquals(
-          0, serveRequest(i, i, i % 7, 2000), "request " + i + " was parked: a leak of tokens");
+          0, serveRequest(i, i, i % 7, 2000), "request " + i + " was queued: a leak of tokens");
     }
   }
 
@@ -47,11 +47,11 @@
     int sent = 0;
     for (int i = 0; i < 400; i++) {
       now += 20_000;
-      long s = submit(i, IDEMPOTENT_CLASS, i, 0, 3000);
-      if (s != 0) {
+      long reader = submit(i, IDEMPOTENT_CLASS, i, 0, 3000);
+      if (reader != 0) {
         sent++;
         now += 1;
-        endAttempt(i, 0, s, AttemptOutcome.PROMPT_READ, false);
+        endAttempt(i, 0, reader, AttemptOutcome.PROMPT_READ, false);
         control.firstToken(now, i, 1, lastSentTo(), 10);
       }
     }
@@ -59,8 +59,8 @@
   }
 
   /**
-   * Why admission reopens: with nothing under way one request is always let in, and each prompt
-   * answer gives room for one more.
+   * Why admission reopens: with nothing in flight one request is always admitted, and each prompt
+   * answer adds capacity for one more.
    */
   @Test
   void aGatewayThatRejectsProbesForCapacity() {
@@ -70,16 +70,16 @@
       firstTokenAfter(++id, SECOND);
     }
     assertNotEquals(
-        0, submit(++id, IDEMPOTENT_CLASS, id, 0, 3000), "the probe: nothing else is under way");
+        0, submit(++id, IDEMPOTENT_CLASS, id, 0, 3000), "the probe: nothing else is in flight");
     final long probe = id;
-    assertEquals(0, submit(++id, IDEMPOTENT_CLASS, id, 0, 3000), "no room beside the probe");
-    final long refused = id;
-    List<Action> waits =
-        host.actionsNamed("timer").stream().filter(t -> t.value() <= SECOND).toList();
+    assertEquals(0, submit(++id, IDEMPOTENT_CLASS, id, 0, 3000), "no capacity beside the probe");
+    final long rejected = id;
+    List<Action> queueTimers =
+        host.actionsNamed("timer").stream().filter(timer -> timer.value() <= SECOND).toList();
     host.actions.clear();
     now += SECOND;
-    waits.forEach(t -> control.timerFired(now, t.id()));
-    assertEquals(List.of(refused), host.actionsNamed("reject").stream().map(Action::id).toList());
+    queueTimers.forEach(timer -> control.timerFired(now, timer.id()));
+    assertEquals(List.of(rejected), host.actionsNamed("reject").stream().map(Action::id).toList());
     answerAfter(probe, 10);
     firstTokenAfter(++id, 10);
     firstTokenAfter(++id, 10);
@@ -87,6 +87,6 @@
     assertNotEquals(
         0,
         submit(++id, IDEMPOTENT_CLASS, id, 0, 3000),
-        "three prompt answers gave room for one beside it, though of a class of less" + " worth");
+        "three prompt answers add capacity for one beside it, though of a class of lower priority");
   }
 }
--- a/policy/src/test/java/lemondock/policy/AttemptTimeoutsTest.java
+++ b/policy/src/test/java/lemondock/policy/AttemptTimeoutsTest.java
@@ -13,7 +13,7 @@
 /** Which attempts are cancelled for being slow. */
 class AttemptTimeoutsTest extends ControlFixture {
   /**
-   * Found by the soak: one older answer, and none after it, kept a lost read from being called off
+   * Found by the soak: one older answer, and none after it, kept a lost read from being cancelled
    * until its deadline.
    */
   @Test
@@ -33,13 +33,13 @@
   }
 
   /**
-   * Answers get lost in servers that otherwise work: a read far over its time is called off and
-   * tried again.
+   * Answers get lost in servers that otherwise work: a read far over its time is cancelled and
+   * attempted again.
    */
   @Test
   void aLostReadIsCancelledAndReadAgain() {
     startSmallFleet();
-    final long home = submit(1, IDEMPOTENT_CLASS, 1, 77, 500);
+    final long reader = submit(1, IDEMPOTENT_CLASS, 1, 77, 500);
     now += 620_000;
     host.actions.clear();
     control.timerFired(now, RequestTimer.ATTEMPT_TIMEOUT.token(1));
@@ -47,19 +47,19 @@
     now += 310_000;
     control.timerFired(now, RequestTimer.ATTEMPT_TIMEOUT.token(1));
     assertEquals(List.of("cancel"), actionNames());
-    endAttempt(1, 0, home, AttemptOutcome.CANCELLED, false);
-    assertFalse(host.actions.isEmpty(), "a lost read is tried again or answered");
+    endAttempt(1, 0, reader, AttemptOutcome.CANCELLED, false);
+    assertFalse(host.actions.isEmpty(), "a lost read is attempted again or answered");
   }
 
-  /** A read that waits in a queue that moves is not lost: calling it off gives its place away. */
+  /** A read that waits in a queue that moves is not lost: cancelling it gives its place away. */
   @Test
   void anOverdueReadIsLeftAloneWhileOlderWorkComesBack() {
     startSmallFleet();
-    long home = submit(1, IDEMPOTENT_CLASS, 1, 77, 1000);
+    long reader = submit(1, IDEMPOTENT_CLASS, 1, 77, 1000);
     now += 50_000;
-    assertEquals(home, submit(2, IDEMPOTENT_CLASS, 1, 77, 1000));
+    assertEquals(reader, submit(2, IDEMPOTENT_CLASS, 1, 77, 1000));
     now += 100_000;
-    endAttempt(1, 0, home, AttemptOutcome.PROMPT_READ, false);
+    endAttempt(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
     now += 2 * SECOND;
     host.actions.clear();
     control.timerFired(now, RequestTimer.ATTEMPT_TIMEOUT.token(2));
--- a/policy/src/test/java/lemondock/policy/ControlFixture.java
+++ b/policy/src/test/java/lemondock/policy/ControlFixture.java
@@ -48,7 +48,15 @@
   void endAttempt(long id, int attempt, long server, AttemptOutcome outcome, boolean requestEnded) {
     host.actions.clear();
     control.attemptEnded(
-        now, new AttemptResult(id, attempt, server, outcome, 50_000, requestEnded, 0, false));
+        now,
+        AttemptResult.builder()
+            .requestId(id)
+            .attempt(attempt)
+            .serverId(server)
+            .outcome(outcome)
+            .elapsedMicros(50_000)
+            .requestEnded(requestEnded)
+            .build());
   }
 
   /** A whole request served: read, written, streamed. */
--- a/policy/src/test/java/lemondock/policy/ControlTest.java
+++ b/policy/src/test/java/lemondock/policy/ControlTest.java
@@ -14,9 +14,9 @@
 import lemondock.policy.RecordingHost.Action;
 import org.junit.jupiter.api.Test;
 
-/** The order of work: shutdown, unknown requests and contradicting settings. */
+/** The order of work: shutdown, unknown requests and input that cannot be used. */
 class ControlTest extends ControlFixture {
-  /** The longest answer: 4 s of patience, then 200 tokens of 60 ms. */
+  /** The longest answer: 4 s until the client's timeout, then 200 tokens of 60 ms. */
   @Test
   void aGatewayThatShutsDownTakesOnlyWhatEndsBeforeItMayBeKilled() {
     startSmallFleet();
@@ -47,11 +47,11 @@
     control.shutdownStarted(now, now + 3 * SECOND);
     List<Action> timers = host.actionsNamed("timer");
     assertTrue(
-        timers.stream().allMatch(t -> t.value() > 0 && t.value() < 3 * SECOND),
+        timers.stream().allMatch(timer -> timer.value() > 0 && timer.value() < 3 * SECOND),
         "before the kill, but not at once: " + timers);
     host.actions.clear();
     now += 3 * SECOND - Control.SHUTDOWN_MARGIN_MICROS;
-    timers.forEach(t -> control.timerFired(now, t.id()));
+    timers.forEach(timer -> control.timerFired(now, timer.id()));
     assertEquals(
         List.of(1L, 2L),
         host.actionsNamed("fail").stream().map(Action::id).sorted().toList(),
@@ -76,10 +76,23 @@
 
   @Test
   void contradictingSettingsAreNamed() {
-    RouterSettings s = RecordingHost.settings(0, true);
-    assertTrue(
-        assertThrows(IllegalArgumentException.class, () -> new Control(s, 1, host))
-            .getMessage()
-            .contains("attempt"));
+    RouterSettings settings = RecordingHost.settings(0, true);
+    InvalidRouterInputException invalid =
+        assertThrows(InvalidRouterInputException.class, () -> new Control(settings, 1, host));
+    assertTrue(invalid.getMessage().contains("attempt"));
+    assertEquals("limits.maxAttempts", invalid.field());
+    assertEquals("0", invalid.value());
+  }
+
+  @Test
+  void aServerOfAnUnknownKindIsNamed() {
+    List<ServerEntry> servers = List.of(RecordingHost.readyServer(8, 99, 0));
+    InvalidRouterInputException invalid =
+        assertThrows(
+            InvalidRouterInputException.class,
+            () -> control.endpointsChanged(now, EndpointListKind.CHANGES, servers));
+    assertEquals("server of an unknown kind", invalid.getMessage());
+    assertEquals("entries[id=8].kind", invalid.field());
+    assertEquals("99", invalid.value());
   }
 }
--- a/policy/src/test/java/lemondock/policy/ReaderSelectorTest.java
+++ b/policy/src/test/java/lemondock/policy/ReaderSelectorTest.java
@@ -18,25 +18,25 @@
   @Test
   void aSessionReturnsToItsReaderAndAPrefixHasOnePrimary() {
     startSmallFleet();
-    Set<Long> homes = new HashSet<>();
+    Set<Long> readers = new HashSet<>();
     for (int i = 0; i < 6; i++) {
-      homes.add(serveRequest(i, 500 + i, 77, 2000));
+      readers.add(serveRequest(i, 500 + i, 77, 2000));
     }
-    assertEquals(1, homes.size(), "one prefix is read at one reader");
+    assertEquals(1, readers.size(), "one prefix is read at one reader");
     assertEquals(
-        homes.iterator().next(),
+        readers.iterator().next(),
         serveRequest(10, 500, 99, 2500),
-        "the table comes before the hash");
+        "the session table comes before the hash");
   }
 
   @Test
   void prefixesSpreadOverTheReaders() {
     startSmallFleet();
-    Set<Long> homes = new HashSet<>();
+    Set<Long> readers = new HashSet<>();
     for (int i = 0; i < 12; i++) {
-      homes.add(serveRequest(i, 500 + i, 1000 + i, 2000));
+      readers.add(serveRequest(i, 500 + i, 1000 + i, 2000));
     }
-    assertEquals(Set.of(1L, 2L), homes);
+    assertEquals(Set.of(1L, 2L), readers);
   }
 
   @Test
@@ -48,7 +48,7 @@
       other = serveRequest(100 + prefix, 900 + prefix, prefix, 2000);
       if (other != first) {
         now += SessionTable.TTL_MICROS + SECOND;
-        control.timerFired(now, 2);
+        control.timerFired(now, RequestTimer.REAP_SESSIONS.token());
         assertEquals(other, submit(5000, IDEMPOTENT_CLASS, 500, prefix, 2500));
       }
     }
@@ -73,7 +73,7 @@
 
   /**
    * Found on a quiet day at size: sessions come to ever other gateways, so only an equal choice
-   * meets their text.
+   * finds their prompts cached.
    */
   @Test
   void gatewaysAgreeOnASessionsPrimaryWithoutHavingSeenIt() {
@@ -81,7 +81,7 @@
     for (int i = 0; i < large.length; i++) {
       large[i] = readyServer(1 + i, i < 30 ? READER : WRITER, i % 8);
     }
-    Set<Long> homesOfThePrefix = new HashSet<>();
+    Set<Long> primariesOfThePrefix = new HashSet<>();
     for (int session = 1; session <= 30; session++) {
       control = new Control(RecordingHost.settings(4, true), 7, host);
       startFleet(large);
@@ -89,16 +89,16 @@
       control = new Control(RecordingHost.settings(4, true), 1000 + session, host);
       startFleet(large);
       assertEquals(one, submit(session, IDEMPOTENT_CLASS, session, 77, 3000));
-      homesOfThePrefix.add(one);
+      primariesOfThePrefix.add(one);
     }
     assertTrue(
-        homesOfThePrefix.size() > 1 && homesOfThePrefix.size() <= 4,
-        homesOfThePrefix + " are the homes");
+        primariesOfThePrefix.size() > 1 && primariesOfThePrefix.size() <= 4,
+        primariesOfThePrefix + " are the primaries");
   }
 
   /**
-   * Reads in place slow a mixed server's answers; at size each is seen too rarely, so its like
-   * tell.
+   * Reads in place slow a mixed server's answers; in a large fleet each server is seen too rarely,
+   * so the statistics of its role count.
    */
   @Test
   void mixedServersThatStreamTooSlowlyGetNoMoreReadsInPlace() {
@@ -110,15 +110,22 @@
         readyServer(11, WRITER, 0));
     int inPlace = 0;
     for (int i = 1; i < 200; i++) {
-      long s = submit(i, IDEMPOTENT_CLASS, i, 0, 200);
-      if (s == 1) {
+      long server = submit(i, IDEMPOTENT_CLASS, i, 0, 200);
+      if (server == 1) {
         control.clientDisconnected(now, i);
-        endAttempt(i, 0, s, AttemptOutcome.CANCELLED, true);
+        endAttempt(i, 0, server, AttemptOutcome.CANCELLED, true);
       } else {
         inPlace += i > 150 ? 1 : 0;
-        control.firstToken(now, i, 0, s, 20_000);
+        control.firstToken(now, i, 0, server, 20_000);
         control.attemptEnded(
-            now, new AttemptResult(i, 0, s, AttemptOutcome.OK, 15 * SECOND, true, 0, false));
+            now,
+            AttemptResult.builder()
+                .requestId(i)
+                .serverId(server)
+                .outcome(AttemptOutcome.OK)
+                .elapsedMicros(15 * SECOND)
+                .requestEnded(true)
+                .build());
       }
       now += 10_000;
     }
--- a/policy/src/test/java/lemondock/policy/ReadmeExampleTest.java
+++ b/policy/src/test/java/lemondock/policy/ReadmeExampleTest.java
@@ -23,10 +23,24 @@
     router.requestArrived(
         now, RecordingHost.newRequest(7, RecordingHost.IDEMPOTENT_CLASS, 5, 0, 900));
     router.attemptEnded(
-        now + 1000, new AttemptResult(7, 0, 1, AttemptOutcome.PROMPT_READ, 1000, false, 0, false));
+        now + 1000,
+        AttemptResult.builder()
+            .requestId(7)
+            .serverId(1)
+            .outcome(AttemptOutcome.PROMPT_READ)
+            .elapsedMicros(1000)
+            .build());
     router.firstToken(now + 2000, 7, 1, 2, 1000);
     router.attemptEnded(
-        now + 3000, new AttemptResult(7, 1, 2, AttemptOutcome.OK, 2000, true, 0, false));
+        now + 3000,
+        AttemptResult.builder()
+            .requestId(7)
+            .attempt(1)
+            .serverId(2)
+            .outcome(AttemptOutcome.OK)
+            .elapsedMicros(2000)
+            .requestEnded(true)
+            .build());
     assertEquals(
         List.of(1L, 2L),
         host.actionsNamed("send").stream().map(RecordingHost.Action::server).toList());
--- a/policy/src/test/java/lemondock/policy/RecordingHost.java
+++ b/policy/src/test/java/lemondock/policy/RecordingHost.java
@@ -78,57 +78,77 @@
   }
 
   static RouterSettings settings(int maxAttempts, boolean cancel, int gateways) {
-    return new RouterSettings(
-        0,
-        gateways,
-        0,
-        2_000,
-        List.of(
-            new RequestClass(
-                SECOND,
-                40_000,
-                5 * SECOND,
-                1,
-                0.2,
-                Idempotency.IDEMPOTENT,
-                DeduplicationScope.ALL,
-                0,
-                60_000),
-            new RequestClass(
-                SECOND,
-                40_000,
-                5 * SECOND,
-                2,
-                0.2,
-                Idempotency.NON_IDEMPOTENT,
-                DeduplicationScope.ALL,
-                0,
-                60_000),
-            new RequestClass(
-                SECOND,
-                40_000,
-                5 * SECOND,
-                2,
-                0.2,
-                Idempotency.IDEMPOTENCY_KEY,
-                DeduplicationScope.CELL,
-                SECOND,
-                60_000)),
-        List.of(new Tenant(20), new Tenant(5)),
-        List.of(
-            new ServerKind(ServerRole.READER, 200_000),
-            new ServerKind(ServerRole.WRITER, 150_000),
-            new ServerKind(ServerRole.MIXED, 200_000)),
-        new DeploymentLimits(
-            maxAttempts, cancel, false, false, false, true, SECOND, 250_000, false),
-        new ServiceRules(8_000, 250_000, 0.3, 12 * SECOND, 2.5, 2 * SECOND, 300_000),
-        false,
-        false);
+    return RouterSettings.builder()
+        .gatewayCount(gateways)
+        .timerResolutionMicros(2_000)
+        .classes(
+            List.of(
+                RequestClass.builder()
+                    .latencyObjectiveMicros(SECOND)
+                    .objectiveMicrosPerThousandTokens(40_000)
+                    .deadlineMicros(5 * SECOND)
+                    .priorityWeight(1)
+                    .latePriorityWeight(0.2)
+                    .idempotency(Idempotency.IDEMPOTENT)
+                    .tokenIntervalObjectiveMicros(60_000)
+                    .build(),
+                RequestClass.builder()
+                    .latencyObjectiveMicros(SECOND)
+                    .objectiveMicrosPerThousandTokens(40_000)
+                    .deadlineMicros(5 * SECOND)
+                    .priorityWeight(2)
+                    .latePriorityWeight(0.2)
+                    .idempotency(Idempotency.NON_IDEMPOTENT)
+                    .tokenIntervalObjectiveMicros(60_000)
+                    .build(),
+                RequestClass.builder()
+                    .latencyObjectiveMicros(SECOND)
+                    .objectiveMicrosPerThousandTokens(40_000)
+                    .deadlineMicros(5 * SECOND)
+                    .priorityWeight(2)
+                    .latePriorityWeight(0.2)
+                    .idempotency(Idempotency.IDEMPOTENCY_KEY)
+                    .deduplicationScope(DeduplicationScope.CELL)
+                    .deduplicationWindowMicros(SECOND)
+                    .tokenIntervalObjectiveMicros(60_000)
+                    .build()))
+        .tenants(List.of(new Tenant(20), new Tenant(5)))
+        .serverKinds(
+            List.of(
+                new ServerKind(ServerRole.READER, 200_000),
+                new ServerKind(ServerRole.WRITER, 150_000),
+                new ServerKind(ServerRole.MIXED, 200_000)))
+        .limits(
+            DeploymentLimits.builder()
+                .maxAttempts(maxAttempts)
+                .mayCancel(cancel)
+                .sendsRetryAfter(true)
+                .maxRetryAfterMicros(SECOND)
+                .connectTimeoutMicros(250_000)
+                .build())
+        .rules(
+            ServiceRules.builder()
+                .answerSlackMicros(8_000)
+                .drainGraceMicros(250_000)
+                .slowStartInitialShare(0.3)
+                .slowStartMicros(12 * SECOND)
+                .overloadFactor(2.5)
+                .overloadWindowMicros(2 * SECOND)
+                .releaseWithinMicros(300_000)
+                .build())
+        .build();
   }
 
   static ServerEntry newServer(
       long id, int kind, int cell, ServerLifecycle lifecycle, long startedAtMicros) {
-    return new ServerEntry(id, cell / 2, kind, cell, lifecycle, 1, startedAtMicros);
+    return ServerEntry.builder()
+        .id(id)
+        .zone(cell / 2)
+        .kind(kind)
+        .cell(cell)
+        .lifecycle(lifecycle)
+        .startedAtMicros(startedAtMicros)
+        .build();
   }
 
   static ServerEntry readyServer(long id, int kind, int cell) {
@@ -137,18 +157,15 @@
 
   static RoutingRequest newRequest(
       long id, int classId, long session, long prefix, int promptTokens) {
-    return new RoutingRequest(
-        id,
-        classId,
-        0,
-        session,
-        prefix,
-        promptTokens,
-        prefix == 0 ? 0 : promptTokens * 3 / 4,
-        200,
-        4 * SECOND,
-        0,
-        false,
-        false);
+    return RoutingRequest.builder()
+        .id(id)
+        .classId(classId)
+        .sessionId(session)
+        .prefixId(prefix)
+        .promptTokens(promptTokens)
+        .prefixTokens(prefix == 0 ? 0 : promptTokens * 3 / 4)
+        .maxAnswerTokens(200)
+        .clientTimeoutMicros(4 * SECOND)
+        .build();
   }
 }
--- a/policy/src/test/java/lemondock/policy/RulesTest.java
+++ b/policy/src/test/java/lemondock/policy/RulesTest.java
@@ -1,19 +1,22 @@
 package lemondock.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.EnumSet;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.Random;
+import java.util.Set;
 import lemondock.policy.RecordingHost.Action;
 import org.junit.jupiter.api.Test;
 
-/** Random but legal events, rare orders among them, against the five rules. */
+/** Random but legal events, rare orders among them, checked against the five rules. */
 class RulesTest {
   private static final int RUNS = 60;
   private static final int STEPS = 1500;
@@ -21,27 +24,52 @@
   private static final int LARGE_FLEET = 80;
   private static final int MANY_GATEWAYS = 200;
 
-  /** One attempt as the world sees it. */
+  /** Outcomes of a write that prove that it had no effect. */
+  private static final Set<AttemptOutcome> HARMLESS =
+      EnumSet.of(
+          AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.PROMPT_READ);
+
+  /** One attempt as the servers see it. */
   private static final class AttemptRecord {
-    long server;
-    boolean writes;
-    boolean started;
-    AttemptOutcome ended;
+    final long server;
+    final boolean writes;
+    boolean streaming;
+    Optional<AttemptOutcome> outcome = Optional.empty();
+
+    AttemptRecord(long server, boolean writes) {
+      this.server = server;
+      this.writes = writes;
+    }
   }
 
-  /** One request as the world sees it. */
+  /** One request as its client and the servers see it. */
   private static final class RequestRecord {
-    RoutingRequest request;
-    long deadline;
+    final RoutingRequest request;
+    final long deadlineMicros;
+    final List<AttemptRecord> attempts = new ArrayList<>();
     boolean ended;
     boolean stateHeld;
-    final List<AttemptRecord> attempts = new ArrayList<>();
+
+    RequestRecord(RoutingRequest request, long deadlineMicros) {
+      this.request = request;
+      this.deadlineMicros = deadlineMicros;
+    }
+
+    long id() {
+      return request.id();
+    }
 
     boolean hasNoAttemptInFlight() {
-      return attempts.stream().allMatch(t -> t.ended != null);
+      return attempts.stream().allMatch(attempt -> attempt.outcome.isPresent());
+    }
+
+    boolean isStreaming() {
+      return attempts.stream().anyMatch(attempt -> attempt.streaming);
     }
   }
 
+  private record Timer(long dueAtMicros, long token) {}
+
   private final class Simulation {
     final Random random;
     final RouterSettings settings;
@@ -49,8 +77,8 @@
     final Control control;
     final Map<Long, ServerEntry> servers = new HashMap<>();
     final Map<Long, RequestRecord> requests = new HashMap<>();
-    final PriorityQueue<long[]> timers =
-        new PriorityQueue<>((request, b) -> Long.compare(request[0], b[0]));
+    final PriorityQueue<Timer> timers =
+        new PriorityQueue<>(Comparator.comparingLong(Timer::dueAtMicros));
     final List<Action> trace = new ArrayList<>();
     final Map<Long, List<Long>> slowStartSends = new HashMap<>();
     long now = 50 * RecordingHost.SECOND;
@@ -61,9 +89,7 @@
       this(seed, 0, 2);
     }
 
-    /**
-     * A world with so many servers (0: four to nine) and so many gateways, of which this is one.
-     */
+    /** A fleet of so many servers (0: four to nine) and so many gateways, of which this is one. */
     Simulation(long seed, int size, int gateways) {
       random = new Random(seed);
       settings = RecordingHost.settings(2 + random.nextInt(4), random.nextBoolean(), gateways);
@@ -87,10 +113,6 @@
       for (int i = 0; i < STEPS; i++) {
         step();
       }
-      List<ServerEntry> gone =
-          servers.values().stream()
-              .sorted((request, b) -> Long.compare(request.id(), b.id()))
-              .toList();
       now += 1000;
       while (!requests.isEmpty()
           && requests.values().stream()
@@ -99,20 +121,19 @@
         fireDueTimers();
         requests.values().stream()
             .filter(request -> !request.hasNoAttemptInFlight())
-            .sorted(this::byId)
+            .sorted(Comparator.comparingLong(RequestRecord::id))
             .toList()
             .forEach(this::finishOne);
       }
-      assertNotNull(gone);
       requests
           .values()
           .forEach(
               request ->
-                  assertTrue(request.ended && !request.stateHeld, "left pinned or unanswered"));
-    }
-
-    int byId(RequestRecord request, RequestRecord b) {
-      return Long.compare(request.request.id(), b.request.id());
+                  assertTrue(
+                      request.ended && !request.stateHeld, "left with a held state or unanswered"));
+      assertTrue(
+          requests.values().stream().allMatch(RequestRecord::hasNoAttemptInFlight),
+          "left with an attempt in flight");
     }
 
     void step() {
@@ -126,47 +147,44 @@
       } else if (event < 93) {
         anyWithAttemptInFlight().ifPresent(this::leave);
       } else {
-        change();
+        changeOneServer();
       }
     }
 
-    java.util.Optional<RequestRecord> anyWithAttemptInFlight() {
+    Optional<RequestRecord> anyWithAttemptInFlight() {
       List<RequestRecord> open =
           requests.values().stream()
               .filter(request -> !request.hasNoAttemptInFlight())
-              .sorted(this::byId)
+              .sorted(Comparator.comparingLong(RequestRecord::id))
               .toList();
-      return open.isEmpty()
-          ? java.util.Optional.empty()
-          : java.util.Optional.of(open.get(random.nextInt(open.size())));
+      return open.isEmpty() ? Optional.empty() : Optional.of(open.get(random.nextInt(open.size())));
     }
 
     void submitRequest() {
-      RequestRecord request = new RequestRecord();
-      request.request =
+      RoutingRequest attributes =
           RecordingHost.newRequest(
               nextId++,
               random.nextInt(3),
               1 + random.nextInt(20),
               random.nextInt(5),
               200 + random.nextInt(4000));
-      request.deadline = now + request.request.clientTimeoutMicros();
-      requests.put(request.request.id(), request);
-      control.requestArrived(now, request.request);
+      requests.put(
+          attributes.id(), new RequestRecord(attributes, now + attributes.clientTimeoutMicros()));
+      control.requestArrived(now, attributes);
       check();
     }
 
     void leave(RequestRecord request) {
-      if (!request.ended && request.attempts.stream().noneMatch(attempt -> attempt.started)) {
+      if (!request.ended && !request.isStreaming()) {
         request.ended = true;
-        control.clientDisconnected(now, request.request.id());
+        control.clientDisconnected(now, request.id());
         check();
       }
     }
 
     void fireDueTimers() {
-      while (!timers.isEmpty() && timers.peek()[0] <= now) {
-        control.timerFired(now, timers.poll()[1]);
+      while (!timers.isEmpty() && timers.peek().dueAtMicros() <= now) {
+        control.timerFired(now, timers.poll().token());
         check();
       }
       requests
@@ -174,17 +192,18 @@
           .forEach(
               request ->
                   assertTrue(
-                      request.ended
-                          || request.attempts.stream().anyMatch(attempt -> attempt.started)
-                          || now
-                              <= request.deadline + settings.rules().answerSlackMicros() + 20_000,
+                      request.ended || request.isStreaming() || now <= latestAnswerAt(request),
                       "unanswered after its deadline"));
     }
 
+    long latestAnswerAt(RequestRecord request) {
+      return request.deadlineMicros + settings.rules().answerSlackMicros() + 20_000;
+    }
+
     void finishOne(RequestRecord request) {
       for (int i = 0; i < request.attempts.size(); i++) {
         AttemptRecord attempt = request.attempts.get(i);
-        if (attempt.ended == null) {
+        if (attempt.outcome.isEmpty()) {
           finish(request, i, attempt);
           return;
         }
@@ -192,7 +211,7 @@
     }
 
     void finish(RequestRecord request, int number, AttemptRecord attempt) {
-      if (attempt.started) {
+      if (attempt.streaming) {
         end(
             request,
             number,
@@ -201,14 +220,14 @@
             true);
         return;
       }
-      int luck = random.nextInt(20);
-      if (luck < 13 && !attempt.writes) {
+      int draw = random.nextInt(20);
+      if (draw < 13 && !attempt.writes) {
         request.stateHeld = true;
         end(request, number, attempt, AttemptOutcome.PROMPT_READ, request.ended);
-      } else if (luck < 13 && !request.ended) {
-        attempt.started = true;
+      } else if (draw < 13 && !request.ended) {
+        attempt.streaming = true;
         request.stateHeld = false;
-        control.firstToken(now, request.request.id(), number, attempt.server, 10_000);
+        control.firstToken(now, request.id(), number, attempt.server, 10_000);
         check();
       } else {
         AttemptOutcome[] bad = {
@@ -229,22 +248,28 @@
         AttemptRecord attempt,
         AttemptOutcome outcome,
         boolean last) {
-      attempt.ended = outcome;
+      attempt.outcome = Optional.of(outcome);
       request.ended |= last;
       control.attemptEnded(
           now,
-          new AttemptResult(
-              request.request.id(), number, attempt.server, outcome, 20_000, last, 0, false));
+          AttemptResult.builder()
+              .requestId(request.id())
+              .attempt(number)
+              .serverId(attempt.server)
+              .outcome(outcome)
+              .elapsedMicros(20_000)
+              .requestEnded(last)
+              .build());
       check();
       assertTrue(
           !request.stateHeld || !request.hasNoAttemptInFlight(),
           "a state is held and no attempt is out");
     }
 
-    void change() {
+    void changeOneServer() {
       long id = 100 + random.nextInt(Math.max(10, fleet));
       ServerEntry old = servers.get(id);
-      ServerLifecycle standing = ServerLifecycle.values()[random.nextInt(3)];
+      ServerLifecycle lifecycle = ServerLifecycle.values()[random.nextInt(3)];
       boolean restart = old == null || random.nextInt(3) == 0;
       changeEndpoints(
           EndpointListKind.CHANGES,
@@ -253,7 +278,7 @@
                   id,
                   (int) ((id - 100) % 3),
                   old == null ? 1 : old.cell(),
-                  standing,
+                  lifecycle,
                   restart ? now : old.startedAtMicros())));
     }
 
@@ -262,7 +287,7 @@
       trace.addAll(done);
       for (Action action : done) {
         if (action.name().equals("timer")) {
-          timers.add(new long[] {now + Math.max(1, action.value()), action.id()});
+          timers.add(new Timer(now + Math.max(1, action.value()), action.id()));
         } else if (action.name().equals("send")) {
           sent(requests.get(action.id()), action);
         } else if (action.name().equals("release")) {
@@ -280,51 +305,46 @@
       ServerEntry server = servers.get(action.server());
       assertEquals(ServerLifecycle.READY, server.lifecycle(), "sent to a server that is not ready");
       assertTrue(maySend(request, server), "a second effect");
-      AttemptRecord attempt = new AttemptRecord();
-      attempt.server = server.id();
-      attempt.writes = server.kind() != RecordingHost.READER;
-      request.attempts.add(attempt);
+      request.attempts.add(new AttemptRecord(server.id(), server.kind() != RecordingHost.READER));
       checkSlowStart(server);
     }
 
     boolean mayHaveRun(AttemptRecord attempt) {
-      return attempt.writes
-          && attempt.ended != AttemptOutcome.REJECTED
-          && attempt.ended != AttemptOutcome.CONNECT_FAILED
-          && attempt.ended != AttemptOutcome.PROMPT_READ;
+      return attempt.writes && !attempt.outcome.map(HARMLESS::contains).orElse(false);
     }
 
     boolean maySend(RequestRecord request, ServerEntry server) {
-      Idempotency repeat = settings.classes().get(request.request.classId()).idempotency();
-      return repeat == Idempotency.IDEMPOTENT
+      Idempotency idempotency = settings.classes().get(request.request.classId()).idempotency();
+      return idempotency == Idempotency.IDEMPOTENT
           || request.attempts.stream()
               .filter(this::mayHaveRun)
               .allMatch(
                   attempt ->
-                      repeat == Idempotency.IDEMPOTENCY_KEY
+                      idempotency == Idempotency.IDEMPOTENCY_KEY
                           && servers.get(attempt.server).cell() == server.cell());
     }
 
     void answered(RequestRecord request, String answer) {
       assertTrue(!request.ended, "answered twice");
       request.ended = true;
-      Idempotency repeat = settings.classes().get(request.request.classId()).idempotency();
+      Idempotency idempotency = settings.classes().get(request.request.classId()).idempotency();
       assertTrue(
           answer.equals("fail")
-              || repeat == Idempotency.IDEMPOTENT
+              || idempotency == Idempotency.IDEMPOTENT
               || request.attempts.stream().noneMatch(this::mayHaveRun),
-          "refused though it may have run");
+          "rejected though it may have run");
     }
 
-    /** At 50 requests a second over all, a cold server never gets an even share of them all. */
+    /** At 50 requests a second, a server in slow start never gets an even share of them. */
     void checkSlowStart(ServerEntry server) {
       if (server.startedAtMicros() > 0
           && now - server.startedAtMicros() < settings.rules().slowStartMicros()) {
-        List<Long> sends = slowStartSends.computeIfAbsent(server.id(), x -> new ArrayList<>());
+        List<Long> sends = slowStartSends.computeIfAbsent(server.id(), id -> new ArrayList<>());
         sends.add(now);
         long window = settings.rules().overloadWindowMicros();
         sends.removeIf(at -> now - at > window);
-        assertTrue(sends.size() < 100, "cold server got " + sends.size() + " in a window");
+        assertTrue(
+            sends.size() < 100, "a server in slow start got " + sends.size() + " in a window");
       }
     }
   }
@@ -342,7 +362,7 @@
 
   /**
    * A gateway of two hundred, with eighty servers that come and go: the same rules, and its part of
-   * a cold one.
+   * what a server in slow start bears.
    */
   @Test
   void theRulesHoldInALargeFleetWithManyGateways() {
--- a/policy/src/test/java/lemondock/policy/ServerEligibilityTest.java
+++ b/policy/src/test/java/lemondock/policy/ServerEligibilityTest.java
@@ -19,12 +19,12 @@
   @Test
   void nothingGoesToADrainingServer() {
     startSmallFleet();
-    long home = serveRequest(1, 500, 77, 2000);
+    long reader = serveRequest(1, 500, 77, 2000);
     control.endpointsChanged(
         now,
         EndpointListKind.CHANGES,
-        List.of(newServer(home, READER, 0, ServerLifecycle.DRAINING, 0)));
-    assertNotEquals(home, submit(2, IDEMPOTENT_CLASS, 500, 77, 2500));
+        List.of(newServer(reader, READER, 0, ServerLifecycle.DRAINING, 0)));
+    assertNotEquals(reader, submit(2, IDEMPOTENT_CLASS, 500, 77, 2500));
   }
 
   @Test
@@ -42,73 +42,73 @@
   @Test
   void aFailingReaderLosesItsSessions() {
     startSmallFleet();
-    long home = serveRequest(1, 500, 77, 2000);
+    long reader = serveRequest(1, 500, 77, 2000);
     submit(2, IDEMPOTENT_CLASS, 500, 77, 2000);
-    endAttempt(2, 0, home, AttemptOutcome.ERROR, false);
-    assertNotEquals(home, lastSentTo(), "the further attempt goes elsewhere");
+    endAttempt(2, 0, reader, AttemptOutcome.ERROR, false);
+    assertNotEquals(reader, lastSentTo(), "the retry goes elsewhere");
     submit(3, IDEMPOTENT_CLASS, 500, 77, 2000);
-    endAttempt(3, 0, home, AttemptOutcome.ERROR, false);
+    endAttempt(3, 0, reader, AttemptOutcome.ERROR, false);
     assertNotEquals(
-        home, submit(9, IDEMPOTENT_CLASS, 500, 77, 2000), "two failures in a row make a suspect");
+        reader, submit(9, IDEMPOTENT_CLASS, 500, 77, 2000), "two failures in a row eject a server");
   }
 
   @Test
   void aSilentReaderLosesItsSessionsBeforeAnyOutcome() {
     startSmallFleet();
-    final long home = serveRequest(1, 500, 77, 2000);
+    final long reader = serveRequest(1, 500, 77, 2000);
     now += SECOND;
     submit(2, IDEMPOTENT_CLASS, 500, 77, 2000);
     now += 2 * SECOND;
-    assertNotEquals(home, submit(3, IDEMPOTENT_CLASS, 500, 77, 2000));
+    assertNotEquals(reader, submit(3, IDEMPOTENT_CLASS, 500, 77, 2000));
   }
 
   @Test
   void whereEveryServerIsEjectedOneIsStillChosen() {
     startSmallFleet();
     for (int i = 1; i < 9; i++) {
-      long s = submit(i, IDEMPOTENT_CLASS, i, i, 1000);
-      endAttempt(i, 0, s, AttemptOutcome.ERROR, false);
+      long server = submit(i, IDEMPOTENT_CLASS, i, i, 1000);
+      endAttempt(i, 0, server, AttemptOutcome.ERROR, false);
     }
     assertNotEquals(0, submit(99, IDEMPOTENT_CLASS, 99, 99, 1000));
   }
 
   /**
-   * Why a breaker reopens: failures fade with time alone, so that a server that was passed over is
-   * tried again.
+   * Why an ejected server comes back: failures fade with time alone, so that one that was passed
+   * over is tried again.
    */
   @Test
   void anEjectedServerIsTriedAgainOnceItsFailuresHaveDecayed() {
     startSmallFleet();
-    long home = serveRequest(1, 500, 77, 2000);
+    long reader = serveRequest(1, 500, 77, 2000);
     for (long id = 2; id < 4; id++) {
       submit(id, IDEMPOTENT_CLASS, 500, 77, 2000);
-      endAttempt(id, 0, home, AttemptOutcome.ERROR, false);
+      endAttempt(id, 0, reader, AttemptOutcome.ERROR, false);
     }
-    assertNotEquals(home, submit(9, IDEMPOTENT_CLASS, 0, 77, 2000));
-    now += 4 * OutlierDetector.SCORE_DECAY_MICROS;
-    assertEquals(home, submit(10, IDEMPOTENT_CLASS, 0, 77, 2000), "the prefix's home again");
+    assertNotEquals(reader, submit(9, IDEMPOTENT_CLASS, 0, 77, 2000));
+    now += 4 * OutlierDetector.SCORE_LIFE_MICROS;
+    assertEquals(reader, submit(10, IDEMPOTENT_CLASS, 0, 77, 2000), "the prefix's reader again");
   }
 
   @Test
   void aReaderInSlowStartGetsOnlyItsPart() {
-    long cold = 5;
+    long warmingUp = 5;
     startFleet(
         readyServer(1, READER, 0),
         readyServer(2, READER, 0),
         readyServer(11, WRITER, 0),
-        newServer(cold, READER, 0, ServerLifecycle.READY, now - 1000));
-    List<Long> to = new ArrayList<>();
+        newServer(warmingUp, READER, 0, ServerLifecycle.READY, now - 1000));
+    List<Long> sentTo = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
       now += 5_000;
-      to.add(serveRead(i));
+      sentTo.add(serveRead(i));
     }
-    long coldSends = to.stream().filter(s -> s == cold).count();
-    assertTrue(coldSends > 0 && coldSends < 200 / 3 * 0.75, "cold server got " + coldSends);
+    long sends = sentTo.stream().filter(server -> server == warmingUp).count();
+    assertTrue(sends > 0 && sends < 200 / 3 * 0.75, "the server in slow start got " + sends);
   }
 
   /**
-   * A cold server is told to all gateways at once; one request from each of a hundred would push it
-   * over.
+   * A server in slow start is listed to all gateways at once; one request from each of a hundred
+   * would push it over.
    */
   @Test
   void aHundredGatewaysTogetherSpareAServerInSlowStart() {
@@ -128,6 +128,7 @@
       }
     }
     assertTrue(atOnce < 5, atOnce + " of 100 gateways sent at once");
-    assertTrue(later > 100 && later < 1900 / 3, "cold server got " + later + " of 1900");
+    assertTrue(
+        later > 100 && later < 1900 / 3, "the server in slow start got " + later + " of 1900");
   }
 }
--- a/policy/src/test/java/lemondock/policy/StateReleasePolicyTest.java
+++ b/policy/src/test/java/lemondock/policy/StateReleasePolicyTest.java
@@ -41,7 +41,7 @@
     endAttempt(1, 2, writer, AttemptOutcome.CONNECT_FAILED, false);
     assertEquals(1, host.actionsNamed("release").size());
     assertTrue(
-        host.actionsNamed("send").stream().noneMatch(a -> a.server() >= 11),
+        host.actionsNamed("send").stream().noneMatch(send -> send.server() >= 11),
         "a write without a state");
     assertEquals(
         1,
@@ -54,10 +54,10 @@
    */
   @Test
   void aStateIsReleasedInTimeThoughItsWriteIsOut() {
-    for (int cls : List.of(IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS)) {
+    for (int classId : List.of(IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS)) {
       control = new Control(RecordingHost.settings(4, true), 7, host);
       startSmallFleet();
-      long reader = submit(1, cls, 1, 77, 500);
+      long reader = submit(1, classId, 1, 77, 500);
       now += 20_000;
       endAttempt(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
       long writer = lastSentTo();
@@ -68,13 +68,10 @@
       assertEquals(
           List.of("release"),
           actionNames(),
-          "nothing is called off: the write may wait at its server");
+          "nothing is cancelled: the write may wait at its server");
       now += RELEASE_WITHIN_MICROS;
       fireReleaseTimer();
-      assertEquals(
-          List.of("release"),
-          actionNames(),
-          "it may have waited, and have ended without our hearing of it");
+      assertEquals(List.of("release"), actionNames(), "it may have waited, and have ended unheard");
       control.firstToken(now, 1, 1, writer, 2 * RELEASE_WITHIN_MICROS);
       fireReleaseTimer();
       assertEquals(List.of(), actionNames());
@@ -87,10 +84,10 @@
    */
   @Test
   void aWriteThatComesAfterTheReleaseIsTriedAnew() {
-    for (int cls : List.of(IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS)) {
+    for (int classId : List.of(IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS)) {
       control = new Control(RecordingHost.settings(4, true), 7, host);
       startSmallFleet();
-      long reader = submit(1, cls, 1, 77, 500);
+      long reader = submit(1, classId, 1, 77, 500);
       endAttempt(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
       final long writer = lastSentTo();
       now += RELEASE_WITHIN_MICROS;
@@ -99,8 +96,14 @@
       host.actions.clear();
       control.attemptEnded(
           now,
-          new AttemptResult(
-              1, 1, writer, AttemptOutcome.REJECTED, RELEASE_WITHIN_MICROS, false, 0, true));
+          AttemptResult.builder()
+              .requestId(1)
+              .attempt(1)
+              .serverId(writer)
+              .outcome(AttemptOutcome.REJECTED)
+              .elapsedMicros(RELEASE_WITHIN_MICROS)
+              .stateMissing(true)
+              .build());
       assertTrue(lastSentTo() == 1 || lastSentTo() == 2, "read anew");
       assertTrue(host.actionsNamed("release").isEmpty(), "nothing is held any more");
     }
--- a/policy/src/test/java/lemondock/policy/WriterSelectorTest.java
+++ b/policy/src/test/java/lemondock/policy/WriterSelectorTest.java
@@ -69,15 +69,14 @@
       control.firstToken(now, i, 1, writer, 20_000);
       control.attemptEnded(
           now,
-          new AttemptResult(
-              i,
-              1,
-              writer,
-              AttemptOutcome.OK,
-              writer == slow ? 20 * SECOND : SECOND,
-              true,
-              0,
-              false));
+          AttemptResult.builder()
+              .requestId(i)
+              .attempt(1)
+              .serverId(writer)
+              .outcome(AttemptOutcome.OK)
+              .elapsedMicros(writer == slow ? 20 * SECOND : SECOND)
+              .requestEnded(true)
+              .build());
       now += 10_000;
     }
     for (int i = 100; i < 110; i++) {
