--- a/dispatch/src/main/java/lemondock/dispatch/AttemptLifecycle.java
+++ b/dispatch/src/main/java/lemondock/dispatch/AttemptLifecycle.java
@@ -52,7 +52,7 @@
   /** Sends a request to a server. {@code timeoutMicros} 0: without a time-out. */
   void send(InFlightRequest<P, S, C> request, long serverId, long timeoutMicros) {
     EngineAttempt<P, S, C> attempt = add(request, serverId);
-    if (request.ended || attempt.target.isEmpty()) {
+    if (request.hasEnded() || attempt.target().isEmpty()) {
       endOnNextTurn(
           attempt,
           AttemptEnd.of(
@@ -61,10 +61,13 @@
       return;
     }
     LOG.debug(
-        "request {}: attempt {} goes to {}", request.id, attempt.number, attempt.endpoint().name());
-    sendToEngine(attempt, attempt.target.get());
+        "request {}: attempt {} goes to {}",
+        request.id(),
+        attempt.number(),
+        attempt.endpoint().name());
+    sendToEngine(attempt, attempt.target().get());
     if (timeoutMicros > 0) {
-      attempt.timeout = loop.schedule(timeoutMicros, () -> timedOut(attempt));
+      attempt.setTimeout(loop.schedule(timeoutMicros, () -> timedOut(attempt)));
     }
   }
 
@@ -82,42 +85,42 @@
             serverId,
             target,
             new EngineAttempt.AttemptOrigin(idPrefix, loop.now(), stallMonitor.totalStallMicros()));
-    request.attempts.add(attempt);
-    request.attemptsInFlight++;
-    counters.attempts++;
+    request.addAttempt(attempt);
+    counters.attemptStarted();
     target.ifPresent(to -> metrics.attemptSent(to.role(), to.endpoint().zone()));
     return attempt;
   }
 
   private void sendToEngine(EngineAttempt<P, S, C> attempt, EngineAttempt.Target target) {
-    InFlightRequest<P, S, C> request = attempt.request;
+    InFlightRequest<P, S, C> request = attempt.request();
     Optional<ReservedState<S>> state = request.newestState();
     if (target.role() == ServerRole.READER) {
-      request.lastPrefill = attempt;
-      attempt.handle = engines.prefill(target.endpoint(), attempt.id, request.request, attempt);
+      request.setLastPrefill(attempt);
+      attempt.sentAs(
+          engines.prefill(target.endpoint(), attempt.id(), request.dispatched(), attempt));
     } else if (target.role() == ServerRole.WRITER && state.isEmpty()) {
       endOnNextTurn(
           attempt,
           new AttemptEnd(AttemptOutcome.REJECTED, 0, true, "there is no state to decode from"));
     } else {
-      attempt.state = state.orElse(null);
-      attempt.handle = startOutput(attempt, target.endpoint(), state);
-      if (request.outputPaused) {
-        attempt.handle.pause();
+      attempt.setDecodedState(state);
+      attempt.sentAs(startOutput(attempt, target.endpoint(), state));
+      if (request.isOutputPaused()) {
+        attempt.pause();
       }
     }
   }
 
   private AttemptHandle startOutput(
       EngineAttempt<P, S, C> attempt, Endpoint endpoint, Optional<ReservedState<S>> state) {
-    DispatchedRequest<P> request = attempt.request.request;
+    DispatchedRequest<P> request = attempt.request().dispatched();
     return state.isPresent()
-        ? engines.decode(endpoint, attempt.id, request, state.get().state(), attempt)
-        : engines.prefillAndDecode(endpoint, attempt.id, request, attempt);
+        ? engines.decode(endpoint, attempt.id(), request, state.get().state(), attempt)
+        : engines.prefillAndDecode(endpoint, attempt.id(), request, attempt);
   }
 
   private void timedOut(EngineAttempt<P, S, C> attempt) {
-    if (!attempt.ended && !attempt.isStreaming()) {
+    if (!attempt.hasEnded() && !attempt.isStreaming()) {
       abort(attempt);
       end(attempt, AttemptEnd.of(AttemptOutcome.TIMEOUT, "no answer in time"));
     }
@@ -125,12 +128,12 @@
 
   /** The router cancels an attempt; one whose output the client gets goes on. */
   void cancel(InFlightRequest<P, S, C> request, int number) {
-    if (number >= request.attempts.size()) {
+    if (number >= request.attempts().size()) {
       return;
     }
-    EngineAttempt<P, S, C> attempt = request.attempts.get(number);
-    if (!attempt.ended && !attempt.isStreaming() && !attempt.cancelled) {
-      attempt.cancelled = true;
+    EngineAttempt<P, S, C> attempt = request.attempts().get(number);
+    if (!attempt.hasEnded() && !attempt.isStreaming() && !attempt.isCancelled()) {
+      attempt.markCancelled();
       abort(attempt);
       endOnNextTurn(attempt, AttemptEnd.of(AttemptOutcome.CANCELLED, "cancelled"));
     }
@@ -138,23 +141,21 @@
 
   /** The client has cancelled the request whose output it got. */
   void cancelStream(EngineAttempt<P, S, C> attempt) {
-    attempt.handle.cancel();
+    attempt.cancelAtEngine();
     endOnNextTurn(
         attempt, AttemptEnd.of(AttemptOutcome.CANCELLED, "the client cancelled the request"));
   }
 
   /** Closes the connection; what a prefill may have reserved is released with it. */
   private void abort(EngineAttempt<P, S, C> attempt) {
-    if (attempt.handle != null) {
-      attempt.handle.cancel();
-      if (attempt.isPrefill()) {
-        releaseUncertain(attempt);
-      }
+    boolean sent = attempt.cancelAtEngine();
+    if (sent && attempt.isPrefill()) {
+      releaseUncertain(attempt);
     }
   }
 
   private void releaseUncertain(EngineAttempt<P, S, C> prefill) {
-    engines.releaseUncertain(prefill.endpoint(), prefill.id, prefill.request.request.prompt());
+    engines.releaseUncertain(prefill.endpoint(), prefill.id(), prefill.request().prompt());
   }
 
   /** The router asks to release what is reserved for the request and no attempt uses. */
@@ -163,29 +164,33 @@
   }
 
   void prefillCompleted(EngineAttempt<P, S, C> attempt, S state, int cachedTokens) {
-    if (attempt.ended) {
+    if (attempt.hasEnded()) {
       return;
     }
-    InFlightRequest<P, S, C> request = attempt.request;
+    InFlightRequest<P, S, C> request = attempt.request();
     Endpoint endpoint = attempt.endpoint();
-    states.reserved(request, new ReservedState<>(endpoint, attempt.id, state, loop.now()));
-    LOG.debug("request {}: state reserved at {}", request.id, endpoint.name());
+    states.reserved(request, new ReservedState<>(endpoint, attempt.id(), state, loop.now()));
+    LOG.debug("request {}: state reserved at {}", request.id(), endpoint.name());
     end(attempt, new AttemptEnd(AttemptOutcome.PROMPT_READ, cachedTokens, false, ""));
   }
 
   /** The first output of a request: from now on its client gets this attempt's output. */
   void firstTokenReceived(EngineAttempt<P, S, C> attempt) {
-    InFlightRequest<P, S, C> request = attempt.request;
-    request.streamingAttempt = attempt;
-    if (states.fetched(request, attempt.state)) {
-      LOG.debug("request {}: state fetched by {}", request.id, attempt.endpoint().name());
+    InFlightRequest<P, S, C> request = attempt.request();
+    request.beginStream(attempt);
+    if (attempt.decodedState().filter(state -> states.fetched(request, state)).isPresent()) {
+      LOG.debug("request {}: state fetched by {}", request.id(), attempt.endpoint().name());
     }
     states.supersedeAll(request);
     events.raise(
         request,
         (router, nowMicros) ->
             router.firstToken(
-                nowMicros, request.id, attempt.number, attempt.serverId, elapsedMicros(attempt)));
+                nowMicros,
+                request.id(),
+                attempt.number(),
+                attempt.serverId(),
+                elapsedMicros(attempt)));
   }
 
   /** Ends an attempt, but not within the event that led to it. */
@@ -195,26 +200,29 @@
 
   /** The one place where an attempt ends. */
   void end(EngineAttempt<P, S, C> attempt, AttemptEnd end) {
-    if (attempt.ended) {
+    if (attempt.hasEnded()) {
       return;
     }
-    InFlightRequest<P, S, C> request = attempt.request;
-    attempt.ended = true;
-    attempt.timeout.cancel();
-    request.attemptsInFlight--;
+    InFlightRequest<P, S, C> request = attempt.request();
+    attempt.markEnded();
+    request.attemptEnded();
     AttemptOutcome outcome = end.outcome();
     if (attempt.isPrefill()
         && (outcome == AttemptOutcome.RESET || outcome == AttemptOutcome.ERROR)) {
       releaseUncertain(attempt);
     }
-    attempt.target.ifPresent(
-        target -> metrics.attemptEnded(target.role(), target.endpoint().zone(), outcome));
+    attempt
+        .target()
+        .ifPresent(
+            target -> metrics.attemptEnded(target.role(), target.endpoint().zone(), outcome));
     boolean endsRequest = attempt.isStreaming() || outcome == AttemptOutcome.OK;
-    final boolean firstEnd = endsRequest && !request.ended;
-    request.ended |= endsRequest;
+    final boolean firstEnd = endsRequest && !request.hasEnded();
+    if (endsRequest) {
+      request.end();
+    }
     logUnlessSuccessful(attempt, end);
-    if (end.stateMissing() && attempt.state != null) {
-      states.missing(request, attempt.state);
+    if (end.stateMissing()) {
+      attempt.decodedState().ifPresent(state -> states.missing(request, state));
     }
     AttemptResult result = result(attempt, end);
     events.raise(request, (router, nowMicros) -> router.attemptEnded(nowMicros, result));
@@ -225,24 +233,25 @@
   }
 
   private AttemptResult result(EngineAttempt<P, S, C> attempt, AttemptEnd end) {
-    return new AttemptResult(
-        attempt.request.id,
-        attempt.number,
-        attempt.serverId,
-        end.outcome(),
-        elapsedMicros(attempt),
-        attempt.request.ended,
-        end.cachedTokens(),
-        end.stateMissing());
+    return AttemptResult.builder()
+        .requestId(attempt.request().id())
+        .attempt(attempt.number())
+        .serverId(attempt.serverId())
+        .outcome(end.outcome())
+        .elapsedMicros(elapsedMicros(attempt))
+        .requestEnded(attempt.request().hasEnded())
+        .cachedTokens(end.cachedTokens())
+        .stateMissing(end.stateMissing())
+        .build();
   }
 
   private void notifyListener(InFlightRequest<P, S, C> request, AttemptEnd end) {
     if (end.outcome() == AttemptOutcome.OK) {
-      counters.completed++;
-      request.listener.completed();
+      counters.requestCompleted();
+      request.listener().completed();
     } else {
-      counters.interrupted++;
-      request.listener.interrupted(end.cause());
+      counters.requestInterrupted();
+      request.listener().interrupted(end.cause());
     }
   }
 
@@ -252,8 +261,9 @@
         && outcome != AttemptOutcome.PROMPT_READ
         && LOG.isDebugEnabled()) {
       LOG.atDebug()
-          .addKeyValue("request", attempt.id)
-          .addKeyValue("server", attempt.target.map(t -> t.endpoint().name()).orElse("?"))
+          .addKeyValue("request", attempt.id())
+          .addKeyValue(
+              "server", attempt.target().map(target -> target.endpoint().name()).orElse("?"))
           .addKeyValue("ending", outcome)
           .addKeyValue("why", end.cause())
           .log("an attempt failed");
@@ -263,7 +273,8 @@
   /** The time since an attempt was sent, without the time for which this process stalled. */
   private long elapsedMicros(EngineAttempt<P, S, C> attempt) {
     stallMonitor.detectStall(loop.now());
-    long stalledMicros = stallMonitor.totalStallMicros() - attempt.stalledMicrosBefore;
-    return Math.max(0, loop.now() - attempt.sentAtMicros - stalledMicros);
+    EngineAttempt.AttemptOrigin origin = attempt.origin();
+    long stalledMicros = stallMonitor.totalStallMicros() - origin.stalledMicrosBefore();
+    return Math.max(0, loop.now() - origin.sentAtMicros() - stalledMicros);
   }
 }
--- a/dispatch/src/main/java/lemondock/dispatch/AttemptListener.java
+++ b/dispatch/src/main/java/lemondock/dispatch/AttemptListener.java
@@ -11,7 +11,11 @@
  * @param <C> an event of the output stream
  */
 public interface AttemptListener<S, C extends StreamChunk> {
-  /** The prompt was read; its state is reserved at that server until it is fetched or released. */
+  /**
+   * The prompt was read; its state is reserved at that server until it is fetched or released.
+   *
+   * @param cachedTokens prompt tokens that the engine found cached
+   */
   default void prefillCompleted(S state, int cachedTokens) {}
 
   /** An event of the output stream. */
--- a/dispatch/src/main/java/lemondock/dispatch/AttemptMetrics.java
+++ b/dispatch/src/main/java/lemondock/dispatch/AttemptMetrics.java
@@ -43,7 +43,11 @@
     return new RouterStateVisitor() {
       @Override
       public void server(
-          long id, ServerRole role, ServerLifecycle standing, boolean cold, boolean healthy) {}
+          long id,
+          ServerRole role,
+          ServerLifecycle lifecycle,
+          boolean warmingUp,
+          boolean healthy) {}
 
       @Override
       public void totals(int queued, long tokensInFlight, long capacityTokens) {}
--- a/dispatch/src/main/java/lemondock/dispatch/DispatcherEnvironment.java
+++ b/dispatch/src/main/java/lemondock/dispatch/DispatcherEnvironment.java
@@ -11,6 +11,9 @@
  * @param endpoints the servers by the router's numbers
  * @param stallMonitor knows when this process stood still
  * @param metrics hears what is to be counted
+ * @param <P> the prompt that an engine gets
+ * @param <S> how the engines' protocol names a reserved state
+ * @param <C> an event of the output stream
  */
 public record DispatcherEnvironment<P, S, C extends StreamChunk>(
     Loop loop,
--- a/dispatch/src/main/java/lemondock/dispatch/Endpoint.java
+++ b/dispatch/src/main/java/lemondock/dispatch/Endpoint.java
@@ -1,12 +1,18 @@
 package lemondock.dispatch;
 
 import java.net.InetSocketAddress;
+import java.util.Objects;
 import lemondock.policy.ServerLifecycle;
 
 /**
  * A server as an endpoint list states it; the router knows servers, zones and kinds by numbers.
  *
+ * @param name unique within the list
+ * @param address where its requests are sent
  * @param kind name of the server's kind in the settings
+ * @param zone failure domain that it stands in
+ * @param rack part of the zone within which states move fastest; the router's cell
+ * @param lifecycle whether it takes requests
  * @param weight share of the load relative to other servers
  * @param startedAtMillis start of the server's process in milliseconds since the epoch, 0 if long
  *     ago or not listed
@@ -19,4 +25,91 @@
     String rack,
     ServerLifecycle lifecycle,
     double weight,
-    long startedAtMillis) {}
+    long startedAtMillis) {
+
+  /** Begins one; what may be left out is 1 for the weight and 0 for the start. */
+  public static Builder builder() {
+    return new Builder();
+  }
+
+  /** Collects the components of a {@link Endpoint}. For one thread. */
+  public static final class Builder {
+    private String name;
+    private InetSocketAddress address;
+    private String kind;
+    private String zone;
+    private String rack;
+    private ServerLifecycle lifecycle;
+    private double weight = 1;
+    private long startedAtMillis;
+
+    private Builder() {}
+
+    /** Unique within the list. */
+    public Builder name(String value) {
+      name = value;
+      return this;
+    }
+
+    /** Where its requests are sent. */
+    public Builder address(InetSocketAddress value) {
+      address = value;
+      return this;
+    }
+
+    /** Name of the server's kind in the settings. */
+    public Builder kind(String value) {
+      kind = value;
+      return this;
+    }
+
+    /** Failure domain that it stands in. */
+    public Builder zone(String value) {
+      zone = value;
+      return this;
+    }
+
+    /** Part of the zone within which states move fastest; the router's cell. */
+    public Builder rack(String value) {
+      rack = value;
+      return this;
+    }
+
+    /** Whether it takes requests. */
+    public Builder lifecycle(ServerLifecycle value) {
+      lifecycle = value;
+      return this;
+    }
+
+    /** Share of the load relative to other servers. */
+    public Builder weight(double value) {
+      weight = value;
+      return this;
+    }
+
+    /**
+     * Start of the server's process in milliseconds since the epoch, 0 if long ago or not listed.
+     */
+    public Builder startedAtMillis(long value) {
+      startedAtMillis = value;
+      return this;
+    }
+
+    /**
+     * The {@link Endpoint}.
+     *
+     * @throws NullPointerException if name, address, kind, zone, rack or lifecycle is not set
+     */
+    public Endpoint build() {
+      return new Endpoint(
+          Objects.requireNonNull(name, "name"),
+          Objects.requireNonNull(address, "address"),
+          Objects.requireNonNull(kind, "kind"),
+          Objects.requireNonNull(zone, "zone"),
+          Objects.requireNonNull(rack, "rack"),
+          Objects.requireNonNull(lifecycle, "lifecycle"),
+          weight,
+          startedAtMillis);
+    }
+  }
+}
--- a/dispatch/src/main/java/lemondock/dispatch/EndpointRegistry.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EndpointRegistry.java
@@ -62,6 +62,7 @@
    * Takes a full list. The first one, and a cached one, is reported in full; later ones as changes,
    * of which there may be none.
    *
+   * @param cached whether the list was kept from before a restart
    * @param nowMicros the router's clock
    * @param wallMillis milliseconds since the epoch at that moment
    */
@@ -160,14 +161,15 @@
   }
 
   private static ServerEntry withLifecycle(ServerEntry server, ServerLifecycle lifecycle) {
-    return new ServerEntry(
-        server.id(),
-        server.zone(),
-        server.kind(),
-        server.cell(),
-        lifecycle,
-        server.weight(),
-        server.startedAtMicros());
+    return ServerEntry.builder()
+        .id(server.id())
+        .zone(server.zone())
+        .kind(server.kind())
+        .cell(server.cell())
+        .lifecycle(lifecycle)
+        .weight(server.weight())
+        .startedAtMicros(server.startedAtMicros())
+        .build();
   }
 
   /** The index of an endpoint's kind in the settings. */
@@ -199,14 +201,15 @@
             : startTimes.toRouterMicros(endpoint.startedAtMillis(), listed.containsKey(id));
     return new RegisteredEndpoint(
         endpoint,
-        new ServerEntry(
-            id,
-            numberOf(endpoint.zone(), zoneNumbers),
-            kind,
-            numberOf(endpoint.zone() + "/" + endpoint.rack(), rackNumbers),
-            endpoint.lifecycle(),
-            endpoint.weight(),
-            startedAtMicros));
+        ServerEntry.builder()
+            .id(id)
+            .zone(numberOf(endpoint.zone(), zoneNumbers))
+            .kind(kind)
+            .cell(numberOf(endpoint.zone() + "/" + endpoint.rack(), rackNumbers))
+            .lifecycle(endpoint.lifecycle())
+            .weight(endpoint.weight())
+            .startedAtMicros(startedAtMicros)
+            .build());
   }
 
   private void rememberRemoved(long id, RegisteredEndpoint endpoint) {
@@ -217,7 +220,7 @@
   }
 
   private static int numberOf(String name, Map<String, Integer> numbers) {
-    return numbers.computeIfAbsent(name, n -> numbers.size());
+    return numbers.computeIfAbsent(name, unknown -> numbers.size());
   }
 
   private static long hashOfNameAndAddress(Endpoint endpoint) {
--- a/dispatch/src/main/java/lemondock/dispatch/EngineAttempt.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EngineAttempt.java
@@ -7,42 +7,33 @@
 
 /**
  * One attempt at a request: what was sent to which server, and how far it has come. Hands what the
- * engine answers to the {@link AttemptLifecycle}. Loop thread only.
+ * engine answers to the {@link AttemptLifecycle}, which alone changes it. Loop thread only.
  */
 final class EngineAttempt<P, S, C extends StreamChunk> implements AttemptListener<S, C> {
   /** Where an attempt goes. */
   record Target(Endpoint endpoint, ServerRole role) {}
 
-  final InFlightRequest<P, S, C> request;
-  final int number;
-  final long serverId;
-
-  /** Empty if the router named a server that was never listed. */
-  final Optional<Target> target;
-
-  /** The id that the engine sees. */
-  final String id;
-
-  final long sentAtMicros;
-
-  /** How long this process had stalled by then, in all. */
-  final long stalledMicrosBefore;
-
-  /** Null until the attempt is sent. */
-  AttemptHandle handle;
-
-  /** The state that it decodes from; null if none. */
-  ReservedState<S> state;
-
-  Loop.Timer timeout = () -> {};
-
-  /** Whether the router has cancelled it. */
-  boolean cancelled;
-
-  boolean ended;
-  int cachedTokens;
+  /**
+   * What an attempt's id begins with, and when it was sent.
+   *
+   * @param stalledMicrosBefore how long this process had stalled by then, in all
+   */
+  record AttemptOrigin(String idPrefix, long sentAtMicros, long stalledMicrosBefore) {}
 
   private final AttemptLifecycle<P, S, C> lifecycle;
+  private final InFlightRequest<P, S, C> request;
+  private final int number;
+  private final long serverId;
+  private final Optional<Target> target;
+  private final String id;
+  private final AttemptOrigin origin;
+
+  private Optional<AttemptHandle> handle = Optional.empty();
+  private Optional<ReservedState<S>> decodedState = Optional.empty();
+  private Loop.Timer timeout = () -> {};
+  private boolean cancelled;
+  private boolean ended;
+  private int cachedTokens;
   private boolean directOutputSet;
 
   EngineAttempt(
@@ -53,47 +44,129 @@
       AttemptOrigin origin) {
     this.lifecycle = lifecycle;
     this.request = request;
-    this.number = request.attempts.size();
+    this.number = request.attempts().size();
     this.serverId = serverId;
     this.target = target;
-    this.id = origin.idPrefix() + "-" + request.id + "-" + number;
-    this.sentAtMicros = origin.sentAtMicros();
-    this.stalledMicrosBefore = origin.stalledMicrosBefore();
+    this.id = origin.idPrefix() + "-" + request.id() + "-" + number;
+    this.origin = origin;
   }
 
-  /** What an attempt's id begins with, and when it was sent. */
-  record AttemptOrigin(String idPrefix, long sentAtMicros, long stalledMicrosBefore) {}
+  InFlightRequest<P, S, C> request() {
+    return request;
+  }
+
+  /** Its number within the request, from 0. */
+  int number() {
+    return number;
+  }
+
+  /** The id that the engine sees. */
+  String id() {
+    return id;
+  }
+
+  /** The router's number of the server. */
+  long serverId() {
+    return serverId;
+  }
+
+  /** Where it goes; empty if the router named a server that was never listed. */
+  Optional<Target> target() {
+    return target;
+  }
 
   /** The server of an attempt that was sent to one. */
   Endpoint endpoint() {
     return target.orElseThrow().endpoint();
   }
 
+  AttemptOrigin origin() {
+    return origin;
+  }
+
   boolean isPrefill() {
-    return target.filter(t -> t.role() == ServerRole.READER).isPresent();
+    return target.filter(to -> to.role() == ServerRole.READER).isPresent();
   }
 
+  /** Whether the client gets this attempt's output. */
   boolean isStreaming() {
-    return request.streamingAttempt == this;
+    return request.isStreamedBy(this);
+  }
+
+  /** The state that it decodes from; empty if it reads the prompt itself. */
+  Optional<ReservedState<S>> decodedState() {
+    return decodedState;
+  }
+
+  void setDecodedState(Optional<ReservedState<S>> state) {
+    decodedState = state;
+  }
+
+  /** It was sent to the engine and is controlled by that handle. */
+  void sentAs(AttemptHandle sent) {
+    handle = Optional.of(sent);
+  }
+
+  /** Closes its connection; false if it was never sent. */
+  boolean cancelAtEngine() {
+    handle.ifPresent(AttemptHandle::cancel);
+    return handle.isPresent();
+  }
+
+  /** Stops reading its output. */
+  void pause() {
+    handle.ifPresent(AttemptHandle::pause);
+  }
+
+  /** Reads its output again. */
+  void resume() {
+    handle.ifPresent(AttemptHandle::resume);
+  }
+
+  void setTimeout(Loop.Timer timer) {
+    timeout = timer;
+  }
+
+  /** Whether the router has cancelled it. */
+  boolean isCancelled() {
+    return cancelled;
+  }
+
+  void markCancelled() {
+    cancelled = true;
+  }
+
+  boolean hasEnded() {
+    return ended;
+  }
+
+  void markEnded() {
+    ended = true;
+    timeout.cancel();
   }
 
   @Override
-  public void prefillCompleted(S newState, int cachedTokens) {
-    lifecycle.prefillCompleted(this, newState, cachedTokens);
+  public void prefillCompleted(S state, int newCachedTokens) {
+    lifecycle.prefillCompleted(this, state, newCachedTokens);
   }
 
   @Override
   public void chunkReceived(C chunk) {
     cachedTokens = Math.max(cachedTokens, chunk.cachedTokens());
-    if (request.streamingAttempt == null && chunk.hasOutput()) {
+    if (!request.hasStreamBegun() && chunk.hasOutput()) {
       lifecycle.firstTokenReceived(this);
     }
-    if (isStreaming() && !request.ended) {
-      request.listener.chunk(chunk);
-      if (!directOutputSet && !request.ended && handle != null) {
-        directOutputSet = true;
-        request.listener.directOutput().ifPresent(handle::setDirectOutput);
-      }
+    if (isStreaming() && !request.hasEnded()) {
+      request.listener().chunk(chunk);
+      offerDirectOutput();
+    }
+  }
+
+  /** Once, after the first chunk that the listener has taken. */
+  private void offerDirectOutput() {
+    if (!directOutputSet && !request.hasEnded() && handle.isPresent()) {
+      directOutputSet = true;
+      request.listener().directOutput().ifPresent(handle.get()::setDirectOutput);
     }
   }
 
--- a/dispatch/src/main/java/lemondock/dispatch/EnginePort.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EnginePort.java
@@ -14,14 +14,14 @@
 public interface EnginePort<P, S, C extends StreamChunk> {
   /** Asks a server to read the prompt; {@code attemptId} is unique and never used again. */
   AttemptHandle prefill(
-      Endpoint server,
+      Endpoint endpoint,
       String attemptId,
       DispatchedRequest<P> request,
       AttemptListener<S, C> listener);
 
   /** Asks a server to write the answer from a state that a prefill has reserved. */
   AttemptHandle decode(
-      Endpoint server,
+      Endpoint endpoint,
       String attemptId,
       DispatchedRequest<P> request,
       S state,
@@ -29,7 +29,7 @@
 
   /** Asks a server of a mixed kind to read the prompt and to write the answer. */
   AttemptHandle prefillAndDecode(
-      Endpoint server,
+      Endpoint endpoint,
       String attemptId,
       DispatchedRequest<P> request,
       AttemptListener<S, C> listener);
@@ -69,9 +69,8 @@
   static AttemptOutcome outcomeOf(RequestFailure failure) {
     return switch (failure) {
       case NOT_SENT -> AttemptOutcome.CONNECT_FAILED;
-      case LOCAL_LIMIT_REACHED ->
-          AttemptOutcome
-              .ABANDONED_BEFORE_SEND; // this gateway lacks a connection; the server is not at fault
+      // this gateway lacks a connection; the server is not at fault
+      case LOCAL_LIMIT_REACHED -> AttemptOutcome.ABANDONED_BEFORE_SEND;
       case CONNECTION_LOST -> AttemptOutcome.RESET;
       case MALFORMED -> AttemptOutcome.ERROR;
     };
--- a/dispatch/src/main/java/lemondock/dispatch/InFlightRequest.java
+++ b/dispatch/src/main/java/lemondock/dispatch/InFlightRequest.java
@@ -1,6 +1,7 @@
 package lemondock.dispatch;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import java.util.Optional;
 
@@ -9,33 +10,96 @@
  * thread only.
  */
 final class InFlightRequest<P, S, C extends StreamChunk> {
-  final long id;
-  final DispatchedRequest<P> request;
-  final RequestListener<C> listener;
+  private final long id;
+  private final DispatchedRequest<P> dispatched;
+  private final RequestListener<C> listener;
 
-  /** Attempts by their numbers, ended ones among them. */
-  final List<EngineAttempt<P, S, C>> attempts = new ArrayList<>();
+  // Written by AttemptLifecycle.
+  private final List<EngineAttempt<P, S, C>> attempts = new ArrayList<>();
+  private final List<EngineAttempt<P, S, C>> attemptsView = Collections.unmodifiableList(attempts);
+  private int attemptsInFlight;
+  private Optional<EngineAttempt<P, S, C>> streamingAttempt = Optional.empty();
+  private Optional<EngineAttempt<P, S, C>> lastPrefill = Optional.empty();
 
-  /** The newest is the last. */
-  final List<ReservedState<S>> reservedStates = new ArrayList<>();
+  /** Written by ReservedStateReleaser; the newest is the last. */
+  private final List<ReservedState<S>> reservedStates = new ArrayList<>();
 
-  int attemptsInFlight;
+  /** Written by whoever ends it: RequestDispatcher, RouterEvents or AttemptLifecycle. */
+  private boolean ended;
 
-  /** Whether the listener has heard, or is about to hear, the end; or the client has cancelled. */
-  boolean ended;
+  /** Written by RequestDispatcher. */
+  private boolean outputPaused;
+
+  InFlightRequest(long id, DispatchedRequest<P> dispatched, RequestListener<C> listener) {
+    this.id = id;
+    this.dispatched = dispatched;
+    this.listener = listener;
+  }
+
+  long id() {
+    return id;
+  }
 
-  boolean outputPaused;
+  /** The request as it was handed in. */
+  DispatchedRequest<P> dispatched() {
+    return dispatched;
+  }
 
-  /** The attempt whose output the client gets; null before the first token. */
-  EngineAttempt<P, S, C> streamingAttempt;
+  P prompt() {
+    return dispatched.prompt();
+  }
 
-  /** The prefill sent last; null if there was none. */
-  EngineAttempt<P, S, C> lastPrefill;
+  RequestListener<C> listener() {
+    return listener;
+  }
 
-  InFlightRequest(long id, DispatchedRequest<P> request, RequestListener<C> listener) {
-    this.id = id;
-    this.request = request;
-    this.listener = listener;
+  /** Attempts by their numbers, ended ones among them; a view. */
+  List<EngineAttempt<P, S, C>> attempts() {
+    return attemptsView;
+  }
+
+  /** The router has asked for an attempt. */
+  void addAttempt(EngineAttempt<P, S, C> attempt) {
+    attempts.add(attempt);
+    attemptsInFlight++;
+  }
+
+  /** One of the attempts has ended. */
+  void attemptEnded() {
+    attemptsInFlight--;
+  }
+
+  boolean hasAttemptInFlight() {
+    return attemptsInFlight > 0;
+  }
+
+  /** The prefill sent last. */
+  Optional<EngineAttempt<P, S, C>> lastPrefill() {
+    return lastPrefill;
+  }
+
+  void setLastPrefill(EngineAttempt<P, S, C> prefill) {
+    lastPrefill = Optional.of(prefill);
+  }
+
+  /** From now on its client gets this attempt's output. */
+  void beginStream(EngineAttempt<P, S, C> attempt) {
+    streamingAttempt = Optional.of(attempt);
+  }
+
+  /** Whether its client gets an attempt's output: the first token has come. */
+  boolean hasStreamBegun() {
+    return streamingAttempt.isPresent();
+  }
+
+  /** Whether its client gets this attempt's output. */
+  boolean isStreamedBy(EngineAttempt<P, S, C> attempt) {
+    return streamingAttempt.isPresent() && streamingAttempt.get() == attempt;
+  }
+
+  /** The attempt whose output the client gets, while its stream is open. */
+  Optional<EngineAttempt<P, S, C>> openStream() {
+    return streamingAttempt.filter(attempt -> !attempt.hasEnded());
   }
 
   /** The state to decode from. */
@@ -45,24 +109,48 @@
         : Optional.of(reservedStates.get(reservedStates.size() - 1));
   }
 
-  /** The attempt whose output the client gets, while its stream is open. */
-  Optional<EngineAttempt<P, S, C>> openStream() {
-    return streamingAttempt == null || streamingAttempt.ended
-        ? Optional.empty()
-        : Optional.of(streamingAttempt);
+  void addState(ReservedState<S> state) {
+    reservedStates.add(state);
+  }
+
+  /** Removes a state; false if it was not reserved for the request any more. */
+  boolean removeState(ReservedState<S> state) {
+    return reservedStates.remove(state);
+  }
+
+  /** Removes all states and gives them, the newest last. */
+  List<ReservedState<S>> removeStates() {
+    List<ReservedState<S>> removed = List.copyOf(reservedStates);
+    reservedStates.clear();
+    return removed;
+  }
+
+  /** Whether the listener has heard, or is about to hear, the end; or the client has cancelled. */
+  boolean hasEnded() {
+    return ended;
+  }
+
+  void end() {
+    ended = true;
+  }
+
+  boolean isOutputPaused() {
+    return outputPaused;
   }
 
+  /** Stops reading the output, of a stream that has begun and of one that begins later. */
   void pauseOutput() {
     if (!outputPaused) {
       outputPaused = true;
-      openStream().ifPresent(attempt -> attempt.handle.pause());
+      openStream().ifPresent(EngineAttempt::pause);
     }
   }
 
+  /** Reads the output again. */
   void resumeOutput() {
     if (outputPaused) {
       outputPaused = false;
-      openStream().ifPresent(attempt -> attempt.handle.resume());
+      openStream().ifPresent(EngineAttempt::resume);
     }
   }
 }
--- a/dispatch/src/main/java/lemondock/dispatch/RequestDispatcher.java
+++ b/dispatch/src/main/java/lemondock/dispatch/RequestDispatcher.java
@@ -37,7 +37,11 @@
   private final RouterEvents<P, S, C> events;
   private final AttemptLifecycle<P, S, C> attempts;
 
-  /** Makes a dispatcher and its router; neither does anything before {@link #start}. */
+  /**
+   * Makes a dispatcher and its router; neither does anything before {@link #start}.
+   *
+   * @throws RuntimeException if the router cannot use its settings
+   */
   public RequestDispatcher(DispatcherEnvironment<P, S, C> environment, DispatcherOptions options) {
     this.loop = environment.loop();
     this.metrics = environment.metrics();
@@ -60,26 +64,26 @@
   /** Takes a request and returns its id; its listener hears how it ends. */
   public long submit(DispatchedRequest<P> request, RequestListener<C> listener) {
     InFlightRequest<P, S, C> added = requests.add(request, listener);
-    counters.requests++;
-    RoutingRequest routingRequest = routingRequest(added.id, request);
+    counters.requestSubmitted();
+    RoutingRequest routingRequest = routingRequest(added.id(), request);
     events.raise(added, (router, nowMicros) -> router.requestArrived(nowMicros, routingRequest));
-    return added.id;
+    return added.id();
   }
 
   private static RoutingRequest routingRequest(long id, DispatchedRequest<?> request) {
-    return new RoutingRequest(
-        id,
-        request.classId(),
-        request.tenant(),
-        request.sessionKey(),
-        request.prefixKey(),
-        request.promptTokens(),
-        request.prefixTokens(),
-        request.maxAnswerTokens(),
-        request.firstTokenTimeoutMicros(),
-        0,
-        request.clientRetry(),
-        request.resumed());
+    return RoutingRequest.builder()
+        .id(id)
+        .classId(request.classId())
+        .tenantId(request.tenant())
+        .sessionId(request.sessionKey())
+        .prefixId(request.prefixKey())
+        .promptTokens(request.promptTokens())
+        .prefixTokens(request.prefixTokens())
+        .maxAnswerTokens(request.maxAnswerTokens())
+        .clientTimeoutMicros(request.firstTokenTimeoutMicros())
+        .clientRetry(request.clientRetry())
+        .resumed(request.resumed())
+        .build();
   }
 
   /**
@@ -87,13 +91,14 @@
    * listener hears nothing more. Unknown and ended requests are ignored.
    */
   public void cancelRequest(long id) {
-    requests.find(id).filter(request -> !request.ended).ifPresent(this::cancel);
+    requests.find(id).filter(request -> !request.hasEnded()).ifPresent(this::cancel);
   }
 
   private void cancel(InFlightRequest<P, S, C> request) {
-    request.ended = true;
-    counters.cancelled++;
-    events.raise(request, (router, nowMicros) -> router.clientDisconnected(nowMicros, request.id));
+    request.end();
+    counters.requestCancelled();
+    events.raise(
+        request, (router, nowMicros) -> router.clientDisconnected(nowMicros, request.id()));
     request.openStream().ifPresent(attempts::cancelStream);
     requests.removeIfFinished(request);
   }
@@ -113,7 +118,7 @@
     events.raise((router, nowMicros) -> router.endpointsChanged(nowMicros, kind, servers));
   }
 
-  /** This gateway shuts down and may be killed at that time of the loop's clock. */
+  /** This gateway shuts down and may be killed at that moment, microseconds of the loop's clock. */
   public void shuttingDown(long killedAtMicros) {
     events.raise((router, nowMicros) -> router.shutdownStarted(nowMicros, killedAtMicros));
   }
@@ -131,9 +136,9 @@
   /** Calls the consumer for each attempt in flight at a known server. */
   public void forEachAttemptInFlight(BiConsumer<Endpoint, DispatchedRequest<P>> consumer) {
     for (InFlightRequest<P, S, C> request : requests.all()) {
-      for (EngineAttempt<P, S, C> attempt : request.attempts) {
-        if (!attempt.ended && attempt.target.isPresent()) {
-          consumer.accept(attempt.endpoint(), request.request);
+      for (EngineAttempt<P, S, C> attempt : request.attempts()) {
+        if (!attempt.hasEnded() && attempt.target().isPresent()) {
+          consumer.accept(attempt.endpoint(), request.dispatched());
         }
       }
     }
--- a/dispatch/src/main/java/lemondock/dispatch/RequestListener.java
+++ b/dispatch/src/main/java/lemondock/dispatch/RequestListener.java
@@ -25,10 +25,14 @@
   /** The answer is complete. */
   void completed();
 
-  /** The stream broke after its first event. */
+  /** The stream broke after its first event; the cause is for logs. */
   void interrupted(String cause);
 
-  /** The request was rejected and had no effect; a retry is safe. 0: no Retry-After is advised. */
+  /**
+   * The request was rejected and had no effect; a retry is safe.
+   *
+   * @param retryAfterMicros advice when to retry; 0 for none
+   */
   void rejected(long retryAfterMicros);
 
   /** The request failed before its first event; an engine may have run it. */
--- a/dispatch/src/main/java/lemondock/dispatch/RequestTable.java
+++ b/dispatch/src/main/java/lemondock/dispatch/RequestTable.java
@@ -15,7 +15,7 @@
 
   InFlightRequest<P, S, C> add(DispatchedRequest<P> request, RequestListener<C> listener) {
     InFlightRequest<P, S, C> added = new InFlightRequest<>(nextId++, request, listener);
-    requests.put(added.id, added);
+    requests.put(added.id(), added);
     return added;
   }
 
@@ -33,8 +33,8 @@
 
   /** Removes a request that has ended, once none of its attempts is in flight. */
   void removeIfFinished(InFlightRequest<P, S, C> request) {
-    if (request.ended && request.attemptsInFlight == 0) {
-      requests.remove(request.id);
+    if (request.hasEnded() && !request.hasAttemptInFlight()) {
+      requests.remove(request.id());
     }
   }
 }
--- a/dispatch/src/main/java/lemondock/dispatch/ReservedStateReleaser.java
+++ b/dispatch/src/main/java/lemondock/dispatch/ReservedStateReleaser.java
@@ -23,12 +23,12 @@
   void reserved(InFlightRequest<P, S, C> request, ReservedState<S> state) {
     supersedeAll(request);
     metrics.stateReserved(state.endpoint().zone());
-    request.reservedStates.add(state);
+    request.addState(state);
   }
 
   /** The server that decodes from a state has fetched it; false if it was not reserved any more. */
   boolean fetched(InFlightRequest<P, S, C> request, ReservedState<S> state) {
-    if (!request.reservedStates.remove(state)) {
+    if (!request.removeState(state)) {
       return false;
     }
     metrics.stateFetched(state.endpoint().zone(), loop.now() - state.reservedAtMicros());
@@ -37,47 +37,48 @@
 
   /** A server did not find the state that it was to decode from. */
   void missing(InFlightRequest<P, S, C> request, ReservedState<S> state) {
-    if (request.reservedStates.remove(state)) {
+    if (request.removeState(state)) {
       supersede(request, state);
     }
   }
 
   /** The request needs none of its states, though it goes on. */
   void supersedeAll(InFlightRequest<P, S, C> request) {
-    request.reservedStates.forEach(state -> supersede(request, state));
-    request.reservedStates.clear();
+    request.removeStates().forEach(state -> supersede(request, state));
   }
 
   private void supersede(InFlightRequest<P, S, C> request, ReservedState<S> state) {
     countRelease(state);
-    engines.releaseSuperseded(state.endpoint(), state.attemptId(), request.request.prompt());
+    engines.releaseSuperseded(state.endpoint(), state.attemptId(), request.prompt());
   }
 
   /** The router asks to release what is reserved for the request and no attempt uses. */
   void release(InFlightRequest<P, S, C> request) {
     if (releaseIdle(request)) {
-      request.reservedStates.forEach(this::countRelease);
-      request.reservedStates.clear();
-    } else if (request.attemptsInFlight == 0) {
-      request.reservedStates.forEach(state -> releaseAtServer(request, state));
-      request.reservedStates.clear();
+      request.removeStates().forEach(this::countRelease);
+    } else if (!request.hasAttemptInFlight()) {
+      request.removeStates().forEach(state -> releaseAtServer(request, state));
     }
   }
 
+  /** Whether the engines' protocol could release all that is idle at once. */
   private boolean releaseIdle(InFlightRequest<P, S, C> request) {
-    EngineAttempt<P, S, C> prefill = request.lastPrefill;
-    return prefill != null
-        && engines.releaseIdle(
-            prefill.endpoint(), prefill.id, request.request.prompt(), request.ended);
+    return request
+        .lastPrefill()
+        .filter(
+            prefill ->
+                engines.releaseIdle(
+                    prefill.endpoint(), prefill.id(), request.prompt(), request.hasEnded()))
+        .isPresent();
   }
 
   private void releaseAtServer(InFlightRequest<P, S, C> request, ReservedState<S> state) {
     countRelease(state);
-    engines.release(state.endpoint(), state.attemptId(), request.request.prompt());
+    engines.release(state.endpoint(), state.attemptId(), request.prompt());
   }
 
   private void countRelease(ReservedState<S> state) {
-    counters.releases++;
+    counters.stateReleased();
     metrics.stateReleased(state.endpoint().zone(), loop.now() - state.reservedAtMicros());
   }
 }
--- a/dispatch/src/main/java/lemondock/dispatch/RouterEvents.java
+++ b/dispatch/src/main/java/lemondock/dispatch/RouterEvents.java
@@ -52,7 +52,7 @@
    * so that its client gets an answer, and everything else goes on.
    */
   void raise(InFlightRequest<P, S, C> request, RouterEvent event) {
-    report(event, () -> requests.find(request.id).ifPresent(this::fail));
+    report(event, () -> requests.find(request.id()).ifPresent(this::fail));
     requests.removeIfFinished(request);
   }
 
@@ -76,26 +76,26 @@
 
   /** The router rejects a request; 0: without advice when to retry. */
   void reject(InFlightRequest<P, S, C> request, long retryAfterMicros) {
-    if (!request.ended) {
-      counters.rejected++;
+    if (!request.hasEnded()) {
+      counters.requestRejected();
       answerAfterEvent(request, listener -> listener.rejected(retryAfterMicros));
     }
   }
 
   /** The router gives up a request. */
   void fail(InFlightRequest<P, S, C> request) {
-    if (!request.ended) {
-      counters.failed++;
+    if (!request.hasEnded()) {
+      counters.requestFailed();
       answerAfterEvent(request, RequestListener::failed);
     }
   }
 
   private void answerAfterEvent(
       InFlightRequest<P, S, C> request, Consumer<RequestListener<C>> answer) {
-    request.ended = true;
+    request.end();
     finalAnswers.add(
         () -> {
-          answer.accept(request.listener);
+          answer.accept(request.listener());
           // a timer may have ended it, with no attempt left whose end would remove it
           requests.removeIfFinished(request);
         });
--- a/gateway/src/main/java/lemondock/gateway/core/ClientCall.java
+++ b/gateway/src/main/java/lemondock/gateway/core/ClientCall.java
@@ -181,19 +181,17 @@
     ObjectNode body = CompletionRequestBody.of(model, prompt, turns, partial);
     int promptTokens = CompletionRequestBody.estimatedTokens(prompt, turns, partial);
     DispatchedRequest<ObjectNode> request =
-        new DispatchedRequest<>(
-            prompt.classId(),
-            0,
-            sessionKey,
-            prompt.prefixKey(),
-            promptTokens,
-            prompt.prefixTokens(),
-            maxTokens,
-            requestClass.deadlineMicros(promptTokens),
-            clientRetry && requestsSent == 0,
-            resumed,
-            sink.clientShard(),
-            body);
+        DispatchedRequest.builder(body)
+            .classId(prompt.classId())
+            .sessionKey(sessionKey)
+            .prefix(prompt.prefixKey(), prompt.prefixTokens())
+            .promptTokens(promptTokens)
+            .maxAnswerTokens(maxTokens)
+            .firstTokenTimeoutMicros(requestClass.deadlineMicros(promptTokens))
+            .clientRetry(clientRetry && requestsSent == 0)
+            .resumed(resumed)
+            .clientShard(sink.clientShard())
+            .build();
     requestsSent++;
     requestId =
         context.dispatcher().submit(request, new AnswerRequestListener(answer, metrics, sink));
--- a/gateway/src/test/java/lemondock/gateway/core/RequestDispatcherTest.java
+++ b/gateway/src/test/java/lemondock/gateway/core/RequestDispatcherTest.java
@@ -227,19 +227,12 @@
 
   private long submit() {
     return dispatcher.submit(
-        new DispatchedRequest<>(
-            0,
-            0,
-            1,
-            0,
-            10,
-            0,
-            50,
-            1_000_000,
-            false,
-            false,
-            0,
-            JsonNodeFactory.instance.objectNode()),
+        DispatchedRequest.builder(JsonNodeFactory.instance.objectNode())
+            .sessionKey(1)
+            .promptTokens(10)
+            .maxAnswerTokens(50)
+            .firstTokenTimeoutMicros(1_000_000)
+            .build(),
         new RequestListener<>() {
           @Override
           public void chunk(CompletionChunk chunk) {
