--- a/benchmark/src/main/java/lemondock/benchmark/IdempotencyLogBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/IdempotencyLogBenchmark.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import lemondock.idempotency.AppendLog;
 import lemondock.idempotency.CallStatus;
-import lemondock.idempotency.DiskFolder;
 import lemondock.idempotency.GroupCommit;
 import lemondock.idempotency.IdempotencyStore;
+import lemondock.idempotency.LockedDirectory;
 import lemondock.net.nio.ThreadLoop;
 import lemondock.net.nio.WorkerPool;
 import org.HdrHistogram.Histogram;
@@ -100,7 +100,7 @@
     int calls = Math.max(2, (int) (rate * seconds));
     CountDownLatch done = new CountDownLatch(calls);
     AtomicInteger failed = new AtomicInteger();
-    try (DiskFolder files = new DiskFolder(Files.createDirectories(folder))) {
+    try (LockedDirectory files = new LockedDirectory(Files.createDirectories(folder))) {
       IdempotencyStore book = book();
       AppendLog log = new AppendLog(files);
       log.open(book::replay);
@@ -158,7 +158,7 @@
   private static void recovery(Path folder, int calls, int rounds) throws IOException {
     Files.createDirectories(folder);
     long bytes;
-    try (DiskFolder files = new DiskFolder(folder);
+    try (LockedDirectory files = new LockedDirectory(folder);
         AppendLog log = new AppendLog(files)) {
       log.open(record -> {});
       IdempotencyStore book = book();
@@ -182,7 +182,7 @@
     double[] millis = new double[rounds];
     for (int round = -1; round < rounds; round++) {
       long from = System.nanoTime();
-      try (DiskFolder files = new DiskFolder(folder);
+      try (LockedDirectory files = new LockedDirectory(folder);
           AppendLog log = new AppendLog(files)) {
         IdempotencyStore book = book();
         log.open(book::replay);
--- a/cli/src/main/java/lemondock/cli/GatewayCommand.java
+++ b/cli/src/main/java/lemondock/cli/GatewayCommand.java
@@ -14,7 +14,7 @@
 import lemondock.gateway.reporting.Reporting;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsFile;
-import lemondock.idempotency.DiskFolder;
+import lemondock.idempotency.LockedDirectory;
 import lemondock.net.nio.AsyncNetwork;
 import lemondock.net.nio.ThreadLoop;
 import lemondock.net.nio.WorkerPool;
@@ -54,7 +54,9 @@
                 settings.overload().heavyQueue(),
                 "lemondock-worker"),
             new JvmProcessResources(),
-            settings.durable() == null ? null : new DiskFolder(Path.of(settings.durable().path())));
+            settings.durable() == null
+                ? null
+                : new LockedDirectory(Path.of(settings.durable().path())));
     Gateway gateway =
         new Gateway(
             machine,
--- a/idempotency/src/main/java/lemondock/idempotency/DiskFolder.java
+++ b/idempotency/src/main/java/lemondock/idempotency/LockedDirectory.java
@@ -12,10 +12,10 @@
 import java.util.stream.Stream;
 
 /** A directory of the file system, locked for one process at a time. */
-public final class DiskFolder implements FileSystemPort, AutoCloseable {
+public final class LockedDirectory implements FileSystemPort, AutoCloseable {
   private static final String LOCK_FILE = "lock";
 
-  private final Path folder;
+  private final Path directory;
   private final FileChannel lock;
 
   /**
@@ -23,11 +23,11 @@
    *
    * @throws IOException also if another process has locked it
    */
-  public DiskFolder(Path folder) throws IOException {
-    this.folder = Files.createDirectories(folder);
+  public LockedDirectory(Path directory) throws IOException {
+    this.directory = Files.createDirectories(directory);
     this.lock =
         FileChannel.open(
-            folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            directory.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     try {
       if (lock.tryLock() != null) {
         return;
@@ -37,7 +37,7 @@
     }
     lock.close();
     throw new IOException(
-        folder + ": expected a folder of one's own, found one that another gateway uses");
+        directory + ": expected a folder of one's own, found one that another gateway uses");
   }
 
   /** Unlocks the directory. */
@@ -48,7 +48,7 @@
 
   @Override
   public List<String> fileNames() throws IOException {
-    try (Stream<Path> entries = Files.list(folder)) {
+    try (Stream<Path> entries = Files.list(directory)) {
       return entries
           .filter(Files::isRegularFile)
           .map(path -> path.getFileName().toString())
@@ -60,14 +60,14 @@
 
   @Override
   public byte[] read(String name) throws IOException {
-    return Files.readAllBytes(folder.resolve(name));
+    return Files.readAllBytes(directory.resolve(name));
   }
 
   @Override
   public AppendFile append(String name) throws IOException {
     FileChannel channel =
         FileChannel.open(
-            folder.resolve(name),
+            directory.resolve(name),
             StandardOpenOption.CREATE,
             StandardOpenOption.WRITE,
             StandardOpenOption.APPEND);
@@ -91,7 +91,8 @@
 
   @Override
   public void truncate(String name, long length) throws IOException {
-    try (FileChannel channel = FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE)) {
+    try (FileChannel channel =
+        FileChannel.open(directory.resolve(name), StandardOpenOption.WRITE)) {
       channel.truncate(length);
       channel.force(true);
     }
@@ -100,20 +101,20 @@
   @Override
   public void rename(String from, String to) throws IOException {
     Files.move(
-        folder.resolve(from),
-        folder.resolve(to),
+        directory.resolve(from),
+        directory.resolve(to),
         StandardCopyOption.ATOMIC_MOVE,
         StandardCopyOption.REPLACE_EXISTING);
   }
 
   @Override
   public void delete(String name) throws IOException {
-    Files.deleteIfExists(folder.resolve(name));
+    Files.deleteIfExists(directory.resolve(name));
   }
 
   @Override
   public void syncDirectory() throws IOException {
-    try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
+    try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
       channel.force(true);
     }
   }
--- a/idempotency/src/test/java/lemondock/idempotency/AppendLogTest.java
+++ b/idempotency/src/test/java/lemondock/idempotency/AppendLogTest.java
@@ -17,12 +17,12 @@
   @Test
   void aFailedCompactionLosesNothingThatIsWrittenLater() throws IOException {
     for (int seed = 0; seed < 40; seed++) {
-      SimulatedFolder directory = new SimulatedFolder(seed);
+      SimulatedDirectory directory = new SimulatedDirectory(seed);
       AppendLog log = new AppendLog(directory);
       log.open(record -> {});
       log.write(List.of(new byte[] {1}));
       if (seed % 2 == 0) {
-        directory.failFolderSyncs(1 + seed % 4);
+        directory.failDirectorySyncs(1 + seed % 4);
       } else {
         directory.failRenames(1);
       }
--- a/idempotency/src/test/java/lemondock/idempotency/CrashRecoveryTest.java
+++ b/idempotency/src/test/java/lemondock/idempotency/CrashRecoveryTest.java
@@ -96,14 +96,14 @@
     int kills = 0;
     for (int seed = 0; seed < 3; seed++) {
       for (int at = 1; ; at++) {
-        SimulatedFolder directory = new SimulatedFolder(seed * 10_000L + at);
+        SimulatedDirectory directory = new SimulatedDirectory(seed * 10_000L + at);
         SplittableRandom random = new SplittableRandom(seed);
         SentMessages sent = new SentMessages();
         boolean killed = false;
-        directory.killAt(at);
+        directory.killAtStep(at);
         try {
           sent.runCalls(new GatewayProcess(directory), random);
-        } catch (SimulatedFolder.Killed e) {
+        } catch (SimulatedDirectory.Killed e) {
           killed = true;
           kills++;
         }
@@ -123,29 +123,29 @@
 
   @Test
   void aFullDiskOrAFailingSyncLosesNothingDurableAndCallsRunAgainAfterwards() throws IOException {
-    for (int room = 10; room < 3_000; room += 37) {
-      SimulatedFolder directory = new SimulatedFolder(room);
-      directory.pieces(7);
+    for (int freeBytes = 10; freeBytes < 3_000; freeBytes += 37) {
+      SimulatedDirectory directory = new SimulatedDirectory(freeBytes);
+      directory.setMaxWriteBytes(7);
       SentMessages sent = new SentMessages();
       GatewayProcess process = new GatewayProcess(directory);
-      directory.room(room);
-      sent.runCalls(process, new SplittableRandom(room));
-      directory.room(Long.MAX_VALUE);
-      String first = "first-" + room;
+      directory.setFreeBytes(freeBytes);
+      sent.runCalls(process, new SplittableRandom(freeBytes));
+      directory.setFreeBytes(Long.MAX_VALUE);
+      String first = "first-" + freeBytes;
       assertTrue(
           process.append(process.store.callStarted(first, 1)),
           "the first when there is room again");
-      SimulatedFolder copy = new SimulatedFolder(room);
+      SimulatedDirectory copy = new SimulatedDirectory(freeBytes);
       for (String name : directory.fileNames()) {
-        copy.put(name, directory.read(name));
+        copy.putFile(name, directory.read(name));
       }
       assertFalse(
           new GatewayProcess(copy).store.status(first, 2).mayRun(),
           "written behind what the full disk had torn");
       directory.failSyncs(2);
-      sent.runCalls(process, new SplittableRandom(room + 1));
+      sent.runCalls(process, new SplittableRandom(freeBytes + 1));
       int before = sent.ran.size();
-      sent.runCalls(process, new SplittableRandom(room + 2));
+      sent.runCalls(process, new SplittableRandom(freeBytes + 2));
       assertTrue(sent.ran.size() > before + 10, "calls run again");
       sent.assertStillKnown(process.store);
       directory.restart();
@@ -155,14 +155,14 @@
 
   @Test
   void aTornTailIsTruncatedAndADamagedLogIsReportedByName() throws IOException {
-    SimulatedFolder directory = new SimulatedFolder(1);
+    SimulatedDirectory directory = new SimulatedDirectory(1);
     GatewayProcess process = new GatewayProcess(directory);
     assertTrue(process.append(process.store.callStarted("a", 1)));
     assertTrue(process.append(process.store.callStarted("b", 2)));
     byte[] whole = directory.read("log-1");
     for (int cut = whole.length; cut >= 8; cut--) {
-      SimulatedFolder torn = new SimulatedFolder(cut);
-      torn.put("log-1", Arrays.copyOf(whole, cut));
+      SimulatedDirectory torn = new SimulatedDirectory(cut);
+      torn.putFile("log-1", Arrays.copyOf(whole, cut));
       GatewayProcess next = new GatewayProcess(torn);
       assertEquals(cut == whole.length ? 2 : next.store.size(), next.opened.records());
       assertEquals(next.opened.truncatedBytes(), cut - next.log.length());
@@ -171,14 +171,14 @@
           CallStatus.MAY_HAVE_RUN, new GatewayProcess(torn).store.status("c", 4), "cut at " + cut);
     }
     for (int at = 8; at < whole.length; at++) {
-      SimulatedFolder flipped = new SimulatedFolder(at);
+      SimulatedDirectory flipped = new SimulatedDirectory(at);
       byte[] bytes = whole.clone();
       bytes[at] ^= 0x40;
-      flipped.put("log-1", bytes);
+      flipped.putFile("log-1", bytes);
       assertTrue(new GatewayProcess(flipped).opened.records() < 2, "byte " + at);
     }
-    SimulatedFolder other = new SimulatedFolder(9);
-    other.put("log-3", "something else".getBytes(StandardCharsets.US_ASCII));
+    SimulatedDirectory other = new SimulatedDirectory(9);
+    other.putFile("log-3", "something else".getBytes(StandardCharsets.US_ASCII));
     String message = assertThrows(IOException.class, () -> new GatewayProcess(other)).getMessage();
     assertTrue(message.contains("log-3") && message.contains("LDLOG001"), message);
     assertThrows(
--- a/idempotency/src/test/java/lemondock/idempotency/GroupCommitTest.java
+++ b/idempotency/src/test/java/lemondock/idempotency/GroupCommitTest.java
@@ -18,7 +18,7 @@
 class GroupCommitTest {
   @Test
   void recordsThatComeDuringACommitAreCommittedTogether() throws IOException {
-    SimulatedFolder directory = new SimulatedFolder(1);
+    SimulatedDirectory directory = new SimulatedDirectory(1);
     AppendLog log = new AppendLog(directory);
     log.open(record -> {});
     ArrayDeque<Runnable> disk = new ArrayDeque<>();
@@ -46,8 +46,9 @@
   @Test
   void theLogOnDiskIsKeptShortByCompaction(@TempDir Path directory) throws IOException {
     IdempotencyStore store = new IdempotencyStore(new IdempotencyStore.Settings(50, 100));
-    DiskFolder files = new DiskFolder(directory);
-    String message = assertThrows(IOException.class, () -> new DiskFolder(directory)).getMessage();
+    LockedDirectory files = new LockedDirectory(directory);
+    String message =
+        assertThrows(IOException.class, () -> new LockedDirectory(directory)).getMessage();
     assertTrue(message.contains("another gateway uses"), message);
     AppendLog log = new AppendLog(files);
     log.open(store::replay);
@@ -71,7 +72,7 @@
     log.close();
     files.close();
     IdempotencyStore again = new IdempotencyStore(new IdempotencyStore.Settings(50, 100));
-    try (DiskFolder later = new DiskFolder(directory);
+    try (LockedDirectory later = new LockedDirectory(directory);
         AppendLog next = new AppendLog(later)) {
       next.open(again::replay);
       assertEquals(1, later.fileNames().size());
--- a/idempotency/src/test/java/lemondock/idempotency/StoredLogTest.java
+++ b/idempotency/src/test/java/lemondock/idempotency/StoredLogTest.java
@@ -29,7 +29,7 @@
   private static final int LAST_FRAME_BYTES = RECORD_HEADER_BYTES + LAST_RECORD_BYTES;
   private static final int RECORDS_OF_APPENDED = 19;
 
-  @TempDir private Path folder;
+  @TempDir private Path directory;
   private IdempotencyStore store;
 
   @BeforeEach
@@ -45,8 +45,8 @@
   }
 
   private AppendLog.OpenResult restore(String file, byte[] content) throws IOException {
-    Files.write(folder.resolve(file), content);
-    try (DiskFolder files = new DiskFolder(folder);
+    Files.write(directory.resolve(file), content);
+    try (LockedDirectory files = new LockedDirectory(directory);
         AppendLog log = new AppendLog(files)) {
       return log.open(store::replay);
     }
@@ -119,14 +119,14 @@
       assertEquals(CallStatus.MAY_HAVE_RUN, store.status("unfinished", 0));
       assertEquals(
           List.of(), store.relayedToolCalls("unfinished"), "its tool call is what was cut off");
-      assertEquals(lastFrameAt, Files.size(folder.resolve("log-1")), "the rest is cut off");
+      assertEquals(lastFrameAt, Files.size(directory.resolve("log-1")), "the rest is cut off");
     }
   }
 
   @Test
   void aRestoredLogIsContinued() throws IOException {
-    Files.write(folder.resolve("log-1"), fixture("appended/log-1"));
-    try (DiskFolder files = new DiskFolder(folder);
+    Files.write(directory.resolve("log-1"), fixture("appended/log-1"));
+    try (LockedDirectory files = new LockedDirectory(directory);
         AppendLog log = new AppendLog(files)) {
       log.open(store::replay);
       log.write(
@@ -135,7 +135,7 @@
               store.callEnded("never-ran", CallStatus.COMPLETED)));
     }
     createStore();
-    try (DiskFolder files = new DiskFolder(folder);
+    try (LockedDirectory files = new LockedDirectory(directory);
         AppendLog log = new AppendLog(files)) {
       log.open(store::replay);
     }
--- a/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
@@ -31,8 +31,8 @@
 import lemondock.gateway.reporting.Reporting;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsException;
-import lemondock.idempotency.DiskFolder;
 import lemondock.idempotency.FileSystemPort;
+import lemondock.idempotency.LockedDirectory;
 import lemondock.metrics.Snapshot;
 import lemondock.net.nio.LoopbackPort;
 import lemondock.net.nio.ThreadLoop;
@@ -92,7 +92,7 @@
     private RouterFactory maker;
     private EmulatedProcess node;
     private PausableNetwork network;
-    private DiskFolder durable;
+    private LockedDirectory durable;
 
     private ExecutorService disk;
 
@@ -289,7 +289,7 @@
       front.durable =
           front.settings.durable() == null
               ? null
-              : new DiskFolder(Path.of(front.settings.durable().path()));
+              : new LockedDirectory(Path.of(front.settings.durable().path()));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- a/scenario/src/test/java/lemondock/scenario/HaltingGateway.java
+++ b/scenario/src/test/java/lemondock/scenario/HaltingGateway.java
@@ -10,8 +10,8 @@
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsFile;
-import lemondock.idempotency.DiskFolder;
 import lemondock.idempotency.FileSystemPort;
+import lemondock.idempotency.LockedDirectory;
 import lemondock.net.nio.WorkerPool;
 
 /**
@@ -32,7 +32,7 @@
     EmulatedProcess node = new EmulatedProcess("gateway", settings.ioThreads());
     FileSystemPort folder =
         new Halting(
-            new DiskFolder(Path.of(settings.durable().path())),
+            new LockedDirectory(Path.of(settings.durable().path())),
             Integer.parseInt(args[1]),
             Boolean.parseBoolean(args[2]));
     Gateway gateway =
