--- a/benchmark/src/main/java/lemondock/benchmark/StreamLoad.java
+++ b/benchmark/src/main/java/lemondock/benchmark/StreamLoad.java
@@ -76,7 +76,7 @@
                             @Override
                             public void onHead(HttpEvent.ResponseHead head) {
                               synchronized (ids) {
-                                ids.add(head.headers().get("mcp-session-id"));
+                                ids.add(head.headers().firstValue("mcp-session-id").orElse(null));
                               }
                             }
 
--- a/emulator/src/main/java/lemondock/emulator/CatalogueEmulator.java
+++ b/emulator/src/main/java/lemondock/emulator/CatalogueEmulator.java
@@ -65,13 +65,14 @@
     this.server =
         new HttpServer(
             loop,
-            new HttpServerOptions(
-                HttpLimits.DEFAULT,
-                4_096,
-                64 * 1024 * 1024,
-                700 * SECOND,
-                10 * SECOND,
-                60 * SECOND),
+            HttpServerOptions.builder()
+                .limits(HttpLimits.DEFAULT)
+                .maxConnections(4_096)
+                .maxBufferedBodyBytes(64 * 1024 * 1024)
+                .idleTimeoutMicros(700 * SECOND)
+                .requestTimeoutMicros(10 * SECOND)
+                .stallTimeoutMicros(60 * SECOND)
+                .build(),
             this);
   }
 
@@ -144,7 +145,7 @@
     } else if (method.equals("PUT") && path.startsWith("/v1/agent/service/maintenance/")) {
       maintenance(
           path.substring("/v1/agent/service/maintenance/".length()),
-          "true".equals(exchange.request().queryParameter("enable")));
+          "true".equals(exchange.request().queryParameter("enable").orElse(null)));
       exchange.respond(200, new Headers(), new byte[0]);
     } else {
       exchange.respond(404, new Headers(), new byte[0]);
@@ -152,7 +153,7 @@
   }
 
   private void health(HttpExchange exchange, String service) {
-    String agent = String.valueOf(exchange.request().headers().get("user-agent"));
+    String agent = exchange.request().headers().firstValue("user-agent").orElse("null");
     int open = agent.indexOf('(');
     Waiting one =
         new Waiting(
@@ -161,7 +162,7 @@
             open >= 0 && agent.endsWith(")")
                 ? agent.substring(open + 1, agent.length() - 1)
                 : agent);
-    long asked = number(exchange.request().queryParameter("index"));
+    long asked = number(exchange.request().queryParameter("index").orElse(null));
     if (asked < index) {
       tell(one);
       return;
@@ -169,7 +170,7 @@
     waiting.add(one);
     exchange.onDisconnect(() -> waiting.remove(one));
     loop.schedule(
-        waitOf(exchange.request().queryParameter("wait")),
+        waitOf(exchange.request().queryParameter("wait").orElse(null)),
         () -> {
           if (waiting.remove(one)) {
             tell(one);
--- a/emulator/src/main/java/lemondock/emulator/EngineEmulator.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineEmulator.java
@@ -87,13 +87,14 @@
     this.server =
         new HttpServer(
             loop,
-            new HttpServerOptions(
-                new HttpLimits(8 * 1024, 32 * 1024, 100, 64L * 1024 * 1024),
-                20_000,
-                512L * 1024 * 1024,
-                60 * SECOND,
-                10 * SECOND,
-                60 * SECOND),
+            HttpServerOptions.builder()
+                .limits(new HttpLimits(8 * 1024, 32 * 1024, 100, 64L * 1024 * 1024))
+                .maxConnections(20_000)
+                .maxBufferedBodyBytes(512L * 1024 * 1024)
+                .idleTimeoutMicros(60 * SECOND)
+                .requestTimeoutMicros(10 * SECOND)
+                .stallTimeoutMicros(60 * SECOND)
+                .build(),
             this);
   }
 
@@ -286,10 +287,10 @@
       this.body = body;
       this.read = read;
       this.transfer = transfer;
-      String header = exchange.request().headers().get("x-request-id");
+      String header = exchange.request().headers().firstValue("x-request-id").orElse(null);
       this.id = header == null ? body.path("request_id").asText("") : header;
       this.mark = AnswerScript.mark(body.path("messages"));
-      String agent = String.valueOf(exchange.request().headers().get("user-agent"));
+      String agent = exchange.request().headers().firstValue("user-agent").orElse("null");
       int open = agent.indexOf('(');
       this.gateway =
           open >= 0 && agent.endsWith(")") ? agent.substring(open + 1, agent.length() - 1) : agent;
--- a/emulator/src/main/java/lemondock/emulator/PlatformEmulator.java
+++ b/emulator/src/main/java/lemondock/emulator/PlatformEmulator.java
@@ -66,8 +66,14 @@
     HttpServer server =
         new HttpServer(
             loop,
-            new HttpServerOptions(
-                HttpLimits.DEFAULT, 1_024, 64L << 20, 15 * SECOND, 10 * SECOND, 30 * SECOND),
+            HttpServerOptions.builder()
+                .limits(HttpLimits.DEFAULT)
+                .maxConnections(1_024)
+                .maxBufferedBodyBytes(64L << 20)
+                .idleTimeoutMicros(15 * SECOND)
+                .requestTimeoutMicros(10 * SECOND)
+                .stallTimeoutMicros(30 * SECOND)
+                .build(),
             service);
     server.start(network, new InetSocketAddress("127.0.0.1", 0));
     return server.address();
@@ -125,8 +131,8 @@
   }
 
   private void list(HttpExchange exchange) {
-    String since = exchange.request().queryParameter("since");
-    String wait = exchange.request().queryParameter("timeout_ms");
+    String since = exchange.request().queryParameter("since").orElse(null);
+    String wait = exchange.request().queryParameter("timeout_ms").orElse(null);
     ObjectNode answer =
         JsonNodeFactory.instance.objectNode().put("version", 1).put("full", since == null);
     answer.set("servers", since == null ? servers : JsonNodeFactory.instance.arrayNode());
@@ -143,7 +149,7 @@
       exchange.respond(204, new Headers(), NOTHING);
       return;
     }
-    String id = request.headers().get("x-request-id");
+    String id = request.headers().firstValue("x-request-id").orElse(null);
     Headers never = Headers.of("x-not-run", "1");
     if (id == null) {
       exchange.respond(404, new Headers(), NOTHING);
--- a/gateway/src/main/java/lemondock/gateway/HttpComponents.java
+++ b/gateway/src/main/java/lemondock/gateway/HttpComponents.java
@@ -63,15 +63,15 @@
   static HttpServerOptions serverOptions(GatewaySettings settings, GatewayEnvironment environment) {
     GatewaySettings.Front front = settings.front();
     double clientHandles = environment.resources().maxFileHandles() * CLIENT_HANDLES_FRACTION;
-    return new HttpServerOptions(
-        limits(front.maxBodyBytes()),
-        (int) Math.min(front.maxConnections(), clientHandles),
-        front.maxBodiesBytes(),
-        GatewaySettings.micros(front.idleTimeoutMs()),
-        GatewaySettings.micros(front.requestTimeoutMs()),
-        GatewaySettings.micros(front.stallTimeoutMs()),
-        settings.overload().heavyBytes(),
-        environment.workers());
+    return HttpServerOptions.builder()
+        .limits(limits(front.maxBodyBytes()))
+        .maxConnections((int) Math.min(front.maxConnections(), clientHandles))
+        .maxBufferedBodyBytes(front.maxBodiesBytes())
+        .idleTimeoutMicros(GatewaySettings.micros(front.idleTimeoutMs()))
+        .requestTimeoutMicros(GatewaySettings.micros(front.requestTimeoutMs()))
+        .stallTimeoutMicros(GatewaySettings.micros(front.stallTimeoutMs()))
+        .heavyBodies(settings.overload().heavyBytes(), environment.workers())
+        .build();
   }
 
   private static HttpLimits limits(long maxBodyBytes) {
--- a/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
@@ -130,7 +130,7 @@
       long index;
       try {
         endpoints = EndpointListCodec.parseConsul(body());
-        index = Long.parseLong(String.valueOf(header("x-consul-index")));
+        index = Long.parseLong(header("x-consul-index").orElse("null"));
       } catch (EndpointListCodec.MalformedListException | NumberFormatException e) {
         ConsulEndpointList.this.retryAfterFailure(
             "the catalogue's answer cannot be read: " + e.getMessage());
--- a/gateway/src/main/java/lemondock/gateway/mcp/DnsRebindingGuard.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/DnsRebindingGuard.java
@@ -32,13 +32,13 @@
 
   /** Why the request is not allowed here, null if it is. */
   String rejectionReason(HttpRequest request) {
-    String host = request.headers().get("host");
+    String host = request.headers().firstValue("host").orElse(null);
     if (host != null
         && !settings.allowedHosts().contains("*")
         && !settings.allowedHosts().contains(withoutPort(host).toLowerCase(Locale.ROOT))) {
       return "host " + clip(host) + " is not allowed here";
     }
-    String origin = request.headers().get("origin");
+    String origin = request.headers().firstValue("origin").orElse(null);
     if (origin != null
         && !settings.allowedOrigins().contains("*")
         && !settings.allowedOrigins().contains(origin)
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpHttpHandler.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpHttpHandler.java
@@ -14,6 +14,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.function.Supplier;
 import lemondock.gateway.answer.PromptReader;
@@ -143,8 +144,8 @@
   }
 
   @Override
-  public HttpRejection rejectEarly(HttpRequest request) {
-    return preparer.rejectBeforeParsing(request);
+  public Optional<HttpRejection> rejectEarly(HttpRequest request) {
+    return Optional.ofNullable(preparer.rejectBeforeParsing(request));
   }
 
   // ==== requests
@@ -184,7 +185,7 @@
 
   private void post(HttpExchange exchange) {
     Headers headers = exchange.request().headers();
-    String type = headers.get("content-type");
+    String type = headers.firstValue("content-type").orElse(null);
     if (type == null || !type.split(";")[0].strip().equalsIgnoreCase("application/json")) {
       text(
           exchange,
@@ -227,7 +228,7 @@
   }
 
   private static boolean accepts(Headers headers, String type) {
-    for (String value : headers.getAll("accept")) {
+    for (String value : headers.allValues("accept")) {
       for (String part : value.split(",")) {
         String range = part.split(";")[0].strip().toLowerCase(Locale.ROOT);
         if (range.equals(type) || range.equals("*/*") || range.equals(type.split("/")[0] + "/*")) {
@@ -244,7 +245,7 @@
    */
   private McpSession session(HttpExchange exchange) {
     Headers headers = exchange.request().headers();
-    String protocolVersion = headers.get(Mcp.VERSION_HEADER);
+    String protocolVersion = headers.firstValue(Mcp.VERSION_HEADER).orElse(null);
     if (protocolVersion != null && !Mcp.VERSIONS.contains(protocolVersion)) {
       error(
           exchange,
@@ -257,7 +258,7 @@
               + Mcp.VERSIONS);
       return null;
     }
-    String id = headers.get(Mcp.SESSION_HEADER);
+    String id = headers.firstValue(Mcp.SESSION_HEADER).orElse(null);
     if (id == null) {
       error(
           exchange,
@@ -361,7 +362,8 @@
     if (session == null) {
       return;
     }
-    String lastEventId = exchange.request().headers().get(Mcp.LAST_EVENT_HEADER);
+    String lastEventId =
+        exchange.request().headers().firstValue(Mcp.LAST_EVENT_HEADER).orElse(null);
     if (lastEventId != null) {
       resume(exchange, session, lastEventId);
       return;
--- a/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
@@ -112,13 +112,14 @@
     statusServer =
         new HttpServer(
             loop,
-            new HttpServerOptions(
-                HttpLimits.DEFAULT,
-                STATUS_CONNECTIONS,
-                STATUS_BODIES_BYTES,
-                STATUS_TIMEOUT_MICROS,
-                STATUS_TIMEOUT_MICROS,
-                STATUS_TIMEOUT_MICROS),
+            HttpServerOptions.builder()
+                .limits(HttpLimits.DEFAULT)
+                .maxConnections(STATUS_CONNECTIONS)
+                .maxBufferedBodyBytes(STATUS_BODIES_BYTES)
+                .idleTimeoutMicros(STATUS_TIMEOUT_MICROS)
+                .requestTimeoutMicros(STATUS_TIMEOUT_MICROS)
+                .stallTimeoutMicros(STATUS_TIMEOUT_MICROS)
+                .build(),
             statusPage::serve);
     statusServer.start(environment.network(), SettingsFile.resolveAddress(reporting.listen()));
   }
--- a/net/src/main/java/lemondock/net/http/BufferingReceiver.java
+++ b/net/src/main/java/lemondock/net/http/BufferingReceiver.java
@@ -1,13 +1,17 @@
 package lemondock.net.http;
 
+import java.util.Optional;
+
 /** A receiver that keeps the head and the body until the response is complete. Loop thread only. */
 public abstract class BufferingReceiver implements ResponseReceiver {
-  private HttpEvent.ResponseHead head;
+  /** Empty before the head has come. */
+  private Optional<HttpEvent.ResponseHead> head = Optional.empty();
+
   private byte[] body = new byte[0];
 
   @Override
   public void onHead(HttpEvent.ResponseHead received) {
-    head = received;
+    head = Optional.of(received);
   }
 
   @Override
@@ -22,11 +26,11 @@
 
   /** The status, 0 before the head has come. */
   protected int status() {
-    return head == null ? 0 : head.status();
+    return head.map(HttpEvent.ResponseHead::status).orElse(0);
   }
 
-  /** A header field's first value, null if there is none. */
-  protected String header(String name) {
-    return head == null ? null : head.headers().get(name);
+  /** A header field's first value; empty also before the head has come. */
+  protected Optional<String> header(String name) {
+    return head.flatMap(received -> received.headers().firstValue(name));
   }
 }
--- a/net/src/main/java/lemondock/net/http/ClientConnection.java
+++ b/net/src/main/java/lemondock/net/http/ClientConnection.java
@@ -4,6 +4,7 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Supplier;
 import lemondock.net.Connection;
 import lemondock.net.LocalResourcesExhaustedException;
@@ -39,7 +40,7 @@
   private Connection transport;
 
   /** What to send once the connection is up. */
-  private Supplier<ByteBuffer> firstRequest;
+  private Supplier<Optional<ByteBuffer>> firstRequest;
 
   /** Where the request ends in what the connection has carried. */
   private long requestEndOffset;
@@ -85,27 +86,27 @@
   }
 
   /** Has the call sent once the connection is up. */
-  void assign(HttpCall first, Supplier<ByteBuffer> request) {
+  void assign(HttpCall first, Supplier<Optional<ByteBuffer>> request) {
     call = first;
     firstRequest = request;
     first.setConnection(this);
   }
 
   /** Sends a call's request; the connection is up and carries no other. */
-  void begin(HttpCall next, Supplier<ByteBuffer> request) {
+  void begin(HttpCall next, Supplier<Optional<ByteBuffer>> request) {
     idleTimer.cancel();
     // before the call: the I/O thread looks at both
     requestStartOffset = transport.flushedBytes() + transport.pendingBytes();
     call = next;
     next.setConnection(this);
     assembler.setReceiver(next.receiver());
-    ByteBuffer bytes = request.get();
-    if (bytes == null) {
+    Optional<ByteBuffer> bytes = request.get();
+    if (bytes.isEmpty()) {
       withdraw(next);
       return;
     }
-    requestEndOffset = requestStartOffset + bytes.remaining();
-    transport.write(bytes);
+    requestEndOffset = requestStartOffset + bytes.get().remaining();
+    transport.write(bytes.get());
     transport.read();
   }
 
--- a/net/src/main/java/lemondock/net/http/ConnectionPool.java
+++ b/net/src/main/java/lemondock/net/http/ConnectionPool.java
@@ -2,10 +2,12 @@
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Iterator;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 
 /** The connections of one {@link HttpClient}, by address. Loop thread only. */
@@ -44,21 +46,22 @@
      * Takes the idle connection that was used last, of that shard if there is one.
      *
      * @param anyShard whether one of another shard will do as well
-     * @return null if there is none
      */
-    ClientConnection takeIdle(int shard, boolean anyShard) {
-      ClientConnection last = idle.peekLast();
-      if (last == null || shard == ANY_SHARD || anyShard || last.shard() == shard) {
-        return idle.pollLast();
+    Optional<ClientConnection> takeIdle(int shard, boolean anyShard) {
+      if (idle.isEmpty()) {
+        return Optional.empty();
+      }
+      if (shard == ANY_SHARD || anyShard || idle.getLast().shard() == shard) {
+        return Optional.of(idle.removeLast());
       }
       for (Iterator<ClientConnection> it = idle.descendingIterator(); it.hasNext(); ) {
         ClientConnection connection = it.next();
         if (connection.shard() == shard) {
           it.remove();
-          return connection;
+          return Optional.of(connection);
         }
       }
-      return null;
+      return Optional.empty();
     }
 
     void addIdle(ClientConnection connection) {
@@ -92,17 +95,13 @@
 
   /** Closes the connection that has been unused for longest; false if all are in use. */
   boolean evictOldestIdle() {
-    ClientConnection oldest = null;
-    for (AddressPool addressPool : addressPools.values()) {
-      ClientConnection first = addressPool.idle.peekFirst();
-      if (first != null && (oldest == null || first.idleSinceMicros() < oldest.idleSinceMicros())) {
-        oldest = first;
-      }
-    }
-    if (oldest != null) {
-      oldest.evict();
-    }
-    return oldest != null;
+    Optional<ClientConnection> oldest =
+        addressPools.values().stream()
+            .filter(addressPool -> !addressPool.idle.isEmpty())
+            .map(addressPool -> addressPool.idle.getFirst())
+            .min(Comparator.comparingLong(ClientConnection::idleSinceMicros));
+    oldest.ifPresent(ClientConnection::evict);
+    return oldest.isPresent();
   }
 
   /** Connections to all addresses, coming up, in use or idle. */
--- a/net/src/main/java/lemondock/net/http/Headers.java
+++ b/net/src/main/java/lemondock/net/http/Headers.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.Optional;
 
 /**
  * Header fields in the order of the message; names compare without regard to case (RFC 9110,
@@ -28,14 +29,14 @@
     return this;
   }
 
-  /** The first value of that name, null if there is none. */
-  public String get(String name) {
+  /** The first value of that name. */
+  public Optional<String> firstValue(String name) {
     int index = names.indexOf(name.toLowerCase(Locale.ROOT));
-    return index < 0 ? null : values.get(index);
+    return index < 0 ? Optional.empty() : Optional.of(values.get(index));
   }
 
   /** All values of that name, in the order of the message. */
-  public List<String> getAll(String name) {
+  public List<String> allValues(String name) {
     List<String> found = new ArrayList<>();
     String wanted = name.toLowerCase(Locale.ROOT);
     for (int i = 0; i < names.size(); i++) {
@@ -48,7 +49,7 @@
 
   /** Whether a comma separated list field holds the token, without regard to case. */
   public boolean containsToken(String name, String token) {
-    for (String value : getAll(name)) {
+    for (String value : allValues(name)) {
       for (String part : value.split(",")) {
         if (part.strip().equalsIgnoreCase(token)) {
           return true;
--- a/net/src/main/java/lemondock/net/http/HttpClient.java
+++ b/net/src/main/java/lemondock/net/http/HttpClient.java
@@ -3,6 +3,7 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Supplier;
 import lemondock.net.Loop;
 import lemondock.net.Network;
@@ -27,7 +28,7 @@
 
   /** Sends a request; the receiver is never called before this returns. */
   public HttpCall send(InetSocketAddress to, ByteBuffer request, ResponseReceiver receiver) {
-    return send(to, () -> request, ConnectionPool.ANY_SHARD, receiver);
+    return send(to, () -> Optional.of(request), ConnectionPool.ANY_SHARD, receiver);
   }
 
   /**
@@ -35,27 +36,30 @@
    */
   public HttpCall send(
       InetSocketAddress to, ByteBuffer request, int shard, ResponseReceiver receiver) {
-    return send(to, () -> request, shard, receiver);
+    return send(to, () -> Optional.of(request), shard, receiver);
   }
 
   /**
    * The same with a request that is made in the moment in which its bytes are written, once its
-   * connection is up: what it says of the time left is true then. One that is null by then is not
+   * connection is up: what it says of the time left is true then. One that is empty by then is not
    * sent, and fails with {@link RequestFailure#NOT_SENT}.
    */
   public HttpCall send(
-      InetSocketAddress to, Supplier<ByteBuffer> request, ResponseReceiver receiver) {
+      InetSocketAddress to, Supplier<Optional<ByteBuffer>> request, ResponseReceiver receiver) {
     return send(to, request, ConnectionPool.ANY_SHARD, receiver);
   }
 
   private HttpCall send(
-      InetSocketAddress to, Supplier<ByteBuffer> request, int shard, ResponseReceiver receiver) {
+      InetSocketAddress to,
+      Supplier<Optional<ByteBuffer>> request,
+      int shard,
+      ResponseReceiver receiver) {
     ConnectionPool.AddressPool addressPool = pool.forAddress(to);
     boolean full = addressPool.connections() >= options.maxConnectionsPerAddress();
     HttpCall call = new HttpCall(receiver);
-    ClientConnection idle = addressPool.takeIdle(shard, full);
-    if (idle != null) {
-      idle.begin(call, request);
+    Optional<ClientConnection> idle = addressPool.takeIdle(shard, full);
+    if (idle.isPresent()) {
+      idle.get().begin(call, request);
     } else if (full || pool.connections() >= options.maxConnections() && !pool.evictOldestIdle()) {
       loop.execute(
           () ->
@@ -70,7 +74,7 @@
   private void connect(
       ConnectionPool.AddressPool addressPool,
       HttpCall call,
-      Supplier<ByteBuffer> request,
+      Supplier<Optional<ByteBuffer>> request,
       int shard) {
     ClientConnection connection = new ClientConnection(loop, options, pool, addressPool);
     pool.add(connection);
--- a/net/src/main/java/lemondock/net/http/HttpClientOptions.java
+++ b/net/src/main/java/lemondock/net/http/HttpClientOptions.java
@@ -39,4 +39,28 @@
         Integer.MAX_VALUE,
         0);
   }
+
+  /** The same options with another bound on all connections together. */
+  public HttpClientOptions withMaxConnections(int newMaxConnections) {
+    return new HttpClientOptions(
+        limits,
+        maxEventBytes,
+        maxConnectionsPerAddress,
+        connectTimeoutMicros,
+        idleTimeoutMicros,
+        newMaxConnections,
+        reuseDelayMicros);
+  }
+
+  /** The same options with another delay before a connection is used again. */
+  public HttpClientOptions withReuseDelayMicros(long newReuseDelayMicros) {
+    return new HttpClientOptions(
+        limits,
+        maxEventBytes,
+        maxConnectionsPerAddress,
+        connectTimeoutMicros,
+        idleTimeoutMicros,
+        maxConnections,
+        newReuseDelayMicros);
+  }
 }
--- a/net/src/main/java/lemondock/net/http/HttpDecoder.java
+++ b/net/src/main/java/lemondock/net/http/HttpDecoder.java
@@ -244,7 +244,7 @@
 
   private void endRequestHead(boolean keepAlive, List<? super HttpEvent> out) {
     Headers headers = head.headers();
-    require(head.isHttp10() || headers.getAll("host").size() == 1, 400, "not one Host field");
+    require(head.isHttp10() || headers.allValues("host").size() == 1, 400, "not one Host field");
     int minorVersion = head.isHttp10() ? 0 : 1;
     out.add(
         new HttpEvent.RequestHead(head.method(), head.target(), minorVersion, headers, keepAlive));
--- a/net/src/main/java/lemondock/net/http/HttpRequest.java
+++ b/net/src/main/java/lemondock/net/http/HttpRequest.java
@@ -1,5 +1,8 @@
 package lemondock.net.http;
 
+import java.util.Arrays;
+import java.util.Optional;
+
 /**
  * A complete request as a server received it.
  *
@@ -17,18 +20,16 @@
     return query < 0 ? target : target.substring(0, query);
   }
 
-  /** The first value of a query parameter, not decoded; null if there is none. */
-  public String queryParameter(String name) {
+  /** The first value of a query parameter, not decoded. */
+  public Optional<String> queryParameter(String name) {
     int query = target.indexOf('?');
     if (query < 0) {
-      return null;
-    }
-    for (String pair : target.substring(query + 1).split("&")) {
-      if (pair.startsWith(name + "=")) {
-        return pair.substring(name.length() + 1);
-      }
+      return Optional.empty();
     }
-    return null;
+    return Arrays.stream(target.substring(query + 1).split("&"))
+        .filter(pair -> pair.startsWith(name + "="))
+        .findFirst()
+        .map(pair -> pair.substring(name.length() + 1));
   }
 
   HttpRequest withoutBody() {
--- a/net/src/main/java/lemondock/net/http/HttpService.java
+++ b/net/src/main/java/lemondock/net/http/HttpService.java
@@ -1,5 +1,7 @@
 package lemondock.net.http;
 
+import java.util.Optional;
+
 /** Serves the requests of an {@link HttpServer}. */
 public interface HttpService {
   /**
@@ -16,10 +18,10 @@
    * #earlyRejectionBytes} bytes of its body or more, but not all that is to come; once it is
    * rejected the rest is read and discarded.
    *
-   * @return the response that it gets instead of being served; null to have it prepared
+   * @return the response that it gets instead of being served; empty to have it prepared
    */
-  default HttpRejection rejectEarly(HttpRequest request) {
-    return null;
+  default Optional<HttpRejection> rejectEarly(HttpRequest request) {
+    return Optional.empty();
   }
 
   /** Bytes of body that {@link #rejectEarly} needs to decide as it would with all of them. */
--- a/net/src/main/java/lemondock/net/http/MessageHead.java
+++ b/net/src/main/java/lemondock/net/http/MessageHead.java
@@ -118,7 +118,7 @@
    * @throws ProtocolViolation if it has another coding
    */
   boolean isChunked() {
-    List<String> codings = headers.getAll("transfer-encoding");
+    List<String> codings = headers.allValues("transfer-encoding");
     if (codings.isEmpty()) {
       return false;
     }
@@ -136,7 +136,7 @@
    * @throws ProtocolViolation if it is not one number
    */
   long contentLength() {
-    List<String> lengths = headers.getAll("content-length");
+    List<String> lengths = headers.allValues("content-length");
     if (lengths.isEmpty()) {
       return NO_LENGTH;
     }
--- a/net/src/main/java/lemondock/net/http/QueuedRequest.java
+++ b/net/src/main/java/lemondock/net/http/QueuedRequest.java
@@ -1,5 +1,7 @@
 package lemondock.net.http;
 
+import java.util.Optional;
+
 /**
  * A request between the decoder and the service; a heavy one is not prepared yet. Made on an I/O
  * thread, then loop thread only.
@@ -11,7 +13,7 @@
   private final boolean heavy;
   private Object prepared;
   private boolean ready;
-  private HttpRejection rejection;
+  private Optional<HttpRejection> rejection = Optional.empty();
 
   /** Makes a request that is neither prepared nor rejected. */
   QueuedRequest(HttpRequest request, boolean keepAlive, boolean acceptsChunks, boolean heavy) {
@@ -39,7 +41,7 @@
 
   /** Whether workers have to prepare it. */
   boolean needsWorker() {
-    return heavy && rejection == null;
+    return heavy && rejection.isEmpty();
   }
 
   /** Whether it can be served or rejected. */
@@ -51,8 +53,8 @@
     return prepared;
   }
 
-  /** The response that it gets instead of being served; null if it is served. */
-  HttpRejection rejection() {
+  /** The response that it gets instead of being served. */
+  Optional<HttpRejection> rejection() {
     return rejection;
   }
 
@@ -62,7 +64,7 @@
   }
 
   void reject(HttpRejection response) {
-    rejection = response;
+    rejection = Optional.of(response);
     ready = true;
   }
 }
--- a/net/src/main/java/lemondock/net/http/RequestAssembler.java
+++ b/net/src/main/java/lemondock/net/http/RequestAssembler.java
@@ -4,6 +4,7 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * Makes whole requests of a connection's bytes, within the budget that all connections share for
@@ -35,7 +36,10 @@
   private List<Object> output;
 
   private HttpEvent.RequestHead head;
-  private HttpRejection rejection;
+
+  /** The early rejection of the request at hand. */
+  private Optional<HttpRejection> rejection = Optional.empty();
+
   private boolean askedForRejection;
   private boolean budgetExceeded;
 
@@ -65,7 +69,7 @@
   /** A piece of a body where it lies. */
   private void appendBody(ByteBuffer piece) {
     forwardDecoded(output); // the head may have come with it
-    if (rejection != null || budgetExceeded) {
+    if (rejection.isPresent() || budgetExceeded) {
       return; // read and discarded
     }
     int size = piece.remaining();
@@ -90,7 +94,7 @@
   private void askForRejection() {
     askedForRejection = true;
     rejection = service.rejectEarly(requestSoFar());
-    if (rejection != null) {
+    if (rejection.isPresent()) {
       bodyBudget.release(body.size());
       body = new ByteArrayOutputStream(0);
     }
@@ -124,12 +128,12 @@
     body = new ByteArrayOutputStream(0);
     QueuedRequest queued =
         new QueuedRequest(request, head.keepAlive(), head.minorVersion() > 0, heavy);
-    if (rejection != null) {
-      queued.reject(rejection);
+    if (rejection.isPresent()) {
+      queued.reject(rejection.get());
     } else if (!heavy) {
       queued.setPrepared(service.prepare(request));
     }
-    rejection = null;
+    rejection = Optional.empty();
     askedForRejection = false;
     return queued;
   }
--- a/net/src/main/java/lemondock/net/http/ResponseAssembler.java
+++ b/net/src/main/java/lemondock/net/http/ResponseAssembler.java
@@ -5,6 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import lemondock.net.sse.EventTooLongException;
 import lemondock.net.sse.SseDecoder;
 import lemondock.net.sse.SseEvent;
 import lemondock.net.sse.SseEventSink;
@@ -111,7 +112,7 @@
     }
     try {
       sseDecoder.decode(piece, eventSink);
-    } catch (IllegalArgumentException e) {
+    } catch (EventTooLongException e) {
       output.add(new HttpEvent.Malformed(502, e.getMessage()));
     }
   }
@@ -141,8 +142,11 @@
 
   private void beginResponse(HttpEvent.ResponseHead head) {
     inResponse = true;
-    String type = head.headers().get("content-type");
-    boolean eventStream = type != null && type.startsWith("text/event-stream");
+    boolean eventStream =
+        head.headers()
+            .firstValue("content-type")
+            .filter(type -> type.startsWith("text/event-stream"))
+            .isPresent();
     sseDecoder = eventStream ? new SseDecoder(maxEventBytes) : null;
   }
 
--- a/net/src/main/java/lemondock/net/http/ServerConnection.java
+++ b/net/src/main/java/lemondock/net/http/ServerConnection.java
@@ -3,27 +3,19 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
 import java.util.List;
-import java.util.concurrent.RejectedExecutionException;
+import java.util.Optional;
 import lemondock.net.Connection;
 import lemondock.net.Loop;
 
 /**
- * One client's connection to an {@link HttpServer}: queues its requests, has them served one after
- * another and enforces the time limits. Loop thread only, but for {@link #decode}.
+ * One client's connection to an {@link HttpServer}: has its requests served one after another and
+ * enforces the time limits. Loop thread only, but for {@link #decode}.
  */
 final class ServerConnection implements Connection.Handler {
   private static final ByteBuffer CONTINUE_RESPONSE =
       ByteBuffer.wrap("HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII))
           .asReadOnlyBuffer();
-  private static final HttpRejection WORKERS_SATURATED =
-      new HttpRejection(
-          1,
-          "text/plain; charset=utf-8",
-          "too many requests wait to be read\n".getBytes(StandardCharsets.US_ASCII),
-          () -> {});
-  private static final int MAX_PIPELINED_REQUESTS = 16;
 
   private final HttpServer server;
   private final Loop loop;
@@ -33,7 +25,7 @@
   private final RequestAssembler assembler;
 
   // Loop thread only, each from here on:
-  private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
+  private final RequestQueue queue;
 
   /** The socket's connection; null before it is up. */
   private Connection transport;
@@ -47,9 +39,6 @@
   /** A close was asked for that happens only if no bytes are on their way here. */
   private boolean closingIfIdle;
 
-  /** Requests were discarded: more came than may be queued. */
-  private boolean discardedRequests;
-
   private boolean watchingProgress;
 
   /** Bytes of the body of the exchange under way. */
@@ -64,6 +53,7 @@
     this.loop = server.loop();
     this.options = server.options();
     this.assembler = new RequestAssembler(options, server.service(), server.bodyBudget());
+    this.queue = new RequestQueue(server, new PreparationListener());
   }
 
   Connection transport() {
@@ -120,7 +110,8 @@
 
   private void handle(Object event) {
     if (event instanceof QueuedRequest request) {
-      enqueue(request);
+      stopWaiting();
+      queue.add(request);
     } else if (event instanceof HttpEvent.Began) {
       requestTimer.cancel();
       requestTimer =
@@ -132,86 +123,52 @@
     }
   }
 
-  private void enqueue(QueuedRequest request) {
-    stopWaiting();
-    if (discardedRequests || options.discardsExcessRequests() && queueIsFull()) {
-      discardedRequests = true;
-      server.bodyBudget().release(request.bodyBytes());
-      return;
-    }
-    queue.add(request);
-    if (request.needsWorker()) {
-      prepareOnWorker(request);
-    }
-  }
-
-  private boolean queueIsFull() {
-    return queue.size() >= MAX_PIPELINED_REQUESTS;
-  }
-
-  /** Has the workers prepare a request; what comes behind it on this connection waits. */
-  private void prepareOnWorker(QueuedRequest request) {
-    try {
-      options.workers().execute(() -> prepare(request));
-    } catch (RejectedExecutionException e) {
-      request.reject(WORKERS_SATURATED);
+  private final class PreparationListener implements RequestQueue.Listener {
+    @Override
+    public void requestPrepared() {
+      serveNext();
+      readMore();
     }
-  }
 
-  /** On a worker's thread. */
-  private void prepare(QueuedRequest request) {
-    Object prepared;
-    try {
-      prepared = server.service().prepare(request.request());
-    } catch (RuntimeException | Error e) {
-      loop.execute(
-          () -> {
-            transport.abort();
-            // a defect: the loop reports it
-            throw new IllegalStateException("a request could not be prepared", e);
-          });
-      return;
+    @Override
+    public void preparationFailed() {
+      transport.abort();
     }
-    loop.execute(
-        () -> {
-          request.setPrepared(prepared);
-          serveNext();
-          readMore();
-        });
   }
 
   /** Reads on if there is room for it: only a read tells that the client has gone. */
   private void readMore() {
-    if (!closing && (options.discardsExcessRequests() || !queueIsFull())) {
+    if (!closing && queue.takesMore()) {
       transport.read();
     }
   }
 
   private void serveNext() {
-    while (current == null && !queue.isEmpty() && queue.peek().isReady() && !closing) {
-      QueuedRequest next = queue.poll();
-      HttpRequest request = next.request();
-      if (server.service().needsBodyToServe()) {
-        currentBodyBytes = next.bodyBytes();
-      } else {
-        server.bodyBudget().release(next.bodyBytes());
-        request = request.withoutBody();
-      }
-      server.exchangeStarted();
-      // the last response says close, and the client sends what was discarded again elsewhere
-      boolean closesAfter = discardedRequests && queue.isEmpty();
-      current =
-          new HttpExchange(
-              this,
-              request,
-              next.prepared(),
-              next.keepAlive() && !closesAfter,
-              next.acceptsChunks());
-      if (next.rejection() == null) {
-        server.service().serve(current);
-      } else {
-        respondRejected(next.rejection());
+    while (current == null && !closing) {
+      Optional<QueuedRequest> next = queue.pollReady();
+      if (next.isEmpty()) {
+        return;
       }
+      serve(next.get());
+    }
+  }
+
+  private void serve(QueuedRequest next) {
+    HttpRequest request = next.request();
+    if (server.service().needsBodyToServe()) {
+      currentBodyBytes = next.bodyBytes();
+    } else {
+      server.bodyBudget().release(next.bodyBytes());
+      request = request.withoutBody();
+    }
+    server.exchangeStarted();
+    // the last response says close, and the client sends what was discarded again elsewhere
+    boolean keepAlive = next.keepAlive() && !queue.endedByDiscard();
+    current = new HttpExchange(this, request, next.prepared(), keepAlive, next.acceptsChunks());
+    if (next.rejection().isPresent()) {
+      respondRejected(next.rejection().get());
+    } else {
+      server.service().serve(current);
     }
   }
 
@@ -357,7 +314,6 @@
     stopWaiting();
     progressTimer.cancel();
     assembler.releaseBody();
-    queue.forEach(request -> server.bodyBudget().release(request.bodyBytes()));
     queue.clear();
     releaseCurrentBody();
     HttpExchange lost = current;
--- a/net/src/main/java/lemondock/net/sse/SseDecoder.java
+++ b/net/src/main/java/lemondock/net/sse/SseDecoder.java
@@ -39,35 +39,42 @@
   /**
    * Takes all bytes and hands on the events that they complete.
    *
-   * @throws IllegalArgumentException if a line or an event exceeds the bound
+   * @throws EventTooLongException if a line or an event exceeds the bound
    */
   public void decode(ByteBuffer in, SseEventSink sink) {
     while (in.hasRemaining()) {
-      int from = in.position();
-      int at = from;
-      while (at < in.limit() && in.get(at) != '\n' && in.get(at) != '\r') {
-        at++;
-      }
-      if (at > from) {
+      int length = lengthUntilLineEnd(in);
+      if (length > 0) {
         afterCarriageReturn = false;
-        appendToLine(in, at - from);
+        appendToLine(in, length);
       }
-      if (at < in.limit()) {
-        byte end = in.get();
-        if (end == '\n' && afterCarriageReturn) {
-          afterCarriageReturn = false;
-        } else {
-          afterCarriageReturn = end == '\r';
-          endLine(sink);
-        }
+      if (in.hasRemaining()) {
+        lineEndRead(in.get(), sink);
       }
     }
   }
 
+  private static int lengthUntilLineEnd(ByteBuffer in) {
+    int at = in.position();
+    while (at < in.limit() && in.get(at) != '\n' && in.get(at) != '\r') {
+      at++;
+    }
+    return at - in.position();
+  }
+
+  /** A line feed behind a carriage return belongs to the line that this one has ended. */
+  private void lineEndRead(byte lineEnd, SseEventSink sink) {
+    if (lineEnd == '\n' && afterCarriageReturn) {
+      afterCarriageReturn = false;
+    } else {
+      afterCarriageReturn = lineEnd == '\r';
+      endLine(sink);
+    }
+  }
+
   private void appendToLine(ByteBuffer in, int count) {
     if (lineLength + count > maxBytes) {
-      throw new IllegalArgumentException(
-          "a line of an event stream is over " + maxBytes + " bytes");
+      throw new EventTooLongException("a line of an event stream", maxBytes);
     }
     line = grown(line, lineLength + count);
     in.get(line, lineLength, count);
@@ -112,7 +119,7 @@
   private void appendData(int from, int end) {
     int added = end - from + (hasData ? 1 : 0);
     if (dataLength + added > maxBytes) {
-      throw new IllegalArgumentException("an event is over " + maxBytes + " bytes");
+      throw new EventTooLongException("an event", maxBytes);
     }
     data = grown(data, dataLength + added);
     if (hasData) {
--- a/net/src/test/java/lemondock/net/http/ClientConnectionTest.java
+++ b/net/src/test/java/lemondock/net/http/ClientConnectionTest.java
@@ -48,7 +48,15 @@
   void start() throws IOException {
     server =
         net.serve(
-            new HttpServerOptions(LIMITS, 5, 15_000, 300_000, 200_000, 300_000), new PathService());
+            HttpServerOptions.builder()
+                .limits(LIMITS)
+                .maxConnections(5)
+                .maxBufferedBodyBytes(15_000)
+                .idleTimeoutMicros(300_000)
+                .requestTimeoutMicros(200_000)
+                .stallTimeoutMicros(300_000)
+                .build(),
+            new PathService());
   }
 
   private HttpClient client() {
--- a/net/src/test/java/lemondock/net/http/HttpClientTest.java
+++ b/net/src/test/java/lemondock/net/http/HttpClientTest.java
@@ -7,6 +7,7 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import lemondock.net.testing.ScriptedConnection;
 import lemondock.net.testing.ScriptedNetwork;
 import lemondock.net.time.ManualLoop;
@@ -134,7 +135,7 @@
         A,
         () -> {
           heard.add("made");
-          return HttpEncoder.request("GET", "/", new Headers(), new byte[0]);
+          return Optional.of(HttpEncoder.request("GET", "/", new Headers(), new byte[0]));
         },
         receiver);
     assertEquals(List.of(), heard);
@@ -142,7 +143,7 @@
     assertEquals(List.of("made"), heard);
     connections.get(0).answer();
     loop.advance(11_000);
-    client.send(A, () -> null, receiver);
+    client.send(A, Optional::empty, receiver);
     loop.runTasks();
     assertEquals(List.of("made", "done", "NOT_SENT"), heard);
     assertEquals(1, connections.get(0).requests);
--- a/net/src/test/java/lemondock/net/http/HttpServerTest.java
+++ b/net/src/test/java/lemondock/net/http/HttpServerTest.java
@@ -14,6 +14,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
+import java.util.Optional;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
@@ -45,15 +46,15 @@
   void start() throws IOException {
     server =
         net.serve(
-            new HttpServerOptions(
-                HttpLimits.DEFAULT,
-                10,
-                BUDGET_BYTES,
-                10_000_000,
-                10_000_000,
-                10_000_000,
-                HEAVY_BODY_BYTES,
-                Runnable::run),
+            HttpServerOptions.builder()
+                .limits(HttpLimits.DEFAULT)
+                .maxConnections(10)
+                .maxBufferedBodyBytes(BUDGET_BYTES)
+                .idleTimeoutMicros(10_000_000)
+                .requestTimeoutMicros(10_000_000)
+                .stallTimeoutMicros(10_000_000)
+                .heavyBodies(HEAVY_BODY_BYTES, Runnable::run)
+                .build(),
             new HttpService() {
               @Override
               public int earlyRejectionBytes() {
@@ -61,12 +62,13 @@
               }
 
               @Override
-              public HttpRejection rejectEarly(HttpRequest request) {
+              public Optional<HttpRejection> rejectEarly(HttpRequest request) {
                 askedAfterBytes.add(request.body().length);
                 return request.body()[0] != 'x'
-                    ? null
-                    : new HttpRejection(
-                        7, "text/plain", "no".getBytes(StandardCharsets.US_ASCII), () -> {});
+                    ? Optional.empty()
+                    : Optional.of(
+                        new HttpRejection(
+                            7, "text/plain", "no".getBytes(StandardCharsets.US_ASCII), () -> {}));
               }
 
               @Override
@@ -217,17 +219,15 @@
   }
 
   private static HttpServerOptions discardsExcessRequests() {
-    return new HttpServerOptions(
-        HttpLimits.DEFAULT,
-        10,
-        BUDGET_BYTES,
-        10_000_000,
-        10_000_000,
-        10_000_000,
-        Integer.MAX_VALUE,
-        Runnable::run,
-        0,
-        true);
+    return HttpServerOptions.builder()
+        .limits(HttpLimits.DEFAULT)
+        .maxConnections(10)
+        .maxBufferedBodyBytes(BUDGET_BYTES)
+        .idleTimeoutMicros(10_000_000)
+        .requestTimeoutMicros(10_000_000)
+        .stallTimeoutMicros(10_000_000)
+        .discardExcessRequests()
+        .build();
   }
 
   @Test
--- a/net/src/test/java/lemondock/net/http/ServerConnectionTest.java
+++ b/net/src/test/java/lemondock/net/http/ServerConnectionTest.java
@@ -34,7 +34,16 @@
   @BeforeEach
   void start() throws IOException {
     server =
-        net.serve(new HttpServerOptions(LIMITS, 5, 15_000, 300_000, 200_000, 300_000), service);
+        net.serve(
+            HttpServerOptions.builder()
+                .limits(LIMITS)
+                .maxConnections(5)
+                .maxBufferedBodyBytes(15_000)
+                .idleTimeoutMicros(300_000)
+                .requestTimeoutMicros(200_000)
+                .stallTimeoutMicros(300_000)
+                .build(),
+            service);
   }
 
   @Test
@@ -156,13 +165,14 @@
   void largeBodiesLeaveAPartOfTheirBudgetToSmallOnes() throws Exception {
     HttpServer roomy =
         net.serve(
-            new HttpServerOptions(
-                new HttpLimits(1000, 2000, 20, 100_000),
-                50,
-                100_000,
-                5_000_000,
-                5_000_000,
-                5_000_000),
+            HttpServerOptions.builder()
+                .limits(new HttpLimits(1000, 2000, 20, 100_000))
+                .maxConnections(50)
+                .maxBufferedBodyBytes(100_000)
+                .idleTimeoutMicros(5_000_000)
+                .requestTimeoutMicros(5_000_000)
+                .stallTimeoutMicros(5_000_000)
+                .build(),
             exchange -> exchange.respond(200, new Headers(), new byte[0]));
     String large = "POST /l HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\n";
     try (Socket first = connect(roomy);
@@ -193,19 +203,21 @@
     LinkedBlockingQueue<Runnable> work = new LinkedBlockingQueue<>(1);
     HttpServer heavy =
         net.serve(
-            new HttpServerOptions(
-                LIMITS,
-                50,
-                100_000,
-                5_000_000,
-                5_000_000,
-                5_000_000,
-                500,
-                task -> {
-                  if (!work.offer(task)) {
-                    throw new RejectedExecutionException();
-                  }
-                }),
+            HttpServerOptions.builder()
+                .limits(LIMITS)
+                .maxConnections(50)
+                .maxBufferedBodyBytes(100_000)
+                .idleTimeoutMicros(5_000_000)
+                .requestTimeoutMicros(5_000_000)
+                .stallTimeoutMicros(5_000_000)
+                .heavyBodies(
+                    500,
+                    task -> {
+                      if (!work.offer(task)) {
+                        throw new RejectedExecutionException();
+                      }
+                    })
+                .build(),
             new HttpService() {
               @Override
               public Object prepare(HttpRequest request) {
--- a/net/src/test/java/lemondock/net/nio/IdleCloseTest.java
+++ b/net/src/test/java/lemondock/net/nio/IdleCloseTest.java
@@ -46,17 +46,16 @@
   void start() throws IOException {
     server =
         net.serve(
-            new HttpServerOptions(
-                new HttpLimits(1000, 2000, 20, 10_000),
-                4,
-                15_000,
-                IDLE_TIMEOUT_MICROS,
-                400_000,
-                400_000,
-                Integer.MAX_VALUE,
-                Runnable::run,
-                FIRST_REQUEST_TIMEOUT_MICROS,
-                true),
+            HttpServerOptions.builder()
+                .limits(new HttpLimits(1000, 2000, 20, 10_000))
+                .maxConnections(4)
+                .maxBufferedBodyBytes(15_000)
+                .idleTimeoutMicros(IDLE_TIMEOUT_MICROS)
+                .requestTimeoutMicros(400_000)
+                .stallTimeoutMicros(400_000)
+                .firstRequestTimeoutMicros(FIRST_REQUEST_TIMEOUT_MICROS)
+                .discardExcessRequests()
+                .build(),
             new HttpService() {
               @Override
               public Object prepare(HttpRequest request) {
--- a/net/src/test/java/lemondock/net/sse/SseTest.java
+++ b/net/src/test/java/lemondock/net/sse/SseTest.java
@@ -66,13 +66,11 @@
   void sizesAreBounded() {
     SseDecoder decoder = new SseDecoder(20);
     assertThrows(
-        IllegalArgumentException.class,
-        () -> decoder.decode(ByteBuffer.wrap(new byte[600]), NO_SINK));
+        EventTooLongException.class, () -> decoder.decode(ByteBuffer.wrap(new byte[600]), NO_SINK));
     SseDecoder other = new SseDecoder(20);
     byte[] many =
         "data: 0123456789\ndata: 0123456789\ndata: 0123456789\n\n".getBytes(StandardCharsets.UTF_8);
-    assertThrows(
-        IllegalArgumentException.class, () -> other.decode(ByteBuffer.wrap(many), NO_SINK));
+    assertThrows(EventTooLongException.class, () -> other.decode(ByteBuffer.wrap(many), NO_SINK));
   }
 
   @Property(tries = 500, seed = "20261201")
--- a/scenario/src/main/java/lemondock/scenario/McpClient.java
+++ b/scenario/src/main/java/lemondock/scenario/McpClient.java
@@ -156,7 +156,10 @@
           @Override
           public void onHead(HttpEvent.ResponseHead head) {
             openStatus = head.status();
-            id = head.status() == 200 ? head.headers().get(Mcp.SESSION_HEADER) : null;
+            id =
+                head.status() == 200
+                    ? head.headers().firstValue(Mcp.SESSION_HEADER).orElse(null)
+                    : null;
           }
 
           @Override
