--- a/anomaly/src/main/java/lemondock/anomaly/DegradationDetector.java
+++ b/anomaly/src/main/java/lemondock/anomaly/DegradationDetector.java
@@ -1,228 +1,143 @@
 package lemondock.anomaly;
 
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 import java.util.function.Supplier;
 
 /**
- * Tells promptly that service falls, and where. Each class in each zone has evidence of its own,
- * and so has each zone as a whole: many classes that each lose a little add up there. Counters come
- * in as they stand; the detector takes the differences. No I/O, no clock; one thread. It keeps one
- * cell for each label, which its caller has bounded.
+ * Detects degradations of service and where they are. Each class in each zone has a {@link
+ * ChangeDetector} of its own, and so has each zone as a whole, where small losses of many classes
+ * add up. Counters are passed in as they stand; the detector takes their differences. It keeps
+ * state for each scope, the number of which its caller has to bound. No I/O, no clock. Not
+ * thread-safe.
  */
 public final class DegradationDetector {
-  /** The label of all classes, or all roles, together. */
+  /** The name of the scope of all classes of a zone together. */
   public static final String ALL = "all";
 
-  /** Seconds over which it is judged what stands out. */
-  private static final int WINDOW = 8;
+  private final Supplier<ChangeDetector> changeDetectorFactory;
+  private final Map<ServiceScope, Monitor> monitors = new LinkedHashMap<>();
+  private final Map<ServiceScope, CounterWindow> attemptWindows = new LinkedHashMap<>();
 
-  private static final long SECOND = 1_000_000;
-  private static final double MOST_OF_IT = 0.5;
-  private static final double WORSE_THAN_REST = 2.0;
-  private static final long LEAST_BAD = 3;
+  /** What is known of one scope of requests. */
+  private static final class Monitor {
+    final CounterWindow window = new CounterWindow();
+    final ChangeDetector changeDetector;
+    long degradationCount;
 
-  private final Supplier<DetectionEvidence> evidence;
-  private final Map<Key, Cell> cells = new LinkedHashMap<>();
-  private final Map<Key, Spread> servers = new LinkedHashMap<>();
-
-  /** A class and the zone in which its requests came in, or a role and the zone of its servers. */
-  public record Key(String what, String zone) {}
-
-  /** Counters as they stand: requests that got what was wanted and that did not. */
-  public record Count(Key key, long good, long bad) {}
-
-  /**
-   * A change.
-   *
-   * @param began true: service fell; false: it has recovered
-   * @param loss share of bad requests over the last seconds
-   * @param usual share that counts as usual
-   * @param standsOut what else is worse than the rest, in words; empty if nothing is
-   */
-  public record Change(Key key, boolean began, double loss, double usual, String standsOut) {
-    /** One line for a person. */
-    public String line() {
-      String where = (key.what().equals(ALL) ? "all classes" : key.what()) + " in " + key.zone();
-      return began
-          ? String.format(
-              java.util.Locale.ROOT,
-              "service falls: %s loses %.0f %% of its requests, usual are %.0f %%%s",
-              where,
-              100 * loss,
-              100 * usual,
-              standsOut.isEmpty() ? "" : "; " + standsOut)
-          : String.format(
-              java.util.Locale.ROOT,
-              "service is back: %s loses %.0f %% of its requests",
-              where,
-              100 * loss);
-    }
-  }
-
-  /** What is seen of one cell now. */
-  public record Sight(
-      Key key, boolean fallen, double level, double loss, long requests, long falls) {}
-
-  /** Counts over the last seconds, a place each. */
-  private static class Spread {
-    private final long[] goods = new long[WINDOW];
-    private final long[] bads = new long[WINDOW];
-    private long good;
-    private long bad;
-    private long newGood;
-    private long newBad;
-    private long second = Long.MIN_VALUE;
-
-    /**
-     * Takes the counters as they stand; ones that went back are those of a new life, which begins
-     * at zero.
-     */
-    void take(long now, long goodNow, long badNow) {
-      long to = Math.floorDiv(now, SECOND);
-      for (long s = Math.max(second + 1, to - WINDOW + 1); s <= to; s++) {
-        goods[(int) Math.floorMod(s, (long) WINDOW)] = 0;
-        bads[(int) Math.floorMod(s, (long) WINDOW)] = 0;
-      }
-      second = to;
-      boolean anew = goodNow < good || badNow < bad;
-      newGood = anew ? goodNow : goodNow - good;
-      newBad = anew ? badNow : badNow - bad;
-      goods[(int) Math.floorMod(to, (long) WINDOW)] += newGood;
-      bads[(int) Math.floorMod(to, (long) WINDOW)] += newBad;
-      good = goodNow;
-      bad = badNow;
-    }
-
-    long bad() {
-      return sum(bads);
-    }
-
-    long all() {
-      return sum(goods) + sum(bads);
+    Monitor(ChangeDetector changeDetector) {
+      this.changeDetector = changeDetector;
     }
 
-    double loss() {
-      return all() == 0 ? 0 : (double) bad() / all();
+    /** Passes on the latest increase; whether service has degraded or recovered by it. */
+    boolean detectChange(long nowMicros) {
+      boolean wasDegraded = changeDetector.isDegraded();
+      changeDetector.observe(nowMicros, window.newGood(), window.newBad());
+      boolean isDegraded = changeDetector.isDegraded();
+      degradationCount += isDegraded && !wasDegraded ? 1 : 0;
+      return isDegraded != wasDegraded;
     }
 
-    private static long sum(long[] of) {
-      long sum = 0;
-      for (long v : of) {
-        sum += v;
-      }
-      return sum;
+    ScopeStatus status(ServiceScope scope) {
+      return new ScopeStatus(
+          scope,
+          changeDetector.isDegraded(),
+          changeDetector.evidence(),
+          window.lossRatio(),
+          window.total(),
+          degradationCount);
     }
   }
 
-  private static final class Cell extends Spread {
-    private final DetectionEvidence evidence;
-    private long falls;
-
-    Cell(DetectionEvidence evidence) {
-      this.evidence = evidence;
-    }
-  }
-
-  /** Makes a detector; each cell gets evidence of its own. */
-  public DegradationDetector(Supplier<DetectionEvidence> evidence) {
-    this.evidence = evidence;
+  /** Makes a detector; the factory is called for each scope. */
+  public DegradationDetector(Supplier<ChangeDetector> changeDetectorFactory) {
+    this.changeDetectorFactory = changeDetectorFactory;
   }
 
   /**
-   * Takes the counters as they stand, once a second or so, and tells what changed.
+   * Takes the counters as they stand, about once a second.
    *
-   * @param now microseconds; never goes back
-   * @param classes counters by class and zone
-   * @param roles counters of attempts by role and zone of servers, which only help to say what
-   *     stands out
+   * @param nowMicros the current time; must not go back
+   * @param requests counters of requests by class and zone
+   * @param attempts counters of attempts by role and zone of the servers, which serve only to name
+   *     outliers
+   * @return the degradations that have started or ended
    */
-  public List<Change> observe(long now, List<Count> classes, List<Count> roles) {
-    Map<String, long[]> zones = new LinkedHashMap<>();
-    for (Count c : classes) {
-      cells.computeIfAbsent(c.key(), k -> new Cell(evidence.get())).take(now, c.good(), c.bad());
-      long[] sum = zones.computeIfAbsent(c.key().zone(), z -> new long[2]);
-      sum[0] += c.good();
-      sum[1] += c.bad();
-    }
-    zones.forEach(
-        (zone, sum) ->
-            cells
-                .computeIfAbsent(new Key(ALL, zone), k -> new Cell(evidence.get()))
-                .take(now, sum[0], sum[1]));
-    roles.forEach(
-        r -> servers.computeIfAbsent(r.key(), k -> new Spread()).take(now, r.good(), r.bad()));
-    List<Change> changes = new ArrayList<>();
-    cells.forEach(
-        (key, cell) -> {
-          boolean before = cell.evidence.fallen();
-          Spread counts = cell;
-          cell.evidence.add(now, counts.newGood, counts.newBad);
-          if (cell.evidence.fallen() != before) {
-            cell.falls += before ? 0 : 1;
-            changes.add(
-                new Change(
-                    key,
-                    !before,
-                    cell.loss(),
-                    cell.evidence.usualLoss(),
-                    before ? "" : standsOut(key)));
+  public List<DegradationChange> observe(
+      long nowMicros, List<EventCounts> requests, List<EventCounts> attempts) {
+    requests.forEach(counts -> monitor(counts.scope()).window.update(nowMicros, counts));
+    sumByZone(requests).forEach(sum -> monitor(sum.scope()).window.update(nowMicros, sum));
+    attempts.forEach(
+        counts ->
+            attemptWindows
+                .computeIfAbsent(counts.scope(), scope -> new CounterWindow())
+                .update(nowMicros, counts));
+    List<DegradationChange> changes = new ArrayList<>();
+    monitors.forEach(
+        (scope, monitor) -> {
+          if (monitor.detectChange(nowMicros)) {
+            changes.add(change(scope, monitor));
           }
         });
     return changes;
   }
 
-  /** What is seen now, cells in the order in which they came. */
-  public List<Sight> sights() {
-    List<Sight> sights = new ArrayList<>();
-    cells.forEach(
-        (key, c) ->
-            sights.add(
-                new Sight(
-                    key, c.evidence.fallen(), c.evidence.level(), c.loss(), c.all(), c.falls)));
-    return sights;
+  private Monitor monitor(ServiceScope scope) {
+    return monitors.computeIfAbsent(scope, s -> new Monitor(changeDetectorFactory.get()));
   }
 
-  /**
-   * A class for a zone's fall, and for each fall the servers whose attempts go worst, if they
-   * clearly do.
-   */
-  private String standsOut(Key fallen) {
-    List<String> found = new ArrayList<>();
-    if (fallen.what().equals(ALL)) {
-      Map<Key, Spread> classes = new LinkedHashMap<>();
-      cells.forEach(
-          (key, c) -> {
-            if (!key.what().equals(ALL) && key.zone().equals(fallen.zone())) {
-              classes.put(key, c);
-            }
-          });
-      worst(classes).ifPresent(k -> found.add("most of it in class " + k.what()));
+  private static List<EventCounts> sumByZone(List<EventCounts> requests) {
+    Map<String, EventCounts> sums = new LinkedHashMap<>();
+    for (EventCounts counts : requests) {
+      String zone = counts.scope().zone();
+      EventCounts ofZone =
+          new EventCounts(new ServiceScope(ALL, zone), counts.good(), counts.bad());
+      sums.merge(zone, ofZone, EventCounts::plus);
     }
-    worst(servers)
-        .ifPresent(k -> found.add("attempts fail most at " + k.what() + "s in " + k.zone()));
-    return String.join(", ", found);
+    return List.copyOf(sums.values());
   }
 
-  /** The cell with most of the bad counts, if the rest together does clearly better. */
-  private static Optional<Key> worst(Map<Key, ? extends Spread> among) {
-    Optional<Key> worst =
-        among.keySet().stream().max(Comparator.comparingLong(k -> among.get(k).bad()));
-    if (worst.isEmpty() || among.size() < 2) {
-      return Optional.empty();
+  private DegradationChange change(ServiceScope scope, Monitor monitor) {
+    boolean isDegraded = monitor.changeDetector.isDegraded();
+    return new DegradationChange(
+        scope,
+        isDegraded,
+        monitor.window.lossRatio(),
+        monitor.changeDetector.baselineLossRatio(),
+        isDegraded ? outliers(scope) : "");
+  }
+
+  /** The state of each scope, in the order in which they were first observed. */
+  public List<ScopeStatus> scopeStatuses() {
+    List<ScopeStatus> statuses = new ArrayList<>();
+    monitors.forEach((scope, monitor) -> statuses.add(monitor.status(scope)));
+    return statuses;
+  }
+
+  /** The outlier among the classes, for a whole zone, and the one among the servers. */
+  private String outliers(ServiceScope degraded) {
+    List<String> outliers = new ArrayList<>();
+    if (degraded.name().equals(ALL)) {
+      OutlierFinder.find(classWindows(degraded.zone()))
+          .ifPresent(scope -> outliers.add("most of it in class " + scope.name()));
     }
-    Spread it = among.get(worst.get());
-    long bad = among.values().stream().mapToLong(Spread::bad).sum();
-    long all = among.values().stream().mapToLong(Spread::all).sum();
-    double rest = all == it.all() ? 0 : (double) (bad - it.bad()) / (all - it.all());
-    boolean clearly =
-        it.bad() >= LEAST_BAD
-            && it.bad() >= MOST_OF_IT * bad
-            && it.loss() >= WORSE_THAN_REST * rest;
-    return clearly ? worst : Optional.empty();
+    OutlierFinder.find(attemptWindows)
+        .ifPresent(
+            scope ->
+                outliers.add("attempts fail most at " + scope.name() + "s in " + scope.zone()));
+    return String.join(", ", outliers);
+  }
+
+  private Map<ServiceScope, CounterWindow> classWindows(String zone) {
+    Map<ServiceScope, CounterWindow> windows = new LinkedHashMap<>();
+    monitors.forEach(
+        (scope, monitor) -> {
+          if (!scope.name().equals(ALL) && scope.zone().equals(zone)) {
+            windows.put(scope, monitor.window);
+          }
+        });
+    return windows;
   }
 }
--- /dev/null
+++ b/anomaly/src/main/java/lemondock/anomaly/WindowedCounts.java
@@ -0,0 +1,68 @@
+package lemondock.anomaly;
+
+import java.util.Arrays;
+
+/**
+ * Counts of good and bad requests over the recent past, in buckets of equal duration. Time is
+ * passed in and must not go back. Not thread-safe.
+ */
+final class WindowedCounts {
+  private final long bucketMicros;
+  private final long[] good;
+  private final long[] bad;
+  private long latestBucket = Long.MIN_VALUE;
+
+  /** Makes empty counts over {@code bucketCount} buckets of {@code bucketMicros} each. */
+  WindowedCounts(long bucketMicros, int bucketCount) {
+    this.bucketMicros = bucketMicros;
+    this.good = new long[bucketCount];
+    this.bad = new long[bucketCount];
+  }
+
+  void add(long nowMicros, long newGood, long newBad) {
+    advanceTo(Math.floorDiv(nowMicros, bucketMicros));
+    good[slot(latestBucket)] += newGood;
+    bad[slot(latestBucket)] += newBad;
+  }
+
+  /** Empties the buckets that have come since the last call. */
+  private void advanceTo(long bucket) {
+    for (long b = Math.max(latestBucket + 1, bucket - good.length + 1); b <= bucket; b++) {
+      good[slot(b)] = 0;
+      bad[slot(b)] = 0;
+    }
+    latestBucket = bucket;
+  }
+
+  private int slot(long bucket) {
+    return (int) Math.floorMod(bucket, (long) good.length);
+  }
+
+  /** Good and bad requests in all buckets. */
+  long total() {
+    return Arrays.stream(good).sum() + bad();
+  }
+
+  /** Good and bad requests over the last {@code windowMicros}, in whole buckets. */
+  long total(long windowMicros) {
+    return sumOverWindow(good, windowMicros) + bad(windowMicros);
+  }
+
+  /** Bad requests in all buckets. */
+  long bad() {
+    return Arrays.stream(bad).sum();
+  }
+
+  /** Bad requests over the last {@code windowMicros}, in whole buckets. */
+  long bad(long windowMicros) {
+    return sumOverWindow(bad, windowMicros);
+  }
+
+  private long sumOverWindow(long[] counts, long windowMicros) {
+    long sum = 0;
+    for (long b = latestBucket - windowMicros / bucketMicros + 1; b <= latestBucket; b++) {
+      sum += counts[slot(b)];
+    }
+    return sum;
+  }
+}
--- a/benchmark/src/main/java/lemondock/benchmark/BenchmarkProcesses.java
+++ b/benchmark/src/main/java/lemondock/benchmark/BenchmarkProcesses.java
@@ -37,8 +37,8 @@
 import lemondock.emulator.EngineEmulator;
 import lemondock.emulator.EngineSettings;
 import lemondock.emulator.TrafficObserver;
-import lemondock.exporter.host.ProcessMeters;
-import lemondock.exporter.host.ReportHost;
+import lemondock.exporter.host.ExporterRuntime;
+import lemondock.exporter.host.ProcessMeterRegistry;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.GatewayEnvironment;
 import lemondock.gateway.JvmProcessResources;
@@ -107,8 +107,8 @@
           new Reporting(
               settings,
               gateway.metrics(),
-              new ReportHost("reports").environment(),
-              ProcessMeters.registry());
+              new ExporterRuntime("reports").environment(),
+              ProcessMeterRegistry.create());
       reporting.start(gateway.address());
     }
     System.out.println("ready " + gateway.address().getPort());
--- a/benchmark/src/main/java/lemondock/benchmark/DegradationDetectorBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/DegradationDetectorBenchmark.java
@@ -19,12 +19,15 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Supplier;
-import lemondock.anomaly.BurnRate;
-import lemondock.anomaly.Cusum;
+import lemondock.anomaly.BurnRateDetector;
+import lemondock.anomaly.ChangeDetector;
+import lemondock.anomaly.CusumDetector;
+import lemondock.anomaly.DegradationChange;
 import lemondock.anomaly.DegradationDetector;
-import lemondock.anomaly.DetectionEvidence;
+import lemondock.anomaly.EventCounts;
+import lemondock.anomaly.ServiceScope;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.metrics.Metrics;
+import lemondock.metrics.MetricFamilies;
 import lemondock.metrics.Series;
 import lemondock.scenario.CallRecord;
 import lemondock.scenario.FaultScenario;
@@ -59,9 +62,9 @@
                     ObjectNode look = MAPPER.createObjectNode().put("g", gateway).put("at", at);
                     ObjectNode counts = look.putObject("n");
                     for (Series s : snapshot.series()) {
-                      if (s.family().equals(Metrics.VERDICTS)) {
+                      if (s.family().equals(MetricFamilies.SERVICE_LEVEL)) {
                         counts
-                            .putArray(s.labels().get(0))
+                            .putArray(s.labelValues().get(0))
                             .add(snapshot.values()[s.slot(0)])
                             .add(snapshot.values()[s.slot(1)]);
                       }
@@ -144,20 +147,25 @@
         days.add(MAPPER.readTree(line));
       }
     }
-    Map<String, Supplier<DetectionEvidence>> detectors = new LinkedHashMap<>();
+    Map<String, Supplier<ChangeDetector>> detectors = new LinkedHashMap<>();
     for (double threshold : new double[] {5, 7, 9, 12, 16}) {
-      detectors.put("cumulative sum, threshold " + threshold, () -> new Cusum(with(threshold)));
+      detectors.put(
+          "cumulative sum, threshold " + threshold,
+          () -> new CusumDetector(CusumDetector.Options.DEFAULT.withAlarmThreshold(threshold)));
     }
     for (double rate : new double[] {3, 5, 8}) {
       detectors.put(
           "burn rate 3 s and 12 s, " + rate + " times 5 %",
           () ->
-              new BurnRate(
-                  new BurnRate.Settings(0.05, rate, 3, 3 * SECOND, 12 * SECOND, 3 * SECOND)));
+              new BurnRateDetector(
+                  new BurnRateDetector.Options(
+                      0.05, rate, 3, 3 * SECOND, 12 * SECOND, 3 * SECOND)));
     }
     detectors.put(
         "burn rate 1 s and 5 s, 5.0 times 5 %",
-        () -> new BurnRate(new BurnRate.Settings(0.05, 5, 3, SECOND, 5 * SECOND, 3 * SECOND)));
+        () ->
+            new BurnRateDetector(
+                new BurnRateDetector.Options(0.05, 5, 3, SECOND, 5 * SECOND, 3 * SECOND)));
     System.out.println(
         days.size()
             + " days, kept the rules: "
@@ -189,7 +197,7 @@
         });
   }
 
-  private static void judge(JsonNode day, Supplier<DetectionEvidence> evidence, Score score) {
+  private static void judge(JsonNode day, Supplier<ChangeDetector> evidence, Score score) {
     Map<String, Map<String, List<Call>>> seen = new TreeMap<>(); // gateway -> class or all -> calls
     for (JsonNode c : day.get("calls")) {
       Call call = new Call(c.get("at").longValue(), c.get("good").booleanValue());
@@ -214,20 +222,6 @@
         });
   }
 
-  private static Cusum.Settings with(double threshold) {
-    Cusum.Settings d = Cusum.Settings.DEFAULT;
-    return new Cusum.Settings(
-        d.leastUsual(),
-        d.mostUsual(),
-        d.fall(),
-        d.times(),
-        threshold,
-        d.clear(),
-        d.hold(),
-        d.quiet(),
-        d.memory());
-  }
-
   private static double at(List<Double> sorted, double share) {
     return sorted.isEmpty()
         ? Double.NaN
@@ -263,17 +257,17 @@
 
   /** Moments at which falls were told, by cell. */
   private static Map<String, List<Long>> alarms(
-      List<JsonNode> looks, Supplier<DetectionEvidence> evidence) {
+      List<JsonNode> looks, Supplier<ChangeDetector> evidence) {
     Map<String, List<Long>> told = new TreeMap<>();
     DegradationDetector detector = new DegradationDetector(evidence);
     long before = 0;
     for (JsonNode look : looks) {
-      List<DegradationDetector.Count> counts = new ArrayList<>();
+      List<EventCounts> counts = new ArrayList<>();
       long sum = 0;
       for (Map.Entry<String, JsonNode> n : look.get("n").properties()) {
         counts.add(
-            new DegradationDetector.Count(
-                new DegradationDetector.Key(n.getKey(), "z"),
+            new EventCounts(
+                new ServiceScope(n.getKey(), "z"),
                 n.getValue().get(0).longValue(),
                 n.getValue().get(1).longValue()));
         sum += n.getValue().get(0).longValue() + n.getValue().get(1).longValue();
@@ -286,8 +280,8 @@
       before = sum;
       long at = look.get("at").longValue();
       detector.observe(at, counts, List.of()).stream()
-          .filter(DegradationDetector.Change::began)
-          .forEach(c -> told.computeIfAbsent(c.key().what(), k -> new ArrayList<>()).add(at));
+          .filter(DegradationChange::isStart)
+          .forEach(c -> told.computeIfAbsent(c.scope().name(), k -> new ArrayList<>()).add(at));
     }
     return told;
   }
@@ -327,9 +321,9 @@
   }
 
   /** Falls told in 100 hours of drawn requests, of which 3 in 100 are bad by chance. */
-  private static int quiet(Supplier<DetectionEvidence> maker, int perSecond) {
+  private static int quiet(Supplier<ChangeDetector> maker, int perSecond) {
     SplittableRandom random = new SplittableRandom(perSecond);
-    DetectionEvidence evidence = maker.get();
+    ChangeDetector evidence = maker.get();
     int told = 0;
     for (long second = 1; second <= 100 * 3600; second++) {
       int good = 0;
@@ -341,9 +335,9 @@
           good++;
         }
       }
-      boolean before = evidence.fallen();
-      evidence.add(second * SECOND, good, bad);
-      told += !before && evidence.fallen() ? 1 : 0;
+      boolean before = evidence.isDegraded();
+      evidence.observe(second * SECOND, good, bad);
+      told += !before && evidence.isDegraded() ? 1 : 0;
     }
     return told;
   }
--- a/benchmark/src/main/java/lemondock/benchmark/MetricRecordingBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/MetricRecordingBenchmark.java
@@ -6,10 +6,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
-import lemondock.metrics.Metrics;
+import lemondock.metrics.MetricFamilies;
+import lemondock.metrics.MetricRegistry;
 import lemondock.metrics.Recorder;
 import lemondock.metrics.Series;
-import lemondock.metrics.Tally;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -35,39 +35,42 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class MetricRecordingBenchmark {
-  private final Tally tally = new Tally(8192);
-  private final Recorder recorder = tally.recorder();
-  private final Series worth = tally.series(Metrics.WORTH, "c", "z", "t");
-  private final Series requests = tally.series(Metrics.REQUESTS, "c", "z", "t");
-  private final Series time = tally.series(Metrics.WHOLE_TIME, "c");
+  private final MetricRegistry registry = new MetricRegistry(8192);
+  private final Recorder recorder = registry.newRecorder();
+  private final Series worth = registry.series(MetricFamilies.PRIORITY_WEIGHT, "c", "z", "t");
+  private final Series requests = registry.series(MetricFamilies.REQUESTS, "c", "z", "t");
+  private final Series time = registry.series(MetricFamilies.REQUEST_DURATION, "c");
   private final LongAdder[] adders = {
     new LongAdder(), new LongAdder(), new LongAdder(), new LongAdder()
   };
   private final ConcurrentHashMap<String, LongAdder> map = new ConcurrentHashMap<>();
-  private final SimpleMeterRegistry registry = new SimpleMeterRegistry();
+  private final SimpleMeterRegistry meterRegistry = new SimpleMeterRegistry();
   private final Counter[] counters = {
-    registry.counter("a"), registry.counter("b"), registry.counter("c"), registry.counter("d")
+    meterRegistry.counter("a"),
+    meterRegistry.counter("b"),
+    meterRegistry.counter("c"),
+    meterRegistry.counter("d")
   };
   private final Timer timer =
-      Timer.builder("t").publishPercentiles(0.5, 0.9, 0.99, 0.999).register(registry);
+      Timer.builder("t").publishPercentiles(0.5, 0.9, 0.99, 0.999).register(meterRegistry);
   private long micros;
 
   /** One count of its own. */
   @Benchmark
   public void oneCount() {
-    recorder.count(worth.slot(0));
+    recorder.increment(worth.slot(0));
   }
 
   /** The end of a request, seen whole or not at all by a snapshot. */
   @Benchmark
   public void requestEnds() {
-    long ticket = recorder.enter();
+    long ticket = recorder.beginUpdate();
     recorder.add(worth.slot(0), 1_000_000);
     recorder.add(worth.slot(2), 1_000_000);
     recorder.add(requests.slot(0), 1);
     recorder.add(requests.slot(2), 1);
-    recorder.record(time, micros++ & 0xFFFFF);
-    recorder.exit(ticket);
+    recorder.observe(time, micros++ & 0xFFFFF);
+    recorder.endUpdate(ticket);
   }
 
   /** The same with four adders and no time. */
--- a/benchmark/src/main/java/lemondock/benchmark/ReportBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ReportBenchmark.java
@@ -1,24 +1,26 @@
 package lemondock.benchmark;
 
 import java.io.ByteArrayOutputStream;
-import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.SplittableRandom;
-import lemondock.exporter.Encoder;
-import lemondock.exporter.SnapshotRing;
-import lemondock.exporter.collectd.Identity;
-import lemondock.exporter.collectd.Packets;
-import lemondock.exporter.collectd.PutVal;
-import lemondock.exporter.collectd.Seal;
-import lemondock.exporter.graphite.Pickle;
-import lemondock.exporter.graphite.PlainText;
-import lemondock.metrics.Metrics;
+import lemondock.exporter.BufferedSnapshot;
+import lemondock.exporter.SnapshotBuffer;
+import lemondock.exporter.SnapshotEncoder;
+import lemondock.exporter.collectd.CollectdIdentifiers;
+import lemondock.exporter.collectd.CounterType;
+import lemondock.exporter.collectd.NetworkPacketEncoder;
+import lemondock.exporter.collectd.PacketSecurity;
+import lemondock.exporter.collectd.PutvalEncoder;
+import lemondock.exporter.collectd.SecurityLevel;
+import lemondock.exporter.graphite.PickleEncoder;
+import lemondock.exporter.graphite.PlaintextEncoder;
+import lemondock.metrics.MetricFamilies;
+import lemondock.metrics.MetricRegistry;
+import lemondock.metrics.MetricsSnapshot;
 import lemondock.metrics.Recorder;
 import lemondock.metrics.Series;
-import lemondock.metrics.Snapshot;
-import lemondock.metrics.Tally;
 
 /**
  * Bytes and packets of a report, time to take and encode it, and memory of the ring, by number of
@@ -43,59 +45,65 @@
   }
 
   private static void report(int tenants) {
-    Tally tally = new Tally(131_072);
-    Recorder recorder = tally.recorder();
+    MetricRegistry registry = new MetricRegistry(131_072);
+    Recorder recorder = registry.newRecorder();
     List<Series> worth = new ArrayList<>();
     List<Series> requests = new ArrayList<>();
     for (String c : CLASSES) {
       for (int t = 0; t < tenants; t++) {
-        worth.add(tally.series(Metrics.WORTH, c, "northern-ind", "tenant-" + t));
-        requests.add(tally.series(Metrics.REQUESTS, c, "northern-ind", "tenant-" + t));
+        worth.add(
+            registry.series(MetricFamilies.PRIORITY_WEIGHT, c, "northern-ind", "tenant-" + t));
+        requests.add(registry.series(MetricFamilies.REQUESTS, c, "northern-ind", "tenant-" + t));
       }
-      tally.series(Metrics.FIRST_TOKEN, c);
-      tally.series(Metrics.TOKEN_PACE, c);
-      tally.series(Metrics.WHOLE_TIME, c);
+      registry.series(MetricFamilies.TIME_TO_FIRST_TOKEN, c);
+      registry.series(MetricFamilies.TIME_PER_OUTPUT_TOKEN, c);
+      registry.series(MetricFamilies.REQUEST_DURATION, c);
     }
     SplittableRandom random = new SplittableRandom(1);
-    SnapshotRing ring = new SnapshotRing(Long.MAX_VALUE, SNAPSHOTS);
+    SnapshotBuffer ring = new SnapshotBuffer(Long.MAX_VALUE, SNAPSHOTS);
     long[] took = new long[SNAPSHOTS];
     long copies = 0;
-    SnapshotRing.View view = null;
+    BufferedSnapshot view = null;
     for (int s = 0;
         s < SNAPSHOTS;
         s++) { // ten seconds each, 30 requests a second, some tenants busier than others
       for (int i = 0; i < 300; i++) {
         int at = (int) (worth.size() * Math.pow(random.nextDouble(), 3));
-        long ticket = recorder.enter();
+        long ticket = recorder.beginUpdate();
         recorder.add(worth.get(at).slot(0), 1_000_000);
         recorder.add(worth.get(at).slot(2), 1_000_000);
         recorder.add(requests.get(at).slot(0), 1);
         recorder.add(requests.get(at).slot(2), 1);
-        recorder.exit(ticket);
+        recorder.endUpdate(ticket);
       }
       long from = System.nanoTime();
-      Snapshot snapshot = tally.snapshot(true);
+      MetricsSnapshot snapshot = registry.snapshotAndEndInterval();
       took[s] = System.nanoTime() - from;
       copies += 8L * snapshot.values().length;
       ring.append(s * 10_000L, snapshot);
-      view = new SnapshotRing.View(s, s * 10_000L, snapshot.series(), snapshot.values());
+      view = new BufferedSnapshot(s, s * 10_000L, snapshot.series(), snapshot.values());
     }
     java.util.Arrays.sort(took);
-    Identity names = new Identity("till-gateway-17", "gw-north-8080");
+    CollectdIdentifiers identifiers = new CollectdIdentifiers("till-gateway-17", "gw-north-8080");
     double[] encode = new double[ROUNDS];
     long[] sizes = new long[3];
     long[][] packets = new long[3][];
     for (int round = 0; round < ROUNDS; round++) {
       long from = System.nanoTime();
-      sizes[0] = size(new PlainText("lemondock", "gw-north-8080", false), view);
+      sizes[0] = size(new PlaintextEncoder("lemondock", "gw-north-8080", false), view);
       encode[round] = (System.nanoTime() - from) / 1e6;
-      sizes[1] = size(new Pickle("lemondock", "gw-north-8080", false), view);
-      sizes[2] = size(new PutVal(names, 10_000), view);
-      Seal.Level[] levels = Seal.Level.values();
+      sizes[1] = size(new PickleEncoder("lemondock", "gw-north-8080", false), view);
+      sizes[2] = size(new PutvalEncoder(identifiers, 10_000), view);
+      SecurityLevel[] levels = SecurityLevel.values();
       for (int i = 0; i < levels.length; i++) {
         packets[i] =
             packets(
-                new Packets(names, new Seal(levels[i], "till", "secret"), 1_452, 10_000, true),
+                new NetworkPacketEncoder(
+                    identifiers,
+                    new PacketSecurity(levels[i], "till", "secret"),
+                    1_452,
+                    10_000,
+                    CounterType.DERIVE),
                 view);
       }
     }
@@ -120,21 +128,25 @@
         encode[ROUNDS / 2],
         encode[0],
         encode[ROUNDS - 1],
-        ring.bytes() / 1e6,
+        ring.byteCount() / 1e6,
         copies / 1e6);
   }
 
-  private static long size(Encoder encoder, SnapshotRing.View view) {
+  private static long size(SnapshotEncoder encoder, BufferedSnapshot view) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     encoder.encode(view, 0, Integer.MAX_VALUE, out);
     return out.size();
   }
 
-  private static long[] packets(Packets packets, SnapshotRing.View view) {
-    List<ByteBuffer> made = new ArrayList<>();
+  private static long[] packets(NetworkPacketEncoder packets, BufferedSnapshot view) {
+    int count = 0;
+    long bytes = 0;
     for (int at = 0; at < view.series().size(); ) {
-      at = packets.next(view, at, made);
+      NetworkPacketEncoder.Packet packet = packets.encode(view, at);
+      count++;
+      bytes += packet.bytes().remaining();
+      at = packet.nextSeries();
     }
-    return new long[] {made.size(), made.stream().mapToLong(ByteBuffer::remaining).sum()};
+    return new long[] {count, bytes};
   }
 }
--- a/cli/src/main/java/lemondock/cli/GatewayCommand.java
+++ b/cli/src/main/java/lemondock/cli/GatewayCommand.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import lemondock.exporter.host.ProcessMeters;
-import lemondock.exporter.host.ReportHost;
+import lemondock.exporter.host.ExporterRuntime;
+import lemondock.exporter.host.ProcessMeterRegistry;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.GatewayEnvironment;
 import lemondock.gateway.JvmProcessResources;
@@ -61,9 +61,10 @@
             settings,
             new PromptReader(settings.classes()),
             Gateway.DEFAULT_ROUTER_FACTORY);
-    ReportHost host = new ReportHost("lemondock-reports");
+    ExporterRuntime host = new ExporterRuntime("lemondock-reports");
     Reporting reporting =
-        new Reporting(settings, gateway.metrics(), host.environment(), ProcessMeters.registry());
+        new Reporting(
+            settings, gateway.metrics(), host.environment(), ProcessMeterRegistry.create());
     gateway.start();
     reporting.start(gateway.address());
     ShutdownSignal.beforeExit(
--- a/cli/src/main/java/lemondock/cli/MetricsCommand.java
+++ b/cli/src/main/java/lemondock/cli/MetricsCommand.java
@@ -1,6 +1,8 @@
 package lemondock.cli;
 
 import java.util.concurrent.Callable;
+import lemondock.exporter.collectd.CounterType;
+import lemondock.exporter.collectd.TypesDb;
 import lemondock.metrics.MetricCatalogue;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -24,7 +26,8 @@
 
   @Override
   public Integer call() {
-    System.out.print(typesDb ? MetricCatalogue.typesDb(!counter) : MetricCatalogue.page());
+    CounterType counterType = counter ? CounterType.COUNTER : CounterType.DERIVE;
+    System.out.print(typesDb ? TypesDb.definitions(counterType) : MetricCatalogue.markdown());
     return 0;
   }
 }
--- a/cli/src/main/java/lemondock/cli/PutvalCommand.java
+++ b/cli/src/main/java/lemondock/cli/PutvalCommand.java
@@ -9,14 +9,14 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
-import lemondock.exporter.SnapshotRing;
-import lemondock.exporter.collectd.Identity;
-import lemondock.exporter.collectd.PutVal;
-import lemondock.metrics.Family;
-import lemondock.metrics.Field;
-import lemondock.metrics.Metrics;
+import lemondock.exporter.BufferedSnapshot;
+import lemondock.exporter.collectd.CollectdIdentifiers;
+import lemondock.exporter.collectd.PutvalEncoder;
+import lemondock.metrics.MetricFamilies;
+import lemondock.metrics.MetricFamily;
+import lemondock.metrics.MetricField;
+import lemondock.metrics.MetricsSnapshot;
 import lemondock.metrics.Series;
-import lemondock.metrics.Snapshot;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -70,36 +70,36 @@
   private void print(JsonNode answer, long millis) {
     List<Series> series = new ArrayList<>();
     List<Long> values = new ArrayList<>();
-    Map<String, Family> families = new HashMap<>();
-    Metrics.ALL.forEach(f -> families.put(f.name(), f));
+    Map<String, MetricFamily> families = new HashMap<>();
+    MetricFamilies.ALL.forEach(f -> families.put(f.name(), f));
     answer
         .get("tally")
         .properties()
         .forEach(
             e -> {
-              Family family = families.get(e.getKey());
+              MetricFamily family = families.get(e.getKey());
               for (JsonNode row : family == null ? List.<JsonNode>of() : e.getValue()) {
                 series.add(
                     new Series(
                         series.size(),
                         family,
-                        family.dimensions().stream().map(d -> row.path(d).asText()).toList(),
+                        family.labelNames().stream().map(d -> row.path(d).asText()).toList(),
                         values.size()));
-                for (Field field : family.fields()) {
+                for (MetricField field : family.fields()) {
                   values.add(
                       row.has(field.name())
                           ? row.get(field.name())
                               .decimalValue()
-                              .movePointRight(field.decimals())
+                              .movePointRight(field.decimalPlaces())
                               .longValue()
-                          : Snapshot.ABSENT);
+                          : MetricsSnapshot.NO_VALUE);
                 }
               }
             });
     ByteArrayOutputStream text = new ByteArrayOutputStream();
-    new PutVal(new Identity(host, answer.path("instance").asText()), millis)
+    new PutvalEncoder(new CollectdIdentifiers(host, answer.path("instance").asText()), millis)
         .encode(
-            new SnapshotRing.View(
+            new BufferedSnapshot(
                 0,
                 answer.path("stampMs").asLong(),
                 series,
--- a/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
+++ b/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
@@ -16,6 +16,8 @@
 import lemondock.emulator.EngineSettings;
 import lemondock.emulator.collect.ReceivedReports;
 import lemondock.emulator.collect.UnixsockListener;
+import lemondock.exporter.collectd.CounterType;
+import lemondock.exporter.collectd.TypesDb;
 import lemondock.gateway.Gateway;
 import lemondock.metrics.MetricCatalogue;
 import lemondock.scenario.LoopbackSettings;
@@ -44,8 +46,12 @@
     String again =
         "write it anew: bin/lemondock metrics > docs/METRICS.md; bin/lemondock metrics"
             + " --types-db > conf/types.db";
-    assertEquals(MetricCatalogue.page(), Files.readString(Path.of("../docs/METRICS.md")), again);
-    assertEquals(MetricCatalogue.typesDb(), Files.readString(Path.of("../conf/types.db")), again);
+    assertEquals(
+        MetricCatalogue.markdown(), Files.readString(Path.of("../docs/METRICS.md")), again);
+    assertEquals(
+        TypesDb.definitions(CounterType.DERIVE),
+        Files.readString(Path.of("../conf/types.db")),
+        again);
     assertEquals(0, run("metrics", "--types-db", "--counter"));
     assertTrue(out.contains("in_time:COUNTER:0:U"));
   }
--- /dev/null
+++ b/exporter/src/main/java/lemondock/exporter/LabelEscaping.java
@@ -0,0 +1,46 @@
+package lemondock.exporter;
+
+import java.nio.charset.StandardCharsets;
+
+/**
+ * Percent-encodes label values for collectors. What a protocol may give a meaning is written as
+ * {@code %XX}, the percent sign included, so that different values stay different.
+ */
+public final class LabelEscaping {
+  private static final char[] HEX_DIGITS = "0123456789ABCDEF".toCharArray();
+
+  /** Stands for the empty value; no other value is escaped to it. */
+  private static final String EMPTY_VALUE = "%";
+
+  private LabelEscaping() {}
+
+  /**
+   * Escapes a value: ASCII letters, digits, {@code _} and {@code -} stay, all other characters are
+   * escaped byte by byte of their UTF-8 form. The result is never empty.
+   */
+  public static String escape(String value) {
+    if (value.isEmpty()) {
+      return EMPTY_VALUE;
+    }
+    if (value.chars().allMatch(LabelEscaping::isUnreserved)) {
+      return value;
+    }
+    StringBuilder escaped = new StringBuilder();
+    for (byte octet : value.getBytes(StandardCharsets.UTF_8)) {
+      if (isUnreserved(octet)) {
+        escaped.append((char) octet);
+      } else {
+        escaped.append('%').append(HEX_DIGITS[octet >> 4 & 15]).append(HEX_DIGITS[octet & 15]);
+      }
+    }
+    return escaped.toString();
+  }
+
+  private static boolean isUnreserved(int character) {
+    return character >= 'a' && character <= 'z'
+        || character >= 'A' && character <= 'Z'
+        || character >= '0' && character <= '9'
+        || character == '_'
+        || character == '-';
+  }
+}
--- a/exporter/src/main/java/lemondock/exporter/StreamDestination.java
+++ b/exporter/src/main/java/lemondock/exporter/StreamDestination.java
@@ -5,179 +5,190 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 import java.util.List;
-import java.util.function.DoubleSupplier;
+import java.util.Optional;
 import lemondock.net.Connection;
 import lemondock.net.Loop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Reports over a connection. A snapshot is encoded piece by piece as the connection takes it, so a
- * slow collector costs one piece of memory whatever a snapshot's size. When a connection breaks,
- * the snapshots of the last {@code resend} are sent again over the next one: the system had taken
- * them, which does not mean that the collector has read them. Sending twice does no harm, since
- * each value has its stamp and counters are cumulative.
+ * Exports snapshots over a connection. A snapshot is encoded a part at a time as the connection
+ * takes it, so that a slow collector costs one part of memory whatever the size of a snapshot. When
+ * a connection breaks, the snapshots sent within the last {@link Options#resendMicros} are sent
+ * again over the next one: the operating system had taken them, which does not mean that the
+ * collector has read them. Duplicates do no harm, since each value has its timestamp and counters
+ * are cumulative. Loop thread only, but for {@link #decode}.
  */
 public final class StreamDestination implements Destination, Connection.Handler {
   private static final Logger LOG = LoggerFactory.getLogger(StreamDestination.class);
-  private static final int PIECE = 16 * 1024;
-  private static final long HIGH = 64 * 1024;
-  private static final long READ_PAUSE = 10_000;
+  private static final int ENCODE_BYTES = 16 * 1024;
+  private static final long MAX_UNSENT_BYTES = 64 * 1024;
+
+  /** Bounds how fast a collector that sends something is read. */
+  private static final long READ_PAUSE_MICROS = 10_000;
 
   private final Loop loop;
-  private final String name;
-  private final Dialer dialer;
-  private final Encoder encoder;
-  private final SnapshotRing.Cursor cursor;
+  private final Connector connector;
+  private final SnapshotEncoder encoder;
   private final Options options;
-  private final Backoff backoff;
-  private final Figures figures = new Figures();
-  private final ByteArrayOutputStream piece = new ByteArrayOutputStream();
-  private final ArrayDeque<Long> sentAt = new ArrayDeque<>();
-  private Connection connection;
-  private boolean dialling;
-  private boolean up;
-  private boolean stopped;
-  private boolean saidDown;
-  private SnapshotRing.View current;
-  private int at;
-  private long progress;
-  private long progressAt;
-  private Loop.Timer retry = () -> {};
-  private Runnable done;
+  private final DestinationQueue queue;
+  private final ExponentialBackoff backoff;
+  private final DestinationStatistics statistics = new DestinationStatistics();
+  private final ByteArrayOutputStream encoded = new ByteArrayOutputStream();
+
+  /** Loop times in microseconds at which snapshots were sent that may have to be sent again. */
+  private final ArrayDeque<Long> sentTimesMicros = new ArrayDeque<>();
+
+  private Connection connection; // null: not connected
+  private boolean isConnecting;
+  private boolean hasMadeProgress; // whether this connection has taken anything
+  private boolean isStopped;
+  private boolean isFailureLogged;
+  private long flushedBytes;
+  private long lastProgressMicros;
+  private Loop.Timer reconnectTimer = () -> {};
+  private Runnable shutDownCallback; // null: not shutting down
 
   /**
-   * What a destination is held to; times in microseconds.
+   * Name and limits of a destination.
    *
-   * @param most snapshots that may wait for it; older ones are dropped
-   * @param resend what was sent this long ago or later is sent again after a break
-   * @param stall a connection that takes nothing for so long is broken off
+   * @param name the name in the settings
+   * @param maxPendingSnapshots snapshots that may wait; beyond it the oldest are dropped
+   * @param resendMicros what was sent within this time before a break is sent again
+   * @param stallMicros a connection that takes nothing for so long is aborted
+   * @param backoff delays between attempts to connect
    */
-  public record Options(int most, long resend, long stall, long leastBackoff, long mostBackoff) {}
+  public record Options(
+      String name,
+      int maxPendingSnapshots,
+      long resendMicros,
+      long stallMicros,
+      ExponentialBackoff.Policy backoff) {}
 
-  /**
-   * Makes a destination that gets what is in the ring from now on; {@link #start} sets it going.
-   */
+  /** Makes a destination for the snapshots that come into the buffer from now on. */
   public StreamDestination(
       Loop loop,
-      String name,
-      Dialer dialer,
-      Encoder encoder,
-      SnapshotRing ring,
-      Options options,
-      DoubleSupplier random) {
+      Connector connector,
+      SnapshotEncoder encoder,
+      SnapshotBuffer buffer,
+      Options options) {
     this.loop = loop;
-    this.name = name;
-    this.dialer = dialer;
+    this.connector = connector;
     this.encoder = encoder;
-    this.cursor = ring.cursor();
     this.options = options;
-    this.backoff = new Backoff(options.leastBackoff(), options.mostBackoff(), random);
+    this.queue = new DestinationQueue(buffer, options.maxPendingSnapshots());
+    this.backoff = new ExponentialBackoff(options.backoff());
   }
 
   /** Begins to connect. */
   public void start() {
-    dial();
+    connect();
   }
 
   @Override
   public String name() {
-    return name;
+    return options.name();
   }
 
   @Override
-  public Figures figures() {
-    return figures.seen(cursor, options.most(), current != null);
+  public DestinationStatistics statistics() {
+    queue.updateStatistics(statistics);
+    return statistics;
   }
 
-  private void dial() {
-    if (!dialling && connection == null && !stopped) {
-      dialling = true;
-      dialer.dial(this);
+  private void connect() {
+    if (!isConnecting && connection == null && !isStopped) {
+      isConnecting = true;
+      connector.connect(this);
     }
   }
 
   @Override
-  public void connected(Connection made) {
-    dialling = false;
-    if (stopped) {
-      made.abort();
+  public void connected(Connection established) {
+    isConnecting = false;
+    if (isStopped) {
+      established.abort();
       return;
     }
-    connection = made;
-    figures.connects++;
-    progress = 0;
-    progressAt = loop.now();
-    up = false;
-    made.read();
-    pump();
+    connection = established;
+    statistics.add(DestinationCounter.CONNECTIONS_OPENED, 1);
+    flushedBytes = 0;
+    lastProgressMicros = loop.now();
+    hasMadeProgress = false;
+    established.read();
+    sendPending();
   }
 
   @Override
-  public void pump() {
+  public void sendPending() {
     if (connection == null) {
-      if (!dialling && done != null) {
-        over();
+      if (!isConnecting && shutDownCallback != null) {
+        completeShutDown();
       }
       return;
     }
-    watch();
-    while (connection != null && connection.pendingBytes() <= HIGH) {
-      if (current == null) {
-        cursor.keep(options.most());
-        current = cursor.next();
-        at = 0;
-        if (current == null) {
-          break;
-        }
-      }
-      piece.reset();
-      at = encoder.encode(current, at, PIECE, piece);
-      figures.bytes += piece.size();
-      connection.write(ByteBuffer.wrap(piece.toByteArray()));
-      if (at >= current.series().size()) {
-        current = null;
-        figures.snapshots++;
-        sentAt.add(loop.now());
-        while (loop.now() - sentAt.peek() > options.resend()) {
-          sentAt.poll();
-        }
+    abortIfStalled();
+    while (connection != null && connection.pendingBytes() <= MAX_UNSENT_BYTES) {
+      Optional<BufferedSnapshot> snapshot = queue.current();
+      if (snapshot.isEmpty()) {
+        break;
       }
+      sendPart(snapshot.get());
+    }
+    if (shutDownCallback != null && connection != null && queue.isEmpty()) {
+      connection.close(); // flushes and leaves the collector a moment to read it all
+    }
+  }
+
+  private void sendPart(BufferedSnapshot snapshot) {
+    encoded.reset();
+    int nextSeries = encoder.encode(snapshot, queue.nextSeries(), ENCODE_BYTES, encoded);
+    statistics.add(DestinationCounter.BYTES_SENT, encoded.size());
+    connection.write(ByteBuffer.wrap(encoded.toByteArray()));
+    queue.advanceTo(nextSeries);
+    if (queue.completeIfAllSent()) {
+      statistics.add(DestinationCounter.SNAPSHOTS_SENT, 1);
+      sentTimesMicros.add(loop.now());
+      forgetSentBeforeResendWindow();
     }
-    if (done != null && connection != null && current == null && cursor.waiting() == 0) {
-      connection.close(); // flushes, then waits a little for the collector to have read all
+  }
+
+  private void forgetSentBeforeResendWindow() {
+    while (!sentTimesMicros.isEmpty()
+        && loop.now() - sentTimesMicros.peek() > options.resendMicros()) {
+      sentTimesMicros.poll();
     }
   }
 
-  /** Breaks off a connection that takes nothing. */
-  private void watch() {
-    long flushed = connection.flushedBytes();
-    if (flushed != progress || connection.pendingBytes() == 0) {
-      up |= flushed > 0;
-      progress = flushed;
-      progressAt = loop.now();
-    } else if (loop.now() - progressAt > options.stall()) {
+  private void abortIfStalled() {
+    long flushedBytesNow = connection.flushedBytes();
+    if (flushedBytesNow != flushedBytes || connection.pendingBytes() == 0) {
+      hasMadeProgress |= flushedBytesNow > 0;
+      flushedBytes = flushedBytesNow;
+      lastProgressMicros = loop.now();
+    } else if (loop.now() - lastProgressMicros > options.stallMicros()) {
       connection.abort();
     }
   }
 
+  /** Replaces what a collector sends by its length; on an I/O thread. */
   @Override
   public void decode(ByteBuffer bytes, List<Object> events) {
-    events.add(bytes.remaining()); // whatever a collector says is counted and dropped
+    events.add(bytes.remaining());
     bytes.position(bytes.limit());
   }
 
   @Override
   public void received(List<Object> events) {
-    for (Object count : events) {
-      figures.ignored += (Integer) count;
+    for (Object byteCount : events) {
+      statistics.add(DestinationCounter.BYTES_IGNORED, (Integer) byteCount);
     }
-    Connection from = connection;
+    Connection source = connection;
     loop.schedule(
-        READ_PAUSE,
+        READ_PAUSE_MICROS,
         () -> {
-          if (from != null && connection == from) {
-            from.read();
+          if (source != null && connection == source) {
+            source.read();
           }
         });
   }
@@ -185,79 +196,90 @@
   @Override
   public void inputEnded() {
     if (connection != null) {
-      connection.abort(); // it will read no more
+      connection.abort(); // a collector that has closed its end reads no more
     }
   }
 
   @Override
   public void writeQueueDrained() {
-    pump();
+    sendPending();
   }
 
   @Override
   public void closed(IOException cause) {
-    boolean was = connection != null;
-    boolean whole = was && done != null && current == null && cursor.waiting() == 0;
-    dialling = false;
+    boolean hasSentAll = connection != null && shutDownCallback != null && queue.isEmpty();
+    isConnecting = false;
     connection = null;
-    if (stopped || whole) {
-      over();
+    if (isStopped || hasSentAll) {
+      completeShutDown();
       return;
     }
-    figures.failures++;
-    while (!sentAt.isEmpty() && loop.now() - sentAt.peek() > options.resend()) {
-      sentAt.poll();
-    }
-    int again = cursor.back(sentAt.size() + (current == null ? 0 : 1));
-    figures.resent += Math.max(0, again - (current == null ? 0 : 1));
-    sentAt.clear();
-    current = null;
-    if (done != null) {
-      over();
+    statistics.add(DestinationCounter.CONNECTION_FAILURES, 1);
+    rewindToUnconfirmed();
+    if (shutDownCallback != null) {
+      completeShutDown();
       return;
     }
-    if (!saidDown) {
-      saidDown = true;
+    logFailure(cause);
+    scheduleReconnect();
+  }
+
+  private void rewindToUnconfirmed() {
+    forgetSentBeforeResendWindow();
+    int resent = queue.rewind(sentTimesMicros.size());
+    statistics.add(DestinationCounter.SNAPSHOTS_RESENT, resent);
+    sentTimesMicros.clear();
+  }
+
+  /** Logs the first failure after the destination has worked. */
+  private void logFailure(IOException cause) {
+    if (!isFailureLogged) {
+      isFailureLogged = true;
       LOG.atWarn()
-          .addKeyValue("destination", name)
+          .addKeyValue("destination", options.name())
           .addKeyValue("why", cause == null ? "the connection ended" : cause.getMessage())
           .log("reports cannot be sent; tried again until it works");
-    } else if (up) {
-      saidDown = false;
+    } else if (hasMadeProgress) {
+      isFailureLogged = false;
+    }
+  }
+
+  private void scheduleReconnect() {
+    if (hasMadeProgress) {
+      backoff.reset();
+      hasMadeProgress = false;
     }
-    long wait = backoff.wait(!up);
-    up = false;
-    retry = loop.schedule(wait, this::dial);
+    reconnectTimer = loop.schedule(backoff.nextDelayMicros(), this::connect);
   }
 
   @Override
-  public void finish(Runnable then) {
-    done = then;
-    retry.cancel();
-    if (connection == null && !dialling) {
-      dial(); // one last try
+  public void shutDown(Runnable onClosed) {
+    shutDownCallback = onClosed;
+    reconnectTimer.cancel();
+    if (connection == null && !isConnecting) {
+      connect(); // one last attempt
     } else {
-      pump();
+      sendPending();
     }
   }
 
   @Override
-  public void stop() {
-    stopped = true;
-    retry.cancel();
+  public void abort() {
+    isStopped = true;
+    reconnectTimer.cancel();
     if (connection != null) {
       connection.abort();
     } else {
-      over();
+      completeShutDown();
     }
   }
 
-  private void over() {
-    Runnable then = done;
-    done = null;
-    stopped = true;
-    if (then != null) {
-      then.run();
+  private void completeShutDown() {
+    Runnable callback = shutDownCallback;
+    shutDownCallback = null;
+    isStopped = true;
+    if (callback != null) {
+      callback.run();
     }
   }
 }
--- a/exporter/src/main/java/lemondock/exporter/collectd/AuthFile.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/AuthFile.java
@@ -4,18 +4,23 @@
 import java.util.Optional;
 
 /**
- * collectd's file of users: lines {@code name: password}; empty lines and lines that begin with
- * {@code #} are skipped.
+ * collectd's file of users and passwords: lines {@code name: password}. Empty lines and lines that
+ * begin with {@code #} are skipped.
  */
 public final class AuthFile {
+  private static final String COMMENT_PREFIX = "#";
+  private static final char SEPARATOR = ':';
+
   private AuthFile() {}
 
   /** The password of a user; empty if the lines do not name the user. */
-  public static Optional<String> password(List<String> lines, String user) {
+  public static Optional<String> password(List<String> lines, String username) {
     for (String line : lines) {
-      int colon = line.indexOf(':');
-      if (!line.startsWith("#") && colon > 0 && line.substring(0, colon).strip().equals(user)) {
-        return Optional.of(line.substring(colon + 1).strip());
+      int separator = line.indexOf(SEPARATOR);
+      if (!line.startsWith(COMMENT_PREFIX)
+          && separator > 0
+          && line.substring(0, separator).strip().equals(username)) {
+        return Optional.of(line.substring(separator + 1).strip());
       }
     }
     return Optional.empty();
--- /dev/null
+++ b/exporter/src/main/java/lemondock/exporter/collectd/CollectdIdentifiers.java
@@ -0,0 +1,88 @@
+package lemondock.exporter.collectd;
+
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.List;
+import lemondock.exporter.LabelEscaping;
+import lemondock.metrics.MetricFamily;
+import lemondock.metrics.Series;
+
+/**
+ * collectd's identifiers of values: host, plugin {@code lemondock}, its instance, type {@code
+ * lemondock_FAMILY}, and the labels as the instance of the type. collectd limits each part to 63
+ * bytes; a longer one is cut and ends in a hash of the whole, so that different values stay
+ * different. Not thread-safe.
+ */
+public final class CollectdIdentifiers {
+  static final String PLUGIN = "lemondock";
+
+  private static final String TYPE_PREFIX = "lemondock_";
+  private static final int MAX_PART_BYTES = 63;
+  private static final int HASH_DIGITS = 12;
+  private static final String RESERVED_CHARACTERS = "[/\"\\\\ ]";
+
+  private final String host;
+  private final String pluginInstance;
+
+  /** Type instances by index of the series; null: not computed yet. */
+  private final List<String> typeInstances = new ArrayList<>();
+
+  /** Identifiers of one gateway's values. */
+  public CollectdIdentifiers(String host, String pluginInstance) {
+    this.host = boundedPart(host.replaceAll(RESERVED_CHARACTERS, "_"));
+    this.pluginInstance = boundedPart(pluginInstance.replaceAll(RESERVED_CHARACTERS, "_"));
+  }
+
+  String host() {
+    return host;
+  }
+
+  String pluginInstance() {
+    return pluginInstance;
+  }
+
+  static String type(MetricFamily family) {
+    return TYPE_PREFIX + family.name();
+  }
+
+  /** The label values, joined by dots; empty if there are none. */
+  String typeInstance(Series series) {
+    while (typeInstances.size() <= series.index()) {
+      typeInstances.add(null);
+    }
+    String known = typeInstances.get(series.index());
+    if (known != null) {
+      return known;
+    }
+    List<String> escaped = series.labelValues().stream().map(LabelEscaping::escape).toList();
+    String typeInstance = boundedPart(String.join(".", escaped));
+    typeInstances.set(series.index(), typeInstance);
+    return typeInstance;
+  }
+
+  private static String boundedPart(String text) {
+    String printable = isPrintableAscii(text) ? text : LabelEscaping.escape(text);
+    if (printable.length() <= MAX_PART_BYTES) {
+      return printable;
+    }
+    String hash = sha256(printable).substring(0, HASH_DIGITS);
+    return printable.substring(0, MAX_PART_BYTES - HASH_DIGITS - 1) + "~" + hash;
+  }
+
+  private static boolean isPrintableAscii(String text) {
+    return text.chars().allMatch(character -> character >= ' ' && character < 127);
+  }
+
+  private static String sha256(String ascii) {
+    try {
+      byte[] hash =
+          MessageDigest.getInstance("SHA-256").digest(ascii.getBytes(StandardCharsets.US_ASCII));
+      return HexFormat.of().formatHex(hash);
+    } catch (NoSuchAlgorithmException e) {
+      throw new IllegalStateException("every Java has SHA-256", e);
+    }
+  }
+}
--- /dev/null
+++ b/exporter/src/main/java/lemondock/exporter/collectd/DatagramConnector.java
@@ -0,0 +1,52 @@
+package lemondock.exporter.collectd;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.function.Consumer;
+import lemondock.exporter.HostResolver;
+import lemondock.net.DatagramSender;
+
+/**
+ * Opens datagram sockets to one collector. The host is resolved each time, since a collector may
+ * have moved. Loop thread only.
+ */
+public final class DatagramConnector {
+  private final HostResolver resolver;
+  private final DatagramSender.Opener opener;
+  private final InetSocketAddress address;
+
+  /**
+   * Makes a connector.
+   *
+   * @param address host and port; it need not be resolved
+   */
+  public DatagramConnector(
+      HostResolver resolver, DatagramSender.Opener opener, InetSocketAddress address) {
+    this.resolver = resolver;
+    this.opener = opener;
+    this.address = address;
+  }
+
+  /** Opens a socket. At most one of the callbacks runs, once, on the loop. */
+  void open(Consumer<DatagramSender> onOpened, Consumer<IOException> onFailed) {
+    resolver.resolve(
+        address.getHostString(),
+        address.getPort(),
+        resolved -> openTo(resolved, onOpened, onFailed),
+        onFailed);
+  }
+
+  private void openTo(
+      InetSocketAddress resolved,
+      Consumer<DatagramSender> onOpened,
+      Consumer<IOException> onFailed) {
+    DatagramSender sender;
+    try {
+      sender = opener.open(resolved);
+    } catch (IOException e) {
+      onFailed.accept(e);
+      return;
+    }
+    onOpened.accept(sender);
+  }
+}
--- a/exporter/src/main/java/lemondock/exporter/collectd/DatagramDestination.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/DatagramDestination.java
@@ -1,248 +1,231 @@
 package lemondock.exporter.collectd;
 
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.List;
+import java.util.Optional;
+import lemondock.exporter.BufferedSnapshot;
 import lemondock.exporter.Destination;
-import lemondock.exporter.Dialer;
-import lemondock.exporter.SnapshotRing;
+import lemondock.exporter.DestinationCounter;
+import lemondock.exporter.DestinationQueue;
+import lemondock.exporter.DestinationStatistics;
+import lemondock.exporter.ServiceHealth;
+import lemondock.exporter.SnapshotBuffer;
 import lemondock.net.DatagramSender;
 import lemondock.net.Loop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Reports as datagrams. Packets are made one at a time and sent a few at a time, so that a large
- * snapshot does not overrun the system's buffer. What the network loses nobody tells; counters are
- * cumulative, so the next packet makes up for it. Where the peer's machine says that nobody
- * listens, the snapshot is sent again later.
+ * Exports snapshots as datagrams. Packets are encoded one at a time and sent in small bursts, so
+ * that a large snapshot does not overrun the operating system's buffer. Nobody reports what the
+ * network loses; counters are cumulative, so that the next packet makes up for it. If the peer's
+ * machine answers that nobody listens, the last snapshots are sent again later. Loop thread only.
  */
 public final class DatagramDestination implements Destination {
   private static final Logger LOG = LoggerFactory.getLogger(DatagramDestination.class);
-  private static final int AT_ONCE = 16;
-  private static final long PAUSE = 2_000;
-  private static final int AGAIN = 2;
+  private static final int PACKETS_PER_BURST = 16;
+  private static final int MAX_PENDING_NOTIFICATIONS = 16;
+  private static final long BURST_PAUSE_MICROS = 2_000;
+
+  /** Snapshots to send again after a failure, which may concern packets sent before. */
+  private static final int RESENT_SNAPSHOTS = 2;
 
   private final Loop loop;
-  private final String name;
-  private final String host;
-  private final int port;
-  private final Dialer.Resolver resolver;
-  private final DatagramSender.Opener opener;
-  private final Packets packets;
-  private final SnapshotRing.Cursor cursor;
-  private final int most;
-  private final long wait;
-  private final Figures figures = new Figures();
-  private final ArrayDeque<ByteBuffer> notices = new ArrayDeque<>();
-  private DatagramSender socket;
-  private boolean resolving;
-  private boolean pausing;
-  private boolean stopped;
-  private boolean saidDown;
-  private SnapshotRing.View current;
-  private ByteBuffer unsent;
-  private int at;
-  private Runnable done;
+  private final DatagramConnector connector;
+  private final NetworkPacketEncoder encoder;
+  private final Options options;
+  private final DestinationQueue queue;
+  private final DestinationStatistics statistics = new DestinationStatistics();
+  private final ArrayDeque<ByteBuffer> notifications = new ArrayDeque<>();
+  private DatagramSender sender; // null: not open
+  private boolean isOpening;
+  private boolean isPausing;
+  private boolean isStopped;
+  private boolean isFailureLogged;
+  private ByteBuffer unsentPacket; // null: none; the operating system had no space for it
+  private Runnable shutDownCallback; // null: not shutting down
 
   /**
-   * Makes a destination that gets what is in the ring from now on.
+   * Name and limits of a destination.
    *
-   * @param most snapshots that may wait for it
-   * @param wait microseconds until a failure is tried again
+   * @param name the name in the settings
+   * @param maxPendingSnapshots snapshots that may wait; beyond it the oldest are dropped
+   * @param retryMicros time from a failure to the next attempt
    */
+  public record Options(String name, int maxPendingSnapshots, long retryMicros) {}
+
+  /** Makes a destination for the snapshots that come into the buffer from now on. */
   public DatagramDestination(
       Loop loop,
-      String name,
-      String host,
-      int port,
-      Dialer.Resolver resolver,
-      DatagramSender.Opener opener,
-      Packets packets,
-      SnapshotRing ring,
-      int most,
-      long wait) {
+      DatagramConnector connector,
+      NetworkPacketEncoder encoder,
+      SnapshotBuffer buffer,
+      Options options) {
     this.loop = loop;
-    this.name = name;
-    this.host = host;
-    this.port = port;
-    this.resolver = resolver;
-    this.opener = opener;
-    this.packets = packets;
-    this.cursor = ring.cursor();
-    this.most = most;
-    this.wait = wait;
+    this.connector = connector;
+    this.encoder = encoder;
+    this.options = options;
+    this.queue = new DestinationQueue(buffer, options.maxPendingSnapshots());
   }
 
   @Override
   public String name() {
-    return name;
+    return options.name();
   }
 
   @Override
-  public Figures figures() {
-    return figures.seen(cursor, most, current != null);
+  public DestinationStatistics statistics() {
+    queue.updateStatistics(statistics);
+    return statistics;
   }
 
   @Override
-  public void notice(long stampMillis, boolean fell, String line) {
-    if (notices.size() < AT_ONCE) {
-      notices.add(
-          packets.notification(
-              stampMillis, fell ? Packets.Severity.WARNING : Packets.Severity.OKAY, line));
+  public void notifyServiceHealth(long timestampMillis, ServiceHealth health, String message) {
+    if (notifications.size() < MAX_PENDING_NOTIFICATIONS) {
+      notifications.add(encoder.encodeNotification(timestampMillis, health, message));
     }
-    pump();
+    sendPending();
   }
 
   @Override
-  public void pump() {
-    if (stopped || pausing || resolving) {
+  public void sendPending() {
+    if (isStopped || isPausing || isOpening) {
       return;
     }
-    if (socket == null) {
-      open();
+    if (sender == null) {
+      isOpening = true;
+      connector.open(this::onOpened, this::onFailed);
       return;
     }
-    for (int i = 0; i < AT_ONCE; i++) {
-      if (!send()) {
+    for (int i = 0; i < PACKETS_PER_BURST; i++) {
+      if (!sendNextPacket()) {
         return;
       }
     }
-    pause(PAUSE);
-  }
-
-  private void open() {
-    resolving = true;
-    resolver.resolve(host, port, this::opened, this::down);
+    pause(BURST_PAUSE_MICROS);
   }
 
-  private void opened(InetSocketAddress address) {
-    resolving = false;
-    try {
-      socket = opener.open(address);
-      figures.connects++;
-      pump();
-    } catch (IOException e) {
-      down(e.getMessage());
-    }
+  private void onOpened(DatagramSender opened) {
+    isOpening = false;
+    sender = opened;
+    statistics.add(DestinationCounter.CONNECTIONS_OPENED, 1);
+    sendPending();
   }
 
   /** Sends one packet; false if there is none, or if it has to wait. */
-  private boolean send() {
-    ByteBuffer packet = next();
-    if (packet == null) {
-      finished();
+  private boolean sendNextPacket() {
+    Optional<ByteBuffer> next = nextPacket();
+    if (next.isEmpty()) {
+      if (shutDownCallback != null) {
+        completeShutDown();
+      }
       return false;
     }
-    final int size = packet.remaining();
+    ByteBuffer packet = next.get();
+    final int packetBytes = packet.remaining();
     try {
-      if (!socket.send(packet)) {
-        figures.lost++;
-        unsent = packet;
-        pause(PAUSE);
+      if (!sender.send(packet)) {
+        statistics.add(DestinationCounter.PACKETS_LOST, 1);
+        unsentPacket = packet;
+        pause(BURST_PAUSE_MICROS);
         return false;
       }
     } catch (IOException e) {
-      figures.lost++;
-      down(e.getMessage());
+      statistics.add(DestinationCounter.PACKETS_LOST, 1);
+      onFailed(e);
       return false;
     }
-    unsent = null;
-    figures.packets++;
-    figures.bytes += size;
-    if (current != null && at >= current.series().size()) {
-      current = null;
-      figures.snapshots++;
-      saidDown = false;
-    }
+    onSent(packetBytes);
     return true;
   }
 
-  private ByteBuffer next() {
-    if (unsent != null) {
-      return unsent;
+  private void onSent(int packetBytes) {
+    unsentPacket = null;
+    statistics.add(DestinationCounter.PACKETS_SENT, 1);
+    statistics.add(DestinationCounter.BYTES_SENT, packetBytes);
+    if (queue.completeIfAllSent()) {
+      statistics.add(DestinationCounter.SNAPSHOTS_SENT, 1);
+      isFailureLogged = false;
+    }
+  }
+
+  private Optional<ByteBuffer> nextPacket() {
+    if (unsentPacket != null) {
+      return Optional.of(unsentPacket);
     }
-    if (!notices.isEmpty()) {
-      return notices.poll();
+    if (!notifications.isEmpty()) {
+      return Optional.of(notifications.poll());
     }
-    if (current == null) {
-      cursor.keep(most);
-      current = cursor.next();
-      at = 0;
-      if (current == null) {
-        return null;
-      }
+    Optional<BufferedSnapshot> snapshot = queue.current();
+    if (snapshot.isEmpty()) {
+      return Optional.empty();
     }
-    List<ByteBuffer> made = new ArrayList<>(1);
-    at = packets.next(current, at, made);
-    return made.get(0);
+    NetworkPacketEncoder.Packet packet = encoder.encode(snapshot.get(), queue.nextSeries());
+    queue.advanceTo(packet.nextSeries());
+    return Optional.of(packet.bytes());
   }
 
-  private void down(String why) {
-    resolving = false;
-    figures.failures++;
-    if (!saidDown) {
-      saidDown = true;
+  private void onFailed(IOException cause) {
+    isOpening = false;
+    statistics.add(DestinationCounter.CONNECTION_FAILURES, 1);
+    logFailure(cause);
+    unsentPacket = null;
+    statistics.add(DestinationCounter.SNAPSHOTS_RESENT, queue.rewind(RESENT_SNAPSHOTS));
+    closeSender(); // the host is resolved anew
+    if (shutDownCallback != null) {
+      completeShutDown();
+    } else {
+      pause(options.retryMicros());
+    }
+  }
+
+  /** Logs the first failure since a snapshot was sent completely. */
+  private void logFailure(IOException cause) {
+    if (!isFailureLogged) {
+      isFailureLogged = true;
       LOG.atWarn()
-          .addKeyValue("destination", name)
-          .addKeyValue("why", why)
+          .addKeyValue("destination", options.name())
+          .addKeyValue("why", cause.getMessage())
           .log("reports cannot be sent; tried again until it works");
     }
-    unsent = null;
-    figures.resent +=
-        Math.max(0, cursor.back(current == null ? AGAIN : AGAIN + 1) - (current == null ? 0 : 1));
-    current = null;
-    if (socket != null) {
-      socket.close();
-      socket = null; // the name is looked up anew
-    }
-    if (done != null) {
-      over();
-    } else {
-      pause(wait);
-    }
   }
 
   private void pause(long micros) {
-    pausing = true;
-    loop.schedule(
-        micros,
-        () -> {
-          pausing = false;
-          pump();
-        });
-  }
-
-  private void finished() {
-    if (done != null) {
-      over();
-    }
+    isPausing = true;
+    loop.schedule(micros, this::onPauseOver);
+  }
+
+  private void onPauseOver() {
+    isPausing = false;
+    sendPending();
   }
 
   @Override
-  public void finish(Runnable then) {
-    done = then;
-    pump();
+  public void shutDown(Runnable onClosed) {
+    shutDownCallback = onClosed;
+    sendPending();
   }
 
   @Override
-  public void stop() {
-    over();
+  public void abort() {
+    completeShutDown();
   }
 
-  private void over() {
-    stopped = true;
-    if (socket != null) {
-      socket.close();
-      socket = null;
+  private void completeShutDown() {
+    isStopped = true;
+    closeSender();
+    Runnable callback = shutDownCallback;
+    shutDownCallback = null;
+    if (callback != null) {
+      callback.run();
     }
-    Runnable then = done;
-    done = null;
-    if (then != null) {
-      then.run();
+  }
+
+  private void closeSender() {
+    if (sender != null) {
+      sender.close();
+      sender = null;
     }
   }
 }
--- /dev/null
+++ b/exporter/src/main/java/lemondock/exporter/collectd/PartWriter.java
@@ -0,0 +1,109 @@
+package lemondock.exporter.collectd;
+
+import java.io.ByteArrayOutputStream;
+import java.nio.ByteBuffer;
+import java.nio.ByteOrder;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import lemondock.metrics.MetricField;
+import lemondock.metrics.MetricsSnapshot;
+import lemondock.metrics.Series;
+
+/**
+ * Writes the parts that packets of collectd's network protocol consist of: two bytes of type, two
+ * bytes of length including these four, and the content. Not thread-safe.
+ */
+final class PartWriter {
+  /** Types of parts. */
+  enum PartType {
+    HOST(0x0000),
+    PLUGIN(0x0002),
+    PLUGIN_INSTANCE(0x0003),
+    TYPE(0x0004),
+    TYPE_INSTANCE(0x0005),
+    VALUES(0x0006),
+    /** In units of 2^-30 seconds. */
+    TIME_HIGH_RESOLUTION(0x0008),
+    /** In units of 2^-30 seconds. */
+    INTERVAL_HIGH_RESOLUTION(0x0009),
+    MESSAGE(0x0100),
+    SEVERITY(0x0101);
+
+    private final int code;
+
+    PartType(int code) {
+      this.code = code;
+    }
+  }
+
+  private static final int HEADER_BYTES = 4;
+  private static final int GAUGE_CODE = 1;
+
+  private final ByteArrayOutputStream output = new ByteArrayOutputStream();
+
+  /** Forgets what was written. */
+  void reset() {
+    output.reset();
+  }
+
+  int size() {
+    return output.size();
+  }
+
+  byte[] toByteArray() {
+    return output.toByteArray();
+  }
+
+  /** Appends parts written elsewhere. */
+  void append(PartWriter other) {
+    output.writeBytes(other.toByteArray());
+  }
+
+  void writeText(PartType type, String text) {
+    byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+    writeHeader(type, HEADER_BYTES + bytes.length + 1);
+    output.writeBytes(bytes);
+    output.write(0);
+  }
+
+  void writeNumber(PartType type, long value) {
+    writeHeader(type, HEADER_BYTES + Long.BYTES);
+    output.writeBytes(ByteBuffer.allocate(Long.BYTES).putLong(value).array());
+  }
+
+  /** Writes the types of the values of a series, then the values. */
+  void writeValues(Series series, long[] values, CounterType counterType) {
+    List<MetricField> fields = series.family().fields();
+    writeHeader(PartType.VALUES, HEADER_BYTES + Short.BYTES + fields.size() * (1 + Long.BYTES));
+    writeShort(fields.size());
+    for (MetricField field : fields) {
+      output.write(field.kind() == MetricField.Kind.COUNTER ? counterType.code() : GAUGE_CODE);
+    }
+    for (int i = 0; i < fields.size(); i++) {
+      writeValue(fields.get(i), values[series.slot(i)]);
+    }
+  }
+
+  /** Counters are whole numbers in network order, gauges doubles in x86 order. */
+  private void writeValue(MetricField field, long value) {
+    ByteBuffer bytes = ByteBuffer.allocate(Long.BYTES);
+    if (field.kind() == MetricField.Kind.COUNTER) {
+      bytes.putLong(value);
+    } else {
+      bytes
+          .order(ByteOrder.LITTLE_ENDIAN)
+          .putDouble(value == MetricsSnapshot.NO_VALUE ? Double.NaN : field.toDouble(value));
+    }
+    output.writeBytes(bytes.array());
+  }
+
+  private void writeHeader(PartType type, int length) {
+    writeShort(type.code);
+    writeShort(length);
+  }
+
+  private void writeShort(int value) {
+    output.write(value >> 8);
+    output.write(value);
+  }
+}
--- a/exporter/src/main/java/lemondock/exporter/collectd/package-info.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Collectd's protocols: signed or encrypted datagrams of the network plugin and PUTVAL lines of the
- * unixsock plugin.
+ * collectd's protocols: the binary packets of its network plugin, plain, signed or encrypted, and
+ * the PUTVAL lines of its exec and unixsock plugins; the data sets for its types.db.
  */
 package lemondock.exporter.collectd;
--- /dev/null
+++ b/exporter/src/main/java/lemondock/exporter/graphite/MetricPaths.java
@@ -0,0 +1,78 @@
+package lemondock.exporter.graphite;
+
+import java.util.ArrayList;
+import java.util.List;
+import lemondock.exporter.LabelEscaping;
+import lemondock.metrics.MetricField;
+import lemondock.metrics.Series;
+
+/**
+ * Graphite's names of values, computed once for each series: paths of labels in order, or names
+ * with tags (Graphite 1.1). Not thread-safe.
+ */
+final class MetricPaths {
+  private final String prefix;
+  private final String escapedInstance;
+  private final boolean isTagged;
+
+  /** Paths of the fields by index of the series; null: not computed yet. */
+  private final List<List<String>> pathsBySeries = new ArrayList<>();
+
+  /**
+   * Makes paths.
+   *
+   * @param prefix first nodes of each path; may contain dots, which separate nodes
+   * @param instance the reporting gateway, one node
+   * @param isTagged whether instance and labels are tags rather than nodes
+   */
+  MetricPaths(String prefix, String instance, boolean isTagged) {
+    this.prefix = prefix;
+    this.escapedInstance = LabelEscaping.escape(instance);
+    this.isTagged = isTagged;
+  }
+
+  /** A path for each field of a series, in the order of the fields. */
+  List<String> pathsOf(Series series) {
+    while (pathsBySeries.size() <= series.index()) {
+      pathsBySeries.add(null);
+    }
+    List<String> paths = pathsBySeries.get(series.index());
+    if (paths == null) {
+      paths =
+          series.family().fields().stream()
+              .map(field -> isTagged ? taggedName(series, field) : path(series, field))
+              .toList();
+      pathsBySeries.set(series.index(), paths);
+    }
+    return paths;
+  }
+
+  private String path(Series series, MetricField field) {
+    StringBuilder path =
+        new StringBuilder(prefix)
+            .append('.')
+            .append(escapedInstance)
+            .append('.')
+            .append(series.family().name());
+    series.labelValues().forEach(value -> path.append('.').append(LabelEscaping.escape(value)));
+    return path.append('.').append(field.name()).toString();
+  }
+
+  private String taggedName(Series series, MetricField field) {
+    StringBuilder name =
+        new StringBuilder(prefix)
+            .append('.')
+            .append(series.family().name())
+            .append('.')
+            .append(field.name())
+            .append(";instance=")
+            .append(escapedInstance);
+    for (int i = 0; i < series.labelValues().size(); i++) {
+      name.append(';')
+          .append(series.family().labelNames().get(i))
+          .append('=')
+          .append(LabelEscaping.escape(series.labelValues().get(i)));
+    }
+    return name.toString();
+  }
+}
--- a/exporter/src/main/java/lemondock/exporter/graphite/package-info.java
+++ b/exporter/src/main/java/lemondock/exporter/graphite/package-info.java
@@ -1,2 +1,2 @@
-/** Graphite's protocols: plain text lines and pickled batches. No I/O. */
+/** Encoders for Graphite's plaintext and pickle protocols. No I/O. */
 package lemondock.exporter.graphite;
--- a/exporter/src/main/java/lemondock/exporter/host/ProcessMeters.java
+++ b/exporter/src/main/java/lemondock/exporter/host/ProcessMeterRegistry.java
@@ -8,12 +8,12 @@
 import io.micrometer.core.instrument.binder.system.ProcessorMetrics;
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
 
-/** Gauges of this process, by Micrometer's own binders. */
-public final class ProcessMeters {
-  private ProcessMeters() {}
+/** Gauges of this process, from Micrometer's own binders. */
+public final class ProcessMeterRegistry {
+  private ProcessMeterRegistry() {}
 
-  /** A registry with memory, threads, processors, classes and file handles. */
-  public static MeterRegistry registry() {
+  /** Makes a registry with gauges of memory, threads, processors, classes and open files. */
+  public static MeterRegistry create() {
     MeterRegistry registry = new SimpleMeterRegistry();
     new JvmMemoryMetrics().bindTo(registry);
     new JvmThreadMetrics().bindTo(registry);
--- a/exporter/src/main/java/lemondock/exporter/host/package-info.java
+++ b/exporter/src/main/java/lemondock/exporter/host/package-info.java
@@ -1,2 +1,5 @@
-/** The real environment of exporters: threads, sockets and the host's name. */
+/**
+ * What exporters need of the real machine: threads, sockets, name resolution, the host's name and
+ * gauges of the process.
+ */
 package lemondock.exporter.host;
--- a/exporter/src/main/java/lemondock/exporter/package-info.java
+++ b/exporter/src/main/java/lemondock/exporter/package-info.java
@@ -1,5 +1,9 @@
 /**
- * Export of snapshots to collectors: the ring of snapshots to be sent, destinations over streams,
- * their time stamps and back-off. Runs on the reports' loop.
+ * Export of metrics snapshots to collectors.
+ *
+ * <p>{@link lemondock.exporter.PeriodicExporter} takes snapshots and appends them to a {@link
+ * lemondock.exporter.SnapshotBuffer}; each {@link lemondock.exporter.Destination} sends them from
+ * there at its own pace, encoded for its protocol by the subpackages. All of it runs on one loop
+ * that no request uses. Times are in microseconds, timestamps in milliseconds since the epoch.
  */
 package lemondock.exporter;
--- a/gateway/src/main/java/lemondock/gateway/accounting/CallMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/CallMetrics.java
@@ -68,12 +68,12 @@
 
   private void recordFirstToken(long nowMicros) {
     long elapsedMicros = nowMicros - arrivedAtMicros;
-    long ticket = metrics.recorder().enter();
-    metrics.recorder().record(classSeries.firstToken, elapsedMicros);
+    long ticket = metrics.recorder().beginUpdate();
+    metrics.recorder().observe(classSeries.firstToken, elapsedMicros);
     if (elapsedMicros <= latencyObjectiveMicros) {
       metrics.recorder().add(classSeries.verdicts.slot(0), 1);
     }
-    metrics.recorder().exit(ticket);
+    metrics.recorder().endUpdate(ticket);
     if (elapsedMicros > latencyObjectiveMicros) {
       countBad();
     }
@@ -82,7 +82,7 @@
   private void countBad() {
     if (!countedBad) {
       countedBad = true;
-      metrics.recorder().count(classSeries.verdicts.slot(1));
+      metrics.recorder().increment(classSeries.verdicts.slot(1));
     }
   }
 
@@ -90,19 +90,19 @@
   public void onToolCallRelayed(long nowMicros) {
     endTurn(nowMicros);
     toolCallsRelayed++;
-    metrics.recorder().count(classSeries.tools.slot(0));
+    metrics.recorder().increment(classSeries.tools.slot(0));
   }
 
   /** A tool's result came back. */
   public void onToolCallAnswered() {
     toolCallsSettled++;
-    metrics.recorder().count(classSeries.tools.slot(1));
+    metrics.recorder().increment(classSeries.tools.slot(1));
   }
 
   /** A tool call was withdrawn, or its result came too late to be of use. */
   public void onToolCallLost() {
     toolCallsSettled++;
-    metrics.recorder().count(classSeries.tools.slot(2));
+    metrics.recorder().increment(classSeries.tools.slot(2));
   }
 
   /** Tool calls that wait for their result. */
@@ -135,7 +135,7 @@
         served && firstTokenInTime && microsPerToken <= classSeries.tokenObjectiveMicros;
     final boolean late =
         served && !inTime && microsPerToken <= LATE_PACE_FACTOR * classSeries.tokenObjectiveMicros;
-    final long ticket = metrics.recorder().enter();
+    final long ticket = metrics.recorder().beginUpdate();
     metrics
         .recorder()
         .add(
@@ -143,9 +143,9 @@
                 .requests()
                 .slot(GatewayMetrics.FIRST_OUTCOME_FIELD + outcome.kind().ordinal()),
             1);
-    metrics.recorder().record(classSeries.wholeTime, nowMicros - arrivedAtMicros);
+    metrics.recorder().observe(classSeries.wholeTime, nowMicros - arrivedAtMicros);
     if (outcome.tokens() > 1) {
-      metrics.recorder().record(classSeries.tokenPace, (long) microsPerToken);
+      metrics.recorder().observe(classSeries.tokenPace, (long) microsPerToken);
     }
     if (inTime) {
       metrics.recorder().add(tenantSeries.worth().slot(2), classSeries.priorityWeight);
@@ -159,7 +159,7 @@
       metrics.recorder().add(classSeries.tools.slot(2), pendingToolCalls());
       toolCallsSettled = toolCallsRelayed;
     }
-    metrics.recorder().exit(ticket);
+    metrics.recorder().endUpdate(ticket);
     if (!inTime && outcome.kind() != Answer.OutcomeKind.CANCELLED) {
       countBad();
     }
--- a/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 import lemondock.dispatch.AttemptMetrics;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.metrics.BoundedNames;
-import lemondock.metrics.Metrics;
+import lemondock.metrics.LabelCardinalityLimit;
+import lemondock.metrics.MetricFamilies;
+import lemondock.metrics.MetricRegistry;
 import lemondock.metrics.Recorder;
 import lemondock.metrics.Series;
-import lemondock.metrics.Tally;
 import lemondock.policy.AttemptOutcome;
 import lemondock.policy.RouterStateVisitor;
 import lemondock.policy.ServerLifecycle;
@@ -20,15 +20,15 @@
 
 /**
  * What a gateway counts on its decision loop. Series are looked up once and kept; the names of
- * tenants and zones, which others choose, are bounded. Loop thread only, but for {@link #tally}.
+ * tenants and zones, which others choose, are bounded. Loop thread only, but for {@link #registry}.
  */
 public final class GatewayMetrics implements AttemptMetrics {
   /** The tenant of a request that names none. */
   public static final String NO_TENANT = "none";
 
   /**
-   * The field of {@link Metrics#REQUESTS} for served; those of the other endings follow in the
-   * order of their enum.
+   * The field of {@link MetricFamilies#REQUESTS} for served; those of the other endings follow in
+   * the order of their enum.
    */
   static final int FIRST_OUTCOME_FIELD = 2;
 
@@ -48,11 +48,11 @@
           AttemptOutcome.ABANDONED_BEFORE_SEND);
 
   private final GatewaySettings settings;
-  private final Tally tally;
+  private final MetricRegistry registry;
   private final Recorder recorder;
   private final List<ClassSeries> classes = new ArrayList<>();
-  private final BoundedNames tenants;
-  private final BoundedNames zones;
+  private final LabelCardinalityLimit tenants;
+  private final LabelCardinalityLimit zones;
   private final Map<ServerRole, Map<String, Series>> attempts = new EnumMap<>(ServerRole.class);
   private final Map<ServerRole, Map<String, Series>> servers = new EnumMap<>(ServerRole.class);
   private final Map<String, Series[]> reservedStates = new HashMap<>();
@@ -75,40 +75,42 @@
     final Series wholeTime;
     final Map<String, TenantSeries> byTenant = new HashMap<>();
 
-    ClassSeries(Tally tally, GatewaySettings.ClassSettings settings, String zone) {
-      priorityWeight = Math.round(settings.worth() * Metrics.WORTH_ONE);
-      latePriorityWeight = Math.round(settings.worth() * settings.lateWorth() * Metrics.WORTH_ONE);
+    ClassSeries(MetricRegistry registry, GatewaySettings.ClassSettings settings, String zone) {
+      priorityWeight = Math.round(settings.worth() * MetricFamilies.PRIORITY_WEIGHT_SCALE);
+      latePriorityWeight =
+          Math.round(
+              settings.worth() * settings.lateWorth() * MetricFamilies.PRIORITY_WEIGHT_SCALE);
       tokenObjectiveMicros = GatewaySettings.micros(settings.tokenAimMs());
-      verdicts = tally.series(Metrics.VERDICTS, settings.name(), zone);
-      tools = tally.series(Metrics.TOOLS, settings.name());
-      firstToken = tally.series(Metrics.FIRST_TOKEN, settings.name());
-      tokenPace = tally.series(Metrics.TOKEN_PACE, settings.name());
-      wholeTime = tally.series(Metrics.WHOLE_TIME, settings.name());
+      verdicts = registry.series(MetricFamilies.SERVICE_LEVEL, settings.name(), zone);
+      tools = registry.series(MetricFamilies.TOOL_CALLS, settings.name());
+      firstToken = registry.series(MetricFamilies.TIME_TO_FIRST_TOKEN, settings.name());
+      tokenPace = registry.series(MetricFamilies.TIME_PER_OUTPUT_TOKEN, settings.name());
+      wholeTime = registry.series(MetricFamilies.REQUEST_DURATION, settings.name());
     }
   }
 
   /** The series of one class and tenant. */
   record TenantSeries(Series worth, Series requests) {}
 
-  /** Makes a count of its own tally, for the thread that the gateway decides on. */
+  /** Makes metrics with a registry of their own, for the thread that the gateway decides on. */
   public GatewayMetrics(GatewaySettings settings) {
     this.settings = settings;
-    this.tally = new Tally(settings.reporting().maxValues());
-    this.recorder = tally.recorder();
+    this.registry = new MetricRegistry(settings.reporting().maxValues());
+    this.recorder = registry.newRecorder();
     this.tenants =
-        new BoundedNames(
+        new LabelCardinalityLimit(
             append(settings.reporting().tenants(), NO_TENANT), settings.reporting().maxTenants());
-    this.zones = new BoundedNames(List.of(settings.zone()), MAX_ZONES);
-    this.gateway = tally.series(Metrics.GATEWAY);
-    this.module = tally.series(Metrics.MODULE);
-    this.loopLag = tally.series(Metrics.LOOP_LAG);
-    this.overload = tally.series(Metrics.OVERLOAD);
-    this.otherTenants = tally.series(Metrics.BOUNDS, "tenant");
-    this.otherZones = tally.series(Metrics.BOUNDS, "zone");
+    this.zones = new LabelCardinalityLimit(List.of(settings.zone()), MAX_ZONES);
+    this.gateway = registry.series(MetricFamilies.GATEWAY);
+    this.module = registry.series(MetricFamilies.ROUTER);
+    this.loopLag = registry.series(MetricFamilies.LOOP_LAG);
+    this.overload = registry.series(MetricFamilies.OVERLOAD);
+    this.otherTenants = registry.series(MetricFamilies.LABEL_OVERFLOWS, "tenant");
+    this.otherZones = registry.series(MetricFamilies.LABEL_OVERFLOWS, "zone");
     settings
         .classes()
         .forEach(
-            requestClass -> classes.add(new ClassSeries(tally, requestClass, settings.zone())));
+            requestClass -> classes.add(new ClassSeries(registry, requestClass, settings.zone())));
   }
 
   private static List<String> append(List<String> some, String one) {
@@ -118,8 +120,8 @@
   }
 
   /** What was counted; its snapshot may be taken on any thread. */
-  public Tally tally() {
-    return tally;
+  public MetricRegistry registry() {
+    return registry;
   }
 
   Recorder recorder() {
@@ -133,9 +135,9 @@
       int classId, String tenant, boolean retry, int promptTokens, long nowMicros) {
     ClassSeries series = classes.get(classId);
     TenantSeries request = tenantSeries(series, classId, tenant);
-    long ticket = recorder.enter();
+    long ticket = recorder.beginUpdate();
     countArrival(series, request, retry);
-    recorder.exit(ticket);
+    recorder.endUpdate(ticket);
     GatewaySettings.ClassSettings classSettings = settings.classes().get(classId);
     long latencyObjectiveMicros =
         GatewaySettings.micros(
@@ -147,11 +149,11 @@
   public void requestRejected(int classId, String tenant, boolean retry) {
     ClassSeries series = classes.get(classId);
     TenantSeries request = tenantSeries(series, classId, tenant);
-    final long ticket = recorder.enter();
+    final long ticket = recorder.beginUpdate();
     countArrival(series, request, retry);
     recorder.add(request.requests.slot(REJECTED_FIELD), 1);
     recorder.add(series.verdicts.slot(1), 1);
-    recorder.exit(ticket);
+    recorder.endUpdate(ticket);
   }
 
   private void countArrival(ClassSeries series, TenantSeries request, boolean retry) {
@@ -167,18 +169,18 @@
       String name = settings.classes().get(classId).name();
       found =
           new TenantSeries(
-              tally.series(Metrics.WORTH, name, settings.zone(), label),
-              tally.series(Metrics.REQUESTS, name, settings.zone(), label));
+              registry.series(MetricFamilies.PRIORITY_WEIGHT, name, settings.zone(), label),
+              registry.series(MetricFamilies.REQUESTS, name, settings.zone(), label));
       series.byTenant.put(label, found);
     }
     return found;
   }
 
-  private String boundedLabel(BoundedNames names, Series others, String name) {
-    long before = names.turnedAway();
-    String label = names.label(name);
-    if (names.turnedAway() != before) {
-      recorder.count(others.first());
+  private String boundedLabel(LabelCardinalityLimit names, Series others, String name) {
+    long before = names.overflowCount();
+    String label = names.labelFor(name);
+    if (names.overflowCount() != before) {
+      recorder.increment(others.firstSlot());
     }
     return label;
   }
@@ -187,19 +189,19 @@
 
   /** An attempt is made at a server. */
   public void attemptSent(ServerRole role, String zone) {
-    recorder.count(seriesFor(attempts, Metrics.ATTEMPTS, role, zone).slot(SENT_FIELD));
+    recorder.increment(seriesFor(attempts, MetricFamilies.ATTEMPTS, role, zone).slot(SENT_FIELD));
   }
 
   /** An attempt has ended. */
   public void attemptEnded(ServerRole role, String zone, AttemptOutcome ending) {
-    recorder.count(
-        seriesFor(attempts, Metrics.ATTEMPTS, role, zone)
+    recorder.increment(
+        seriesFor(attempts, MetricFamilies.ATTEMPTS, role, zone)
             .slot(1 + OUTCOME_FIELD_ORDER.indexOf(ending)));
   }
 
   private Series seriesFor(
       Map<ServerRole, Map<String, Series>> byRoleAndZone,
-      lemondock.metrics.Family family,
+      lemondock.metrics.MetricFamily family,
       ServerRole role,
       String zone) {
     Map<String, Series> byZone = byRoleAndZone.computeIfAbsent(role, r -> new HashMap<>());
@@ -208,7 +210,7 @@
       String label = boundedLabel(zones, otherZones, zone);
       found = byZone.get(label);
       if (found == null) {
-        found = tally.series(family, role.name().toLowerCase(Locale.ROOT), label);
+        found = registry.series(family, role.name().toLowerCase(Locale.ROOT), label);
         byZone.put(label, found);
       }
     }
@@ -238,15 +240,18 @@
           reservedStates.computeIfAbsent(
               label,
               z ->
-                  new Series[] {tally.series(Metrics.HELD, z), tally.series(Metrics.HELD_TIME, z)});
+                  new Series[] {
+                    registry.series(MetricFamilies.RESERVED_STATES, z),
+                    registry.series(MetricFamilies.RESERVED_STATE_DURATION, z)
+                  });
     }
-    final long ticket = recorder.enter();
+    final long ticket = recorder.beginUpdate();
     recorder.add(series[0].slot(field), 1);
     recorder.add(series[0].slot(3), change);
     if (waitedMicros >= 0) {
-      recorder.record(series[1], waitedMicros);
+      recorder.observe(series[1], waitedMicros);
     }
-    recorder.exit(ticket);
+    recorder.endUpdate(ticket);
   }
 
   // ==== gauges
@@ -276,30 +281,30 @@
       inFlight.endpoints(),
       inFlight.uptimeSeconds()
     };
-    long ticket = recorder.enter();
+    long ticket = recorder.beginUpdate();
     for (int i = 0; i < values.length; i++) {
       recorder.set(gateway.slot(i), values[i]);
     }
-    recorder.exit(ticket);
+    recorder.endUpdate(ticket);
   }
 
   /** The decision loop ran a timer so many microseconds late. */
   public void recordLoopLag(long micros) {
-    recorder.time(loopLag, micros);
+    recorder.recordDuration(loopLag, micros);
   }
 
   /** The gateway's own limit: the share let in, stalls and their sum in microseconds. */
   public void setOverload(double share, long stalls, long stalledMicros) {
-    long ticket = recorder.enter();
+    long ticket = recorder.beginUpdate();
     recorder.set(overload.slot(0), Math.round(share * 1_000));
     recorder.set(overload.slot(2), stalls);
     recorder.set(overload.slot(3), stalledMicros);
-    recorder.exit(ticket);
+    recorder.endUpdate(ticket);
   }
 
   /** A request was refused because the gateway is late; it is counted as rejected too. */
   public void countLoadShed() {
-    recorder.count(overload.slot(1));
+    recorder.increment(overload.slot(1));
   }
 
   /** Takes a look at the router; {@code zones} names the zone of a server's number, or null. */
@@ -315,7 +320,7 @@
         if (zone != null) {
           long[] sum =
               sums.computeIfAbsent(
-                  seriesFor(servers, Metrics.SERVERS, role, zone), s -> new long[4]);
+                  seriesFor(servers, MetricFamilies.SERVERS, role, zone), s -> new long[4]);
           boolean ready = standing == ServerLifecycle.READY;
           sum[ready ? 0 : 1]++;
           sum[2] += ready && cold ? 1 : 0;
@@ -325,7 +330,7 @@
 
       @Override
       public void totals(int queued, long tokensInFlight, long capacityTokens) {
-        final long ticket = recorder.enter();
+        final long ticket = recorder.beginUpdate();
         recorder.set(module.slot(0), queued);
         recorder.set(module.slot(1), tokensInFlight);
         recorder.set(module.slot(2), capacityTokens);
@@ -335,7 +340,7 @@
                 recorder.set(s.slot(i), sum[i]);
               }
             });
-        recorder.exit(ticket);
+        recorder.endUpdate(ticket);
       }
     };
   }
--- a/gateway/src/main/java/lemondock/gateway/reporting/DestinationFactory.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/DestinationFactory.java
@@ -1,24 +1,28 @@
 package lemondock.gateway.reporting;
 
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Optional;
-import lemondock.exporter.Dialer;
-import lemondock.exporter.Encoder;
-import lemondock.exporter.Environment;
-import lemondock.exporter.Reporter;
+import lemondock.exporter.Connector;
+import lemondock.exporter.ExponentialBackoff;
+import lemondock.exporter.ExporterEnvironment;
+import lemondock.exporter.PeriodicExporter;
+import lemondock.exporter.SnapshotEncoder;
 import lemondock.exporter.StreamDestination;
+import lemondock.exporter.TcpConnector;
 import lemondock.exporter.collectd.AuthFile;
+import lemondock.exporter.collectd.CollectdIdentifiers;
+import lemondock.exporter.collectd.CounterType;
+import lemondock.exporter.collectd.DatagramConnector;
 import lemondock.exporter.collectd.DatagramDestination;
-import lemondock.exporter.collectd.Identity;
-import lemondock.exporter.collectd.Packets;
-import lemondock.exporter.collectd.PutVal;
-import lemondock.exporter.collectd.Seal;
-import lemondock.exporter.graphite.Pickle;
-import lemondock.exporter.graphite.PlainText;
+import lemondock.exporter.collectd.NetworkPacketEncoder;
+import lemondock.exporter.collectd.PacketSecurity;
+import lemondock.exporter.collectd.PutvalEncoder;
+import lemondock.exporter.collectd.SecurityLevel;
+import lemondock.exporter.graphite.PickleEncoder;
+import lemondock.exporter.graphite.PlaintextEncoder;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsException;
 import lemondock.gateway.settings.SettingsFile;
@@ -29,104 +33,103 @@
   private static final int DEFAULT_PACKET_BYTES = 1_452;
 
   private final GatewaySettings.Reporting reporting;
-  private final Environment environment;
-  private final Reporter reporter;
+  private final ExporterEnvironment environment;
+  private final PeriodicExporter exporter;
   private final String instance;
 
-  /** For destinations of one reporter; {@code instance} is the name it reports under. */
+  /** For destinations of one exporter; {@code instance} is the name it reports under. */
   DestinationFactory(
       GatewaySettings.Reporting reporting,
-      Environment environment,
-      Reporter reporter,
+      ExporterEnvironment environment,
+      PeriodicExporter exporter,
       String instance) {
     this.reporting = reporting;
     this.environment = environment;
-    this.reporter = reporter;
+    this.exporter = exporter;
     this.instance = instance;
   }
 
   /**
-   * Adds a destination to the reporter.
+   * Adds a destination to the exporter.
    *
    * @param pointer the place of its settings, for problems
-   * @return what starts it, to be run on the reporter's loop
+   * @return what starts it, to be run on the exporter's loop
    * @throws SettingsException if the file of users cannot be used
    */
   Runnable add(GatewaySettings.Destination settings, String pointer) throws SettingsException {
     if (settings.kind().equals("collectd")) {
-      reporter.add(datagrams(settings, pointer));
+      exporter.addDestination(datagrams(settings, pointer));
       return () -> {};
     }
     StreamDestination stream = stream(settings);
-    reporter.add(stream);
+    exporter.addDestination(stream);
     return stream::start;
   }
 
   private DatagramDestination datagrams(GatewaySettings.Destination settings, String pointer)
       throws SettingsException {
-    InetSocketAddress address = SettingsFile.parseAddress(settings.address());
-    Packets packets =
-        new Packets(
-            identity(),
-            seal(settings, pointer),
+    NetworkPacketEncoder encoder =
+        new NetworkPacketEncoder(
+            identifiers(),
+            packetSecurity(settings, pointer),
             settings.packetBytes() == null ? DEFAULT_PACKET_BYTES : settings.packetBytes(),
             intervalMillis(),
-            !"counter".equals(settings.counters()));
+            "counter".equals(settings.counters()) ? CounterType.COUNTER : CounterType.DERIVE);
     return new DatagramDestination(
         environment.loop(),
-        settings.name(),
-        address.getHostString(),
-        address.getPort(),
-        environment.resolver(),
-        environment.datagrams(),
-        packets,
-        reporter.ring(),
-        settings.maxSnapshots(),
-        GatewaySettings.micros(settings.maxBackoffMs()));
+        new DatagramConnector(
+            environment.resolver(),
+            environment.datagramOpener(),
+            SettingsFile.parseAddress(settings.address())),
+        encoder,
+        exporter.buffer(),
+        new DatagramDestination.Options(
+            settings.name(),
+            settings.maxSnapshots(),
+            GatewaySettings.micros(settings.maxBackoffMs())));
   }
 
   private StreamDestination stream(GatewaySettings.Destination settings) {
     return new StreamDestination(
         environment.loop(),
-        settings.name(),
-        dialer(settings),
+        connector(settings),
         encoder(settings),
-        reporter.ring(),
+        exporter.buffer(),
         new StreamDestination.Options(
+            settings.name(),
             settings.maxSnapshots(),
             GatewaySettings.micros(settings.resendMs()),
             GatewaySettings.micros(settings.stallMs()),
-            GatewaySettings.micros(settings.backoffMs()),
-            GatewaySettings.micros(settings.maxBackoffMs())),
-        environment.random());
+            new ExponentialBackoff.Policy(
+                GatewaySettings.micros(settings.backoffMs()),
+                GatewaySettings.micros(settings.maxBackoffMs()),
+                environment.random())));
   }
 
-  private Encoder encoder(GatewaySettings.Destination settings) {
+  private SnapshotEncoder encoder(GatewaySettings.Destination settings) {
     String prefix = settings.prefix() == null ? DEFAULT_PREFIX : settings.prefix();
     boolean tags = Boolean.TRUE.equals(settings.tags());
     return switch (settings.kind()) {
-      case "graphite" -> new PlainText(prefix, instance, tags);
-      case "graphite-pickle" -> new Pickle(prefix, instance, tags);
-      default -> new PutVal(identity(), intervalMillis());
+      case "graphite" -> new PlaintextEncoder(prefix, instance, tags);
+      case "graphite-pickle" -> new PickleEncoder(prefix, instance, tags);
+      default -> new PutvalEncoder(identifiers(), intervalMillis());
     };
   }
 
-  private Dialer dialer(GatewaySettings.Destination settings) {
+  private Connector connector(GatewaySettings.Destination settings) {
     if (settings.path() != null) {
-      return handler -> environment.unix().accept(Path.of(settings.path()), handler);
+      return handler -> environment.unixDomainConnector().accept(Path.of(settings.path()), handler);
     }
-    InetSocketAddress address = SettingsFile.parseAddress(settings.address());
-    return Dialer.tcp(
+    return new TcpConnector(
         environment.loop(),
         environment.network(),
         environment.resolver(),
-        address.getHostString(),
-        address.getPort(),
+        SettingsFile.parseAddress(settings.address()),
         GatewaySettings.micros(settings.connectTimeoutMs()));
   }
 
-  private Identity identity() {
-    return new Identity(
+  private CollectdIdentifiers identifiers() {
+    return new CollectdIdentifiers(
         reporting.host() != null ? reporting.host() : environment.hostName(), instance);
   }
 
@@ -134,13 +137,13 @@
     return Math.round(reporting.intervalMs());
   }
 
-  private static Seal seal(GatewaySettings.Destination settings, String pointer)
+  private static PacketSecurity packetSecurity(GatewaySettings.Destination settings, String pointer)
       throws SettingsException {
     if (settings.security() == null || settings.security().equals("none")) {
-      return new Seal(Seal.Level.NONE, "", "");
+      return new PacketSecurity(SecurityLevel.NONE, "", "");
     }
-    return new Seal(
-        settings.security().equals("sign") ? Seal.Level.SIGN : Seal.Level.ENCRYPT,
+    return new PacketSecurity(
+        settings.security().equals("sign") ? SecurityLevel.SIGN : SecurityLevel.ENCRYPT,
         settings.username(),
         password(settings, pointer));
   }
--- a/gateway/src/main/java/lemondock/gateway/reporting/DetectorInput.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/DetectorInput.java
@@ -2,23 +2,24 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import lemondock.anomaly.DegradationDetector;
-import lemondock.metrics.Metrics;
+import lemondock.anomaly.EventCounts;
+import lemondock.anomaly.ServiceScope;
+import lemondock.metrics.MetricFamilies;
+import lemondock.metrics.MetricsSnapshot;
 import lemondock.metrics.Series;
-import lemondock.metrics.Snapshot;
 
 /** Takes from a snapshot what the detector of degradations watches. */
 final class DetectorInput {
   private DetectorInput() {}
 
   /** Requests by class and zone: those in time against those that were not. */
-  static List<DegradationDetector.Count> verdicts(Snapshot snapshot) {
-    List<DegradationDetector.Count> counts = new ArrayList<>();
+  static List<EventCounts> verdicts(MetricsSnapshot snapshot) {
+    List<EventCounts> counts = new ArrayList<>();
     for (Series series : snapshot.series()) {
-      if (series.family().equals(Metrics.VERDICTS)) {
+      if (series.family().equals(MetricFamilies.SERVICE_LEVEL)) {
         counts.add(
-            new DegradationDetector.Count(
-                new DegradationDetector.Key(series.labels().get(0), series.labels().get(1)),
+            new EventCounts(
+                new ServiceScope(series.labelValues().get(0), series.labelValues().get(1)),
                 snapshot.values()[series.slot(0)],
                 snapshot.values()[series.slot(1)]));
       }
@@ -29,20 +30,20 @@
   /**
    * Attempts by role and zone: answered ones against those that failed, were rejected or cancelled.
    */
-  static List<DegradationDetector.Count> attempts(Snapshot snapshot) {
-    int okField = Metrics.ATTEMPTS.index("ok");
-    int readField = Metrics.ATTEMPTS.index("read");
-    int lastBadField = Metrics.ATTEMPTS.index("cancelled");
-    List<DegradationDetector.Count> counts = new ArrayList<>();
+  static List<EventCounts> attempts(MetricsSnapshot snapshot) {
+    int okField = MetricFamilies.ATTEMPTS.fieldIndex("ok");
+    int readField = MetricFamilies.ATTEMPTS.fieldIndex("read");
+    int lastBadField = MetricFamilies.ATTEMPTS.fieldIndex("cancelled");
+    List<EventCounts> counts = new ArrayList<>();
     for (Series series : snapshot.series()) {
-      if (series.family().equals(Metrics.ATTEMPTS)) {
+      if (series.family().equals(MetricFamilies.ATTEMPTS)) {
         long bad = 0;
         for (int i = readField + 1; i <= lastBadField; i++) {
           bad += snapshot.values()[series.slot(i)];
         }
         counts.add(
-            new DegradationDetector.Count(
-                new DegradationDetector.Key(series.labels().get(0), series.labels().get(1)),
+            new EventCounts(
+                new ServiceScope(series.labelValues().get(0), series.labelValues().get(1)),
                 snapshot.values()[series.slot(okField)] + snapshot.values()[series.slot(readField)],
                 bad));
       }
--- a/gateway/src/main/java/lemondock/gateway/reporting/ReportedGauges.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/ReportedGauges.java
@@ -4,12 +4,14 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import lemondock.anomaly.DegradationDetector;
-import lemondock.metrics.MeterView;
-import lemondock.metrics.Metrics;
+import lemondock.anomaly.ScopeStatus;
+import lemondock.anomaly.ServiceScope;
+import lemondock.metrics.MetricFamilies;
+import lemondock.metrics.MetricRegistry;
+import lemondock.metrics.MetricsSnapshot;
+import lemondock.metrics.MicrometerGauges;
 import lemondock.metrics.Recorder;
 import lemondock.metrics.Series;
-import lemondock.metrics.Snapshot;
-import lemondock.metrics.Tally;
 
 /**
  * Sets the gauges that are read once a tick: those of the process and those of the detector.
@@ -19,39 +21,41 @@
   private static final int MAX_PROCESS_METERS = 200;
   private static final double VALUE_SCALE = 1_000;
 
-  private final Tally tally;
+  private final MetricRegistry registry;
   private final MeterRegistry processMeters;
   private final DegradationDetector detector;
   private final Map<String, Series> processSeries = new LinkedHashMap<>();
-  private final Map<DegradationDetector.Key, Series> degradations = new LinkedHashMap<>();
+  private final Map<ServiceScope, Series> degradations = new LinkedHashMap<>();
   private final Series notFinite;
   private long notFiniteCount;
 
-  ReportedGauges(Tally tally, MeterRegistry processMeters, DegradationDetector detector) {
-    this.tally = tally;
+  ReportedGauges(
+      MetricRegistry registry, MeterRegistry processMeters, DegradationDetector detector) {
+    this.registry = registry;
     this.processMeters = processMeters;
     this.detector = detector;
-    this.notFinite = tally.series(Metrics.BOUNDS, "not_finite");
+    this.notFinite = registry.series(MetricFamilies.LABEL_OVERFLOWS, "not_finite");
   }
 
   /** Sets all of them; within a group of the recorder. */
   void record(Recorder recorder) {
-    MeterView.gauges(processMeters, (name, value) -> recordProcess(recorder, name, value));
-    recorder.set(notFinite.first(), notFiniteCount);
-    for (DegradationDetector.Sight sight : detector.sights()) {
+    MicrometerGauges.forEach(processMeters, (name, value) -> recordProcess(recorder, name, value));
+    recorder.set(notFinite.firstSlot(), notFiniteCount);
+    for (ScopeStatus status : detector.scopeStatuses()) {
       Series series =
           degradations.computeIfAbsent(
-              sight.key(), key -> tally.series(Metrics.FALL, key.what(), key.zone()));
-      recorder.set(series.slot(0), sight.fallen() ? 1 : 0);
-      recorder.set(series.slot(1), sight.falls());
-      recorder.set(series.slot(2), Math.round(sight.level() * VALUE_SCALE));
+              status.scope(),
+              key -> registry.series(MetricFamilies.DEGRADATIONS, key.name(), key.zone()));
+      recorder.set(series.slot(0), status.isDegraded() ? 1 : 0);
+      recorder.set(series.slot(1), status.degradationCount());
+      recorder.set(series.slot(2), Math.round(status.evidence() * VALUE_SCALE));
     }
   }
 
   private void recordProcess(Recorder recorder, String name, double value) {
     Series series = processSeries.get(name);
     if (series == null && processSeries.size() < MAX_PROCESS_METERS) {
-      series = tally.series(Metrics.PROCESS, name);
+      series = registry.series(MetricFamilies.PROCESS, name);
       processSeries.put(name, series);
     }
     if (series == null) {
@@ -59,6 +63,7 @@
     }
     boolean finite = Double.isFinite(value) && Math.abs(value) < Long.MAX_VALUE / (2 * VALUE_SCALE);
     notFiniteCount += finite ? 0 : 1;
-    recorder.set(series.first(), finite ? Math.round(value * VALUE_SCALE) : Snapshot.ABSENT);
+    recorder.set(
+        series.firstSlot(), finite ? Math.round(value * VALUE_SCALE) : MetricsSnapshot.NO_VALUE);
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
@@ -9,17 +9,19 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import lemondock.anomaly.Cusum;
+import lemondock.anomaly.CusumDetector;
+import lemondock.anomaly.DegradationChange;
 import lemondock.anomaly.DegradationDetector;
-import lemondock.exporter.Environment;
-import lemondock.exporter.Reporter;
+import lemondock.exporter.ExporterEnvironment;
+import lemondock.exporter.PeriodicExporter;
+import lemondock.exporter.ServiceHealth;
 import lemondock.gateway.accounting.GatewayMetrics;
 import lemondock.gateway.files.AtomicFile;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsException;
 import lemondock.gateway.settings.SettingsFile;
-import lemondock.metrics.MeterView;
-import lemondock.metrics.Snapshot;
+import lemondock.metrics.MetricsSnapshot;
+import lemondock.metrics.MicrometerMeterBinder;
 import lemondock.net.Loop;
 import lemondock.net.http.HttpLimits;
 import lemondock.net.http.HttpServer;
@@ -41,12 +43,12 @@
 
   private final GatewaySettings settings;
   private final GatewaySettings.Reporting reporting;
-  private final Environment environment;
+  private final ExporterEnvironment environment;
   private final Loop loop;
-  private final Reporter reporter;
+  private final PeriodicExporter exporter;
   private final DegradationDetector detector;
   private final ReportedGauges gauges;
-  private final MeterView meters = new MeterView();
+  private final MicrometerMeterBinder meters = new MicrometerMeterBinder();
   private StatusPage statusPage;
   private HttpServer statusServer;
   private String instance;
@@ -55,25 +57,25 @@
   public Reporting(
       GatewaySettings settings,
       GatewayMetrics gatewayMetrics,
-      Environment environment,
+      ExporterEnvironment environment,
       MeterRegistry processMeters) {
     this.settings = settings;
     this.reporting = settings.reporting();
     this.environment = environment;
     this.loop = environment.loop();
-    this.reporter =
-        new Reporter(
+    this.exporter =
+        new PeriodicExporter(
             loop,
-            gatewayMetrics.tally(),
-            new Reporter.Options(
+            gatewayMetrics.registry(),
+            new PeriodicExporter.Options(
                 GatewaySettings.micros(reporting.tickMs()),
                 (int) Math.round(reporting.intervalMs() / reporting.tickMs()),
                 reporting.ringBytes(),
                 reporting.ringSnapshots(),
                 GatewaySettings.micros(reporting.mostAheadMs())));
-    Cusum.Settings cusumSettings = reporting.detector().toCusumSettings();
-    this.detector = new DegradationDetector(() -> new Cusum(cusumSettings));
-    this.gauges = new ReportedGauges(gatewayMetrics.tally(), processMeters, detector);
+    CusumDetector.Options cusumOptions = reporting.detector().toCusumOptions();
+    this.detector = new DegradationDetector(() -> new CusumDetector(cusumOptions));
+    this.gauges = new ReportedGauges(gatewayMetrics.registry(), processMeters, detector);
   }
 
   /**
@@ -89,22 +91,22 @@
         reporting.instance() != null
             ? reporting.instance()
             : settings.name() + "-" + gateway.getPort();
-    statusPage = new StatusPage(settings, instance, reporter, detector);
+    statusPage = new StatusPage(settings, instance, exporter, detector);
     DestinationFactory destinations =
-        new DestinationFactory(reporting, environment, reporter, instance);
+        new DestinationFactory(reporting, environment, exporter, instance);
     List<Runnable> starts = new ArrayList<>();
     for (int i = 0; i < reporting.destinations().size(); i++) {
       starts.add(destinations.add(reporting.destinations().get(i), "/reporting/destinations/" + i));
     }
-    reporter.onGauges(gauges::record);
-    reporter.onTick(this::onTick);
+    exporter.addGaugeSource(gauges::record);
+    exporter.addSnapshotListener(this::onTick);
     if (reporting.listen() != null) {
       startStatusServer();
     }
     loop.execute(
         () -> {
           starts.forEach(Runnable::run);
-          reporter.start();
+          exporter.start();
         });
   }
 
@@ -124,8 +126,8 @@
   }
 
   /** Adds a listener for each tick, before the start. It is called on the reports' loop. */
-  public void addTickListener(Reporter.Listener listener) {
-    reporter.onTick(listener);
+  public void addTickListener(PeriodicExporter.SnapshotListener listener) {
+    exporter.addSnapshotListener(listener);
   }
 
   /** The name under which it reports; known once started. */
@@ -139,18 +141,19 @@
   }
 
   /** The metrics as Micrometer's meters, for an embedding program's own registries. */
-  public MeterView meters() {
+  public MicrometerMeterBinder meters() {
     return meters;
   }
 
-  private void onTick(long stampMillis, Snapshot snapshot) {
-    meters.show(snapshot);
+  private void onTick(long stampMillis, MetricsSnapshot snapshot) {
+    meters.update(snapshot);
     statusPage.onTick(stampMillis, loop.now(), snapshot);
-    for (DegradationDetector.Change change :
+    for (DegradationChange change :
         detector.observe(
             loop.now(), DetectorInput.verdicts(snapshot), DetectorInput.attempts(snapshot))) {
-      LOG.warn("{}", change.line());
-      reporter.notice(change.began(), change.line());
+      LOG.warn("{}", change.message());
+      exporter.notifyServiceHealth(
+          change.isStart() ? ServiceHealth.DEGRADED : ServiceHealth.RECOVERED, change.message());
     }
   }
 
@@ -161,11 +164,11 @@
   public CompletableFuture<ObjectNode> finish() {
     CompletableFuture<ObjectNode> done = new CompletableFuture<>();
     long limitMicros = Math.max(MIN_FINISH_MICROS, GatewaySettings.micros(reporting.finishMs()));
-    loop.execute(() -> reporter.finish(limitMicros, snapshot -> finished(snapshot, done)));
+    loop.execute(() -> exporter.shutDown(limitMicros, snapshot -> finished(snapshot, done)));
     return done;
   }
 
-  private void finished(Snapshot snapshot, CompletableFuture<ObjectNode> done) {
+  private void finished(MetricsSnapshot snapshot, CompletableFuture<ObjectNode> done) {
     if (statusServer != null) {
       statusServer.stopListening();
     }
@@ -175,7 +178,7 @@
       return;
     }
     environment
-        .disk()
+        .diskExecutor()
         .execute(
             () -> {
               writeFinalMetrics(Path.of(reporting.tallyFile()), finalMetrics);
--- a/gateway/src/main/java/lemondock/gateway/reporting/ServiceWindow.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/ServiceWindow.java
@@ -4,9 +4,9 @@
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import lemondock.metrics.Metrics;
+import lemondock.metrics.MetricFamilies;
+import lemondock.metrics.MetricsSnapshot;
 import lemondock.metrics.Series;
-import lemondock.metrics.Snapshot;
 
 /**
  * Priority weight requested and answered in time over the last seconds, by class; from snapshots,
@@ -23,11 +23,11 @@
     this.spanMicros = span;
   }
 
-  void add(long nowMicros, Snapshot snapshot) {
+  void add(long nowMicros, MetricsSnapshot snapshot) {
     Map<String, long[]> sums = new LinkedHashMap<>();
     for (Series series : snapshot.series()) {
-      if (series.family().equals(Metrics.WORTH)) {
-        long[] sum = sums.computeIfAbsent(series.labels().get(0), c -> new long[2]);
+      if (series.family().equals(MetricFamilies.PRIORITY_WEIGHT)) {
+        long[] sum = sums.computeIfAbsent(series.labelValues().get(0), c -> new long[2]);
         sum[0] += snapshot.values()[series.slot(0)] + snapshot.values()[series.slot(1)];
         sum[1] += snapshot.values()[series.slot(2)];
       }
@@ -61,8 +61,8 @@
                 services.put(
                     name,
                     new Service(
-                        (sum[0] - before[0]) / Metrics.WORTH_ONE,
-                        (sum[1] - before[1]) / Metrics.WORTH_ONE));
+                        (sum[0] - before[0]) / MetricFamilies.PRIORITY_WEIGHT_SCALE,
+                        (sum[1] - before[1]) / MetricFamilies.PRIORITY_WEIGHT_SCALE));
               });
     }
     return services;
--- a/gateway/src/main/java/lemondock/gateway/reporting/StatusPage.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/StatusPage.java
@@ -8,9 +8,10 @@
 import java.util.Map;
 import java.util.Optional;
 import lemondock.anomaly.DegradationDetector;
-import lemondock.exporter.Reporter;
+import lemondock.anomaly.ScopeStatus;
+import lemondock.exporter.PeriodicExporter;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.metrics.Snapshot;
+import lemondock.metrics.MetricsSnapshot;
 import lemondock.net.http.Headers;
 import lemondock.net.http.HttpExchange;
 
@@ -26,7 +27,7 @@
 
   private final GatewaySettings settings;
   private final String instance;
-  private final Reporter reporter;
+  private final PeriodicExporter exporter;
   private final DegradationDetector detector;
   private final ServiceWindow shortWindow = new ServiceWindow(SHORT_WINDOW_MICROS);
   private final ServiceWindow longWindow = new ServiceWindow(LONG_WINDOW_MICROS);
@@ -34,15 +35,18 @@
 
   /** A page about the gateway that reports under {@code instance}. */
   StatusPage(
-      GatewaySettings settings, String instance, Reporter reporter, DegradationDetector detector) {
+      GatewaySettings settings,
+      String instance,
+      PeriodicExporter exporter,
+      DegradationDetector detector) {
     this.settings = settings;
     this.instance = instance;
-    this.reporter = reporter;
+    this.exporter = exporter;
     this.detector = detector;
   }
 
   /** Takes a snapshot in. */
-  void onTick(long stampMillis, long nowMicros, Snapshot snapshot) {
+  void onTick(long stampMillis, long nowMicros, MetricsSnapshot snapshot) {
     this.stampMillis = stampMillis;
     shortWindow.add(nowMicros, snapshot);
     longWindow.add(nowMicros, snapshot);
@@ -53,7 +57,7 @@
     Optional<ObjectNode> page =
         switch (exchange.request().path()) {
           case "/status" -> Optional.of(status());
-          case "/tally" -> Optional.of(metrics(reporter.newest(), false));
+          case "/tally" -> Optional.of(metrics(exporter.latestSnapshot(), false));
           default -> Optional.empty();
         };
     if (page.isEmpty() || !exchange.request().method().equals("GET")) {
@@ -70,7 +74,7 @@
   }
 
   /** All metrics of a snapshot; {@code last} marks the final one of a process. */
-  ObjectNode metrics(Snapshot snapshot, boolean last) {
+  ObjectNode metrics(MetricsSnapshot snapshot, boolean last) {
     ObjectNode root = header().put("final", last);
     root.set("tally", SnapshotJson.of(snapshot));
     return root;
@@ -80,7 +84,7 @@
     ObjectNode root = header();
     addService(root.putArray("classes"));
     addDegradations(root.putArray("falls"));
-    ObjectNode families = SnapshotJson.of(reporter.newest());
+    ObjectNode families = SnapshotJson.of(exporter.latestSnapshot());
     for (String family : STATUS_FAMILIES) {
       if (families.has(family)) {
         root.set(family, families.get(family));
@@ -116,14 +120,14 @@
   }
 
   private void addDegradations(ArrayNode degradations) {
-    for (DegradationDetector.Sight sight : detector.sights()) {
-      if (sight.fallen()) {
+    for (ScopeStatus status : detector.scopeStatuses()) {
+      if (status.isDegraded()) {
         degradations
             .addObject()
-            .put("class", sight.key().what())
-            .put("zone", sight.key().zone())
-            .put("loss", sight.loss())
-            .put("requests", sight.requests());
+            .put("class", status.scope().name())
+            .put("zone", status.scope().zone())
+            .put("loss", status.lossRatio())
+            .put("requests", status.requestCount());
       }
     }
   }
--- a/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import lemondock.anomaly.Cusum;
+import lemondock.anomaly.CusumDetector;
 import lemondock.overload.Admission;
 import lemondock.overload.ResourcePressure;
 import lemondock.overload.RetryBudget;
@@ -243,7 +243,7 @@
       Detector detector,
       List<Destination> destinations) {}
 
-  /** The detector of degradations; see {@code Cusum.Settings}. */
+  /** The detector of degradations; see {@code CusumDetector.Options}. */
   public record Detector(
       double leastUsual,
       double mostUsual,
@@ -256,8 +256,8 @@
       double memory) {
 
     /** The same for the detector, times in microseconds. */
-    public Cusum.Settings toCusumSettings() {
-      return new Cusum.Settings(
+    public CusumDetector.Options toCusumOptions() {
+      return new CusumDetector.Options(
           leastUsual,
           mostUsual,
           fall,
--- a/gateway/src/test/java/lemondock/gateway/accounting/CallMetricsTest.java
+++ b/gateway/src/test/java/lemondock/gateway/accounting/CallMetricsTest.java
@@ -6,8 +6,9 @@
 import java.util.List;
 import lemondock.gateway.answer.Answer;
 import lemondock.gateway.settings.SettingsFile;
-import lemondock.metrics.Metrics;
-import lemondock.metrics.Snapshot;
+import lemondock.metrics.MetricFamilies;
+import lemondock.metrics.MetricFamily;
+import lemondock.metrics.MetricsSnapshot;
 import lemondock.policy.AttemptOutcome;
 import lemondock.policy.ServerRole;
 import org.junit.jupiter.api.BeforeEach;
@@ -19,11 +20,11 @@
  */
 class CallMetricsTest {
   private static final long MS = 1_000;
-  private GatewayMetrics tally;
+  private GatewayMetrics metrics;
 
   @BeforeEach
   void make() throws Exception {
-    tally =
+    metrics =
         new GatewayMetrics(
             SettingsFile.readGateway(
                 "t",
@@ -46,14 +47,15 @@
    * good, bad.
    */
   private void assertCounts(String worth, String requests, String verdicts) {
-    Snapshot s = tally.tally().snapshot(true);
-    assertEquals(worth, row(s, Metrics.WORTH, List.of("c", "z", "none"), 1_000_000));
-    assertEquals(requests, row(s, Metrics.REQUESTS, List.of("c", "z", "none"), 1));
-    assertEquals(verdicts, row(s, Metrics.VERDICTS, List.of("c", "z"), 1));
+    MetricsSnapshot s = metrics.registry().snapshotAndEndInterval();
+    assertEquals(
+        worth, row(s, MetricFamilies.PRIORITY_WEIGHT, List.of("c", "z", "none"), 1_000_000));
+    assertEquals(requests, row(s, MetricFamilies.REQUESTS, List.of("c", "z", "none"), 1));
+    assertEquals(verdicts, row(s, MetricFamilies.SERVICE_LEVEL, List.of("c", "z"), 1));
   }
 
   private static String row(
-      Snapshot s, lemondock.metrics.Family family, List<String> labels, long part) {
+      MetricsSnapshot s, MetricFamily family, List<String> labels, long part) {
     StringBuilder text = new StringBuilder();
     family
         .fields()
@@ -65,7 +67,7 @@
   }
 
   private CallMetrics taken() {
-    return tally.requestAccepted(0, null, false, 1000, 0); // aim 150 ms
+    return metrics.requestAccepted(0, null, false, 1000, 0); // aim 150 ms
   }
 
   @Test
@@ -112,7 +114,13 @@
     call.onToolCallRelayed(5_010 * MS);
     call.onEnded(9_000 * MS, end(Answer.OutcomeKind.SERVED, 3));
     assertCounts("3 0 3 0", "1 0 1 0 0 0", "1 0");
-    assertEquals("3 1 2", row(tally.tally().snapshot(true), Metrics.TOOLS, List.of("c"), 1));
+    assertEquals(
+        "3 1 2",
+        row(
+            metrics.registry().snapshotAndEndInterval(),
+            MetricFamilies.TOOL_CALLS,
+            List.of("c"),
+            1));
   }
 
   @Test
@@ -122,7 +130,13 @@
     call.onToolCallRelayed(10 * MS);
     call.onEnded(20 * MS, end(Answer.OutcomeKind.CANCELLED, 0));
     assertEquals(0, call.pendingToolCalls());
-    assertEquals("2 0 2", row(tally.tally().snapshot(true), Metrics.TOOLS, List.of("c"), 1));
+    assertEquals(
+        "2 0 2",
+        row(
+            metrics.registry().snapshotAndEndInterval(),
+            MetricFamilies.TOOL_CALLS,
+            List.of("c"),
+            1));
   }
 
   @Test
@@ -138,7 +152,7 @@
     CallMetrics late = taken();
     late.onObjectivePassed();
     late.onEnded(900 * MS, end(Answer.OutcomeKind.CANCELLED, 0));
-    tally.requestRejected(0, null, true);
+    metrics.requestRejected(0, null, true);
     assertCounts("12 3 0 0", "5 1 0 2 1 2", "1 4");
   }
 
@@ -151,22 +165,23 @@
 
   @Test
   void statesAndAttemptsAreCountedByWhere() {
-    tally.stateReserved("south");
-    tally.stateReserved("south");
-    tally.stateReserved("south");
-    tally.stateFetched("south", 7 * MS);
-    tally.stateReleased("south", 9 * MS);
-    tally.attemptSent(ServerRole.WRITER, "south");
+    metrics.stateReserved("south");
+    metrics.stateReserved("south");
+    metrics.stateReserved("south");
+    metrics.stateFetched("south", 7 * MS);
+    metrics.stateReleased("south", 9 * MS);
+    metrics.attemptSent(ServerRole.WRITER, "south");
     for (AttemptOutcome ending : AttemptOutcome.values()) {
-      tally.attemptEnded(ServerRole.WRITER, "south", ending);
+      metrics.attemptEnded(ServerRole.WRITER, "south", ending);
     }
     for (int i = 0; i < 200; i++) {
-      tally.attemptSent(ServerRole.READER, "zone" + i);
+      metrics.attemptSent(ServerRole.READER, "zone" + i);
     }
-    Snapshot s = tally.tally().snapshot(true);
-    assertEquals("3 1 1 1", row(s, Metrics.HELD, List.of("south"), 1));
-    assertEquals(2, s.value(Metrics.HELD_TIME, "count", List.of("south")));
-    assertEquals("1 1 1 1 1 1 1 1 1 1", row(s, Metrics.ATTEMPTS, List.of("writer", "south"), 1));
-    assertEquals(137, s.value(Metrics.ATTEMPTS, "sent", List.of("reader", "other")));
+    MetricsSnapshot s = metrics.registry().snapshotAndEndInterval();
+    assertEquals("3 1 1 1", row(s, MetricFamilies.RESERVED_STATES, List.of("south"), 1));
+    assertEquals(2, s.value(MetricFamilies.RESERVED_STATE_DURATION, "count", List.of("south")));
+    assertEquals(
+        "1 1 1 1 1 1 1 1 1 1", row(s, MetricFamilies.ATTEMPTS, List.of("writer", "south"), 1));
+    assertEquals(137, s.value(MetricFamilies.ATTEMPTS, "sent", List.of("reader", "other")));
   }
 }
--- a/metrics/src/main/java/lemondock/metrics/MetricCatalogue.java
+++ b/metrics/src/main/java/lemondock/metrics/MetricCatalogue.java
@@ -2,74 +2,49 @@
 
 import java.util.Locale;
 
-/**
- * Writes the list of metrics for people and for collectd. The files in the repository are checked
- * against it.
- */
+/** Writes the page that lists all metrics for operators. A test compares the repository's copy. */
 public final class MetricCatalogue {
+  private static final String INTRODUCTION =
+      "# Metrics\n\n"
+          + "Written from `MetricFamilies.java` by `lemondock metrics`; a test compares."
+          + " Graphite paths are\n"
+          + "`PREFIX.INSTANCE.FAMILY.LABELS.FIELD`; collectd identifiers are"
+          + " `HOST/lemondock-INSTANCE/lemondock_FAMILY-LABELS`.\n"
+          + "No label: the part is left out. Counters grow over a process's life;"
+          + " gauges are of the moment; percentiles are of\n"
+          + "the last interval. collectd gets counters of worth in millionths and"
+          + " of time in microseconds, as whole numbers.\n";
+
   private MetricCatalogue() {}
 
-  /** The page for operators. */
-  public static String page() {
-    StringBuilder text =
-        new StringBuilder(
-            "# Metrics\n\n"
-                + "Written from `Metrics.java` by `lemondock metrics`; a test compares."
-                + " Graphite paths are\n"
-                + "`PREFIX.INSTANCE.FAMILY.LABELS.FIELD`; collectd identifiers are"
-                + " `HOST/lemondock-INSTANCE/lemondock_FAMILY-LABELS`.\n"
-                + "No label: the part is left out. Counters grow over a process's life;"
-                + " gauges are of the moment; percentiles are of\n"
-                + "the last interval. collectd gets counters of worth in millionths and"
-                + " of time in microseconds, as whole numbers.\n");
-    for (Family f : Metrics.ALL) {
-      text.append("\n## ")
-          .append(f.name())
-          .append("\n\n")
-          .append(f.help())
-          .append(". Labels: ")
-          .append(f.dimensions().isEmpty() ? "none" : String.join(", ", f.dimensions()))
-          .append(".\n\n| field | kind | unit | |\n| --- | --- | --- | --- |\n");
-      for (Field field : f.fields()) {
-        text.append("| `")
-            .append(field.name())
-            .append("` | ")
-            .append(field.kind().name().toLowerCase(Locale.ROOT))
-            .append(" | ")
-            .append(field.unit())
-            .append(" | ")
-            .append(field.help())
-            .append(" |\n");
-      }
+  /** The page in Markdown: a table of fields for each family. */
+  public static String markdown() {
+    StringBuilder page = new StringBuilder(INTRODUCTION);
+    for (MetricFamily family : MetricFamilies.ALL) {
+      appendFamily(family, page);
     }
-    return text.toString();
-  }
-
-  /** collectd's data sets: a line a family, {@code NAME FIELD:TYPE:MIN:MAX, ...}. */
-  public static String typesDb() {
-    return typesDb(true);
+    return page.toString();
   }
 
-  /** The same, with counters as DERIVE or as COUNTER, as the gateways' settings have it. */
-  public static String typesDb(boolean derive) {
-    StringBuilder text =
-        new StringBuilder(
-            "# Data sets of lemondock for collectd's TypesDB; written by "
-                + "`lemondock metrics --types-db`.\n");
-    for (Family f : Metrics.ALL) {
-      String separator = "\t";
-      text.append("lemondock_").append(f.name());
-      for (Field field : f.fields()) {
-        text.append(separator)
-            .append(field.name())
-            .append(
-                field.kind() == Field.Kind.COUNTER
-                    ? (derive ? ":DERIVE:0:U" : ":COUNTER:0:U")
-                    : ":GAUGE:U:U");
-        separator = ", ";
-      }
-      text.append('\n');
+  private static void appendFamily(MetricFamily family, StringBuilder page) {
+    String labels = family.labelNames().isEmpty() ? "none" : String.join(", ", family.labelNames());
+    page.append("\n## ")
+        .append(family.name())
+        .append("\n\n")
+        .append(family.help())
+        .append(". Labels: ")
+        .append(labels)
+        .append(".\n\n| field | kind | unit | |\n| --- | --- | --- | --- |\n");
+    for (MetricField field : family.fields()) {
+      page.append("| `")
+          .append(field.name())
+          .append("` | ")
+          .append(field.kind().name().toLowerCase(Locale.ROOT))
+          .append(" | ")
+          .append(field.unit())
+          .append(" | ")
+          .append(field.help())
+          .append(" |\n");
     }
-    return text.toString();
   }
 }
--- a/metrics/src/main/java/lemondock/metrics/Recorder.java
+++ b/metrics/src/main/java/lemondock/metrics/Recorder.java
@@ -1,147 +1,112 @@
 package lemondock.metrics;
 
-import java.util.concurrent.atomic.AtomicReferenceArray;
-import org.HdrHistogram.Histogram;
 import org.HdrHistogram.WriterReaderPhaser;
 
 /**
- * Where one thread counts. It writes to one of two buffers and never waits; a snapshot turns the
- * buffers over and waits until the thread has left the old one, so what was counted within one
- * {@link #enter} is seen whole or not at all. The way of HdrHistogram's interval recorders, for
- * counters, gauges and histograms together.
+ * Records metrics of one thread without locks or waiting. It writes to one of two buffers; a
+ * snapshot swaps the buffers and waits until the thread has left the old one, so that a snapshot
+ * sees either all or none of what was recorded between {@link #beginUpdate} and {@link #endUpdate}.
+ * This is the way of HdrHistogram's interval recorders, applied to counters, gauges and durations
+ * together.
  *
- * <p>Entering costs two atomic additions that nobody contends for; a count is a plain addition.
- * Nothing is allocated but the first time that a part of the slots or a histogram is touched.
+ * <p>An update costs two uncontended atomic additions, a count a plain addition. Memory is
+ * allocated only when a part of the slots or a histogram is touched for the first time.
+ *
+ * <p>All public methods are for the recorder's own thread.
  */
 public final class Recorder {
-  static final int CHUNK = 1 << 10;
-  private static final int CHUNK_BITS = 10;
-
-  /**
-   * Longest time told apart: an hour; longer ones count as that. Two digits are an error of at most
-   * 1 %.
-   */
-  static final long LONGEST = 3_600_000_000L;
-
-  private static final int DIGITS = 2;
+  /** How long a snapshot sleeps between two looks whether the writer has left; nanoseconds. */
+  private static final long FLIP_YIELD_NANOS = 10_000;
 
   private final WriterReaderPhaser phaser = new WriterReaderPhaser();
-  private final int chunks;
-  private final int series;
-  private final long[][] gauges;
-  private Buffer spare;
-  private volatile Buffer active;
-  private Buffer current;
-
-  /** What was counted since the buffer was last emptied. */
-  static final class Buffer {
-    final AtomicReferenceArray<long[]> values;
-    final AtomicReferenceArray<Histogram> times;
-
-    Buffer(int chunks, int series) {
-      values = new AtomicReferenceArray<>(chunks);
-      times = new AtomicReferenceArray<>(series);
-    }
 
-    void add(int slot, long delta) {
-      long[] chunk = values.getPlain(slot >> CHUNK_BITS);
-      if (chunk == null) {
-        chunk = new long[CHUNK];
-        values.setRelease(slot >> CHUNK_BITS, chunk);
-      }
-      chunk[slot & CHUNK - 1] += delta;
-    }
+  /** This thread's part of each gauge, in chunks like those of the buffers. Own thread only. */
+  private final long[][] gaugeValues;
 
-    void record(int number, long micros) {
-      Histogram histogram = times.getPlain(number);
-      if (histogram == null) {
-        histogram = newHistogram();
-        times.setRelease(number, histogram);
-      }
-      histogram.recordValue(Math.min(Math.max(0, micros), LONGEST));
-    }
-  }
+  /** Written under the phaser's reader lock, read by the own thread within an update. */
+  private volatile RecorderBuffer activeBuffer;
 
-  Recorder(int slots, int series) {
-    this.chunks = (slots + CHUNK - 1) / CHUNK;
-    this.series = series;
-    this.gauges = new long[chunks][];
-    this.active = new Buffer(chunks, series);
-    this.spare = new Buffer(chunks, series);
-  }
+  /** Under the phaser's reader lock. */
+  private RecorderBuffer inactiveBuffer;
+
+  /** The buffer of the update in progress. Own thread only. */
+  private RecorderBuffer updateBuffer;
 
-  static Histogram newHistogram() {
-    return new Histogram(LONGEST, DIGITS);
+  Recorder(int maxSlots, int maxSeries) {
+    this.gaugeValues = new long[RecorderBuffer.chunkCount(maxSlots)][];
+    this.activeBuffer = new RecorderBuffer(maxSlots, maxSeries);
+    this.inactiveBuffer = new RecorderBuffer(maxSlots, maxSeries);
   }
 
   /**
-   * Begins a group of counts that a snapshot sees whole or not at all; hand the ticket to {@link
-   * #exit}.
+   * Begins an update, which a snapshot sees as a whole or not at all.
+   *
+   * @return the ticket to hand to {@link #endUpdate}
    */
-  public long enter() {
+  public long beginUpdate() {
     long ticket = phaser.writerCriticalSectionEnter();
-    current = active;
+    updateBuffer = activeBuffer;
     return ticket;
   }
 
-  /** Ends the group. */
-  public void exit(long ticket) {
+  /** Ends the update of the ticket. */
+  public void endUpdate(long ticket) {
     phaser.writerCriticalSectionExit(ticket);
   }
 
-  /** Adds to a counter or gauge; within a group only. */
+  /** Adds to a counter or gauge; within an update only. */
   public void add(int slot, long delta) {
-    current.add(slot, delta);
+    updateBuffer.add(slot, delta);
   }
 
   /**
-   * Sets this thread's part of a gauge; the parts of all threads are summed. Within a group only.
+   * Sets this thread's part of a gauge; a snapshot sums the parts of all threads. Within an update
+   * only.
    */
   public void set(int slot, long value) {
-    int at = slot >> CHUNK_BITS;
-    if (gauges[at] == null) {
-      gauges[at] = new long[CHUNK];
+    int chunk = RecorderBuffer.chunkOf(slot);
+    if (gaugeValues[chunk] == null) {
+      gaugeValues[chunk] = RecorderBuffer.newChunk();
     }
-    int within = slot & CHUNK - 1;
-    current.add(slot, value - gauges[at][within]);
-    gauges[at][within] = value;
+    int offset = RecorderBuffer.offsetInChunk(slot);
+    updateBuffer.add(slot, value - gaugeValues[chunk][offset]);
+    gaugeValues[chunk][offset] = value;
   }
 
   /**
-   * Records a time in microseconds for a series of the shape {@link Family.Shape#TIMES}; within a
-   * group only.
+   * Records a duration for a series of type {@link MetricFamily.Type#DURATION_SUMMARY}; within an
+   * update only. Negative durations count as zero, those above an hour as an hour.
    */
-  public void record(Series of, long micros) {
-    current.record(of.number(), micros);
-    current.add(of.first(), 1);
-    current.add(of.first() + 1, Math.min(Math.max(0, micros), LONGEST));
+  public void observe(Series series, long micros) {
+    updateBuffer.observe(series, micros);
   }
 
-  /** A group of one count. */
-  public void count(int slot) {
-    long ticket = enter();
-    current.add(slot, 1);
-    exit(ticket);
+  /** Adds one to a counter, as an update of its own. */
+  public void increment(int slot) {
+    long ticket = beginUpdate();
+    updateBuffer.add(slot, 1);
+    endUpdate(ticket);
   }
 
-  /** A group of one time. */
-  public void time(Series of, long micros) {
-    long ticket = enter();
-    record(of, micros);
-    exit(ticket);
+  /** Does the same as {@link #observe}, as an update of its own. */
+  public void recordDuration(Series series, long micros) {
+    long ticket = beginUpdate();
+    observe(series, micros);
+    endUpdate(ticket);
   }
 
   /**
-   * Turns the buffers over and gives what was counted since the last time; one reader at a time.
+   * Swaps the buffers and returns what was recorded since the last swap. Any thread, one at a time;
+   * the result may be read and has to be emptied before the next swap.
    */
-  Buffer take() {
+  RecorderBuffer swapBuffers() {
     phaser.readerLock();
     try {
-      Buffer full = active;
-      active = spare;
-      phaser.flipPhase(10_000); // yields between looks; the writer is inside for nanoseconds
-      spare = full;
-      return full;
+      RecorderBuffer filled = activeBuffer;
+      activeBuffer = inactiveBuffer;
+      phaser.flipPhase(FLIP_YIELD_NANOS);
+      inactiveBuffer = filled;
+      return filled;
     } finally {
       phaser.readerUnlock();
     }
--- a/metrics/src/main/java/lemondock/metrics/Series.java
+++ b/metrics/src/main/java/lemondock/metrics/Series.java
@@ -3,14 +3,16 @@
 import java.util.List;
 
 /**
- * One family under one set of labels. {@code first} is the slot of its first field; the others
- * follow it.
+ * A metric family under one set of label values. Its fields occupy consecutive slots of a registry.
  *
- * @param number its place in the order in which series were made
+ * @param index position in the order in which the registry made its series, from 0
+ * @param family what is measured
+ * @param labelValues one value for each of {@link MetricFamily#labelNames}
+ * @param firstSlot slot of the family's first field
  */
-public record Series(int number, Family family, List<String> labels, int first) {
-  /** The slot of a field. */
-  public int slot(int field) {
-    return first + field;
+public record Series(int index, MetricFamily family, List<String> labelValues, int firstSlot) {
+  /** The slot of the field at {@code fieldIndex} in {@link MetricFamily#fields}. */
+  public int slot(int fieldIndex) {
+    return firstSlot + fieldIndex;
   }
 }
--- a/scenario/src/main/java/lemondock/scenario/ReportComparison.java
+++ b/scenario/src/main/java/lemondock/scenario/ReportComparison.java
@@ -19,9 +19,9 @@
 import lemondock.emulator.collect.CollectdListener;
 import lemondock.emulator.collect.GraphiteListener;
 import lemondock.emulator.collect.ReceivedReports;
-import lemondock.metrics.Family;
-import lemondock.metrics.Field;
-import lemondock.metrics.Metrics;
+import lemondock.metrics.MetricFamilies;
+import lemondock.metrics.MetricFamily;
+import lemondock.metrics.MetricField;
 
 /**
  * Small listeners for all forms of reports, and the comparison of what they were told last with the
@@ -158,11 +158,11 @@
   /** The tally's values by family, labels and field. */
   private static Map<String, BigDecimal> values(JsonNode tally) {
     Map<String, BigDecimal> values = new TreeMap<>();
-    for (Family family : Metrics.ALL) {
+    for (MetricFamily family : MetricFamilies.ALL) {
       for (JsonNode row : tally.get("tally").path(family.name())) {
         List<String> labels =
-            family.dimensions().stream().map(d -> row.get(d).textValue()).toList();
-        for (Field field : family.fields()) {
+            family.labelNames().stream().map(d -> row.get(d).textValue()).toList();
+        for (MetricField field : family.fields()) {
           if (row.has(field.name())) {
             values.put(
                 key(family.name(), labels, field.name()), row.get(field.name()).decimalValue());
@@ -204,8 +204,8 @@
               String[] parts = name.split("/");
               if (parts[1].equals("lemondock-" + instance)) {
                 String[] type = parts[2].split("-", 2);
-                Family family =
-                    Metrics.ALL.stream()
+                MetricFamily family =
+                    MetricFamilies.ALL.stream()
                         .filter(f -> type[0].equals("lemondock_" + f.name()))
                         .findFirst()
                         .orElseThrow();
@@ -216,13 +216,13 @@
                             .map(ReportComparison::plain)
                             .toList();
                 for (int i = 0; i < family.fields().size(); i++) {
-                  Field field = family.fields().get(i);
+                  MetricField field = family.fields().get(i);
                   BigDecimal value = entry.values().get(i);
                   values.put(
                       key(family.name(), labels, field.name()),
-                      value == null || field.kind() == Field.Kind.GAUGE
+                      value == null || field.kind() == MetricField.Kind.GAUGE
                           ? value
-                          : value.movePointLeft(field.decimals()));
+                          : value.movePointLeft(field.decimalPlaces()));
                 }
               }
             });
--- a/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
@@ -23,7 +23,7 @@
 import lemondock.emulator.EngineEmulator;
 import lemondock.emulator.EngineSettings;
 import lemondock.emulator.TrafficObserver;
-import lemondock.exporter.host.ReportHost;
+import lemondock.exporter.host.ExporterRuntime;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.GatewayEnvironment;
 import lemondock.gateway.ProcessResources;
@@ -33,7 +33,7 @@
 import lemondock.gateway.settings.SettingsException;
 import lemondock.idempotency.DiskFolder;
 import lemondock.idempotency.FileSystemPort;
-import lemondock.metrics.Snapshot;
+import lemondock.metrics.MetricsSnapshot;
 import lemondock.net.nio.LoopbackPort;
 import lemondock.net.nio.ThreadLoop;
 import lemondock.net.nio.WorkerPool;
@@ -72,7 +72,7 @@
   /** Hears of each look that a gateway's reports take. */
   public interface Looks {
     /** On the reports' loop of that gateway; {@code at} is microseconds of the machine's clock. */
-    void looked(String gateway, long at, Snapshot snapshot);
+    void looked(String gateway, long at, MetricsSnapshot snapshot);
   }
 
   /** A gateway's death. */
@@ -116,7 +116,7 @@
     }
 
     private Gateway gateway;
-    private ReportHost reports;
+    private ExporterRuntime reports;
     private Reporting reporting;
   }
 
@@ -309,7 +309,7 @@
                     front.maker));
     try {
       front.gateway.start();
-      front.reports = new ReportHost(name + "-reports");
+      front.reports = new ExporterRuntime(name + "-reports");
       front.reporting =
           new Reporting(
               front.settings,
