--- a/cli/src/main/java/lemondock/cli/DemoCommand.java
+++ b/cli/src/main/java/lemondock/cli/DemoCommand.java
@@ -92,7 +92,7 @@
           "status of "
               + gateway
               + ": bin/lemondock status 127.0.0.1:"
-              + fleet.reporting(gateway).statusAddress().getPort());
+              + fleet.reporting(gateway).statusAddress().orElseThrow().getPort());
     }
     System.err.println("the second gateway is at http://127.0.0.1:" + second + "/mcp");
     ShutdownSignal.beforeExit(
--- a/cli/src/main/java/lemondock/cli/GatewayCommand.java
+++ b/cli/src/main/java/lemondock/cli/GatewayCommand.java
@@ -88,13 +88,12 @@
             + ":"
             + gateway.address().getPort()
             + "/mcp");
-    if (reporting.statusAddress() != null) {
-      System.out.println(
-          "status http://"
-              + reporting.statusAddress().getHostString()
-              + ":"
-              + reporting.statusAddress().getPort());
-    }
+    reporting
+        .statusAddress()
+        .ifPresent(
+            address ->
+                System.out.println(
+                    "status http://" + address.getHostString() + ":" + address.getPort()));
     ShutdownSignal.await(Long.MAX_VALUE);
     return 0;
   }
--- a/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
+++ b/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
@@ -72,7 +72,7 @@
                       .put("tallyFile", file.toString())),
           Gateway.DEFAULT_ROUTER_FACTORY);
       assertTrue(fleet.awaitServers("gw", 1, 10_000));
-      InetSocketAddress at = fleet.reporting("gw").statusAddress();
+      InetSocketAddress at = fleet.reporting("gw").statusAddress().orElseThrow();
       String address = at.getHostString() + ":" + at.getPort();
       for (int i = 0; i < 500 && (run("status", address) != 0 || !out.contains("mixed")); i++) {
         Thread.onSpinWait(); // the first looks may be a moment away
--- a/gateway/src/main/java/lemondock/gateway/HttpComponents.java
+++ b/gateway/src/main/java/lemondock/gateway/HttpComponents.java
@@ -4,6 +4,7 @@
 import lemondock.gateway.discovery.ConsulEndpointList;
 import lemondock.gateway.discovery.EndpointListSource;
 import lemondock.gateway.discovery.FileEndpointList;
+import lemondock.gateway.settings.DiscoveryKind;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsFile;
 import lemondock.net.Loop;
@@ -43,7 +44,7 @@
   static EndpointListSource endpointListSource(
       Loop loop, Network network, GatewaySettings settings, String userAgent) {
     GatewaySettings.Discovery discovery = settings.discovery();
-    if (discovery.kind().equals("file")) {
+    if (discovery.kind() == DiscoveryKind.FILE) {
       return new FileEndpointList(loop, discovery);
     }
     InetSocketAddress address = SettingsFile.resolveAddress(discovery.address());
--- a/gateway/src/main/java/lemondock/gateway/ReadinessCheck.java
+++ b/gateway/src/main/java/lemondock/gateway/ReadinessCheck.java
@@ -5,6 +5,7 @@
 import lemondock.dispatch.EndpointRegistry;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.policy.ServerLifecycle;
+import lemondock.policy.ServerRole;
 
 /** Tells a load balancer whether the gateway can serve requests. Loop thread only. */
 final class ReadinessCheck {
@@ -21,31 +22,31 @@
     if (endpoints.size() == 0) {
       return "no list of servers is known, or it is empty";
     }
-    if (!hasReadyServerOtherThan("writer")) {
+    if (!hasReadyServerOtherThan(ServerRole.WRITER)) {
       return "no server that reads is ready";
     }
-    if (!hasReadyServerOtherThan("reader")) {
+    if (!hasReadyServerOtherThan(ServerRole.READER)) {
       return "no server that writes is ready";
     }
     return "";
   }
 
-  private boolean hasReadyServerOtherThan(String excludedRole) {
+  private boolean hasReadyServerOtherThan(ServerRole excludedRole) {
     for (Endpoint endpoint : endpoints.endpoints()) {
       if (endpoint.lifecycle() == ServerLifecycle.READY
-          && !role(endpoint.kind()).equals(excludedRole)) {
+          && !hasRole(endpoint.kind(), excludedRole)) {
         return true;
       }
     }
     return false;
   }
 
-  private String role(String kindName) {
+  private boolean hasRole(String kindName, ServerRole role) {
     for (GatewaySettings.Kind kind : kinds) {
       if (kind.name().equals(kindName)) {
-        return kind.role();
+        return kind.role() == role;
       }
     }
-    return "";
+    return false;
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
@@ -68,9 +68,7 @@
       tool.set("inputSchema", schema);
       tool.set(
           "annotations",
-          JsonNodeFactory.instance
-              .objectNode()
-              .put("idempotentHint", requestClass.repeat().equals("safe")));
+          JsonNodeFactory.instance.objectNode().put("idempotentHint", requestClass.isIdempotent()));
     }
   }
 
--- a/gateway/src/main/java/lemondock/gateway/core/CallService.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CallService.java
@@ -109,7 +109,7 @@
   }
 
   private Optional<DurableCall> durableCall(Prompt prompt, Optional<String> key) {
-    boolean idempotent = settings.classes().get(prompt.classId()).repeat().equals("safe");
+    boolean idempotent = settings.classes().get(prompt.classId()).isIdempotent();
     return guard.isPresent() && key.isPresent() && !idempotent
         ? Optional.of(new DurableCall(guard.get(), key.get()))
         : Optional.empty();
--- a/gateway/src/main/java/lemondock/gateway/core/ClientCall.java
+++ b/gateway/src/main/java/lemondock/gateway/core/ClientCall.java
@@ -68,7 +68,7 @@
 
   private Answer.Limits answerLimits() {
     GatewaySettings settings = context.settings();
-    boolean idempotent = requestClass.repeat().equals("safe");
+    boolean idempotent = requestClass.isIdempotent();
     return new Answer.Limits(
         prompt.maxTokens(),
         requestClass.maxTurns(),
--- a/gateway/src/main/java/lemondock/gateway/mcp/PostResponder.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/PostResponder.java
@@ -220,7 +220,7 @@
             session,
             request.id(),
             stream == null ? null : token,
-            dependencies.settings().classes().get(prompt.classId()).repeat().equals("safe"),
+            dependencies.settings().classes().get(prompt.classId()).isIdempotent(),
             prompt.conversation(),
             this);
     openCalls.add(call);
--- a/gateway/src/main/java/lemondock/gateway/reporting/DestinationFactory.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/DestinationFactory.java
@@ -19,6 +19,9 @@
 import lemondock.exporter.collectd.Seal;
 import lemondock.exporter.graphite.Pickle;
 import lemondock.exporter.graphite.PlainText;
+import lemondock.gateway.settings.CollectdSecurityLevel;
+import lemondock.gateway.settings.CounterType;
+import lemondock.gateway.settings.DestinationKind;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsException;
 import lemondock.gateway.settings.SettingsFile;
@@ -53,7 +56,7 @@
    * @throws SettingsException if the file of users cannot be used
    */
   Runnable add(GatewaySettings.Destination settings, String pointer) throws SettingsException {
-    if (settings.kind().equals("collectd")) {
+    if (settings.kind() == DestinationKind.COLLECTD) {
       reporter.add(datagrams(settings, pointer));
       return () -> {};
     }
@@ -71,7 +74,7 @@
             seal(settings, pointer),
             settings.packetBytes() == null ? DEFAULT_PACKET_BYTES : settings.packetBytes(),
             intervalMillis(),
-            !"counter".equals(settings.counters()));
+            settings.counters() != CounterType.COUNTER);
     return new DatagramDestination(
         environment.loop(),
         settings.name(),
@@ -105,8 +108,8 @@
     String prefix = settings.prefix() == null ? DEFAULT_PREFIX : settings.prefix();
     boolean tags = Boolean.TRUE.equals(settings.tags());
     return switch (settings.kind()) {
-      case "graphite" -> new PlainText(prefix, instance, tags);
-      case "graphite-pickle" -> new Pickle(prefix, instance, tags);
+      case GRAPHITE -> new PlainText(prefix, instance, tags);
+      case GRAPHITE_PICKLE -> new Pickle(prefix, instance, tags);
       default -> new PutVal(identity(), intervalMillis());
     };
   }
@@ -136,11 +139,11 @@
 
   private static Seal seal(GatewaySettings.Destination settings, String pointer)
       throws SettingsException {
-    if (settings.security() == null || settings.security().equals("none")) {
+    if (settings.security() == null || settings.security() == CollectdSecurityLevel.NONE) {
       return new Seal(Seal.Level.NONE, "", "");
     }
     return new Seal(
-        settings.security().equals("sign") ? Seal.Level.SIGN : Seal.Level.ENCRYPT,
+        settings.security() == CollectdSecurityLevel.SIGN ? Seal.Level.SIGN : Seal.Level.ENCRYPT,
         settings.username(),
         password(settings, pointer));
   }
--- a/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
@@ -8,6 +8,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import lemondock.anomaly.Cusum;
 import lemondock.anomaly.DegradationDetector;
@@ -133,9 +134,9 @@
     return instance;
   }
 
-  /** The address that answers {@code lemondock status}; null if none is set. */
-  public InetSocketAddress statusAddress() {
-    return statusServer == null ? null : statusServer.address();
+  /** The address that answers {@code lemondock status}, if the settings name one; any thread. */
+  public Optional<InetSocketAddress> statusAddress() {
+    return Optional.ofNullable(statusServer).map(HttpServer::address);
   }
 
   /** The metrics as Micrometer's meters, for an embedding program's own registries. */
--- /dev/null
+++ b/gateway/src/main/java/lemondock/gateway/settings/DestinationKind.java
@@ -0,0 +1,32 @@
+package lemondock.gateway.settings;
+
+import com.fasterxml.jackson.annotation.JsonValue;
+
+/** The protocol that a collector of metrics speaks. */
+public enum DestinationKind {
+  /** Graphite's plaintext protocol over TCP. */
+  GRAPHITE("graphite"),
+  /** Graphite's pickle protocol over TCP. */
+  GRAPHITE_PICKLE("graphite-pickle"),
+  /** Collectd's binary protocol over UDP. */
+  COLLECTD("collectd"),
+  /** Collectd's text protocol over a Unix domain socket. */
+  COLLECTD_UNIXSOCK("collectd-unixsock");
+
+  private final String settingName;
+
+  DestinationKind(String settingName) {
+    this.settingName = settingName;
+  }
+
+  /** The value in the settings file. */
+  @JsonValue
+  public String settingName() {
+    return settingName;
+  }
+
+  /** Whether metrics have Graphite's names, with a prefix and tags. */
+  public boolean isGraphite() {
+    return this == GRAPHITE || this == GRAPHITE_PICKLE;
+  }
+}
--- a/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
@@ -1,8 +1,6 @@
 package lemondock.gateway.settings;
 
 import java.util.List;
-import java.util.Locale;
-import java.util.Map;
 import lemondock.anomaly.Cusum;
 import lemondock.overload.Admission;
 import lemondock.overload.ResourcePressure;
@@ -78,7 +76,7 @@
 
   /** Where the endpoint list comes from. */
   public record Discovery(
-      String kind,
+      DiscoveryKind kind,
       String path,
       double pollMs,
       String address,
@@ -88,7 +86,12 @@
       double maxRetryMs,
       String cache) {}
 
-  /** One class of requests; a tool for the client. */
+  /**
+   * One class of requests; a tool for the client.
+   *
+   * @param repeat whether its requests may be sent again
+   * @param group the servers that drop repeats with a known idempotency key
+   */
   public record ClassSettings(
       String name,
       String description,
@@ -97,8 +100,8 @@
       double deadlineMs,
       double worth,
       double lateWorth,
-      String repeat,
-      String group,
+      Idempotency repeat,
+      DeduplicationScope group,
       double repeatWindowMs,
       double tokenAimMs,
       int maxTokens,
@@ -116,6 +119,11 @@
       return micros(deadlineMs + 2 * aimMsPerThousandTokens * promptTokens / 1000);
     }
 
+    /** Whether a request of the class may be sent again in any case. */
+    public boolean isIdempotent() {
+      return repeat == Idempotency.IDEMPOTENT;
+    }
+
     private RequestClass toRequestClass() {
       return new RequestClass(
           micros(aimMs),
@@ -123,27 +131,15 @@
           micros(deadlineMs),
           worth,
           lateWorth,
-          idempotency(repeat),
-          group.equals("rack")
-              ? DeduplicationScope.CELL
-              : DeduplicationScope.valueOf(group.toUpperCase(Locale.ROOT)),
+          repeat,
+          group,
           micros(repeatWindowMs),
           micros(tokenAimMs));
     }
-
-    /** Maps the words of the settings file, whose values the schema has checked. */
-    private static Idempotency idempotency(String setting) {
-      return switch (setting.toLowerCase(Locale.ROOT)) {
-        case "safe" -> Idempotency.IDEMPOTENT;
-        case "keyed" -> Idempotency.IDEMPOTENCY_KEY;
-        case "once" -> Idempotency.NON_IDEMPOTENT;
-        default -> throw new IllegalArgumentException("repeat: unknown value '" + setting + "'");
-      };
-    }
   }
 
   /** One kind of server. */
-  public record Kind(String name, String role, long memoryTokens) {}
+  public record Kind(String name, ServerRole role, long memoryTokens) {}
 
   /** Bounds of the whole gateway. */
   public record Limits(
@@ -270,19 +266,24 @@
     }
   }
 
-  /** One collector. */
+  /**
+   * One collector.
+   *
+   * @param security null for none
+   * @param counters null for {@link CounterType#DERIVE}
+   */
   public record Destination(
       String name,
-      String kind,
+      DestinationKind kind,
       String address,
       String path,
       String prefix,
       Boolean tags,
-      String security,
+      CollectdSecurityLevel security,
       String username,
       String authFile,
       Integer packetBytes,
-      String counters,
+      CounterType counters,
       int maxSnapshots,
       double resendMs,
       double stallMs,
@@ -300,8 +301,6 @@
 
   /** What the router is told; it hears numbers where the settings have names. */
   public RouterSettings toRouterSettings() {
-    Map<String, ServerRole> roles =
-        Map.of("reader", ServerRole.READER, "writer", ServerRole.WRITER, "mixed", ServerRole.MIXED);
     return new RouterSettings(
         number,
         gateways,
@@ -309,9 +308,7 @@
         DEADLINE_RESOLUTION_MICROS,
         classes.stream().map(ClassSettings::toRequestClass).toList(),
         List.of(),
-        kinds.stream()
-            .map(kind -> new ServerKind(roles.get(kind.role()), kind.memoryTokens()))
-            .toList(),
+        kinds.stream().map(kind -> new ServerKind(kind.role(), kind.memoryTokens())).toList(),
         new DeploymentLimits(
             limits.maxAttempts(),
             true,
--- a/gateway/src/main/java/lemondock/gateway/settings/SettingsFile.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/SettingsFile.java
@@ -23,13 +23,15 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import lemondock.policy.Idempotency;
+import lemondock.policy.ServerRole;
 
 /** Reads and checks files of settings against a JSON Schema, which also holds the defaults. */
 public final class SettingsFile {
   private static final long MAX_FILE_BYTES = 1024 * 1024;
   private static final int MAX_FOUND_CHARS = 60;
   private static final JsonMapper MAPPER =
-      JsonMapper.builder()
+      PolicyEnumNames.register(JsonMapper.builder())
           .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
           .enable(JsonParser.Feature.ALLOW_COMMENTS)
           .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
@@ -83,7 +85,8 @@
                 + "), found "
                 + requestClass.deadlineMs());
       }
-      if (requestClass.repeat().equals("keyed") && requestClass.repeatWindowMs() <= 0) {
+      if (requestClass.repeat() == Idempotency.IDEMPOTENCY_KEY
+          && requestClass.repeatWindowMs() <= 0) {
         report.problem(
             "/classes/" + i + "/repeatWindowMs",
             "expected a time above 0 with repeat 'keyed', found " + requestClass.repeatWindowMs());
@@ -98,8 +101,8 @@
         report.problem(
             "/kinds/" + i + "/name", "expected a name used once, found " + name + " again");
       }
-      hasReader |= !settings.kinds().get(i).role().equals("writer");
-      hasWriter |= !settings.kinds().get(i).role().equals("reader");
+      hasReader |= settings.kinds().get(i).role() != ServerRole.WRITER;
+      hasWriter |= settings.kinds().get(i).role() != ServerRole.READER;
     }
     if (!hasReader || !hasWriter) {
       report.problem(
@@ -156,9 +159,9 @@
     for (int i = 0; i < reporting.destinations().size(); i++) {
       GatewaySettings.Destination destination = reporting.destinations().get(i);
       String pointer = "/reporting/destinations/" + i;
-      final boolean collectd = destination.kind().equals("collectd");
+      final boolean collectd = destination.kind() == DestinationKind.COLLECTD;
       final boolean sealed =
-          destination.security() != null && !destination.security().equals("none");
+          destination.security() != null && destination.security() != CollectdSecurityLevel.NONE;
       if (!names.add(destination.name())) {
         report.problem(
             pointer + "/name", "expected a name used once, found " + destination.name() + " again");
@@ -168,37 +171,47 @@
       }
       checkAllowed(
           destination.address(),
-          !destination.kind().equals("collectd-unixsock"),
+          destination.kind() != DestinationKind.COLLECTD_UNIXSOCK,
           destination,
           pointer + "/address",
           report);
       checkAllowed(
           destination.path(),
-          destination.kind().equals("collectd-unixsock"),
+          destination.kind() == DestinationKind.COLLECTD_UNIXSOCK,
           destination,
           pointer + "/path",
           report);
       checkAllowed(
           destination.prefix(),
-          destination.kind().startsWith("graphite"),
+          destination.kind().isGraphite(),
           destination,
           pointer + "/prefix",
           report);
       checkAllowed(
           destination.tags(),
-          destination.kind().startsWith("graphite"),
+          destination.kind().isGraphite(),
           destination,
           pointer + "/tags",
           report);
-      checkAllowed(destination.security(), collectd, destination, pointer + "/security", report);
+      checkAllowed(
+          destination.security() == null ? null : destination.security().settingName(),
+          collectd,
+          destination,
+          pointer + "/security",
+          report);
       checkAllowed(
           destination.packetBytes(), collectd, destination, pointer + "/packetBytes", report);
-      checkAllowed(destination.counters(), collectd, destination, pointer + "/counters", report);
+      checkAllowed(
+          destination.counters() == null ? null : destination.counters().settingName(),
+          collectd,
+          destination,
+          pointer + "/counters",
+          report);
       if (sealed && (destination.username() == null || destination.authFile() == null)) {
         report.problem(
             pointer,
             "expected username and authFile with security '"
-                + destination.security()
+                + destination.security().settingName()
                 + "', found "
                 + (destination.username() == null ? "no username" : "no authFile"));
       }
@@ -226,7 +239,8 @@
       Report report) {
     if (value != null && !allowed) {
       report.problem(
-          pointer, "expected none for kind '" + destination.kind() + "', found " + value);
+          pointer,
+          "expected none for kind '" + destination.kind().settingName() + "', found " + value);
     }
   }
 
--- a/gateway/src/test/java/lemondock/gateway/settings/SettingsFileTest.java
+++ b/gateway/src/test/java/lemondock/gateway/settings/SettingsFileTest.java
@@ -34,7 +34,7 @@
     GatewaySettings settings = read("// a comment\n" + GOOD);
     assertEquals(5, settings.limits().maxAttempts());
     assertEquals(250, settings.engines().connectTimeoutMs());
-    assertEquals("file", settings.discovery().kind());
+    assertEquals(DiscoveryKind.FILE, settings.discovery().kind());
     RouterSettings module = settings.toRouterSettings();
     assertEquals(DeduplicationScope.CELL, module.classes().get(0).deduplicationScope());
     assertEquals(500_000, module.classes().get(0).deduplicationWindowMicros());
--- a/scenario/src/main/java/lemondock/scenario/FaultScenario.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultScenario.java
@@ -418,7 +418,7 @@
           if (!ok
               && number > 1
               && number < MOST_TRIES
-              && !model().classes().get(talk.classId).repeat().equals("safe")) {
+              && !model().classes().get(talk.classId).isIdempotent()) {
             again(talk, gateway, mark, tools, behaviour, number);
             return;
           }
@@ -462,7 +462,7 @@
       McpClient.Tools behaviour,
       int number,
       CallRecord seen) {
-    boolean safe = model().classes().get(talk.classId).repeat().equals("safe");
+    boolean safe = model().classes().get(talk.classId).isIdempotent();
     if (!safe && number > 1 && number < MOST_TRIES && (seen.notTaken || seen.retryable)) {
       again(talk, gateway, mark, tools, behaviour, number); // an earlier try may have run there
       return;
--- a/scenario/src/main/java/lemondock/scenario/ScenarioAuditor.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioAuditor.java
@@ -12,6 +12,8 @@
 import lemondock.emulator.EngineSettings;
 import lemondock.emulator.TrafficObserver;
 import lemondock.gateway.settings.GatewaySettings;
+import lemondock.policy.DeduplicationScope;
+import lemondock.policy.Idempotency;
 import lemondock.rpc.Mcp;
 
 /**
@@ -243,7 +245,7 @@
       if (new HashSet<>(c.toolCalls).size() < c.toolCalls.size()) {
         breach(2, c.mark + " was sent a tool call twice: " + c.toolCalls);
       }
-      if (cls.repeat().equals("safe")) {
+      if (cls.isIdempotent()) {
         continue;
       }
       Map<String, List<Attempt>> legs = new LinkedHashMap<>();
@@ -255,7 +257,8 @@
       }
       if (c.retryable
           && !legs.isEmpty()
-          && !(cls.repeat().equals("keyed") && cls.group().equals("all"))) {
+          && !(cls.repeat() == Idempotency.IDEMPOTENCY_KEY
+              && cls.group() == DeduplicationScope.ALL)) {
         breach(
             2,
             c.mark + " may have run, and its client was told that trying again is" + " harmless");
@@ -271,7 +274,7 @@
   private void overTries() {
     Map<String, String> ran = new HashMap<>();
     for (CallRecord c : calls) {
-      if (settings.classes().get(c.classId).repeat().equals("once")
+      if (settings.classes().get(c.classId).repeat() == Idempotency.NON_IDEMPOTENT
           && attempts.getOrDefault(c.mark, List.of()).stream()
               .anyMatch(a -> a.write() && !a.turnedAway)) {
         String earlier = ran.put(c.mark.replaceAll("-try\\d+$", ""), c.mark);
@@ -287,7 +290,7 @@
   private void repeats(CallRecord c, GatewaySettings.ClassSettings cls, List<Attempt> leg) {
     Attempt first = leg.get(0);
     for (Attempt again : leg.subList(1, leg.size())) {
-      if (cls.repeat().equals("once")) {
+      if (cls.repeat() == Idempotency.NON_IDEMPOTENT) {
         breach(
             2,
             c.mark
@@ -301,9 +304,9 @@
       EngineSettings b = engines.get(again.arrived.where());
       boolean inGroup =
           switch (cls.group()) {
-            case "zone" -> a.zone().equals(b.zone());
-            case "rack" -> a.zone().equals(b.zone()) && a.rack().equals(b.rack());
-            default -> true;
+            case ZONE -> a.zone().equals(b.zone());
+            case CELL -> a.zone().equals(b.zone()) && a.rack().equals(b.rack());
+            case ALL -> true;
           };
       long after = again.arrived.at() - first.arrived.at();
       if (!inGroup || after > GatewaySettings.micros(cls.repeatWindowMs()) + TOLERANCE) {
