--- a/gateway/src/main/java/lemondock/gateway/reporting/DestinationFactory.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/DestinationFactory.java
@@ -23,6 +23,9 @@
 import lemondock.exporter.collectd.SecurityLevel;
 import lemondock.exporter.graphite.PickleEncoder;
 import lemondock.exporter.graphite.PlaintextEncoder;
+import lemondock.gateway.settings.CollectdCounterType;
+import lemondock.gateway.settings.CollectdSecurityLevel;
+import lemondock.gateway.settings.DestinationKind;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsException;
 import lemondock.gateway.settings.SettingsFile;
@@ -57,7 +60,7 @@
    * @throws SettingsException if the file of users cannot be used
    */
   Runnable add(GatewaySettings.Destination settings, String pointer) throws SettingsException {
-    if (settings.kind().equals("collectd")) {
+    if (settings.kind() == DestinationKind.COLLECTD) {
       exporter.addDestination(datagrams(settings, pointer));
       return () -> {};
     }
@@ -74,7 +77,9 @@
             packetSecurity(settings, pointer),
             settings.packetBytes() == null ? DEFAULT_PACKET_BYTES : settings.packetBytes(),
             intervalMillis(),
-            "counter".equals(settings.counters()) ? CounterType.COUNTER : CounterType.DERIVE);
+            settings.counters() == CollectdCounterType.COUNTER
+                ? CounterType.COUNTER
+                : CounterType.DERIVE);
     return new DatagramDestination(
         environment.loop(),
         new DatagramConnector(
@@ -110,8 +115,8 @@
     String prefix = settings.prefix() == null ? DEFAULT_PREFIX : settings.prefix();
     boolean tags = Boolean.TRUE.equals(settings.tags());
     return switch (settings.kind()) {
-      case "graphite" -> new PlaintextEncoder(prefix, instance, tags);
-      case "graphite-pickle" -> new PickleEncoder(prefix, instance, tags);
+      case GRAPHITE -> new PlaintextEncoder(prefix, instance, tags);
+      case GRAPHITE_PICKLE -> new PickleEncoder(prefix, instance, tags);
       default -> new PutvalEncoder(identifiers(), intervalMillis());
     };
   }
@@ -139,11 +144,13 @@
 
   private static PacketSecurity packetSecurity(GatewaySettings.Destination settings, String pointer)
       throws SettingsException {
-    if (settings.security() == null || settings.security().equals("none")) {
+    if (settings.security() == null || settings.security() == CollectdSecurityLevel.NONE) {
       return new PacketSecurity(SecurityLevel.NONE, "", "");
     }
     return new PacketSecurity(
-        settings.security().equals("sign") ? SecurityLevel.SIGN : SecurityLevel.ENCRYPT,
+        settings.security() == CollectdSecurityLevel.SIGN
+            ? SecurityLevel.SIGN
+            : SecurityLevel.ENCRYPT,
         settings.username(),
         password(settings, pointer));
   }
--- a/scenario/src/main/java/lemondock/scenario/FaultScenario.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultScenario.java
@@ -357,7 +357,7 @@
           if (!ok
               && number > 1
               && number < MOST_TRIES
-              && !model().classes().get(talk.classId).repeat().equals("safe")) {
+              && !model().classes().get(talk.classId).isIdempotent()) {
             again(talk, gateway, mark, tools, behaviour, number);
             return;
           }
@@ -401,7 +401,7 @@
       ToolBehaviour behaviour,
       int number,
       CallRecord seen) {
-    boolean safe = model().classes().get(talk.classId).repeat().equals("safe");
+    boolean safe = model().classes().get(talk.classId).isIdempotent();
     if (!safe && number > 1 && number < MOST_TRIES && (seen.notAccepted || seen.retryable)) {
       again(talk, gateway, mark, tools, behaviour, number); // an earlier try may have run there
       return;
