--- a/benchmark/src/main/java/lemondock/benchmark/BenchmarkProcesses.java
+++ b/benchmark/src/main/java/lemondock/benchmark/BenchmarkProcesses.java
@@ -37,8 +37,8 @@
 import lemondock.emulator.EngineEmulator;
 import lemondock.emulator.EngineSettings;
 import lemondock.emulator.TrafficObserver;
-import lemondock.exporter.host.ProcessMeters;
-import lemondock.exporter.host.ReportHost;
+import lemondock.exporter.host.ExporterRuntime;
+import lemondock.exporter.host.ProcessMeterRegistry;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.GatewayEnvironment;
 import lemondock.gateway.JvmProcessResources;
@@ -77,7 +77,7 @@
             0,
             null);
     EngineEmulator engine =
-        node.ask(
+        node.invokeAndWait(
             () ->
                 new EngineEmulator(node.loop(), node.network(), settings, 1, TrafficObserver.NONE));
     engine.start(node.network());
@@ -107,8 +107,8 @@
           new Reporting(
               settings,
               gateway.metrics(),
-              new ReportHost("reports").environment(),
-              ProcessMeters.registry());
+              new ExporterRuntime("reports").environment(),
+              ProcessMeterRegistry.create());
       reporting.start(gateway.address());
     }
     System.out.println("ready " + gateway.address().getPort());
@@ -127,9 +127,9 @@
           "heap "
               + (runtime.totalMemory() - runtime.freeMemory()) / (1 << 20)
               + " sessions "
-              + node.ask(gateway::sessionCount)
+              + node.invokeAndWait(gateway::sessionCount)
               + " calls "
-              + node.ask(gateway::callsInFlight)
+              + node.invokeAndWait(gateway::callsInFlight)
               + " allocated "
               + allocated());
     }
--- a/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
+++ b/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
@@ -16,6 +16,8 @@
 import lemondock.emulator.EngineSettings;
 import lemondock.emulator.collect.ReceivedReports;
 import lemondock.emulator.collect.UnixsockListener;
+import lemondock.exporter.collectd.CounterType;
+import lemondock.exporter.collectd.TypesDb;
 import lemondock.gateway.Gateway;
 import lemondock.metrics.MetricCatalogue;
 import lemondock.scenario.LoopbackSettings;
@@ -44,8 +46,12 @@
     String again =
         "write it anew: bin/lemondock metrics > docs/METRICS.md; bin/lemondock metrics"
             + " --types-db > conf/types.db";
-    assertEquals(MetricCatalogue.page(), Files.readString(Path.of("../docs/METRICS.md")), again);
-    assertEquals(MetricCatalogue.typesDb(), Files.readString(Path.of("../conf/types.db")), again);
+    assertEquals(
+        MetricCatalogue.markdown(), Files.readString(Path.of("../docs/METRICS.md")), again);
+    assertEquals(
+        TypesDb.definitions(CounterType.DERIVE),
+        Files.readString(Path.of("../conf/types.db")),
+        again);
     assertEquals(0, run("metrics", "--types-db", "--counter"));
     assertTrue(out.contains("in_time:COUNTER:0:U"));
   }
@@ -72,7 +78,7 @@
                       .put("tallyFile", file.toString())),
           Gateway.DEFAULT_ROUTER_FACTORY);
       assertTrue(fleet.awaitServers("gw", 1, 10_000));
-      InetSocketAddress at = fleet.reporting("gw").statusAddress();
+      InetSocketAddress at = fleet.reporting("gw").statusAddress().orElseThrow();
       String address = at.getHostString() + ":" + at.getPort();
       for (int i = 0; i < 500 && (run("status", address) != 0 || !out.contains("mixed")); i++) {
         Thread.onSpinWait(); // the first looks may be a moment away
