--- /dev/null
+++ b/exporter/src/main/java/lemondock/exporter/SeriesCache.java
@@ -0,0 +1,35 @@
+package lemondock.exporter;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Function;
+import lemondock.metrics.Series;
+
+/**
+ * Keeps what was computed for each series of one registry, such as its name in a protocol. Not
+ * thread-safe.
+ */
+public final class SeriesCache<T> {
+  private final Function<Series, T> compute;
+
+  /** By index of the series; null: not computed yet. */
+  private final List<T> values = new ArrayList<>();
+
+  /** Makes an empty cache; {@code compute} is called once for each series. */
+  public SeriesCache(Function<Series, T> compute) {
+    this.compute = compute;
+  }
+
+  /** The value for a series. */
+  public T get(Series series) {
+    while (values.size() <= series.index()) {
+      values.add(null);
+    }
+    T value = values.get(series.index());
+    if (value == null) {
+      value = compute.apply(series);
+      values.set(series.index(), value);
+    }
+    return value;
+  }
+}
--- a/exporter/src/main/java/lemondock/exporter/StreamDestination.java
+++ b/exporter/src/main/java/lemondock/exporter/StreamDestination.java
@@ -3,7 +3,6 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.util.ArrayDeque;
 import java.util.List;
 import java.util.Optional;
 import lemondock.net.Connection;
@@ -17,9 +16,9 @@
  * a connection breaks, the snapshots sent within the last {@link Options#resendMicros} are sent
  * again over the next one: the operating system had taken them, which does not mean that the
  * collector has read them. Duplicates do no harm, since each value has its timestamp and counters
- * are cumulative. Loop thread only, but for {@link #decode}.
+ * are cumulative. Loop thread only.
  */
-public final class StreamDestination implements Destination, Connection.Handler {
+public final class StreamDestination implements Destination {
   private static final Logger LOG = LoggerFactory.getLogger(StreamDestination.class);
   private static final int ENCODE_BYTES = 16 * 1024;
   private static final long MAX_UNSENT_BYTES = 64 * 1024;
@@ -32,20 +31,15 @@
   private final SnapshotEncoder encoder;
   private final Options options;
   private final DestinationQueue queue;
+  private final ResendWindow resendWindow;
+  private final StallDetector stallDetector;
   private final ExponentialBackoff backoff;
+  private final FailureLog failureLog;
   private final DestinationStatistics statistics = new DestinationStatistics();
   private final ByteArrayOutputStream encoded = new ByteArrayOutputStream();
-
-  /** Loop times in microseconds at which snapshots were sent that may have to be sent again. */
-  private final ArrayDeque<Long> sentTimesMicros = new ArrayDeque<>();
-
   private Connection connection; // null: not connected
   private boolean isConnecting;
-  private boolean hasMadeProgress; // whether this connection has taken anything
   private boolean isStopped;
-  private boolean isFailureLogged;
-  private long flushedBytes;
-  private long lastProgressMicros;
   private Loop.Timer reconnectTimer = () -> {};
   private Runnable shutDownCallback; // null: not shutting down
 
@@ -77,7 +71,10 @@
     this.encoder = encoder;
     this.options = options;
     this.queue = new DestinationQueue(buffer, options.maxPendingSnapshots());
+    this.resendWindow = new ResendWindow(options.resendMicros());
+    this.stallDetector = new StallDetector(options.stallMicros());
     this.backoff = new ExponentialBackoff(options.backoff());
+    this.failureLog = new FailureLog(LOG, options.name());
   }
 
   /** Begins to connect. */
@@ -99,26 +96,10 @@
   private void connect() {
     if (!isConnecting && connection == null && !isStopped) {
       isConnecting = true;
-      connector.connect(this);
+      connector.connect(new ConnectionHandler());
     }
   }
 
-  @Override
-  public void connected(Connection established) {
-    isConnecting = false;
-    if (isStopped) {
-      established.abort();
-      return;
-    }
-    connection = established;
-    statistics.add(DestinationCounter.CONNECTIONS_OPENED, 1);
-    flushedBytes = 0;
-    lastProgressMicros = loop.now();
-    hasMadeProgress = false;
-    established.read();
-    sendPending();
-  }
-
   @Override
   public void sendPending() {
     if (connection == null) {
@@ -127,7 +108,9 @@
       }
       return;
     }
-    abortIfStalled();
+    if (stallDetector.isStalled(connection, loop.now())) {
+      connection.abort();
+    }
     while (connection != null && connection.pendingBytes() <= MAX_UNSENT_BYTES) {
       Optional<BufferedSnapshot> snapshot = queue.current();
       if (snapshot.isEmpty()) {
@@ -148,65 +131,42 @@
     queue.advanceTo(nextSeries);
     if (queue.completeIfAllSent()) {
       statistics.add(DestinationCounter.SNAPSHOTS_SENT, 1);
-      sentTimesMicros.add(loop.now());
-      forgetSentBeforeResendWindow();
-    }
-  }
-
-  private void forgetSentBeforeResendWindow() {
-    while (!sentTimesMicros.isEmpty()
-        && loop.now() - sentTimesMicros.peek() > options.resendMicros()) {
-      sentTimesMicros.poll();
-    }
-  }
-
-  private void abortIfStalled() {
-    long flushedBytesNow = connection.flushedBytes();
-    if (flushedBytesNow != flushedBytes || connection.pendingBytes() == 0) {
-      hasMadeProgress |= flushedBytesNow > 0;
-      flushedBytes = flushedBytesNow;
-      lastProgressMicros = loop.now();
-    } else if (loop.now() - lastProgressMicros > options.stallMicros()) {
-      connection.abort();
+      resendWindow.onSent(loop.now());
     }
   }
 
-  /** Replaces what a collector sends by its length; on an I/O thread. */
   @Override
-  public void decode(ByteBuffer bytes, List<Object> events) {
-    events.add(bytes.remaining());
-    bytes.position(bytes.limit());
-  }
-
-  @Override
-  public void received(List<Object> events) {
-    for (Object byteCount : events) {
-      statistics.add(DestinationCounter.BYTES_IGNORED, (Integer) byteCount);
+  public void shutDown(Runnable onClosed) {
+    shutDownCallback = onClosed;
+    reconnectTimer.cancel();
+    if (connection == null && !isConnecting) {
+      connect(); // one last attempt
+    } else {
+      sendPending();
     }
-    Connection source = connection;
-    loop.schedule(
-        READ_PAUSE_MICROS,
-        () -> {
-          if (source != null && connection == source) {
-            source.read();
-          }
-        });
   }
 
   @Override
-  public void inputEnded() {
+  public void abort() {
+    isStopped = true;
+    reconnectTimer.cancel();
     if (connection != null) {
-      connection.abort(); // a collector that has closed its end reads no more
+      connection.abort();
+    } else {
+      completeShutDown();
     }
   }
 
-  @Override
-  public void writeQueueDrained() {
-    sendPending();
+  private void completeShutDown() {
+    Runnable callback = shutDownCallback;
+    shutDownCallback = null;
+    isStopped = true;
+    if (callback != null) {
+      callback.run();
+    }
   }
 
-  @Override
-  public void closed(IOException cause) {
+  private void onClosed(IOException cause) {
     boolean hasSentAll = connection != null && shutDownCallback != null && queue.isEmpty();
     isConnecting = false;
     connection = null;
@@ -215,71 +175,80 @@
       return;
     }
     statistics.add(DestinationCounter.CONNECTION_FAILURES, 1);
-    rewindToUnconfirmed();
+    int resent = queue.rewind(resendWindow.takeSentCount(loop.now()));
+    statistics.add(DestinationCounter.SNAPSHOTS_RESENT, resent);
     if (shutDownCallback != null) {
       completeShutDown();
       return;
     }
-    logFailure(cause);
-    scheduleReconnect();
+    scheduleReconnect(cause == null ? "the connection ended" : cause.getMessage());
   }
 
-  private void rewindToUnconfirmed() {
-    forgetSentBeforeResendWindow();
-    int resent = queue.rewind(sentTimesMicros.size());
-    statistics.add(DestinationCounter.SNAPSHOTS_RESENT, resent);
-    sentTimesMicros.clear();
-  }
-
-  /** Logs the first failure after the destination has worked. */
-  private void logFailure(IOException cause) {
-    if (!isFailureLogged) {
-      isFailureLogged = true;
-      LOG.atWarn()
-          .addKeyValue("destination", options.name())
-          .addKeyValue("why", cause == null ? "the connection ended" : cause.getMessage())
-          .log("reports cannot be sent; tried again until it works");
-    } else if (hasMadeProgress) {
-      isFailureLogged = false;
-    }
-  }
-
-  private void scheduleReconnect() {
-    if (hasMadeProgress) {
+  private void scheduleReconnect(String reason) {
+    boolean hasLogged = failureLog.logFirst(reason);
+    if (stallDetector.hasMadeProgress()) {
+      if (!hasLogged) {
+        failureLog.reset();
+      }
       backoff.reset();
-      hasMadeProgress = false;
     }
+    stallDetector.reset(loop.now());
     reconnectTimer = loop.schedule(backoff.nextDelayMicros(), this::connect);
   }
 
-  @Override
-  public void shutDown(Runnable onClosed) {
-    shutDownCallback = onClosed;
-    reconnectTimer.cancel();
-    if (connection == null && !isConnecting) {
-      connect(); // one last attempt
-    } else {
+  /** Receives the events of a connection. Loop thread only, but for {@link #decode}. */
+  private final class ConnectionHandler implements Connection.Handler {
+    @Override
+    public void connected(Connection established) {
+      isConnecting = false;
+      if (isStopped) {
+        established.abort();
+        return;
+      }
+      connection = established;
+      statistics.add(DestinationCounter.CONNECTIONS_OPENED, 1);
+      stallDetector.reset(loop.now());
+      established.read();
       sendPending();
     }
-  }
 
-  @Override
-  public void abort() {
-    isStopped = true;
-    reconnectTimer.cancel();
-    if (connection != null) {
-      connection.abort();
-    } else {
-      completeShutDown();
+    /** Replaces what a collector sends by its length; on an I/O thread. */
+    @Override
+    public void decode(ByteBuffer bytes, List<Object> events) {
+      events.add(bytes.remaining());
+      bytes.position(bytes.limit());
     }
-  }
 
-  private void completeShutDown() {
-    Runnable callback = shutDownCallback;
-    shutDownCallback = null;
-    isStopped = true;
-    if (callback != null) {
-      callback.run();
+    @Override
+    public void received(List<Object> events) {
+      for (Object byteCount : events) {
+        statistics.add(DestinationCounter.BYTES_IGNORED, (Integer) byteCount);
+      }
+      Connection source = connection;
+      loop.schedule(READ_PAUSE_MICROS, () -> readAgain(source));
+    }
+
+    private void readAgain(Connection source) {
+      if (source != null && connection == source) {
+        source.read();
+      }
+    }
+
+    @Override
+    public void inputEnded() {
+      if (connection != null) {
+        connection.abort(); // a collector that has closed its end reads no more
+      }
+    }
+
+    @Override
+    public void writeQueueDrained() {
+      sendPending();
+    }
+
+    @Override
+    public void closed(IOException cause) {
+      onClosed(cause);
     }
   }
 }
--- a/exporter/src/main/java/lemondock/exporter/collectd/CollectdIdentifiers.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/CollectdIdentifiers.java
@@ -3,10 +3,10 @@
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
-import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
 import lemondock.exporter.LabelEscaping;
+import lemondock.exporter.SeriesCache;
 import lemondock.metrics.MetricFamily;
 import lemondock.metrics.Series;
 
@@ -26,9 +26,8 @@
 
   private final String host;
   private final String pluginInstance;
-
-  /** Type instances by index of the series; null: not computed yet. */
-  private final List<String> typeInstances = new ArrayList<>();
+  private final SeriesCache<String> typeInstances =
+      new SeriesCache<>(CollectdIdentifiers::computeTypeInstance);
 
   /** Identifiers of one gateway's values. */
   public CollectdIdentifiers(String host, String pluginInstance) {
@@ -50,17 +49,12 @@
 
   /** The label values, joined by dots; empty if there are none. */
   String typeInstance(Series series) {
-    while (typeInstances.size() <= series.index()) {
-      typeInstances.add(null);
-    }
-    String known = typeInstances.get(series.index());
-    if (known != null) {
-      return known;
-    }
+    return typeInstances.get(series);
+  }
+
+  private static String computeTypeInstance(Series series) {
     List<String> escaped = series.labelValues().stream().map(LabelEscaping::escape).toList();
-    String typeInstance = boundedPart(String.join(".", escaped));
-    typeInstances.set(series.index(), typeInstance);
-    return typeInstance;
+    return boundedPart(String.join(".", escaped));
   }
 
   private static String boundedPart(String text) {
--- a/exporter/src/main/java/lemondock/exporter/collectd/DatagramDestination.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/DatagramDestination.java
@@ -9,6 +9,7 @@
 import lemondock.exporter.DestinationCounter;
 import lemondock.exporter.DestinationQueue;
 import lemondock.exporter.DestinationStatistics;
+import lemondock.exporter.FailureLog;
 import lemondock.exporter.ServiceHealth;
 import lemondock.exporter.SnapshotBuffer;
 import lemondock.net.DatagramSender;
@@ -36,13 +37,13 @@
   private final NetworkPacketEncoder encoder;
   private final Options options;
   private final DestinationQueue queue;
+  private final FailureLog failureLog;
   private final DestinationStatistics statistics = new DestinationStatistics();
   private final ArrayDeque<ByteBuffer> notifications = new ArrayDeque<>();
   private DatagramSender sender; // null: not open
   private boolean isOpening;
   private boolean isPausing;
   private boolean isStopped;
-  private boolean isFailureLogged;
   private ByteBuffer unsentPacket; // null: none; the operating system had no space for it
   private Runnable shutDownCallback; // null: not shutting down
 
@@ -67,6 +68,7 @@
     this.encoder = encoder;
     this.options = options;
     this.queue = new DestinationQueue(buffer, options.maxPendingSnapshots());
+    this.failureLog = new FailureLog(LOG, options.name());
   }
 
   @Override
@@ -146,7 +148,7 @@
     statistics.add(DestinationCounter.BYTES_SENT, packetBytes);
     if (queue.completeIfAllSent()) {
       statistics.add(DestinationCounter.SNAPSHOTS_SENT, 1);
-      isFailureLogged = false;
+      failureLog.reset();
     }
   }
 
@@ -169,7 +171,7 @@
   private void onFailed(IOException cause) {
     isOpening = false;
     statistics.add(DestinationCounter.CONNECTION_FAILURES, 1);
-    logFailure(cause);
+    failureLog.logFirst(cause.getMessage());
     unsentPacket = null;
     statistics.add(DestinationCounter.SNAPSHOTS_RESENT, queue.rewind(RESENT_SNAPSHOTS));
     closeSender(); // the host is resolved anew
@@ -180,17 +182,6 @@
     }
   }
 
-  /** Logs the first failure since a snapshot was sent completely. */
-  private void logFailure(IOException cause) {
-    if (!isFailureLogged) {
-      isFailureLogged = true;
-      LOG.atWarn()
-          .addKeyValue("destination", options.name())
-          .addKeyValue("why", cause.getMessage())
-          .log("reports cannot be sent; tried again until it works");
-    }
-  }
-
   private void pause(long micros) {
     isPausing = true;
     loop.schedule(micros, this::onPauseOver);
--- a/exporter/src/main/java/lemondock/exporter/collectd/PartWriter.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/PartWriter.java
@@ -6,7 +6,6 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import lemondock.metrics.MetricField;
-import lemondock.metrics.MetricsSnapshot;
 import lemondock.metrics.Series;
 
 /**
@@ -92,7 +91,7 @@
     } else {
       bytes
           .order(ByteOrder.LITTLE_ENDIAN)
-          .putDouble(value == MetricsSnapshot.NO_VALUE ? Double.NaN : field.toDouble(value));
+          .putDouble(field.hasValue(value) ? field.toDouble(value) : Double.NaN);
     }
     output.writeBytes(bytes.array());
   }
--- a/exporter/src/main/java/lemondock/exporter/collectd/PutvalEncoder.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/PutvalEncoder.java
@@ -1,19 +1,16 @@
 package lemondock.exporter.collectd;
 
-import java.io.ByteArrayOutputStream;
-import java.nio.charset.StandardCharsets;
 import java.util.List;
 import lemondock.exporter.BufferedSnapshot;
-import lemondock.exporter.SnapshotEncoder;
+import lemondock.exporter.LineEncoder;
 import lemondock.metrics.MetricField;
-import lemondock.metrics.MetricsSnapshot;
 import lemondock.metrics.Series;
 
 /**
  * collectd's plain text protocol, as its exec and unixsock plugins take it: a {@code PUTVAL} line
  * for each series. Not thread-safe.
  */
-public final class PutvalEncoder implements SnapshotEncoder {
+public final class PutvalEncoder extends LineEncoder {
   private static final String UNDEFINED_GAUGE = "U";
 
   private final CollectdIdentifiers identifiers;
@@ -36,19 +33,7 @@
   }
 
   @Override
-  public int encode(
-      BufferedSnapshot snapshot, int firstSeries, int targetBytes, ByteArrayOutputStream output) {
-    int startBytes = output.size();
-    int next = firstSeries;
-    while (next < snapshot.series().size() && output.size() - startBytes < targetBytes) {
-      String line = line(snapshot, snapshot.series().get(next));
-      output.writeBytes(line.getBytes(StandardCharsets.US_ASCII));
-      next++;
-    }
-    return next;
-  }
-
-  private String line(BufferedSnapshot snapshot, Series series) {
+  protected String lines(BufferedSnapshot snapshot, Series series) {
     StringBuilder line =
         new StringBuilder("PUTVAL \"")
             .append(identifiers.host())
@@ -73,8 +58,8 @@
 
   private static void appendValue(MetricField field, long value, StringBuilder line) {
     if (field.kind() == MetricField.Kind.COUNTER) {
-      line.append(value);
-    } else if (value == MetricsSnapshot.NO_VALUE) {
+      line.append(value); // in whole smallest units
+    } else if (!field.hasValue(value)) {
       line.append(UNDEFINED_GAUGE);
     } else {
       field.appendDecimal(value, line);
--- a/exporter/src/main/java/lemondock/exporter/graphite/MetricPaths.java
+++ b/exporter/src/main/java/lemondock/exporter/graphite/MetricPaths.java
@@ -1,8 +1,8 @@
 package lemondock.exporter.graphite;
 
-import java.util.ArrayList;
 import java.util.List;
 import lemondock.exporter.LabelEscaping;
+import lemondock.exporter.SeriesCache;
 import lemondock.metrics.MetricField;
 import lemondock.metrics.Series;
 
@@ -15,8 +15,7 @@
   private final String escapedInstance;
   private final boolean isTagged;
 
-  /** Paths of the fields by index of the series; null: not computed yet. */
-  private final List<List<String>> pathsBySeries = new ArrayList<>();
+  private final SeriesCache<List<String>> pathsBySeries = new SeriesCache<>(this::computePaths);
 
   /**
    * Makes paths.
@@ -33,18 +32,13 @@
 
   /** A path for each field of a series, in the order of the fields. */
   List<String> pathsOf(Series series) {
-    while (pathsBySeries.size() <= series.index()) {
-      pathsBySeries.add(null);
-    }
-    List<String> paths = pathsBySeries.get(series.index());
-    if (paths == null) {
-      paths =
-          series.family().fields().stream()
-              .map(field -> isTagged ? taggedName(series, field) : path(series, field))
-              .toList();
-      pathsBySeries.set(series.index(), paths);
-    }
-    return paths;
+    return pathsBySeries.get(series);
+  }
+
+  private List<String> computePaths(Series series) {
+    return series.family().fields().stream()
+        .map(field -> isTagged ? taggedName(series, field) : path(series, field))
+        .toList();
   }
 
   private String path(Series series, MetricField field) {
--- a/exporter/src/main/java/lemondock/exporter/graphite/PickleEncoder.java
+++ b/exporter/src/main/java/lemondock/exporter/graphite/PickleEncoder.java
@@ -7,7 +7,6 @@
 import lemondock.exporter.BufferedSnapshot;
 import lemondock.exporter.SnapshotEncoder;
 import lemondock.metrics.MetricField;
-import lemondock.metrics.MetricsSnapshot;
 import lemondock.metrics.Series;
 
 /**
@@ -81,7 +80,7 @@
     for (int i = 0; i < fieldPaths.size(); i++) {
       MetricField field = series.family().fields().get(i);
       long value = snapshot.values()[series.slot(i)];
-      if (value != MetricsSnapshot.NO_VALUE || field.kind() == MetricField.Kind.COUNTER) {
+      if (field.hasValue(value)) {
         writeString(fieldPaths.get(i));
         writeInteger(snapshot.timestampMillis() / MILLIS_PER_SECOND);
         writeValue(field, value);
--- a/metrics/src/main/java/lemondock/metrics/MetricField.java
+++ b/metrics/src/main/java/lemondock/metrics/MetricField.java
@@ -38,6 +38,11 @@
     }
   }
 
+  /** Whether a recorded value is one; a gauge may have none at the moment. */
+  public boolean hasValue(long value) {
+    return kind == Kind.COUNTER || value != MetricsSnapshot.NO_VALUE;
+  }
+
   /** Converts a recorded value to a floating-point number in {@link #unit}. */
   public double toDouble(long value) {
     return (double) value / POWERS_OF_TEN[decimalPlaces];
--- a/metrics/src/main/java/lemondock/metrics/Recorder.java
+++ b/metrics/src/main/java/lemondock/metrics/Recorder.java
@@ -15,7 +15,7 @@
  * <p>All public methods are for the recorder's own thread.
  */
 public final class Recorder {
-  /** How long a snapshot sleeps between two looks whether the writer has left; nanoseconds. */
+  /** How long a snapshot sleeps between two checks whether the writer has left; nanoseconds. */
   private static final long FLIP_YIELD_NANOS = 10_000;
 
   private final WriterReaderPhaser phaser = new WriterReaderPhaser();
