--- a/cli/src/main/java/lemondock/cli/GatewayCommand.java
+++ b/cli/src/main/java/lemondock/cli/GatewayCommand.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import lemondock.exporter.host.ProcessMeters;
-import lemondock.exporter.host.ReportHost;
+import lemondock.exporter.host.ExporterRuntime;
+import lemondock.exporter.host.ProcessMeterRegistry;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.GatewayEnvironment;
 import lemondock.gateway.JvmProcessResources;
@@ -14,7 +14,7 @@
 import lemondock.gateway.reporting.Reporting;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsFile;
-import lemondock.idempotency.DiskFolder;
+import lemondock.idempotency.LockedDirectory;
 import lemondock.net.nio.AsyncNetwork;
 import lemondock.net.nio.ThreadLoop;
 import lemondock.net.nio.WorkerPool;
@@ -54,16 +54,19 @@
                 settings.overload().heavyQueue(),
                 "lemondock-worker"),
             new JvmProcessResources(),
-            settings.durable() == null ? null : new DiskFolder(Path.of(settings.durable().path())));
+            settings.durable() == null
+                ? null
+                : new LockedDirectory(Path.of(settings.durable().path())));
     Gateway gateway =
         new Gateway(
             machine,
             settings,
             new PromptReader(settings.classes()),
             Gateway.DEFAULT_ROUTER_FACTORY);
-    ReportHost host = new ReportHost("lemondock-reports");
+    ExporterRuntime host = new ExporterRuntime("lemondock-reports");
     Reporting reporting =
-        new Reporting(settings, gateway.metrics(), host.environment(), ProcessMeters.registry());
+        new Reporting(
+            settings, gateway.metrics(), host.environment(), ProcessMeterRegistry.create());
     gateway.start();
     reporting.start(gateway.address());
     ShutdownSignal.beforeExit(
@@ -88,13 +91,12 @@
             + ":"
             + gateway.address().getPort()
             + "/mcp");
-    if (reporting.statusAddress() != null) {
-      System.out.println(
-          "status http://"
-              + reporting.statusAddress().getHostString()
-              + ":"
-              + reporting.statusAddress().getPort());
-    }
+    reporting
+        .statusAddress()
+        .ifPresent(
+            address ->
+                System.out.println(
+                    "status http://" + address.getHostString() + ":" + address.getPort()));
     ShutdownSignal.await(Long.MAX_VALUE);
     return 0;
   }
--- a/emulator/src/main/java/lemondock/emulator/CatalogueEmulator.java
+++ b/emulator/src/main/java/lemondock/emulator/CatalogueEmulator.java
@@ -9,6 +9,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
@@ -82,13 +83,14 @@
   }
 
   private static HttpServerOptions serverOptions() {
-    return new HttpServerOptions(
-        HttpLimits.DEFAULT,
-        4_096,
-        64 * 1024 * 1024,
-        700 * MICROS_PER_SECOND,
-        10 * MICROS_PER_SECOND,
-        60 * MICROS_PER_SECOND);
+    return HttpServerOptions.builder()
+        .limits(HttpLimits.DEFAULT)
+        .maxConnections(4_096)
+        .maxBufferedBodyBytes(64 * 1024 * 1024)
+        .idleTimeoutMicros(700 * MICROS_PER_SECOND)
+        .requestTimeoutMicros(10 * MICROS_PER_SECOND)
+        .stallTimeoutMicros(60 * MICROS_PER_SECOND)
+        .build();
   }
 
   /** Takes a port; any thread. */
@@ -177,7 +179,7 @@
       remove(path.substring(DEREGISTER_PATH.length()));
       respondEmpty(exchange, 200);
     } else if (path.startsWith(MAINTENANCE_PATH)) {
-      boolean on = "true".equals(exchange.request().queryParameter("enable"));
+      boolean on = exchange.request().queryParameter("enable").equals(Optional.of("true"));
       setMaintenance(path.substring(MAINTENANCE_PATH.length()), on);
       respondEmpty(exchange, 200);
     } else {
@@ -204,16 +206,16 @@
   }
 
   /** The index that a client has seen; 0 if it named none. */
-  private static long parseIndex(String text) {
+  private static long parseIndex(Optional<String> text) {
     try {
-      return text == null ? 0 : Long.parseLong(text);
+      return text.map(Long::parseLong).orElse(0L);
     } catch (NumberFormatException e) {
       return 0;
     }
   }
 
-  private static long parseWaitMicros(String text) {
-    Matcher matcher = WAIT.matcher(text == null ? "" : text);
+  private static long parseWaitMicros(Optional<String> text) {
+    Matcher matcher = WAIT.matcher(text.orElse(""));
     if (!matcher.matches()) {
       return DEFAULT_WAIT_MICROS;
     }
--- a/emulator/src/main/java/lemondock/emulator/EngineEmulator.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineEmulator.java
@@ -64,13 +64,14 @@
   }
 
   private static HttpServerOptions serverOptions() {
-    return new HttpServerOptions(
-        new HttpLimits(8 * 1024, 32 * 1024, 100, 64L * 1024 * 1024),
-        20_000,
-        512L * 1024 * 1024,
-        60 * MICROS_PER_SECOND,
-        10 * MICROS_PER_SECOND,
-        60 * MICROS_PER_SECOND);
+    return HttpServerOptions.builder()
+        .limits(new HttpLimits(8 * 1024, 32 * 1024, 100, 64L * 1024 * 1024))
+        .maxConnections(20_000)
+        .maxBufferedBodyBytes(512L * 1024 * 1024)
+        .idleTimeoutMicros(60 * MICROS_PER_SECOND)
+        .requestTimeoutMicros(10 * MICROS_PER_SECOND)
+        .stallTimeoutMicros(60 * MICROS_PER_SECOND)
+        .build();
   }
 
   /** Takes its port, from any thread; cold from this moment. */
--- a/emulator/src/main/java/lemondock/emulator/EngineRequest.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineRequest.java
@@ -13,8 +13,10 @@
 
   EngineRequest(HttpRequest http, JsonNode body) {
     this.body = body;
-    String header = http.headers().get("x-request-id");
-    String id = header == null ? body.path("request_id").asText("") : header;
+    String id =
+        http.headers()
+            .firstValue("x-request-id")
+            .orElseGet(() -> body.path("request_id").asText(""));
     this.source =
         new TrafficSource(
             id, AnswerScript.mark(body.path("messages")), TrafficSource.gatewayOf(http));
--- a/emulator/src/main/java/lemondock/emulator/TrafficSource.java
+++ b/emulator/src/main/java/lemondock/emulator/TrafficSource.java
@@ -18,7 +18,7 @@
    * comment.
    */
   static String gatewayOf(HttpRequest request) {
-    String agent = String.valueOf(request.headers().get("user-agent"));
+    String agent = request.headers().firstValue("user-agent").orElse("null");
     int open = agent.indexOf('(');
     if (open < 0 || !agent.endsWith(")")) {
       return agent;
--- a/gateway/src/main/java/lemondock/gateway/HttpComponents.java
+++ b/gateway/src/main/java/lemondock/gateway/HttpComponents.java
@@ -4,6 +4,7 @@
 import lemondock.gateway.discovery.ConsulEndpointList;
 import lemondock.gateway.discovery.EndpointListSource;
 import lemondock.gateway.discovery.FileEndpointList;
+import lemondock.gateway.settings.DiscoveryKind;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsFile;
 import lemondock.net.Loop;
@@ -43,7 +44,7 @@
   static EndpointListSource endpointListSource(
       Loop loop, Network network, GatewaySettings settings, String userAgent) {
     GatewaySettings.Discovery discovery = settings.discovery();
-    if (discovery.kind().equals("file")) {
+    if (discovery.kind() == DiscoveryKind.FILE) {
       return new FileEndpointList(loop, discovery);
     }
     InetSocketAddress address = SettingsFile.resolveAddress(discovery.address());
@@ -63,15 +64,15 @@
   static HttpServerOptions serverOptions(GatewaySettings settings, GatewayEnvironment environment) {
     GatewaySettings.Front front = settings.front();
     double clientHandles = environment.resources().maxFileHandles() * CLIENT_HANDLES_FRACTION;
-    return new HttpServerOptions(
-        limits(front.maxBodyBytes()),
-        (int) Math.min(front.maxConnections(), clientHandles),
-        front.maxBodiesBytes(),
-        GatewaySettings.micros(front.idleTimeoutMs()),
-        GatewaySettings.micros(front.requestTimeoutMs()),
-        GatewaySettings.micros(front.stallTimeoutMs()),
-        settings.overload().heavyBytes(),
-        environment.workers());
+    return HttpServerOptions.builder()
+        .limits(limits(front.maxBodyBytes()))
+        .maxConnections((int) Math.min(front.maxConnections(), clientHandles))
+        .maxBufferedBodyBytes(front.maxBodiesBytes())
+        .idleTimeoutMicros(GatewaySettings.micros(front.idleTimeoutMs()))
+        .requestTimeoutMicros(GatewaySettings.micros(front.requestTimeoutMs()))
+        .stallTimeoutMicros(GatewaySettings.micros(front.stallTimeoutMs()))
+        .heavyBodies(settings.overload().heavyBytes(), environment.workers())
+        .build();
   }
 
   private static HttpLimits limits(long maxBodyBytes) {
--- a/scenario/src/main/java/lemondock/scenario/ClientLoad.java
+++ b/scenario/src/main/java/lemondock/scenario/ClientLoad.java
@@ -230,7 +230,7 @@
   }
 
   private boolean isIdempotent(CallAttempt attempt) {
-    return requestClass(attempt).repeat().equals("safe");
+    return requestClass(attempt).isIdempotent();
   }
 
   private GatewaySettings.ClassSettings requestClass(CallAttempt attempt) {
--- a/scenario/src/main/java/lemondock/scenario/DuplicateEffectCheck.java
+++ b/scenario/src/main/java/lemondock/scenario/DuplicateEffectCheck.java
@@ -9,6 +9,8 @@
 import java.util.function.Consumer;
 import lemondock.emulator.EngineSettings;
 import lemondock.gateway.settings.GatewaySettings;
+import lemondock.policy.DeduplicationScope;
+import lemondock.policy.Idempotency;
 
 /** Rule 2: no effect happens twice. */
 final class DuplicateEffectCheck implements RuleCheck {
@@ -23,7 +25,7 @@
     for (CallRecord call : run.calls()) {
       checkOverlaps(run, call, violations);
       checkToolCalls(call, violations);
-      if (!run.requestClass(call).repeat().equals("safe")) {
+      if (!run.requestClass(call).isIdempotent()) {
         checkNonIdempotent(run, call, violations);
       }
     }
@@ -37,7 +39,7 @@
   private static void checkClientRetries(AuditedRun run, Consumer<String> violations) {
     Map<String, String> ranByCall = new HashMap<>();
     for (CallRecord call : run.calls()) {
-      if (run.requestClass(call).repeat().equals("once")
+      if (run.requestClass(call).repeat() == Idempotency.NON_IDEMPOTENT
           && run.attempts(call.mark).stream().anyMatch(EngineAttempt::mayHaveRun)) {
         String earlier = ranByCall.put(call.markOfFirstAttempt(), call.mark);
         if (earlier != null) {
@@ -99,7 +101,8 @@
       checkRepeats(run, call, attempts, violations);
     }
     boolean isDeduplicatedEverywhere =
-        requestClass.repeat().equals("keyed") && requestClass.group().equals("all");
+        requestClass.repeat() == Idempotency.IDEMPOTENCY_KEY
+            && requestClass.group() == DeduplicationScope.ALL;
     if (call.retryable && !attemptsByTurn.isEmpty() && !isDeduplicatedEverywhere) {
       violations.accept(
           call.mark + " may have run, and its client was told that trying again is harmless");
@@ -110,7 +113,7 @@
       AuditedRun run, CallRecord call, List<EngineAttempt> attempts, Consumer<String> violations) {
     EngineAttempt first = attempts.get(0);
     for (EngineAttempt repeat : attempts.subList(1, attempts.size())) {
-      if (run.requestClass(call).repeat().equals("once")) {
+      if (run.requestClass(call).repeat() == Idempotency.NON_IDEMPOTENT) {
         violations.accept(
             call.mark
                 + " may run only once and was sent to "
@@ -152,12 +155,13 @@
     }
   }
 
-  private static boolean inSameGroup(String group, EngineSettings first, EngineSettings second) {
+  private static boolean inSameGroup(
+      DeduplicationScope group, EngineSettings first, EngineSettings second) {
     boolean sameZone = first.zone().equals(second.zone());
     return switch (group) {
-      case "zone" -> sameZone;
-      case "rack" -> sameZone && first.rack().equals(second.rack());
-      default -> true;
+      case ZONE -> sameZone;
+      case CELL -> sameZone && first.rack().equals(second.rack());
+      case ALL -> true;
     };
   }
 }
--- a/scenario/src/main/java/lemondock/scenario/EmulatedGateway.java
+++ b/scenario/src/main/java/lemondock/scenario/EmulatedGateway.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.UnaryOperator;
 import lemondock.dispatch.RouterFactory;
-import lemondock.exporter.host.ReportHost;
+import lemondock.exporter.host.ExporterRuntime;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.GatewayEnvironment;
 import lemondock.gateway.ProcessResources;
@@ -54,7 +54,7 @@
   private PausableNetwork network;
   private GatewayDisk disk;
   private Gateway gateway;
-  private ReportHost reportHost;
+  private ExporterRuntime exporterRuntime;
   private Reporting reporting;
 
   /** Makes a gateway and starts it. */
@@ -92,10 +92,10 @@
 
   private void startReporting(SnapshotListener listener) throws IOException, SettingsException {
     ThreadLoop loop = process.loop();
-    reportHost = new ReportHost(settings.name() + "-reports");
+    exporterRuntime = new ExporterRuntime(settings.name() + "-reports");
     reporting =
         new Reporting(
-            settings, gateway.metrics(), reportHost.environment(), new SimpleMeterRegistry());
+            settings, gateway.metrics(), exporterRuntime.environment(), new SimpleMeterRegistry());
     reporting.addTickListener(
         (stamp, snapshot) -> listener.onSnapshot(settings.name(), loop.now(), snapshot));
     reporting.start(gateway.address());
@@ -116,7 +116,7 @@
 
   private void closeProcess() {
     process.close();
-    reportHost.close();
+    exporterRuntime.close();
     disk.close();
   }
 
--- a/scenario/src/main/java/lemondock/scenario/GatewayDisk.java
+++ b/scenario/src/main/java/lemondock/scenario/GatewayDisk.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.TimeUnit;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.idempotency.DiskFolder;
+import lemondock.idempotency.LockedDirectory;
 import lemondock.net.nio.WorkerPool;
 
 /** A gateway's disk worker and the folder of its idempotency log, if it has one. */
@@ -17,9 +17,9 @@
   private static final long STOP_SECONDS = 30;
 
   private final ExecutorService worker;
-  private final Optional<DiskFolder> folder;
+  private final Optional<LockedDirectory> folder;
 
-  private GatewayDisk(ExecutorService worker, Optional<DiskFolder> folder) {
+  private GatewayDisk(ExecutorService worker, Optional<LockedDirectory> folder) {
     this.worker = worker;
     this.folder = folder;
   }
@@ -31,7 +31,7 @@
     }
     try {
       return new GatewayDisk(
-          worker, Optional.of(new DiskFolder(Path.of(settings.durable().path()))));
+          worker, Optional.of(new LockedDirectory(Path.of(settings.durable().path()))));
     } catch (IOException e) {
       worker.shutdownNow();
       throw new UncheckedIOException(e);
@@ -42,7 +42,7 @@
     return worker;
   }
 
-  Optional<DiskFolder> folder() {
+  Optional<LockedDirectory> folder() {
     return folder;
   }
 
--- a/scenario/src/main/java/lemondock/scenario/McpClient.java
+++ b/scenario/src/main/java/lemondock/scenario/McpClient.java
@@ -78,7 +78,7 @@
           public void onHead(HttpEvent.ResponseHead head) {
             openStatus = head.status();
             if (head.status() == 200) {
-              id = Optional.ofNullable(head.headers().get(Mcp.SESSION_HEADER));
+              id = head.headers().firstValue(Mcp.SESSION_HEADER);
             }
           }
 
--- a/scenario/src/main/java/lemondock/scenario/SnapshotListener.java
+++ b/scenario/src/main/java/lemondock/scenario/SnapshotListener.java
@@ -1,6 +1,6 @@
 package lemondock.scenario;
 
-import lemondock.metrics.Snapshot;
+import lemondock.metrics.MetricsSnapshot;
 
 /** Receives every metrics snapshot that the gateways of a fleet take for their reports. */
 @FunctionalInterface
@@ -10,5 +10,5 @@
    *
    * @param atMicros when the snapshot was taken, by the machine's monotonic clock
    */
-  void onSnapshot(String gateway, long atMicros, Snapshot snapshot);
+  void onSnapshot(String gateway, long atMicros, MetricsSnapshot snapshot);
 }
