--- a/cli/src/main/java/lemondock/cli/CollectorEmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/CollectorEmulatorCommand.java
@@ -53,7 +53,7 @@
                 + " values in "
                 + binary.packets()
                 + " packets, notices "
-                + binary.notices().size());
+                + binary.notifications().size());
       }
     }
     return 0;
--- a/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
+++ b/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
@@ -93,7 +93,7 @@
       ReceivedReports received = new ReceivedReports();
       assertEquals(0, run("putval", address, "--times", "1", "--host", "till"));
       for (String line : out.split("\n")) {
-        assertTrue(UnixsockListener.take(line, received), line);
+        assertTrue(UnixsockListener.readPutval(line, received), line);
       }
       assertTrue(
           received.newest().keySet().stream()
--- a/emulator/src/main/java/lemondock/emulator/AnswerScript.java
+++ b/emulator/src/main/java/lemondock/emulator/AnswerScript.java
@@ -4,45 +4,54 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
+import java.util.OptionalInt;
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
 /**
- * What a stand-in writes: a function of the prompt alone, so that any writer gives the same answer
- * and a client can check every token. A prompt may ask for a length ({@code answer in N words of M
- * letters}) and for tools ({@code call the tool NAME}, once or more; {@code call the tools A and B
- * together}); they are called if the client offers them.
+ * What an emulated engine answers: a function of the prompt alone, so that any writer gives the
+ * same answer and a client can check every token. A prompt may ask for a length ({@code answer in N
+ * words of M letters}) and for tools ({@code call the tool NAME}, once or more; {@code call the
+ * tools A and B together}); they are called if the client offers them.
  */
-public final class AnswerScript {
-  private static final Pattern LENGTH = Pattern.compile("answer in (\\d{1,6}) words");
+final class AnswerScript {
+  private static final Pattern WORD_COUNT = Pattern.compile("answer in (\\d{1,6}) words");
   private static final Pattern LETTERS = Pattern.compile("words of (\\d{1,5}) letters");
-  private static final Pattern CALL =
+  private static final Pattern SINGLE_CALL =
       Pattern.compile("call the tool ([A-Za-z0-9_.-]*[A-Za-z0-9_-])");
-  private static final Pattern TOGETHER =
+  private static final Pattern PARALLEL_CALLS =
       Pattern.compile(
-          "call the tools ((?:[A-Za-z0-9_.-]+ and )+[A-Za-z0-9_.-]*[A-Za-z0-9_-])" + " together");
+          "call the tools ((?:[A-Za-z0-9_.-]+ and )+[A-Za-z0-9_.-]*[A-Za-z0-9_-]) together");
   private static final Pattern MARK = Pattern.compile("#([A-Za-z0-9-]{1,64})#");
-  private static final int SHORTEST = 12;
-  private static final int SPREAD = 40;
-  private static final int BEFORE_CALL = 4;
+  private static final int MIN_WORDS = 12;
+  private static final int WORD_SPREAD = 40;
+  private static final int WORDS_BEFORE_CALL = 4;
 
   private AnswerScript() {}
 
-  /** A tool call to be made. */
-  public record Call(String id, String name, String arguments) {}
+  /** A tool call to be made; {@code arguments} is JSON. */
+  record Call(String id, String name, String arguments) {}
 
-  /** One leg of an answer: pieces of text, a token each, then calls, if any. */
-  public record Leg(List<String> pieces, List<Call> calls) {}
+  /** One turn of an answer: pieces of text, a token each, then tool calls, if any. */
+  record Turn(List<String> pieces, List<Call> calls) {}
+
+  /**
+   * The last message of the user, and what has happened since.
+   *
+   * @param completedTurns turns that ended with tool calls
+   * @param toolResults results of the tools of the last of them
+   */
+  private record Progress(String question, int completedTurns, List<String> toolResults) {}
 
   /** The mark of the last user message that has one, empty if there is none. */
-  public static String mark(JsonNode messages) {
+  static String mark(JsonNode messages) {
     String mark = "";
     for (JsonNode message : messages) {
-      if (message.path("role").asText().equals("user")) {
-        Matcher found = MARK.matcher(message.path("content").asText());
-        while (found.find()) {
-          mark = found.group(1);
+      if (role(message).equals("user")) {
+        Matcher matcher = MARK.matcher(content(message));
+        while (matcher.find()) {
+          mark = matcher.group(1);
         }
       }
     }
@@ -53,98 +62,130 @@
    * Whether the last message has these words; for measurements: {@code stamp each word} makes each
    * the moment of its sending, {@code without pause} sends them as fast as they are taken.
    */
-  public static boolean says(JsonNode messages, String words) {
-    return messages.path(messages.size() - 1).path("content").asText().contains(words);
+  static boolean lastMessageContains(JsonNode messages, String words) {
+    return content(messages.path(messages.size() - 1)).contains(words);
+  }
+
+  private static String role(JsonNode message) {
+    return message.path("role").asText();
+  }
+
+  private static String content(JsonNode message) {
+    return message.path("content").asText();
   }
 
-  /** The leg that a prompt leads to. */
-  public static Leg leg(JsonNode body) {
+  /** The turn that follows the messages of a request. */
+  static Turn nextTurn(JsonNode body) {
     JsonNode messages = body.path("messages");
-    int lastUser = -1;
-    int toolTurns = 0;
-    List<String> toolTexts = new ArrayList<>();
-    for (int i = 0; i < messages.size(); i++) {
-      String role = messages.get(i).path("role").asText();
-      if (role.equals("user")) {
-        lastUser = i;
-        toolTurns = 0;
-        toolTexts.clear();
-      } else if (role.equals("assistant") && messages.get(i).path("tool_calls").size() > 0) {
-        toolTurns++;
-        toolTexts.clear();
-      } else if (role.equals("tool")) {
-        toolTexts.add(messages.get(i).path("content").asText());
-      }
-    }
-    String asked = lastUser < 0 ? "" : messages.get(lastUser).path("content").asText();
-    String partial =
-        body.path("continue_final_message").asBoolean(false)
-            ? messages.path(messages.size() - 1).path("content").asText()
-            : "";
-    List<List<String>> turns = wanted(asked, offered(body.path("tools")));
+    Progress progress = progress(messages);
+    List<List<String>> calledTools =
+        calledTools(progress.question(), offeredTools(body.path("tools")));
+    int turn = progress.completedTurns();
     List<String> pieces = new ArrayList<>();
-    List<Call> calls = new ArrayList<>();
-    if (!toolTexts.isEmpty()) {
-      pieces.add("[" + String.join("|", toolTexts) + "]");
+    List<Call> calls = List.of();
+    if (!progress.toolResults().isEmpty()) {
+      pieces.add("[" + String.join("|", progress.toolResults()) + "]");
     }
-    if (toolTurns < turns.size()) {
-      addWords(pieces, toolTurns, BEFORE_CALL, 0);
-      int number = 0;
-      for (String name : turns.get(toolTurns)) {
-        calls.add(
-            new Call(
-                "call_" + toolTurns + "_" + number,
-                name,
-                "{\"turn\":" + toolTurns + ",\"number\":" + number + "}"));
-        number++;
-      }
+    if (turn < calledTools.size()) {
+      addWords(pieces, turn, WORDS_BEFORE_CALL, 0);
+      calls = calls(turn, calledTools.get(turn));
     } else {
-      Matcher length = LENGTH.matcher(asked);
-      Matcher letters = LETTERS.matcher(asked);
-      addWords(
-          pieces,
-          toolTurns,
-          length.find()
-              ? Integer.parseInt(length.group(1))
-              : SHORTEST + Math.floorMod(asked.hashCode(), SPREAD),
-          letters.find() ? Integer.parseInt(letters.group(1)) : 0);
+      String question = progress.question();
+      int defaultCount = MIN_WORDS + Math.floorMod(question.hashCode(), WORD_SPREAD);
+      int count = find(WORD_COUNT, question).orElse(defaultCount);
+      addWords(pieces, turn, count, find(LETTERS, question).orElse(0));
     }
-    return new Leg(behind(pieces, partial), calls);
+    return new Turn(withoutBeginning(pieces, deliveredText(body)), calls);
   }
 
+  private static Progress progress(JsonNode messages) {
+    String question = "";
+    int completedTurns = 0;
+    List<String> toolResults = new ArrayList<>();
+    for (JsonNode message : messages) {
+      switch (role(message)) {
+        case "user" -> {
+          question = content(message);
+          completedTurns = 0;
+          toolResults.clear();
+        }
+        case "assistant" -> {
+          if (!message.path("tool_calls").isEmpty()) {
+            completedTurns++;
+            toolResults.clear();
+          }
+        }
+        case "tool" -> toolResults.add(content(message));
+        default -> {
+          // a system prompt changes nothing
+        }
+      }
+    }
+    return new Progress(question, completedTurns, toolResults);
+  }
+
+  private static OptionalInt find(Pattern pattern, String text) {
+    Matcher matcher = pattern.matcher(text);
+    return matcher.find()
+        ? OptionalInt.of(Integer.parseInt(matcher.group(1)))
+        : OptionalInt.empty();
+  }
+
+  private static List<Call> calls(int turn, List<String> tools) {
+    List<Call> calls = new ArrayList<>();
+    for (int number = 0; number < tools.size(); number++) {
+      calls.add(
+          new Call(
+              "call_" + turn + "_" + number,
+              tools.get(number),
+              "{\"turn\":" + turn + ",\"number\":" + number + "}"));
+    }
+    return calls;
+  }
+
+  /** Words of a letter for the turn and a number, filled up to so many characters. */
   private static void addWords(List<String> pieces, int turn, int count, int letters) {
     for (int i = 0; i < count; i++) {
       String word = " " + (char) ('a' + turn % 26) + i;
-      pieces.add(word.length() < letters ? word + "x".repeat(letters - word.length()) : word);
+      pieces.add(word + "x".repeat(Math.max(0, letters - word.length())));
     }
   }
 
-  /** What is left when a part was delivered before. */
-  private static List<String> behind(List<String> pieces, String partial) {
-    int at = 0;
+  /** What of the turn was delivered before, by an engine whose stream broke. */
+  private static String deliveredText(JsonNode body) {
+    if (!body.path("continue_final_message").asBoolean(false)) {
+      return "";
+    }
+    JsonNode messages = body.path("messages");
+    return content(messages.path(messages.size() - 1));
+  }
+
+  private static List<String> withoutBeginning(List<String> pieces, String delivered) {
+    int first = 0;
     int length = 0;
-    while (at < pieces.size() && length < partial.length()) {
-      length += pieces.get(at++).length();
+    while (first < pieces.size() && length < delivered.length()) {
+      length += pieces.get(first++).length();
     }
-    return pieces.subList(at, pieces.size());
+    return pieces.subList(first, pieces.size());
   }
 
-  private static Set<String> offered(JsonNode tools) {
+  private static Set<String> offeredTools(JsonNode tools) {
     Set<String> names = new HashSet<>();
-    tools.forEach(t -> names.add(t.path("function").path("name").asText()));
+    tools.forEach(tool -> names.add(tool.path("function").path("name").asText()));
     return names;
   }
 
-  private static List<List<String>> wanted(String asked, Set<String> offered) {
+  /** The tools to be called by turn. */
+  private static List<List<String>> calledTools(String question, Set<String> offered) {
     List<List<String>> turns = new ArrayList<>();
-    Matcher together = TOGETHER.matcher(asked);
-    while (together.find()) {
-      List<String> names = List.of(together.group(1).split(" and "));
+    Matcher parallel = PARALLEL_CALLS.matcher(question);
+    while (parallel.find()) {
+      List<String> names = List.of(parallel.group(1).split(" and "));
       if (offered.containsAll(names)) {
         turns.add(names);
       }
     }
-    Matcher single = CALL.matcher(asked);
+    Matcher single = SINGLE_CALL.matcher(question);
     while (single.find()) {
       if (offered.contains(single.group(1))) {
         turns.add(List.of(single.group(1)));
--- a/emulator/src/main/java/lemondock/emulator/AnswerStream.java
+++ b/emulator/src/main/java/lemondock/emulator/AnswerStream.java
@@ -13,7 +13,7 @@
   private final EngineJob job;
   private final EngineRequest request;
   private final HttpExchange exchange;
-  private final AnswerScript.Leg script;
+  private final AnswerScript.Turn script;
   private final boolean stampsTokens;
   private final double tokenMs;
   private int tokensSent;
@@ -24,9 +24,9 @@
     this.job = job;
     this.request = job.request();
     this.exchange = job.exchange();
-    this.script = AnswerScript.leg(request.body());
-    this.stampsTokens = AnswerScript.says(request.messages(), "stamp each word");
-    boolean unpaced = AnswerScript.says(request.messages(), "without pause");
+    this.script = AnswerScript.nextTurn(request.body());
+    this.stampsTokens = AnswerScript.lastMessageContains(request.messages(), "stamp each word");
+    boolean unpaced = AnswerScript.lastMessageContains(request.messages(), "without pause");
     this.tokenMs = unpaced ? 0 : engine.settings().tokenMs();
   }
 
@@ -52,14 +52,16 @@
       return;
     }
     EngineFaults faults = engine.faults();
-    if (faults.breakAfter >= 0 && tokensSent >= faults.breakAfter && faults.hit()) {
+    if (faults.breakAfterTokens >= 0 && tokensSent >= faults.breakAfterTokens && faults.takeHit()) {
       job.record(TrafficEvent.Kind.CONNECTION_LOST, tokensSent, "on purpose");
       job.end();
       exchange.abort();
-    } else if (faults.stallAfter >= 0 && tokensSent >= faults.stallAfter && faults.hit()) {
+    } else if (faults.stallAfterTokens >= 0
+        && tokensSent >= faults.stallAfterTokens
+        && faults.takeHit()) {
       paused = false; // nothing more is ever sent
-    } else if (faults.badEvent != null && tokensSent == 1 && faults.hit()) {
-      exchange.send(EngineMessages.event(faults.badEvent));
+    } else if (faults.malformedEvent != null && tokensSent == 1 && faults.takeHit()) {
+      exchange.send(EngineMessages.event(faults.malformedEvent));
       tokensSent++;
       job.after(tokenMs, this::sendNext);
     } else if (tokensSent < Math.min(script.pieces().size(), request.maxTokens())) {
--- a/emulator/src/main/java/lemondock/emulator/EngineClock.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineClock.java
@@ -43,6 +43,6 @@
             ? 1
             : Math.min(
                 1, (loop.now() - startedAtMicros) / (settings.warmUpMs() * MICROS_PER_MILLI));
-    return faults.slow / (settings.coldShare() + (1 - settings.coldShare()) * warmedShare);
+    return faults.slowdown / (settings.coldShare() + (1 - settings.coldShare()) * warmedShare);
   }
 }
--- a/emulator/src/main/java/lemondock/emulator/EngineEmulator.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineEmulator.java
@@ -185,7 +185,7 @@
         Integer.toString(request.messages().size()));
     exchange.onDisconnect(job::onDisconnect);
     boolean isWriter = settings.role().equals("writer");
-    if (faults.raw != null && faults.hit()) {
+    if (faults.rawResponse != null && faults.takeHit()) {
       sendRaw(job);
     } else if (faults.silent) {
       context.scheduler().track(job); // nothing more happens to it
@@ -193,7 +193,7 @@
       EngineMessages.respondWithError(exchange, 400, "bad_request", "this server reads no prompts");
     } else if (isWriter && !request.hasRemoteState()) {
       job.reject("kv_state_missing", "this server reads no prompts");
-    } else if (faults.full || !context.scheduler().canAccept(request.promptTokens())) {
+    } else if (faults.rejectsAll || !context.scheduler().canAccept(request.promptTokens())) {
       job.reject("overloaded", "no room");
     } else {
       context.scheduler().submit(job);
@@ -204,7 +204,7 @@
     HttpExchange exchange = job.exchange();
     job.record(TrafficEvent.Kind.CONNECTION_LOST, 0, "raw");
     exchange.begin(200, Headers.of("content-type", "text/event-stream"));
-    exchange.send(faults.raw);
+    exchange.send(faults.rawResponse);
     context.loop().schedule(RAW_RESPONSE_TIMEOUT_MICROS, exchange::abort);
   }
 
--- a/emulator/src/main/java/lemondock/emulator/EngineJob.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineJob.java
@@ -115,16 +115,16 @@
   }
 
   private void finishPrefill() {
-    if (draw(engine.faults().errors)) {
+    if (draw(engine.faults().errorShare)) {
       failAnswered("read");
       return;
     }
-    final boolean answerIsLost = draw(engine.faults().lostAnswers);
+    final boolean answerIsLost = draw(engine.faults().lostAnswerShare);
     if (engine.states().takeAborted(request.id())) {
       end();
       return;
     }
-    if (engine.faults().dropStates) {
+    if (engine.faults().losesStates) {
       engine.states().reserveAndLose(request);
     } else {
       engine.states().reserve(request);
@@ -171,11 +171,11 @@
   private void startDecode() {
     decodeStarted = true;
     record(TrafficEvent.Kind.DECODE_STARTED, request.messages().size(), "");
-    if (draw(engine.faults().errors)) {
+    if (draw(engine.faults().errorShare)) {
       failAnswered("write");
       return;
     }
-    if (draw(engine.faults().lostAnswers)) {
+    if (draw(engine.faults().lostAnswerShare)) {
       // The work is done, and nobody is told.
       engine.loop().schedule(MICROS_PER_SECOND, () -> engine.scheduler().release(this));
       return;
--- a/emulator/src/main/java/lemondock/emulator/EngineSettings.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineSettings.java
@@ -1,18 +1,21 @@
 package lemondock.emulator;
 
 /**
- * What a stand-in engine is; times in milliseconds, lengths in tokens.
+ * Settings of an emulated engine, under the names that they have in the emulator's configuration.
  *
+ * @param listen {@code HOST:PORT}; port 0 takes a free one
  * @param role {@code reader}, {@code writer} or {@code mixed}
- * @param slots requests at work at once
+ * @param kind the kind of server under which the catalogue lists it
+ * @param slots requests that run at once
  * @param queue requests that may wait for a slot
- * @param memoryTokens tokens of all that is at work or kept for a writer
- * @param readPerSecond tokens read a second, in each slot
- * @param readMs added to each read
- * @param firstMs from a writer's slot to the first token
- * @param tokenMs between two tokens
- * @param coldShare part of its speed with which it starts
- * @param warmUpMs until it has all of its speed
+ * @param memoryTokens tokens of all requests that run or wait and of all reserved states
+ * @param readPerSecond prompt tokens that are read a second, in each slot
+ * @param readMs time added to each prefill
+ * @param firstMs time from the end of the prefill to the first token
+ * @param tokenMs time between two tokens
+ * @param coldShare share of its speed with which it starts
+ * @param warmUpMs time until it has all of its speed
+ * @param catalogue {@code HOST:PORT} where it registers itself; null for nowhere
  */
 public record EngineSettings(
     String name,
@@ -32,7 +35,7 @@
     double warmUpMs,
     String catalogue) {
 
-  /** A quick engine for tests, of the kind named as its role, on a free port. */
+  /** A fast engine for tests, of the kind named as its role, on a free port. */
   public static EngineSettings quick(String name, String role, String zone, String rack) {
     return new EngineSettings(
         name,
@@ -53,8 +56,8 @@
         null);
   }
 
-  /** The same with other paces. */
-  public EngineSettings withLatencies(double reads, double first, double token) {
+  /** The same with other latencies, in milliseconds. */
+  public EngineSettings withLatencies(double newReadMs, double newFirstMs, double newTokenMs) {
     return new EngineSettings(
         name,
         listen,
@@ -66,16 +69,16 @@
         queue,
         memoryTokens,
         readPerSecond,
-        reads,
-        first,
-        token,
+        newReadMs,
+        newFirstMs,
+        newTokenMs,
         coldShare,
         warmUpMs,
         catalogue);
   }
 
-  /** The same with other bounds. */
-  public EngineSettings withLimits(int most, int waiting, long memory) {
+  /** The same with other limits. */
+  public EngineSettings withLimits(int newSlots, int newQueue, long newMemoryTokens) {
     return new EngineSettings(
         name,
         listen,
@@ -83,9 +86,9 @@
         kind,
         zone,
         rack,
-        most,
-        waiting,
-        memory,
+        newSlots,
+        newQueue,
+        newMemoryTokens,
         readPerSecond,
         readMs,
         firstMs,
@@ -96,7 +99,7 @@
   }
 
   /** The same with a warm-up. */
-  public EngineSettings withWarmUp(double share, double time) {
+  public EngineSettings withWarmUp(double newColdShare, double newWarmUpMs) {
     return new EngineSettings(
         name,
         listen,
@@ -111,16 +114,16 @@
         readMs,
         firstMs,
         tokenMs,
-        share,
-        time,
+        newColdShare,
+        newWarmUpMs,
         catalogue);
   }
 
-  /** The same on a port. */
-  public EngineSettings withListen(String address) {
+  /** The same at another address. */
+  public EngineSettings withListen(String newListen) {
     return new EngineSettings(
         name,
-        address,
+        newListen,
         role,
         kind,
         zone,
--- a/emulator/src/main/java/lemondock/emulator/PlatformEmulator.java
+++ b/emulator/src/main/java/lemondock/emulator/PlatformEmulator.java
@@ -7,6 +7,7 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.HashSet;
+import java.util.Optional;
 import java.util.Set;
 import lemondock.net.Loop;
 import lemondock.net.Network;
@@ -19,21 +20,24 @@
 import lemondock.net.http.HttpService;
 
 /**
- * A stand-in for the platform that {@code lemondock node} serves on: readers, writers and
- * discovery, each on a port of its own. Reads and tokens take fixed times; nothing queues. A body
- * that holds {@code please refuse} is turned away by every writer.
+ * Emulates the platform that {@code lemondock platform-gateway} serves on: readers, writers and
+ * discovery, each on a port of its own. Prefills and tokens take fixed times; nothing queues. A
+ * body that holds {@code please refuse} is rejected by every writer.
+ *
+ * <p>Loop thread only, except for {@link #start} and {@link #config} by the thread that made it.
  */
 public final class PlatformEmulator {
-  private static final long SECOND = 1_000_000;
-  private static final long READ = 30_000;
-  private static final long TOKEN = 50_000;
-  private static final int TOKENS = 12;
-  private static final String REFUSE = "please refuse";
-  private static final byte[] NOTHING = new byte[0];
+  private static final long MICROS_PER_SECOND = 1_000_000;
+  private static final long PREFILL_MICROS = 30_000;
+  private static final long TOKEN_INTERVAL_MICROS = 50_000;
+  private static final int ANSWER_TOKENS = 12;
+  private static final String REJECT_REQUEST = "please refuse";
+  private static final String STATE_PATH = "/state/";
+  private static final byte[] EMPTY = new byte[0];
 
   private final Loop loop;
   private final Network network;
-  private final Set<String> states = new HashSet<>();
+  private final Set<String> reservedStates = new HashSet<>();
   private final ArrayNode servers = JsonNodeFactory.instance.arrayNode();
   private InetSocketAddress discovery;
 
@@ -46,23 +50,23 @@
   /** Takes ports for so many servers and for discovery. */
   public void start(int readers, int writers) throws IOException {
     for (int i = 0; i < readers + writers; i++) {
-      boolean reads = i < readers;
-      InetSocketAddress at = serve(exchange -> answer(exchange, reads));
+      boolean isReader = i < readers;
+      InetSocketAddress address = listen(exchange -> serveRequest(exchange, isReader));
       servers
           .addObject()
-          .put("id", (reads ? "reader-" : "writer-") + i)
-          .put("addr", text(at))
+          .put("id", (isReader ? "reader-" : "writer-") + i)
+          .put("addr", text(address))
           .put("zone", "a")
-          .put("kind", reads ? "reader" : "writer")
+          .put("kind", isReader ? "reader" : "writer")
           .put("cell", 0)
           .put("state", "ready")
           .put("weight", 1.0)
           .put("started_ms", 0);
     }
-    discovery = serve(this::list);
+    discovery = listen(this::serveEndpointList);
   }
 
-  private InetSocketAddress serve(HttpService service) throws IOException {
+  private InetSocketAddress listen(HttpService service) throws IOException {
     HttpServer server =
         new HttpServer(
             loop,
@@ -70,22 +74,22 @@
                 .limits(HttpLimits.DEFAULT)
                 .maxConnections(1_024)
                 .maxBufferedBodyBytes(64L << 20)
-                .idleTimeoutMicros(15 * SECOND)
-                .requestTimeoutMicros(10 * SECOND)
-                .stallTimeoutMicros(30 * SECOND)
+                .idleTimeoutMicros(15 * MICROS_PER_SECOND)
+                .requestTimeoutMicros(10 * MICROS_PER_SECOND)
+                .stallTimeoutMicros(30 * MICROS_PER_SECOND)
                 .build(),
             service);
     server.start(network, new InetSocketAddress("127.0.0.1", 0));
     return server.address();
   }
 
-  private static String text(InetSocketAddress at) {
-    return at.getHostString() + ":" + at.getPort();
+  private static String text(InetSocketAddress address) {
+    return address.getHostString() + ":" + address.getPort();
   }
 
   /**
-   * The configuration of a gateway here, with the settings that the service's users gave as an
-   * example.
+   * The configuration of a gateway on this platform, with the settings that the service's users
+   * gave as an example.
    */
   public ObjectNode config(String listen) {
     ObjectNode config =
@@ -97,7 +101,12 @@
             .put("seed", "1");
     config.putObject("limits").put("cores", 1.0).put("memory_mb", 160).put("sockets", 512);
     config.putObject("known").put("version", 0).put("full", true).set("servers", servers);
-    ObjectNode settings = config.putObject("settings").put("siblings", 1).put("resolution-ms", 2);
+    putSettings(config.putObject("settings"));
+    return config;
+  }
+
+  private static void putSettings(ObjectNode settings) {
+    settings.put("siblings", 1).put("resolution-ms", 2);
     settings.putArray("skus").add("reader").add("writer");
     settings
         .putArray("classes")
@@ -127,10 +136,9 @@
     specifics.putArray("duty-by-kind").add("read").add("write");
     specifics.putArray("memory-tokens").add(100_000).add(100_000);
     specifics.putArray("token-aim-ms").add(70);
-    return config;
   }
 
-  private void list(HttpExchange exchange) {
+  private void serveEndpointList(HttpExchange exchange) {
     String since = exchange.request().queryParameter("since").orElse(null);
     String wait = exchange.request().queryParameter("timeout_ms").orElse(null);
     ObjectNode answer =
@@ -142,44 +150,51 @@
         () -> exchange.respond(200, Headers.of("content-type", "application/json"), body));
   }
 
-  private void answer(HttpExchange exchange, boolean reads) {
+  private void serveRequest(HttpExchange exchange, boolean isReader) {
     HttpRequest request = exchange.request();
-    if (request.path().startsWith("/state/")) {
-      states.remove(request.path().substring("/state/".length()));
-      exchange.respond(204, new Headers(), NOTHING);
+    if (request.path().startsWith(STATE_PATH)) {
+      reservedStates.remove(request.path().substring(STATE_PATH.length()));
+      exchange.respond(204, new Headers(), EMPTY);
       return;
     }
-    String id = request.headers().firstValue("x-request-id").orElse(null);
-    Headers never = Headers.of("x-not-run", "1");
-    if (id == null) {
-      exchange.respond(404, new Headers(), NOTHING);
-    } else if (reads) {
-      loop.schedule(
-          READ,
-          () -> {
-            states.add(id);
-            exchange.respond(
-                202,
-                Headers.of("content-type", "application/json"),
-                "{\"cached_tokens\":0}".getBytes(StandardCharsets.UTF_8));
-          });
-    } else if (new String(request.body(), StandardCharsets.UTF_8).contains(REFUSE)) {
-      exchange.respond(503, never, NOTHING);
-    } else if (!states.remove(id)) {
-      exchange.respond(410, never, NOTHING);
+    Optional<String> id = request.headers().firstValue("x-request-id");
+    if (id.isEmpty()) {
+      exchange.respond(404, new Headers(), EMPTY);
+    } else if (isReader) {
+      loop.schedule(PREFILL_MICROS, () -> respondToPrefill(exchange, id.get()));
+    } else {
+      serveDecode(exchange, id.get());
+    }
+  }
+
+  private void respondToPrefill(HttpExchange exchange, String id) {
+    reservedStates.add(id);
+    exchange.respond(
+        202,
+        Headers.of("content-type", "application/json"),
+        "{\"cached_tokens\":0}".getBytes(StandardCharsets.UTF_8));
+  }
+
+  private void serveDecode(HttpExchange exchange, String id) {
+    Headers notRun = Headers.of("x-not-run", "1");
+    String body = new String(exchange.request().body(), StandardCharsets.UTF_8);
+    if (body.contains(REJECT_REQUEST)) {
+      exchange.respond(503, notRun, EMPTY);
+    } else if (!reservedStates.remove(id)) {
+      exchange.respond(410, notRun, EMPTY);
     } else {
-      token(exchange, 0);
+      sendTokenAfterInterval(exchange, 0);
     }
   }
 
-  private void token(HttpExchange exchange, int number) {
+  private void sendTokenAfterInterval(HttpExchange exchange, int number) {
     loop.schedule(
-        TOKEN,
+        TOKEN_INTERVAL_MICROS,
         () -> {
           if (number == 0) {
             exchange.begin(200, Headers.of("content-type", "text/event-stream"));
           }
-          boolean last = number == TOKENS - 1;
+          boolean last = number == ANSWER_TOKENS - 1;
           exchange.send(
               ("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"word"
                       + number
@@ -190,13 +205,13 @@
           if (last) {
             exchange.send(
                 ("data: {\"choices\":[],\"usage\":{\"completion_tokens\":"
-                        + TOKENS
+                        + ANSWER_TOKENS
                         + ",\"prompt_tokens_details\":{\"cached_tokens\":0}}}\n\n"
                         + "data: [DONE]\n\n")
                     .getBytes(StandardCharsets.UTF_8));
             exchange.finish();
           } else if (exchange.isOpen()) {
-            token(exchange, number + 1);
+            sendTokenAfterInterval(exchange, number + 1);
           }
         });
   }
--- /dev/null
+++ b/emulator/src/main/java/lemondock/emulator/collect/DaemonThreads.java
@@ -0,0 +1,12 @@
+package lemondock.emulator.collect;
+
+/** Threads that do not keep the process alive. */
+final class DaemonThreads {
+  private DaemonThreads() {}
+
+  static void start(String name, Runnable task) {
+    Thread thread = new Thread(task, name);
+    thread.setDaemon(true);
+    thread.start();
+  }
+}
--- a/emulator/src/main/java/lemondock/emulator/collect/GraphiteListener.java
+++ b/emulator/src/main/java/lemondock/emulator/collect/GraphiteListener.java
@@ -1,7 +1,6 @@
 package lemondock.emulator.collect;
 
 import java.io.BufferedReader;
-import java.io.ByteArrayInputStream;
 import java.io.DataInputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -12,50 +11,53 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A stand-in for carbon: Graphite's plaintext or pickle protocol over plain blocking sockets, with
- * faults.
+ * Emulates carbon: Graphite's plaintext or pickle protocol over blocking sockets, with faults. Its
+ * public methods may be called by any thread.
  */
 public final class GraphiteListener implements AutoCloseable {
-  private static final int MOST_FRAME = 1 << 20;
+  private static final int MAX_FRAME_BYTES = 1 << 20;
+  private static final int BYTES_BEFORE_RESET = 500;
+  private static final long NOISE_SEED = 7;
+  private static final int NOISE_BYTES = 4_096;
 
   private final ServerSocket server;
   private final boolean pickle;
   private final ReceivedReports received = new ReceivedReports();
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-  private volatile Fault fault;
+  private final Fault fault;
   private volatile int connections;
 
-  /**
-   * How it misbehaves: it reads nothing, a byte a second, resets after some bytes, or answers with
-   * garbage.
-   */
+  /** How it misbehaves. */
   public enum Fault {
+    /** It does not. */
     NONE,
+    /** It accepts connections and reads nothing. */
     NEVER_READS,
+    /** It reads a byte a second. */
     BYTE_A_SECOND,
+    /** It resets connections after some bytes. */
     RESETS,
+    /** It reads, and sends noise all the time. */
     GARBAGE
   }
 
-  /** Listens on a port of the loopback interface; 0 takes a free one. */
+  /**
+   * Listens on a port of the loopback interface; 0 takes a free one.
+   *
+   * @param pickle whether it takes the pickle protocol, otherwise plaintext
+   */
   public GraphiteListener(int port, boolean pickle, Fault fault) throws IOException {
     this.pickle = pickle;
     this.fault = fault;
     this.server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
-    start("carbon-accept", this::accept);
-  }
-
-  static void start(String name, Runnable task) {
-    Thread thread = new Thread(task, name);
-    thread.setDaemon(true);
-    thread.start();
+    DaemonThreads.start("carbon-accept", this::accept);
   }
 
   /** The port taken. */
@@ -73,18 +75,13 @@
     return connections;
   }
 
-  /** Misbehaves from now on, on connections to come. */
-  public void fault(Fault now) {
-    fault = now;
-  }
-
   private void accept() {
     while (!server.isClosed()) {
       try {
         Socket socket = server.accept();
         connections++;
         open.add(socket);
-        start("carbon-read", () -> serve(socket));
+        DaemonThreads.start("carbon-read", () -> serve(socket));
       } catch (IOException e) {
         return; // closed
       }
@@ -101,23 +98,11 @@
           }
         }
         case RESETS -> {
-          socket.getInputStream().readNBytes(500);
+          socket.getInputStream().readNBytes(BYTES_BEFORE_RESET);
           socket.setSoLinger(true, 0);
         }
         case GARBAGE -> {
-          byte[] noise = new byte[4_096];
-          new java.util.Random(7).nextBytes(noise);
-          start(
-              "carbon-noise",
-              () -> {
-                try {
-                  while (true) {
-                    socket.getOutputStream().write(noise);
-                  }
-                } catch (IOException e) {
-                  // the gateway has gone
-                }
-              });
+          DaemonThreads.start("carbon-noise", () -> sendNoise(socket));
           read(socket.getInputStream());
         }
         default -> read(socket.getInputStream());
@@ -131,91 +116,66 @@
     }
   }
 
+  private static void sendNoise(Socket socket) {
+    byte[] noise = new byte[NOISE_BYTES];
+    new Random(NOISE_SEED).nextBytes(noise);
+    try {
+      while (true) {
+        socket.getOutputStream().write(noise);
+      }
+    } catch (IOException e) {
+      // the gateway has gone
+    }
+  }
+
   private void read(InputStream in) throws IOException {
     if (pickle) {
-      frames(new DataInputStream(in));
-      return;
+      readFrames(new DataInputStream(in));
+    } else {
+      readLines(new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8)));
     }
-    BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8));
+  }
+
+  private void readLines(BufferedReader lines) throws IOException {
     for (String line = lines.readLine(); line != null; line = lines.readLine()) {
       String[] parts = line.split(" ");
       try {
-        received.take(parts[0], Long.parseLong(parts[2]) * 1000, List.of(new BigDecimal(parts[1])));
+        BigDecimal value = new BigDecimal(parts[1]);
+        received.add(parts[0], Long.parseLong(parts[2]) * 1000, List.of(value));
       } catch (NumberFormatException | ArrayIndexOutOfBoundsException e) {
-        received.bad();
+        received.addUnreadable();
       }
     }
   }
 
-  private void frames(DataInputStream in) throws IOException {
+  private void readFrames(DataInputStream in) throws IOException {
     while (true) {
       int length = in.readInt(); // the end of the stream ends the thread
-      if (length < 0 || length > MOST_FRAME) {
-        received.bad();
+      if (length < 0 || length > MAX_FRAME_BYTES) {
+        received.addUnreadable();
         return;
       }
       byte[] frame = in.readNBytes(length);
       try {
-        for (Object point : (List<?>) unpickle(frame)) {
-          List<?> pair = (List<?>) point;
-          List<?> value = (List<?>) pair.get(1);
-          Object number = value.get(1);
-          received.take(
-              (String) pair.get(0),
-              ((BigInteger) value.get(0)).longValueExact() * 1000,
-              List.of(
-                  number instanceof BigInteger whole
-                      ? new BigDecimal(whole)
-                      : BigDecimal.valueOf((Double) number)));
+        for (Object point : (List<?>) PickleReader.read(frame)) {
+          addPoint((List<?>) point);
         }
       } catch (RuntimeException | IOException e) {
-        received.bad();
+        received.addUnreadable();
       }
     }
   }
 
-  /** As much of Python's pickle machine as senders of metrics use; anything else is refused. */
-  static Object unpickle(byte[] bytes) throws IOException {
-    DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
-    List<Object> stack = new ArrayList<>();
-    Object mark = new Object();
-    while (true) {
-      int code = in.readUnsignedByte();
-      switch (code) {
-        case 0x80 -> in.readUnsignedByte();
-        case ']' -> stack.add(new ArrayList<>());
-        case '(' -> stack.add(mark);
-        case 'X' ->
-            stack.add(
-                new String(
-                    in.readNBytes(Integer.reverseBytes(in.readInt())), StandardCharsets.UTF_8));
-        case 'G' -> stack.add(in.readDouble());
-        case 0x8a -> {
-          byte[] little = in.readNBytes(in.readUnsignedByte());
-          byte[] big = new byte[little.length];
-          for (int i = 0; i < little.length; i++) {
-            big[i] = little[little.length - 1 - i];
-          }
-          stack.add(new BigInteger(big));
-        }
-        case 0x86 -> {
-          Object second = stack.remove(stack.size() - 1);
-          stack.add(List.of(stack.remove(stack.size() - 1), second));
-        }
-        case 'e' -> {
-          int at = stack.lastIndexOf(mark);
-          List<Object> items = new ArrayList<>(stack.subList(at + 1, stack.size()));
-          stack.subList(at, stack.size()).clear();
-          @SuppressWarnings("unchecked")
-          List<Object> list = (List<Object>) stack.get(stack.size() - 1);
-          list.addAll(items);
-        }
-        case '.' -> {
-          return stack.get(0);
-        }
-        default -> throw new IOException("opcode " + code + " is not known");
-      }
-    }
+  /** Takes {@code (path, (seconds, value))}. */
+  private void addPoint(List<?> point) {
+    List<?> stampAndValue = (List<?>) point.get(1);
+    long seconds = ((BigInteger) stampAndValue.get(0)).longValueExact();
+    Object number = stampAndValue.get(1);
+    BigDecimal value =
+        number instanceof BigInteger whole
+            ? new BigDecimal(whole)
+            : BigDecimal.valueOf((Double) number);
+    received.add((String) point.get(0), seconds * 1000, List.of(value));
   }
 
   /** The newest value of each path. */
--- a/emulator/src/main/java/lemondock/emulator/collect/ReceivedReports.java
+++ b/emulator/src/main/java/lemondock/emulator/collect/ReceivedReports.java
@@ -1,64 +1,60 @@
 package lemondock.emulator.collect;
 
 import java.math.BigDecimal;
+import java.util.Collections;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
-/**
- * What a stand-in for a collector was told: for each name the newest values by their stamps. Any
- * thread.
- */
+/** What an emulated collector received: for each name the newest values. Any thread. */
 public final class ReceivedReports {
-  private final Map<String, Entry> entries = new TreeMap<>();
+  // Under the lock of this object.
+  private final Map<String, Entry> newest = new TreeMap<>();
   private long values;
-  private long bad;
-  private long older;
+  private long unreadable;
+  private long late;
 
   /**
-   * The newest values under a name; a value that is not a number is null. Stamp in milliseconds.
+   * The newest values under a name.
+   *
+   * @param stampMs their time as sent, in milliseconds of the epoch
+   * @param values null for a value that is not a number
    */
-  public record Entry(long stamp, List<BigDecimal> values, int points) {}
+  public record Entry(long stampMs, List<BigDecimal> values) {}
 
   /** Takes values; of two with one stamp the later arrival counts. */
-  public synchronized void take(String name, long stamp, List<BigDecimal> some) {
-    Entry before = entries.get(name);
-    values += some.size();
-    if (before != null && stamp < before.stamp()) {
-      older++;
-      entries.put(name, new Entry(before.stamp(), before.values(), before.points() + 1));
+  public synchronized void add(String name, long stampMs, List<BigDecimal> newValues) {
+    values += newValues.size();
+    Entry known = newest.get(name);
+    if (known != null && stampMs < known.stampMs()) {
+      late++;
     } else {
-      entries.put(
-          name,
-          new Entry(
-              stamp,
-              java.util.Collections.unmodifiableList(some),
-              before == null ? 1 : before.points() + 1));
+      newest.put(name, new Entry(stampMs, Collections.unmodifiableList(newValues)));
     }
   }
 
-  /** Something could not be read. */
-  public synchronized void bad() {
-    bad++;
+  /** Counts something that could not be read. */
+  public synchronized void addUnreadable() {
+    unreadable++;
   }
 
   /** The newest values by name. */
   public synchronized Map<String, Entry> newest() {
-    return new TreeMap<>(entries);
+    return new TreeMap<>(newest);
   }
 
-  /** Values received. */
+  /** The number of values received. */
   public synchronized long values() {
     return values;
   }
 
-  /** Lines, frames or packets that could not be read, or whose seal was wrong. */
+  /** Lines, frames or packets that could not be read, or whose signature was wrong. */
   public synchronized long unreadable() {
-    return bad;
+    return unreadable;
   }
 
-  /** Values that came after newer ones. */
+  /** Reports that came after newer ones. */
   public synchronized long late() {
-    return older;
+    return late;
   }
 }
--- a/emulator/src/main/java/lemondock/emulator/collect/UnixsockListener.java
+++ b/emulator/src/main/java/lemondock/emulator/collect/UnixsockListener.java
@@ -18,8 +18,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A stand-in for collectd's unixsock plugin: takes {@code PUTVAL} lines and answers each as the
- * plugin does.
+ * Emulates collectd's unixsock plugin: takes {@code PUTVAL} lines and answers each as the plugin
+ * does.
  */
 public final class UnixsockListener implements AutoCloseable {
   private static final Pattern PUTVAL =
@@ -36,7 +36,7 @@
     this.path = path;
     this.server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
     server.bind(UnixDomainSocketAddress.of(path));
-    GraphiteListener.start("unixsock", this::accept);
+    DaemonThreads.start("unixsock", this::accept);
   }
 
   /** What was received, by identifier. */
@@ -48,7 +48,7 @@
     while (true) {
       try {
         SocketChannel channel = server.accept();
-        GraphiteListener.start("unixsock-read", () -> serve(channel));
+        DaemonThreads.start("unixsock-read", () -> serve(channel));
       } catch (IOException e) {
         return; // closed
       }
@@ -62,7 +62,7 @@
       for (String line = lines.readLine(); line != null; line = lines.readLine()) {
         channel.write(
             ByteBuffer.wrap(
-                (take(line, received)
+                (readPutval(line, received)
                         ? "0 Success: 1 value has been dispatched.\n"
                         : "-1 Parsing failed.\n")
                     .getBytes(StandardCharsets.US_ASCII)));
@@ -73,17 +73,17 @@
   }
 
   /** Reads one line as the exec and unixsock plugins do; false if it is none. */
-  public static boolean take(String line, ReceivedReports to) {
+  public static boolean readPutval(String line, ReceivedReports received) {
     Matcher m = PUTVAL.matcher(line);
     if (!m.matches()) {
-      to.bad();
+      received.addUnreadable();
       return false;
     }
     List<BigDecimal> values = new ArrayList<>();
     for (String value : m.group(5).substring(1).split(":")) {
       values.add(value.equals("U") ? null : new BigDecimal(value));
     }
-    to.take(
+    received.add(
         m.group(1),
         Long.parseLong(m.group(3)) * 1000 + (m.group(4) == null ? 0 : Long.parseLong(m.group(4))),
         values);
--- a/scenario/src/main/java/lemondock/scenario/FaultInjector.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultInjector.java
@@ -109,26 +109,28 @@
     double size = fault.size();
     switch (fault.kind()) {
       case FAST_ERRORS ->
-          setDuring(fault, pickEngines(fault), f -> f.errors = size, f -> f.errors = 0);
-      case SLOW -> setDuring(fault, pickEngines(fault), f -> f.slow = size, f -> f.slow = 1);
+          setDuring(fault, pickEngines(fault), f -> f.errorShare = size, f -> f.errorShare = 0);
+      case SLOW ->
+          setDuring(fault, pickEngines(fault), f -> f.slowdown = size, f -> f.slowdown = 1);
       case SHARED_SLOW ->
-          setDuring(fault, fleet.engines(), f -> f.slow = size / 2 + 1, f -> f.slow = 1);
+          setDuring(fault, fleet.engines(), f -> f.slowdown = size / 2 + 1, f -> f.slowdown = 1);
       case ANSWER_LOST ->
-          setDuring(fault, pickEngines(fault), f -> f.lostAnswers = size, f -> f.lostAnswers = 0);
+          setDuring(
+              fault, pickEngines(fault), f -> f.lostAnswerShare = size, f -> f.lostAnswerShare = 0);
       case SILENT ->
           setDuring(fault, pickEngines(fault), f -> f.silent = true, f -> f.silent = false);
       case STATES_LOST ->
           setDuring(
               fault,
               pickEngines(fault, "reader"),
-              f -> f.dropStates = true,
-              f -> f.dropStates = false);
+              f -> f.losesStates = true,
+              f -> f.losesStates = false);
       case STREAM_BREAK ->
           setDuring(
               fault,
               pickEngines(fault, "writer"),
-              f -> f.breakAfter = BREAK_AFTER_TOKENS,
-              f -> f.breakAfter = -1);
+              f -> f.breakAfterTokens = BREAK_AFTER_TOKENS,
+              f -> f.breakAfterTokens = -1);
       default -> throw new IllegalArgumentException("no fault of an engine: " + fault.kind());
     }
   }
@@ -156,7 +158,7 @@
       double factor = 1 + (fault.size() - 1) * step / GRADUAL_STEPS;
       timetable.add(
           fault.atMs() + fault.forMs() * (step - 1) / GRADUAL_STEPS,
-          () -> changeFaults(engines, f -> f.slow = factor));
+          () -> changeFaults(engines, f -> f.slowdown = factor));
     }
     scheduleCrash(engines, fault.endMs(), RESTART_AFTER_AGEING_MS);
   }
@@ -169,9 +171,9 @@
       double stepFactor = step % 2 == 0 ? factor : 1;
       timetable.add(
           fault.atMs() + fault.forMs() * step / GRADUAL_STEPS,
-          () -> changeFaults(engines, f -> f.slow = stepFactor));
+          () -> changeFaults(engines, f -> f.slowdown = stepFactor));
     }
-    timetable.add(fault.endMs(), () -> changeFaults(engines, f -> f.slow = 1));
+    timetable.add(fault.endMs(), () -> changeFaults(engines, f -> f.slowdown = 1));
   }
 
   // Faults that take processes down.
@@ -197,7 +199,7 @@
       double restartAtMs = stopAtMs + DEPLOY_RESTART_MS;
       if (reserveOutage(name, atMs, restartAtMs)) {
         if (fault.size() >= 0.5) { // it rejects work before the list says why
-          timetable.add(atMs, () -> changeFaults(List.of(name), f -> f.full = true));
+          timetable.add(atMs, () -> changeFaults(List.of(name), f -> f.rejectsAll = true));
         }
         timetable.add(atMs + DRAIN_LISTED_AFTER_MS, () -> fleet.setEngineDraining(name, true));
         timetable.add(stopAtMs, () -> fleet.crashEngine(name, 0));
--- a/scenario/src/main/java/lemondock/scenario/LoopbackSettings.java
+++ b/scenario/src/main/java/lemondock/scenario/LoopbackSettings.java
@@ -8,17 +8,20 @@
 import lemondock.gateway.settings.SettingsException;
 import lemondock.gateway.settings.SettingsFile;
 
-/** Settings of gateways on loopback, as the demo and rehearsals use them. */
+/** Settings of gateways on loopback addresses, for the demo, scenarios, benchmarks and tests. */
 public final class LoopbackSettings {
   private LoopbackSettings() {}
 
   /**
    * Settings of a gateway that follows a catalogue, with changes to the JSON before it is checked.
+   *
+   * @param number the gateway's index among {@code gatewayCount}
+   * @param catalogue {@code HOST:PORT}
    */
   public static GatewaySettings gateway(
       String name,
       int number,
-      int of,
+      int gatewayCount,
       String zone,
       int port,
       String catalogue,
@@ -28,7 +31,7 @@
             .objectNode()
             .put("name", name)
             .put("number", number)
-            .put("gateways", of)
+            .put("gateways", gatewayCount)
             .put("zone", zone);
     root.putObject("front").put("listen", "127.0.0.1:" + port);
     root.putObject("discovery")
@@ -58,7 +61,7 @@
     }
   }
 
-  /** Appends a class. */
+  /** Appends a request class and returns its JSON, for more settings. */
   public static ObjectNode requestClass(
       ArrayNode classes,
       String name,
--- a/scenario/src/test/java/lemondock/scenario/BreakTableTest.java
+++ b/scenario/src/test/java/lemondock/scenario/BreakTableTest.java
@@ -372,23 +372,23 @@
       faults(
           "w",
           f -> {
-            f.breakAfter = -1;
-            f.stallAfter = -1;
+            f.breakAfterTokens = -1;
+            f.stallAfterTokens = -1;
           });
-      faults("r", f -> f.raw = null);
+      faults("r", f -> f.rawResponse = null);
     }
 
     private void writers(Moment moment, int after) {
       if (has(Break.WRITER, moment)) {
-        faults("w", f -> f.breakAfter = after);
+        faults("w", f -> f.breakAfterTokens = after);
       } else if (has(Break.STALL, moment)) {
-        faults("w", f -> f.stallAfter = after);
+        faults("w", f -> f.stallAfterTokens = after);
       }
     }
 
     private void readers(Moment moment) {
       if (has(Break.READER, moment)) {
-        faults("r", f -> f.raw = new byte[0]);
+        faults("r", f -> f.rawResponse = new byte[0]);
       }
     }
 
--- a/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
@@ -90,7 +90,7 @@
       faults(
           bench,
           f -> {
-            f.breakAfter = 0;
+            f.breakAfterTokens = 0;
             f.hits = new EngineFaults.Hits(1);
           });
       assertServedWhole(bench);
@@ -109,7 +109,7 @@
       faults(
           bench,
           f -> {
-            f.breakAfter = 7;
+            f.breakAfterTokens = 7;
             f.hits = new EngineFaults.Hits(1);
           });
       CallRecord seen = assertServedWhole(bench);
@@ -128,7 +128,7 @@
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w1"),
             ScenarioFixture.writer("w2"))) {
-      faults(bench, f -> f.breakAfter = 7);
+      faults(bench, f -> f.breakAfterTokens = 7);
       CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, ToolBehaviour.ANSWER));
       assertOneEnd(seen);
       assertEquals(Mcp.FAILED, seen.errorCode);
@@ -155,7 +155,7 @@
                   faults(
                       bench,
                       f -> {
-                        f.breakAfter = 6; // the first leg has four tokens: it is
+                        f.breakAfterTokens = 6; // the first leg has four tokens: it is
                         // the second that breaks
                         f.hits = new EngineFaults.Hits(1);
                       }));
@@ -181,7 +181,7 @@
       faults(
           bench,
           f -> {
-            f.stallAfter = 5;
+            f.stallAfterTokens = 5;
             f.hits = new EngineFaults.Hits(1);
           });
       assertServedWhole(bench);
@@ -200,14 +200,14 @@
             ScenarioFixture.reader("r2"),
             ScenarioFixture.writer("w"))) {
       for (String reader : List.of("r1", "r2")) {
-        fault(bench, reader, f -> f.dropStates = true);
+        fault(bench, reader, f -> f.losesStates = true);
       }
       CallRecord lost = bench.call(ScenarioFixture.ask("m1", LONG, ToolBehaviour.ANSWER));
       assertOneEnd(lost);
       assertEquals(Mcp.REJECTED, lost.errorCode);
       assertTrue(lost.retryable);
       for (String reader : List.of("r1", "r2")) {
-        fault(bench, reader, f -> f.dropStates = false);
+        fault(bench, reader, f -> f.losesStates = false);
       }
       assertEquals(
           words(40), bench.call(ScenarioFixture.ask("m2", LONG, ToolBehaviour.ANSWER)).finalText);
@@ -300,8 +300,8 @@
           bench,
           f -> {
             f.silent = false;
-            f.raw = null;
-            f.badEvent = null;
+            f.rawResponse = null;
+            f.malformedEvent = null;
           });
       ScenarioFixture.await(
           "service again",
@@ -321,14 +321,14 @@
 
   @Test
   void anEngineThatSendsHalfAChunk() {
-    misbehaving(f -> f.raw = "half".getBytes(StandardCharsets.UTF_8));
+    misbehaving(f -> f.rawResponse = "half".getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
   void anEngineThatSendsMalformedEvents() {
     try (ScenarioFixture bench =
         new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
-      fault(bench, "w", f -> f.badEvent = "{\"choices\":[");
+      fault(bench, "w", f -> f.malformedEvent = "{\"choices\":[");
       CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, ToolBehaviour.ANSWER));
       assertOneEnd(seen);
       assertEquals(
@@ -345,7 +345,7 @@
           bench,
           "w",
           f -> {
-            f.badEvent = "{\"error\":{\"message\":\"out of memory\"}}";
+            f.malformedEvent = "{\"error\":{\"message\":\"out of memory\"}}";
             f.hits = new EngineFaults.Hits(1);
           });
       CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, ToolBehaviour.ANSWER));
--- a/scenario/src/test/java/lemondock/scenario/ReportComparisonTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ReportComparisonTest.java
@@ -29,20 +29,20 @@
       assertEquals(List.of(), check.differences());
       assertTrue(check.compared() > 1_000, "compared only " + check.compared());
       for (String form : List.of("bare", "signed", "encrypted")) {
-        assertEquals(0, check.datagrams(form).received().unreadable());
-        assertTrue(check.datagrams(form).largest() <= 1_452);
+        assertEquals(0, check.collectdListener(form).received().unreadable());
+        assertTrue(check.collectdListener(form).largestPacketBytes() <= 1_452);
       }
       assertEquals(
           0,
-          check.stream("plain").received().unreadable()
-              + check.stream("pickle").received().unreadable());
+          check.graphiteListener("plain").received().unreadable()
+              + check.graphiteListener("pickle").received().unreadable());
       assertTrue(
-          check.tallies().stream()
+          check.finalMetrics().stream()
               .flatMap(t -> t.at("/tally/worth").findValuesAsText("tenant").stream())
               .collect(java.util.stream.Collectors.toSet())
               .containsAll(List.of("omaruru.tills", "mondesa/traders")));
       long served = 0;
-      for (JsonNode tally : check.tallies()) {
+      for (JsonNode tally : check.finalMetrics()) {
         for (JsonNode row : tally.at("/tally/requests")) {
           served += row.get("served").longValue();
           assertEquals(
