--- a/scenario/src/test/java/lemondock/scenario/BreakTableTest.java
+++ b/scenario/src/test/java/lemondock/scenario/BreakTableTest.java
@@ -53,7 +53,7 @@
   private static final int READERS = 5;
   private static final int WRITERS = 3;
   private static final Map<String, BlockingQueue<ScenarioFixture>> FREE = new HashMap<>();
-  private static final List<ScenarioFixture> BENCHES = new ArrayList<>();
+  private static final List<ScenarioFixture> FIXTURES = new ArrayList<>();
   private static final AtomicInteger NUMBER = new AtomicInteger();
 
   /** When something breaks. */
@@ -168,13 +168,13 @@
     for (String repeat : List.of("safe", "once", "keyed")) {
       FREE.put(repeat, new LinkedBlockingQueue<>());
       for (int i = 0; i < (repeat.equals("keyed") ? 1 : FLEETS); i++) {
-        BENCHES.add(bench(repeat));
-        FREE.get(repeat).add(BENCHES.get(BENCHES.size() - 1));
+        FIXTURES.add(fixture(repeat));
+        FREE.get(repeat).add(FIXTURES.get(FIXTURES.size() - 1));
       }
     }
   }
 
-  private static ScenarioFixture bench(String repeat) {
+  private static ScenarioFixture fixture(String repeat) {
     List<EngineSettings> engines = new ArrayList<>();
     IntStream.rangeClosed(1, READERS)
         .forEach(i -> engines.add(slow(ScenarioFixture.reader("r" + i))));
@@ -204,7 +204,7 @@
 
   @AfterAll
   static void stop() {
-    BENCHES.forEach(ScenarioFixture::close);
+    FIXTURES.forEach(ScenarioFixture::close);
   }
 
   static Stream<Arguments> single() {
@@ -258,16 +258,17 @@
   }
 
   private static void check(String repeat, List<Row> rows) throws Exception {
-    ScenarioFixture bench = FREE.get(repeat).take();
+    ScenarioFixture fixture = FREE.get(repeat).take();
     try {
-      check(bench, repeat, rows);
+      check(fixture, repeat, rows);
     } finally {
-      FREE.get(repeat).add(bench);
+      FREE.get(repeat).add(fixture);
     }
   }
 
-  private static void check(ScenarioFixture bench, String repeat, List<Row> rows) throws Exception {
-    Run run = new Run(bench, rows, "row" + NUMBER.incrementAndGet());
+  private static void check(ScenarioFixture fixture, String repeat, List<Row> rows)
+      throws Exception {
+    Run run = new Run(fixture, rows, "row" + NUMBER.incrementAndGet());
     CallRecord seen = run.go();
     End wanted = End.SERVED;
     String middle = "did-stock";
@@ -300,37 +301,37 @@
     }
     if (!repeat.equals("safe")) {
       assertTrue(
-          bench.events(TrafficEvent.Kind.DECODE_STARTED, run.mark).stream()
+          fixture.events(TrafficEvent.Kind.DECODE_STARTED, run.mark).stream()
                   .map(TrafficEvent::value)
                   .distinct()
                   .count()
-              == bench.events(TrafficEvent.Kind.DECODE_STARTED, run.mark).size(),
+              == fixture.events(TrafficEvent.Kind.DECODE_STARTED, run.mark).size(),
           "a leg ran twice");
     }
-    bench.awaitIdle();
-    rulesKept(bench, seen);
+    fixture.awaitIdle();
+    rulesKept(fixture, seen);
   }
 
   /** The auditor's word on all that passed on the engines' sockets and on this client's. */
-  private static void rulesKept(ScenarioFixture bench, CallRecord seen) {
+  private static void rulesKept(ScenarioFixture fixture, CallRecord seen) {
     ScenarioRecording recording =
         new ScenarioRecording(
-            bench.settings,
-            bench.fleet.engineSettings(),
-            bench.fleet.events().stream()
+            fixture.settings,
+            fixture.fleet.engineSettings(),
+            fixture.fleet.events().stream()
                 .filter(e -> e.mark().isEmpty() || e.mark().equals(seen.mark))
                 .toList(),
             List.of(seen),
             List.of(),
             List.of(),
-            bench.clients.loop().now());
+            fixture.clients.loop().now());
     AuditResult audit = ScenarioAuditor.check(recording);
     assertTrue(audit.allRulesKept(), audit.violations().toString());
   }
 
   /** One answer, and what is done to it. */
   private static final class Run {
-    private final ScenarioFixture bench;
+    private final ScenarioFixture fixture;
     private final List<Row> rows;
     private final String mark;
     private final CallRecord seen;
@@ -338,14 +339,14 @@
     private List<Long> numbers = List.of();
     private boolean gone;
 
-    Run(ScenarioFixture bench, List<Row> rows, String mark)
+    Run(ScenarioFixture fixture, List<Row> rows, String mark)
         throws IOException, InterruptedException {
-      this.bench = bench;
+      this.fixture = fixture;
       this.rows = rows;
       this.mark = mark;
-      this.client = new ConversationClient(bench.port);
+      this.client = new ConversationClient(fixture.port);
       this.seen =
-          new CallRecord(mark, ScenarioFixture.GATEWAY, 0, 0, false, bench.clients.loop().now());
+          new CallRecord(mark, ScenarioFixture.GATEWAY, 0, 0, false, fixture.clients.loop().now());
     }
 
     private boolean has(Break what, Moment moment) {
@@ -354,14 +355,14 @@
 
     /** Breaks one request at whichever engine of a kind it comes to. */
     private void faults(String kind, Consumer<EngineFaults> change) {
-      bench
+      fixture
           .fleet
           .emulators()
           .invokeAndWait(
               () -> {
                 EngineFaults.Hits one = new EngineFaults.Hits(1);
                 for (int i = 1; i <= (kind.equals("r") ? READERS : WRITERS); i++) {
-                  EngineFaults faults = bench.fleet.engine(kind + i).faults();
+                  EngineFaults faults = fixture.fleet.engine(kind + i).faults();
                   faults.hits = one;
                   change.accept(faults);
                 }
@@ -408,7 +409,7 @@
             message = gone ? null : answer.next()) {
           seen.firstMessageAtMicros =
               seen.firstMessageAtMicros == 0
-                  ? bench.clients.loop().now()
+                  ? fixture.clients.loop().now()
                   : seen.firstMessageAtMicros;
           if (seen.responses > 0) {
             seen.messagesAfterAnswer++;
@@ -446,15 +447,15 @@
         answer.resume();
       }
       if (has(Break.CANCEL, moment)) {
-        seen.cancelledAtMicros = bench.clients.loop().now();
+        seen.cancelledAtMicros = fixture.clients.loop().now();
         client.post(
             "{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":7}}");
       } else if (has(Break.LEAVE, moment)) {
-        seen.cancelledAtMicros = bench.clients.loop().now();
+        seen.cancelledAtMicros = fixture.clients.loop().now();
         answer.close();
         gone = true;
       } else if (has(Break.DELETE, moment)) {
-        seen.cancelledAtMicros = bench.clients.loop().now();
+        seen.cancelledAtMicros = fixture.clients.loop().now();
         client.delete();
       }
     }
@@ -488,7 +489,7 @@
         ScenarioFixture.await(
             "the model told",
             () ->
-                bench.events(TrafficEvent.Kind.DECODE_STARTED, mark).stream()
+                fixture.events(TrafficEvent.Kind.DECODE_STARTED, mark).stream()
                     .anyMatch(e -> e.value() > 2));
       }
       client.post(result);
@@ -500,7 +501,7 @@
     private void end(JsonNode message) {
       assertNotNull(message.get("id"));
       seen.responses++;
-      seen.answeredAtMicros = bench.clients.loop().now();
+      seen.answeredAtMicros = fixture.clients.loop().now();
       if (message.has("error")) {
         seen.errorCode = message.at("/error/code").asInt();
         seen.retryable = message.at("/error/data/retryable").asBoolean(false);
--- a/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
@@ -44,18 +44,18 @@
     };
   }
 
-  private static void fault(ScenarioFixture bench, String engine, Consumer<EngineFaults> set) {
-    bench
+  private static void fault(ScenarioFixture fixture, String engine, Consumer<EngineFaults> set) {
+    fixture
         .fleet
         .emulators()
         .invokeAndWait(
             () -> {
-              set.accept(bench.fleet.engine(engine).faults());
+              set.accept(fixture.fleet.engine(engine).faults());
             });
   }
 
-  private static void faults(ScenarioFixture bench, Consumer<EngineFaults> set) {
-    bench.fleet.engines().forEach(e -> fault(bench, e, set));
+  private static void faults(ScenarioFixture fixture, Consumer<EngineFaults> set) {
+    fixture.fleet.engines().forEach(e -> fault(fixture, e, set));
   }
 
   private static void assertOneEnd(CallRecord seen) {
@@ -64,20 +64,11 @@
     assertEquals(List.of(), seen.protocolViolations);
   }
 
-  /** The whole text of an answer of so many words in its last turn, without tools. */
-  private static String words(int count) {
-    StringBuilder text = new StringBuilder();
-    for (int i = 0; i < count; i++) {
-      text.append(" a").append(i);
-    }
-    return text.toString();
-  }
-
   /** Makes a call, which must end once and with the whole answer. */
-  private static CallRecord assertServedWhole(ScenarioFixture bench) {
-    CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, ToolBehaviour.ANSWER));
+  private static CallRecord assertServedComplete(ScenarioFixture fixture) {
+    CallRecord seen = fixture.call(ScenarioFixture.request("m", LONG, ToolBehaviour.ANSWER));
     assertOneEnd(seen);
-    assertEquals(words(40), seen.finalText);
+    assertEquals(ScenarioFixture.answerText(40), seen.finalText);
     return seen;
   }
 
@@ -85,75 +76,75 @@
 
   @Test
   void aWriterThatBreaksBeforeItsFirstToken() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       faults(
-          bench,
+          fixture,
           f -> {
             f.breakAfterTokens = 0;
             f.hits = new EngineFaults.Hits(1);
           });
-      assertServedWhole(bench);
-      bench.awaitIdle();
+      assertServedComplete(fixture);
+      fixture.awaitIdle();
     }
   }
 
   @Test
   void aWriterThatBreaksAfterSomeTokensIsGoneOnBehind() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(
             quick(),
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w1"),
             ScenarioFixture.writer("w2"))) {
       faults(
-          bench,
+          fixture,
           f -> {
             f.breakAfterTokens = 7;
             f.hits = new EngineFaults.Hits(1);
           });
-      CallRecord seen = assertServedWhole(bench);
-      assertEquals(words(40), seen.streamed.toString());
+      CallRecord seen = assertServedComplete(fixture);
+      assertEquals(ScenarioFixture.answerText(40), seen.streamed.toString());
       assertEquals(40, seen.tokens);
-      assertTrue(bench.events(TrafficEvent.Kind.DECODE_STARTED, "m").size() >= 2);
-      bench.awaitIdle();
+      assertTrue(fixture.events(TrafficEvent.Kind.DECODE_STARTED, "m").size() >= 2);
+      fixture.awaitIdle();
     }
   }
 
   @Test
   void anAnswerThatMayRunOnlyOnceFailsWhenItBreaks() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(
             once(),
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w1"),
             ScenarioFixture.writer("w2"))) {
-      faults(bench, f -> f.breakAfterTokens = 7);
-      CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, ToolBehaviour.ANSWER));
+      faults(fixture, f -> f.breakAfterTokens = 7);
+      CallRecord seen = fixture.call(ScenarioFixture.request("m", LONG, ToolBehaviour.ANSWER));
       assertOneEnd(seen);
       assertEquals(Mcp.FAILED, seen.errorCode);
       assertFalse(seen.retryable);
-      assertEquals(1, bench.events(TrafficEvent.Kind.DECODE_STARTED, "m").size());
-      bench.awaitIdle();
+      assertEquals(1, fixture.events(TrafficEvent.Kind.DECODE_STARTED, "m").size());
+      fixture.awaitIdle();
     }
   }
 
   @Test
   void aWriterThatBreaksAfterAToolCallWasRelayed() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(
             quick(),
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w1"),
             ScenarioFixture.writer("w2"))) {
       CompletableFuture<McpCall> done =
-          bench.begin(
-              bench.client(),
-              ScenarioFixture.ask(
+          fixture.begin(
+              fixture.client(),
+              ScenarioFixture.request(
                   "m", "call the tool stock " + LONG, ToolBehaviour.ANSWER, "stock"),
               call ->
                   faults(
-                      bench,
+                      fixture,
                       f -> {
                         f.breakAfterTokens = 6; // the first leg has four tokens: it is
                         // the second that breaks
@@ -166,26 +157,26 @@
           seen.finalText.startsWith(" a0 a1 a2 a3[did-stock] b0 b1")
               && seen.finalText.endsWith(" b39"),
           seen.finalText);
-      bench.awaitIdle();
+      fixture.awaitIdle();
     }
   }
 
   @Test
   void streamsThatFallSilentMidwayAreBrokenOffAndGoneOnWith() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(
             quick(),
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w1"),
             ScenarioFixture.writer("w2"))) {
       faults(
-          bench,
+          fixture,
           f -> {
             f.stallAfterTokens = 5;
             f.hits = new EngineFaults.Hits(1);
           });
-      assertServedWhole(bench);
-      bench.awaitIdle();
+      assertServedComplete(fixture);
+      fixture.awaitIdle();
     }
   }
 
@@ -193,34 +184,35 @@
 
   @Test
   void aReaderThatDiesHoldingAState() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(
             quick(),
             ScenarioFixture.reader("r1"),
             ScenarioFixture.reader("r2"),
             ScenarioFixture.writer("w"))) {
       for (String reader : List.of("r1", "r2")) {
-        fault(bench, reader, f -> f.losesStates = true);
+        fault(fixture, reader, f -> f.losesStates = true);
       }
-      CallRecord lost = bench.call(ScenarioFixture.ask("m1", LONG, ToolBehaviour.ANSWER));
+      CallRecord lost = fixture.call(ScenarioFixture.request("m1", LONG, ToolBehaviour.ANSWER));
       assertOneEnd(lost);
       assertEquals(Mcp.REJECTED, lost.errorCode);
       assertTrue(lost.retryable);
       for (String reader : List.of("r1", "r2")) {
-        fault(bench, reader, f -> f.losesStates = false);
+        fault(fixture, reader, f -> f.losesStates = false);
       }
       assertEquals(
-          words(40), bench.call(ScenarioFixture.ask("m2", LONG, ToolBehaviour.ANSWER)).finalText);
-      bench.awaitIdle();
+          ScenarioFixture.answerText(40),
+          fixture.call(ScenarioFixture.request("m2", LONG, ToolBehaviour.ANSWER)).finalText);
+      fixture.awaitIdle();
     }
   }
 
   @Test
   void everyReaderGone() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
-      bench.fleet.crashEngine("r", 0);
-      CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, ToolBehaviour.ANSWER));
+      fixture.fleet.crashEngine("r", 0);
+      CallRecord seen = fixture.call(ScenarioFixture.request("m", LONG, ToolBehaviour.ANSWER));
       assertOneEnd(seen);
       assertEquals(Mcp.REJECTED, seen.errorCode);
       assertTrue(seen.retryable);
@@ -229,75 +221,78 @@
 
   @Test
   void anEmptyListAndOneWhoseServersAllChange() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
-      bench
+      fixture
           .fleet
           .emulators()
           .invokeAndWait(
               () -> {
-                bench.fleet.catalogue().setEmpty(true);
+                fixture.fleet.catalogue().setEmpty(true);
               });
-      assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 0, 5_000));
+      assertTrue(fixture.fleet.awaitServers(ScenarioFixture.GATEWAY, 0, 5_000));
       assertEquals(
           Mcp.REJECTED,
-          bench.call(ScenarioFixture.ask("m1", LONG, ToolBehaviour.ANSWER)).errorCode);
-      bench.fleet.crashEngine("r", 0);
-      bench.fleet.crashEngine("w", 0);
-      bench.fleet.addEngine(ScenarioFixture.reader("r9"));
-      bench.fleet.addEngine(ScenarioFixture.writer("w9"));
-      bench
+          fixture.call(ScenarioFixture.request("m1", LONG, ToolBehaviour.ANSWER)).errorCode);
+      fixture.fleet.crashEngine("r", 0);
+      fixture.fleet.crashEngine("w", 0);
+      fixture.fleet.addEngine(ScenarioFixture.reader("r9"));
+      fixture.fleet.addEngine(ScenarioFixture.writer("w9"));
+      fixture
           .fleet
           .emulators()
           .invokeAndWait(
               () -> {
-                bench.fleet.catalogue().setEmpty(false);
+                fixture.fleet.catalogue().setEmpty(false);
               });
-      assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 2, 5_000));
+      assertTrue(fixture.fleet.awaitServers(ScenarioFixture.GATEWAY, 2, 5_000));
       assertEquals(
-          words(40), bench.call(ScenarioFixture.ask("m2", LONG, ToolBehaviour.ANSWER)).finalText);
+          ScenarioFixture.answerText(40),
+          fixture.call(ScenarioFixture.request("m2", LONG, ToolBehaviour.ANSWER)).finalText);
     }
   }
 
   @Test
   void aDrainToldWhileASendIsUnderWay() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w1"))) {
       AtomicReference<McpCall> call = new AtomicReference<>();
       CompletableFuture<McpCall> done =
-          bench.begin(
-              bench.client(),
-              ScenarioFixture.ask("m", "answer in 200 words", ToolBehaviour.ANSWER),
+          fixture.begin(
+              fixture.client(),
+              ScenarioFixture.request("m", "answer in 200 words", ToolBehaviour.ANSWER),
               call::set);
       ScenarioFixture.await("tokens", () -> call.get() != null && call.get().record().tokens > 3);
-      bench.fleet.setEngineDraining("w1", true);
-      assertEquals(words(200), ScenarioFixture.get(done).record().finalText); // what runs may end
+      fixture.fleet.setEngineDraining("w1", true);
+      assertEquals(
+          ScenarioFixture.answerText(200),
+          ScenarioFixture.get(done).record().finalText); // what runs may end
       assertEquals(
           Mcp.REJECTED,
-          bench.call(ScenarioFixture.ask("m2", LONG, ToolBehaviour.ANSWER)).errorCode);
-      assertEquals(0, bench.events(TrafficEvent.Kind.DECODE, "m2").size());
+          fixture.call(ScenarioFixture.request("m2", LONG, ToolBehaviour.ANSWER)).errorCode);
+      assertEquals(0, fixture.events(TrafficEvent.Kind.DECODE, "m2").size());
     }
   }
 
   // ==== engines that misbehave
 
   private void misbehaving(Consumer<EngineFaults> fault) {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(
             quick(),
             ScenarioFixture.reader("r1"),
             ScenarioFixture.reader("r2"),
             ScenarioFixture.writer("w1"),
             ScenarioFixture.writer("w2"))) {
-      faults(bench, fault);
-      CallRecord seen = bench.call(ScenarioFixture.ask("m1", LONG, ToolBehaviour.ANSWER));
+      faults(fixture, fault);
+      CallRecord seen = fixture.call(ScenarioFixture.request("m1", LONG, ToolBehaviour.ANSWER));
       assertOneEnd(seen);
       assertTrue(
           seen.errorCode == Mcp.REJECTED || seen.errorCode == Mcp.FAILED, "code " + seen.errorCode);
       long took = TimeUnit.MICROSECONDS.toMillis(seen.answeredAtMicros - seen.calledAtMicros);
       assertTrue(took < 2_000, "after " + took + " ms");
       faults(
-          bench,
+          fixture,
           f -> {
             f.silent = false;
             f.rawResponse = null;
@@ -306,11 +301,11 @@
       ScenarioFixture.await(
           "service again",
           () ->
-              bench
-                  .call(ScenarioFixture.ask("m2", LONG, ToolBehaviour.ANSWER))
+              fixture
+                  .call(ScenarioFixture.request("m2", LONG, ToolBehaviour.ANSWER))
                   .finalText
-                  .equals(words(40)));
-      bench.awaitIdle();
+                  .equals(ScenarioFixture.answerText(40)));
+      fixture.awaitIdle();
     }
   }
 
@@ -326,31 +321,31 @@
 
   @Test
   void anEngineThatSendsMalformedEvents() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
-      fault(bench, "w", f -> f.malformedEvent = "{\"choices\":[");
-      CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, ToolBehaviour.ANSWER));
+      fault(fixture, "w", f -> f.malformedEvent = "{\"choices\":[");
+      CallRecord seen = fixture.call(ScenarioFixture.request("m", LONG, ToolBehaviour.ANSWER));
       assertOneEnd(seen);
       assertEquals(
           Mcp.FAILED, seen.errorCode); // some tokens were delivered, and each going-on breaks again
-      bench.awaitIdle();
+      fixture.awaitIdle();
     }
   }
 
   @Test
   void anEngineThatReportsAnErrorInItsStream() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       fault(
-          bench,
+          fixture,
           "w",
           f -> {
             f.malformedEvent = "{\"error\":{\"message\":\"out of memory\"}}";
             f.hits = new EngineFaults.Hits(1);
           });
-      CallRecord seen = bench.call(ScenarioFixture.ask("m", LONG, ToolBehaviour.ANSWER));
+      CallRecord seen = fixture.call(ScenarioFixture.request("m", LONG, ToolBehaviour.ANSWER));
       assertOneEnd(seen);
-      assertEquals(words(40), seen.finalText);
+      assertEquals(ScenarioFixture.answerText(40), seen.finalText);
     }
   }
 
@@ -360,17 +355,17 @@
       String text,
       ToolBehaviour toolBehaviour,
       java.util.function.Predicate<ScenarioFixture> when) {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(
             quick(),
             ScenarioFixture.reader("r").withLatencies(60, 1, 5),
             ScenarioFixture.writer("w").withLatencies(60, 60, 5))) {
       AtomicReference<McpCall> call = new AtomicReference<>();
-      bench.begin(
-          bench.client(), ScenarioFixture.ask("m", text, toolBehaviour, "stock"), call::set);
-      ScenarioFixture.await("the moment to leave", () -> call.get() != null && when.test(bench));
-      bench.clients.loop().execute(call.get()::cancel);
-      bench.awaitIdle();
+      fixture.begin(
+          fixture.client(), ScenarioFixture.request("m", text, toolBehaviour, "stock"), call::set);
+      ScenarioFixture.await("the moment to leave", () -> call.get() != null && when.test(fixture));
+      fixture.clients.loop().execute(call.get()::cancel);
+      fixture.awaitIdle();
       assertEquals(0, call.get().record().responses);
     }
   }
@@ -406,34 +401,34 @@
 
   @Test
   void aToolThatNeverAnswersAnswersTwiceOrFails() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       CallRecord silent =
-          bench.call(
-              ScenarioFixture.ask("m1", "call the tool stock", ToolBehaviour.SILENT, "stock"));
+          fixture.call(
+              ScenarioFixture.request("m1", "call the tool stock", ToolBehaviour.SILENT, "stock"));
       assertOneEnd(silent);
       assertTrue(silent.finalText.contains("[the tool gave no result in time]"), silent.finalText);
       CallRecord twice =
-          bench.call(
-              ScenarioFixture.ask("m2", "call the tool stock", ToolBehaviour.TWICE, "stock"));
+          fixture.call(
+              ScenarioFixture.request("m2", "call the tool stock", ToolBehaviour.TWICE, "stock"));
       assertOneEnd(twice);
       assertTrue(twice.finalText.contains("[did-stock]"), twice.finalText);
       CallRecord error =
-          bench.call(
-              ScenarioFixture.ask("m3", "call the tool stock", ToolBehaviour.ERROR, "stock"));
+          fixture.call(
+              ScenarioFixture.request("m3", "call the tool stock", ToolBehaviour.ERROR, "stock"));
       assertOneEnd(error);
       assertTrue(error.finalText.contains("[error -32000: the tool failed]"), error.finalText);
-      bench.awaitIdle();
+      fixture.awaitIdle();
     }
   }
 
   @Test
   void toolsCalledTogetherAreAnsweredInAnyOrder() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       CallRecord seen =
-          bench.call(
-              ScenarioFixture.ask(
+          fixture.call(
+              ScenarioFixture.request(
                   "m",
                   "call the tools stock and price together",
                   ToolBehaviour.ANSWER,
@@ -448,26 +443,26 @@
 
   @Test
   void aStopLetsStreamsEndAndTakesNoNewCalls() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       AtomicReference<McpCall> call = new AtomicReference<>();
-      McpClient client = bench.client();
+      McpClient client = fixture.client();
       CompletableFuture<McpCall> done =
-          bench.begin(
+          fixture.begin(
               client,
-              ScenarioFixture.ask("m", "answer in 300 words", ToolBehaviour.ANSWER),
+              ScenarioFixture.request("m", "answer in 300 words", ToolBehaviour.ANSWER),
               call::set);
       ScenarioFixture.await("tokens", () -> call.get() != null && call.get().record().tokens > 3);
-      Gateway gateway = bench.fleet.gateway(ScenarioFixture.GATEWAY);
+      Gateway gateway = fixture.fleet.gateway(ScenarioFixture.GATEWAY);
       CompletableFuture<Void> stopped = gateway.stop();
-      assertEquals(words(300), ScenarioFixture.get(done).record().finalText);
+      assertEquals(ScenarioFixture.answerText(300), ScenarioFixture.get(done).record().finalText);
       ScenarioFixture.get(stopped);
     }
   }
 
   @Test
   void aStopCutsWhatTakesTooLong() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(
             s -> {
               limits(s, 1500);
@@ -477,12 +472,12 @@
             ScenarioFixture.writer("w").withLatencies(1, 1, 20))) {
       AtomicReference<McpCall> call = new AtomicReference<>();
       CompletableFuture<McpCall> done =
-          bench.begin(
-              bench.client(),
-              ScenarioFixture.ask("m", "answer in 400 words", ToolBehaviour.ANSWER),
+          fixture.begin(
+              fixture.client(),
+              ScenarioFixture.request("m", "answer in 400 words", ToolBehaviour.ANSWER),
               call::set);
       ScenarioFixture.await("tokens", () -> call.get() != null && call.get().record().tokens > 3);
-      bench.fleet.gateway(ScenarioFixture.GATEWAY).stop();
+      fixture.fleet.gateway(ScenarioFixture.GATEWAY).stop();
       CallRecord seen = ScenarioFixture.get(done).record();
       assertOneEnd(seen);
       assertEquals(Mcp.FAILED, seen.errorCode);
@@ -493,7 +488,7 @@
 
   @Test
   void moreCallsThanTheGatewayTakes() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(
             s -> {
               limits(s, 1500);
@@ -501,31 +496,35 @@
             },
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w"))) {
-      McpClient client = bench.client();
+      McpClient client = fixture.client();
       AtomicReference<McpCall> call = new AtomicReference<>();
       final List<CompletableFuture<McpCall>> taken =
           List.of(
-              bench.begin(
-                  client, ScenarioFixture.ask("m1", "answer in 300 words", ToolBehaviour.ANSWER)),
-              bench.begin(
+              fixture.begin(
+                  client,
+                  ScenarioFixture.request("m1", "answer in 300 words", ToolBehaviour.ANSWER)),
+              fixture.begin(
                   client,
-                  ScenarioFixture.ask("m2", "answer in 300 words", ToolBehaviour.ANSWER),
+                  ScenarioFixture.request("m2", "answer in 300 words", ToolBehaviour.ANSWER),
                   call::set));
       ScenarioFixture.await(
           "two calls", () -> call.get() != null && call.get().record().tokens > 0);
       CallRecord third =
           ScenarioFixture.get(
-                  bench.begin(client, ScenarioFixture.ask("m3", LONG, ToolBehaviour.ANSWER)))
+                  fixture.begin(client, ScenarioFixture.request("m3", LONG, ToolBehaviour.ANSWER)))
               .record();
       assertEquals(Mcp.LIMIT, third.errorCode);
       assertTrue(third.retryable);
-      taken.forEach(t -> assertEquals(words(300), ScenarioFixture.get(t).record().finalText));
+      taken.forEach(
+          t ->
+              assertEquals(
+                  ScenarioFixture.answerText(300), ScenarioFixture.get(t).record().finalText));
     }
   }
 
   @Test
   void finalAnswersThatRaceTheDeadline() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(
             s -> {
               limits(s, 60);
@@ -534,48 +533,52 @@
             ScenarioFixture.reader("r").withLatencies(20, 1, 1),
             ScenarioFixture.writer("w")
                 .withLatencies(1, 28, 1))) { // a first token after about 60 ms
-      McpClient client = bench.client();
+      McpClient client = fixture.client();
       List<CompletableFuture<McpCall>> calls = new java.util.ArrayList<>();
       for (int i = 0; i < 40; i++) {
         calls.add(
-            bench.begin(
-                client, ScenarioFixture.ask("m" + i, "answer in 5 words", ToolBehaviour.ANSWER)));
+            fixture.begin(
+                client,
+                ScenarioFixture.request("m" + i, "answer in 5 words", ToolBehaviour.ANSWER)));
       }
       for (CompletableFuture<McpCall> call : calls) {
         CallRecord seen = ScenarioFixture.get(call).record();
         assertOneEnd(seen);
         assertTrue(
-            seen.served() ? seen.finalText.equals(words(5)) : seen.errorCode <= Mcp.REJECTED,
+            seen.served()
+                ? seen.finalText.equals(ScenarioFixture.answerText(5))
+                : seen.errorCode <= Mcp.REJECTED,
             seen.finalText);
       }
-      bench.awaitIdle();
+      fixture.awaitIdle();
     }
   }
 
   @Test
   void pooledConnectionsThatTheirPeerClosedBetweenRequests() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       assertEquals(
-          words(40), bench.call(ScenarioFixture.ask("m1", LONG, ToolBehaviour.ANSWER)).finalText);
+          ScenarioFixture.answerText(40),
+          fixture.call(ScenarioFixture.request("m1", LONG, ToolBehaviour.ANSWER)).finalText);
       for (String engine : List.of("r", "w")) {
-        bench.fleet.crashEngine(engine, 10_000_000); // the list does not hear of it
-        bench.fleet.restartEngine(engine);
+        fixture.fleet.crashEngine(engine, 10_000_000); // the list does not hear of it
+        fixture.fleet.restartEngine(engine);
       }
       ScenarioFixture.await(
           "service",
           () ->
-              bench
-                  .call(ScenarioFixture.ask("m2", LONG, ToolBehaviour.ANSWER))
+              fixture
+                  .call(ScenarioFixture.request("m2", LONG, ToolBehaviour.ANSWER))
                   .finalText
-                  .equals(words(40)));
-      bench.awaitIdle();
+                  .equals(ScenarioFixture.answerText(40)));
+      fixture.awaitIdle();
     }
   }
 
   @Test
   void aClientThatReadsSlowlySlowsItsEngineAndNobodyElse() throws Exception {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(
             s -> ((ObjectNode) s.at("/classes/0")).put("maxTokens", 10_000),
             ScenarioFixture.reader("r"),
@@ -584,7 +587,7 @@
           java.net.http.HttpClient.newHttpClient()
               .send(
                   java.net.http.HttpRequest.newBuilder(
-                          java.net.URI.create("http://127.0.0.1:" + bench.port + "/mcp"))
+                          java.net.URI.create("http://127.0.0.1:" + fixture.port + "/mcp"))
                       .header("Content-Type", "application/json")
                       .header("Accept", "application/json")
                       .POST(
@@ -601,7 +604,7 @@
               + " answer in 4000 words of 8000 letters\"}}}";
       try (java.net.Socket socket = new java.net.Socket()) {
         socket.setReceiveBufferSize(64 * 1024);
-        socket.connect(new java.net.InetSocketAddress("127.0.0.1", bench.port));
+        socket.connect(new java.net.InetSocketAddress("127.0.0.1", fixture.port));
         socket.setSoTimeout(20_000);
         socket
             .getOutputStream()
@@ -623,10 +626,10 @@
             "the engine waits",
             () -> {
               int now =
-                  bench
+                  fixture
                       .fleet
                       .emulators()
-                      .invokeAndWait(() -> bench.fleet.engine("w").tokensSent("slow").orElse(-1));
+                      .invokeAndWait(() -> fixture.fleet.engine("w").tokensSent("slow").orElse(-1));
               boolean stands = now > 0 && now == before[0];
               before[0] = now;
               ScenarioFixture.pause(100);
@@ -634,20 +637,21 @@
             });
         assertTrue(before[0] < 4000, "all of 32 MB was taken: " + before[0]);
         assertEquals(
-            words(40), bench.call(ScenarioFixture.ask("m", LONG, ToolBehaviour.ANSWER)).finalText);
+            ScenarioFixture.answerText(40),
+            fixture.call(ScenarioFixture.request("m", LONG, ToolBehaviour.ANSWER)).finalText);
         byte[] all = socket.getInputStream().readAllBytes();
         assertTrue(all.length > 4000 * 8000);
         assertTrue(
             new String(all, all.length - 400, 400, StandardCharsets.UTF_8)
                 .contains("\"finishReason\":\"stop\""));
       }
-      bench.awaitIdle();
+      fixture.awaitIdle();
     }
   }
 
   @Test
   void aGatewayAtItsLimitRefusesEarlyAndRunningStreamsGoOn() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(
             s -> {
               s.putObject("overload").put("targetMs", 50).put("intervalMs", 10);
@@ -656,16 +660,17 @@
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w").withLatencies(1, 1, 20))) {
       McpClient client =
-          bench.client(); // with a session from before: a gateway at its limit refuses
+          fixture.client(); // with a session from before: a gateway at its limit refuses
       // new ones as well
       final CompletableFuture<McpCall> running =
-          bench.begin(
-              client, ScenarioFixture.ask("running", "answer in 100 words", ToolBehaviour.ANSWER));
+          fixture.begin(
+              client,
+              ScenarioFixture.request("running", "answer in 100 words", ToolBehaviour.ANSWER));
       ScenarioFixture.await(
-          "it runs", () -> !bench.events(TrafficEvent.Kind.DECODE, "running").isEmpty());
+          "it runs", () -> !fixture.events(TrafficEvent.Kind.DECODE, "running").isEmpty());
       AtomicBoolean tooMuch = new AtomicBoolean(true);
       for (int i = 0; i < 3; i++) { // work always waits for the context for longer than the target
-        keepBusy(bench.fleet.gatewayProcess(ScenarioFixture.GATEWAY), tooMuch);
+        keepBusy(fixture.fleet.gatewayProcess(ScenarioFixture.GATEWAY), tooMuch);
       }
       AtomicReference<CallRecord> refused = new AtomicReference<>();
       ScenarioFixture.await(
@@ -673,16 +678,16 @@
           () -> {
             CallRecord seen =
                 ScenarioFixture.get(
-                        bench.begin(
+                        fixture.begin(
                             client,
-                            ScenarioFixture.ask(
+                            ScenarioFixture.request(
                                 "late" + System.nanoTime(),
                                 "answer in 1 words",
                                 ToolBehaviour.ANSWER)))
                     .record();
             refused.set(seen);
             return seen.errorCode == Mcp.REJECTED
-                && bench.events(TrafficEvent.Kind.PREFILL, seen.mark).isEmpty();
+                && fixture.events(TrafficEvent.Kind.PREFILL, seen.mark).isEmpty();
           });
       tooMuch.set(false);
       assertTrue(
@@ -693,15 +698,15 @@
           "all is let in again",
           () ->
               ScenarioFixture.get(
-                      bench.begin(
+                      fixture.begin(
                           client,
-                          ScenarioFixture.ask(
+                          ScenarioFixture.request(
                               "after" + System.nanoTime(),
                               "answer in 1 words",
                               ToolBehaviour.ANSWER)))
                   .record()
                   .served());
-      var tally = bench.fleet.stopGateway(ScenarioFixture.GATEWAY).get("tally");
+      var tally = fixture.fleet.stopGateway(ScenarioFixture.GATEWAY).get("tally");
       assertTrue(tally.at("/overload/0/refused").longValue() > 0, tally.get("overload").toString());
     }
   }
--- a/scenario/src/test/java/lemondock/scenario/GatewayOverloadTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayOverloadTest.java
@@ -30,11 +30,11 @@
   /** Words of 8,000 letters: more than the system's buffers take on both sides of the gateway. */
   private static final int LONG = 2_000;
 
-  private static ScenarioFixture bench(Consumer<ObjectNode> changes) {
-    return bench(4, changes);
+  private static ScenarioFixture fixture(Consumer<ObjectNode> changes) {
+    return fixture(4, changes);
   }
 
-  private static ScenarioFixture bench(double tokenMs, Consumer<ObjectNode> changes) {
+  private static ScenarioFixture fixture(double tokenMs, Consumer<ObjectNode> changes) {
     return new ScenarioFixture(
         s -> {
           s.put("ioThreads", 3);
@@ -48,38 +48,31 @@
             .withLimits(256, 256, 10_000_000));
   }
 
-  private static String words(int count) {
-    StringBuilder text = new StringBuilder();
-    for (int i = 0; i < count; i++) {
-      text.append(" a").append(i);
-    }
-    return text.toString();
-  }
-
-  private static CompletableFuture<McpCall> running(ScenarioFixture bench, int words) {
+  private static CompletableFuture<McpCall> running(ScenarioFixture fixture, int words) {
     AtomicReference<McpCall> call = new AtomicReference<>();
     CompletableFuture<McpCall> done =
-        bench.begin(
-            bench.client(),
-            ScenarioFixture.ask("running", "answer in " + words + " words", ToolBehaviour.ANSWER),
+        fixture.begin(
+            fixture.client(),
+            ScenarioFixture.request(
+                "running", "answer in " + words + " words", ToolBehaviour.ANSWER),
             call::set);
     ScenarioFixture.await("it runs", () -> call.get() != null && call.get().record().tokens > 0);
     return done;
   }
 
-  private static void assertWhole(CompletableFuture<McpCall> call, int words) {
+  private static void assertComplete(CompletableFuture<McpCall> call, int words) {
     CallRecord seen = ScenarioFixture.get(call).record();
-    assertEquals(words(words), seen.finalText);
-    assertEquals(words(words), seen.streamed.toString());
+    assertEquals(ScenarioFixture.answerText(words), seen.finalText);
+    assertEquals(ScenarioFixture.answerText(words), seen.streamed.toString());
     assertEquals(1, seen.responses);
     assertEquals(0, seen.messagesAfterAnswer);
   }
 
-  /** A process that has as much left as a test says. */
-  private static final class Told implements ProcessResources {
-    private volatile double memory;
-    private volatile double handles;
-    private volatile long most = 10_000;
+  /** Resources of a process that are used up as far as a test says. Any thread. */
+  private static final class ConfiguredResources implements ProcessResources {
+    private volatile double memoryUsed;
+    private volatile double handlesUsed;
+    private volatile long maxHandles = 10_000;
     private volatile boolean stopped;
 
     /** All of the time, if it says so. */
@@ -90,40 +83,41 @@
 
     @Override
     public double memoryUsedFraction() {
-      return memory;
+      return memoryUsed;
     }
 
     @Override
     public double fileHandlesUsedFraction() {
-      return handles;
+      return handlesUsed;
     }
 
     @Override
     public long maxFileHandles() {
-      return most;
+      return maxHandles;
     }
   }
 
-  private static ScenarioFixture told(Told told, Consumer<ObjectNode> changes) {
-    ScenarioFixture bench = bench(changes);
-    bench.fleet.setProcessResources(told);
-    bench.fleet.killGateway(ScenarioFixture.GATEWAY);
-    bench.fleet.startGateway(ScenarioFixture.GATEWAY);
-    assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 2, 10_000));
-    return bench;
+  private static ScenarioFixture fixtureWith(
+      ConfiguredResources resources, Consumer<ObjectNode> changes) {
+    ScenarioFixture fixture = fixture(changes);
+    fixture.fleet.setProcessResources(resources);
+    fixture.fleet.killGateway(ScenarioFixture.GATEWAY);
+    fixture.fleet.startGateway(ScenarioFixture.GATEWAY);
+    assertTrue(fixture.fleet.awaitServers(ScenarioFixture.GATEWAY, 2, 10_000));
+    return fixture;
   }
 
   @Test
   void aLargeCallIsRefusedAtAGlanceAndItsConnectionGoesOn() throws Exception {
-    Told told = new Told();
-    try (ScenarioFixture bench =
-            told(
-                told,
+    ConfiguredResources resources = new ConfiguredResources();
+    try (ScenarioFixture fixture =
+            fixtureWith(
+                resources,
                 s -> s.putObject("overload").put("risePerSecond", 100).put("targetMs", 5_000));
-        Socket socket = socket(bench, 0)) {
+        Socket socket = socket(fixture, 0)) {
       send(socket, initialize(1));
-      String session = whole(socket).replaceAll("(?is).*mcp-session-id: (\\S+).*", "$1");
-      told.memory = 0.97;
+      String session = readResponse(socket).replaceAll("(?is).*mcp-session-id: (\\S+).*", "$1");
+      resources.memoryUsed = 0.97;
       String large =
           post(
                   session,
@@ -138,7 +132,7 @@
           () -> {
             try {
               send(socket, large);
-              answer[0] = whole(socket);
+              answer[0] = readResponse(socket);
             } catch (IOException e) {
               throw new AssertionError(e);
             }
@@ -150,20 +144,20 @@
               && answer[0].contains("\"retryable\":true")
               && answer[0].contains("retryAfterMs"),
           answer[0]);
-      told.memory = 0;
+      resources.memoryUsed = 0;
       ScenarioFixture.await(
           "service",
           () -> {
             try {
               send(socket, large);
-              answer[0] = whole(socket);
+              answer[0] = readResponse(socket);
             } catch (IOException e) {
               throw new AssertionError(e);
             }
             return answer[0].contains(" a0 a1 a2");
           });
       assertTrue(
-          bench
+          fixture
                   .fleet
                   .stopGateway(ScenarioFixture.GATEWAY)
                   .at("/tally/overload/0/refused")
@@ -172,7 +166,7 @@
     }
   }
 
-  private static String whole(Socket socket) throws IOException {
+  private static String readResponse(Socket socket) throws IOException {
     StringBuilder text = new StringBuilder();
     while (text.indexOf("\r\n\r\n") < 0) {
       text.append((char) socket.getInputStream().read());
@@ -184,30 +178,32 @@
 
   /** Calls while the decision context is taken from the gateway for 150 ms again and again. */
   private static long refusedWhileItWaits(boolean stopped) {
-    Told told = new Told();
-    told.stopped = stopped;
-    try (ScenarioFixture bench =
-        told(told, s -> s.putObject("overload").put("targetMs", 20).put("stallMs", 10_000))) {
-      bench.awaitIdle();
-      EmulatedProcess gateway = bench.fleet.gatewayProcess(ScenarioFixture.GATEWAY);
+    ConfiguredResources resources = new ConfiguredResources();
+    resources.stopped = stopped;
+    try (ScenarioFixture fixture =
+        fixtureWith(
+            resources, s -> s.putObject("overload").put("targetMs", 20).put("stallMs", 10_000))) {
+      fixture.awaitIdle();
+      EmulatedProcess gateway = fixture.fleet.gatewayProcess(ScenarioFixture.GATEWAY);
       List<CompletableFuture<McpCall>> calls = new ArrayList<>();
-      McpClient client = bench.client();
+      McpClient client = fixture.client();
       assertTrue(
           ScenarioFixture.get(
-                  bench.begin(
+                  fixture.begin(
                       client,
-                      ScenarioFixture.ask("first", "answer in 2 words", ToolBehaviour.ANSWER)))
+                      ScenarioFixture.request("first", "answer in 2 words", ToolBehaviour.ANSWER)))
               .record()
               .served());
       for (int i = 0; i < 20; i++) {
         gateway.loop().execute(() -> ScenarioFixture.pause(150));
         calls.add(
-            bench.begin(
-                client, ScenarioFixture.ask("p" + i, "answer in 2 words", ToolBehaviour.ANSWER)));
+            fixture.begin(
+                client,
+                ScenarioFixture.request("p" + i, "answer in 2 words", ToolBehaviour.ANSWER)));
         ScenarioFixture.pause(100);
       }
       calls.forEach(ScenarioFixture::get); // the module may refuse some too, as it is late
-      return bench
+      return fixture
           .fleet
           .stopGateway(ScenarioFixture.GATEWAY)
           .at("/tally/overload/0/refused")
@@ -224,18 +220,18 @@
 
   @Test
   void repeatsHaveABudgetWhileTheShareIsCut() {
-    Told told = new Told();
-    try (ScenarioFixture bench =
-        told(
-            told,
+    ConfiguredResources resources = new ConfiguredResources();
+    try (ScenarioFixture fixture =
+        fixtureWith(
+            resources,
             s ->
                 s.putObject("overload")
                     .put("repeatPart", 0)
                     .put("repeatsPerSecond", 0)
                     .put("targetMs", 5_000))) {
-      McpClient known = bench.client();
+      McpClient known = fixture.client();
       ToolCallRequest again =
-          ScenarioFixture.ask("again", "answer in 1 words", ToolBehaviour.ANSWER);
+          ScenarioFixture.request("again", "answer in 1 words", ToolBehaviour.ANSWER);
       ToolCallRequest repeat =
           new ToolCallRequest(
               again.tool(),
@@ -249,16 +245,16 @@
               again.mark(),
               true);
       assertTrue(
-          ScenarioFixture.get(bench.begin(known, repeat)).record().served(),
+          ScenarioFixture.get(fixture.begin(known, repeat)).record().served(),
           "while all is let in there is no budget");
-      told.memory = 0.875; // half of what comes may come in
+      resources.memoryUsed = 0.875; // half of what comes may come in
       ScenarioFixture.await(
           "a refusal",
           () ->
               ScenarioFixture.get(
-                          bench.begin(
+                          fixture.begin(
                               known,
-                              ScenarioFixture.ask(
+                              ScenarioFixture.request(
                                   "m" + System.nanoTime(),
                                   "answer in 1 words",
                                   ToolBehaviour.ANSWER)))
@@ -267,31 +263,32 @@
                   == Mcp.REJECTED);
       ScenarioFixture.await(
           "the counts are judged",
-          () -> !ScenarioFixture.get(bench.begin(known, repeat)).record().served());
-      int first = 0;
-      int again2 = 0;
+          () -> !ScenarioFixture.get(fixture.begin(known, repeat)).record().served());
+      int firstAttemptsServed = 0;
+      int repeatsServed = 0;
       for (int i = 0; i < 60; i++) {
-        first +=
+        firstAttemptsServed +=
             ScenarioFixture.get(
-                        bench.begin(
+                        fixture.begin(
                             known,
-                            ScenarioFixture.ask(
+                            ScenarioFixture.request(
                                 "f" + i, "answer in 1 words", ToolBehaviour.ANSWER)))
                     .record()
                     .served()
                 ? 1
                 : 0;
-        again2 += ScenarioFixture.get(bench.begin(known, repeat)).record().served() ? 1 : 0;
+        repeatsServed +=
+            ScenarioFixture.get(fixture.begin(known, repeat)).record().served() ? 1 : 0;
       }
-      assertTrue(first > 10, "first tries let in: " + first);
-      assertEquals(0, again2, "repeats let in");
+      assertTrue(firstAttemptsServed > 10, "first tries let in: " + firstAttemptsServed);
+      assertEquals(0, repeatsServed, "repeats let in");
     }
   }
 
   @Test
   void answersThatWaitForToolsTakeNoPlaceOfOthersAndAreBoundedThemselves() {
-    try (ScenarioFixture bench =
-        bench(
+    try (ScenarioFixture fixture =
+        fixture(
             s -> {
               ((ObjectNode) s.get("limits")).put("maxCalls", 2).put("maxWaitingAnswers", 3);
               s.withArray("classes").forEach(c -> ((ObjectNode) c).put("toolTimeoutMs", 3_000));
@@ -300,9 +297,9 @@
       for (int i = 0; i < 3; i++) {
         AtomicReference<McpCall> call = new AtomicReference<>();
         waiting.add(
-            bench.begin(
-                bench.client(),
-                ScenarioFixture.ask(
+            fixture.begin(
+                fixture.client(),
+                ScenarioFixture.request(
                     "w" + i,
                     "call the tool stock answer in 3 words",
                     ToolBehaviour.SILENT,
@@ -312,34 +309,36 @@
             "it waits", () -> call.get() != null && !call.get().record().toolCalls.isEmpty());
       }
       assertTrue(
-          bench.call(ScenarioFixture.ask("m", "answer in 3 words", ToolBehaviour.ANSWER)).served(),
+          fixture
+              .call(ScenarioFixture.request("m", "answer in 3 words", ToolBehaviour.ANSWER))
+              .served(),
           "starved by slow tools");
       CallRecord fourth =
-          bench.call(
-              ScenarioFixture.ask(
+          fixture.call(
+              ScenarioFixture.request(
                   "w4", "call the tool stock answer in 3 words", ToolBehaviour.ANSWER, "stock"));
       assertEquals(Mcp.FAILED, fourth.errorCode);
       assertEquals(List.of(), fourth.toolCalls);
       waiting.forEach(w -> assertTrue(ScenarioFixture.get(w).record().served()));
       assertTrue(
-          bench
+          fixture
               .call(
-                  ScenarioFixture.ask(
+                  ScenarioFixture.request(
                       "w5", "call the tool stock answer in 3 words", ToolBehaviour.ANSWER, "stock"))
               .served());
-      bench.awaitIdle();
+      fixture.awaitIdle();
     }
   }
 
   @Test
   void clientsLeaveHandlesForEngines() throws IOException {
-    Told told = new Told();
-    told.most = 100;
-    try (ScenarioFixture bench = told(told, s -> {})) {
+    ConfiguredResources resources = new ConfiguredResources();
+    resources.maxHandles = 100;
+    try (ScenarioFixture fixture = fixtureWith(resources, s -> {})) {
       List<Socket> sockets = new ArrayList<>();
       try {
         for (int i = 0; i < 60; i++) {
-          sockets.add(socket(bench, 0));
+          sockets.add(socket(fixture, 0));
         }
         int closed = 0;
         for (Socket socket : sockets) {
@@ -359,30 +358,32 @@
 
   @Test
   void memoryOrHandlesNearTheirBoundKeepNewcomersOutAndLetRunningStreamsEnd() {
-    Told told = new Told();
-    try (ScenarioFixture bench =
-        told(told, s -> s.putObject("overload").put("risePerSecond", 100).put("targetMs", 5_000))) {
-      McpClient known = bench.client();
+    ConfiguredResources resources = new ConfiguredResources();
+    try (ScenarioFixture fixture =
+        fixtureWith(
+            resources,
+            s -> s.putObject("overload").put("risePerSecond", 100).put("targetMs", 5_000))) {
+      McpClient known = fixture.client();
       assertTrue(
           ScenarioFixture.get(
-                  bench.begin(
+                  fixture.begin(
                       known,
-                      ScenarioFixture.ask("before", "answer in 1 words", ToolBehaviour.ANSWER)))
+                      ScenarioFixture.request("before", "answer in 1 words", ToolBehaviour.ANSWER)))
               .record()
               .served());
       for (int way = 0; way < 2; way++) {
-        final CompletableFuture<McpCall> running = running(bench, 480);
-        told.memory = way == 0 ? 0.97 : 0;
-        told.handles = way == 0 ? 0 : 0.99;
+        final CompletableFuture<McpCall> running = running(fixture, 480);
+        resources.memoryUsed = way == 0 ? 0.97 : 0;
+        resources.handlesUsed = way == 0 ? 0 : 0.99;
         AtomicReference<CallRecord> refused = new AtomicReference<>();
         ScenarioFixture.await(
             "a refusal",
             () -> {
               refused.set(
                   ScenarioFixture.get(
-                          bench.begin(
+                          fixture.begin(
                               known,
-                              ScenarioFixture.ask(
+                              ScenarioFixture.request(
                                   "m" + System.nanoTime(),
                                   "answer in 1 words",
                                   ToolBehaviour.ANSWER)))
@@ -390,20 +391,20 @@
               return refused.get().errorCode == Mcp.REJECTED;
             });
         assertTrue(refused.get().retryable && refused.get().retryAfterMs > 0);
-        assertTrue(bench.events(TrafficEvent.Kind.PREFILL, refused.get().mark).isEmpty());
+        assertTrue(fixture.events(TrafficEvent.Kind.PREFILL, refused.get().mark).isEmpty());
         CompletableFuture<Boolean> session = new CompletableFuture<>();
-        bench.clients.loop().execute(() -> bench.client().open(session::complete));
+        fixture.clients.loop().execute(() -> fixture.client().open(session::complete));
         assertFalse(ScenarioFixture.get(session), "no new sessions either");
-        told.memory = 0;
-        told.handles = 0;
-        assertWhole(running, 480);
+        resources.memoryUsed = 0;
+        resources.handlesUsed = 0;
+        assertComplete(running, 480);
         ScenarioFixture.await(
             "all is let in again",
             () ->
                 ScenarioFixture.get(
-                        bench.begin(
+                        fixture.begin(
                             known,
-                            ScenarioFixture.ask(
+                            ScenarioFixture.request(
                                 "a" + System.nanoTime(),
                                 "answer in 1 words",
                                 ToolBehaviour.ANSWER)))
@@ -415,19 +416,21 @@
 
   @Test
   void aServerIsNotBlamedForConnectionsThatTheGatewayDoesNotHave() {
-    try (ScenarioFixture bench =
-        bench(20, s -> ((ObjectNode) s.get("engines")).put("maxConnectionsPerServer", 1))) {
-      CompletableFuture<McpCall> running = running(bench, 300);
+    try (ScenarioFixture fixture =
+        fixture(20, s -> ((ObjectNode) s.get("engines")).put("maxConnectionsPerServer", 1))) {
+      CompletableFuture<McpCall> running = running(fixture, 300);
       for (int i = 0; i < 20; i++) { // the writer's one connection is in use
         CallRecord seen =
-            bench.call(ScenarioFixture.ask("m" + i, "answer in 3 words", ToolBehaviour.ANSWER));
+            fixture.call(
+                ScenarioFixture.request("m" + i, "answer in 3 words", ToolBehaviour.ANSWER));
         assertEquals(1, seen.responses);
         assertTrue(seen.served() || seen.retryable, "code " + seen.errorCode);
       }
-      assertWhole(running, 300);
-      bench.awaitIdle();
+      assertComplete(running, 300);
+      fixture.awaitIdle();
       long moot = 0;
-      for (JsonNode row : bench.fleet.stopGateway(ScenarioFixture.GATEWAY).at("/tally/attempts")) {
+      for (JsonNode row :
+          fixture.fleet.stopGateway(ScenarioFixture.GATEWAY).at("/tally/attempts")) {
         assertEquals(0, row.get("connect_failed").longValue(), row.toString());
         moot += row.get("moot").longValue();
       }
@@ -458,12 +461,12 @@
             + "\"2025-06-18\"}}");
   }
 
-  private static Socket socket(ScenarioFixture bench, int receiveBuffer) throws IOException {
+  private static Socket socket(ScenarioFixture fixture, int receiveBuffer) throws IOException {
     Socket socket = new Socket();
     if (receiveBuffer > 0) {
       socket.setReceiveBufferSize(receiveBuffer);
     }
-    socket.connect(new InetSocketAddress("127.0.0.1", bench.port));
+    socket.connect(new InetSocketAddress("127.0.0.1", fixture.port));
     socket.setSoTimeout(30_000);
     return socket;
   }
@@ -504,14 +507,14 @@
 
   @Test
   void fiveThousandSessionsAtOnceAreBoundedAndHoldNobodyUp() throws Exception {
-    try (ScenarioFixture bench =
-        bench(s -> ((ObjectNode) s.get("front")).put("maxSessions", 1_000))) {
-      CompletableFuture<McpCall> running = running(bench, 400);
+    try (ScenarioFixture fixture =
+        fixture(s -> ((ObjectNode) s.get("front")).put("maxSessions", 1_000))) {
+      CompletableFuture<McpCall> running = running(fixture, 400);
       List<Socket> sockets = new ArrayList<>();
       List<CompletableFuture<int[]>> answers = new ArrayList<>();
       try {
         for (int i = 0; i < 10; i++) {
-          Socket socket = socket(bench, 0);
+          Socket socket = socket(fixture, 0);
           sockets.add(socket);
           answers.add(
               CompletableFuture.supplyAsync(
@@ -537,31 +540,31 @@
         assertTrue(opened > 0 && opened <= 999, "opened " + opened);
         assertEquals(
             opened + 1,
-            bench
+            fixture
                 .fleet
                 .gatewayProcess(ScenarioFixture.GATEWAY)
-                .invokeAndWait(bench.fleet.gateway(ScenarioFixture.GATEWAY)::sessionCount));
+                .invokeAndWait(fixture.fleet.gateway(ScenarioFixture.GATEWAY)::sessionCount));
       } finally {
         closeAll(sockets);
       }
-      assertWhole(running, 400);
+      assertComplete(running, 400);
     }
   }
 
   @Test
   void bodiesAtTheLimitSentSlowlyByHundredsLeaveRoomForSmallOnes() throws Exception {
-    try (ScenarioFixture bench =
-        bench(
+    try (ScenarioFixture fixture =
+        fixture(
             s ->
                 ((ObjectNode) s.get("front"))
                     .put("maxBodyBytes", 1 << 20)
                     .put("maxBodiesBytes", 4 << 20))) {
-      McpClient known = bench.client();
+      McpClient known = fixture.client();
       assertTrue(
           ScenarioFixture.get(
-                  bench.begin(
+                  fixture.begin(
                       known,
-                      ScenarioFixture.ask("first", "answer in 1 words", ToolBehaviour.ANSWER)))
+                      ScenarioFixture.request("first", "answer in 1 words", ToolBehaviour.ANSWER)))
               .record()
               .served());
       List<Socket> sockets = new ArrayList<>();
@@ -574,29 +577,30 @@
                 + (1 << 20)
                 + "\r\n\r\n";
         for (int i = 0; i < 300; i++) { // together far more than all may hold
-          sockets.add(socket(bench, 0));
+          sockets.add(socket(fixture, 0));
           send(sockets.get(i), head + "x".repeat(40_000));
         }
         for (int i = 0; i < 20; i++) {
           CallRecord seen =
               ScenarioFixture.get(
-                      bench.begin(
+                      fixture.begin(
                           known,
-                          ScenarioFixture.ask("m" + i, "answer in 3 words", ToolBehaviour.ANSWER)))
+                          ScenarioFixture.request(
+                              "m" + i, "answer in 3 words", ToolBehaviour.ANSWER)))
                   .record();
           assertTrue(seen.served(), "code " + seen.errorCode + " " + seen.protocolViolations);
         }
       } finally {
         closeAll(sockets);
       }
-      bench.awaitIdle();
+      fixture.awaitIdle();
     }
   }
 
   @Test
   void manyClientsThatNeverReadThenAllReadAtOnceGetAll() throws Exception {
-    try (ScenarioFixture bench =
-        bench(
+    try (ScenarioFixture fixture =
+        fixture(
             0.5,
             s -> {
               ((ObjectNode) s.at("/classes/0")).put("maxTokens", LONG).put("deadlineMs", 60_000);
@@ -605,10 +609,10 @@
       List<Socket> sockets = new ArrayList<>();
       try {
         for (int i = 0; i < STILL; i++) {
-          Socket socket = socket(bench, 8 * 1024);
+          Socket socket = socket(fixture, 8 * 1024);
           sockets.add(socket);
           send(socket, initialize(1));
-          String head = whole(socket);
+          String head = readResponse(socket);
           String session = head.replaceAll("(?is).*mcp-session-id: (\\S+).*", "$1");
           send(
               socket,
@@ -629,15 +633,15 @@
               for (int i = 0; i < STILL; i++) {
                 String mark = "n" + i;
                 now +=
-                    bench
+                    fixture
                         .fleet
                         .emulators()
-                        .invokeAndWait(() -> bench.fleet.engine("w").tokensSent(mark).orElse(-1));
+                        .invokeAndWait(() -> fixture.fleet.engine("w").tokensSent(mark).orElse(-1));
               }
               boolean stands =
                   now > 0
                       && now == before[0]
-                      && bench.events(TrafficEvent.Kind.DECODE, null).size() >= STILL;
+                      && fixture.events(TrafficEvent.Kind.DECODE, null).size() >= STILL;
               before[0] = now;
               ScenarioFixture.pause(200);
               return stands;
@@ -655,7 +659,7 @@
       } finally {
         closeAll(sockets);
       }
-      bench.awaitIdle();
+      fixture.awaitIdle();
     }
   }
 
@@ -686,14 +690,14 @@
 
   @Test
   void resultsOfToolsComeOverConnectionsOfAnyShard() {
-    try (ScenarioFixture bench = bench(s -> {})) {
-      McpClient client = bench.client();
+    try (ScenarioFixture fixture = fixture(s -> {})) {
+      McpClient client = fixture.client();
       List<CompletableFuture<McpCall>> calls = new ArrayList<>();
       for (int i = 0; i < MANY; i++) { // as many connections, and as many more for the results
         calls.add(
-            bench.begin(
+            fixture.begin(
                 client,
-                ScenarioFixture.ask(
+                ScenarioFixture.request(
                     "m" + i,
                     "call the tool stock and then call the tool price answer in" + " 20 words",
                     ToolBehaviour.ANSWER,
@@ -710,24 +714,24 @@
             seen.finalText.contains("[did-stock]") && seen.finalText.contains("[did-price]"),
             seen.finalText);
       }
-      bench.awaitIdle();
+      fixture.awaitIdle();
     }
   }
 
   @Test
   void aStopWhileAllShardsAreBusyLetsEveryStreamEnd() {
-    try (ScenarioFixture bench = bench(s -> {})) {
+    try (ScenarioFixture fixture = fixture(s -> {})) {
       List<CompletableFuture<McpCall>> calls = new ArrayList<>();
       for (int i = 0; i < MANY; i++) {
         calls.add(
-            bench.begin(
-                bench.client(),
-                ScenarioFixture.ask("m" + i, "answer in 200 words", ToolBehaviour.ANSWER)));
+            fixture.begin(
+                fixture.client(),
+                ScenarioFixture.request("m" + i, "answer in 200 words", ToolBehaviour.ANSWER)));
       }
       ScenarioFixture.await(
-          "all run", () -> bench.events(TrafficEvent.Kind.DECODE, null).size() >= MANY);
-      CompletableFuture<Void> stopped = bench.fleet.gateway(ScenarioFixture.GATEWAY).stop();
-      calls.forEach(c -> assertWhole(c, 200));
+          "all run", () -> fixture.events(TrafficEvent.Kind.DECODE, null).size() >= MANY);
+      CompletableFuture<Void> stopped = fixture.fleet.gateway(ScenarioFixture.GATEWAY).stop();
+      calls.forEach(c -> assertComplete(c, 200));
       ScenarioFixture.get(stopped);
     }
   }
--- a/scenario/src/test/java/lemondock/scenario/McpProtocolTest.java
+++ b/scenario/src/test/java/lemondock/scenario/McpProtocolTest.java
@@ -33,12 +33,12 @@
 class McpProtocolTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final String BOTH = "application/json, text/event-stream";
-  private static ScenarioFixture bench;
+  private static ScenarioFixture fixture;
   private static HttpClient http;
 
   @BeforeAll
   static void start() {
-    bench =
+    fixture =
         new ScenarioFixture(
             s -> {
               ((ObjectNode) s.get("front"))
@@ -59,12 +59,12 @@
 
   @AfterAll
   static void stop() {
-    bench.close();
+    fixture.close();
   }
 
   private static HttpRequest.Builder request(String session, String... headers) {
     HttpRequest.Builder builder =
-        HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + bench.port + "/mcp"))
+        HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + fixture.port + "/mcp"))
             .header("Content-Type", "application/json");
     if (session != null) {
       builder.header("Mcp-Session-Id", session);
@@ -183,7 +183,7 @@
     assertEquals(406, send(request(null, "Accept", "application/json").GET().build()).statusCode());
     assertEquals(
         404,
-        send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + bench.port + "/x")).build())
+        send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + fixture.port + "/x")).build())
             .statusCode());
     assertEquals(413, post(null, "x".repeat(60_000)).statusCode());
   }
@@ -196,7 +196,7 @@
         400,
         post(null, ping, "Origin", "http://good.example")
             .statusCode()); // let in; the session is missing
-    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), bench.port)) {
+    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), fixture.port)) {
       socket
           .getOutputStream()
           .write(
@@ -330,7 +330,7 @@
   void loadBalancersAreAnswered() {
     for (String path : List.of("/healthz", "/readyz")) {
       HttpRequest.Builder ask =
-          HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + bench.port + path));
+          HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + fixture.port + path));
       assertEquals(200, send(ask.GET().build()).statusCode());
       assertEquals(405, send(ask.POST(HttpRequest.BodyPublishers.noBody()).build()).statusCode());
     }
@@ -488,7 +488,7 @@
         assertTrue(m.has("method"), m.toString());
       }
     }
-    bench.awaitIdle();
+    fixture.awaitIdle();
   }
 
   @Test
@@ -499,7 +499,7 @@
         "{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":9}}");
     JsonNode overtaken = json(post(session, call(9, "#overtaken# answer in 3 words", "")).body());
     assertEquals(Mcp.FAILED, overtaken.at("/error/code").asInt(), overtaken.toString());
-    assertTrue(bench.events(lemondock.emulator.TrafficEvent.Kind.PREFILL, "overtaken").isEmpty());
+    assertTrue(fixture.events(lemondock.emulator.TrafficEvent.Kind.PREFILL, "overtaken").isEmpty());
     assertTrue(post(session, call(9, "answer in 3 words", "")).body().contains(" a0 a1 a2"));
     post(
         session,
@@ -531,7 +531,7 @@
       }
       reader.close();
     }
-    bench.awaitIdle();
+    fixture.awaitIdle();
   }
 
   @Test
@@ -547,7 +547,7 @@
   void slowlorisClientsAreEndedAndHarmNobody() throws IOException {
     List<Socket> slow = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      Socket socket = new Socket(InetAddress.getLoopbackAddress(), bench.port);
+      Socket socket = new Socket(InetAddress.getLoopbackAddress(), fixture.port);
       socket
           .getOutputStream()
           .write("POST /mcp HTTP/1.1\r\nHost: loc".getBytes(StandardCharsets.US_ASCII));
--- a/scenario/src/test/java/lemondock/scenario/NonIdempotentCallsTest.java
+++ b/scenario/src/test/java/lemondock/scenario/NonIdempotentCallsTest.java
@@ -22,7 +22,7 @@
 class NonIdempotentCallsTest {
   @TempDir private Path folder;
 
-  private ScenarioFixture bench() {
+  private ScenarioFixture fixture() {
     return new ScenarioFixture(
         s -> {
           s.putObject("durable")
@@ -49,29 +49,29 @@
         key);
   }
 
-  private static void restart(ScenarioFixture bench) {
-    bench.fleet.killGateway(ScenarioFixture.GATEWAY);
-    bench.fleet.startGateway(ScenarioFixture.GATEWAY);
-    assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 2, 10_000));
+  private static void restart(ScenarioFixture fixture) {
+    fixture.fleet.killGateway(ScenarioFixture.GATEWAY);
+    fixture.fleet.startGateway(ScenarioFixture.GATEWAY);
+    assertTrue(fixture.fleet.awaitServers(ScenarioFixture.GATEWAY, 2, 10_000));
   }
 
-  private static int effects(ScenarioFixture bench, String mark) {
-    return bench.events(TrafficEvent.Kind.DECODE_STARTED, mark).size();
+  private static int effects(ScenarioFixture fixture, String mark) {
+    return fixture.events(TrafficEvent.Kind.DECODE_STARTED, mark).size();
   }
 
   @Test
   void aCallThatWasRelayedIsNotRunAgainByTheNextLifeOfItsGateway() throws Exception {
-    try (ScenarioFixture bench = bench()) {
+    try (ScenarioFixture fixture = fixture()) {
       ConversationClient.Answer first =
           call(
-              new ConversationClient(bench.port),
+              new ConversationClient(fixture.port),
               "sale-lookup",
               "k1",
               "m1",
               "call the tool stock answer in 5 words");
       first.relayed();
-      restart(bench); // its client never answered
-      ConversationClient session = new ConversationClient(bench.port);
+      restart(fixture); // its client never answered
+      ConversationClient session = new ConversationClient(fixture.port);
       JsonNode again =
           call(session, "sale-lookup", "k1", "m1-again", "call the tool stock answer in 5 words")
               .end();
@@ -80,9 +80,9 @@
       assertFalse(again.at("/error/data/retryable").asBoolean(true));
       assertEquals(
           "[{\"tool\":\"stock\",\"answered\":false}]", again.at("/error/data/relayed").toString());
-      assertEquals(1, effects(bench, "m1"));
+      assertEquals(1, effects(fixture, "m1"));
       assertTrue(
-          bench.events(TrafficEvent.Kind.PREFILL, "m1-again").isEmpty(),
+          fixture.events(TrafficEvent.Kind.PREFILL, "m1-again").isEmpty(),
           "nothing of it may be sent");
       JsonNode other = call(session, "sale-lookup", "k2", "m2", "answer in 5 words").end();
       assertEquals(
@@ -92,8 +92,8 @@
 
   @Test
   void whatWasServedIsToldSoInThisLifeAndTheNextAndWhatNeverRanMayRun() throws Exception {
-    try (ScenarioFixture bench = bench()) {
-      ConversationClient session = new ConversationClient(bench.port);
+    try (ScenarioFixture fixture = fixture()) {
+      ConversationClient session = new ConversationClient(fixture.port);
       assertTrue(call(session, "sale-lookup", "k1", "m1", "answer in 5 words").end().has("result"));
       assertEquals(
           "served",
@@ -101,29 +101,29 @@
               .end()
               .at("/error/data/became")
               .asText());
-      bench
+      fixture
           .fleet
           .emulators()
           .invokeAndWait(
               () -> {
-                bench.fleet.catalogue().setEmpty(true);
+                fixture.fleet.catalogue().setEmpty(true);
               });
-      assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 0, 10_000));
+      assertTrue(fixture.fleet.awaitServers(ScenarioFixture.GATEWAY, 0, 10_000));
       assertEquals(
           Mcp.REJECTED,
           call(session, "sale-lookup", "k2", "m2", "answer in 5 words")
               .end()
               .at("/error/code")
               .asInt());
-      bench
+      fixture
           .fleet
           .emulators()
           .invokeAndWait(
               () -> {
-                bench.fleet.catalogue().setEmpty(false);
+                fixture.fleet.catalogue().setEmpty(false);
               });
-      restart(bench);
-      ConversationClient next = new ConversationClient(bench.port);
+      restart(fixture);
+      ConversationClient next = new ConversationClient(fixture.port);
       assertEquals(
           "served",
           call(next, "sale-lookup", "k1", "m1c", "answer in 5 words")
@@ -136,10 +136,10 @@
       assertTrue(
           call(next, "day-close", "k1", "m3", "answer in 5 words").end().has("result"),
           "safe to repeat");
-      assertEquals(1, effects(bench, "m1"));
+      assertEquals(1, effects(fixture, "m1"));
       assertTrue(
-          bench.events(TrafficEvent.Kind.PREFILL, "m1b").isEmpty()
-              && bench.events(TrafficEvent.Kind.PREFILL, "m1c").isEmpty());
+          fixture.events(TrafficEvent.Kind.PREFILL, "m1b").isEmpty()
+              && fixture.events(TrafficEvent.Kind.PREFILL, "m1c").isEmpty());
       JsonNode bad = call(next, "sale-lookup", "x".repeat(201), "m4", "answer in 5 words").end();
       assertTrue(
           bad.at("/error/message")
@@ -154,7 +154,7 @@
     Files.createDirectories(folder.resolve("calls"));
     Files.writeString(folder.resolve("calls").resolve("log-4"), "this is no log");
     try {
-      bench().close();
+      fixture().close();
       throw new AssertionError("it started");
     } catch (java.io.UncheckedIOException e) {
       assertTrue(e.getMessage().contains("log-4"), e.getMessage());
@@ -186,17 +186,17 @@
 
   @Test
   void nothingIsSentBeforeItIsDurable() throws Exception {
-    try (ScenarioFixture bench = bench()) {
+    try (ScenarioFixture fixture = fixture()) {
       Failing[] disk = new Failing[1];
-      bench.fleet.decorateFileSystem(f -> disk[0] = new Failing(f, 1_000));
-      restart(bench);
-      ConversationClient session = new ConversationClient(bench.port);
+      fixture.fleet.decorateFileSystem(f -> disk[0] = new Failing(f, 1_000));
+      restart(fixture);
+      ConversationClient session = new ConversationClient(fixture.port);
       disk[0].goodSyncs = 0;
       JsonNode refused = call(session, "sale-lookup", "k1", "m1", "answer in 5 words").end();
       assertEquals(Mcp.REJECTED, refused.at("/error/code").asInt(), refused.toString());
       assertTrue(
           refused.at("/error/data/retryable").asBoolean()
-              && bench.events(TrafficEvent.Kind.PREFILL, "m1").isEmpty());
+              && fixture.events(TrafficEvent.Kind.PREFILL, "m1").isEmpty());
       assertTrue(
           call(session, "day-close", "k3", "m3", "answer in 5 words").end().has("result"),
           "needs no disk");
--- a/scenario/src/test/java/lemondock/scenario/ReportEdgeCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ReportEdgeCasesTest.java
@@ -61,18 +61,18 @@
     };
   }
 
-  private static ScenarioFixture bench(Consumer<ObjectNode> settings) {
+  private static ScenarioFixture fixture(Consumer<ObjectNode> settings) {
     return new ScenarioFixture(
         settings, ScenarioFixture.reader("reader"), ScenarioFixture.writer("writer"));
   }
 
-  private static void calls(ScenarioFixture bench, String mark, int count) {
+  private static void calls(ScenarioFixture fixture, String mark, int count) {
     List<CompletableFuture<McpCall>> all = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       all.add(
-          bench.begin(
-              bench.client(),
-              ScenarioFixture.ask(mark + i, TEXT, ToolBehaviour.ANSWER).withTenant("t" + i)));
+          fixture.begin(
+              fixture.client(),
+              ScenarioFixture.request(mark + i, TEXT, ToolBehaviour.ANSWER).withTenant("t" + i)));
     }
     all.forEach(c -> assertTrue(ScenarioFixture.get(c).record().served()));
   }
@@ -101,8 +101,8 @@
         LoopbackPort unused = LoopbackPort.reserve()) {
       int nobody = unused.number();
       Consumer<ObjectNode> settings = graphite(never, slow, resets, noise, good);
-      try (ScenarioFixture bench =
-          bench(
+      try (ScenarioFixture fixture =
+          fixture(
               s -> {
                 settings.accept(s);
                 destination(s, "nobody", "graphite").put("address", "127.0.0.1:" + nobody);
@@ -110,13 +110,13 @@
                 destination(s, "no-name", "graphite").put("address", "does-not-exist.invalid:1");
                 destination(s, "no-socket", "collectd-unixsock").put("path", "/nowhere/at/all");
               })) {
-        calls(bench, "a", 20);
+        calls(fixture, "a", 20);
         ScenarioFixture.await(
             "the one that resets was tried again", () -> resets.connections() >= 3);
         ScenarioFixture.await("the good one goes on", () -> last(good.received(), ".served") == 20);
-        calls(bench, "b", 20);
+        calls(fixture, "b", 20);
         long from = System.nanoTime();
-        JsonNode tally = bench.fleet.stopGateway(ScenarioFixture.GATEWAY);
+        JsonNode tally = fixture.fleet.stopGateway(ScenarioFixture.GATEWAY);
         double seconds = (System.nanoTime() - from) / 1e9;
         assertTrue(seconds < 5, "the stop took " + seconds + " s");
         assertEquals("40", served(tally));
@@ -144,13 +144,13 @@
   void aCollectorThatComesBackGetsWhatItMissed() throws IOException {
     GraphiteListener first = new GraphiteListener(0, false, Fault.NONE);
     int port = first.port();
-    try (ScenarioFixture bench = bench(graphite(first))) {
-      calls(bench, "a", 5);
+    try (ScenarioFixture fixture = fixture(graphite(first))) {
+      calls(fixture, "a", 5);
       ScenarioFixture.await("reported", () -> last(first.received(), ".served") == 5);
       first.close();
-      calls(bench, "b", 5);
+      calls(fixture, "b", 5);
       ScenarioFixture.await(
-          "snapshots wait", () -> bench.fleet.reporting(ScenarioFixture.GATEWAY) != null);
+          "snapshots wait", () -> fixture.fleet.reporting(ScenarioFixture.GATEWAY) != null);
       try (GraphiteListener second = new GraphiteListener(port, false, Fault.NONE)) {
         ScenarioFixture.await("all of it came", () -> last(second.received(), ".served") == 10);
       }
@@ -161,16 +161,16 @@
   void lossAndReorderingOfDatagramsLeaveTheLastWordRight() throws IOException {
     try (CollectdListener listener = new CollectdListener(0, Map.of(), 5)) {
       listener.disturb(0.3, 0.3);
-      try (ScenarioFixture bench =
-          bench(
+      try (ScenarioFixture fixture =
+          fixture(
               s ->
                   destination(s, "udp", "collectd")
                       .put("address", "127.0.0.1:" + listener.port()))) {
-        calls(bench, "a", 20);
+        calls(fixture, "a", 20);
         ScenarioFixture.await("some came", () -> listener.received().values() > 2_000);
         ScenarioFixture.await("some came late", () -> listener.received().late() > 0);
         listener.disturb(0, 0);
-        JsonNode tally = bench.fleet.stopGateway(ScenarioFixture.GATEWAY);
+        JsonNode tally = fixture.fleet.stopGateway(ScenarioFixture.GATEWAY);
         assertEquals("20", served(tally));
         ScenarioFixture.await(
             "the last word",
@@ -190,8 +190,8 @@
     Path users = folder.resolve("users");
     java.nio.file.Files.writeString(users, "till: wrong\n");
     try (CollectdListener listener = new CollectdListener(0, Map.of("till", "right"), 5)) {
-      try (ScenarioFixture bench =
-          bench(
+      try (ScenarioFixture fixture =
+          fixture(
               s -> {
                 for (String form : List.of("sign", "encrypt")) {
                   destination(s, form, "collectd")
@@ -201,7 +201,7 @@
                       .put("authFile", users.toString());
                 }
               })) {
-        calls(bench, "a", 3);
+        calls(fixture, "a", 3);
         ScenarioFixture.await(
             "refused by the listener", () -> listener.received().unreadable() > 4);
         assertEquals(0, listener.received().values());
@@ -213,10 +213,10 @@
   void theUnixsockPluginsTextIsSpokenAndItsAnswersIgnored(@TempDir Path folder) throws IOException {
     Path path = folder.resolve("sock");
     try (UnixsockListener listener = new UnixsockListener(path)) {
-      try (ScenarioFixture bench =
-          bench(s -> destination(s, "sock", "collectd-unixsock").put("path", path.toString()))) {
-        calls(bench, "a", 4);
-        JsonNode tally = bench.fleet.stopGateway(ScenarioFixture.GATEWAY);
+      try (ScenarioFixture fixture =
+          fixture(s -> destination(s, "sock", "collectd-unixsock").put("path", path.toString()))) {
+        calls(fixture, "a", 4);
+        JsonNode tally = fixture.fleet.stopGateway(ScenarioFixture.GATEWAY);
         ScenarioFixture.await(
             "the last word",
             () ->
@@ -235,8 +235,8 @@
   void twoGatewaysUnderOneNameAreToldApart() throws IOException {
     try (GraphiteListener listener = new GraphiteListener(0, false, Fault.NONE)) {
       Consumer<ObjectNode> reports = graphite(listener);
-      try (ScenarioFixture one = bench(reports);
-          ScenarioFixture two = bench(reports)) {
+      try (ScenarioFixture one = fixture(reports);
+          ScenarioFixture two = fixture(reports)) {
         calls(one, "a", 3);
         calls(two, "b", 5);
         String first = one.fleet.stopGateway(ScenarioFixture.GATEWAY).get("instance").textValue();
@@ -262,8 +262,8 @@
   void aFloodOfTenantsIsBoundedAndStillCountedWhole() throws IOException {
     try (GraphiteListener listener = new GraphiteListener(0, false, Fault.NONE)) {
       Consumer<ObjectNode> reports = graphite(listener);
-      try (ScenarioFixture bench =
-          bench(
+      try (ScenarioFixture fixture =
+          fixture(
               s -> {
                 reports.accept(s);
                 ((ObjectNode) s.get("reporting"))
@@ -271,8 +271,8 @@
                     .putArray("tenants")
                     .add("t39");
               })) {
-        calls(bench, "a", 40);
-        JsonNode tally = bench.fleet.stopGateway(ScenarioFixture.GATEWAY);
+        calls(fixture, "a", 40);
+        JsonNode tally = fixture.fleet.stopGateway(ScenarioFixture.GATEWAY);
         assertEquals("40", served(tally));
         TreeSet<String> tenants =
             new TreeSet<>(tally.at("/tally/requests").findValuesAsText("tenant"));
@@ -289,27 +289,27 @@
 
   @Test
   void toolCallsAndStatesAndAttemptsAreCounted() {
-    try (ScenarioFixture bench =
-        bench(s -> ((ObjectNode) s.at("/classes/0")).put("toolTimeoutMs", 300))) {
+    try (ScenarioFixture fixture =
+        fixture(s -> ((ObjectNode) s.at("/classes/0")).put("toolTimeoutMs", 300))) {
       CallRecord seen =
-          bench.call(
-              ScenarioFixture.ask(
+          fixture.call(
+              ScenarioFixture.request(
                   "m1",
                   "call the tool stock and answer in 5 words",
                   ToolBehaviour.ANSWER,
                   "stock"));
       assertTrue(seen.served());
       assertTrue(
-          bench
+          fixture
               .call(
-                  ScenarioFixture.ask(
+                  ScenarioFixture.request(
                       "m2",
                       "call the tool stock and answer in 5 words",
                       ToolBehaviour.SILENT,
                       "stock"))
               .served());
-      bench.awaitIdle();
-      JsonNode tally = bench.fleet.stopGateway(ScenarioFixture.GATEWAY).get("tally");
+      fixture.awaitIdle();
+      JsonNode tally = fixture.fleet.stopGateway(ScenarioFixture.GATEWAY).get("tally");
       JsonNode tools = tally.at("/tools/0");
       assertEquals(
           "2 1 1", tools.get("relayed") + " " + tools.get("answered") + " " + tools.get("lost"));
--- a/scenario/src/test/java/lemondock/scenario/RequestPathTest.java
+++ b/scenario/src/test/java/lemondock/scenario/RequestPathTest.java
@@ -11,29 +11,29 @@
 class RequestPathTest {
   @Test
   void aCallIsReadWrittenAndStreamed() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(s -> {}, ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       CallRecord seen =
-          bench.call(ScenarioFixture.ask("m1", "answer in 5 words", ToolBehaviour.ANSWER));
+          fixture.call(ScenarioFixture.request("m1", "answer in 5 words", ToolBehaviour.ANSWER));
       assertEquals(" a0 a1 a2 a3 a4", seen.finalText);
       assertEquals(seen.finalText, seen.streamed.toString());
       assertEquals(5, seen.tokens);
       assertEquals(1, seen.responses);
       assertEquals(List.of(), seen.protocolViolations);
-      assertEquals(1, bench.events(TrafficEvent.Kind.PREFILL, "m1").size());
-      assertEquals(1, bench.events(TrafficEvent.Kind.STATE_FETCHED, "m1").size());
-      assertEquals(1, bench.events(TrafficEvent.Kind.DECODE_STARTED, "m1").size());
-      bench.awaitIdle();
+      assertEquals(1, fixture.events(TrafficEvent.Kind.PREFILL, "m1").size());
+      assertEquals(1, fixture.events(TrafficEvent.Kind.STATE_FETCHED, "m1").size());
+      assertEquals(1, fixture.events(TrafficEvent.Kind.DECODE_STARTED, "m1").size());
+      fixture.awaitIdle();
     }
   }
 
   @Test
   void twoToolCallsInMidStream() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(s -> {}, ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       CallRecord seen =
-          bench.call(
-              ScenarioFixture.ask(
+          fixture.call(
+              ScenarioFixture.request(
                   "m2",
                   "call the tool stock and then call the tool price",
                   ToolBehaviour.ANSWER,
@@ -46,19 +46,19 @@
           seen.finalText.startsWith(" a0 a1 a2 a3[did-stock] b0 b1 b2 b3[did-price] c0"),
           seen.finalText);
       assertEquals(seen.finalText, seen.streamed.toString());
-      assertEquals(3, bench.events(TrafficEvent.Kind.DECODE_STARTED, "m2").size());
-      bench.awaitIdle();
+      assertEquals(3, fixture.events(TrafficEvent.Kind.DECODE_STARTED, "m2").size());
+      fixture.awaitIdle();
     }
   }
 
   @Test
   void aMixedServerReadsAndWritesInPlace() {
-    try (ScenarioFixture bench = new ScenarioFixture(s -> {}, ScenarioFixture.mixed("x"))) {
+    try (ScenarioFixture fixture = new ScenarioFixture(s -> {}, ScenarioFixture.mixed("x"))) {
       CallRecord seen =
-          bench.call(ScenarioFixture.ask("m3", "answer in 3 words", ToolBehaviour.ANSWER));
+          fixture.call(ScenarioFixture.request("m3", "answer in 3 words", ToolBehaviour.ANSWER));
       assertEquals(" a0 a1 a2", seen.finalText);
-      assertEquals(0, bench.events(TrafficEvent.Kind.PREFILL, "m3").size());
-      bench.awaitIdle();
+      assertEquals(0, fixture.events(TrafficEvent.Kind.PREFILL, "m3").size());
+      fixture.awaitIdle();
     }
   }
 }
--- a/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
+++ b/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
@@ -41,11 +41,12 @@
    * "overload": gateway, engines and clients share this process, and a machine that is slow for a
    * moment is not what most tests are about.
    */
-  ScenarioFixture(Consumer<ObjectNode> own, RouterFactory maker, EngineSettings... engines) {
+  ScenarioFixture(
+      Consumer<ObjectNode> testChanges, RouterFactory routerFactory, EngineSettings... engines) {
     Consumer<ObjectNode> changes =
         settings -> {
           settings.putObject("overload").put("refuse", false);
-          own.accept(settings);
+          testChanges.accept(settings);
         };
     List<GatewaySettings.ClassSettings> classes =
         LoopbackSettings.gateway("x", 0, 1, "north", 1, "127.0.0.1:1", changes).classes();
@@ -56,7 +57,7 @@
     }
     settings =
         LoopbackSettings.gateway(GATEWAY, 0, 1, "north", port, fleet.catalogueAddress(), changes);
-    fleet.addGateway(settings, maker);
+    fleet.addGateway(settings, routerFactory);
     if (!fleet.awaitServers(GATEWAY, engines.length, 10_000)) {
       throw new IllegalStateException("the gateway does not see its servers");
     }
@@ -78,11 +79,12 @@
     return new McpClient(clients.loop(), http, new InetSocketAddress("127.0.0.1", port), GATEWAY);
   }
 
-  static ToolCallRequest ask(String mark, String text, ToolBehaviour behaviour, String... tools) {
-    return ask("sale-lookup", 0, mark, text, behaviour, tools);
+  static ToolCallRequest request(
+      String mark, String text, ToolBehaviour behaviour, String... tools) {
+    return request("sale-lookup", 0, mark, text, behaviour, tools);
   }
 
-  static ToolCallRequest ask(
+  static ToolCallRequest request(
       String tool,
       int classId,
       String mark,
@@ -108,12 +110,22 @@
         false);
   }
 
+  /** The complete text of an answer of so many words, without tool calls. */
+  static String answerText(int words) {
+    StringBuilder text = new StringBuilder();
+    for (int i = 0; i < words; i++) {
+      text.append(" a").append(i);
+    }
+    return text.toString();
+  }
+
   /** Begins a call; the future ends with it. */
-  CompletableFuture<McpCall> begin(McpClient client, ToolCallRequest ask) {
-    return begin(client, ask, call -> {});
+  CompletableFuture<McpCall> begin(McpClient client, ToolCallRequest request) {
+    return begin(client, request, call -> {});
   }
 
-  CompletableFuture<McpCall> begin(McpClient client, ToolCallRequest ask, Consumer<McpCall> begun) {
+  CompletableFuture<McpCall> begin(
+      McpClient client, ToolCallRequest request, Consumer<McpCall> begun) {
     CompletableFuture<McpCall> done = new CompletableFuture<>();
     clients
         .loop()
@@ -122,7 +134,7 @@
                 client.open(
                     ok -> {
                       if (ok) {
-                        begun.accept(client.call(ask, done::complete));
+                        begun.accept(client.call(request, done::complete));
                       } else {
                         done.completeExceptionally(
                             new IllegalStateException("no session: status " + client.openStatus()));
@@ -131,8 +143,8 @@
     return done;
   }
 
-  CallRecord call(ToolCallRequest ask) {
-    return get(begin(client(), ask)).record();
+  CallRecord call(ToolCallRequest request) {
+    return get(begin(client(), request)).record();
   }
 
   static <T> T get(CompletableFuture<T> future) {
--- a/scenario/src/test/java/lemondock/scenario/SdkClientTest.java
+++ b/scenario/src/test/java/lemondock/scenario/SdkClientTest.java
@@ -23,20 +23,20 @@
 class SdkClientTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
-  private static HttpClientStreamableHttpTransport transport(ScenarioFixture bench) {
-    return HttpClientStreamableHttpTransport.builder("http://127.0.0.1:" + bench.port)
+  private static HttpClientStreamableHttpTransport transport(ScenarioFixture fixture) {
+    return HttpClientStreamableHttpTransport.builder("http://127.0.0.1:" + fixture.port)
         .endpoint("/mcp")
         .build();
   }
 
   @Test
   void itsClientListsAndCallsTools() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(s -> {}, ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       // by their numbers: the SDK hands notifications to several threads of its own
       ConcurrentSkipListMap<Double, String> progress = new ConcurrentSkipListMap<>();
       try (McpSyncClient client =
-          io.modelcontextprotocol.client.McpClient.sync(transport(bench))
+          io.modelcontextprotocol.client.McpClient.sync(transport(fixture))
               .requestTimeout(Duration.ofSeconds(10))
               .progressConsumer(p -> progress.put(p.progress(), p.message()))
               .build()) {
@@ -56,7 +56,7 @@
         ScenarioFixture.await(
             "progress", () -> String.join("", progress.values()).equals(" a0 a1 a2 a3"));
       }
-      bench.awaitIdle();
+      fixture.awaitIdle();
     }
   }
 
@@ -66,7 +66,7 @@
    */
   @Test
   void itsSessionAnswersToolCallsInMidStream() {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(s -> {}, ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       ConcurrentLinkedQueue<String> asked = new ConcurrentLinkedQueue<>();
       McpClientSession.RequestHandler<Map<String, Object>> handler =
@@ -81,7 +81,7 @@
       McpClientSession session =
           new McpClientSession(
               Duration.ofSeconds(10),
-              transport(bench),
+              transport(fixture),
               Map.of("tools/call", handler),
               Map.of("notifications/progress", params -> Mono.empty()),
               UnaryOperator.identity());
@@ -119,8 +119,8 @@
       assertEquals(" a0 a1 a2 a3[the stock] b0 b1 b2 b3[the price] c0 c1 c2", text);
       assertEquals(List.of("stock", "price"), List.copyOf(asked));
       session.close();
-      bench.awaitIdle();
-      assertTrue(bench.fleet.events().size() > 10);
+      fixture.awaitIdle();
+      assertTrue(fixture.fleet.events().size() > 10);
     }
   }
 }
--- a/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
+++ b/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
@@ -22,7 +22,7 @@
 class TokenPathTest {
   private static final int WORDS = 300;
 
-  private static ScenarioFixture bench() {
+  private static ScenarioFixture fixture() {
     return new ScenarioFixture(
         s -> {
           s.put("ioThreads", 3);
@@ -34,24 +34,16 @@
             .withLimits(256, 256, 10_000_000));
   }
 
-  private static String expected(int words) {
-    StringBuilder text = new StringBuilder();
-    for (int i = 0; i < words; i++) {
-      text.append(" a").append(i);
-    }
-    return text.toString();
-  }
-
   /**
    * One call whose connection is broken again and again, read at changing pace; gives what was
    * streamed and the result.
    */
-  private static String[] broken(ScenarioFixture bench, int seed)
+  private static String[] broken(ScenarioFixture fixture, int seed)
       throws IOException, InterruptedException {
     SplittableRandom random = new SplittableRandom(seed);
     StringBuilder streamed = new StringBuilder();
     try (ConversationClient.Answer answer =
-        new ConversationClient(bench.port)
+        new ConversationClient(fixture.port)
             .call("7", "sale-lookup", "#b" + seed + "# answer in " + WORDS + " words", List.of())) {
       answer.primed();
       while (true) {
@@ -76,7 +68,7 @@
   @Test
   void noTokenIsLostOrRepeatedHoweverOftenConnectionsBreak() throws Exception {
     ExecutorService threads = Executors.newCachedThreadPool();
-    try (ScenarioFixture bench = bench()) {
+    try (ScenarioFixture fixture = fixture()) {
       List<CompletableFuture<String[]>> all = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
         int seed = i;
@@ -84,7 +76,7 @@
             CompletableFuture.supplyAsync(
                 () -> {
                   try {
-                    return broken(bench, seed);
+                    return broken(fixture, seed);
                   } catch (IOException | InterruptedException e) {
                     throw new IllegalStateException(e);
                   }
@@ -93,10 +85,10 @@
       }
       for (CompletableFuture<String[]> one : all) {
         String[] seen = ScenarioFixture.get(one);
-        assertEquals(expected(WORDS), seen[0]);
+        assertEquals(ScenarioFixture.answerText(WORDS), seen[0]);
         assertEquals(seen[0], seen[1]);
       }
-      bench.awaitIdle();
+      fixture.awaitIdle();
     } finally {
       threads.shutdownNow();
     }
@@ -109,7 +101,7 @@
   @Test
   void aCallThatHasEndedIsHeldByNoTimer() {
     int calls = 150;
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(
             s -> {
               ((ObjectNode) s.get("engines")).put("streamSilenceMs", 120_000);
@@ -118,29 +110,29 @@
             },
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w"))) {
-      EmulatedProcess node = bench.fleet.gatewayProcess(ScenarioFixture.GATEWAY);
+      EmulatedProcess node = fixture.fleet.gatewayProcess(ScenarioFixture.GATEWAY);
       assertEquals(
           12,
           ScenarioFixture.get(
-                  bench.begin(
-                      bench.client(),
-                      ScenarioFixture.ask("warm", "answer in 12 words", ToolBehaviour.ANSWER)))
+                  fixture.begin(
+                      fixture.client(),
+                      ScenarioFixture.request("warm", "answer in 12 words", ToolBehaviour.ANSWER)))
               .record()
               .tokens);
-      bench.awaitIdle();
+      fixture.awaitIdle();
       int before = node.invokeAndWait(node.loop()::pendingTimers);
       for (int i = 0; i < calls; i += 10) {
         List<CompletableFuture<McpCall>> some = new ArrayList<>();
         for (int j = 0; j < 10; j++) {
           some.add(
-              bench.begin(
-                  bench.client(),
-                  ScenarioFixture.ask(
+              fixture.begin(
+                  fixture.client(),
+                  ScenarioFixture.request(
                       "t" + i + "-" + j, "answer in 12 words", ToolBehaviour.ANSWER)));
         }
         some.forEach(one -> assertTrue(ScenarioFixture.get(one).record().served()));
       }
-      bench.awaitIdle();
+      fixture.awaitIdle();
       int perCall = (node.invokeAndWait(node.loop()::pendingTimers) - before) / calls;
       assertTrue(
           perCall <= 3,
@@ -154,19 +146,19 @@
   @Test
   void manyCallsOfOneSessionOnOneStreamEndEachOnceWhileTheirNeighboursAreCancelled()
       throws Exception {
-    try (ScenarioFixture bench = bench()) {
+    try (ScenarioFixture fixture = fixture()) {
       List<CompletableFuture<McpCall>> kept = new ArrayList<>();
       SplittableRandom random = new SplittableRandom(3);
       for (int i = 0; i < 80; i++) {
         boolean leaves = i % 2 == 1;
         long after = random.nextLong(150_000);
         CompletableFuture<McpCall> done =
-            bench.begin(
-                bench.client(),
-                ScenarioFixture.ask("s" + i, "answer in 100 words", ToolBehaviour.ANSWER),
+            fixture.begin(
+                fixture.client(),
+                ScenarioFixture.request("s" + i, "answer in 100 words", ToolBehaviour.ANSWER),
                 call -> {
                   if (leaves) {
-                    bench.clients.loop().schedule(after, call::cancel);
+                    fixture.clients.loop().schedule(after, call::cancel);
                   }
                 });
         if (!leaves) {
@@ -176,29 +168,29 @@
       for (CompletableFuture<McpCall> one : kept) {
         CallRecord seen = ScenarioFixture.get(one).record();
         assertTrue(seen.served(), seen.mark);
-        assertEquals(expected(100), seen.streamed.toString());
+        assertEquals(ScenarioFixture.answerText(100), seen.streamed.toString());
         assertEquals(1, seen.responses);
         assertEquals(0, seen.messagesAfterAnswer);
       }
-      bench.awaitIdle();
+      fixture.awaitIdle();
     }
   }
 
   @Test
   void aTokenGoesOutWhenItComesAndNotWithALaterOne() throws Exception {
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(
             s -> {},
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w").withLatencies(1, 1, 250))) {
       try (ConversationClient.Answer answer =
-          new ConversationClient(bench.port)
+          new ConversationClient(fixture.port)
               .call("1", "sale-lookup", "#slow# answer in 8 words", List.of())) {
         for (int tokens = 0; tokens < 3; tokens++) {
           assertEquals("notifications/progress", answer.next().path("method").asText());
         }
         assertTrue(
-            bench.events(TrafficEvent.Kind.ANSWERED, "slow").stream()
+            fixture.events(TrafficEvent.Kind.ANSWERED, "slow").stream()
                 .noneMatch(e -> e.detail().equals("write")),
             "the third of eight tokens came only with the end");
       }
--- a/scenario/src/test/java/lemondock/scenario/ToolCallsTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ToolCallsTest.java
@@ -27,11 +27,11 @@
 class ToolCallsTest {
   private static final int TURNS = 3;
   private static final int WAITING = 40;
-  private static ScenarioFixture bench;
+  private static ScenarioFixture fixture;
 
   @BeforeAll
   static void start() {
-    bench =
+    fixture =
         new ScenarioFixture(
             s -> {
               ((ObjectNode) s.get("limits")).put("maxWaitingAnswers", WAITING);
@@ -47,7 +47,7 @@
 
   @AfterAll
   static void stop() {
-    bench.close();
+    fixture.close();
   }
 
   @ParameterizedTest
@@ -63,7 +63,7 @@
       })
   void anyIdComesBackAsItWas(String id) throws Exception {
     String json = id.replace("LONG", "y".repeat(256));
-    ConversationClient client = new ConversationClient(bench.port);
+    ConversationClient client = new ConversationClient(fixture.port);
     try (ConversationClient.Answer answer =
         client.call(
             json, "sale-lookup", "call the tool stock answer in 3 words", List.of("stock"))) {
@@ -79,7 +79,7 @@
 
   @Test
   void aCallWithoutAUsableIdIsRefused() throws Exception {
-    ConversationClient client = new ConversationClient(bench.port);
+    ConversationClient client = new ConversationClient(fixture.port);
     assertEquals(
         400,
         client.post(
@@ -98,7 +98,7 @@
 
   @Test
   void resultsInReverseOrderStandWhereTheirCallsDo() throws Exception {
-    ConversationClient client = new ConversationClient(bench.port);
+    ConversationClient client = new ConversationClient(fixture.port);
     List<String> tools = List.of("t0", "t1", "t2", "t3");
     try (ConversationClient.Answer answer =
         client.call(
@@ -122,7 +122,7 @@
   }
 
   private static JsonNode turns(int count) throws IOException, InterruptedException {
-    ConversationClient client = new ConversationClient(bench.port);
+    ConversationClient client = new ConversationClient(fixture.port);
     try (ConversationClient.Answer answer =
         client.call(
             "1",
@@ -156,7 +156,7 @@
    */
   @Test
   void answersThatWaitForToolsAreBoundedAndStarveNobody() throws Exception {
-    ConversationClient client = new ConversationClient(bench.port);
+    ConversationClient client = new ConversationClient(fixture.port);
     List<ConversationClient.Answer> open = new ArrayList<>();
     List<JsonNode> relayed = new ArrayList<>();
     try {
@@ -178,7 +178,7 @@
       }
       assertEquals(Mcp.FAILED, over.at("/error/code").asInt(), over.toString());
       try (ConversationClient.Answer plain =
-          new ConversationClient(bench.port)
+          new ConversationClient(fixture.port)
               .call("91", "sale-lookup", "answer in 2 words", List.of())) {
         assertEquals(" a0 a1", plain.end().at("/result/content/0/text").asText());
       }
@@ -207,6 +207,6 @@
         answer.close();
       }
     }
-    bench.awaitIdle();
+    fixture.awaitIdle();
   }
 }
--- a/scenario/src/test/java/lemondock/scenario/TypeScriptClientTest.java
+++ b/scenario/src/test/java/lemondock/scenario/TypeScriptClientTest.java
@@ -75,7 +75,7 @@
     try (Stream<Path> files = Files.list(CLIENT.resolve("dist/test"))) {
       tests = files.map(Path::toString).filter(f -> f.endsWith(".test.js")).toList();
     }
-    try (ScenarioFixture bench =
+    try (ScenarioFixture fixture =
         new ScenarioFixture(
             s -> {
               ((ObjectNode) s.at("/classes/0")).put("deadlineMs", 20_000).put("aimMs", 10_000);
@@ -84,7 +84,7 @@
             ScenarioFixture.writer("w"))) {
       Outcome tested =
           run(
-              Map.of("LEMONDOCK_URL", "http://127.0.0.1:" + bench.port + "/mcp"),
+              Map.of("LEMONDOCK_URL", "http://127.0.0.1:" + fixture.port + "/mcp"),
               Stream.concat(Stream.of("node", "--test"), tests.stream()).toArray(String[]::new));
       assertEquals(0, tested.code(), tested.text());
     }
