--- a/cli/src/main/java/lemondock/cli/CatalogueEmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/CatalogueEmulatorCommand.java
@@ -23,7 +23,11 @@
       description = "Settings (JSON): {\"listen\": \"HOST:PORT\"}.")
   private Path config;
 
-  /** The settings. */
+  /**
+   * The settings of an emulated catalogue.
+   *
+   * @param listen HOST:PORT
+   */
   record Settings(String listen) {}
 
   @Override
@@ -37,17 +41,12 @@
             "catalogue-emulator.schema.json",
             CatalogueEmulatorCommand.class,
             Settings.class);
-    EmulatedProcess node = new EmulatedProcess("catalogue", 1);
+    EmulatedProcess process = new EmulatedProcess("catalogue", 1);
     CatalogueEmulator catalogue =
-        node.ask(() -> new CatalogueEmulator(node.loop(), TrafficObserver.NONE));
-    catalogue.start(node.network(), SettingsFile.resolveAddress(settings.listen()));
-    System.out.println(
-        "ready http://"
-            + catalogue.address().getHostString()
-            + ":"
-            + catalogue.address().getPort());
-    ShutdownSignal.beforeExit(() -> {});
-    ShutdownSignal.await(Long.MAX_VALUE);
+        process.ask(() -> new CatalogueEmulator(process.loop(), TrafficObserver.NONE));
+    catalogue.start(process.network(), SettingsFile.resolveAddress(settings.listen()));
+    System.out.println("ready " + HttpUrl.of(catalogue.address()));
+    ShutdownSignal.awaitWithoutTask();
     return 0;
   }
 }
--- a/cli/src/main/java/lemondock/cli/CollectorEmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/CollectorEmulatorCommand.java
@@ -2,6 +2,7 @@
 
 import java.util.Map;
 import java.util.concurrent.Callable;
+import java.util.concurrent.TimeUnit;
 import lemondock.emulator.collect.CollectdListener;
 import lemondock.emulator.collect.GraphiteListener;
 import lemondock.emulator.collect.ReceivedReports;
@@ -16,6 +17,8 @@
         "Runs emulators of carbon (plaintext) and collectd on loopback that print the"
             + " newest worth they are told.")
 final class CollectorEmulatorCommand implements Callable<Integer> {
+  private static final long PRINT_INTERVAL_MILLIS = 1_000;
+
   @Option(
       names = "--graphite",
       description = "Port for Graphite's plaintext protocol.",
@@ -36,37 +39,48 @@
 
   @Override
   public Integer call() throws Exception {
-    try (GraphiteListener plain =
+    try (GraphiteListener graphite =
             new GraphiteListener(graphitePort, false, GraphiteListener.Fault.NONE);
-        CollectdListener binary = new CollectdListener(collectdPort, Map.of(), 1)) {
-      System.out.println("ready graphite " + plain.port() + " collectd " + binary.port());
-      long until = seconds == 0 ? Long.MAX_VALUE : System.nanoTime() + seconds * 1_000_000_000L;
-      while (System.nanoTime() < until) {
-        Thread.sleep(1_000);
-        System.out.println(
-            "graphite: "
-                + plain.received().values()
-                + " values, newest worth "
-                + worth(plain.received())
-                + "; collectd: "
-                + binary.received().values()
-                + " values in "
-                + binary.packets()
-                + " packets, notices "
-                + binary.notices().size());
+        CollectdListener collectd = new CollectdListener(collectdPort, Map.of(), 1)) {
+      System.out.println("ready graphite " + graphite.port() + " collectd " + collectd.port());
+      long endNanos =
+          seconds == 0 ? Long.MAX_VALUE : System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
+      while (System.nanoTime() < endNanos) {
+        Thread.sleep(PRINT_INTERVAL_MILLIS);
+        printReceived(graphite, collectd);
       }
     }
     return 0;
   }
 
-  private static String worth(ReceivedReports received) {
+  private static void printReceived(GraphiteListener graphite, CollectdListener collectd) {
+    System.out.println(
+        "graphite: "
+            + graphite.received().values()
+            + " values, newest worth "
+            + priorityWeightInTime(graphite.received())
+            + "; collectd: "
+            + collectd.received().values()
+            + " values in "
+            + collectd.packets()
+            + " packets, notices "
+            + collectd.notices().size());
+  }
+
+  /** Sums the newest priority weights, answered in time and asked for, over all series. */
+  private static String priorityWeightInTime(ReceivedReports received) {
     double asked = 0;
     double inTime = 0;
-    for (Map.Entry<String, ReceivedReports.Entry> e : received.newest().entrySet()) {
-      if (e.getKey().contains(".worth.")) {
-        double value = e.getValue().values().get(0).doubleValue();
-        asked += e.getKey().endsWith(".asked") ? value : 0;
-        inTime += e.getKey().endsWith(".in_time") ? value : 0;
+    for (Map.Entry<String, ReceivedReports.Entry> report : received.newest().entrySet()) {
+      String path = report.getKey();
+      if (!path.contains(".worth.")) {
+        continue;
+      }
+      double value = report.getValue().values().get(0).doubleValue();
+      if (path.endsWith(".asked")) {
+        asked += value;
+      } else if (path.endsWith(".in_time")) {
+        inTime += value;
       }
     }
     return inTime + " in time of " + asked;
--- a/cli/src/main/java/lemondock/cli/DemoCommand.java
+++ b/cli/src/main/java/lemondock/cli/DemoCommand.java
@@ -1,6 +1,8 @@
 package lemondock.cli;
 
+import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.time.Duration;
 import java.util.List;
 import java.util.concurrent.Callable;
 import lemondock.emulator.EngineSettings;
@@ -11,13 +13,21 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** A whole service on loopback. */
+/** Runs a complete service on loopback: gateways, a catalogue and engines of two zones. */
 @Command(
     name = "demo",
     mixinStandardHelpOptions = true,
     description = "Runs two gateways, a catalogue and emulated engines in two zones on loopback.")
 final class DemoCommand implements Callable<Integer> {
-  private static final String[] ZONES = {"north", "south"};
+  private static final List<String> ZONES = List.of("north", "south");
+  private static final List<String> RACKS = List.of("r1", "r2");
+  private static final double READ_MILLIS = 5;
+  private static final double FIRST_TOKEN_MILLIS = 5;
+  private static final double TOKEN_MILLIS = 20;
+  private static final long FLEET_SEED = 1;
+  private static final long SERVERS_WAIT_MILLIS = 10_000;
+  private static final int REPORT_INTERVAL_MILLIS = 1_000;
+  private static final int COLLECTD_MAX_BACKOFF_MILLIS = 2_000;
 
   @Option(
       names = "--port",
@@ -39,7 +49,7 @@
       description =
           "Reports to Graphite (plaintext, port 2003) and collectd (network plugin, port"
               + " 25826) of a host.")
-  private String report;
+  private String reportHost;
 
   @Option(names = "--graphite-port", defaultValue = "2003", hidden = true)
   private int graphitePort;
@@ -53,78 +63,108 @@
   @Override
   public Integer call() throws Exception {
     Logging.configure("text", level);
-    List<GatewaySettings.ClassSettings> classes =
-        LoopbackSettings.gateway("model", 0, 1, "north", 1, "127.0.0.1:1", s -> {}).classes();
-    ScenarioFleet fleet = new ScenarioFleet(classes, 1);
+    ScenarioFleet fleet = new ScenarioFleet(requestClasses(), FLEET_SEED);
+    addEngines(fleet);
+    int firstPort = port == 0 ? fleet.reservePort() : port;
+    int secondPort = fleet.reservePort();
+    addGateways(fleet, List.of(firstPort, secondPort));
+    awaitServers(fleet);
+    printAddresses(fleet, firstPort, secondPort);
+    ShutdownSignal.beforeExit(() -> stopGateways(fleet));
+    awaitEnd();
+    return 0;
+  }
+
+  /** The request classes that the gateways' settings have by default. */
+  private static List<GatewaySettings.ClassSettings> requestClasses() {
+    return LoopbackSettings.gateway("model", 0, 1, "north", 1, "127.0.0.1:1", settings -> {})
+        .classes();
+  }
+
+  private static void addEngines(ScenarioFleet fleet) {
     for (String zone : ZONES) {
-      fleet.addEngine(
-          EngineSettings.quick(zone + "-reader-1", "reader", zone, "r1").paced(5, 5, 20));
-      fleet.addEngine(
-          EngineSettings.quick(zone + "-reader-2", "reader", zone, "r2").paced(5, 5, 20));
-      fleet.addEngine(
-          EngineSettings.quick(zone + "-writer-1", "writer", zone, "r1").paced(5, 5, 20));
-      fleet.addEngine(
-          EngineSettings.quick(zone + "-writer-2", "writer", zone, "r2").paced(5, 5, 20));
+      for (String role : List.of("reader", "writer")) {
+        for (int i = 0; i < RACKS.size(); i++) {
+          fleet.addEngine(engine(zone + "-" + role + "-" + (i + 1), role, zone, RACKS.get(i)));
+        }
+      }
     }
-    fleet.addEngine(EngineSettings.quick("north-mixed-1", "mixed", "north", "r1").paced(5, 5, 20));
-    int first = port == 0 ? fleet.reservePort() : port;
-    int second = fleet.reservePort();
-    for (int i = 0; i < ZONES.length; i++) {
-      fleet.addGateway(
+    fleet.addEngine(engine("north-mixed-1", "mixed", "north", "r1"));
+  }
+
+  private static EngineSettings engine(String name, String role, String zone, String rack) {
+    return EngineSettings.quick(name, role, zone, rack)
+        .paced(READ_MILLIS, FIRST_TOKEN_MILLIS, TOKEN_MILLIS);
+  }
+
+  /** Adds a gateway for each zone, in the order of their ports. */
+  private void addGateways(ScenarioFleet fleet, List<Integer> ports) {
+    for (int i = 0; i < ZONES.size(); i++) {
+      GatewaySettings settings =
           LoopbackSettings.gateway(
-              "gw-" + ZONES[i],
+              "gw-" + ZONES.get(i),
               i,
-              ZONES.length,
-              ZONES[i],
-              i == 0 ? first : second,
+              ZONES.size(),
+              ZONES.get(i),
+              ports.get(i),
               fleet.catalogueAddress(),
-              settings -> addReporting(settings, fleet.reservePort())),
-          Gateway.DEFAULT_ROUTER_FACTORY);
+              json -> addReporting(json, fleet.reservePort()));
+      fleet.addGateway(settings, Gateway.DEFAULT_ROUTER_FACTORY);
+    }
+  }
+
+  private void addReporting(ObjectNode settings, int statusPort) {
+    ObjectNode reporting =
+        settings
+            .putObject("reporting")
+            .put("listen", "127.0.0.1:" + statusPort)
+            .put("intervalMs", REPORT_INTERVAL_MILLIS);
+    if (reportHost == null) {
+      return;
     }
+    ArrayNode destinations = reporting.putArray("destinations");
+    addDestination(destinations, "graphite", graphitePort);
+    addDestination(destinations, "collectd", collectdPort)
+        .put("maxBackoffMs", COLLECTD_MAX_BACKOFF_MILLIS);
+  }
+
+  private ObjectNode addDestination(ArrayNode destinations, String kind, int destinationPort) {
+    return destinations
+        .addObject()
+        .put("name", kind)
+        .put("kind", kind)
+        .put("address", reportHost + ":" + destinationPort);
+  }
+
+  private static void awaitServers(ScenarioFleet fleet) {
     for (String gateway : fleet.gateways()) {
-      if (!fleet.awaitServers(gateway, fleet.engines().size(), 10_000)) {
+      if (!fleet.awaitServers(gateway, fleet.engines().size(), SERVERS_WAIT_MILLIS)) {
         throw new IllegalStateException(gateway + " does not see its servers");
       }
     }
-    System.out.println("ready http://127.0.0.1:" + first + "/mcp");
+  }
+
+  /** The first line goes to standard output, where programs wait for it; the rest is for people. */
+  private static void printAddresses(ScenarioFleet fleet, int firstPort, int secondPort) {
+    System.out.println("ready http://127.0.0.1:" + firstPort + "/mcp");
     for (String gateway : fleet.gateways()) {
-      System.err.println(
-          "status of "
-              + gateway
-              + ": bin/lemondock status 127.0.0.1:"
-              + fleet.reporting(gateway).statusAddress().getPort());
+      int statusPort = fleet.reporting(gateway).statusAddress().getPort();
+      System.err.println("status of " + gateway + ": bin/lemondock status 127.0.0.1:" + statusPort);
     }
-    System.err.println("the second gateway is at http://127.0.0.1:" + second + "/mcp");
-    ShutdownSignal.beforeExit(
-        () -> {
-          for (String gateway : fleet.gateways()) {
-            fleet.stopGateway(gateway);
-          }
-        });
-    ShutdownSignal.await(seconds > 0 ? seconds : Long.MAX_VALUE);
-    return 0;
+    System.err.println("the second gateway is at http://127.0.0.1:" + secondPort + "/mcp");
   }
 
-  private void addReporting(ObjectNode settings, int statusPort) {
-    ObjectNode reporting =
-        settings
-            .putObject("reporting")
-            .put("listen", "127.0.0.1:" + statusPort)
-            .put("intervalMs", 1000);
-    if (report != null) {
-      reporting
-          .putArray("destinations")
-          .addObject()
-          .put("name", "graphite")
-          .put("kind", "graphite")
-          .put("address", report + ":" + graphitePort);
-      reporting
-          .withArray("destinations")
-          .addObject()
-          .put("name", "collectd")
-          .put("kind", "collectd")
-          .put("address", report + ":" + collectdPort)
-          .put("maxBackoffMs", 2000);
+  private static void stopGateways(ScenarioFleet fleet) {
+    for (String gateway : fleet.gateways()) {
+      fleet.stopGateway(gateway);
+    }
+  }
+
+  private void awaitEnd() throws InterruptedException {
+    if (seconds > 0) {
+      ShutdownSignal.await(Duration.ofSeconds(seconds));
+    } else {
+      ShutdownSignal.await();
     }
   }
 }
--- a/cli/src/main/java/lemondock/cli/GatewayCommand.java
+++ b/cli/src/main/java/lemondock/cli/GatewayCommand.java
@@ -1,5 +1,6 @@
 package lemondock.cli;
 
+import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import java.util.concurrent.ExecutionException;
@@ -15,18 +16,27 @@
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsFile;
 import lemondock.idempotency.DiskFolder;
+import lemondock.idempotency.FileSystemPort;
 import lemondock.net.nio.AsyncNetwork;
 import lemondock.net.nio.ThreadLoop;
 import lemondock.net.nio.WorkerPool;
+import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs a gateway until a signal stops it; calls under way may end first. */
+/** Runs a gateway until a signal stops it; calls in flight may end first. */
 @Command(name = "gateway", mixinStandardHelpOptions = true, description = "Runs a gateway.")
 final class GatewayCommand implements Callable<Integer> {
+  private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
+
+  /** One thread writes the idempotency log; a full queue rejects calls that need it. */
+  private static final int DISK_THREADS = 1;
+
   private static final int DISK_QUEUE = 64;
-  private static final long GRACE_MS = 2_000;
+
+  /** Added to the time that the settings allow for each step of the shutdown. */
+  private static final long SHUTDOWN_GRACE_MILLIS = 2_000;
 
   @Option(
       names = "--config",
@@ -39,63 +49,68 @@
   public Integer call() throws Exception {
     GatewaySettings settings = SettingsFile.readGateway(config);
     Logging.configure(settings.log().format(), settings.log().level());
-    ThreadLoop loop =
-        new ThreadLoop(
-            "lemondock-loop",
-            e -> LoggerFactory.getLogger(Gateway.class).error("a task of the loop failed", e));
-    AsyncNetwork network = new AsyncNetwork(loop, settings.ioThreads());
-    GatewayEnvironment machine =
-        new GatewayEnvironment(
-            loop,
-            network,
-            WorkerPool.create(1, DISK_QUEUE, "lemondock-disk"),
-            WorkerPool.create(
-                settings.overload().heavyThreads(),
-                settings.overload().heavyQueue(),
-                "lemondock-worker"),
-            new JvmProcessResources(),
-            settings.durable() == null ? null : new DiskFolder(Path.of(settings.durable().path())));
-    Gateway gateway =
-        new Gateway(
-            machine,
-            settings,
-            new PromptReader(settings.classes()),
-            Gateway.DEFAULT_ROUTER_FACTORY);
-    ReportHost host = new ReportHost("lemondock-reports");
-    Reporting reporting =
-        new Reporting(settings, gateway.metrics(), host.environment(), ProcessMeters.registry());
+    Gateway gateway = createGateway(settings);
+    Reporting reporting = createReporting(settings, gateway);
     gateway.start();
     reporting.start(gateway.address());
-    ShutdownSignal.beforeExit(
-        () -> {
-          try {
-            gateway
-                .stop()
-                .get(
-                    (long) (settings.limits().stopNoticeMs() + settings.limits().stopWithinMs())
-                        + GRACE_MS,
-                    TimeUnit.MILLISECONDS);
-            reporting
-                .finish()
-                .get((long) settings.reporting().finishMs() + GRACE_MS, TimeUnit.MILLISECONDS);
-          } catch (ExecutionException | TimeoutException e) {
-            LoggerFactory.getLogger(Gateway.class).warn("the stop was not clean", e);
-          }
-        });
-    System.out.println(
-        "ready http://"
-            + gateway.address().getHostString()
-            + ":"
-            + gateway.address().getPort()
-            + "/mcp");
+    ShutdownSignal.beforeExit(() -> shutDown(settings, gateway, reporting));
+    printAddresses(gateway, reporting);
+    ShutdownSignal.await();
+    return 0;
+  }
+
+  private static Gateway createGateway(GatewaySettings settings) throws IOException {
+    return new Gateway(
+        createEnvironment(settings),
+        settings,
+        new PromptReader(settings.classes()),
+        Gateway.DEFAULT_ROUTER_FACTORY);
+  }
+
+  private static GatewayEnvironment createEnvironment(GatewaySettings settings) throws IOException {
+    ThreadLoop loop =
+        new ThreadLoop("lemondock-loop", e -> LOG.error("a task of the loop failed", e));
+    return new GatewayEnvironment(
+        loop,
+        new AsyncNetwork(loop, settings.ioThreads()),
+        WorkerPool.create(DISK_THREADS, DISK_QUEUE, "lemondock-disk"),
+        WorkerPool.create(
+            settings.overload().heavyThreads(),
+            settings.overload().heavyQueue(),
+            "lemondock-worker"),
+        new JvmProcessResources(),
+        idempotencyFolder(settings));
+  }
+
+  /** The folder of the idempotency log; null, as the environment wants it, if none is kept. */
+  private static FileSystemPort idempotencyFolder(GatewaySettings settings) throws IOException {
+    return settings.durable() == null ? null : new DiskFolder(Path.of(settings.durable().path()));
+  }
+
+  private static Reporting createReporting(GatewaySettings settings, Gateway gateway)
+      throws IOException {
+    ReportHost host = new ReportHost("lemondock-reports");
+    return new Reporting(settings, gateway.metrics(), host.environment(), ProcessMeters.registry());
+  }
+
+  /** Stops the gateway, then its reports, so that the final metrics include its last calls. */
+  private static void shutDown(GatewaySettings settings, Gateway gateway, Reporting reporting)
+      throws InterruptedException {
+    long gatewayMillis =
+        (long) (settings.limits().stopNoticeMs() + settings.limits().stopWithinMs());
+    long reportingMillis = (long) settings.reporting().finishMs();
+    try {
+      gateway.stop().get(gatewayMillis + SHUTDOWN_GRACE_MILLIS, TimeUnit.MILLISECONDS);
+      reporting.finish().get(reportingMillis + SHUTDOWN_GRACE_MILLIS, TimeUnit.MILLISECONDS);
+    } catch (ExecutionException | TimeoutException e) {
+      LOG.warn("the stop was not clean", e);
+    }
+  }
+
+  private static void printAddresses(Gateway gateway, Reporting reporting) {
+    System.out.println("ready " + HttpUrl.of(gateway.address()) + "/mcp");
     if (reporting.statusAddress() != null) {
-      System.out.println(
-          "status http://"
-              + reporting.statusAddress().getHostString()
-              + ":"
-              + reporting.statusAddress().getPort());
+      System.out.println("status " + HttpUrl.of(reporting.statusAddress()));
     }
-    ShutdownSignal.await(Long.MAX_VALUE);
-    return 0;
   }
 }
--- a/cli/src/main/java/lemondock/cli/MetricsDumpCommand.java
+++ b/cli/src/main/java/lemondock/cli/MetricsDumpCommand.java
@@ -35,15 +35,16 @@
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    if (gateway == null == (file == null)) {
+    boolean bothOrNeither = (gateway == null) == (file == null);
+    if (bothOrNeither) {
       throw new CommandLine.ParameterException(
           spec.commandLine(), "expected either HOST:PORT or --file FILE");
     }
-    JsonNode tally =
+    JsonNode metrics =
         file == null
             ? StatusClient.get(gateway, "/tally")
             : new ObjectMapper().readTree(Files.readAllBytes(file));
-    System.out.println(tally.toPrettyString());
+    System.out.println(metrics.toPrettyString());
     return 0;
   }
 }
--- a/cli/src/main/java/lemondock/cli/PlatformEmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/PlatformEmulatorCommand.java
@@ -47,13 +47,13 @@
   @Override
   public Integer call() throws Exception {
     Logging.configure("text", "info");
-    EmulatedProcess node = new EmulatedProcess("platform", 1);
-    PlatformEmulator platform = node.ask(() -> new PlatformEmulator(node.loop(), node.network()));
+    EmulatedProcess process = new EmulatedProcess("platform", 1);
+    PlatformEmulator platform =
+        process.ask(() -> new PlatformEmulator(process.loop(), process.network()));
     platform.start(readers, writers);
     Files.writeString(configFile, platform.config(listen).toPrettyString());
     System.out.println("ready: bin/lemondock-platform " + configFile);
-    ShutdownSignal.beforeExit(() -> {});
-    ShutdownSignal.await(Long.MAX_VALUE);
+    ShutdownSignal.awaitWithoutTask();
     return 0;
   }
 }
--- a/cli/src/main/java/lemondock/cli/PutvalCommand.java
+++ b/cli/src/main/java/lemondock/cli/PutvalCommand.java
@@ -3,26 +3,18 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import lemondock.exporter.SnapshotRing;
 import lemondock.exporter.collectd.Identity;
 import lemondock.exporter.collectd.PutVal;
-import lemondock.metrics.Family;
-import lemondock.metrics.Field;
-import lemondock.metrics.Metrics;
-import lemondock.metrics.Series;
-import lemondock.metrics.Snapshot;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
 /**
- * For collectd's exec plugin: asks a gateway every interval and prints its values as PUTVAL lines.
+ * For collectd's exec plugin: polls a gateway at every interval and prints its values as PUTVAL
+ * lines. Ends when collectd closes the pipe.
  */
 @Command(
     name = "putval",
@@ -49,16 +41,16 @@
 
   @Override
   public Integer call() throws InterruptedException {
-    long millis = Math.round(interval * 1_000);
+    long intervalMillis = Math.round(interval * 1_000);
     for (int i = 0; times == 0 || i < times; i++) {
       if (i > 0) {
-        TimeUnit.MILLISECONDS.sleep(millis);
+        TimeUnit.MILLISECONDS.sleep(intervalMillis);
       }
       try {
-        print(StatusClient.get(gateway, "/tally"), millis);
+        print(StatusClient.get(gateway, "/tally"), intervalMillis);
       } catch (IOException e) {
-        System.err.println(
-            "lemondock: " + e.getMessage()); // collectd logs it; the next time may work
+        // collectd logs standard error; the next interval may succeed
+        System.err.println("lemondock: " + e.getMessage());
       }
       if (System.out.checkError()) {
         return 0; // collectd has closed the pipe
@@ -67,46 +59,14 @@
     return 0;
   }
 
-  private void print(JsonNode answer, long millis) {
-    List<Series> series = new ArrayList<>();
-    List<Long> values = new ArrayList<>();
-    Map<String, Family> families = new HashMap<>();
-    Metrics.ALL.forEach(f -> families.put(f.name(), f));
-    answer
-        .get("tally")
-        .properties()
-        .forEach(
-            e -> {
-              Family family = families.get(e.getKey());
-              for (JsonNode row : family == null ? List.<JsonNode>of() : e.getValue()) {
-                series.add(
-                    new Series(
-                        series.size(),
-                        family,
-                        family.dimensions().stream().map(d -> row.path(d).asText()).toList(),
-                        values.size()));
-                for (Field field : family.fields()) {
-                  values.add(
-                      row.has(field.name())
-                          ? row.get(field.name())
-                              .decimalValue()
-                              .movePointRight(field.decimals())
-                              .longValue()
-                          : Snapshot.ABSENT);
-                }
-              }
-            });
+  private void print(JsonNode metrics, long intervalMillis) {
+    SnapshotParser.Parsed snapshot = SnapshotParser.parse(metrics.get("tally"));
+    SnapshotRing.View view =
+        new SnapshotRing.View(
+            0, metrics.path("stampMs").asLong(), snapshot.series(), snapshot.values());
     ByteArrayOutputStream text = new ByteArrayOutputStream();
-    new PutVal(new Identity(host, answer.path("instance").asText()), millis)
-        .encode(
-            new SnapshotRing.View(
-                0,
-                answer.path("stampMs").asLong(),
-                series,
-                values.stream().mapToLong(v -> v).toArray()),
-            0,
-            Integer.MAX_VALUE,
-            text);
+    new PutVal(new Identity(host, metrics.path("instance").asText()), intervalMillis)
+        .encode(view, 0, Integer.MAX_VALUE, text);
     System.out.writeBytes(text.toByteArray());
     System.out.flush();
   }
--- a/cli/src/main/java/lemondock/cli/ScenarioCommand.java
+++ b/cli/src/main/java/lemondock/cli/ScenarioCommand.java
@@ -6,6 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
+import lemondock.gateway.settings.SettingsException;
 import lemondock.scenario.FaultScenario;
 import lemondock.scenario.ReportComparison;
 import lemondock.scenario.ScenarioReport;
@@ -67,34 +68,44 @@
     Logging.configure("text", level);
     List<FaultScenario.Result> results = new ArrayList<>();
     for (long current = seed; current < seed + seeds; current++) {
-      ScenarioScript day =
-          script == null
-              ? ScenarioScript.draw(current, seconds)
-              : ScenarioScript.read(script).seeded(current);
-      results.add(reports ? playWithReports(day) : new FaultScenario(day).play());
-      System.out.println(ScenarioReport.line(results.get(results.size() - 1)));
+      ScenarioScript scenario = scenario(current);
+      FaultScenario.Result result =
+          reports ? playWithReports(scenario) : new FaultScenario(scenario).play();
+      results.add(result);
+      System.out.println(ScenarioReport.line(result));
     }
-    Files.createDirectories(out);
-    Files.writeString(out.resolve("verdict.json"), ScenarioReport.json(results));
-    Files.writeString(out.resolve("verdict.html"), ScenarioReport.page(results));
-    System.out.println(
-        "verdict: " + out.resolve("verdict.json") + ", " + out.resolve("verdict.html"));
-    return results.stream().allMatch(result -> result.finding().kept()) && !reportsDiffered ? 0 : 1;
+    writeVerdict(results);
+    boolean allKept = results.stream().allMatch(result -> result.finding().kept());
+    return allKept && !reportsDiffered ? 0 : 1;
+  }
+
+  private ScenarioScript scenario(long scenarioSeed) throws SettingsException {
+    return script == null
+        ? ScenarioScript.draw(scenarioSeed, seconds)
+        : ScenarioScript.read(script).seeded(scenarioSeed);
   }
 
-  private FaultScenario.Result playWithReports(ScenarioScript day)
+  private FaultScenario.Result playWithReports(ScenarioScript scenario)
       throws InterruptedException, IOException {
-    try (ReportComparison check = new ReportComparison()) {
-      FaultScenario.Result result = new FaultScenario(day).reporting(check).play();
+    try (ReportComparison comparison = new ReportComparison()) {
+      FaultScenario.Result result = new FaultScenario(scenario).reporting(comparison).play();
+      boolean differs = !comparison.differences().isEmpty();
       System.out.println(
           "reports: "
-              + check.compared()
+              + comparison.compared()
               + " values compared, "
-              + (check.differences().isEmpty()
-                  ? "all agree"
-                  : "DIFFERENT: " + check.differences()));
-      reportsDiffered |= !check.differences().isEmpty();
+              + (differs ? "DIFFERENT: " + comparison.differences() : "all agree"));
+      reportsDiffered |= differs;
       return result;
     }
   }
+
+  private void writeVerdict(List<FaultScenario.Result> results) throws IOException {
+    Path json = out.resolve("verdict.json");
+    Path html = out.resolve("verdict.html");
+    Files.createDirectories(out);
+    Files.writeString(json, ScenarioReport.json(results));
+    Files.writeString(html, ScenarioReport.page(results));
+    System.out.println("verdict: " + json + ", " + html);
+  }
 }
--- a/cli/src/main/java/lemondock/cli/ShutdownSignal.java
+++ b/cli/src/main/java/lemondock/cli/ShutdownSignal.java
@@ -1,5 +1,6 @@
 package lemondock.cli;
 
+import java.time.Duration;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
@@ -16,26 +17,32 @@
 
   /** Runs the task on SIGTERM or SIGINT, on a thread of its own; the process exits after it. */
   static void beforeExit(Task task) {
-    Runtime.getRuntime()
-        .addShutdownHook(
-            new Thread(
-                () -> {
-                  try {
-                    task.run();
-                  } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                  }
-                  STOPPED.countDown();
-                },
-                "lemondock-stop"));
+    Thread hook = new Thread(() -> finish(task), "lemondock-stop");
+    Runtime.getRuntime().addShutdownHook(hook);
   }
 
-  /** Blocks until the task of {@link #beforeExit} is done, or for {@code seconds}. */
-  static void await(long seconds) throws InterruptedException {
-    if (seconds == Long.MAX_VALUE) {
-      STOPPED.await();
-    } else {
-      STOPPED.await(seconds, TimeUnit.SECONDS);
+  private static void finish(Task task) {
+    try {
+      task.run();
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+    STOPPED.countDown();
+  }
+
+  /** Blocks until the task of {@link #beforeExit} is done. */
+  static void await() throws InterruptedException {
+    STOPPED.await();
+  }
+
+  /** Blocks until the task of {@link #beforeExit} is done, or for that long. */
+  static void await(Duration limit) throws InterruptedException {
+    STOPPED.await(TimeUnit.NANOSECONDS.convert(limit), TimeUnit.NANOSECONDS);
+  }
+
+  /** Keeps a command that has nothing to finish running until a signal ends the process. */
+  static void awaitWithoutTask() throws InterruptedException {
+    beforeExit(() -> {});
+    await();
   }
 }
--- a/cli/src/main/java/lemondock/cli/StatusCommand.java
+++ b/cli/src/main/java/lemondock/cli/StatusCommand.java
@@ -11,8 +11,8 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Shows a person what gateways see: falls first, then service by region and class, then servers and
- * reports.
+ * Shows a person what gateways see, as {@link StatusPage} lays it out; exits with 1 while service
+ * is degraded and with 2 if no gateway answers.
  */
 @Command(
     name = "status",
@@ -21,6 +21,11 @@
         "Shows what one or several gateways see now; exits with 1 while service has fallen,"
             + " 2 if none answers.")
 final class StatusCommand implements Callable<Integer> {
+  private static final int HEALTHY = 0;
+  private static final int DEGRADED = 1;
+  private static final int NO_ANSWER = 2;
+  private static final String CLEAR_SCREEN = "\033[H\033[2J";
+
   @Parameters(
       paramLabel = "HOST:PORT",
       arity = "1..*",
@@ -29,38 +34,42 @@
 
   @Option(
       names = "--watch",
+      paramLabel = "<watch>",
       description = "Shows it again every so many seconds.",
       arity = "0..1",
       fallbackValue = "2",
       defaultValue = "0")
-  private double watch;
+  private double watchSeconds;
 
   @Option(names = "--times", description = "With --watch: ends after so many.", defaultValue = "0")
   private int times;
 
   @Override
   public Integer call() throws InterruptedException {
-    int code = show();
-    for (int i = 1; watch > 0 && (times == 0 || i < times); i++) {
-      TimeUnit.MILLISECONDS.sleep(Math.round(watch * 1_000));
-      System.out.print(System.console() != null ? "\033[H\033[2J" : "\n");
-      code = show();
+    int exitCode = show();
+    for (int i = 1; watchSeconds > 0 && (times == 0 || i < times); i++) {
+      TimeUnit.MILLISECONDS.sleep(Math.round(watchSeconds * 1_000));
+      System.out.print(System.console() != null ? CLEAR_SCREEN : "\n");
+      exitCode = show();
     }
-    return code;
+    return exitCode;
   }
 
   private int show() throws InterruptedException {
-    List<JsonNode> answers = new ArrayList<>();
-    List<String> silent = new ArrayList<>();
+    List<JsonNode> statuses = new ArrayList<>();
+    List<String> unreachable = new ArrayList<>();
     for (String gateway : gateways) {
       try {
-        answers.add(StatusClient.get(gateway, "/status"));
+        statuses.add(StatusClient.get(gateway, "/status"));
       } catch (IOException e) {
-        silent.add(e.getMessage());
+        unreachable.add(e.getMessage());
       }
     }
-    System.out.print(StatusPage.render(answers, silent));
-    boolean fallen = answers.stream().anyMatch(a -> !a.path("falls").isEmpty());
-    return answers.isEmpty() ? 2 : fallen ? 1 : 0;
+    System.out.print(StatusPage.render(statuses, unreachable));
+    if (statuses.isEmpty()) {
+      return NO_ANSWER;
+    }
+    boolean degraded = statuses.stream().anyMatch(status -> !status.path("falls").isEmpty());
+    return degraded ? DEGRADED : HEALTHY;
   }
 }
