--- a/cli/src/main/java/lemondock/cli/CatalogueEmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/CatalogueEmulatorCommand.java
@@ -43,7 +43,7 @@
             Settings.class);
     EmulatedProcess process = new EmulatedProcess("catalogue", 1);
     CatalogueEmulator catalogue =
-        process.ask(() -> new CatalogueEmulator(process.loop(), TrafficObserver.NONE));
+        process.invokeAndWait(() -> new CatalogueEmulator(process.loop(), TrafficObserver.NONE));
     catalogue.start(process.network(), SettingsFile.resolveAddress(settings.listen()));
     System.out.println("ready " + HttpUrl.of(catalogue.address()));
     ShutdownSignal.awaitWithoutTask();
--- a/cli/src/main/java/lemondock/cli/DemoCommand.java
+++ b/cli/src/main/java/lemondock/cli/DemoCommand.java
@@ -94,7 +94,7 @@
 
   private static EngineSettings engine(String name, String role, String zone, String rack) {
     return EngineSettings.quick(name, role, zone, rack)
-        .paced(READ_MILLIS, FIRST_TOKEN_MILLIS, TOKEN_MILLIS);
+        .withLatencies(READ_MILLIS, FIRST_TOKEN_MILLIS, TOKEN_MILLIS);
   }
 
   /** Adds a gateway for each zone, in the order of their ports. */
@@ -148,7 +148,7 @@
   private static void printAddresses(ScenarioFleet fleet, int firstPort, int secondPort) {
     System.out.println("ready http://127.0.0.1:" + firstPort + "/mcp");
     for (String gateway : fleet.gateways()) {
-      int statusPort = fleet.reporting(gateway).statusAddress().getPort();
+      int statusPort = fleet.reporting(gateway).statusAddress().orElseThrow().getPort();
       System.err.println("status of " + gateway + ": bin/lemondock status 127.0.0.1:" + statusPort);
     }
     System.err.println("the second gateway is at http://127.0.0.1:" + secondPort + "/mcp");
--- a/cli/src/main/java/lemondock/cli/EmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/EmulatorCommand.java
@@ -66,7 +66,7 @@
 
   private static EngineEmulator startEngine(EmulatedProcess process, EngineSettings settings)
       throws IOException {
-    EngineEmulator engine = process.ask(() -> createEngine(process, settings));
+    EngineEmulator engine = process.invokeAndWait(() -> createEngine(process, settings));
     engine.start(process.network());
     return engine;
   }
--- a/cli/src/main/java/lemondock/cli/GatewayCommand.java
+++ b/cli/src/main/java/lemondock/cli/GatewayCommand.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import lemondock.exporter.host.ProcessMeters;
-import lemondock.exporter.host.ReportHost;
+import lemondock.exporter.host.ExporterRuntime;
+import lemondock.exporter.host.ProcessMeterRegistry;
 import lemondock.gateway.Gateway;
 import lemondock.gateway.GatewayEnvironment;
 import lemondock.gateway.JvmProcessResources;
@@ -15,7 +15,7 @@
 import lemondock.gateway.reporting.Reporting;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsFile;
-import lemondock.idempotency.DiskFolder;
+import lemondock.idempotency.LockedDirectory;
 import lemondock.idempotency.FileSystemPort;
 import lemondock.net.nio.AsyncNetwork;
 import lemondock.net.nio.ThreadLoop;
@@ -84,13 +84,13 @@
 
   /** The folder of the idempotency log; null, as the environment wants it, if none is kept. */
   private static FileSystemPort idempotencyFolder(GatewaySettings settings) throws IOException {
-    return settings.durable() == null ? null : new DiskFolder(Path.of(settings.durable().path()));
+    return settings.durable() == null ? null : new LockedDirectory(Path.of(settings.durable().path()));
   }
 
   private static Reporting createReporting(GatewaySettings settings, Gateway gateway)
       throws IOException {
-    ReportHost host = new ReportHost("lemondock-reports");
-    return new Reporting(settings, gateway.metrics(), host.environment(), ProcessMeters.registry());
+    ExporterRuntime runtime = new ExporterRuntime("lemondock-reports");
+    return new Reporting(settings, gateway.metrics(), runtime.environment(), ProcessMeterRegistry.create());
   }
 
   /** Stops the gateway, then its reports, so that the final metrics include its last calls. */
@@ -109,8 +109,8 @@
 
   private static void printAddresses(Gateway gateway, Reporting reporting) {
     System.out.println("ready " + HttpUrl.of(gateway.address()) + "/mcp");
-    if (reporting.statusAddress() != null) {
-      System.out.println("status " + HttpUrl.of(reporting.statusAddress()));
-    }
+    reporting
+        .statusAddress()
+        .ifPresent(address -> System.out.println("status " + HttpUrl.of(address)));
   }
 }
--- a/cli/src/main/java/lemondock/cli/PlatformEmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/PlatformEmulatorCommand.java
@@ -49,7 +49,7 @@
     Logging.configure("text", "info");
     EmulatedProcess process = new EmulatedProcess("platform", 1);
     PlatformEmulator platform =
-        process.ask(() -> new PlatformEmulator(process.loop(), process.network()));
+        process.invokeAndWait(() -> new PlatformEmulator(process.loop(), process.network()));
     platform.start(readers, writers);
     Files.writeString(configFile, platform.config(listen).toPrettyString());
     System.out.println("ready: bin/lemondock-platform " + configFile);
--- a/cli/src/main/java/lemondock/cli/PutvalCommand.java
+++ b/cli/src/main/java/lemondock/cli/PutvalCommand.java
@@ -5,9 +5,9 @@
 import java.io.IOException;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
-import lemondock.exporter.SnapshotRing;
-import lemondock.exporter.collectd.Identity;
-import lemondock.exporter.collectd.PutVal;
+import lemondock.exporter.BufferedSnapshot;
+import lemondock.exporter.collectd.CollectdIdentifiers;
+import lemondock.exporter.collectd.PutvalEncoder;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -61,12 +61,12 @@
 
   private void print(JsonNode metrics, long intervalMillis) {
     SnapshotParser.Parsed snapshot = SnapshotParser.parse(metrics.get("tally"));
-    SnapshotRing.View view =
-        new SnapshotRing.View(
+    BufferedSnapshot buffered =
+        new BufferedSnapshot(
             0, metrics.path("stampMs").asLong(), snapshot.series(), snapshot.values());
     ByteArrayOutputStream text = new ByteArrayOutputStream();
-    new PutVal(new Identity(host, metrics.path("instance").asText()), intervalMillis)
-        .encode(view, 0, Integer.MAX_VALUE, text);
+    new PutvalEncoder(new CollectdIdentifiers(host, metrics.path("instance").asText()), intervalMillis)
+        .encode(buffered, 0, Integer.MAX_VALUE, text);
     System.out.writeBytes(text.toByteArray());
     System.out.flush();
   }
--- a/cli/src/main/java/lemondock/cli/ScenarioCommand.java
+++ b/cli/src/main/java/lemondock/cli/ScenarioCommand.java
@@ -10,6 +10,7 @@
 import lemondock.scenario.FaultScenario;
 import lemondock.scenario.ReportComparison;
 import lemondock.scenario.ScenarioReport;
+import lemondock.scenario.ScenarioResult;
 import lemondock.scenario.ScenarioScript;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -66,29 +67,29 @@
   @Override
   public Integer call() throws Exception {
     Logging.configure("text", level);
-    List<FaultScenario.Result> results = new ArrayList<>();
+    List<ScenarioResult> results = new ArrayList<>();
     for (long current = seed; current < seed + seeds; current++) {
       ScenarioScript scenario = scenario(current);
-      FaultScenario.Result result =
+      ScenarioResult result =
           reports ? playWithReports(scenario) : new FaultScenario(scenario).play();
       results.add(result);
       System.out.println(ScenarioReport.line(result));
     }
     writeVerdict(results);
-    boolean allKept = results.stream().allMatch(result -> result.finding().kept());
+    boolean allKept = results.stream().allMatch(result -> result.audit().allRulesKept());
     return allKept && !reportsDiffered ? 0 : 1;
   }
 
   private ScenarioScript scenario(long scenarioSeed) throws SettingsException {
     return script == null
         ? ScenarioScript.draw(scenarioSeed, seconds)
-        : ScenarioScript.read(script).seeded(scenarioSeed);
+        : ScenarioScript.read(script).withSeed(scenarioSeed);
   }
 
-  private FaultScenario.Result playWithReports(ScenarioScript scenario)
+  private ScenarioResult playWithReports(ScenarioScript scenario)
       throws InterruptedException, IOException {
     try (ReportComparison comparison = new ReportComparison()) {
-      FaultScenario.Result result = new FaultScenario(scenario).reporting(comparison).play();
+      ScenarioResult result = new FaultScenario(scenario).reporting(comparison).play();
       boolean differs = !comparison.differences().isEmpty();
       System.out.println(
           "reports: "
@@ -100,7 +101,7 @@
     }
   }
 
-  private void writeVerdict(List<FaultScenario.Result> results) throws IOException {
+  private void writeVerdict(List<ScenarioResult> results) throws IOException {
     Path json = out.resolve("verdict.json");
     Path html = out.resolve("verdict.html");
     Files.createDirectories(out);
--- a/cli/src/main/java/lemondock/cli/SnapshotParser.java
+++ b/cli/src/main/java/lemondock/cli/SnapshotParser.java
@@ -5,21 +5,21 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import lemondock.metrics.Family;
-import lemondock.metrics.Field;
-import lemondock.metrics.Metrics;
+import lemondock.metrics.MetricFamily;
+import lemondock.metrics.MetricField;
+import lemondock.metrics.MetricFamilies;
 import lemondock.metrics.Series;
-import lemondock.metrics.Snapshot;
+import lemondock.metrics.MetricsSnapshot;
 
 /**
  * Reads the metrics that a gateway answers as JSON back into series and values. Families that this
- * version does not know are left out; fields that an answer lacks are {@link Snapshot#ABSENT}.
+ * version does not know are left out; fields that an answer lacks are {@link MetricsSnapshot#NO_VALUE}.
  */
 final class SnapshotParser {
-  private static final Map<String, Family> FAMILIES = new HashMap<>();
+  private static final Map<String, MetricFamily> FAMILIES = new HashMap<>();
 
   static {
-    Metrics.ALL.forEach(family -> FAMILIES.put(family.name(), family));
+    MetricFamilies.ALL.forEach(family -> FAMILIES.put(family.name(), family));
   }
 
   private final List<Series> series = new ArrayList<>();
@@ -38,7 +38,7 @@
   static Parsed parse(JsonNode families) {
     SnapshotParser parser = new SnapshotParser();
     for (Map.Entry<String, JsonNode> entry : families.properties()) {
-      Family family = FAMILIES.get(entry.getKey());
+      MetricFamily family = FAMILIES.get(entry.getKey());
       if (family != null) {
         entry.getValue().forEach(row -> parser.addSeries(family, row));
       }
@@ -47,19 +47,19 @@
     return new Parsed(parser.series, values);
   }
 
-  private void addSeries(Family family, JsonNode row) {
+  private void addSeries(MetricFamily family, JsonNode row) {
     List<String> labels =
-        family.dimensions().stream().map(dimension -> row.path(dimension).asText()).toList();
+        family.labelNames().stream().map(label -> row.path(label).asText()).toList();
     series.add(new Series(series.size(), family, labels, values.size()));
-    for (Field field : family.fields()) {
+    for (MetricField field : family.fields()) {
       values.add(parseValue(field, row));
     }
   }
 
-  private static long parseValue(Field field, JsonNode row) {
+  private static long parseValue(MetricField field, JsonNode row) {
     if (!row.has(field.name())) {
-      return Snapshot.ABSENT;
+      return MetricsSnapshot.NO_VALUE;
     }
-    return row.get(field.name()).decimalValue().movePointRight(field.decimals()).longValue();
+    return row.get(field.name()).decimalValue().movePointRight(field.decimalPlaces()).longValue();
   }
 }
