--- a/policy/src/main/java/lemondock/policy/AttemptTimeouts.java
+++ b/policy/src/main/java/lemondock/policy/AttemptTimeouts.java
@@ -4,7 +4,7 @@
  * Cancels attempts that are overdue, so that the next server is tried. Overdue is judged by how
  * long work waits at all servers of the role: one gateway cannot tell a lost answer, a stall or a
  * cut link from a queue, and under plain load all waits grow. It can do harm where one server is
- * jammed: the prompt is read twice.
+ * overloaded: the prompt is read twice.
  */
 final class AttemptTimeouts {
   /** Share of what is left of the latency objective, after which an attempt may be overdue. */
--- a/policy/src/main/java/lemondock/policy/InvalidRouterInputException.java
+++ b/policy/src/main/java/lemondock/policy/InvalidRouterInputException.java
@@ -12,7 +12,7 @@
   private final String field;
   private final String value;
 
-  /** The field as its record's components are named, from the record on: {@code limits.x}. */
+  /** Makes one; the field is named by the records that hold it, as {@code limits.maxAttempts}. */
   InvalidRouterInputException(String field, Object value, String problem) {
     super(problem);
     this.field = field;
--- a/policy/src/main/java/lemondock/policy/ReaderSelector.java
+++ b/policy/src/main/java/lemondock/policy/ReaderSelector.java
@@ -7,8 +7,8 @@
 /**
  * Chooses the server that reads a prompt: the session's reader, else the prefix's primary by
  * rendezvous hashing. A primary whose read would take clearly longer than the best one's is passed
- * over for the next in rank. Guards against a hot prefix, a slow or jammed reader and text that a
- * server has dropped; it can do harm by reading a text twice too often.
+ * over for the next in rank. Guards against a hot prefix, a slow or overloaded reader and text that
+ * a server has dropped; it can do harm by reading a text twice too often.
  */
 final class ReaderSelector {
   /** Uncached prompts longer than this are for readers only, not for mixed servers. */
@@ -61,7 +61,7 @@
     double primaryMicros = request.objectiveMicros() * PRIMARY_OBJECTIVE_SHARE;
     if (options.stream()
         .anyMatch(option -> option.suitable && option.expectedMicros() <= primaryMicros)) {
-      // Else readers are jammed and mixed servers help out.
+      // Else readers are overloaded and mixed servers help out.
       options.removeIf(option -> !option.suitable);
     }
     double best = options.stream().mapToDouble(ReadOption::expectedMicros).min().orElse(0);
--- a/policy/src/test/java/lemondock/policy/ControlFixture.java
+++ b/policy/src/test/java/lemondock/policy/ControlFixture.java
@@ -99,7 +99,10 @@
   }
 
   List<String> actionNames() {
-    return host.takeActions().stream().map(Action::name).filter(n -> !n.equals("timer")).toList();
+    return host.takeActions().stream()
+        .map(Action::name)
+        .filter(name -> !name.equals("timer"))
+        .toList();
   }
 
   /** One whole request whose first token takes so long. */
@@ -111,7 +114,7 @@
   void answerAfter(long id, long timeToFirstTokenMicros) {
     long reader =
         host.actionsNamed("send").stream()
-            .filter(a -> a.id() == id)
+            .filter(send -> send.id() == id)
             .findFirst()
             .map(Action::server)
             .orElse(1L);
--- a/policy/src/test/java/lemondock/policy/RecordingHost.java
+++ b/policy/src/test/java/lemondock/policy/RecordingHost.java
@@ -23,14 +23,14 @@
 
   /** The actions since the last call. */
   List<Action> takeActions() {
-    List<Action> taken = actions.stream().filter(a -> !a.name().equals("log")).toList();
+    List<Action> taken = actions.stream().filter(action -> !action.name().equals("log")).toList();
     actions.clear();
     return taken;
   }
 
   /** The actions of one name since the last call of take. */
   List<Action> actionsNamed(String name) {
-    return actions.stream().filter(a -> a.name().equals(name)).toList();
+    return actions.stream().filter(action -> action.name().equals(name)).toList();
   }
 
   @Override
@@ -73,44 +73,21 @@
     actions.add(new Action("log", 0, 0, line.hashCode()));
   }
 
-  static RouterSettings settings(int maxAttempts, boolean cancel) {
-    return settings(maxAttempts, cancel, 2);
+  static RouterSettings settings(int maxAttempts, boolean mayCancel) {
+    return settings(maxAttempts, mayCancel, 2);
   }
 
-  static RouterSettings settings(int maxAttempts, boolean cancel, int gateways) {
+  static RouterSettings settings(int maxAttempts, boolean mayCancel, int gateways) {
     return RouterSettings.builder()
         .gatewayCount(gateways)
         .timerResolutionMicros(2_000)
         .classes(
             List.of(
-                RequestClass.builder()
-                    .latencyObjectiveMicros(SECOND)
-                    .objectiveMicrosPerThousandTokens(40_000)
-                    .deadlineMicros(5 * SECOND)
-                    .priorityWeight(1)
-                    .latePriorityWeight(0.2)
-                    .idempotency(Idempotency.IDEMPOTENT)
-                    .tokenIntervalObjectiveMicros(60_000)
-                    .build(),
-                RequestClass.builder()
-                    .latencyObjectiveMicros(SECOND)
-                    .objectiveMicrosPerThousandTokens(40_000)
-                    .deadlineMicros(5 * SECOND)
-                    .priorityWeight(2)
-                    .latePriorityWeight(0.2)
-                    .idempotency(Idempotency.NON_IDEMPOTENT)
-                    .tokenIntervalObjectiveMicros(60_000)
-                    .build(),
-                RequestClass.builder()
-                    .latencyObjectiveMicros(SECOND)
-                    .objectiveMicrosPerThousandTokens(40_000)
-                    .deadlineMicros(5 * SECOND)
-                    .priorityWeight(2)
-                    .latePriorityWeight(0.2)
-                    .idempotency(Idempotency.IDEMPOTENCY_KEY)
+                requestClass(Idempotency.IDEMPOTENT, 1).build(),
+                requestClass(Idempotency.NON_IDEMPOTENT, 2).build(),
+                requestClass(Idempotency.IDEMPOTENCY_KEY, 2)
                     .deduplicationScope(DeduplicationScope.CELL)
                     .deduplicationWindowMicros(SECOND)
-                    .tokenIntervalObjectiveMicros(60_000)
                     .build()))
         .tenants(List.of(new Tenant(20), new Tenant(5)))
         .serverKinds(
@@ -121,21 +98,35 @@
         .limits(
             DeploymentLimits.builder()
                 .maxAttempts(maxAttempts)
-                .mayCancel(cancel)
+                .mayCancel(mayCancel)
                 .sendsRetryAfter(true)
                 .maxRetryAfterMicros(SECOND)
                 .connectTimeoutMicros(250_000)
                 .build())
-        .rules(
-            ServiceRules.builder()
-                .answerSlackMicros(8_000)
-                .drainGraceMicros(250_000)
-                .slowStartInitialShare(0.3)
-                .slowStartMicros(12 * SECOND)
-                .overloadFactor(2.5)
-                .overloadWindowMicros(2 * SECOND)
-                .releaseWithinMicros(300_000)
-                .build())
+        .rules(rules())
+        .build();
+  }
+
+  private static RequestClass.Builder requestClass(Idempotency idempotency, double priorityWeight) {
+    return RequestClass.builder()
+        .latencyObjectiveMicros(SECOND)
+        .objectiveMicrosPerThousandTokens(40_000)
+        .deadlineMicros(5 * SECOND)
+        .priorityWeight(priorityWeight)
+        .latePriorityWeight(0.2)
+        .idempotency(idempotency)
+        .tokenIntervalObjectiveMicros(60_000);
+  }
+
+  private static ServiceRules rules() {
+    return ServiceRules.builder()
+        .answerSlackMicros(8_000)
+        .drainGraceMicros(250_000)
+        .slowStartInitialShare(0.3)
+        .slowStartMicros(12 * SECOND)
+        .overloadFactor(2.5)
+        .overloadWindowMicros(2 * SECOND)
+        .releaseWithinMicros(300_000)
         .build();
   }
 
