--- a/gateway/src/main/java/lemondock/gateway/ExecutorQueueProbe.java
+++ b/gateway/src/main/java/lemondock/gateway/ExecutorQueueProbe.java
@@ -6,7 +6,7 @@
 import lemondock.net.DelayProbe;
 import lemondock.net.Loop;
 
-/** Tells how long a task waits in the workers' queue. Loop thread only. */
+/** Measures how long a task waits in the workers' queue. Loop thread only. */
 final class ExecutorQueueProbe implements DelayProbe {
   private final Loop loop;
   private final Executor executor;
@@ -21,29 +21,31 @@
   }
 
   @Override
-  public long measure(LongConsumer delayMicros) {
+  public long measure(LongConsumer onDelayMicros) {
     if (probeQueued) {
       return Math.max(1, loop.now() - postedAtMicros);
     }
     probeQueued = true;
-    long postedAt = loop.now();
-    postedAtMicros = postedAt;
+    postedAtMicros = loop.now();
     try {
-      executor.execute(
-          () -> {
-            long delay = loop.now() - postedAt;
-            loop.execute(
-                () -> {
-                  probeQueued = false;
-                  lastRunAtMicros = loop.now();
-                  delayMicros.accept(delay);
-                });
-          });
+      executor.execute(probe(postedAtMicros, onDelayMicros));
       return 0;
     } catch (RejectedExecutionException e) {
-      probeQueued = false; // no place in the queue: all that is known is that nothing has passed
-      // since the last one
+      // the queue is full: all that is known is that nothing has passed since the last probe
+      probeQueued = false;
       return Math.max(1, loop.now() - lastRunAtMicros);
     }
   }
+
+  private Runnable probe(long probePostedAtMicros, LongConsumer onDelayMicros) {
+    return () -> {
+      long delayMicros = loop.now() - probePostedAtMicros;
+      loop.execute(
+          () -> {
+            probeQueued = false;
+            lastRunAtMicros = loop.now();
+            onDelayMicros.accept(delayMicros);
+          });
+    };
+  }
 }
--- a/gateway/src/main/java/lemondock/gateway/JvmProcessResources.java
+++ b/gateway/src/main/java/lemondock/gateway/JvmProcessResources.java
@@ -11,12 +11,14 @@
 import java.util.Optional;
 
 /**
- * This process by the JDK's own beans. Memory is what the largest pool of the heap, where objects
- * grow old, held after its last collection: what is used between collections says little (the
- * documentation of {@link MemoryPoolMXBean} advises this figure for turning load away). Before the
- * first such collection memory was never short.
+ * This process by the JDK's own management beans; safe for any thread. Memory is what the largest
+ * pool of the heap, where objects grow old, held after its last collection: what is used between
+ * collections says little (the documentation of {@link MemoryPoolMXBean} advises this figure for
+ * shedding load). Before the first such collection memory was never short.
  */
 public final class JvmProcessResources implements ProcessResources {
+  private static final long MICROS_PER_MILLI = 1_000;
+
   private final Optional<MemoryPoolMXBean> tenuredPool =
       ManagementFactory.getMemoryPoolMXBeans().stream()
           .filter(
@@ -26,10 +28,7 @@
                       && pool.getUsage().getMax() > 0)
           .max(Comparator.comparingLong(pool -> pool.getUsage().getMax()));
 
-  /**
-   * But for those that tell how long they work beside the program, as ZGC's and Shenandoah's
-   * cycles.
-   */
+  /** Those that stop the program; ZGC's and Shenandoah's cycles run beside it. */
   private final List<GarbageCollectorMXBean> collectors =
       ManagementFactory.getGarbageCollectorMXBeans().stream()
           .filter(collector -> !collector.getName().endsWith("Cycles"))
@@ -52,22 +51,28 @@
     for (GarbageCollectorMXBean collector : collectors) {
       millis += Math.max(0, collector.getCollectionTime());
     }
-    return millis * 1_000;
+    return millis * MICROS_PER_MILLI;
   }
 
   @Override
   public double fileHandlesUsedFraction() {
-    return ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean unix
-            && unix.getMaxFileDescriptorCount() > 0
-        ? (double) unix.getOpenFileDescriptorCount() / unix.getMaxFileDescriptorCount()
-        : 0;
+    return unixSystem()
+        .map(unix -> (double) unix.getOpenFileDescriptorCount() / unix.getMaxFileDescriptorCount())
+        .orElse(0.0);
   }
 
   @Override
   public long maxFileHandles() {
+    return unixSystem()
+        .map(UnixOperatingSystemMXBean::getMaxFileDescriptorCount)
+        .orElse(Long.MAX_VALUE);
+  }
+
+  /** Empty where the system does not tell of file descriptors. */
+  private static Optional<UnixOperatingSystemMXBean> unixSystem() {
     return ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean unix
             && unix.getMaxFileDescriptorCount() > 0
-        ? unix.getMaxFileDescriptorCount()
-        : Long.MAX_VALUE;
+        ? Optional.of(unix)
+        : Optional.empty();
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/ProcessResources.java
+++ b/gateway/src/main/java/lemondock/gateway/ProcessResources.java
@@ -1,8 +1,11 @@
 package lemondock.gateway;
 
-/** What the process has left; may take some time to tell, so it is asked off the loop. */
+/**
+ * Resources of the process that are in use. Any thread; reading them may take some time, so it is
+ * done off the loop where a method does not say otherwise.
+ */
 public interface ProcessResources {
-  /** Knows nothing and so never tells of want. */
+  /** Knows nothing, so that no resource ever looks scarce. */
   ProcessResources UNKNOWN =
       new ProcessResources() {
         @Override
@@ -21,21 +24,21 @@
         }
       };
 
-  /** Part of the memory that is in use for good, 0 to 1; 0 if it cannot be told. */
+  /** Part of the memory that is in use for good, 0 to 1; 0 if it is not known. */
   double memoryUsedFraction();
 
-  /** Has the figure of the memory be a fresh one; may take long. */
+  /** Brings the figure of the memory up to date; may take long. */
   default void refreshMemory() {}
 
   /**
    * Microseconds for which the runtime has stopped the whole process so far, as to collect garbage;
-   * quick to tell, any thread.
+   * quick, so that the loop may call it.
    */
   default long pausedMicros() {
     return 0;
   }
 
-  /** Part of the file handles that is in use, 0 to 1; 0 if it cannot be told. */
+  /** Part of the file handles that is in use, 0 to 1; 0 if it is not known. */
   double fileHandlesUsedFraction();
 
   /** File handles that the process may have open. */
--- a/gateway/src/main/java/lemondock/gateway/QueueDelayMonitor.java
+++ b/gateway/src/main/java/lemondock/gateway/QueueDelayMonitor.java
@@ -74,44 +74,48 @@
 
   /** Up to a hundred times a second, how long a task posted to the loop waits for its turn. */
   private void sampleLoopQueue() {
-    long postedAt = loop.now();
-    long pausedBefore = resources.pausedMicros();
+    long postedAtMicros = loop.now();
+    long pausedMicrosBefore = resources.pausedMicros();
     loop.execute(
         () -> {
-          long delay = loop.now() - postedAt;
-          admission.recordDelay(loop.now(), LOOP_QUEUE, delay - pausedSince(pausedBefore, delay));
-          loop.schedule(Math.max(0, interval() - delay), this::sampleLoopQueue);
+          long delayMicros = loop.now() - postedAtMicros;
+          admission.recordDelay(
+              loop.now(),
+              LOOP_QUEUE,
+              delayMicros - pausedMicrosSince(pausedMicrosBefore, delayMicros));
+          loop.schedule(Math.max(0, intervalMicros() - delayMicros), this::sampleLoopQueue);
         });
   }
 
   /** Up to a hundred times a second, how long what comes to a queue waits in it. */
   private void sampleQueue(DelayProbe probe, int queue) {
-    long pausedBefore = resources.pausedMicros();
-    long waitingMicros =
-        probe.measure(
-            delay ->
-                admission.recordDelay(
-                    loop.now(), queue, delay - pausedSince(pausedMicrosAtProbe[queue], delay)));
+    long pausedMicrosBefore = resources.pausedMicros();
+    long waitingMicros = probe.measure(delayMicros -> recordDelay(queue, delayMicros));
     if (waitingMicros > 0) {
-      admission.recordOngoingDelay(
-          queue, waitingMicros - pausedSince(pausedMicrosAtProbe[queue], waitingMicros));
+      long pausedMicros = pausedMicrosSince(pausedMicrosAtProbe[queue], waitingMicros);
+      admission.recordOngoingDelay(queue, waitingMicros - pausedMicros);
     } else {
-      pausedMicrosAtProbe[queue] = pausedBefore;
+      pausedMicrosAtProbe[queue] = pausedMicrosBefore;
     }
-    loop.schedule(interval(), () -> sampleQueue(probe, queue));
+    loop.schedule(intervalMicros(), () -> sampleQueue(probe, queue));
+  }
+
+  private void recordDelay(int queue, long delayMicros) {
+    long pausedMicros = pausedMicrosSince(pausedMicrosAtProbe[queue], delayMicros);
+    admission.recordDelay(loop.now(), queue, delayMicros - pausedMicros);
   }
 
   /**
-   * The part of a delay in which nothing of the process ran. A collection of 150 ms makes all that
-   * waits over it wait so long, and is over when it is over: it is no queue that grows. What piles
-   * up behind it still counts, where it has to wait.
+   * The part of a delay in which nothing of the process ran. A garbage collection of 150 ms makes
+   * all that waits during it wait so long, and is over when it is over: it is no queue that grows.
+   * What piles up behind it still counts, where it has to wait.
    */
-  private long pausedSince(long pausedBefore, long delayMicros) {
-    return Math.min(delayMicros, resources.pausedMicros() - pausedBefore);
+  private long pausedMicrosSince(long pausedMicrosBefore, long delayMicros) {
+    return Math.min(delayMicros, resources.pausedMicros() - pausedMicrosBefore);
   }
 
   /** Samples cost little, but an idle gateway should cost nothing: seldom while all is calm. */
-  private long interval() {
+  private long intervalMicros() {
     return admission.isRelaxed() ? CALM_INTERVAL_MICROS : BUSY_INTERVAL_MICROS;
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
@@ -1,6 +1,7 @@
 package lemondock.gateway.discovery;
 
 import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
 import java.util.List;
 import lemondock.dispatch.Endpoint;
 import lemondock.gateway.settings.GatewaySettings;
@@ -15,12 +16,14 @@
 /**
  * Follows a service in a catalogue by Consul's health API with blocking queries: each query names
  * the index seen last and is answered when that is passed or the wait is over. An index that goes
- * back starts anew, as Consul's pages say.
+ * backwards starts at 0 again, as Consul's documentation asks. After a failure it is queried again
+ * with a growing backoff. Loop thread only.
  */
 public final class ConsulEndpointList implements EndpointListSource {
-  /** Consul adds up to a sixteenth of the wait; the rest is for the way. */
+  /** Consul adds up to a sixteenth to the wait. */
   private static final double WAIT_JITTER_FACTOR = 17.0 / 16;
 
+  /** Time for the request and the response to travel. */
   private static final long NETWORK_ALLOWANCE_MICROS = 2_000_000;
 
   private final Loop loop;
@@ -28,11 +31,20 @@
   private final InetSocketAddress address;
   private final GatewaySettings.Discovery settings;
   private final String userAgent;
+
+  /** Set once, at the start. */
   private Listener listener;
+
+  /** The index of the list seen last, 0 for none. */
   private long lastIndex;
+
   private long backoffMicros;
   private boolean stopped;
+
+  /** The last query; null before the first. */
   private HttpCall call;
+
+  /** The time-out of the query in flight, or what starts the next. */
   private Loop.Timer timer = () -> {};
 
   /** Makes a follower; {@code userAgent} is what the catalogue sees as User-Agent. */
@@ -73,6 +85,14 @@
     if (stopped) {
       return;
     }
+    call = client.send(address, queryRequest(), new CatalogueResponse());
+    long timeoutMicros =
+        (long) (GatewaySettings.micros(settings.waitMs()) * WAIT_JITTER_FACTOR)
+            + NETWORK_ALLOWANCE_MICROS;
+    timer = loop.schedule(timeoutMicros, this::queryTimedOut);
+  }
+
+  private ByteBuffer queryRequest() {
     String target =
         "/v1/health/service/"
             + settings.service()
@@ -81,30 +101,20 @@
             + "&wait="
             + Math.round(settings.waitMs())
             + "ms";
-    CatalogueResponse answer = new CatalogueResponse();
-    call =
-        client.send(
-            address,
-            HttpEncoder.request(
-                "GET",
-                target,
-                Headers.of(
-                    "host",
-                    address.getHostString() + ":" + address.getPort(),
-                    "accept",
-                    "application/json",
-                    "user-agent",
-                    userAgent),
-                new byte[0]),
-            answer);
-    timer =
-        loop.schedule(
-            (long) (GatewaySettings.micros(settings.waitMs()) * WAIT_JITTER_FACTOR)
-                + NETWORK_ALLOWANCE_MICROS,
-            () -> {
-              call.cancel();
-              retryAfterFailure("no answer from the catalogue in time");
-            });
+    Headers headers =
+        Headers.of(
+            "host",
+            address.getHostString() + ":" + address.getPort(),
+            "accept",
+            "application/json",
+            "user-agent",
+            userAgent);
+    return HttpEncoder.request("GET", target, headers, new byte[0]);
+  }
+
+  private void queryTimedOut() {
+    call.cancel();
+    retryAfterFailure("no answer from the catalogue in time");
   }
 
   private void retryAfterFailure(String problem) {
@@ -118,42 +128,44 @@
     timer = loop.schedule(backoffMicros, this::query);
   }
 
+  /** A list has come, whose index says whether it is another than the one before. */
+  private void listReceived(List<Endpoint> listed, long index) {
+    backoffMicros = 0;
+    long previousIndex = lastIndex;
+    lastIndex = index < lastIndex ? 0 : Math.max(1, index);
+    if (lastIndex != previousIndex) {
+      listener.onList(listed);
+    }
+    if (lastIndex == previousIndex && previousIndex == 0) {
+      timer = loop.schedule(GatewaySettings.micros(settings.retryMs()), this::query);
+    } else {
+      query();
+    }
+  }
+
   private final class CatalogueResponse extends BufferingReceiver {
     @Override
     public void onComplete() {
       timer.cancel();
       if (status() != 200) {
-        ConsulEndpointList.this.retryAfterFailure("the catalogue answered " + status());
+        retryAfterFailure("the catalogue answered " + status());
         return;
       }
-      List<Endpoint> endpoints;
+      List<Endpoint> listed;
       long index;
       try {
-        endpoints = EndpointListCodec.parseConsul(body());
+        listed = EndpointListCodec.parseConsul(body());
         index = Long.parseLong(String.valueOf(header("x-consul-index")));
       } catch (EndpointListCodec.MalformedListException | NumberFormatException e) {
-        ConsulEndpointList.this.retryAfterFailure(
-            "the catalogue's answer cannot be read: " + e.getMessage());
+        retryAfterFailure("the catalogue's answer cannot be read: " + e.getMessage());
         return;
       }
-      backoffMicros = 0;
-      long previousIndex = lastIndex;
-      lastIndex = index < lastIndex ? 0 : Math.max(1, index);
-      if (lastIndex != previousIndex) {
-        listener.onList(endpoints);
-      }
-      if (lastIndex == previousIndex && previousIndex == 0) {
-        timer =
-            loop.schedule(
-                GatewaySettings.micros(settings.retryMs()), ConsulEndpointList.this::query);
-      } else {
-        query();
-      }
+      listReceived(listed, index);
     }
 
     @Override
-    public void onFailure(RequestFailure failure, String what) {
-      ConsulEndpointList.this.retryAfterFailure(what);
+    public void onFailure(RequestFailure failure, String message) {
+      retryAfterFailure(message);
     }
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/discovery/EndpointListCodec.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/EndpointListCodec.java
@@ -5,7 +5,9 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
 import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -14,11 +16,13 @@
 import lemondock.policy.ServerLifecycle;
 
 /**
- * The two forms in which endpoint lists are written: the project's file and Consul's health API. No
- * I/O.
+ * The two forms in which endpoint lists are written: the project's file and Consul's health API.
+ * Host names are resolved while a list is read, which may block. Safe for any thread.
  */
 public final class EndpointListCodec {
   private static final ObjectMapper MAPPER = new ObjectMapper();
+  private static final String DEFAULT_ZONE = "default";
+  private static final String DEFAULT_RACK = "0";
 
   private EndpointListCodec() {}
 
@@ -31,7 +35,11 @@
     }
   }
 
-  /** Reads {@code {"servers": [...]}}. */
+  /**
+   * Reads the project's file, {@code {"servers": [...]}}.
+   *
+   * @throws MalformedListException if the text is no list, or one of its entries is wrong
+   */
   public static List<Endpoint> parseFile(byte[] text) throws MalformedListException {
     JsonNode servers = parseJson(text).get("servers");
     if (servers == null || !servers.isArray()) {
@@ -39,22 +47,24 @@
     }
     List<Endpoint> endpoints = new ArrayList<>();
     for (int i = 0; i < servers.size(); i++) {
-      JsonNode server = servers.get(i);
-      String pointer = "/servers/" + i;
-      endpoints.add(
-          new Endpoint(
-              requiredText(server, "name", pointer),
-              address(requiredText(server, "address", pointer), pointer + "/address"),
-              requiredText(server, "kind", pointer),
-              server.path("zone").asText("default"),
-              server.path("rack").asText("0"),
-              lifecycle(server.path("standing").asText("ready"), pointer + "/standing"),
-              weight(server.path("weight"), pointer),
-              server.path("startedAt").asLong(0)));
+      endpoints.add(fileEndpoint(servers.get(i), "/servers/" + i));
     }
     return endpoints;
   }
 
+  private static Endpoint fileEndpoint(JsonNode server, String pointer)
+      throws MalformedListException {
+    return new Endpoint(
+        requiredText(server, "name", pointer),
+        address(requiredText(server, "address", pointer), pointer + "/address"),
+        requiredText(server, "kind", pointer),
+        server.path("zone").asText(DEFAULT_ZONE),
+        server.path("rack").asText(DEFAULT_RACK),
+        lifecycle(server.path("standing").asText("ready"), pointer + "/standing"),
+        weight(server.path("weight"), pointer),
+        server.path("startedAt").asLong(0));
+  }
+
   /** Writes what {@link #parseFile} reads; used for the cache. */
   public static byte[] formatFile(List<Endpoint> endpoints) {
     ObjectNode root = JsonNodeFactory.instance.objectNode();
@@ -71,13 +81,15 @@
           .put("weight", endpoint.weight())
           .put("startedAt", endpoint.startedAtMillis());
     }
-    return root.toPrettyString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
+    return root.toPrettyString().getBytes(StandardCharsets.UTF_8);
   }
 
   /**
    * Reads the answer of Consul's {@code /v1/health/service/NAME}. Kind, zone, rack and start come
-   * from the service's Meta. A check in maintenance, or Meta {@code draining=true}, drains; another
-   * critical check means gone.
+   * from the service's Meta. A check in maintenance, or Meta {@code draining=true}, means draining;
+   * another critical check means gone.
+   *
+   * @throws MalformedListException if the text is no such answer, or one of its services is wrong
    */
   public static List<Endpoint> parseConsul(byte[] text) throws MalformedListException {
     JsonNode root = parseJson(text);
@@ -86,27 +98,30 @@
     }
     List<Endpoint> endpoints = new ArrayList<>();
     for (int i = 0; i < root.size(); i++) {
-      JsonNode service = root.get(i).path("Service");
-      String pointer = "/" + i + "/Service";
-      JsonNode meta = service.path("Meta");
-      String host = service.path("Address").asText("");
-      if (host.isEmpty()) {
-        host = root.get(i).path("Node").path("Address").asText("");
-      }
-      endpoints.add(
-          new Endpoint(
-              requiredText(service, "ID", pointer),
-              address(host + ":" + service.path("Port").asInt(0), pointer + "/Address"),
-              requiredText(meta, "kind", pointer + "/Meta"),
-              meta.path("zone").asText("default"),
-              meta.path("rack").asText("0"),
-              lifecycle(meta, root.get(i).path("Checks")),
-              weight(service.path("Weights").path("Passing"), pointer + "/Weights/Passing"),
-              meta.path("started").asLong(0)));
+      endpoints.add(consulEndpoint(root.get(i), "/" + i + "/Service"));
     }
     return endpoints;
   }
 
+  private static Endpoint consulEndpoint(JsonNode entry, String pointer)
+      throws MalformedListException {
+    JsonNode service = entry.path("Service");
+    JsonNode meta = service.path("Meta");
+    String host = service.path("Address").asText("");
+    if (host.isEmpty()) {
+      host = entry.path("Node").path("Address").asText("");
+    }
+    return new Endpoint(
+        requiredText(service, "ID", pointer),
+        address(host + ":" + service.path("Port").asInt(0), pointer + "/Address"),
+        requiredText(meta, "kind", pointer + "/Meta"),
+        meta.path("zone").asText(DEFAULT_ZONE),
+        meta.path("rack").asText(DEFAULT_RACK),
+        lifecycle(meta, entry.path("Checks")),
+        weight(service.path("Weights").path("Passing"), pointer + "/Weights/Passing"),
+        meta.path("started").asLong(0));
+  }
+
   private static ServerLifecycle lifecycle(JsonNode meta, JsonNode checks) {
     boolean draining = meta.path("draining").asText("").equals("true");
     for (JsonNode check : checks) {
@@ -138,7 +153,7 @@
         throw new MalformedListException("expected JSON, found nothing");
       }
       return root;
-    } catch (java.io.IOException e) {
+    } catch (IOException e) {
       throw new MalformedListException(
           "expected JSON: " + e.getMessage().lines().findFirst().orElse(""));
     }
--- a/gateway/src/main/java/lemondock/gateway/discovery/FileEndpointList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/FileEndpointList.java
@@ -13,8 +13,8 @@
 import lemondock.net.Loop;
 
 /**
- * Follows a file by reading it now and then on a thread of its own; what cannot be read leaves the
- * list as it is.
+ * Follows a file by polling it on a thread of its own; a file that cannot be read leaves the list
+ * as it is. A problem is reported once, until the file can be read or has another problem.
  */
 public final class FileEndpointList implements EndpointListSource {
   private static final long MAX_FILE_BYTES = 8 * 1024 * 1024;
@@ -22,8 +22,14 @@
   private final Loop loop;
   private final Path path;
   private final long pollIntervalMicros;
-  private ScheduledExecutorService reader;
+
+  /** Null before the start; loop thread only. */
+  private ScheduledExecutorService poller;
+
+  /** The content reported last, null before the first; the poller's thread only. */
   private byte[] lastContent;
+
+  /** The problem reported last, empty if there was none since; the poller's thread only. */
   private String lastProblem = "";
 
   /** Makes a follower of the file that the settings name. */
@@ -35,51 +41,57 @@
 
   @Override
   public void start(Listener listener) {
-    reader =
+    poller =
         Executors.newSingleThreadScheduledExecutor(
             task -> {
               Thread thread = new Thread(task, "lemondock-list");
               thread.setDaemon(true);
               return thread;
             });
-    reader.scheduleWithFixedDelay(
+    poller.scheduleWithFixedDelay(
         () -> pollFile(listener), 0, pollIntervalMicros, TimeUnit.MICROSECONDS);
   }
 
   @Override
   public void refresh() {
-    // the file is read on anyway
+    // the file is polled anyway
   }
 
   @Override
   public void stop() {
-    if (reader != null) {
-      reader.shutdownNow();
+    if (poller != null) {
+      poller.shutdownNow();
     }
   }
 
   private void pollFile(Listener listener) {
     try {
-      if (Files.size(path) > MAX_FILE_BYTES) {
-        throw new IOException("over " + MAX_FILE_BYTES + " bytes");
-      }
-      byte[] content = Files.readAllBytes(path);
-      if (!Arrays.equals(content, lastContent)) {
-        List<Endpoint> endpoints = EndpointListCodec.parseFile(content);
-        lastContent = content;
-        loop.execute(() -> listener.onList(endpoints));
-      }
+      readFile(listener);
       lastProblem = "";
-    } catch (IOException | EndpointListCodec.MalformedListException | RuntimeException e) {
-      String problem =
-          path
-              + ": "
-              + (e instanceof EndpointListCodec.MalformedListException ? "" : "cannot be read: ")
-              + e.getMessage();
-      if (!problem.equals(lastProblem)) {
-        lastProblem = problem;
-        loop.execute(() -> listener.onFailure(problem));
-      }
+    } catch (EndpointListCodec.MalformedListException e) {
+      report(listener, path + ": " + e.getMessage());
+    } catch (IOException | RuntimeException e) {
+      report(listener, path + ": cannot be read: " + e.getMessage());
+    }
+  }
+
+  private void readFile(Listener listener)
+      throws IOException, EndpointListCodec.MalformedListException {
+    if (Files.size(path) > MAX_FILE_BYTES) {
+      throw new IOException("over " + MAX_FILE_BYTES + " bytes");
+    }
+    byte[] content = Files.readAllBytes(path);
+    if (!Arrays.equals(content, lastContent)) {
+      List<Endpoint> endpoints = EndpointListCodec.parseFile(content);
+      lastContent = content;
+      loop.execute(() -> listener.onList(endpoints));
+    }
+  }
+
+  private void report(Listener listener, String problem) {
+    if (!problem.equals(lastProblem)) {
+      lastProblem = problem;
+      loop.execute(() -> listener.onFailure(problem));
     }
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/discovery/package-info.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/package-info.java
@@ -1,4 +1,6 @@
 /**
- * Where the endpoint list comes from: a file or Consul's catalogue, and the forms it is written in.
+ * Service discovery: where the endpoint list comes from. An {@link
+ * lemondock.gateway.discovery.EndpointListSource} follows a file or Consul's catalogue and reports
+ * each list on the loop.
  */
 package lemondock.gateway.discovery;
--- a/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
@@ -159,7 +159,19 @@
       double warmUpMs,
       double overloadFactor,
       double overloadWindowMs,
-      double releaseWithinMs) {}
+      double releaseWithinMs) {
+
+    private ServiceRules toServiceRules() {
+      return new ServiceRules(
+          micros(answerSlackMs),
+          micros(drainGraceMs),
+          coldShare,
+          micros(warmUpMs),
+          overloadFactor,
+          micros(overloadWindowMs),
+          micros(releaseWithinMs));
+    }
+  }
 
   /**
    * What to let in at the gateway's own limit, and what counts as a stall of the process; see
@@ -309,25 +321,22 @@
         classes.stream().map(ClassSettings::toRequestClass).toList(),
         List.of(),
         kinds.stream().map(kind -> new ServerKind(kind.role(), kind.memoryTokens())).toList(),
-        new DeploymentLimits(
-            limits.maxAttempts(),
-            true,
-            false,
-            false,
-            false,
-            true,
-            micros(limits.retryAdviceMs()),
-            micros(engines.connectTimeoutMs()),
-            false),
-        new ServiceRules(
-            micros(rules.answerSlackMs()),
-            micros(rules.drainGraceMs()),
-            rules.coldShare(),
-            micros(rules.warmUpMs()),
-            rules.overloadFactor(),
-            micros(rules.overloadWindowMs()),
-            micros(rules.releaseWithinMs())),
+        deploymentLimits(),
+        rules.toServiceRules(),
         streamsResume,
         false);
   }
+
+  private DeploymentLimits deploymentLimits() {
+    return new DeploymentLimits(
+        limits.maxAttempts(),
+        true,
+        false,
+        false,
+        false,
+        true,
+        micros(limits.retryAdviceMs()),
+        micros(engines.connectTimeoutMs()),
+        false);
+  }
 }
