--- a/gateway/src/main/java/lemondock/gateway/Gateway.java
+++ b/gateway/src/main/java/lemondock/gateway/Gateway.java
@@ -12,16 +12,12 @@
 import lemondock.dispatch.DispatcherEnvironment;
 import lemondock.dispatch.DispatcherOptions;
 import lemondock.dispatch.Endpoint;
-import lemondock.dispatch.EndpointRegistry;
-import lemondock.dispatch.EndpointUpdate;
 import lemondock.dispatch.RequestDispatcher;
 import lemondock.dispatch.RouterFactory;
 import lemondock.gateway.accounting.GatewayMetrics;
 import lemondock.gateway.answer.PromptReader;
 import lemondock.gateway.core.CallService;
 import lemondock.gateway.core.IdempotencyGuard;
-import lemondock.gateway.discovery.EndpointListCodec;
-import lemondock.gateway.discovery.EndpointListSource;
 import lemondock.gateway.engine.CompletionChunk;
 import lemondock.gateway.engine.EngineClient;
 import lemondock.gateway.mcp.McpHttpHandler;
@@ -31,11 +27,8 @@
 import lemondock.net.Loop;
 import lemondock.net.http.HttpClient;
 import lemondock.net.http.HttpServer;
-import lemondock.overload.Admission;
-import lemondock.overload.ResourcePressure;
 import lemondock.overload.StallMonitor;
 import lemondock.policy.Control;
-import lemondock.policy.EndpointListKind;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -59,19 +52,13 @@
   private final GatewayEnvironment environment;
   private final Loop loop;
   private final GatewaySettings settings;
-  private final DiskTasks disk;
-  private final EndpointRegistry endpoints;
-  private final EndpointListSource endpointListSource;
-  private final EndpointListCache endpointListCache;
+  private final GatewayMetrics metrics;
+  private final OverloadProtection overloadProtection;
+  private final EndpointListFollower endpointList;
   private final RequestDispatcher<ObjectNode, JsonNode, CompletionChunk> dispatcher;
   private final CallService calls;
   private final McpHttpHandler mcp;
   private final HttpServer server;
-  private final GatewayMetrics metrics;
-  private final StallMonitor stallMonitor;
-  private final Admission admission;
-  private final QueueDelayMonitor queueDelays;
-  private final ResourcePressureMonitor resourcePressure;
 
   /** Loop thread only. */
   private long startedAtMicros;
@@ -93,66 +80,56 @@
     this.environment = environment;
     this.loop = environment.loop();
     this.settings = settings;
-    this.disk = new DiskTasks(environment.disk(), settings.name());
-    this.endpoints =
-        new EndpointRegistry(settings.kinds().stream().map(GatewaySettings.Kind::name).toList());
-    String userAgent = "lemondock/" + VERSION + " (" + settings.name() + ")";
+    final String userAgent = "lemondock/" + VERSION + " (" + settings.name() + ")";
     final HttpClient engineClient =
         HttpComponents.engineClient(loop, environment.network(), settings.engines());
-    SecureRandom random = new SecureRandom();
-    final long seed = settings.seed() != 0 ? settings.seed() : random.nextLong();
-    final String incarnation = Long.toString(loop.wallMillis(), 36);
-    this.endpointListSource =
-        HttpComponents.endpointListSource(loop, environment.network(), settings, userAgent);
-    this.endpointListCache = new EndpointListCache(settings.discovery().cache());
-    this.metrics = new GatewayMetrics(settings);
-    this.stallMonitor = stallMonitor(settings.overload());
-    this.admission =
-        new Admission(
-            settings.overload().toAdmissionSettings(),
-            QueueDelayMonitor.queueCount(settings.ioThreads()));
-    this.queueDelays =
-        new QueueDelayMonitor(environment, settings.ioThreads(), admission, stallMonitor, metrics);
-    this.resourcePressure =
-        new ResourcePressureMonitor(
+    DiskTasks disk = new DiskTasks(environment.disk(), settings.name());
+    this.endpointList =
+        new EndpointListFollower(
             environment,
+            settings,
             disk,
-            new ResourcePressure(settings.overload().toResourcePressureSettings()),
-            admission,
-            settings.name());
+            HttpComponents.endpointListSource(loop, environment.network(), settings, userAgent));
+    this.metrics = new GatewayMetrics(settings);
+    this.overloadProtection = new OverloadProtection(environment, settings, disk, metrics);
+    StallMonitor stallMonitor = overloadProtection.stallMonitor();
+    SecureRandom random = new SecureRandom();
     this.dispatcher =
         new RequestDispatcher<>(
             new DispatcherEnvironment<>(
                 loop,
                 new EngineClient(loop, engineClient, settings.engines(), userAgent, stallMonitor),
-                endpoints,
+                endpointList.endpoints(),
                 stallMonitor,
-                metrics),
-            new DispatcherOptions(
-                settings.name() + "-" + incarnation,
-                routerFactory,
-                settings.toRouterSettings(),
-                seed,
-                endpointListSource::refresh));
+                metrics.attempts()),
+            dispatcherOptions(routerFactory, random));
     this.calls = new CallService(loop, dispatcher, settings, metrics, stallMonitor);
-    this.mcp =
-        new McpHttpHandler(
-            loop,
-            settings,
-            calls,
-            prompts,
-            () -> sessionId(random),
-            new ReadinessCheck(endpoints, settings.kinds())::problem,
-            admission,
-            VERSION);
+    this.mcp = new McpHttpHandler(mcpDependencies(prompts, random));
     this.server = new HttpServer(loop, HttpComponents.serverOptions(settings, environment), mcp);
   }
 
-  private static StallMonitor stallMonitor(GatewaySettings.Overload settings) {
-    return new StallMonitor(
-        QueueDelayMonitor.STALL_TICK_MICROS,
-        GatewaySettings.micros(settings.stallMs()),
-        GatewaySettings.micros(settings.stallGraceMs()));
+  private DispatcherOptions dispatcherOptions(RouterFactory routerFactory, SecureRandom random) {
+    long seed = settings.seed() != 0 ? settings.seed() : random.nextLong();
+    String incarnation = Long.toString(loop.wallMillis(), 36);
+    return new DispatcherOptions(
+        settings.name() + "-" + incarnation,
+        routerFactory,
+        settings.toRouterSettings(),
+        seed,
+        endpointList::refresh);
+  }
+
+  private McpHttpHandler.Dependencies mcpDependencies(PromptReader prompts, SecureRandom random) {
+    ReadinessCheck readiness = new ReadinessCheck(endpointList.endpoints(), settings.kinds());
+    return new McpHttpHandler.Dependencies(
+        loop,
+        settings,
+        calls,
+        prompts,
+        () -> sessionId(random),
+        readiness::problem,
+        overloadProtection.admission(),
+        VERSION);
   }
 
   private static String sessionId(SecureRandom random) {
@@ -161,7 +138,7 @@
     return Base64.getUrlEncoder().withoutPadding().encodeToString(bytes);
   }
 
-  // ==== start
+  // Start.
 
   /**
    * Takes its port and begins to serve; call it off the loop.
@@ -175,7 +152,7 @@
           IdempotencyGuard.open(
               environment.idempotencyFiles(), settings.durable(), loop, environment.disk()));
     }
-    List<Endpoint> cached = endpointListCache.read();
+    List<Endpoint> cached = endpointList.readCache();
     List<DelayProbe> probes = environment.network().delayProbes();
     server.start(environment.network(), SettingsFile.resolveAddress(settings.front().listen()));
     loop.execute(() -> startOnLoop(cached, probes));
@@ -187,53 +164,18 @@
 
   private void startOnLoop(List<Endpoint> cached, List<DelayProbe> probes) {
     startedAtMicros = loop.now();
-    queueDelays.start(environment.workers(), probes);
+    overloadProtection.start(probes);
     recordMetricsEverySecond();
     dispatcher.start();
     mcp.start();
-    applyEndpoints(cached, true);
-    endpointListSource.start(new EndpointListListener());
-  }
-
-  private final class EndpointListListener implements EndpointListSource.Listener {
-    @Override
-    public void onList(List<Endpoint> listed) {
-      applyEndpoints(listed, false);
-      if (endpointListCache.enabled()) {
-        byte[] content = EndpointListCodec.formatFile(endpoints.endpoints());
-        disk.runOrDrop(() -> endpointListCache.write(content));
-      }
-    }
-
-    @Override
-    public void onFailure(String reason) {
-      LOG.atWarn().addKeyValue("why", reason).log("the endpoint list cannot be fetched");
-      endpoints.requireFullUpdate();
-      dispatcher.updateEndpoints(EndpointListKind.FAILED, List.of());
-    }
-  }
-
-  private void applyEndpoints(List<Endpoint> listed, boolean fromCache) {
-    EndpointUpdate update = endpoints.update(listed, fromCache, loop.now(), loop.wallMillis());
-    for (String reason : update.skipped()) {
-      LOG.atWarn().addKeyValue("why", reason).log("an entry of the endpoint list was skipped");
-    }
-    if (update.kind() != EndpointListKind.CHANGES || !update.servers().isEmpty()) {
-      LOG.atInfo()
-          .addKeyValue("changed", update.servers().size())
-          .addKeyValue("listed", endpoints.size())
-          .addKeyValue("kind", update.kind())
-          .log("endpoint list");
-      dispatcher.updateEndpoints(update.kind(), update.servers());
-    }
+    endpointList.start(cached, dispatcher);
   }
 
   private void recordMetricsEverySecond() {
     recordInFlight();
-    metrics.setOverload(
-        admission.admittedShare(), stallMonitor.stallCount(), stallMonitor.totalStallMicros());
+    overloadProtection.recordMetrics();
     dispatcher.recordRouterState();
-    resourcePressure.sample();
+    overloadProtection.sampleResources();
     loop.schedule(MICROS_PER_SECOND, this::recordMetricsEverySecond);
   }
 
@@ -242,14 +184,14 @@
         new GatewayMetrics.InFlight(
             calls.size(),
             dispatcher.requestsInFlight(),
-            mcp.sessions(),
+            mcp.sessionCount(),
             mcp.streamCount(),
             calls.pendingToolCalls(),
-            endpoints.size(),
+            endpointList.endpoints().size(),
             (loop.now() - startedAtMicros) / MICROS_PER_SECOND));
   }
 
-  // ==== what tests and commands read
+  // What tests and commands read.
 
   /** The metrics; a snapshot may be taken on any thread. */
   public GatewayMetrics metrics() {
@@ -278,15 +220,15 @@
 
   /** Endpoints listed; loop thread only. */
   public int endpointCount() {
-    return endpoints.size();
+    return endpointList.endpoints().size();
   }
 
   /** Open sessions; loop thread only. */
   public int sessionCount() {
-    return mcp.sessions();
+    return mcp.sessionCount();
   }
 
-  // ==== graceful shutdown
+  // Graceful shutdown.
 
   /**
    * Shuts down gracefully: fails readiness checks for the settings' notice time while all is
@@ -326,7 +268,7 @@
     stopped = true;
     calls.interruptAll("the gateway stops");
     mcp.close();
-    endpointListSource.stop();
+    endpointList.stop();
     loop.schedule(
         2 * DRAIN_POLL_MICROS,
         () -> {
--- a/gateway/src/main/java/lemondock/gateway/ReadinessCheck.java
+++ b/gateway/src/main/java/lemondock/gateway/ReadinessCheck.java
@@ -1,6 +1,7 @@
 package lemondock.gateway;
 
 import java.util.List;
+import java.util.Optional;
 import lemondock.dispatch.Endpoint;
 import lemondock.dispatch.EndpointRegistry;
 import lemondock.gateway.settings.GatewaySettings;
@@ -18,17 +19,17 @@
   }
 
   /** Why nothing can be served now; empty if a prompt can be read and an answer written. */
-  String problem() {
+  Optional<String> problem() {
     if (endpoints.size() == 0) {
-      return "no list of servers is known, or it is empty";
+      return Optional.of("no list of servers is known, or it is empty");
     }
     if (!hasReadyServerOtherThan(ServerRole.WRITER)) {
-      return "no server that reads is ready";
+      return Optional.of("no server that reads is ready");
     }
     if (!hasReadyServerOtherThan(ServerRole.READER)) {
-      return "no server that writes is ready";
+      return Optional.of("no server that writes is ready");
     }
-    return "";
+    return Optional.empty();
   }
 
   private boolean hasReadyServerOtherThan(ServerRole excludedRole) {
--- /dev/null
+++ b/gateway/src/main/java/lemondock/gateway/accounting/BoundedLabels.java
@@ -0,0 +1,29 @@
+package lemondock.gateway.accounting;
+
+import lemondock.metrics.BoundedNames;
+import lemondock.metrics.Recorder;
+import lemondock.metrics.Series;
+
+/** Bounded label values of one dimension, whose surplus is counted. Loop thread only. */
+final class BoundedLabels {
+  private final BoundedNames names;
+  private final Series surplus;
+  private final Recorder recorder;
+
+  /** Makes labels; each use of a name beyond the bound is counted in {@code surplus}. */
+  BoundedLabels(BoundedNames names, Series surplus, Recorder recorder) {
+    this.names = names;
+    this.surplus = surplus;
+    this.recorder = recorder;
+  }
+
+  /** The label for a name, which others choose; not within a group of the recorder. */
+  String label(String name) {
+    long before = names.turnedAway();
+    String label = names.label(name);
+    if (names.turnedAway() != before) {
+      recorder.count(surplus.first());
+    }
+    return label;
+  }
+}
--- a/gateway/src/main/java/lemondock/gateway/accounting/CallMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/CallMetrics.java
@@ -1,35 +1,58 @@
 package lemondock.gateway.accounting;
 
-import lemondock.gateway.answer.Answer;
+import lemondock.gateway.answer.AnswerOutcome;
+import lemondock.metrics.Recorder;
 
 /**
  * What is counted of one client's call, from its arrival to its end. It judges whether the call got
- * what was wanted: the first token within the aim, the rest at the wanted pace. Time is passed in;
- * one thread. Each call is counted once under one ending, whatever order its events come in.
+ * what its class promises: the first token within the latency objective, the rest at the wanted
+ * pace. Each call is counted once under one outcome, whatever order its events come in. Loop thread
+ * only, but for {@link #inTurn}; time is passed in.
  */
 public final class CallMetrics {
+  /** An answer up to so many times slower than its objective still earns the late weight. */
   private static final double LATE_PACE_FACTOR = 2;
 
-  private final GatewayMetrics metrics;
-  private final GatewayMetrics.ClassSeries classSeries;
-  private final GatewayMetrics.TenantSeries tenantSeries;
+  private final Recorder recorder;
+  private final ClassSeries classSeries;
+  private final TenantSeries tenantSeries;
   private final long arrivedAtMicros;
   private final long latencyObjectiveMicros;
+
+  /** 0 before the first token. */
   private long firstTokenAtMicros;
+
+  /**
+   * When the first token of the current turn was delivered, 0 before. Changed on the loop with the
+   * call's output lock held, so that an I/O thread that holds it may read it.
+   */
   private long turnStartedAtMicros;
+
+  /** Time from the first token of each turn to its end, turns that have ended. */
   private long generatingMicros;
+
   private long toolCallsRelayed;
   private long toolCallsSettled;
   private boolean countedBad;
   private boolean ended;
 
+  /** How a call that has ended was served. */
+  private enum Service {
+    /** The first token and the pace met their objectives. */
+    IN_TIME,
+    /** The answer is complete, but late. */
+    LATE,
+    /** No answer, or one too slow to be of use. */
+    MISSED
+  }
+
   CallMetrics(
-      GatewayMetrics metrics,
-      GatewayMetrics.ClassSeries classSeries,
-      GatewayMetrics.TenantSeries tenantSeries,
+      Recorder recorder,
+      ClassSeries classSeries,
+      TenantSeries tenantSeries,
       long arrivedAtMicros,
       long latencyObjectiveMicros) {
-    this.metrics = metrics;
+    this.recorder = recorder;
     this.classSeries = classSeries;
     this.tenantSeries = tenantSeries;
     this.arrivedAtMicros = arrivedAtMicros;
@@ -41,7 +64,7 @@
     return latencyObjectiveMicros;
   }
 
-  /** The aim's time is over; a call without a token is late from here on. */
+  /** The time of the objective is over; a call without a token is late from here on. */
   public void onObjectivePassed() {
     if (firstTokenAtMicros == 0 && !ended) {
       countBad();
@@ -68,12 +91,12 @@
 
   private void recordFirstToken(long nowMicros) {
     long elapsedMicros = nowMicros - arrivedAtMicros;
-    long ticket = metrics.recorder().enter();
-    metrics.recorder().record(classSeries.firstToken, elapsedMicros);
+    long ticket = recorder.enter();
+    recorder.record(classSeries.firstToken, elapsedMicros);
     if (elapsedMicros <= latencyObjectiveMicros) {
-      metrics.recorder().add(classSeries.verdicts.slot(0), 1);
+      recorder.add(classSeries.verdicts.slot(ClassSeries.GOOD), 1);
     }
-    metrics.recorder().exit(ticket);
+    recorder.exit(ticket);
     if (elapsedMicros > latencyObjectiveMicros) {
       countBad();
     }
@@ -82,27 +105,27 @@
   private void countBad() {
     if (!countedBad) {
       countedBad = true;
-      metrics.recorder().count(classSeries.verdicts.slot(1));
+      recorder.count(classSeries.verdicts.slot(ClassSeries.BAD));
     }
   }
 
-  /** A tool call was sent to the client; the time until the next token is not the writer's. */
+  /** A tool call was sent to the client; the time until the next token is not the engine's. */
   public void onToolCallRelayed(long nowMicros) {
     endTurn(nowMicros);
     toolCallsRelayed++;
-    metrics.recorder().count(classSeries.tools.slot(0));
+    recorder.count(classSeries.toolCalls.slot(ClassSeries.TOOL_CALLS_RELAYED));
   }
 
   /** A tool's result came back. */
   public void onToolCallAnswered() {
     toolCallsSettled++;
-    metrics.recorder().count(classSeries.tools.slot(1));
+    recorder.count(classSeries.toolCalls.slot(ClassSeries.TOOL_CALLS_ANSWERED));
   }
 
   /** A tool call was withdrawn, or its result came too late to be of use. */
   public void onToolCallLost() {
     toolCallsSettled++;
-    metrics.recorder().count(classSeries.tools.slot(2));
+    recorder.count(classSeries.toolCalls.slot(ClassSeries.TOOL_CALLS_LOST));
   }
 
   /** Tool calls that wait for their result. */
@@ -117,51 +140,66 @@
     }
   }
 
-  /** The call has ended. */
-  public void onEnded(long nowMicros, Answer.Outcome outcome) {
+  /** The call has ended; only the first call of this counts. */
+  public void onEnded(long nowMicros, AnswerOutcome outcome) {
     if (ended) {
       return;
     }
     ended = true;
     endTurn(nowMicros);
-    boolean served = outcome.kind() == Answer.OutcomeKind.SERVED;
-    double microsPerToken =
-        outcome.tokens() > 1 ? (double) generatingMicros / (outcome.tokens() - 1) : 0;
-    boolean firstTokenInTime =
-        firstTokenAtMicros != 0
-            ? firstTokenAtMicros - arrivedAtMicros <= latencyObjectiveMicros
-            : nowMicros - arrivedAtMicros <= latencyObjectiveMicros;
-    boolean inTime =
-        served && firstTokenInTime && microsPerToken <= classSeries.tokenObjectiveMicros;
-    final boolean late =
-        served && !inTime && microsPerToken <= LATE_PACE_FACTOR * classSeries.tokenObjectiveMicros;
-    final long ticket = metrics.recorder().enter();
-    metrics
-        .recorder()
-        .add(
-            tenantSeries
-                .requests()
-                .slot(GatewayMetrics.FIRST_OUTCOME_FIELD + outcome.kind().ordinal()),
-            1);
-    metrics.recorder().record(classSeries.wholeTime, nowMicros - arrivedAtMicros);
-    if (outcome.tokens() > 1) {
-      metrics.recorder().record(classSeries.tokenPace, (long) microsPerToken);
+    final Service service = service(nowMicros, outcome);
+    final long ticket = recorder.enter();
+    recorder.add(tenantSeries.outcomeSlot(outcome.kind()), 1);
+    recordTimes(nowMicros, outcome.totals().tokens());
+    recordService(service);
+    loseToolCalls();
+    recorder.exit(ticket);
+    if (service != Service.IN_TIME && outcome.kind() != AnswerOutcome.Kind.CANCELLED) {
+      countBad();
+    }
+  }
+
+  private Service service(long nowMicros, AnswerOutcome outcome) {
+    if (outcome.kind() != AnswerOutcome.Kind.SERVED) {
+      return Service.MISSED;
     }
-    if (inTime) {
-      metrics.recorder().add(tenantSeries.worth().slot(2), classSeries.priorityWeight);
-    } else if (late) {
-      metrics.recorder().add(tenantSeries.worth().slot(3), classSeries.latePriorityWeight);
+    double microsPerToken = microsPerToken(outcome.totals().tokens());
+    long firstAtMicros = firstTokenAtMicros != 0 ? firstTokenAtMicros : nowMicros;
+    if (firstAtMicros - arrivedAtMicros <= latencyObjectiveMicros
+        && microsPerToken <= classSeries.tokenObjectiveMicros) {
+      return Service.IN_TIME;
     }
-    if (served && firstTokenAtMicros == 0 && inTime) {
-      metrics.recorder().add(classSeries.verdicts.slot(0), 1); // an answer without a token of text
+    return microsPerToken <= LATE_PACE_FACTOR * classSeries.tokenObjectiveMicros
+        ? Service.LATE
+        : Service.MISSED;
+  }
+
+  private double microsPerToken(int tokens) {
+    return tokens > 1 ? (double) generatingMicros / (tokens - 1) : 0;
+  }
+
+  private void recordTimes(long nowMicros, int tokens) {
+    recorder.record(classSeries.wholeTime, nowMicros - arrivedAtMicros);
+    if (tokens > 1) {
+      recorder.record(classSeries.tokenPace, (long) microsPerToken(tokens));
+    }
+  }
+
+  private void recordService(Service service) {
+    if (service == Service.IN_TIME) {
+      recorder.add(tenantSeries.weightInTimeSlot(), classSeries.priorityWeight);
+      if (firstTokenAtMicros == 0) { // an answer without a token of text
+        recorder.add(classSeries.verdicts.slot(ClassSeries.GOOD), 1);
+      }
+    } else if (service == Service.LATE) {
+      recorder.add(tenantSeries.weightLateSlot(), classSeries.latePriorityWeight);
     }
+  }
+
+  private void loseToolCalls() {
     if (pendingToolCalls() > 0) {
-      metrics.recorder().add(classSeries.tools.slot(2), pendingToolCalls());
+      recorder.add(classSeries.toolCalls.slot(ClassSeries.TOOL_CALLS_LOST), pendingToolCalls());
       toolCallsSettled = toolCallsRelayed;
     }
-    metrics.recorder().exit(ticket);
-    if (!inTime && outcome.kind() != Answer.OutcomeKind.CANCELLED) {
-      countBad();
-    }
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
@@ -1,11 +1,7 @@
 package lemondock.gateway.accounting;
 
 import java.util.ArrayList;
-import java.util.EnumMap;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Locale;
-import java.util.Map;
 import lemondock.dispatch.AttemptMetrics;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.metrics.BoundedNames;
@@ -13,108 +9,54 @@
 import lemondock.metrics.Recorder;
 import lemondock.metrics.Series;
 import lemondock.metrics.Tally;
-import lemondock.policy.AttemptOutcome;
-import lemondock.policy.RouterStateVisitor;
-import lemondock.policy.ServerLifecycle;
-import lemondock.policy.ServerRole;
 
 /**
  * What a gateway counts on its decision loop. Series are looked up once and kept; the names of
  * tenants and zones, which others choose, are bounded. Loop thread only, but for {@link #tally}.
  */
-public final class GatewayMetrics implements AttemptMetrics {
-  /** The tenant of a request that names none. */
-  public static final String NO_TENANT = "none";
-
-  /**
-   * The field of {@link Metrics#REQUESTS} for served; those of the other endings follow in the
-   * order of their enum.
-   */
-  static final int FIRST_OUTCOME_FIELD = 2;
-
-  private static final int REJECTED_FIELD = 3;
-  private static final int SENT_FIELD = 0;
+public final class GatewayMetrics {
   private static final int MAX_ZONES = 64;
-  private static final List<AttemptOutcome> OUTCOME_FIELD_ORDER =
-      List.of(
-          AttemptOutcome.OK,
-          AttemptOutcome.PROMPT_READ,
-          AttemptOutcome.ERROR,
-          AttemptOutcome.REJECTED,
-          AttemptOutcome.TIMEOUT,
-          AttemptOutcome.CONNECT_FAILED,
-          AttemptOutcome.RESET,
-          AttemptOutcome.CANCELLED,
-          AttemptOutcome.ABANDONED_BEFORE_SEND);
+  private static final double SHARE_SCALE = 1_000;
+
+  // Fields of Metrics.OVERLOAD.
+  private static final int ADMITTED_SHARE = 0;
+  private static final int REJECTED = 1;
+  private static final int STALLS = 2;
+  private static final int STALL_MICROS = 3;
 
-  private final GatewaySettings settings;
   private final Tally tally;
   private final Recorder recorder;
-  private final List<ClassSeries> classes = new ArrayList<>();
-  private final BoundedNames tenants;
-  private final BoundedNames zones;
-  private final Map<ServerRole, Map<String, Series>> attempts = new EnumMap<>(ServerRole.class);
-  private final Map<ServerRole, Map<String, Series>> servers = new EnumMap<>(ServerRole.class);
-  private final Map<String, Series[]> reservedStates = new HashMap<>();
   private final Series gateway;
-  private final Series module;
   private final Series loopLag;
   private final Series overload;
-  private final Series otherTenants;
-  private final Series otherZones;
-
-  /** The series of one class, which any of its requests shares. */
-  static final class ClassSeries {
-    final long priorityWeight;
-    final long latePriorityWeight;
-    final double tokenObjectiveMicros;
-    final Series verdicts;
-    final Series tools;
-    final Series firstToken;
-    final Series tokenPace;
-    final Series wholeTime;
-    final Map<String, TenantSeries> byTenant = new HashMap<>();
-
-    ClassSeries(Tally tally, GatewaySettings.ClassSettings settings, String zone) {
-      priorityWeight = Math.round(settings.worth() * Metrics.WORTH_ONE);
-      latePriorityWeight = Math.round(settings.worth() * settings.lateWorth() * Metrics.WORTH_ONE);
-      tokenObjectiveMicros = GatewaySettings.micros(settings.tokenAimMs());
-      verdicts = tally.series(Metrics.VERDICTS, settings.name(), zone);
-      tools = tally.series(Metrics.TOOLS, settings.name());
-      firstToken = tally.series(Metrics.FIRST_TOKEN, settings.name());
-      tokenPace = tally.series(Metrics.TOKEN_PACE, settings.name());
-      wholeTime = tally.series(Metrics.WHOLE_TIME, settings.name());
-    }
-  }
+  private final RequestMetrics requests;
+  private final ServerMetrics servers;
 
-  /** The series of one class and tenant. */
-  record TenantSeries(Series worth, Series requests) {}
-
-  /** Makes a count of its own tally, for the thread that the gateway decides on. */
+  /** Makes metrics of their own, for the thread that the gateway decides on. */
   public GatewayMetrics(GatewaySettings settings) {
-    this.settings = settings;
-    this.tally = new Tally(settings.reporting().maxValues());
+    GatewaySettings.Reporting reporting = settings.reporting();
+    this.tally = new Tally(reporting.maxValues());
     this.recorder = tally.recorder();
-    this.tenants =
-        new BoundedNames(
-            append(settings.reporting().tenants(), NO_TENANT), settings.reporting().maxTenants());
-    this.zones = new BoundedNames(List.of(settings.zone()), MAX_ZONES);
+    // the order of the series is that of their rows in reports
     this.gateway = tally.series(Metrics.GATEWAY);
-    this.module = tally.series(Metrics.MODULE);
+    final Series routerTotals = tally.series(Metrics.MODULE);
     this.loopLag = tally.series(Metrics.LOOP_LAG);
     this.overload = tally.series(Metrics.OVERLOAD);
-    this.otherTenants = tally.series(Metrics.BOUNDS, "tenant");
-    this.otherZones = tally.series(Metrics.BOUNDS, "zone");
-    settings
-        .classes()
-        .forEach(
-            requestClass -> classes.add(new ClassSeries(tally, requestClass, settings.zone())));
+    BoundedLabels tenants = labels("tenant", knownTenants(reporting), reporting.maxTenants());
+    BoundedLabels zones = labels("zone", List.of(settings.zone()), MAX_ZONES);
+    this.requests = new RequestMetrics(settings, tally, recorder, tenants);
+    this.servers = new ServerMetrics(tally, recorder, zones, routerTotals);
   }
 
-  private static List<String> append(List<String> some, String one) {
-    List<String> all = new ArrayList<>(some);
-    all.add(one);
-    return all;
+  private static List<String> knownTenants(GatewaySettings.Reporting reporting) {
+    List<String> tenants = new ArrayList<>(reporting.tenants());
+    tenants.add(RequestMetrics.NO_TENANT);
+    return tenants;
+  }
+
+  private BoundedLabels labels(String dimension, List<String> known, int maxOthers) {
+    Series surplus = tally.series(Metrics.BOUNDS, dimension);
+    return new BoundedLabels(new BoundedNames(known, maxOthers), surplus, recorder);
   }
 
   /** What was counted; its snapshot may be taken on any thread. */
@@ -122,135 +64,16 @@
     return tally;
   }
 
-  Recorder recorder() {
-    return recorder;
-  }
-
-  // ==== requests
-
-  /** A request was taken. Times in microseconds. */
-  public CallMetrics requestAccepted(
-      int classId, String tenant, boolean retry, int promptTokens, long nowMicros) {
-    ClassSeries series = classes.get(classId);
-    TenantSeries request = tenantSeries(series, classId, tenant);
-    long ticket = recorder.enter();
-    countArrival(series, request, retry);
-    recorder.exit(ticket);
-    GatewaySettings.ClassSettings classSettings = settings.classes().get(classId);
-    long latencyObjectiveMicros =
-        GatewaySettings.micros(
-            classSettings.aimMs() + classSettings.aimMsPerThousandTokens() * promptTokens / 1000);
-    return new CallMetrics(this, series, request, nowMicros, latencyObjectiveMicros);
-  }
-
-  /** A request was rejected before it was taken, for a bound of the gateway or because it stops. */
-  public void requestRejected(int classId, String tenant, boolean retry) {
-    ClassSeries series = classes.get(classId);
-    TenantSeries request = tenantSeries(series, classId, tenant);
-    final long ticket = recorder.enter();
-    countArrival(series, request, retry);
-    recorder.add(request.requests.slot(REJECTED_FIELD), 1);
-    recorder.add(series.verdicts.slot(1), 1);
-    recorder.exit(ticket);
-  }
-
-  private void countArrival(ClassSeries series, TenantSeries request, boolean retry) {
-    recorder.add(request.requests.slot(0), 1);
-    recorder.add(request.requests.slot(1), retry ? 1 : 0);
-    recorder.add(request.worth.slot(retry ? 1 : 0), series.priorityWeight);
+  /** Counts clients' requests. */
+  public RequestMetrics requests() {
+    return requests;
   }
 
-  private TenantSeries tenantSeries(ClassSeries series, int classId, String tenant) {
-    String label = boundedLabel(tenants, otherTenants, tenant == null ? NO_TENANT : tenant);
-    TenantSeries found = series.byTenant.get(label);
-    if (found == null) {
-      String name = settings.classes().get(classId).name();
-      found =
-          new TenantSeries(
-              tally.series(Metrics.WORTH, name, settings.zone(), label),
-              tally.series(Metrics.REQUESTS, name, settings.zone(), label));
-      series.byTenant.put(label, found);
-    }
-    return found;
+  /** Counts attempts and reserved states. */
+  public AttemptMetrics attempts() {
+    return servers;
   }
 
-  private String boundedLabel(BoundedNames names, Series others, String name) {
-    long before = names.turnedAway();
-    String label = names.label(name);
-    if (names.turnedAway() != before) {
-      recorder.count(others.first());
-    }
-    return label;
-  }
-
-  // ==== attempts and states
-
-  /** An attempt is made at a server. */
-  public void attemptSent(ServerRole role, String zone) {
-    recorder.count(seriesFor(attempts, Metrics.ATTEMPTS, role, zone).slot(SENT_FIELD));
-  }
-
-  /** An attempt has ended. */
-  public void attemptEnded(ServerRole role, String zone, AttemptOutcome ending) {
-    recorder.count(
-        seriesFor(attempts, Metrics.ATTEMPTS, role, zone)
-            .slot(1 + OUTCOME_FIELD_ORDER.indexOf(ending)));
-  }
-
-  private Series seriesFor(
-      Map<ServerRole, Map<String, Series>> byRoleAndZone,
-      lemondock.metrics.Family family,
-      ServerRole role,
-      String zone) {
-    Map<String, Series> byZone = byRoleAndZone.computeIfAbsent(role, r -> new HashMap<>());
-    Series found = byZone.get(zone);
-    if (found == null) {
-      String label = boundedLabel(zones, otherZones, zone);
-      found = byZone.get(label);
-      if (found == null) {
-        found = tally.series(family, role.name().toLowerCase(Locale.ROOT), label);
-        byZone.put(label, found);
-      }
-    }
-    return found;
-  }
-
-  /** A read left a state at a server of the zone. */
-  public void stateReserved(String zone) {
-    countState(zone, 0, 1, -1);
-  }
-
-  /** A writer took a state that had waited for so many microseconds. */
-  public void stateFetched(String zone, long waitedMicros) {
-    countState(zone, 1, -1, waitedMicros);
-  }
-
-  /** A state was let go unused after so many microseconds. */
-  public void stateReleased(String zone, long waitedMicros) {
-    countState(zone, 2, -1, waitedMicros);
-  }
-
-  private void countState(String zone, int field, int change, long waitedMicros) {
-    Series[] series = reservedStates.get(zone);
-    if (series == null) {
-      String label = boundedLabel(zones, otherZones, zone);
-      series =
-          reservedStates.computeIfAbsent(
-              label,
-              z ->
-                  new Series[] {tally.series(Metrics.HELD, z), tally.series(Metrics.HELD_TIME, z)});
-    }
-    final long ticket = recorder.enter();
-    recorder.add(series[0].slot(field), 1);
-    recorder.add(series[0].slot(3), change);
-    if (waitedMicros >= 0) {
-      recorder.record(series[1], waitedMicros);
-    }
-    recorder.exit(ticket);
-  }
-
-  // ==== gauges
-
   /**
    * What is in flight in a gateway at one moment.
    *
@@ -263,22 +86,20 @@
       long streams,
       long toolCalls,
       long endpoints,
-      long uptimeSeconds) {}
+      long uptimeSeconds) {
+
+    /** In the order of the fields of {@link Metrics#GATEWAY}. */
+    private long[] values() {
+      return new long[] {calls, requests, sessions, streams, toolCalls, endpoints, uptimeSeconds};
+    }
+  }
 
   /** Sets the gauges of what is in flight. */
   public void setInFlight(InFlight inFlight) {
-    long[] values = {
-      inFlight.calls(),
-      inFlight.requests(),
-      inFlight.sessions(),
-      inFlight.streams(),
-      inFlight.toolCalls(),
-      inFlight.endpoints(),
-      inFlight.uptimeSeconds()
-    };
+    long[] values = inFlight.values();
     long ticket = recorder.enter();
-    for (int i = 0; i < values.length; i++) {
-      recorder.set(gateway.slot(i), values[i]);
+    for (int field = 0; field < values.length; field++) {
+      recorder.set(gateway.slot(field), values[field]);
     }
     recorder.exit(ticket);
   }
@@ -288,55 +109,23 @@
     recorder.time(loopLag, micros);
   }
 
-  /** The gateway's own limit: the share let in, stalls and their sum in microseconds. */
-  public void setOverload(double share, long stalls, long stalledMicros) {
+  /**
+   * Sets the gauges of the gateway's own limit.
+   *
+   * @param admittedShare part of the requests that is admitted, 0 to 1
+   * @param stalls times for which the process stood still
+   * @param stallMicros their sum
+   */
+  public void setOverload(double admittedShare, long stalls, long stallMicros) {
     long ticket = recorder.enter();
-    recorder.set(overload.slot(0), Math.round(share * 1_000));
-    recorder.set(overload.slot(2), stalls);
-    recorder.set(overload.slot(3), stalledMicros);
+    recorder.set(overload.slot(ADMITTED_SHARE), Math.round(admittedShare * SHARE_SCALE));
+    recorder.set(overload.slot(STALLS), stalls);
+    recorder.set(overload.slot(STALL_MICROS), stallMicros);
     recorder.exit(ticket);
   }
 
-  /** A request was refused because the gateway is late; it is counted as rejected too. */
+  /** A request was rejected because of overload; it is counted as a rejected request too. */
   public void countLoadShed() {
-    recorder.count(overload.slot(1));
-  }
-
-  /** Takes a look at the router; {@code zones} names the zone of a server's number, or null. */
-  public RouterStateVisitor stateVisitor(
-      java.util.function.LongFunction<java.util.Optional<String>> zoneOf) {
-    Map<Series, long[]> sums = new HashMap<>();
-    servers.values().forEach(byZone -> byZone.values().forEach(s -> sums.put(s, new long[4])));
-    return new RouterStateVisitor() {
-      @Override
-      public void server(
-          long id, ServerRole role, ServerLifecycle standing, boolean cold, boolean healthy) {
-        String zone = zoneOf.apply(id).orElse(null);
-        if (zone != null) {
-          long[] sum =
-              sums.computeIfAbsent(
-                  seriesFor(servers, Metrics.SERVERS, role, zone), s -> new long[4]);
-          boolean ready = standing == ServerLifecycle.READY;
-          sum[ready ? 0 : 1]++;
-          sum[2] += ready && cold ? 1 : 0;
-          sum[3] += ready && !healthy ? 1 : 0;
-        }
-      }
-
-      @Override
-      public void totals(int queued, long tokensInFlight, long capacityTokens) {
-        final long ticket = recorder.enter();
-        recorder.set(module.slot(0), queued);
-        recorder.set(module.slot(1), tokensInFlight);
-        recorder.set(module.slot(2), capacityTokens);
-        sums.forEach(
-            (s, sum) -> {
-              for (int i = 0; i < sum.length; i++) {
-                recorder.set(s.slot(i), sum[i]);
-              }
-            });
-        recorder.exit(ticket);
-      }
-    };
+    recorder.count(overload.slot(REJECTED));
   }
 }
--- /dev/null
+++ b/gateway/src/main/java/lemondock/gateway/accounting/RequestMetrics.java
@@ -0,0 +1,81 @@
+package lemondock.gateway.accounting;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import lemondock.gateway.answer.AnswerOutcome;
+import lemondock.gateway.settings.GatewaySettings;
+import lemondock.metrics.Metrics;
+import lemondock.metrics.Recorder;
+import lemondock.metrics.Tally;
+
+/** What is counted of clients' requests, by class and tenant. Loop thread only. */
+public final class RequestMetrics {
+  /** The tenant of a request that names none. */
+  static final String NO_TENANT = "none";
+
+  private final GatewaySettings settings;
+  private final Tally tally;
+  private final Recorder recorder;
+  private final BoundedLabels tenants;
+  private final List<ClassSeries> classes = new ArrayList<>();
+
+  RequestMetrics(GatewaySettings settings, Tally tally, Recorder recorder, BoundedLabels tenants) {
+    this.settings = settings;
+    this.tally = tally;
+    this.recorder = recorder;
+    this.tenants = tenants;
+    settings
+        .classes()
+        .forEach(
+            requestClass -> classes.add(new ClassSeries(tally, requestClass, settings.zone())));
+  }
+
+  /**
+   * A request was accepted.
+   *
+   * @param tenant whom the client says it calls for
+   * @param retry whether the client says that it repeats a request
+   * @param nowMicros time of its arrival
+   */
+  public CallMetrics requestAccepted(
+      int classId, Optional<String> tenant, boolean retry, int promptTokens, long nowMicros) {
+    ClassSeries series = classes.get(classId);
+    TenantSeries tenantSeries = tenantSeries(series, tenant);
+    long ticket = recorder.enter();
+    countArrival(series, tenantSeries, retry);
+    recorder.exit(ticket);
+    GatewaySettings.ClassSettings requestClass = settings.classes().get(classId);
+    long latencyObjectiveMicros =
+        GatewaySettings.micros(
+            requestClass.aimMs() + requestClass.aimMsPerThousandTokens() * promptTokens / 1000);
+    return new CallMetrics(recorder, series, tenantSeries, nowMicros, latencyObjectiveMicros);
+  }
+
+  /** A request was rejected before it was accepted: for a limit, or because the gateway stops. */
+  public void requestRejected(int classId, Optional<String> tenant, boolean retry) {
+    ClassSeries series = classes.get(classId);
+    TenantSeries tenantSeries = tenantSeries(series, tenant);
+    final long ticket = recorder.enter();
+    countArrival(series, tenantSeries, retry);
+    recorder.add(tenantSeries.outcomeSlot(AnswerOutcome.Kind.REJECTED), 1);
+    recorder.add(series.verdicts.slot(ClassSeries.BAD), 1);
+    recorder.exit(ticket);
+  }
+
+  private void countArrival(ClassSeries series, TenantSeries tenantSeries, boolean retry) {
+    recorder.add(tenantSeries.acceptedSlot(), 1);
+    recorder.add(tenantSeries.retriesSlot(), retry ? 1 : 0);
+    recorder.add(tenantSeries.weightRequestedSlot(retry), series.priorityWeight);
+  }
+
+  private TenantSeries tenantSeries(ClassSeries series, Optional<String> tenant) {
+    String label = tenants.label(tenant.orElse(NO_TENANT));
+    return series.byTenant.computeIfAbsent(
+        label,
+        newLabel ->
+            new TenantSeries(
+                tally.series(Metrics.WORTH, series.className, settings.zone(), newLabel),
+                tally.series(Metrics.REQUESTS, series.className, settings.zone(), newLabel)));
+  }
+}
--- /dev/null
+++ b/gateway/src/main/java/lemondock/gateway/accounting/ServerSeries.java
@@ -0,0 +1,46 @@
+package lemondock.gateway.accounting;
+
+import java.util.ArrayList;
+import java.util.EnumMap;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import lemondock.metrics.Family;
+import lemondock.metrics.Series;
+import lemondock.metrics.Tally;
+import lemondock.policy.ServerRole;
+
+/** The series of one family by role and zone of servers. Loop thread only. */
+final class ServerSeries {
+  private final Family family;
+  private final Tally tally;
+  private final BoundedLabels zones;
+  private final Map<ServerRole, Map<String, Series>> byRoleAndZone =
+      new EnumMap<>(ServerRole.class);
+
+  ServerSeries(Family family, Tally tally, BoundedLabels zones) {
+    this.family = family;
+    this.tally = tally;
+    this.zones = zones;
+  }
+
+  /** The series of servers of a role and zone; not within a group of the recorder. */
+  Series of(ServerRole role, String zone) {
+    Map<String, Series> byZone = byRoleAndZone.computeIfAbsent(role, newRole -> new HashMap<>());
+    Series known = byZone.get(zone);
+    if (known != null) {
+      return known;
+    }
+    return byZone.computeIfAbsent(
+        zones.label(zone),
+        label -> tally.series(family, role.name().toLowerCase(Locale.ROOT), label));
+  }
+
+  /** All series that there are. */
+  List<Series> all() {
+    List<Series> all = new ArrayList<>();
+    byRoleAndZone.values().forEach(byZone -> all.addAll(byZone.values()));
+    return all;
+  }
+}
--- a/gateway/src/main/java/lemondock/gateway/answer/Answer.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/Answer.java
@@ -1,133 +1,59 @@
 package lemondock.gateway.answer;
 
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.TreeMap;
+import java.util.Optional;
 import lemondock.gateway.engine.CompletionChunk;
 
 /**
- * The states of one client's answer, which is made of requests (each a read and a write) with tool
- * calls between them. It decides what an event leads to and does no I/O; {@link Actions} carries it
- * out.
+ * The states of one client's answer, which is made of requests to the engines (each a prefill and a
+ * decode) with tool calls between them. It decides what an event leads to and does no I/O; {@link
+ * AnswerActions} carries it out.
  *
- * <p>Three promises rest on it. The answer ends once: every way out passes {@link #finishReason},
- * which closes all others. No call is relayed twice: calls are relayed when their request is whole,
- * and a request that breaks before relays none, while one that is whole is never asked for again.
- * No token comes twice or is missing: after a break the next request is given what was delivered
- * and goes on behind it.
+ * <p>It keeps three promises. The answer ends once: every way out passes {@link #end}, which closes
+ * all others. No tool call is relayed twice: tool calls are relayed when their request is complete;
+ * a request that breaks before relays none, and one that is complete is never sent again. No token
+ * comes twice or is missing: after a break the next request is given what was delivered and
+ * continues behind it.
+ *
+ * <p>Not thread safe: its caller holds a lock, so that {@link #onText} may come from an I/O thread
+ * and everything else from the loop.
  */
 public final class Answer {
-  private final Actions actions;
-  private final Limits limits;
-  private final List<Turn> turns = new ArrayList<>();
-  private final StringBuilder text = new StringBuilder();
-  private final Map<Integer, PartialToolCall> partialToolCalls = new TreeMap<>();
-  private final Map<String, ToolResult> toolResults = new LinkedHashMap<>();
-  private final StringBuilder turnText = new StringBuilder();
+  private static final String DEFAULT_FINISH_REASON = "stop";
+  private static final String TOKEN_LIMIT_FINISH_REASON = "length";
+
+  private final AnswerActions actions;
+  private final AnswerLimits limits;
+  private final List<AnswerTurn> turns = new ArrayList<>();
+  private final AnswerText text = new AnswerText();
+  private final ToolCallAssembler toolCallParts = new ToolCallAssembler();
+  private ToolCallResults toolCalls = new ToolCallResults(List.of());
   private State state = State.GENERATING;
-  private List<ToolCall> relayedCalls = List.of();
-  private String finishReason;
-  private int tokens;
-  private int requestTokens;
-  private int tokensBeforeRequest;
+
+  /** Why the engine ended the current request, empty while it has not. */
+  private Optional<String> finishReason = Optional.empty();
+
   private int resumptions;
   private int relayedCallCount;
-  private int argumentChars;
 
   /** Where an answer stands. */
   public enum State {
     /** A request is in flight. */
     GENERATING,
-    /** Calls were relayed and not all have their results. */
+    /** Tool calls were relayed and not all have their results. */
     AWAITING_TOOLS,
     /** The answer has ended. */
     ENDED
   }
 
-  /** How an answer ends. */
-  public enum OutcomeKind {
-    SERVED,
-    REJECTED,
-    FAILED,
-    CANCELLED
-  }
-
-  /**
-   * What an answer may take.
-   *
-   * @param maxTokens tokens over all requests
-   * @param maxTurns requests that end in tool calls
-   * @param maxToolCallsPerTurn tool calls of one turn
-   * @param maxArgumentChars characters of all arguments of one turn
-   * @param maxResumptions requests begun anew after a break
-   * @param mayResume whether a broken request may be begun anew at all: its class is safe to repeat
-   *     and streams resume
-   */
-  public record Limits(
-      int maxTokens,
-      int maxTurns,
-      int maxToolCallsPerTurn,
-      int maxArgumentChars,
-      int maxResumptions,
-      boolean mayResume) {}
-
-  /**
-   * One earlier turn: what the writer said, the calls it made and their results, in the order of
-   * the calls.
-   */
-  public record Turn(String text, List<ToolCall> calls, List<ToolResult> results) {}
-
-  /** Why and how it ended; {@code retryable} is the promise that nothing of it had an effect. */
-  public record Outcome(
-      OutcomeKind kind,
-      String text,
-      int tokens,
-      int turns,
-      int toolCalls,
-      String finishReason,
-      boolean retryable,
-      long retryAfterMicros,
-      String message) {}
-
-  /** What an answer asks for. */
-  public interface Actions {
-    /**
-     * Begins a request: the client's prompt, then the turns, then, if {@code partial} is not empty,
-     * what was delivered of this turn, to be gone on with.
-     */
-    void startRequest(List<Turn> turns, String partial, int maxTokens, boolean resumed);
-
-    /** Delivers a piece of text, good until this returns; {@code tokens} counts all so far. */
-    void deliver(CharSequence piece, int tokens);
-
-    /** Relays a call to the client. */
-    void relay(ToolCall call);
-
-    /** Tells the client that a relayed call's result is not wanted any more. */
-    void withdraw(ToolCall call, String why);
-
-    /** Ends the request in flight, if there is one. */
-    void cancelRequest();
-
-    /** The one end. */
-    void ended(Outcome ending);
-  }
-
-  private static final class PartialToolCall {
-    private String id = "";
-    private String name = "";
-    private final StringBuilder arguments = new StringBuilder();
-  }
-
-  /** Makes an answer; {@link #begin} sets it going. */
-  public Answer(Actions actions, Limits limits) {
+  /** Makes an answer; {@link #begin} starts it. */
+  public Answer(AnswerActions actions, AnswerLimits limits) {
     this.actions = actions;
     this.limits = limits;
   }
 
-  /** Asks for the first request. */
+  /** Starts the first request. */
   public void begin() {
     actions.startRequest(List.of(), "", limits.maxTokens(), false);
   }
@@ -137,46 +63,49 @@
     return state;
   }
 
-  /** Calls whose results are awaited. */
+  /** Tool calls whose results are awaited. */
   public List<ToolCall> pendingToolCalls() {
-    return state != State.AWAITING_TOOLS
-        ? List.of()
-        : relayedCalls.stream().filter(c -> !toolResults.containsKey(c.id())).toList();
+    return state == State.AWAITING_TOOLS ? toolCalls.pendingCalls() : List.of();
   }
 
-  // ==== the request
+  // Events of the request in flight.
 
-  /** A piece of the request's stream. */
+  /** An event of the request's stream. */
   public void onChunk(CompletionChunk chunk) {
     if (state != State.GENERATING) {
       return;
     }
     for (CompletionChunk.ToolCallDelta delta : chunk.toolCalls()) {
-      PartialToolCall partial =
-          partialToolCalls.computeIfAbsent(delta.index(), i -> new PartialToolCall());
-      partial.id = delta.id().isEmpty() ? partial.id : delta.id();
-      partial.name = delta.name().isEmpty() ? partial.name : delta.name();
-      partial.arguments.append(delta.arguments());
-      argumentChars += delta.arguments().length();
+      toolCallParts.add(delta);
     }
-    if (partialToolCalls.size() > limits.maxToolCallsPerTurn()
-        || argumentChars > limits.maxArgumentChars()) {
-      fail(
-          "the model called more than "
-              + limits.maxToolCallsPerTurn()
-              + " tools at once, or with arguments of more than "
-              + limits.maxArgumentChars()
-              + " characters",
-          true);
+    if (toolCallParts.exceeds(limits)) {
+      failForToolCallLimits();
       return;
     }
-    finishReason = chunk.finishReason() != null ? chunk.finishReason() : finishReason;
+    if (chunk.finishReason().isPresent()) {
+      finishReason = chunk.finishReason();
+    }
     if (chunk.completionTokens() >= 0 || !chunk.text().isEmpty()) {
       deliver(chunk.text(), chunk.completionTokens());
     }
   }
 
-  /** A piece of text and nothing else, as most of a stream is; false if no request is in flight. */
+  private void failForToolCallLimits() {
+    actions.cancelRequest();
+    fail(
+        "the model called more than "
+            + limits.maxToolCallsPerTurn()
+            + " tools at once, or with arguments of more than "
+            + limits.maxArgumentChars()
+            + " characters");
+  }
+
+  /**
+   * A piece of text and nothing else, as most of a stream is.
+   *
+   * @param completionTokens tokens of the request so far, -1 if the engine does not say
+   * @return whether it was delivered; false if no request is in flight
+   */
   public boolean onText(CharSequence piece, int completionTokens) {
     if (state == State.GENERATING) {
       deliver(piece, completionTokens);
@@ -186,222 +115,170 @@
   }
 
   private void deliver(CharSequence piece, int completionTokens) {
-    requestTokens =
-        completionTokens >= 0 ? Math.max(requestTokens, completionTokens) : requestTokens + 1;
-    tokens = tokensBeforeRequest + requestTokens;
+    text.append(piece, completionTokens);
     if (!piece.isEmpty()) {
-      text.append(piece);
-      turnText.append(piece);
-      actions.deliver(piece, tokens);
+      actions.deliver(piece, text.tokens());
     }
   }
 
-  /** The request is whole: the answer ends, or its calls are relayed. */
+  /** The request is complete: the answer ends, or its tool calls are relayed. */
   public void onRequestCompleted() {
     if (state != State.GENERATING) {
       return;
     }
-    List<ToolCall> calls = new ArrayList<>();
-    partialToolCalls.forEach(
-        (index, partial) ->
-            calls.add(
-                new ToolCall(
-                    partial.id.isEmpty() ? "call-" + turns.size() + "-" + index : partial.id,
-                    partial.name,
-                    partial.arguments.toString())));
+    List<ToolCall> calls = toolCallParts.toolCalls(turns.size());
     if (calls.isEmpty()) {
-      end(
-          new Outcome(
-              OutcomeKind.SERVED,
-              text.toString(),
-              tokens,
-              turns.size(),
-              relayedCallCount,
-              finishReason == null ? "stop" : finishReason,
-              false,
-              0,
-              ""));
+      end(AnswerOutcome.served(totals(), finishReason.orElse(DEFAULT_FINISH_REASON)));
     } else if (turns.size() >= limits.maxTurns()) {
-      fail("the model called tools in more than " + limits.maxTurns() + " turns", false);
-    } else if (calls.stream().anyMatch(call -> call.name().isEmpty())
-        || calls.stream().map(ToolCall::id).distinct().count() < calls.size()) {
-      fail("the model called a tool without a name, or two under one id", false);
+      fail("the model called tools in more than " + limits.maxTurns() + " turns");
+    } else if (!allNamedAndDistinct(calls)) {
+      fail("the model called a tool without a name, or two under one id");
     } else {
-      state = State.AWAITING_TOOLS;
-      relayedCalls = List.copyOf(calls);
-      toolResults.clear();
-      for (ToolCall call : calls) {
-        if (state == State.AWAITING_TOOLS) {
-          relayedCallCount++;
-          actions.relay(call);
-        }
+      relay(calls);
+    }
+  }
+
+  private static boolean allNamedAndDistinct(List<ToolCall> calls) {
+    return calls.stream().noneMatch(call -> call.name().isEmpty())
+        && calls.stream().map(ToolCall::id).distinct().count() == calls.size();
+  }
+
+  private void relay(List<ToolCall> calls) {
+    state = State.AWAITING_TOOLS;
+    toolCalls = new ToolCallResults(calls);
+    for (ToolCall call : calls) {
+      if (state == State.AWAITING_TOOLS) { // relaying one may end the answer
+        relayedCallCount++;
+        actions.relay(call);
       }
     }
   }
 
-  /** The stream broke: what was delivered is kept, calls that had not come whole are dropped. */
+  /**
+   * The stream broke: what was delivered is kept, tool calls that were not complete are dropped.
+   */
   public void onStreamBroken(String reason) {
     if (state != State.GENERATING) {
       return;
     }
     if (!limits.mayResume()
         || resumptions >= limits.maxResumptions()
-        || tokens >= limits.maxTokens()) {
-      fail("the answer broke: " + reason, false);
+        || text.tokens() >= limits.maxTokens()) {
+      fail("the answer broke: " + reason);
       return;
     }
     resumptions++;
-    String partial = turnText.toString();
     clearRequest();
-    turnText.append(partial);
-    tokensBeforeRequest = tokens;
-    actions.startRequest(List.copyOf(turns), partial, limits.maxTokens() - tokens, true);
+    text.startRequest();
+    actions.startRequest(List.copyOf(turns), text.turnText(), remainingTokens(), true);
   }
 
   /**
-   * The request was rejected. Only the first request's refusal is the client's: later ones follow
-   * tokens or calls.
+   * The request was rejected. Only if it is the first is the call rejected: later ones follow
+   * tokens or tool calls.
    */
   public void onRejected(long retryAfterMicros) {
-    if (state == State.GENERATING) {
-      boolean first = turns.isEmpty() && tokens == 0 && resumptions == 0;
-      if (first) {
-        end(
-            new Outcome(
-                OutcomeKind.REJECTED,
-                "",
-                0,
-                0,
-                0,
-                "",
-                true,
-                retryAfterMicros,
-                "refused: no room at present"));
-      } else {
-        fail("the answer could not be gone on with: no room at present", false);
-      }
+    if (state != State.GENERATING) {
+      return;
+    }
+    boolean first = turns.isEmpty() && text.tokens() == 0 && resumptions == 0;
+    if (first) {
+      end(AnswerOutcome.rejected(retryAfterMicros, "refused: no room at present"));
+    } else {
+      fail("the answer could not be gone on with: no room at present");
     }
   }
 
-  /** The request was given up. */
+  /** The request failed. */
   public void onFailed() {
     if (state == State.GENERATING) {
-      fail("no server answered in time", false);
+      fail("no server answered in time");
     }
   }
 
-  // ==== the tools
+  // Results of tool calls.
 
   /**
-   * A result has come; false if its call does not wait for one (unknown, answered before, or over).
+   * The result of a tool call has come.
+   *
+   * @return whether it was taken; false if none is awaited under that id (unknown, answered before,
+   *     or too late)
    */
   public boolean onToolResult(String callId, ToolResult result) {
-    boolean awaited =
-        state == State.AWAITING_TOOLS
-            && relayedCalls.stream().anyMatch(c -> c.id().equals(callId))
-            && !toolResults.containsKey(callId);
-    if (awaited) {
-      toolResults.put(callId, result);
-      if (toolResults.size() == relayedCalls.size()) {
-        nextTurn();
-      }
+    if (awaitedCall(callId).isEmpty()) {
+      return false;
     }
-    return awaited;
+    toolCalls.add(callId, result);
+    if (toolCalls.isComplete()) {
+      startNextTurn();
+    }
+    return true;
   }
 
   /** The time for a result is over: the model is told so in its place. */
   public void onToolTimeout(String callId) {
-    for (ToolCall call : relayedCalls) {
-      if (state == State.AWAITING_TOOLS
-          && call.id().equals(callId)
-          && !toolResults.containsKey(callId)) {
-        actions.withdraw(call, "no result in time");
-        onToolResult(callId, new ToolResult("the tool gave no result in time", true));
-        return;
-      }
+    Optional<ToolCall> call = awaitedCall(callId);
+    if (call.isPresent()) {
+      actions.withdraw(call.get(), "no result in time");
+      onToolResult(callId, new ToolResult("the tool gave no result in time", true));
     }
   }
 
-  private void nextTurn() {
-    List<ToolResult> ordered = relayedCalls.stream().map(c -> toolResults.get(c.id())).toList();
-    turns.add(new Turn(turnText.toString(), relayedCalls, ordered));
-    relayedCalls = List.of();
-    toolResults.clear();
+  private Optional<ToolCall> awaitedCall(String callId) {
+    return state == State.AWAITING_TOOLS ? toolCalls.pendingCall(callId) : Optional.empty();
+  }
+
+  private void startNextTurn() {
+    turns.add(new AnswerTurn(text.turnText(), toolCalls.calls(), toolCalls.ordered()));
+    toolCalls = new ToolCallResults(List.of());
     clearRequest();
-    tokensBeforeRequest = tokens;
+    text.startTurn();
     state = State.GENERATING;
-    if (tokens >= limits.maxTokens()) {
-      end(
-          new Outcome(
-              OutcomeKind.SERVED,
-              text.toString(),
-              tokens,
-              turns.size(),
-              relayedCallCount,
-              "length",
-              false,
-              0,
-              ""));
+    if (text.tokens() >= limits.maxTokens()) {
+      end(AnswerOutcome.served(totals(), TOKEN_LIMIT_FINISH_REASON));
     } else {
-      actions.startRequest(List.copyOf(turns), "", limits.maxTokens() - tokens, false);
+      actions.startRequest(List.copyOf(turns), "", remainingTokens(), false);
     }
   }
 
   private void clearRequest() {
-    partialToolCalls.clear();
-    turnText.setLength(0);
-    requestTokens = 0;
-    argumentChars = 0;
-    finishReason = null;
+    toolCallParts.clear();
+    finishReason = Optional.empty();
+  }
+
+  private int remainingTokens() {
+    return limits.maxTokens() - text.tokens();
   }
 
-  // ==== the end
+  // The end.
 
   /** The client does not want it any more. */
   public void cancel(String reason) {
-    if (state != State.ENDED) {
-      List<ToolCall> open = state == State.AWAITING_TOOLS ? pendingToolCalls() : List.of();
-      boolean generating = state == State.GENERATING;
-      state = State.ENDED;
-      open.forEach(call -> actions.withdraw(call, reason));
-      if (generating) {
-        actions.cancelRequest();
-      }
-      actions.ended(
-          new Outcome(
-              OutcomeKind.CANCELLED,
-              text.toString(),
-              tokens,
-              turns.size(),
-              relayedCallCount,
-              "",
-              false,
-              0,
-              reason));
+    if (state == State.ENDED) {
+      return;
     }
-  }
-
-  private void fail(String message, boolean requestOpen) {
-    if (requestOpen) {
+    List<ToolCall> pendingCalls = pendingToolCalls();
+    boolean generating = state == State.GENERATING;
+    state = State.ENDED;
+    pendingCalls.forEach(call -> actions.withdraw(call, reason));
+    if (generating) {
       actions.cancelRequest();
     }
-    end(
-        new Outcome(
-            OutcomeKind.FAILED,
-            text.toString(),
-            tokens,
-            turns.size(),
-            relayedCallCount,
-            "",
-            false,
-            0,
-            message));
+    actions.ended(AnswerOutcome.cancelled(totals(), reason));
+  }
+
+  private void fail(String message) {
+    end(AnswerOutcome.failed(totals(), message));
   }
 
-  private void end(Outcome outcome) {
+  private void end(AnswerOutcome outcome) {
     if (state != State.ENDED) {
       state = State.ENDED;
       actions.ended(outcome);
     }
   }
+
+  private AnswerOutcome.Totals totals() {
+    return new AnswerOutcome.Totals(text.text(), text.tokens(), turns.size(), relayedCallCount);
+  }
 }
--- a/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
@@ -15,9 +15,11 @@
 import com.networknt.schema.ValidationMessage;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.LinkedHashSet;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalInt;
 import java.util.Set;
 import java.util.stream.Collectors;
 import lemondock.dispatch.StableHash;
@@ -29,14 +31,17 @@
  * thread.
  */
 public final class PromptReader {
-  private static final int MESSAGE_OVERHEAD_TOKENS =
-      4; // tokens that a chat template adds to a message, about
+  /** Tokens that a chat template adds to a message, about. */
+  private static final int MESSAGE_OVERHEAD_TOKENS = 4;
+
   private static final int MAX_REPORTED_PROBLEMS = 5;
-  private static final int MAX_TOOLS = 64;
 
   private final List<GatewaySettings.ClassSettings> classes;
   private final Map<String, Integer> classIds = new HashMap<>();
+
+  /** By class. */
   private final List<JsonSchema> schemas = new ArrayList<>();
+
   private final ArrayNode toolList = JsonNodeFactory.instance.arrayNode();
   private final Encoding encoding =
       Encodings.newDefaultEncodingRegistry().getEncoding(EncodingType.CL100K_BASE);
@@ -57,189 +62,144 @@
         SchemaValidatorsConfig.builder().pathType(PathType.JSON_POINTER).build();
     JsonSchemaFactory factory = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012);
     for (GatewaySettings.ClassSettings requestClass : classes) {
-      ObjectNode schema = inputSchema(requestClass);
+      ObjectNode schema = ToolSchema.of(requestClass);
       classIds.put(requestClass.name(), schemas.size());
       schemas.add(factory.getSchema(schema, config));
-      ObjectNode tool = toolList.addObject();
-      tool.put("name", requestClass.name());
-      if (!requestClass.description().isEmpty()) {
-        tool.put("description", requestClass.description());
-      }
-      tool.set("inputSchema", schema);
-      tool.set(
-          "annotations",
-          JsonNodeFactory.instance.objectNode().put("idempotentHint", requestClass.isIdempotent()));
+      toolList.add(tool(requestClass, schema));
     }
   }
 
+  private static ObjectNode tool(GatewaySettings.ClassSettings requestClass, ObjectNode schema) {
+    ObjectNode tool = JsonNodeFactory.instance.objectNode().put("name", requestClass.name());
+    if (!requestClass.description().isEmpty()) {
+      tool.put("description", requestClass.description());
+    }
+    tool.set("inputSchema", schema);
+    tool.putObject("annotations").put("idempotentHint", requestClass.isIdempotent());
+    return tool;
+  }
+
   /** The tools as {@code tools/list} gives them. */
   public ArrayNode toolList() {
     return toolList.deepCopy();
   }
 
-  /** The class of that name, or -1. */
-  public int classId(String name) {
-    return classIds.getOrDefault(name, -1);
+  /** The id of the class of that name, empty if there is none. */
+  public OptionalInt classId(String name) {
+    Integer classId = classIds.get(name);
+    return classId == null ? OptionalInt.empty() : OptionalInt.of(classId);
   }
 
   /** Tokens of a text. */
-  public int tokenCount(String text) {
+  private int tokenCount(String text) {
     return text.isEmpty() ? 0 : encoding.countTokensOrdinary(text);
   }
 
-  /** Reads the arguments of a call of a class. */
+  /**
+   * Reads the arguments of a call of a class.
+   *
+   * @param arguments null if the call has none
+   * @throws InvalidArgumentsException if they do not match the schema, or two tools have one name
+   */
   public Prompt read(int classId, JsonNode arguments) throws InvalidArgumentsException {
     JsonNode given = arguments == null ? JsonNodeFactory.instance.objectNode() : arguments;
-    Set<ValidationMessage> problems = schemas.get(classId).validate(given);
+    validate(classId, given);
+    ArrayNode messages = messages(given);
+    Optional<JsonNode> tools = tools(given);
+    int classMaxTokens = classes.get(classId).maxTokens();
+    return new Prompt(
+        classId,
+        messages,
+        tools,
+        Math.min(classMaxTokens, given.path("max_tokens").asInt(classMaxTokens)),
+        Optional.ofNullable(given.path("conversation").textValue()),
+        size(messages, tools));
+  }
+
+  private void validate(int classId, JsonNode arguments) throws InvalidArgumentsException {
+    Set<ValidationMessage> problems = schemas.get(classId).validate(arguments);
     if (!problems.isEmpty()) {
       throw new InvalidArgumentsException(
           problems.stream()
               .limit(MAX_REPORTED_PROBLEMS)
-              .map(
-                  message ->
-                      "/arguments"
-                          + message.getInstanceLocation()
-                          + ": "
-                          + afterColon(message.getMessage()))
+              .map(PromptReader::describe)
               .collect(Collectors.joining("; ")));
     }
+  }
+
+  private static String describe(ValidationMessage problem) {
+    String message = problem.getMessage();
+    int colon = message.indexOf(": ");
+    String expected = colon < 0 ? message : message.substring(colon + 2);
+    return "/arguments" + problem.getInstanceLocation() + ": " + expected;
+  }
+
+  private static ArrayNode messages(JsonNode arguments) {
     ArrayNode messages = JsonNodeFactory.instance.arrayNode();
-    if (given.has("messages")) {
-      messages.addAll((ArrayNode) given.get("messages"));
+    if (arguments.has("messages")) {
+      messages.addAll((ArrayNode) arguments.get("messages"));
     } else {
-      messages.addObject().put("role", "user").put("content", given.get("prompt").textValue());
+      messages.addObject().put("role", "user").put("content", arguments.get("prompt").textValue());
     }
-    JsonNode tools =
-        given.has("tools") && !given.get("tools").isEmpty()
-            ? toolDefinitions(given.get("tools"))
-            : null;
-    Set<String> names = new LinkedHashSet<>();
-    if (tools != null) {
-      for (int i = 0; i < tools.size(); i++) {
-        if (!names.add(tools.get(i).path("function").path("name").textValue())) {
-          throw new InvalidArgumentsException(
-              "/arguments/tools/" + i + "/name: a name that another tool has");
-        }
+    return messages;
+  }
+
+  /** The tools that the client offers, as the engine takes them. */
+  private static Optional<JsonNode> tools(JsonNode arguments) throws InvalidArgumentsException {
+    JsonNode mcpTools = arguments.path("tools");
+    if (mcpTools.isEmpty()) {
+      return Optional.empty();
+    }
+    Set<String> names = new HashSet<>();
+    ArrayNode definitions = JsonNodeFactory.instance.arrayNode();
+    for (int i = 0; i < mcpTools.size(); i++) {
+      if (!names.add(mcpTools.get(i).path("name").textValue())) {
+        throw new InvalidArgumentsException(
+            "/arguments/tools/" + i + "/name: a name that another tool has");
       }
+      definitions.add(toolDefinition(mcpTools.get(i)));
     }
-    int classMaxTokens = classes.get(classId).maxTokens();
-    return countTokens(
-        classId,
-        messages,
-        tools,
-        names,
-        Math.min(classMaxTokens, given.path("max_tokens").asInt(classMaxTokens)),
-        given.has("conversation") ? given.get("conversation").textValue() : null);
+    return Optional.of(definitions);
   }
 
-  /**
-   * The opening is what other conversations begin with too: the tools and the system messages at
-   * the start.
-   */
-  private Prompt countTokens(
-      int classId,
-      ArrayNode messages,
-      JsonNode tools,
-      Set<String> names,
-      int maxTokens,
-      String conversation) {
-    StringBuilder opening = new StringBuilder(tools == null ? "" : tools.toString());
-    int tokens = tokenCount(opening.toString());
+  private static ObjectNode toolDefinition(JsonNode mcpTool) {
+    ObjectNode definition = JsonNodeFactory.instance.objectNode().put("type", "function");
+    ObjectNode function = definition.putObject("function");
+    function.put("name", mcpTool.path("name").textValue());
+    if (mcpTool.has("description")) {
+      function.set("description", mcpTool.get("description"));
+    }
+    function.set(
+        "parameters",
+        mcpTool.has("inputSchema")
+            ? mcpTool.get("inputSchema")
+            : JsonNodeFactory.instance.objectNode().put("type", "object"));
+    return definition;
+  }
+
+  private Prompt.Size size(ArrayNode messages, Optional<JsonNode> tools) {
+    StringBuilder prefix = new StringBuilder(tools.map(JsonNode::toString).orElse(""));
+    int tokens = tokenCount(prefix.toString());
     int prefixTokens = 0;
-    boolean inOpening = true;
+    boolean inPrefix = true;
     for (JsonNode message : messages) {
       int messageTokens = tokenCount(content(message)) + MESSAGE_OVERHEAD_TOKENS;
-      inOpening &= message.path("role").asText().equals("system");
-      if (inOpening) {
-        opening.append('\n').append(content(message));
+      inPrefix &= message.path("role").asText().equals("system");
+      if (inPrefix) {
+        prefix.append('\n').append(content(message));
         prefixTokens = tokens + messageTokens;
       }
       tokens += messageTokens;
     }
-    long prefix = prefixTokens == 0 ? 0 : StableHash.of(opening.toString());
-    return new Prompt(
-        classId, messages, tools, names, maxTokens, conversation, tokens, prefix, prefixTokens);
+    long prefixKey = prefixTokens == 0 ? 0 : StableHash.of(prefix.toString());
+    return new Prompt.Size(tokens, prefixKey, prefixTokens);
   }
 
   private static String content(JsonNode message) {
     JsonNode content = message.path("content");
-    return content.isTextual()
-        ? content.textValue()
-        : content.isMissingNode() ? "" : content.toString();
-  }
-
-  private static JsonNode toolDefinitions(JsonNode mcpTools) {
-    ArrayNode tools = JsonNodeFactory.instance.arrayNode();
-    for (JsonNode tool : mcpTools) {
-      ObjectNode function = tools.addObject().put("type", "function").putObject("function");
-      function.put("name", tool.path("name").textValue());
-      if (tool.has("description")) {
-        function.set("description", tool.get("description"));
-      }
-      function.set(
-          "parameters",
-          tool.has("inputSchema")
-              ? tool.get("inputSchema")
-              : JsonNodeFactory.instance.objectNode().put("type", "object"));
+    if (content.isTextual()) {
+      return content.textValue();
     }
-    return tools;
-  }
-
-  private static String afterColon(String message) {
-    int colon = message.indexOf(": ");
-    return colon < 0 ? message : message.substring(colon + 2);
-  }
-
-  private static ObjectNode inputSchema(GatewaySettings.ClassSettings requestClass) {
-    ObjectNode schema = JsonNodeFactory.instance.objectNode().put("type", "object");
-    ObjectNode properties = schema.putObject("properties");
-    ObjectNode message =
-        properties
-            .putObject("messages")
-            .put("type", "array")
-            .put("minItems", 1)
-            .put("description", "Chat messages, the last of them to be answered")
-            .putObject("items")
-            .put("type", "object");
-    message.putArray("required").add("role").add("content");
-    ObjectNode parts = message.putObject("properties");
-    parts.putObject("role").putArray("enum").add("system").add("user").add("assistant");
-    parts.putObject("content").put("type", "string");
-    properties
-        .putObject("prompt")
-        .put("type", "string")
-        .put("minLength", 1)
-        .put("description", "A single message in place of messages");
-    properties
-        .putObject("max_tokens")
-        .put("type", "integer")
-        .put("minimum", 1)
-        .put("maximum", requestClass.maxTokens());
-    properties
-        .putObject("conversation")
-        .put("type", "string")
-        .put("minLength", 1)
-        .put("maxLength", 256)
-        .put("description", "Names the conversation; its later turns are read faster");
-    ObjectNode tools =
-        properties
-            .putObject("tools")
-            .put("type", "array")
-            .put("maxItems", MAX_TOOLS)
-            .put(
-                "description",
-                "MCP tools that the client runs when they are called in the middle"
-                    + " of the answer");
-    ObjectNode tool = tools.putObject("items").put("type", "object");
-    tool.putArray("required").add("name");
-    ObjectNode fields = tool.putObject("properties");
-    fields.putObject("name").put("type", "string").put("minLength", 1).put("maxLength", 128);
-    fields.putObject("description").put("type", "string");
-    fields.putObject("inputSchema").put("type", "object");
-    ArrayNode either = schema.putArray("oneOf");
-    either.addObject().putArray("required").add("messages");
-    either.addObject().putArray("required").add("prompt");
-    schema.put("additionalProperties", false);
-    return schema;
+    return content.isMissingNode() ? "" : content.toString();
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/answer/ToolResult.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/ToolResult.java
@@ -1,4 +1,9 @@
 package lemondock.gateway.answer;
 
-/** What a client's tool gave: its text, and whether it is an error. */
+/**
+ * What a client's tool returned.
+ *
+ * @param text what the model gets to read
+ * @param error whether the tool failed
+ */
 public record ToolResult(String text, boolean error) {}
--- a/gateway/src/main/java/lemondock/gateway/core/CallService.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CallService.java
@@ -78,15 +78,15 @@
     return openCalls.pendingToolCalls();
   }
 
-  /** A call was rejected because the gateway is overloaded; {@code tenant} is null if unnamed. */
-  public void shedLoad(int classId, String tenant, boolean clientRetry) {
+  /** A call was rejected because the gateway is overloaded. */
+  public void shedLoad(int classId, Optional<String> tenant, boolean clientRetry) {
     metrics.countLoadShed();
-    metrics.requestRejected(classId, tenant, clientRetry);
+    metrics.requests().requestRejected(classId, tenant, clientRetry);
   }
 
-  /** A call was rejected before it was accepted; {@code tenant} is null if unnamed. */
-  public void rejected(Prompt prompt, String tenant, boolean clientRetry) {
-    metrics.requestRejected(prompt.classId(), tenant, clientRetry);
+  /** A call was rejected before it was accepted. */
+  public void rejected(Prompt prompt, Optional<String> tenant, boolean clientRetry) {
+    metrics.requests().requestRejected(prompt.classId(), tenant, clientRetry);
   }
 
   /** Has calls that must not run twice remembered; called before the first call. */
@@ -133,11 +133,11 @@
   /**
    * The session key of a conversation, the same at all gateways.
    *
-   * @param conversation null if the client names none
-   * @param fallback unique to the call
+   * @param conversation the client's name for it
+   * @param callName unique to the call; used where the client names no conversation
    */
-  public static long sessionKey(String conversation, String fallback) {
+  public static long sessionKey(Optional<String> conversation, String callName) {
     return StableHash.of(
-        conversation != null ? "conversation " + conversation : "call " + fallback);
+        conversation.map(name -> "conversation " + name).orElseGet(() -> "call " + callName));
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/core/CallSink.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CallSink.java
@@ -1,6 +1,6 @@
 package lemondock.gateway.core;
 
-import lemondock.gateway.answer.Answer;
+import lemondock.gateway.answer.AnswerOutcome;
 import lemondock.gateway.answer.ToolCall;
 
 /** Where a call's answer goes: a front end implements it for each call of its clients. */
@@ -34,5 +34,5 @@
   void withdraw(ToolCall toolCall, String reason);
 
   /** The one end; nothing follows. Not called for a call that its front end has cancelled. */
-  void ended(Answer.Outcome outcome);
+  void ended(AnswerOutcome outcome);
 }
--- a/gateway/src/main/java/lemondock/gateway/core/ClientCall.java
+++ b/gateway/src/main/java/lemondock/gateway/core/ClientCall.java
@@ -6,6 +6,10 @@
 import lemondock.dispatch.DispatchedRequest;
 import lemondock.gateway.accounting.CallMetrics;
 import lemondock.gateway.answer.Answer;
+import lemondock.gateway.answer.AnswerActions;
+import lemondock.gateway.answer.AnswerLimits;
+import lemondock.gateway.answer.AnswerOutcome;
+import lemondock.gateway.answer.AnswerTurn;
 import lemondock.gateway.answer.Prompt;
 import lemondock.gateway.answer.ToolCall;
 import lemondock.gateway.answer.ToolResult;
@@ -16,7 +20,7 @@
  * A client's call in progress: carries out what its {@link Answer} asks for. The answer is made of
  * one request to the engines or of several, with tool calls between them. Loop thread only.
  */
-public final class ClientCall implements Answer.Actions {
+public final class ClientCall implements AnswerActions {
   private final CallContext context;
   private final Loop loop;
   private final Prompt prompt;
@@ -54,11 +58,12 @@
     this.metrics =
         context
             .metrics()
+            .requests()
             .requestAccepted(
                 prompt.classId(),
-                request.tenant().orElse(null),
+                request.tenant(),
                 clientRetry,
-                prompt.promptTokens(),
+                prompt.size().tokens(),
                 loop.now());
     this.objectiveTimer =
         loop.schedule(metrics.latencyObjectiveMicros(), metrics::onObjectivePassed);
@@ -66,10 +71,10 @@
     this.answer = new Answer(this, answerLimits());
   }
 
-  private Answer.Limits answerLimits() {
+  private AnswerLimits answerLimits() {
     GatewaySettings settings = context.settings();
     boolean idempotent = requestClass.isIdempotent();
-    return new Answer.Limits(
+    return new AnswerLimits(
         prompt.maxTokens(),
         requestClass.maxTurns(),
         requestClass.maxToolCallsPerTurn(),
@@ -174,8 +179,7 @@
   // What the answer asks for.
 
   @Override
-  public void startRequest(
-      List<Answer.Turn> turns, String partial, int maxTokens, boolean resumed) {
+  public void startRequest(List<AnswerTurn> turns, String partial, int maxTokens, boolean resumed) {
     toolCalls.setWaitingForTools(false);
     String model = context.settings().engines().model();
     ObjectNode body = CompletionRequestBody.of(model, prompt, turns, partial);
@@ -185,9 +189,9 @@
             prompt.classId(),
             0,
             sessionKey,
-            prompt.prefixKey(),
+            prompt.size().prefixKey(),
             promptTokens,
-            prompt.prefixTokens(),
+            prompt.size().prefixTokens(),
             maxTokens,
             requestClass.deadlineMicros(promptTokens),
             clientRetry && requestsSent == 0,
@@ -231,7 +235,7 @@
   }
 
   @Override
-  public void ended(Answer.Outcome outcome) {
+  public void ended(AnswerOutcome outcome) {
     objectiveTimer.cancel();
     metrics.onEnded(loop.now(), outcome);
     toolCalls.cancelTimeouts();
--- a/gateway/src/main/java/lemondock/gateway/core/CompletionRequestBody.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CompletionRequestBody.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
-import lemondock.gateway.answer.Answer;
+import lemondock.gateway.answer.AnswerTurn;
 import lemondock.gateway.answer.Prompt;
 import lemondock.gateway.answer.ToolCall;
 
@@ -19,7 +19,7 @@
    * The messages of a prompt, the turns after it and, if it is not empty, a partial answer, which
    * vLLM's published switches have the engine continue.
    */
-  static ObjectNode of(String model, Prompt prompt, List<Answer.Turn> turns, String partial) {
+  static ObjectNode of(String model, Prompt prompt, List<AnswerTurn> turns, String partial) {
     ObjectNode body = JsonNodeFactory.instance.objectNode();
     body.put("model", model);
     ArrayNode messages = body.putArray("messages").addAll(prompt.messages());
@@ -28,13 +28,11 @@
       messages.addObject().put("role", "assistant").put("content", partial);
       body.put("continue_final_message", true).put("add_generation_prompt", false);
     }
-    if (prompt.tools() != null) {
-      body.set("tools", prompt.tools());
-    }
+    prompt.tools().ifPresent(tools -> body.set("tools", tools));
     return body;
   }
 
-  private static void addTurn(Answer.Turn turn, ArrayNode messages) {
+  private static void addTurn(AnswerTurn turn, ArrayNode messages) {
     ObjectNode assistant =
         messages.addObject().put("role", "assistant").put("content", turn.text());
     ArrayNode toolCalls = assistant.putArray("tool_calls");
@@ -57,15 +55,15 @@
   }
 
   /** Tokens of the whole prompt; what came after the client's own is estimated. */
-  static int estimatedTokens(Prompt prompt, List<Answer.Turn> turns, String partial) {
+  static int estimatedTokens(Prompt prompt, List<AnswerTurn> turns, String partial) {
     int addedChars = partial.length();
-    for (Answer.Turn turn : turns) {
+    for (AnswerTurn turn : turns) {
       addedChars += chars(turn);
     }
-    return prompt.promptTokens() + addedChars / CHARS_PER_TOKEN;
+    return prompt.size().tokens() + addedChars / CHARS_PER_TOKEN;
   }
 
-  private static int chars(Answer.Turn turn) {
+  private static int chars(AnswerTurn turn) {
     return turn.text().length()
         + turn.calls().stream().mapToInt(call -> call.arguments().length()).sum()
         + turn.results().stream().mapToInt(result -> result.text().length()).sum();
--- a/gateway/src/main/java/lemondock/gateway/core/DurableCall.java
+++ b/gateway/src/main/java/lemondock/gateway/core/DurableCall.java
@@ -1,7 +1,7 @@
 package lemondock.gateway.core;
 
 import java.util.function.Consumer;
-import lemondock.gateway.answer.Answer;
+import lemondock.gateway.answer.AnswerOutcome;
 import lemondock.idempotency.CallStatus;
 
 /** A call that must not run twice, under its idempotency key. Loop thread only. */
@@ -22,15 +22,15 @@
   }
 
   /** The call has ended; {@code begun}: whether a request of it was sent to the engines. */
-  void ended(Answer.OutcomeKind outcome, boolean begun) {
+  void ended(AnswerOutcome.Kind outcome, boolean begun) {
     guard.callEnded(key, statusAfter(outcome, begun));
   }
 
-  private static CallStatus statusAfter(Answer.OutcomeKind outcome, boolean begun) {
-    if (outcome == Answer.OutcomeKind.SERVED) {
+  private static CallStatus statusAfter(AnswerOutcome.Kind outcome, boolean begun) {
+    if (outcome == AnswerOutcome.Kind.SERVED) {
       return CallStatus.COMPLETED;
     }
-    return outcome == Answer.OutcomeKind.REJECTED || !begun
+    return outcome == AnswerOutcome.Kind.REJECTED || !begun
         ? CallStatus.NEVER_RAN
         : CallStatus.MAY_HAVE_RUN;
   }
--- a/gateway/src/main/java/lemondock/gateway/engine/TextEventParser.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/TextEventParser.java
@@ -4,12 +4,11 @@
 
 /**
  * Reads the event that nearly all of an answer's stream is made of, a piece of text with or without
- * counts so far, where it lies: no tree, no string, no memory of its own per event. What is
- * anything else, or not quite as usual, is not taken, and {@link EngineProtocol#parseChunk} reads
- * it; what is taken means the same there. One reader serves one stream.
+ * token counts, where it lies: no tree, no string, no memory of its own per event. Any other event,
+ * or one that is not quite as usual, is not taken, and {@link CompletionChunkParser} reads it; what
+ * is taken means the same there. One parser serves one stream, on its I/O thread.
  */
-final class TextEventParser {
-  private static final int MAX_DEPTH = 16;
+final class TextEventParser extends JsonScanner {
   private static final int MAX_DIGITS = 9;
   private static final byte[][] TRAVERSED_FIELDS =
       asciiAll("choices", "delta", "usage", "prompt_tokens_details");
@@ -22,12 +21,13 @@
       asciiAll("tool_calls", "error", "cached_tokens");
 
   private final StringBuilder text = new StringBuilder();
-  private final boolean[] isObjectAtDepth = new boolean[MAX_DEPTH];
-  private byte[] input;
-  private int position;
-  private int end;
   private int completionTokens;
 
+  // The structures around the position that are traversed:
+  private final boolean[] isObjectAtDepth = new boolean[MAX_DEPTH];
+  private int depth;
+  private boolean hasPreviousMember;
+
   private static byte[] ascii(String text) {
     return text.getBytes(StandardCharsets.US_ASCII);
   }
@@ -40,113 +40,95 @@
     return all;
   }
 
-  /** The text of the event taken last; good until the next. */
+  /** The text of the event taken last; valid until the next. */
   CharSequence text() {
     return text;
   }
 
-  /** The tokens so far that the event taken last told, -1 if it did not. */
+  /** Tokens so far by the event taken last, or {@link CompletionChunk#NOT_REPORTED}. */
   int completionTokens() {
     return completionTokens;
   }
 
   /** Whether the event, UTF-8 in the first bytes of an array, is a piece of text and was taken. */
   boolean parse(byte[] data, int length) {
-    input = data;
-    position = 0;
-    end = length;
-    completionTokens = -1;
+    reset(data, length);
+    completionTokens = CompletionChunk.NOT_REPORTED;
     text.setLength(0);
     boolean parsed = accept('{') && parseMembers() && atEnd() && text.length() > 0;
     input = null;
     return parsed;
   }
 
-  private boolean atEnd() {
-    skipWhitespace();
-    return position == end;
+  /** What is behind the opening brace of the event, up to its end. */
+  private boolean parseMembers() {
+    depth = 0;
+    isObjectAtDepth[0] = true;
+    hasPreviousMember = false;
+    while (depth >= 0) {
+      skipWhitespace();
+      if (position == end) {
+        return false;
+      }
+      byte next = input[position];
+      boolean valid = next == '}' || next == ']' ? closeStructure(next == '}') : parseMember();
+      if (!valid) {
+        return false;
+      }
+    }
+    return true;
   }
 
-  private void skipWhitespace() {
-    while (position < end
-        && (input[position] == ' '
-            || input[position] == '\n'
-            || input[position] == '\r'
-            || input[position] == '\t')) {
-      position++;
+  private boolean closeStructure(boolean isObject) {
+    if (isObjectAtDepth[depth] != isObject) {
+      return false;
     }
+    position++;
+    depth--;
+    hasPreviousMember = true;
+    return true;
   }
 
-  /** Passes over a character that must come next. */
-  private boolean accept(char expected) {
-    skipWhitespace();
-    if (position < end && input[position] == expected) {
-      position++;
-      return true;
+  private boolean openStructure() {
+    depth++;
+    if (depth == MAX_DEPTH) {
+      return false;
     }
-    return false;
+    isObjectAtDepth[depth] = input[position++] == '{';
+    hasPreviousMember = false;
+    return true;
   }
 
-  /** What is behind the opening brace of an object whose members count, up to its end. */
-  private boolean parseMembers() {
-    int depth = 0;
-    isObjectAtDepth[0] = true;
-    boolean hasPreviousMember = false; // whether the structure at hand has had a member
-    while (true) {
-      skipWhitespace();
-      if (position == end) {
+  /** A member of an object or an element of an array, with the comma before it. */
+  private boolean parseMember() {
+    if (hasPreviousMember && !accept(',')) {
+      return false;
+    }
+    skipWhitespace();
+    int nameStart = 0;
+    int nameEnd = 0;
+    if (isObjectAtDepth[depth]) {
+      nameStart = position + 1;
+      if (!skipString()) {
         return false;
       }
-      byte c = input[position];
-      if (c == '}' || c == ']') {
-        if (isObjectAtDepth[depth] != (c == '}')) {
-          return false;
-        }
-        position++;
-        if (depth == 0) {
-          return true;
-        }
-        depth--;
-        hasPreviousMember = true;
-        continue;
-      }
-      if (hasPreviousMember && !accept(',')) {
+      nameEnd = position - 1;
+      if (isOneOf(UNSUPPORTED_FIELDS, nameStart, nameEnd) || !accept(':')) {
         return false;
       }
       skipWhitespace();
-      int nameStart = 0;
-      int nameEnd = 0;
-      if (isObjectAtDepth[depth]) {
-        nameStart = position + 1;
-        if (!skipString()) {
-          return false;
-        }
-        nameEnd = position - 1;
-        if (isOneOf(UNSUPPORTED_FIELDS, nameStart, nameEnd) || !accept(':')) {
-          return false;
-        }
-        skipWhitespace();
-      }
-      if (position == end) {
-        return false;
-      }
-      hasPreviousMember = true;
-      if (input[position] != '{' && input[position] != '[') {
-        if (!parseScalar(nameStart, nameEnd)) {
-          return false;
-        }
-      } else if (isObjectAtDepth[depth] && !isOneOf(TRAVERSED_FIELDS, nameStart, nameEnd)) {
-        if (!skipStructure(0)) {
-          return false;
-        }
-      } else {
-        if (++depth == MAX_DEPTH) {
-          return false;
-        }
-        isObjectAtDepth[depth] = input[position++] == '{';
-        hasPreviousMember = false;
-      }
     }
+    hasPreviousMember = true;
+    return position < end && parseValue(nameStart, nameEnd);
+  }
+
+  private boolean parseValue(int nameStart, int nameEnd) {
+    if (input[position] != '{' && input[position] != '[') {
+      return parseScalar(nameStart, nameEnd);
+    }
+    return isObjectAtDepth[depth] && !isOneOf(TRAVERSED_FIELDS, nameStart, nameEnd)
+        ? skipStructure()
+        : openStructure();
   }
 
   private boolean isOneOf(byte[][] names, int nameStart, int nameEnd) {
@@ -170,26 +152,6 @@
     return true;
   }
 
-  /**
-   * Passes over a name or a value without escapes, and that is plain ASCII; anything else is not
-   * usual.
-   */
-  private boolean skipString() {
-    if (position >= end || input[position] != '"') {
-      return false;
-    }
-    for (position++; position < end; position++) {
-      if (input[position] == '"') {
-        position++;
-        return true;
-      }
-      if (input[position] < ' ' || input[position] == '\\') {
-        return false;
-      }
-    }
-    return false;
-  }
-
   private boolean parseScalar(int nameStart, int nameEnd) {
     if (input[position] == '"') {
       if (nameEquals(FINISH_REASON_FIELD, nameStart, nameEnd)) {
@@ -197,62 +159,14 @@
       }
       return nameEquals(CONTENT_FIELD, nameStart, nameEnd) ? parseContent() : skipString();
     }
-    if (input[position] >= '0' && input[position] <= '9' || input[position] == '-') {
-      int valueStart = position;
-      boolean valid = skipNumber();
-      if (valid && nameEquals(COMPLETION_TOKENS_FIELD, nameStart, nameEnd)) {
-        return parseTokenCount(valueStart);
-      }
-      return valid;
-    }
-    return acceptLiteral("null") || acceptLiteral("true") || acceptLiteral("false");
-  }
-
-  private boolean acceptLiteral(String literal) {
-    if (end - position < literal.length()) {
-      return false;
-    }
-    for (int i = 0; i < literal.length(); i++) {
-      if (input[position + i] != literal.charAt(i)) {
-        return false;
-      }
-    }
-    position += literal.length();
-    return true;
-  }
-
-  private boolean skipNumber() {
-    if (input[position] == '-') {
-      position++;
-    }
-    int digits = skipDigits();
-    if (digits == 0 || digits > 1 && input[position - digits] == '0') {
-      return false;
-    }
-    if (position < end && input[position] == '.') {
-      position++;
-      if (skipDigits() == 0) {
-        return false;
-      }
-    }
-    if (position < end && (input[position] == 'e' || input[position] == 'E')) {
-      position++;
-      if (position < end && (input[position] == '+' || input[position] == '-')) {
-        position++;
-      }
-      return skipDigits() > 0;
-    }
-    return true;
-  }
-
-  private int skipDigits() {
-    int start = position;
-    while (position < end && input[position] >= '0' && input[position] <= '9') {
-      position++;
+    if (atNumber() && nameEquals(COMPLETION_TOKENS_FIELD, nameStart, nameEnd)) {
+      int start = position;
+      return skipScalar() && parseTokenCount(start);
     }
-    return position - start;
+    return skipScalar();
   }
 
+  /** The whole number from there up to the position. */
   private boolean parseTokenCount(int start) {
     if (position - start > MAX_DIGITS) {
       return false;
@@ -268,34 +182,7 @@
     return true;
   }
 
-  /** Passes over a structure that does not count. */
-  private boolean skipStructure(int depth) {
-    if (depth == MAX_DEPTH) {
-      return false;
-    }
-    boolean braces = input[position++] == '{';
-    if (accept(braces ? '}' : ']')) {
-      return true;
-    }
-    do {
-      skipWhitespace();
-      if (braces) {
-        if (!skipString() || !accept(':')) {
-          return false;
-        }
-        skipWhitespace();
-      }
-      if (position == end
-          || !(input[position] == '{' || input[position] == '['
-              ? skipStructure(depth + 1)
-              : parseScalar(0, 0))) {
-        return false;
-      }
-    } while (accept(','));
-    return accept(braces ? '}' : ']');
-  }
-
-  // ==== the text
+  // The text, with all its escapes.
 
   private boolean parseContent() {
     text.setLength(0);
@@ -330,18 +217,7 @@
       case 'b' -> text.append('\b');
       case 'f' -> text.append('\f');
       case 'u' -> {
-        if (end - position < 4) {
-          return false;
-        }
-        int value = 0;
-        for (int i = 0; i < 4; i++) {
-          int digit = Character.digit(input[position++], 16);
-          if (digit < 0) {
-            return false;
-          }
-          value = value << 4 | digit;
-        }
-        text.append((char) value);
+        return parseUnicodeEscape();
       }
       default -> {
         return false;
@@ -350,6 +226,22 @@
     return true;
   }
 
+  private boolean parseUnicodeEscape() {
+    if (end - position < 4) {
+      return false;
+    }
+    int value = 0;
+    for (int i = 0; i < 4; i++) {
+      int digit = Character.digit(input[position++], 16);
+      if (digit < 0) {
+        return false;
+      }
+      value = value << 4 | digit;
+    }
+    text.append((char) value);
+    return true;
+  }
+
   /** A character of several bytes; the shortest form only, and no half of a pair (RFC 3629). */
   private boolean parseMultiByteCharacter(int leadByte) {
     int continuationBytes = leadByte >= 0xf0 ? 3 : leadByte >= 0xe0 ? 2 : 1;
@@ -363,11 +255,18 @@
       }
       codePoint = codePoint << 6 | input[position++] & 0x3f;
     }
-    if (continuationBytes == 2 && (codePoint < 0x800 || codePoint >= 0xd800 && codePoint < 0xe000)
-        || continuationBytes == 3 && (codePoint < 0x10000 || codePoint > 0x10ffff)) {
+    if (!isShortestForm(codePoint, continuationBytes)) {
       return false;
     }
     text.appendCodePoint(codePoint);
     return true;
   }
+
+  private static boolean isShortestForm(int codePoint, int continuationBytes) {
+    return switch (continuationBytes) {
+      case 3 -> codePoint >= 0x10000 && codePoint <= Character.MAX_CODE_POINT;
+      case 2 -> codePoint >= 0x800 && (codePoint < 0xd800 || codePoint >= 0xe000);
+      default -> true;
+    };
+  }
 }
--- a/gateway/src/main/java/lemondock/gateway/mcp/DnsRebindingGuard.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/DnsRebindingGuard.java
@@ -3,15 +3,19 @@
 import static lemondock.gateway.mcp.HttpReplies.clip;
 
 import java.util.Locale;
+import java.util.Optional;
 import java.util.regex.Pattern;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.http.HttpRequest;
 
 /**
  * Checks the Host and Origin header fields of requests, against DNS rebinding: a page of another
- * site can make a browser send requests here, but only under that site's names.
+ * site can make a browser send requests here, but only under that site's names. Any thread.
  */
 final class DnsRebindingGuard {
+  /** In the settings: every host or origin is allowed. */
+  private static final String ANY = "*";
+
   private static final Pattern LOOPBACK =
       Pattern.compile("(localhost|127\\.[0-9.]+|\\[::1]):[0-9]+");
 
@@ -30,22 +34,28 @@
     this.listensOnLoopback = LOOPBACK.matcher(settings.listen()).matches();
   }
 
-  /** Why the request is not allowed here, null if it is. */
-  String rejectionReason(HttpRequest request) {
+  /** Why the request is not allowed here; empty if it is. */
+  Optional<String> rejectionReason(HttpRequest request) {
     String host = request.headers().get("host");
-    if (host != null
-        && !settings.allowedHosts().contains("*")
-        && !settings.allowedHosts().contains(withoutPort(host).toLowerCase(Locale.ROOT))) {
-      return "host " + clip(host) + " is not allowed here";
+    if (host != null && !isAllowedHost(host)) {
+      return Optional.of("host " + clip(host) + " is not allowed here");
     }
     String origin = request.headers().get("origin");
-    if (origin != null
-        && !settings.allowedOrigins().contains("*")
-        && !settings.allowedOrigins().contains(origin)
-        && !(listensOnLoopback && LOOPBACK_ORIGIN.matcher(origin).matches())) {
-      return "origin " + clip(origin) + " is not allowed here";
+    if (origin != null && !isAllowedOrigin(origin)) {
+      return Optional.of("origin " + clip(origin) + " is not allowed here");
     }
-    return null;
+    return Optional.empty();
+  }
+
+  private boolean isAllowedHost(String host) {
+    return settings.allowedHosts().contains(ANY)
+        || settings.allowedHosts().contains(withoutPort(host).toLowerCase(Locale.ROOT));
+  }
+
+  private boolean isAllowedOrigin(String origin) {
+    return settings.allowedOrigins().contains(ANY)
+        || settings.allowedOrigins().contains(origin)
+        || listensOnLoopback && LOOPBACK_ORIGIN.matcher(origin).matches();
   }
 
   private static String withoutPort(String host) {
--- a/gateway/src/main/java/lemondock/gateway/mcp/EventReplayBuffer.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/EventReplayBuffer.java
@@ -3,43 +3,52 @@
 import java.util.Arrays;
 
 /**
- * The last events of one stream, for a client whose connection breaks and who comes again with the
- * last id it saw. Bounded by bytes: the oldest go first, but for those that no connection has
- * taken, which say when to stop producing. Events lie one behind the other in a ring, so that one
- * more costs no memory of its own. No I/O.
+ * The last events of one stream, for a client whose connection breaks and who reconnects with the
+ * last event id it saw. Bounded by bytes: the oldest events are dropped first, but never one that
+ * no connection has taken; such events say when to stop producing. Events lie one behind the other
+ * in a ring, so that a further one costs no memory of its own. No I/O. Not thread safe: its
+ * stream's lock guards it.
  */
-public final class EventReplayBuffer {
+final class EventReplayBuffer {
   private static final int INITIAL_BYTES = 256;
   private static final int INITIAL_EVENTS = 8;
 
   private final int capacityBytes;
   private byte[] ring = new byte[INITIAL_BYTES];
+
+  /** Where the oldest event begins in the ring. */
   private int headOffset;
+
   private int sizeBytes;
+
+  /** Bytes of each event, in a ring of its own. */
   private int[] eventLengths = new int[INITIAL_EVENTS];
+
+  /** The oldest event's place in the ring of lengths. */
   private int headEvent;
+
   private int eventCount;
   private long nextNumber = 1;
   private long lastSentNumber;
 
-  /** Takes events out again. */
-  public interface EventConsumer {
-    /** One event's bytes; the array is the taker's own. */
+  /** Receives events that are replayed. */
+  interface EventConsumer {
+    /** One event's bytes; the array is the consumer's own. */
     void event(byte[] event);
   }
 
-  /** A log of so many bytes. */
-  public EventReplayBuffer(int capacityBytes) {
+  /** Makes an empty buffer. */
+  EventReplayBuffer(int capacityBytes) {
     this.capacityBytes = capacityBytes;
   }
 
   /** The number that the next event will have. */
-  public long nextNumber() {
+  long nextNumber() {
     return nextNumber;
   }
 
   /** Keeps an event; its number is {@link #nextNumber} as it was before. */
-  public void append(byte[] source, int offset, int length) {
+  void append(byte[] source, int offset, int length) {
     while (eventCount > 0
         && sizeBytes + length > capacityBytes
         && oldestNumber() <= lastSentNumber) {
@@ -92,23 +101,23 @@
     System.arraycopy(ring, 0, to, first, length - first);
   }
 
-  /** Says that all events up to now were handed to a connection. */
-  public void markSent() {
+  /** All events up to now were handed to a connection. */
+  void markSent() {
     lastSentNumber = nextNumber - 1;
   }
 
-  /** Whether events that no connection has taken fill the log: no more should be produced. */
-  public boolean isFull() {
+  /** Whether events that no connection has taken fill it: no more should be produced. */
+  boolean isFull() {
     return sizeBytes > capacityBytes && eventCount > 0 && oldestNumber() > lastSentNumber;
   }
 
   /** Whether all events after a number are still kept. */
-  public boolean contains(long number) {
+  boolean contains(long number) {
     return number >= oldestNumber() - 1 && number < nextNumber;
   }
 
-  /** Takes out the events after a number that it {@link #contains}, oldest first. */
-  public void replayAfter(long number, EventConsumer consumer) {
+  /** Copies the events after a number that it {@link #contains}, oldest first. */
+  void replayAfter(long number, EventConsumer consumer) {
     int from = headOffset;
     for (int i = 0; i < eventCount; i++) {
       int length = eventLengths[(headEvent + i) % eventLengths.length];
@@ -121,8 +130,8 @@
     }
   }
 
-  /** Bytes kept. */
-  public int sizeBytes() {
+  /** Bytes of the events that are kept. */
+  int sizeBytes() {
     return sizeBytes;
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/mcp/HttpReplies.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/HttpReplies.java
@@ -6,24 +6,29 @@
 import lemondock.net.http.HttpExchange;
 import lemondock.rpc.JsonRpc;
 
-/** The short answers of the MCP front. */
+/** Short HTTP responses. */
 final class HttpReplies {
+  static final byte[] EMPTY_BODY = new byte[0];
+
+  /** Characters of a text from outside that are quoted. */
+  private static final int MAX_QUOTED_CHARS = 80;
+
   private HttpReplies() {}
 
-  /** Answers with a line of text. */
-  static void text(HttpExchange exchange, int status, String what) {
+  /** Responds with a line of text. */
+  static void text(HttpExchange exchange, int status, String line) {
     exchange.respond(
         status,
         Headers.of("content-type", "text/plain; charset=utf-8"),
-        (what + "\n").getBytes(StandardCharsets.UTF_8));
+        (line + "\n").getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Answers with a JSON-RPC error. */
-  static void error(HttpExchange exchange, int status, JsonNode id, int code, String what) {
+  /** Responds with a JSON-RPC error. */
+  static void error(HttpExchange exchange, int status, JsonNode id, int code, String message) {
     exchange.respond(
         status,
-        Headers.of("content-type", "application/json"),
-        bytes(JsonRpc.error(id, code, what, null)));
+        Headers.of("content-type", ContentNegotiation.JSON),
+        bytes(JsonRpc.error(id, code, message, null)));
   }
 
   /** A message as it is sent. */
@@ -31,8 +36,8 @@
     return node.toString().getBytes(StandardCharsets.UTF_8);
   }
 
-  /** A text that came from outside, bounded for answers and log lines. */
+  /** A text that came from outside, bounded for responses and log lines. */
   static String clip(String text) {
-    return text.length() > 80 ? text.substring(0, 80) + "..." : text;
+    return text.length() > MAX_QUOTED_CHARS ? text.substring(0, MAX_QUOTED_CHARS) + "..." : text;
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/mcp/ProgressNotification.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ProgressNotification.java
@@ -7,7 +7,7 @@
 
 /**
  * The notification that carries a piece of an answer: all that is the same for each piece of one
- * answer is made once.
+ * answer is made once. Immutable, any thread.
  */
 final class ProgressNotification {
   private static final byte[] MESSAGE_FIELD = ",\"message\":\"".getBytes(StandardCharsets.US_ASCII);
@@ -29,7 +29,7 @@
     SHORT_ESCAPES['\t'] = 't';
   }
 
-  /** For answers to the call that gave that token. */
+  /** Makes the notification of the call that gave that token. */
   ProgressNotification(JsonNode token) {
     prefix =
         ("{\"jsonrpc\":\"2.0\",\"method\":\""
@@ -40,7 +40,11 @@
             .getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Adds the message of one piece; no line end is in it. */
+  /**
+   * Appends the message of one piece, which has no line end.
+   *
+   * @param tokens tokens of the answer so far, this piece included
+   */
   void write(int tokens, CharSequence piece, OutBuffer out) {
     out.add(prefix).addDecimal(tokens).add(MESSAGE_FIELD);
     for (int index = 0; index < piece.length(); ) {
--- a/gateway/src/main/java/lemondock/gateway/mcp/RequestPreparer.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/RequestPreparer.java
@@ -9,6 +9,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalInt;
 import java.util.OptionalLong;
 import java.util.concurrent.atomic.AtomicLong;
 import lemondock.gateway.answer.Prompt;
@@ -24,36 +26,47 @@
 
 /**
  * Reads requests before they reach the loop: parses their messages, has the admission decide on
- * calls and new sessions, and makes the prompts of the calls that are let in. Any thread, but for
+ * calls and new sessions, and makes the prompts of the calls that are admitted. Any thread, but for
  * {@link #recordArrival}.
  */
 final class RequestPreparer {
   private static final long MICROS_PER_MILLI = 1_000;
   private static final long MICROS_PER_SECOND = 1_000_000;
-  private static final int MAX_IDEMPOTENCY_KEY_LENGTH = 200;
 
   private final GatewaySettings settings;
   private final CallService calls;
   private final PromptReader prompts;
   private final Admission admission;
   private final JsonRpc rpc;
+
+  /** The state of a SplitMix64 generator. */
   private final AtomicLong randomState = new AtomicLong();
 
-  /** A request's messages, and what was made of each call among them. */
-  record Prepared(JsonRpc.Parsed parsed, Map<JsonRpcMessage, PreparedCall> calls) {}
+  /**
+   * A request that was read.
+   *
+   * @param preparedCalls what was made of each {@code tools/call} among its messages
+   */
+  record Prepared(JsonRpc.Parsed parsed, Map<JsonRpcMessage, PreparedCall> preparedCalls) {
+    /** What was made of a call; empty for requests of other methods. */
+    Optional<PreparedCall> call(JsonRpcMessage.Request request) {
+      return Optional.ofNullable(preparedCalls.get(request));
+    }
+  }
 
-  /** What was made of a call. */
+  /** What was made of a {@code tools/call}. */
   sealed interface PreparedCall permits Accepted, Malformed, Rejected {}
 
-  /** A call that is let in, with its prompt. */
+  /** A call that is admitted, with its prompt. */
   record Accepted(Prompt prompt) implements PreparedCall {}
 
-  /** A call that makes no sense; the problem is told to its client. */
+  /** A call that makes no sense; its client gets the problem as an error. */
   record Malformed(String problem) implements PreparedCall {}
 
   /**
-   * A call that is refused because the gateway is at its limit; its client may come back after so
-   * many microseconds.
+   * A call that is rejected because the gateway is at its limit.
+   *
+   * @param retryAfterMicros when its client may retry, from now
    */
   record Rejected(int classId, long retryAfterMicros) implements PreparedCall {}
 
@@ -75,47 +88,53 @@
 
   /** Parses a request and reads the prompts of its calls. */
   Prepared prepare(HttpRequest request) {
-    boolean admitted =
+    boolean alreadyAdmitted =
         request.body().length >= settings.overload().heavyBytes()
-            && ToolNameScanner.toolName(request.body()) != null;
+            && ToolNameScanner.toolName(request.body()).isPresent();
     JsonRpc.Parsed parsed = rpc.parse(request.body());
-    Map<JsonRpcMessage, PreparedCall> calls = new HashMap<>();
+    Map<JsonRpcMessage, PreparedCall> preparedCalls = new HashMap<>();
     for (JsonRpcMessage message : parsed.messages()) {
       if (message instanceof JsonRpcMessage.Request call && call.method().equals(Mcp.TOOLS_CALL)) {
-        calls.put(message, prepareCall(call.params(), admitted && !parsed.batch()));
+        preparedCalls.put(message, prepareCall(call.params(), alreadyAdmitted && !parsed.batch()));
       }
     }
-    return new Prepared(parsed, calls);
+    return new Prepared(parsed, preparedCalls);
   }
 
   /**
-   * Before a large call is even parsed, where its tool can be seen at a glance: {@link
-   * #prepareCall} then asks no second time.
+   * Rejects a large call before it is even parsed, where its tool can be seen at a glance. Once one
+   * was admitted here {@link #prepare} does not ask again.
    */
-  HttpRejection rejectBeforeParsing(HttpRequest request) {
+  Optional<HttpRejection> rejectBeforeParsing(HttpRequest request) {
     Admission.Gate gate = admission.gate();
     if (gate == Admission.Gate.OPEN
         || !settings.overload().refuse()
         || !request.method().equals("POST")) {
-      return null;
+      return Optional.empty();
     }
-    String tool = ToolNameScanner.toolName(request.body());
-    int classId = tool == null ? -1 : prompts.classId(tool);
-    if (classId < 0 || gate.admits(priority(classId), nextRandom())) {
-      return null;
+    OptionalInt classId = classId(ToolNameScanner.toolName(request.body()));
+    if (classId.isEmpty() || gate.admits(priority(classId.getAsInt()), nextRandom())) {
+      return Optional.empty();
     }
-    long retryAfterMicros = gate.retryAfterMicros(nextRandom());
+    return Optional.of(earlyRejection(classId.getAsInt(), gate.retryAfterMicros(nextRandom())));
+  }
+
+  private OptionalInt classId(Optional<String> tool) {
+    return tool.isEmpty() ? OptionalInt.empty() : prompts.classId(tool.get());
+  }
+
+  private HttpRejection earlyRejection(int classId, long retryAfterMicros) {
     return new HttpRejection(
         toRetryAfterSeconds(retryAfterMicros),
-        "application/json",
+        ContentNegotiation.JSON,
         bytes(rejection(NullNode.instance, retryAfterMicros)),
         () -> {
           recordArrival(classId, false);
-          calls.shedLoad(classId, null, false);
+          calls.shedLoad(classId, Optional.empty(), false);
         });
   }
 
-  /** The error that refuses a call for now. */
+  /** The error that rejects a call for now. */
   static ObjectNode rejection(JsonNode id, long retryAfterMicros) {
     return JsonRpc.error(
         id,
@@ -127,53 +146,42 @@
             .put("retryAfterMs", retryAfterMicros / MICROS_PER_MILLI));
   }
 
-  /** {@code admitted} says that the gate let it in by its tool already. */
   private PreparedCall prepareCall(JsonNode params, boolean alreadyAdmitted) {
     if (params == null || !params.path("name").isTextual()) {
       return new Malformed("/name: expected the name of a tool");
     }
-    int classId = prompts.classId(params.get("name").textValue());
-    if (classId < 0) {
-      return new Malformed("Unknown tool: " + clip(params.get("name").textValue()));
+    String tool = params.get("name").textValue();
+    OptionalInt classId = prompts.classId(tool);
+    if (classId.isEmpty()) {
+      return new Malformed("Unknown tool: " + clip(tool));
     }
-    double priority = priority(classId);
-    if (settings.overload().refuse()) {
-      // before the prompt is tokenized, which is the work of admitting it
-      Admission.Gate gate = admission.gate();
-      if (!alreadyAdmitted && !gate.admits(priority, nextRandom())
-          || isRetry(params) && !gate.admitsRetry(nextRandom())) {
-        return new Rejected(classId, gate.retryAfterMicros(nextRandom()));
-      }
+    // before the prompt is tokenized, which is most of the work on a call
+    OptionalLong retryAfterMicros =
+        callRetryAfterMicros(classId.getAsInt(), params, alreadyAdmitted);
+    if (retryAfterMicros.isPresent()) {
+      return new Rejected(classId.getAsInt(), retryAfterMicros.getAsLong());
     }
-    JsonNode key = params.path("_meta").get("lemondock/key");
-    if (key != null
-        && (!key.isTextual()
-            || key.textValue().isEmpty()
-            || key.textValue().length() > MAX_IDEMPOTENCY_KEY_LENGTH)) {
-      return new Malformed(
-          "/_meta/lemondock~1key: expected a text of 1 to "
-              + MAX_IDEMPOTENCY_KEY_LENGTH
-              + " characters");
-    }
-    JsonNode progress = params.path("_meta").get("progressToken");
-    if (progress != null && !progress.isTextual() && !progress.isIntegralNumber()) {
-      return new Malformed("/_meta/progressToken: expected a string or a whole number");
+    Optional<String> problem = CallMetadata.problem(params);
+    if (problem.isPresent()) {
+      return new Malformed(problem.get());
     }
     try {
-      return new Accepted(prompts.read(classId, params.get("arguments")));
+      return new Accepted(prompts.read(classId.getAsInt(), params.get("arguments")));
     } catch (PromptReader.InvalidArgumentsException e) {
       return new Malformed(e.getMessage());
     }
   }
 
-  /** The client's key for a call and all its repeats, null if it gave none. */
-  static String idempotencyKey(JsonNode params) {
-    return params.path("_meta").path("lemondock/key").asText(null);
-  }
-
-  /** Whether the client says that it asked before. */
-  static boolean isRetry(JsonNode params) {
-    return params.path("_meta").path("lemondock/retry").asBoolean(false);
+  /** When the client of a call may retry, empty if the call is admitted. */
+  private OptionalLong callRetryAfterMicros(int classId, JsonNode params, boolean alreadyAdmitted) {
+    if (!settings.overload().refuse()) {
+      return OptionalLong.empty();
+    }
+    Admission.Gate gate = admission.gate();
+    boolean rejected =
+        !alreadyAdmitted && !gate.admits(priority(classId), nextRandom())
+            || CallMetadata.of(params).clientRetry() && !gate.admitsRetry(nextRandom());
+    return rejected ? OptionalLong.of(gate.retryAfterMicros(nextRandom())) : OptionalLong.empty();
   }
 
   private double priority(int classId) {
@@ -189,12 +197,12 @@
     return ((mixed ^ mixed >>> 31) >>> 11) * 0x1.0p-53;
   }
 
-  /** Tells the admission of a call that arrived, let in or not; on the loop. */
+  /** Tells the admission of a call that arrived, whether admitted or not. Loop thread only. */
   void recordArrival(int classId, boolean retry) {
     admission.recordArrival(priority(classId), retry);
   }
 
-  /** When a client that asks for a new session may come back, empty if it is let in now. */
+  /** When a client that asks for a new session may retry, empty if it gets one now. */
   OptionalLong newSessionRetryAfterMicros() {
     Admission.Gate gate = admission.gate();
     return !settings.overload().refuse() || gate.admitsNewSession(nextRandom())
@@ -202,16 +210,8 @@
         : OptionalLong.of(gate.retryAfterMicros(nextRandom()));
   }
 
-  /** Advice on when to come back in whole seconds, as in a header field. */
+  /** Retry-After as in a header field, in whole seconds. */
   static long toRetryAfterSeconds(long micros) {
     return 1 + micros / MICROS_PER_SECOND;
   }
-
-  /**
-   * Whom the client says it calls for; it only names a row of the reports until tenants prove who
-   * they are.
-   */
-  static String tenant(JsonRpcMessage.Request request) {
-    return request.params().path("_meta").path("lemondock/tenant").asText(null);
-  }
 }
--- a/gateway/src/main/java/lemondock/gateway/mcp/ResumableEventStream.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ResumableEventStream.java
@@ -6,16 +6,20 @@
 import lemondock.net.http.Headers;
 import lemondock.net.http.HttpExchange;
 import lemondock.net.sse.SseEvent;
+import lemondock.rpc.Mcp;
 
 /**
- * One event stream of a session. It outlives the connection that carries it: a client may come
- * again within the resume window with the last id it saw, and gets what followed. It is its own
- * lock: the loop does all but sending plain pieces while it flows, which an I/O thread may do.
+ * One event stream of a session. It outlives the connection that carries it: a client may reconnect
+ * within the resume window with the last event id it saw, and gets what followed.
+ *
+ * <p>The stream is its own lock, which guards all fields that change. Loop thread only, but for
+ * {@link #hasCapacity} and {@link #send(ProgressNotification, int, CharSequence)}, which an I/O
+ * thread may call.
  */
 final class ResumableEventStream {
   private static final long HIGH_WATER_MARK_BYTES = 64 * 1024;
 
-  /** More than an event on the direct way takes: an engine's event is smaller. */
+  /** More than an event takes that an I/O thread sends: an engine's event is smaller. */
   private static final long DIRECT_EVENT_RESERVE_BYTES = 16 * 1024;
 
   private static final byte[] EVENT_LINE = "event: message\n".getBytes(StandardCharsets.US_ASCII);
@@ -25,21 +29,31 @@
   /** Bytes of an event with a piece of an answer. */
   private static final int TYPICAL_EVENT_BYTES = 240;
 
-  private final OutBuffer out = new OutBuffer(TYPICAL_EVENT_BYTES);
   private final Loop loop;
   private final long number;
-  private final EventReplayBuffer replayBuffer;
-  private final long resumeWindowMicros;
-  private final long keepAliveMicros;
+  private final Options options;
   private final Listener listener;
+
+  /** The event that is being written; reused, so that an event costs no memory of its own. */
+  private final OutBuffer out = new OutBuffer(TYPICAL_EVENT_BYTES);
+
+  private final EventReplayBuffer replayBuffer;
+
+  /** The connection that carries the stream; null while there is none. */
   private HttpExchange exchange;
+
   private Loop.Timer expiryTimer = () -> {};
   private Loop.Timer keepAliveTimer = () -> {};
+
+  /** No event follows; what was sent may still be replayed. */
   private boolean finished;
+
+  /** The listener was told that the stream is over. */
   private boolean closed;
+
   private boolean producerPaused;
 
-  /** What a stream tells the one that fills it. */
+  /** What a stream tells the one that fills it; on the loop, with the stream's lock held. */
   interface Listener {
     /** Produce no more until {@link #resumeProducer}. */
     void pauseProducer();
@@ -47,41 +61,45 @@
     /** Produce again. */
     void resumeProducer();
 
-    /** No connection came back in time, or all was delivered: the stream is over. */
+    /**
+     * The stream is over.
+     *
+     * @param delivered false if its connection broke and the client did not reconnect in time
+     */
     void streamClosed(ResumableEventStream stream, boolean delivered);
   }
 
-  ResumableEventStream(
-      Loop loop,
-      long number,
-      int replayBytes,
-      long resumeWindowMicros,
-      long keepAliveMicros,
-      Listener listener) {
+  /**
+   * The limits of a stream.
+   *
+   * @param replayBytes size of the events that are kept to be replayed
+   * @param resumeWindowMicros time within which a client may reconnect; 0 for not at all
+   * @param keepAliveMicros time between two comments that keep the connection open
+   */
+  record Options(int replayBytes, long resumeWindowMicros, long keepAliveMicros) {}
+
+  ResumableEventStream(Loop loop, long number, Options options, Listener listener) {
     this.loop = loop;
     this.number = number;
-    this.replayBuffer = new EventReplayBuffer(replayBytes);
-    this.resumeWindowMicros = resumeWindowMicros;
-    this.keepAliveMicros = keepAliveMicros;
+    this.options = options;
     this.listener = listener;
+    this.replayBuffer = new EventReplayBuffer(options.replayBytes());
   }
 
+  /** The first part of the ids of its events; unique within the session. */
   long number() {
     return number;
   }
 
-  synchronized boolean attached() {
-    return exchange != null;
-  }
-
   /**
-   * Begins the stream on the connection of its request; a primer gives the client an id before any
-   * event.
+   * Begins the stream on the connection of its request.
+   *
+   * @param hasPrimingEvent whether an empty event gives the client an id before any other
    */
-  synchronized void open(HttpExchange connection, String sessionId, boolean primer) {
+  synchronized void open(HttpExchange connection, String sessionId, boolean hasPrimingEvent) {
     attach(connection, sessionId);
-    if (primer) {
-      send(null);
+    if (hasPrimingEvent) {
+      sendPrimingEvent();
     }
   }
 
@@ -114,14 +132,12 @@
     Headers headers =
         Headers.of(
             "content-type",
-            "text/event-stream",
+            ContentNegotiation.EVENT_STREAM,
             "cache-control",
             "no-cache, no-transform",
             "x-accel-buffering",
             "no");
-    if (sessionId != null) {
-      headers.add("mcp-session-id", sessionId);
-    }
+    headers.add(Mcp.SESSION_HEADER, sessionId);
     connection.onDisconnect(() -> connectionLost(connection));
     connection.onWriteQueueDrained(this::resumeProducer);
     connection.begin(200, headers);
@@ -130,22 +146,19 @@
 
   private void scheduleKeepAlive() {
     keepAliveTimer.cancel();
-    keepAliveTimer =
-        loop.schedule(
-            keepAliveMicros,
-            () -> {
-              synchronized (this) {
-                if (exchange != null) {
-                  exchange.send(SseEvent.comment("keep-alive"));
-                  scheduleKeepAlive();
-                }
-              }
-            });
+    keepAliveTimer = loop.schedule(options.keepAliveMicros(), this::sendKeepAlive);
+  }
+
+  private synchronized void sendKeepAlive() {
+    if (exchange != null) {
+      exchange.send(SseEvent.comment("keep-alive"));
+      scheduleKeepAlive();
+    }
   }
 
   /**
-   * Whether a further event can be sent without telling the owner to slow down: asked on an I/O
-   * thread before it sends, since slowing down is for the loop.
+   * Whether a further event can be sent without pausing the producer: asked on an I/O thread before
+   * it sends, since pausing is for the loop.
    */
   synchronized boolean hasCapacity() {
     return exchange != null
@@ -154,18 +167,23 @@
         && exchange.pendingBytes() <= HIGH_WATER_MARK_BYTES - DIRECT_EVENT_RESERVE_BYTES;
   }
 
-  /** Sends an event whose data is a message; null sends an empty one, for its id alone. */
-  synchronized void send(String data) {
+  private void sendPrimingEvent() {
     if (!finished) {
-      beginEvent(data != null);
-      out.addUtf8(
-          data == null ? "" : data); // JSON on one line: what this program writes has no line ends
-      // outside of strings
+      beginEvent(false);
+      endEvent();
+    }
+  }
+
+  /** Sends a message: JSON without line ends outside of strings. */
+  synchronized void send(String json) {
+    if (!finished) {
+      beginEvent(true);
+      out.addUtf8(json);
       endEvent();
     }
   }
 
-  /** Sends a piece of an answer. */
+  /** Sends a piece of an answer; called for each token, so it allocates nothing. */
   synchronized void send(ProgressNotification progress, int tokens, CharSequence piece) {
     if (!finished) {
       beginEvent(true);
@@ -201,8 +219,8 @@
   }
 
   /**
-   * No event follows; the connection's answer ends, and the log stays for a client that missed the
-   * last ones.
+   * No event follows; the connection's response ends, and the events are kept for a client that
+   * missed the last ones.
    */
   synchronized void finish() {
     if (!finished) {
@@ -218,7 +236,7 @@
     HttpExchange last = exchange;
     exchange = null;
     last.finish();
-    expiryTimer = loop.schedule(resumeWindowMicros, () -> closeAndNotify(true));
+    expiryTimer = loop.schedule(options.resumeWindowMicros(), () -> closeAndNotify(true));
   }
 
   /** Ends the stream at once, wherever it stands. */
@@ -238,10 +256,10 @@
     if (exchange == connection) {
       exchange = null;
       keepAliveTimer.cancel();
-      if (resumeWindowMicros == 0) {
+      if (options.resumeWindowMicros() == 0) {
         closeAndNotify(finished);
       } else {
-        expiryTimer = loop.schedule(resumeWindowMicros, () -> closeAndNotify(finished));
+        expiryTimer = loop.schedule(options.resumeWindowMicros(), () -> closeAndNotify(finished));
       }
     }
   }
--- /dev/null
+++ b/gateway/src/main/java/lemondock/gateway/mcp/SessionResolver.java
@@ -0,0 +1,50 @@
+package lemondock.gateway.mcp;
+
+import static lemondock.gateway.mcp.HttpReplies.clip;
+import static lemondock.gateway.mcp.HttpReplies.error;
+
+import com.fasterxml.jackson.databind.node.NullNode;
+import java.util.Optional;
+import lemondock.net.http.Headers;
+import lemondock.net.http.HttpExchange;
+import lemondock.rpc.JsonRpc;
+import lemondock.rpc.Mcp;
+
+/** Finds the session that a request names in its header fields. Loop thread only. */
+final class SessionResolver {
+  private final SessionTable sessions;
+
+  SessionResolver(SessionTable sessions) {
+    this.sessions = sessions;
+  }
+
+  /** The session of a request; if it is empty, the request was answered with an error. */
+  Optional<McpSession> resolve(HttpExchange exchange) {
+    Headers headers = exchange.request().headers();
+    String protocolVersion = headers.get(Mcp.VERSION_HEADER);
+    if (protocolVersion != null && !Mcp.VERSIONS.contains(protocolVersion)) {
+      respondWithError(
+          exchange,
+          400,
+          "Bad Request: unsupported protocol version "
+              + clip(protocolVersion)
+              + ", expected one of "
+              + Mcp.VERSIONS);
+      return Optional.empty();
+    }
+    String id = headers.get(Mcp.SESSION_HEADER);
+    if (id == null) {
+      respondWithError(exchange, 400, "Bad Request: expected header " + Mcp.SESSION_HEADER);
+      return Optional.empty();
+    }
+    Optional<McpSession> session = sessions.use(id);
+    if (session.isEmpty()) {
+      respondWithError(exchange, 404, "Session not found");
+    }
+    return session;
+  }
+
+  private static void respondWithError(HttpExchange exchange, int status, String message) {
+    error(exchange, status, NullNode.instance, JsonRpc.INVALID_REQUEST, message);
+  }
+}
--- a/gateway/src/main/java/lemondock/gateway/mcp/ToolNameScanner.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ToolNameScanner.java
@@ -1,15 +1,16 @@
 package lemondock.gateway.mcp;
 
 import java.nio.charset.StandardCharsets;
+import java.util.Optional;
 import lemondock.rpc.Mcp;
 
 /**
  * A glance at the beginning of a request's content: which tool it calls, if that is plain to see,
  * for a hundredth of the cost of parsing it. What it does not see is left to the parser, and what
- * it sees decides only whether the call is refused.
+ * it sees decides only whether the call is rejected. Any thread.
  */
 final class ToolNameScanner {
-  /** Bytes from which on more of the content changes nothing. */
+  /** Bytes of the content that are looked at; more of it changes nothing. */
   static final int SCAN_LIMIT_BYTES = 600;
 
   private static final int MAX_NAME_LENGTH = 128;
@@ -19,34 +20,35 @@
 
   private ToolNameScanner() {}
 
-  /** The tool that a single {@code tools/call} names; null if it does not begin like one. */
-  static String toolName(byte[] body) {
+  /** The tool that a single {@code tools/call} names; empty if it does not begin like one. */
+  static Optional<String> toolName(byte[] body) {
     int limit = Math.min(SCAN_LIMIT_BYTES, body.length);
-    if (limit == 0 || body[0] != '{' || indexOf(body, METHOD_LITERAL, 0, limit) < 0) {
-      return null;
+    if (limit == 0 || body[0] != '{' || indexOf(body, METHOD_LITERAL, limit) < 0) {
+      return Optional.empty();
     }
-    int position = indexOf(body, NAME_KEY, 0, limit);
-    if (position < 0) {
-      return null;
+    int key = indexOf(body, NAME_KEY, limit);
+    if (key < 0) {
+      return Optional.empty();
     }
-    position = skipWhitespace(body, position + NAME_KEY.length, limit);
-    if (position >= limit || body[position] != ':') {
-      return null;
+    int colon = skipWhitespace(body, key + NAME_KEY.length, limit);
+    if (colon >= limit || body[colon] != ':') {
+      return Optional.empty();
     }
-    position = skipWhitespace(body, position + 1, limit);
-    if (position >= limit || body[position] != '"') {
-      return null;
+    int quote = skipWhitespace(body, colon + 1, limit);
+    if (quote >= limit || body[quote] != '"') {
+      return Optional.empty();
     }
-    int end = position + 1;
-    while (end < limit
-        && end - position <= MAX_NAME_LENGTH
-        && body[end] != '"'
-        && body[end] != '\\') {
+    return stringWithoutEscapes(body, quote + 1, limit);
+  }
+
+  private static Optional<String> stringWithoutEscapes(byte[] body, int start, int limit) {
+    int end = start;
+    while (end < limit && end - start < MAX_NAME_LENGTH && body[end] != '"' && body[end] != '\\') {
       end++;
     }
     return end < limit && body[end] == '"'
-        ? new String(body, position + 1, end - position - 1, StandardCharsets.UTF_8)
-        : null;
+        ? Optional.of(new String(body, start, end - start, StandardCharsets.UTF_8))
+        : Optional.empty();
   }
 
   private static int skipWhitespace(byte[] body, int from, int limit) {
@@ -61,9 +63,9 @@
     return position;
   }
 
-  private static int indexOf(byte[] body, byte[] pattern, int from, int to) {
+  private static int indexOf(byte[] body, byte[] pattern, int limit) {
     outer:
-    for (int i = from; i + pattern.length <= to; i++) {
+    for (int i = 0; i + pattern.length <= limit; i++) {
       for (int j = 0; j < pattern.length; j++) {
         if (body[i + j] != pattern[j]) {
           continue outer;
--- a/gateway/src/test/java/lemondock/gateway/accounting/CallMetricsTest.java
+++ b/gateway/src/test/java/lemondock/gateway/accounting/CallMetricsTest.java
@@ -4,7 +4,8 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.List;
-import lemondock.gateway.answer.Answer;
+import java.util.Optional;
+import lemondock.gateway.answer.AnswerOutcome;
 import lemondock.gateway.settings.SettingsFile;
 import lemondock.metrics.Metrics;
 import lemondock.metrics.Snapshot;
@@ -19,11 +20,11 @@
  */
 class CallMetricsTest {
   private static final long MS = 1_000;
-  private GatewayMetrics tally;
+  private GatewayMetrics metrics;
 
   @BeforeEach
   void make() throws Exception {
-    tally =
+    metrics =
         new GatewayMetrics(
             SettingsFile.readGateway(
                 "t",
@@ -37,8 +38,8 @@
                         """)));
   }
 
-  private static Answer.Outcome end(Answer.OutcomeKind end, int tokens) {
-    return new Answer.Outcome(end, "", tokens, 0, 0, "stop", false, 0, "");
+  private static AnswerOutcome end(AnswerOutcome.Kind end, int tokens) {
+    return new AnswerOutcome(end, new AnswerOutcome.Totals("", tokens, 0, 0), "stop", 0, "");
   }
 
   /**
@@ -46,7 +47,7 @@
    * good, bad.
    */
   private void assertCounts(String worth, String requests, String verdicts) {
-    Snapshot s = tally.tally().snapshot(true);
+    Snapshot s = metrics.tally().snapshot(true);
     assertEquals(worth, row(s, Metrics.WORTH, List.of("c", "z", "none"), 1_000_000));
     assertEquals(requests, row(s, Metrics.REQUESTS, List.of("c", "z", "none"), 1));
     assertEquals(verdicts, row(s, Metrics.VERDICTS, List.of("c", "z"), 1));
@@ -65,7 +66,7 @@
   }
 
   private CallMetrics taken() {
-    return tally.requestAccepted(0, null, false, 1000, 0); // aim 150 ms
+    return metrics.requests().requestAccepted(0, Optional.empty(), false, 1000, 0); // aim 150 ms
   }
 
   @Test
@@ -75,8 +76,8 @@
     call.onDelivered(150 * MS);
     call.onObjectivePassed();
     call.onDelivered(160 * MS);
-    call.onEnded(240 * MS, end(Answer.OutcomeKind.SERVED, 10));
-    call.onEnded(250 * MS, end(Answer.OutcomeKind.FAILED, 10)); // ends once
+    call.onEnded(240 * MS, end(AnswerOutcome.Kind.SERVED, 10));
+    call.onEnded(250 * MS, end(AnswerOutcome.Kind.FAILED, 10)); // ends once
     assertCounts("3 0 3 0", "1 0 1 0 0 0", "1 0");
   }
 
@@ -85,7 +86,7 @@
     CallMetrics call = taken();
     call.onObjectivePassed();
     call.onDelivered(151 * MS);
-    call.onEnded(200 * MS, end(Answer.OutcomeKind.SERVED, 5));
+    call.onEnded(200 * MS, end(AnswerOutcome.Kind.SERVED, 5));
     assertCounts("3 0 0 0.6", "1 0 1 0 0 0", "0 1");
   }
 
@@ -93,10 +94,10 @@
   void aStreamTooSlowEarnsTheLateWorthUpToTwiceThePace() {
     CallMetrics call = taken();
     call.onDelivered(10 * MS);
-    call.onEnded((10 + 81) * MS, end(Answer.OutcomeKind.SERVED, 5)); // 4 gaps of 20.25 ms
+    call.onEnded((10 + 81) * MS, end(AnswerOutcome.Kind.SERVED, 5)); // 4 gaps of 20.25 ms
     CallMetrics other = taken();
     other.onDelivered(10 * MS);
-    other.onEnded((10 + 79) * MS, end(Answer.OutcomeKind.SERVED, 5));
+    other.onEnded((10 + 79) * MS, end(AnswerOutcome.Kind.SERVED, 5));
     assertCounts("6 0 0 0.6", "2 0 2 0 0 0", "2 2");
   }
 
@@ -110,9 +111,9 @@
     call.onToolCallLost();
     call.onDelivered(5_000 * MS);
     call.onToolCallRelayed(5_010 * MS);
-    call.onEnded(9_000 * MS, end(Answer.OutcomeKind.SERVED, 3));
+    call.onEnded(9_000 * MS, end(AnswerOutcome.Kind.SERVED, 3));
     assertCounts("3 0 3 0", "1 0 1 0 0 0", "1 0");
-    assertEquals("3 1 2", row(tally.tally().snapshot(true), Metrics.TOOLS, List.of("c"), 1));
+    assertEquals("3 1 2", row(metrics.tally().snapshot(true), Metrics.TOOLS, List.of("c"), 1));
   }
 
   @Test
@@ -120,50 +121,50 @@
     CallMetrics call = taken();
     call.onToolCallRelayed(10 * MS);
     call.onToolCallRelayed(10 * MS);
-    call.onEnded(20 * MS, end(Answer.OutcomeKind.CANCELLED, 0));
+    call.onEnded(20 * MS, end(AnswerOutcome.Kind.CANCELLED, 0));
     assertEquals(0, call.pendingToolCalls());
-    assertEquals("2 0 2", row(tally.tally().snapshot(true), Metrics.TOOLS, List.of("c"), 1));
+    assertEquals("2 0 2", row(metrics.tally().snapshot(true), Metrics.TOOLS, List.of("c"), 1));
   }
 
   @Test
   void refusedFailedAndLeft() {
-    taken().onEnded(5 * MS, end(Answer.OutcomeKind.REJECTED, 0));
+    taken().onEnded(5 * MS, end(AnswerOutcome.Kind.REJECTED, 0));
     CallMetrics failed = taken();
     failed.onDelivered(10 * MS);
-    failed.onEnded(50 * MS, end(Answer.OutcomeKind.FAILED, 3)); // it began well: one good, one bad
+    failed.onEnded(50 * MS, end(AnswerOutcome.Kind.FAILED, 3)); // it began well: one good, one bad
     taken()
         .onEnded(
             5 * MS,
-            end(Answer.OutcomeKind.CANCELLED, 0)); // who leaves early says nothing of service
+            end(AnswerOutcome.Kind.CANCELLED, 0)); // who leaves early says nothing of service
     CallMetrics late = taken();
     late.onObjectivePassed();
-    late.onEnded(900 * MS, end(Answer.OutcomeKind.CANCELLED, 0));
-    tally.requestRejected(0, null, true);
+    late.onEnded(900 * MS, end(AnswerOutcome.Kind.CANCELLED, 0));
+    metrics.requests().requestRejected(0, Optional.empty(), true);
     assertCounts("12 3 0 0", "5 1 0 2 1 2", "1 4");
   }
 
   @Test
   void whatIsNeverSentIsNoPaceAndAnswersWithoutTextAreInTime() {
     CallMetrics call = taken();
-    call.onEnded(50 * MS, end(Answer.OutcomeKind.SERVED, 0));
+    call.onEnded(50 * MS, end(AnswerOutcome.Kind.SERVED, 0));
     assertCounts("3 0 3 0", "1 0 1 0 0 0", "1 0");
   }
 
   @Test
   void statesAndAttemptsAreCountedByWhere() {
-    tally.stateReserved("south");
-    tally.stateReserved("south");
-    tally.stateReserved("south");
-    tally.stateFetched("south", 7 * MS);
-    tally.stateReleased("south", 9 * MS);
-    tally.attemptSent(ServerRole.WRITER, "south");
+    metrics.attempts().stateReserved("south");
+    metrics.attempts().stateReserved("south");
+    metrics.attempts().stateReserved("south");
+    metrics.attempts().stateFetched("south", 7 * MS);
+    metrics.attempts().stateReleased("south", 9 * MS);
+    metrics.attempts().attemptSent(ServerRole.WRITER, "south");
     for (AttemptOutcome ending : AttemptOutcome.values()) {
-      tally.attemptEnded(ServerRole.WRITER, "south", ending);
+      metrics.attempts().attemptEnded(ServerRole.WRITER, "south", ending);
     }
     for (int i = 0; i < 200; i++) {
-      tally.attemptSent(ServerRole.READER, "zone" + i);
+      metrics.attempts().attemptSent(ServerRole.READER, "zone" + i);
     }
-    Snapshot s = tally.tally().snapshot(true);
+    Snapshot s = metrics.tally().snapshot(true);
     assertEquals("3 1 1 1", row(s, Metrics.HELD, List.of("south"), 1));
     assertEquals(2, s.value(Metrics.HELD_TIME, "count", List.of("south")));
     assertEquals("1 1 1 1 1 1 1 1 1 1", row(s, Metrics.ATTEMPTS, List.of("writer", "south"), 1));
--- a/gateway/src/test/java/lemondock/gateway/core/RequestDispatcherTest.java
+++ b/gateway/src/test/java/lemondock/gateway/core/RequestDispatcherTest.java
@@ -197,7 +197,11 @@
     dispatcher =
         new RequestDispatcher<>(
             new DispatcherEnvironment<>(
-                loop, engines, endpoints, stallMonitor, new GatewayMetrics(minimalSettings())),
+                loop,
+                engines,
+                endpoints,
+                stallMonitor,
+                new GatewayMetrics(minimalSettings()).attempts()),
             new DispatcherOptions(
                 "t",
                 (s, seed, h) -> {
--- a/gateway/src/test/java/lemondock/gateway/engine/EngineProtocolTest.java
+++ b/gateway/src/test/java/lemondock/gateway/engine/EngineProtocolTest.java
@@ -2,14 +2,16 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
+import java.util.Optional;
 import lemondock.policy.AttemptOutcome;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -25,44 +27,53 @@
   @Test
   void aReadAsksForARemoteDecodeOfOneToken() throws IOException {
     ObjectNode prompt = MAPPER.createObjectNode().put("model", "m");
-    ObjectNode body = (ObjectNode) MAPPER.readTree(EngineProtocol.readRequest(prompt, "r1"));
+    ObjectNode body = (ObjectNode) MAPPER.readTree(EngineProtocol.prefillRequest(prompt, "r1"));
     assertEquals(1, body.get("max_tokens").asInt());
     assertTrue(body.at("/kv_transfer_params/do_remote_decode").asBoolean());
     assertFalse(prompt.has("kv_transfer_params"));
     ObjectNode write =
         (ObjectNode)
             MAPPER.readTree(
-                EngineProtocol.writeRequest(prompt, "w1", body.get("kv_transfer_params"), 9));
+                EngineProtocol.decodeRequest(
+                    prompt, "w1", Optional.of(body.get("kv_transfer_params")), 9));
     assertTrue(
         write.get("stream").asBoolean() && write.at("/stream_options/include_usage").asBoolean());
   }
 
   @Test
   void repliesAreRead() {
-    EngineProtocol.ReadReply reply =
-        EngineProtocol.parseReadReply(
+    PrefillReply reply =
+        EngineProtocol.parsePrefillReply(
             bytes(
                 "{\"kv_transfer_params\":{\"a\":1},\"usage\":"
                     + "{\"prompt_tokens\":9,\"prompt_tokens_details\":{\"cached_tokens\":4}}}"));
-    assertNull(reply.problem());
-    assertEquals(4, reply.cachedTokens());
-    assertNotNull(EngineProtocol.parseReadReply(bytes("{}")).problem());
-    assertNotNull(EngineProtocol.parseReadReply(bytes("")).problem());
-    assertNotNull(EngineProtocol.parseReadReply(bytes("<html>")).problem());
+    PrefillReply.Completed completed = assertInstanceOf(PrefillReply.Completed.class, reply);
+    assertEquals(4, completed.cachedTokens());
+    assertNotNull(problem("{}"));
+    assertNotNull(problem(""));
+    assertNotNull(problem("<html>"));
+  }
+
+  private static String problem(String reply) {
+    return assertInstanceOf(
+            PrefillReply.Malformed.class, EngineProtocol.parsePrefillReply(bytes(reply)))
+        .problem();
   }
 
   @Test
   void chunksAreRead() {
     CompletionChunk chunk =
-        EngineProtocol.parseChunk(
+        CompletionChunkParser.parse(
             "{\"choices\":[{\"delta\":{\"content\":\"hi\",\"tool_calls\":[{\"index\":1,"
                 + "\"id\":\"c\",\"function\":{\"name\":\"t\",\"arguments\":\"{\"}}]},\"finish_reason\":\"stop\"}]}");
     assertEquals("hi", chunk.text());
     assertEquals("t", chunk.toolCalls().get(0).name());
-    assertEquals("stop", chunk.finishReason());
-    assertTrue(EngineProtocol.parseChunk("[DONE]").last());
-    assertEquals("bad", EngineProtocol.parseChunk("{\"error\":{\"message\":\"bad\"}}").error());
-    assertNotNull(EngineProtocol.parseChunk("{\"choices\":").error());
+    assertEquals(Optional.of("stop"), chunk.finishReason());
+    assertSame(CompletionChunk.END_OF_STREAM, CompletionChunkParser.parse("[DONE]"));
+    assertEquals(
+        Optional.of("bad"),
+        CompletionChunkParser.parse("{\"error\":{\"message\":\"bad\"}}").error());
+    assertTrue(CompletionChunkParser.parse("{\"choices\":").error().isPresent());
   }
 
   @Test
@@ -84,8 +95,8 @@
 
   @Property(tries = 2_000, seed = "20261201")
   void anyDataIsSurvived(@ForAll String data, @ForAll byte[] body) {
-    assertNotNull(EngineProtocol.parseChunk(data));
-    assertNotNull(EngineProtocol.parseReadReply(body));
+    assertNotNull(CompletionChunkParser.parse(data));
+    assertNotNull(EngineProtocol.parsePrefillReply(body));
     assertNotNull(EngineProtocol.parseErrorReply(500, body));
   }
 }
--- a/gateway/src/test/java/lemondock/gateway/engine/TextEventParserTest.java
+++ b/gateway/src/test/java/lemondock/gateway/engine/TextEventParserTest.java
@@ -8,6 +8,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.Optional;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -30,17 +31,16 @@
         java.util.Arrays.copyOf(data, data.length + 7); // what is behind the length must not matter
     boolean taken = piece.parse(longer, data.length);
     if (taken) {
-      CompletionChunk whole = EngineProtocol.parseChunk(new String(data, StandardCharsets.UTF_8));
+      CompletionChunk whole = CompletionChunkParser.parse(new String(data, StandardCharsets.UTF_8));
       assertEquals(
           new CompletionChunk(
               piece.text().toString(),
               List.of(),
-              null,
+              Optional.empty(),
               whole.promptTokens(),
               -1,
               piece.completionTokens(),
-              false,
-              null),
+              Optional.empty()),
           whole);
     }
     return taken;
--- a/gateway/src/test/java/lemondock/gateway/mcp/ToolNameScannerTest.java
+++ b/gateway/src/test/java/lemondock/gateway/mcp/ToolNameScannerTest.java
@@ -1,27 +1,28 @@
 package lemondock.gateway.mcp;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 class ToolNameScannerTest {
-  private static String tool(String body) {
+  private static Optional<String> tool(String body) {
     return ToolNameScanner.toolName(body.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
   void theToolOfACallIsSeen() {
     assertEquals(
-        "sale-lookup",
+        Optional.of("sale-lookup"),
         tool(
             "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\",\"a\":1}}"));
     assertEquals(
-        "x", tool("{ \"params\" : { \"name\" :\n\t\"x\" } , \"method\" : \"tools/call\" }"));
+        Optional.of("x"),
+        tool("{ \"params\" : { \"name\" :\n\t\"x\" } , \"method\" : \"tools/call\" }"));
   }
 
   @ParameterizedTest
@@ -38,14 +39,16 @@
         "{\"method\":\"tools/call\",\"name\":\"a\\u0062\"}"
       })
   void whatIsNotPlainIsLeftToTheParser(String body) {
-    assertNull(tool(body));
+    assertEquals(Optional.empty(), tool(body));
   }
 
   @Test
   void aNameFarBehindOrTooLongIsNotLookedFor() {
-    assertNull(
+    assertEquals(
+        Optional.empty(),
         tool("{\"method\":\"tools/call\",\"x\":\"" + "y".repeat(600) + "\",\"name\":\"x\"}"));
-    assertNull(tool("{\"method\":\"tools/call\",\"name\":\"" + "y".repeat(200) + "\"}"));
+    assertEquals(
+        Optional.empty(), tool("{\"method\":\"tools/call\",\"name\":\"" + "y".repeat(200) + "\"}"));
   }
 
   /**
