--- a/gateway/src/main/java/lemondock/gateway/accounting/CallMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/CallMetrics.java
@@ -91,12 +91,12 @@
 
   private void recordFirstToken(long nowMicros) {
     long elapsedMicros = nowMicros - arrivedAtMicros;
-    long ticket = recorder.enter();
-    recorder.record(classSeries.firstToken, elapsedMicros);
+    long ticket = recorder.beginUpdate();
+    recorder.observe(classSeries.firstToken, elapsedMicros);
     if (elapsedMicros <= latencyObjectiveMicros) {
       recorder.add(classSeries.verdicts.slot(ClassSeries.GOOD), 1);
     }
-    recorder.exit(ticket);
+    recorder.endUpdate(ticket);
     if (elapsedMicros > latencyObjectiveMicros) {
       countBad();
     }
@@ -105,7 +105,7 @@
   private void countBad() {
     if (!countedBad) {
       countedBad = true;
-      recorder.count(classSeries.verdicts.slot(ClassSeries.BAD));
+      recorder.increment(classSeries.verdicts.slot(ClassSeries.BAD));
     }
   }
 
@@ -113,19 +113,19 @@
   public void onToolCallRelayed(long nowMicros) {
     endTurn(nowMicros);
     toolCallsRelayed++;
-    recorder.count(classSeries.toolCalls.slot(ClassSeries.TOOL_CALLS_RELAYED));
+    recorder.increment(classSeries.toolCalls.slot(ClassSeries.TOOL_CALLS_RELAYED));
   }
 
   /** A tool's result came back. */
   public void onToolCallAnswered() {
     toolCallsSettled++;
-    recorder.count(classSeries.toolCalls.slot(ClassSeries.TOOL_CALLS_ANSWERED));
+    recorder.increment(classSeries.toolCalls.slot(ClassSeries.TOOL_CALLS_ANSWERED));
   }
 
   /** A tool call was withdrawn, or its result came too late to be of use. */
   public void onToolCallLost() {
     toolCallsSettled++;
-    recorder.count(classSeries.toolCalls.slot(ClassSeries.TOOL_CALLS_LOST));
+    recorder.increment(classSeries.toolCalls.slot(ClassSeries.TOOL_CALLS_LOST));
   }
 
   /** Tool calls that wait for their result. */
@@ -148,12 +148,12 @@
     ended = true;
     endTurn(nowMicros);
     final Service service = service(nowMicros, outcome);
-    final long ticket = recorder.enter();
+    final long ticket = recorder.beginUpdate();
     recorder.add(tenantSeries.outcomeSlot(outcome.kind()), 1);
     recordTimes(nowMicros, outcome.totals().tokens());
     recordService(service);
     loseToolCalls();
-    recorder.exit(ticket);
+    recorder.endUpdate(ticket);
     if (service != Service.IN_TIME && outcome.kind() != AnswerOutcome.Kind.CANCELLED) {
       countBad();
     }
@@ -179,9 +179,9 @@
   }
 
   private void recordTimes(long nowMicros, int tokens) {
-    recorder.record(classSeries.wholeTime, nowMicros - arrivedAtMicros);
+    recorder.observe(classSeries.wholeTime, nowMicros - arrivedAtMicros);
     if (tokens > 1) {
-      recorder.record(classSeries.tokenPace, (long) microsPerToken(tokens));
+      recorder.observe(classSeries.tokenPace, (long) microsPerToken(tokens));
     }
   }
 
--- a/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
@@ -4,27 +4,27 @@
 import java.util.List;
 import lemondock.dispatch.AttemptMetrics;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.metrics.BoundedNames;
-import lemondock.metrics.Metrics;
+import lemondock.metrics.LabelCardinalityLimit;
+import lemondock.metrics.MetricFamilies;
+import lemondock.metrics.MetricRegistry;
 import lemondock.metrics.Recorder;
 import lemondock.metrics.Series;
-import lemondock.metrics.Tally;
 
 /**
  * What a gateway counts on its decision loop. Series are looked up once and kept; the names of
- * tenants and zones, which others choose, are bounded. Loop thread only, but for {@link #tally}.
+ * tenants and zones, which others choose, are bounded. Loop thread only, but for {@link #registry}.
  */
 public final class GatewayMetrics {
   private static final int MAX_ZONES = 64;
   private static final double SHARE_SCALE = 1_000;
 
-  // Fields of Metrics.OVERLOAD.
+  // Fields of MetricFamilies.OVERLOAD.
   private static final int ADMITTED_SHARE = 0;
   private static final int REJECTED = 1;
   private static final int STALLS = 2;
   private static final int STALL_MICROS = 3;
 
-  private final Tally tally;
+  private final MetricRegistry registry;
   private final Recorder recorder;
   private final Series gateway;
   private final Series loopLag;
@@ -35,17 +35,17 @@
   /** Makes metrics of their own, for the thread that the gateway decides on. */
   public GatewayMetrics(GatewaySettings settings) {
     GatewaySettings.Reporting reporting = settings.reporting();
-    this.tally = new Tally(reporting.maxValues());
-    this.recorder = tally.recorder();
+    this.registry = new MetricRegistry(reporting.maxValues());
+    this.recorder = registry.newRecorder();
     // the order of the series is that of their rows in reports
-    this.gateway = tally.series(Metrics.GATEWAY);
-    final Series routerTotals = tally.series(Metrics.MODULE);
-    this.loopLag = tally.series(Metrics.LOOP_LAG);
-    this.overload = tally.series(Metrics.OVERLOAD);
+    this.gateway = registry.series(MetricFamilies.GATEWAY);
+    final Series routerTotals = registry.series(MetricFamilies.ROUTER);
+    this.loopLag = registry.series(MetricFamilies.LOOP_LAG);
+    this.overload = registry.series(MetricFamilies.OVERLOAD);
     BoundedLabels tenants = labels("tenant", knownTenants(reporting), reporting.maxTenants());
     BoundedLabels zones = labels("zone", List.of(settings.zone()), MAX_ZONES);
-    this.requests = new RequestMetrics(settings, tally, recorder, tenants);
-    this.servers = new ServerMetrics(tally, recorder, zones, routerTotals);
+    this.requests = new RequestMetrics(settings, registry, recorder, tenants);
+    this.servers = new ServerMetrics(registry, recorder, zones, routerTotals);
   }
 
   private static List<String> knownTenants(GatewaySettings.Reporting reporting) {
@@ -55,13 +55,13 @@
   }
 
   private BoundedLabels labels(String dimension, List<String> known, int maxOthers) {
-    Series surplus = tally.series(Metrics.BOUNDS, dimension);
-    return new BoundedLabels(new BoundedNames(known, maxOthers), surplus, recorder);
+    Series surplus = registry.series(MetricFamilies.LABEL_OVERFLOWS, dimension);
+    return new BoundedLabels(new LabelCardinalityLimit(known, maxOthers), surplus, recorder);
   }
 
   /** What was counted; its snapshot may be taken on any thread. */
-  public Tally tally() {
-    return tally;
+  public MetricRegistry registry() {
+    return registry;
   }
 
   /** Counts clients' requests. */
@@ -88,7 +88,7 @@
       long endpoints,
       long uptimeSeconds) {
 
-    /** In the order of the fields of {@link Metrics#GATEWAY}. */
+    /** In the order of the fields of {@link MetricFamilies#GATEWAY}. */
     private long[] values() {
       return new long[] {calls, requests, sessions, streams, toolCalls, endpoints, uptimeSeconds};
     }
@@ -97,16 +97,16 @@
   /** Sets the gauges of what is in flight. */
   public void setInFlight(InFlight inFlight) {
     long[] values = inFlight.values();
-    long ticket = recorder.enter();
+    long ticket = recorder.beginUpdate();
     for (int field = 0; field < values.length; field++) {
       recorder.set(gateway.slot(field), values[field]);
     }
-    recorder.exit(ticket);
+    recorder.endUpdate(ticket);
   }
 
   /** The decision loop ran a timer so many microseconds late. */
   public void recordLoopLag(long micros) {
-    recorder.time(loopLag, micros);
+    recorder.recordDuration(loopLag, micros);
   }
 
   /**
@@ -117,15 +117,15 @@
    * @param stallMicros their sum
    */
   public void setOverload(double admittedShare, long stalls, long stallMicros) {
-    long ticket = recorder.enter();
+    long ticket = recorder.beginUpdate();
     recorder.set(overload.slot(ADMITTED_SHARE), Math.round(admittedShare * SHARE_SCALE));
     recorder.set(overload.slot(STALLS), stalls);
     recorder.set(overload.slot(STALL_MICROS), stallMicros);
-    recorder.exit(ticket);
+    recorder.endUpdate(ticket);
   }
 
   /** A request was rejected because of overload; it is counted as a rejected request too. */
   public void countLoadShed() {
-    recorder.count(overload.slot(REJECTED));
+    recorder.increment(overload.slot(REJECTED));
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/accounting/RequestMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/RequestMetrics.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 import lemondock.gateway.answer.AnswerOutcome;
 import lemondock.gateway.settings.GatewaySettings;
-import lemondock.metrics.Metrics;
+import lemondock.metrics.MetricFamilies;
+import lemondock.metrics.MetricRegistry;
 import lemondock.metrics.Recorder;
-import lemondock.metrics.Tally;
 
 /** What is counted of clients' requests, by class and tenant. Loop thread only. */
 public final class RequestMetrics {
@@ -15,20 +15,21 @@
   static final String NO_TENANT = "none";
 
   private final GatewaySettings settings;
-  private final Tally tally;
+  private final MetricRegistry registry;
   private final Recorder recorder;
   private final BoundedLabels tenants;
   private final List<ClassSeries> classes = new ArrayList<>();
 
-  RequestMetrics(GatewaySettings settings, Tally tally, Recorder recorder, BoundedLabels tenants) {
+  RequestMetrics(
+      GatewaySettings settings, MetricRegistry registry, Recorder recorder, BoundedLabels tenants) {
     this.settings = settings;
-    this.tally = tally;
+    this.registry = registry;
     this.recorder = recorder;
     this.tenants = tenants;
     settings
         .classes()
         .forEach(
-            requestClass -> classes.add(new ClassSeries(tally, requestClass, settings.zone())));
+            requestClass -> classes.add(new ClassSeries(registry, requestClass, settings.zone())));
   }
 
   /**
@@ -42,9 +43,9 @@
       int classId, Optional<String> tenant, boolean retry, int promptTokens, long nowMicros) {
     ClassSeries series = classes.get(classId);
     TenantSeries tenantSeries = tenantSeries(series, tenant);
-    long ticket = recorder.enter();
+    long ticket = recorder.beginUpdate();
     countArrival(series, tenantSeries, retry);
-    recorder.exit(ticket);
+    recorder.endUpdate(ticket);
     GatewaySettings.ClassSettings requestClass = settings.classes().get(classId);
     long latencyObjectiveMicros =
         GatewaySettings.micros(
@@ -56,11 +57,11 @@
   public void requestRejected(int classId, Optional<String> tenant, boolean retry) {
     ClassSeries series = classes.get(classId);
     TenantSeries tenantSeries = tenantSeries(series, tenant);
-    final long ticket = recorder.enter();
+    final long ticket = recorder.beginUpdate();
     countArrival(series, tenantSeries, retry);
     recorder.add(tenantSeries.outcomeSlot(AnswerOutcome.Kind.REJECTED), 1);
     recorder.add(series.verdicts.slot(ClassSeries.BAD), 1);
-    recorder.exit(ticket);
+    recorder.endUpdate(ticket);
   }
 
   private void countArrival(ClassSeries series, TenantSeries tenantSeries, boolean retry) {
@@ -75,7 +76,9 @@
         label,
         newLabel ->
             new TenantSeries(
-                tally.series(Metrics.WORTH, series.className, settings.zone(), newLabel),
-                tally.series(Metrics.REQUESTS, series.className, settings.zone(), newLabel)));
+                registry.series(
+                    MetricFamilies.PRIORITY_WEIGHT, series.className, settings.zone(), newLabel),
+                registry.series(
+                    MetricFamilies.REQUESTS, series.className, settings.zone(), newLabel)));
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/accounting/ServerMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/ServerMetrics.java
@@ -6,10 +6,10 @@
 import java.util.Optional;
 import java.util.function.LongFunction;
 import lemondock.dispatch.AttemptMetrics;
-import lemondock.metrics.Metrics;
+import lemondock.metrics.MetricFamilies;
+import lemondock.metrics.MetricRegistry;
 import lemondock.metrics.Recorder;
 import lemondock.metrics.Series;
-import lemondock.metrics.Tally;
 import lemondock.policy.AttemptOutcome;
 import lemondock.policy.RouterStateVisitor;
 import lemondock.policy.ServerLifecycle;
@@ -20,7 +20,7 @@
  * Loop thread only.
  */
 final class ServerMetrics implements AttemptMetrics {
-  // Fields of Metrics.ATTEMPTS.
+  // Fields of MetricFamilies.ATTEMPTS.
   private static final int SENT = 0;
   private static final int FIRST_OUTCOME = 1;
   private static final List<AttemptOutcome> OUTCOME_FIELD_ORDER =
@@ -35,25 +35,25 @@
           AttemptOutcome.CANCELLED,
           AttemptOutcome.ABANDONED_BEFORE_SEND);
 
-  // Fields of Metrics.HELD.
+  // Fields of MetricFamilies.RESERVED_STATES.
   private static final int STATES_RESERVED = 0;
   private static final int STATES_FETCHED = 1;
   private static final int STATES_RELEASED = 2;
   private static final int STATES_NOW = 3;
 
-  // Fields of Metrics.SERVERS.
+  // Fields of MetricFamilies.SERVERS.
   private static final int READY = 0;
   private static final int NOT_READY = 1;
   private static final int WARMING_UP = 2;
   private static final int EJECTED = 3;
   private static final int SERVER_FIELDS = 4;
 
-  // Fields of Metrics.MODULE.
+  // Fields of MetricFamilies.ROUTER.
   private static final int QUEUED = 0;
   private static final int TOKENS_IN_FLIGHT = 1;
   private static final int CAPACITY_TOKENS = 2;
 
-  private final Tally tally;
+  private final MetricRegistry registry;
   private final Recorder recorder;
   private final BoundedLabels zones;
   private final Series routerTotals;
@@ -64,33 +64,34 @@
   /** The series of reserved states in one zone: their number, and how long they were reserved. */
   private record StateSeries(Series counts, Series times) {}
 
-  ServerMetrics(Tally tally, Recorder recorder, BoundedLabels zones, Series routerTotals) {
-    this.tally = tally;
+  ServerMetrics(
+      MetricRegistry registry, Recorder recorder, BoundedLabels zones, Series routerTotals) {
+    this.registry = registry;
     this.recorder = recorder;
     this.zones = zones;
     this.routerTotals = routerTotals;
-    this.attempts = new ServerSeries(Metrics.ATTEMPTS, tally, zones);
-    this.servers = new ServerSeries(Metrics.SERVERS, tally, zones);
+    this.attempts = new ServerSeries(MetricFamilies.ATTEMPTS, registry, zones);
+    this.servers = new ServerSeries(MetricFamilies.SERVERS, registry, zones);
   }
 
   @Override
   public void attemptSent(ServerRole role, String zone) {
-    recorder.count(attempts.of(role, zone).slot(SENT));
+    recorder.increment(attempts.of(role, zone).slot(SENT));
   }
 
   @Override
   public void attemptEnded(ServerRole role, String zone, AttemptOutcome outcome) {
     int field = FIRST_OUTCOME + OUTCOME_FIELD_ORDER.indexOf(outcome);
-    recorder.count(attempts.of(role, zone).slot(field));
+    recorder.increment(attempts.of(role, zone).slot(field));
   }
 
   @Override
   public void stateReserved(String zone) {
     StateSeries series = stateSeries(zone);
-    long ticket = recorder.enter();
+    long ticket = recorder.beginUpdate();
     recorder.add(series.counts().slot(STATES_RESERVED), 1);
     recorder.add(series.counts().slot(STATES_NOW), 1);
-    recorder.exit(ticket);
+    recorder.endUpdate(ticket);
   }
 
   @Override
@@ -105,13 +106,13 @@
 
   private void stateEnded(String zone, int field, long reservedMicros) {
     StateSeries series = stateSeries(zone);
-    final long ticket = recorder.enter();
+    final long ticket = recorder.beginUpdate();
     recorder.add(series.counts().slot(field), 1);
     recorder.add(series.counts().slot(STATES_NOW), -1);
     if (reservedMicros >= 0) {
-      recorder.record(series.times(), reservedMicros);
+      recorder.observe(series.times(), reservedMicros);
     }
-    recorder.exit(ticket);
+    recorder.endUpdate(ticket);
   }
 
   private StateSeries stateSeries(String zone) {
@@ -123,7 +124,8 @@
         zones.label(zone),
         label ->
             new StateSeries(
-                tally.series(Metrics.HELD, label), tally.series(Metrics.HELD_TIME, label)));
+                registry.series(MetricFamilies.RESERVED_STATES, label),
+                registry.series(MetricFamilies.RESERVED_STATE_DURATION, label)));
   }
 
   @Override
@@ -158,12 +160,12 @@
 
     @Override
     public void totals(int queued, long tokensInFlight, long capacityTokens) {
-      final long ticket = recorder.enter();
+      final long ticket = recorder.beginUpdate();
       recorder.set(routerTotals.slot(QUEUED), queued);
       recorder.set(routerTotals.slot(TOKENS_IN_FLIGHT), tokensInFlight);
       recorder.set(routerTotals.slot(CAPACITY_TOKENS), capacityTokens);
       sums.forEach(this::set);
-      recorder.exit(ticket);
+      recorder.endUpdate(ticket);
     }
 
     private void set(Series series, long[] sum) {
--- a/gateway/src/main/java/lemondock/gateway/accounting/ServerSeries.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/ServerSeries.java
@@ -6,22 +6,22 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import lemondock.metrics.Family;
+import lemondock.metrics.MetricFamily;
+import lemondock.metrics.MetricRegistry;
 import lemondock.metrics.Series;
-import lemondock.metrics.Tally;
 import lemondock.policy.ServerRole;
 
 /** The series of one family by role and zone of servers. Loop thread only. */
 final class ServerSeries {
-  private final Family family;
-  private final Tally tally;
+  private final MetricFamily family;
+  private final MetricRegistry registry;
   private final BoundedLabels zones;
   private final Map<ServerRole, Map<String, Series>> byRoleAndZone =
       new EnumMap<>(ServerRole.class);
 
-  ServerSeries(Family family, Tally tally, BoundedLabels zones) {
+  ServerSeries(MetricFamily family, MetricRegistry registry, BoundedLabels zones) {
     this.family = family;
-    this.tally = tally;
+    this.registry = registry;
     this.zones = zones;
   }
 
@@ -34,7 +34,7 @@
     }
     return byZone.computeIfAbsent(
         zones.label(zone),
-        label -> tally.series(family, role.name().toLowerCase(Locale.ROOT), label));
+        label -> registry.series(family, role.name().toLowerCase(Locale.ROOT), label));
   }
 
   /** All series that there are. */
--- a/gateway/src/main/java/lemondock/gateway/accounting/TenantSeries.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/TenantSeries.java
@@ -6,8 +6,8 @@
 /**
  * The series of one request class and tenant.
  *
- * @param priorityWeight weight requested and earned, of {@code Metrics.WORTH}
- * @param requests requests by how they ended, of {@code Metrics.REQUESTS}
+ * @param priorityWeight weight requested and earned, of {@code MetricFamilies.PRIORITY_WEIGHT}
+ * @param requests requests by how they ended, of {@code MetricFamilies.REQUESTS}
  */
 record TenantSeries(Series priorityWeight, Series requests) {
   /** Weight of first requests; that of a client's retries is in the field behind it. */
--- a/gateway/src/main/java/lemondock/gateway/settings/CounterType.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/CollectdCounterType.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /** The data source type under which counters are sent to collectd. */
-public enum CounterType {
+public enum CollectdCounterType {
   /** A signed counter that may also fall. */
   DERIVE("derive"),
   /** An unsigned counter whose fall is taken for an overflow. */
@@ -11,7 +11,7 @@
 
   private final String settingName;
 
-  CounterType(String settingName) {
+  CollectdCounterType(String settingName) {
     this.settingName = settingName;
   }
 
--- a/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
@@ -1,7 +1,7 @@
 package lemondock.gateway.settings;
 
 import java.util.List;
-import lemondock.anomaly.Cusum;
+import lemondock.anomaly.CusumDetector;
 import lemondock.overload.Admission;
 import lemondock.overload.ResourcePressure;
 import lemondock.overload.RetryBudget;
@@ -251,7 +251,7 @@
       Detector detector,
       List<Destination> destinations) {}
 
-  /** The detector of degradations; see {@code Cusum.Settings}. */
+  /** The detector of degradations; see {@code CusumDetector.Options}. */
   public record Detector(
       double leastUsual,
       double mostUsual,
@@ -264,8 +264,8 @@
       double memory) {
 
     /** The same for the detector, times in microseconds. */
-    public Cusum.Settings toCusumSettings() {
-      return new Cusum.Settings(
+    public CusumDetector.Options toCusumOptions() {
+      return new CusumDetector.Options(
           leastUsual,
           mostUsual,
           fall,
@@ -282,7 +282,7 @@
    * One collector.
    *
    * @param security null for none
-   * @param counters null for {@link CounterType#DERIVE}
+   * @param counters null for {@link CollectdCounterType#DERIVE}
    */
   public record Destination(
       String name,
@@ -295,7 +295,7 @@
       String username,
       String authFile,
       Integer packetBytes,
-      CounterType counters,
+      CollectdCounterType counters,
       int maxSnapshots,
       double resendMs,
       double stallMs,
--- a/gateway/src/main/java/lemondock/gateway/settings/ReportingSettingsValidator.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/ReportingSettingsValidator.java
@@ -78,7 +78,9 @@
     check.allow("/packetBytes", destination.packetBytes(), isCollectd);
     check.allow(
         "/counters",
-        Optional.ofNullable(destination.counters()).map(CounterType::settingName).orElse(null),
+        Optional.ofNullable(destination.counters())
+            .map(CollectdCounterType::settingName)
+            .orElse(null),
         isCollectd);
   }
 
--- a/gateway/src/test/java/lemondock/gateway/accounting/CallMetricsTest.java
+++ b/gateway/src/test/java/lemondock/gateway/accounting/CallMetricsTest.java
@@ -7,8 +7,9 @@
 import java.util.Optional;
 import lemondock.gateway.answer.AnswerOutcome;
 import lemondock.gateway.settings.SettingsFile;
-import lemondock.metrics.Metrics;
-import lemondock.metrics.Snapshot;
+import lemondock.metrics.MetricFamilies;
+import lemondock.metrics.MetricFamily;
+import lemondock.metrics.MetricsSnapshot;
 import lemondock.policy.AttemptOutcome;
 import lemondock.policy.ServerRole;
 import org.junit.jupiter.api.BeforeEach;
@@ -47,14 +48,15 @@
    * good, bad.
    */
   private void assertCounts(String worth, String requests, String verdicts) {
-    Snapshot s = metrics.tally().snapshot(true);
-    assertEquals(worth, row(s, Metrics.WORTH, List.of("c", "z", "none"), 1_000_000));
-    assertEquals(requests, row(s, Metrics.REQUESTS, List.of("c", "z", "none"), 1));
-    assertEquals(verdicts, row(s, Metrics.VERDICTS, List.of("c", "z"), 1));
+    MetricsSnapshot s = metrics.registry().snapshotAndEndInterval();
+    assertEquals(
+        worth, row(s, MetricFamilies.PRIORITY_WEIGHT, List.of("c", "z", "none"), 1_000_000));
+    assertEquals(requests, row(s, MetricFamilies.REQUESTS, List.of("c", "z", "none"), 1));
+    assertEquals(verdicts, row(s, MetricFamilies.SERVICE_LEVEL, List.of("c", "z"), 1));
   }
 
   private static String row(
-      Snapshot s, lemondock.metrics.Family family, List<String> labels, long part) {
+      MetricsSnapshot s, MetricFamily family, List<String> labels, long part) {
     StringBuilder text = new StringBuilder();
     family
         .fields()
@@ -113,7 +115,13 @@
     call.onToolCallRelayed(5_010 * MS);
     call.onEnded(9_000 * MS, end(AnswerOutcome.Kind.SERVED, 3));
     assertCounts("3 0 3 0", "1 0 1 0 0 0", "1 0");
-    assertEquals("3 1 2", row(metrics.tally().snapshot(true), Metrics.TOOLS, List.of("c"), 1));
+    assertEquals(
+        "3 1 2",
+        row(
+            metrics.registry().snapshotAndEndInterval(),
+            MetricFamilies.TOOL_CALLS,
+            List.of("c"),
+            1));
   }
 
   @Test
@@ -123,7 +131,13 @@
     call.onToolCallRelayed(10 * MS);
     call.onEnded(20 * MS, end(AnswerOutcome.Kind.CANCELLED, 0));
     assertEquals(0, call.pendingToolCalls());
-    assertEquals("2 0 2", row(metrics.tally().snapshot(true), Metrics.TOOLS, List.of("c"), 1));
+    assertEquals(
+        "2 0 2",
+        row(
+            metrics.registry().snapshotAndEndInterval(),
+            MetricFamilies.TOOL_CALLS,
+            List.of("c"),
+            1));
   }
 
   @Test
@@ -164,10 +178,11 @@
     for (int i = 0; i < 200; i++) {
       metrics.attempts().attemptSent(ServerRole.READER, "zone" + i);
     }
-    Snapshot s = metrics.tally().snapshot(true);
-    assertEquals("3 1 1 1", row(s, Metrics.HELD, List.of("south"), 1));
-    assertEquals(2, s.value(Metrics.HELD_TIME, "count", List.of("south")));
-    assertEquals("1 1 1 1 1 1 1 1 1 1", row(s, Metrics.ATTEMPTS, List.of("writer", "south"), 1));
-    assertEquals(137, s.value(Metrics.ATTEMPTS, "sent", List.of("reader", "other")));
+    MetricsSnapshot s = metrics.registry().snapshotAndEndInterval();
+    assertEquals("3 1 1 1", row(s, MetricFamilies.RESERVED_STATES, List.of("south"), 1));
+    assertEquals(2, s.value(MetricFamilies.RESERVED_STATE_DURATION, "count", List.of("south")));
+    assertEquals(
+        "1 1 1 1 1 1 1 1 1 1", row(s, MetricFamilies.ATTEMPTS, List.of("writer", "south"), 1));
+    assertEquals(137, s.value(MetricFamilies.ATTEMPTS, "sent", List.of("reader", "other")));
   }
 }
