--- a/anomaly/src/main/java/lemondock/anomaly/WindowedCounts.java
+++ b/anomaly/src/main/java/lemondock/anomaly/WindowedCounts.java
@@ -27,9 +27,10 @@
 
   /** Empties the buckets that have come since the last call. */
   private void advanceTo(long bucket) {
-    for (long b = Math.max(latestBucket + 1, bucket - good.length + 1); b <= bucket; b++) {
-      good[slot(b)] = 0;
-      bad[slot(b)] = 0;
+    long firstNewBucket = Math.max(latestBucket + 1, bucket - good.length + 1);
+    for (long newBucket = firstNewBucket; newBucket <= bucket; newBucket++) {
+      good[slot(newBucket)] = 0;
+      bad[slot(newBucket)] = 0;
     }
     latestBucket = bucket;
   }
@@ -60,8 +61,9 @@
 
   private long sumOverWindow(long[] counts, long windowMicros) {
     long sum = 0;
-    for (long b = latestBucket - windowMicros / bucketMicros + 1; b <= latestBucket; b++) {
-      sum += counts[slot(b)];
+    long firstBucket = latestBucket - windowMicros / bucketMicros + 1;
+    for (long bucket = firstBucket; bucket <= latestBucket; bucket++) {
+      sum += counts[slot(bucket)];
     }
     return sum;
   }
--- a/exporter/src/main/java/lemondock/exporter/LineEncoder.java
+++ b/exporter/src/main/java/lemondock/exporter/LineEncoder.java
@@ -9,16 +9,19 @@
   @Override
   public final int encode(
       BufferedSnapshot snapshot, int firstSeries, int targetBytes, ByteArrayOutputStream output) {
+    StringBuilder lines = new StringBuilder();
     int startBytes = output.size();
     int next = firstSeries;
     while (next < snapshot.series().size() && output.size() - startBytes < targetBytes) {
-      String lines = lines(snapshot, snapshot.series().get(next));
-      output.writeBytes(lines.getBytes(StandardCharsets.US_ASCII));
+      lines.setLength(0);
+      appendLines(snapshot, snapshot.series().get(next), lines);
+      output.writeBytes(lines.toString().getBytes(StandardCharsets.US_ASCII));
       next++;
     }
     return next;
   }
 
-  /** The lines of one series, each with its line feed. */
-  protected abstract String lines(BufferedSnapshot snapshot, Series series);
+  /** Appends the lines of one series, each with its line feed. */
+  protected abstract void appendLines(
+      BufferedSnapshot snapshot, Series series, StringBuilder lines);
 }
--- a/exporter/src/main/java/lemondock/exporter/collectd/PartWriter.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/PartWriter.java
@@ -60,49 +60,47 @@
 
   void writeText(PartType type, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    writeHeader(type, HEADER_BYTES + bytes.length + 1);
-    output.writeBytes(bytes);
-    output.write(0);
+    byte terminator = 0;
+    write(newPart(type, bytes.length + 1).put(bytes).put(terminator));
   }
 
   void writeNumber(PartType type, long value) {
-    writeHeader(type, HEADER_BYTES + Long.BYTES);
-    output.writeBytes(ByteBuffer.allocate(Long.BYTES).putLong(value).array());
+    write(newPart(type, Long.BYTES).putLong(value));
   }
 
   /** Writes the types of the values of a series, then the values. */
   void writeValues(Series series, long[] values, CounterType counterType) {
     List<MetricField> fields = series.family().fields();
-    writeHeader(PartType.VALUES, HEADER_BYTES + Short.BYTES + fields.size() * (1 + Long.BYTES));
-    writeShort(fields.size());
+    ByteBuffer part =
+        newPart(PartType.VALUES, Short.BYTES + fields.size() * (1 + Long.BYTES))
+            .putShort((short) fields.size());
     for (MetricField field : fields) {
-      output.write(field.kind() == MetricField.Kind.COUNTER ? counterType.code() : GAUGE_CODE);
+      boolean isCounter = field.kind() == MetricField.Kind.COUNTER;
+      part.put((byte) (isCounter ? counterType.code() : GAUGE_CODE));
     }
     for (int i = 0; i < fields.size(); i++) {
-      writeValue(fields.get(i), values[series.slot(i)]);
+      putValue(fields.get(i), values[series.slot(i)], part);
     }
+    write(part);
   }
 
   /** Counters are whole numbers in network order, gauges doubles in x86 order. */
-  private void writeValue(MetricField field, long value) {
-    ByteBuffer bytes = ByteBuffer.allocate(Long.BYTES);
+  private static void putValue(MetricField field, long value, ByteBuffer part) {
     if (field.kind() == MetricField.Kind.COUNTER) {
-      bytes.putLong(value);
+      part.putLong(value);
     } else {
-      bytes
-          .order(ByteOrder.LITTLE_ENDIAN)
-          .putDouble(field.hasValue(value) ? field.toDouble(value) : Double.NaN);
+      part.order(ByteOrder.LITTLE_ENDIAN)
+          .putDouble(field.hasValue(value) ? field.toDouble(value) : Double.NaN)
+          .order(ByteOrder.BIG_ENDIAN);
     }
-    output.writeBytes(bytes.array());
   }
 
-  private void writeHeader(PartType type, int length) {
-    writeShort(type.code);
-    writeShort(length);
+  private static ByteBuffer newPart(PartType type, int contentBytes) {
+    int length = HEADER_BYTES + contentBytes;
+    return ByteBuffer.allocate(length).putShort((short) type.code).putShort((short) length);
   }
 
-  private void writeShort(int value) {
-    output.write(value >> 8);
-    output.write(value);
+  private void write(ByteBuffer part) {
+    output.writeBytes(part.array());
   }
 }
--- a/exporter/src/main/java/lemondock/exporter/collectd/PutvalEncoder.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/PutvalEncoder.java
@@ -33,27 +33,27 @@
   }
 
   @Override
-  protected String lines(BufferedSnapshot snapshot, Series series) {
-    StringBuilder line =
-        new StringBuilder("PUTVAL \"")
-            .append(identifiers.host())
-            .append('/')
-            .append(CollectdIdentifiers.PLUGIN)
-            .append('-')
-            .append(identifiers.pluginInstance())
-            .append('/')
-            .append(CollectdIdentifiers.type(series.family()));
+  protected void appendLines(BufferedSnapshot snapshot, Series series, StringBuilder lines) {
+    lines
+        .append("PUTVAL \"")
+        .append(identifiers.host())
+        .append('/')
+        .append(CollectdIdentifiers.PLUGIN)
+        .append('-')
+        .append(identifiers.pluginInstance())
+        .append('/')
+        .append(CollectdIdentifiers.type(series.family()));
     String typeInstance = identifiers.typeInstance(series);
     if (!typeInstance.isEmpty()) {
-      line.append('-').append(typeInstance);
+      lines.append('-').append(typeInstance);
     }
-    line.append(intervalOption).append(seconds(snapshot.timestampMillis()));
+    lines.append(intervalOption).append(seconds(snapshot.timestampMillis()));
     List<MetricField> fields = series.family().fields();
     for (int i = 0; i < fields.size(); i++) {
-      line.append(':');
-      appendValue(fields.get(i), snapshot.values()[series.slot(i)], line);
+      lines.append(':');
+      appendValue(fields.get(i), snapshot.values()[series.slot(i)], lines);
     }
-    return line.append('\n').toString();
+    lines.append('\n');
   }
 
   private static void appendValue(MetricField field, long value, StringBuilder line) {
--- a/exporter/src/main/java/lemondock/exporter/graphite/PlaintextEncoder.java
+++ b/exporter/src/main/java/lemondock/exporter/graphite/PlaintextEncoder.java
@@ -27,8 +27,8 @@
   }
 
   @Override
-  protected String lines(BufferedSnapshot snapshot, Series series) {
-    StringBuilder lines = new StringBuilder();
+  protected void appendLines(BufferedSnapshot snapshot, Series series, StringBuilder lines) {
+    String lineEnd = " " + snapshot.timestampMillis() / MILLIS_PER_SECOND + "\n";
     List<String> fieldPaths = paths.pathsOf(series);
     for (int i = 0; i < fieldPaths.size(); i++) {
       MetricField field = series.family().fields().get(i);
@@ -36,9 +36,8 @@
       if (field.hasValue(value)) {
         lines.append(fieldPaths.get(i)).append(' ');
         field.appendDecimal(value, lines);
-        lines.append(' ').append(snapshot.timestampMillis() / MILLIS_PER_SECOND).append('\n');
+        lines.append(lineEnd);
       }
     }
-    return lines.toString();
   }
 }
