--- a/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
@@ -8,6 +8,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import lemondock.anomaly.CusumDetector;
 import lemondock.anomaly.DegradationChange;
@@ -114,13 +115,14 @@
     statusServer =
         new HttpServer(
             loop,
-            new HttpServerOptions(
-                HttpLimits.DEFAULT,
-                STATUS_CONNECTIONS,
-                STATUS_BODIES_BYTES,
-                STATUS_TIMEOUT_MICROS,
-                STATUS_TIMEOUT_MICROS,
-                STATUS_TIMEOUT_MICROS),
+            HttpServerOptions.builder()
+                .limits(HttpLimits.DEFAULT)
+                .maxConnections(STATUS_CONNECTIONS)
+                .maxBufferedBodyBytes(STATUS_BODIES_BYTES)
+                .idleTimeoutMicros(STATUS_TIMEOUT_MICROS)
+                .requestTimeoutMicros(STATUS_TIMEOUT_MICROS)
+                .stallTimeoutMicros(STATUS_TIMEOUT_MICROS)
+                .build(),
             statusPage::serve);
     statusServer.start(environment.network(), SettingsFile.resolveAddress(reporting.listen()));
   }
@@ -135,9 +137,9 @@
     return instance;
   }
 
-  /** The address that answers {@code lemondock status}; null if none is set. */
-  public InetSocketAddress statusAddress() {
-    return statusServer == null ? null : statusServer.address();
+  /** The address that answers {@code lemondock status}, if the settings name one; any thread. */
+  public Optional<InetSocketAddress> statusAddress() {
+    return Optional.ofNullable(statusServer).map(HttpServer::address);
   }
 
   /** The metrics as Micrometer's meters, for an embedding program's own registries. */
