--- /dev/null
+++ b/faultinjection/src/main/java/lemondock/faultinjection/AbandonedCallAudit.java
@@ -0,0 +1,30 @@
+package lemondock.faultinjection;
+
+import java.util.function.Consumer;
+
+/** No attempt may begin for a client that has left. */
+final class AbandonedCallAudit implements AttemptAudit {
+  private final RunHistory history;
+
+  AbandonedCallAudit(RunHistory history) {
+    this.history = history;
+  }
+
+  @Override
+  public void audit(ClientCall call, Arrival arrival, Consumer<Breach> breaches) {
+    if (!call.hasLeft() || !history.beganAfter(call.leftMicros(), call, arrival)) {
+      return;
+    }
+    breaches.accept(
+        new Breach(
+            Rule.BEGUN_AFTER_LEAVING,
+            "begun at "
+                + arrival.serverId()
+                + " "
+                + history.formatMoment(arrival.firstByteMicros())
+                + ", its client left "
+                + history.formatMoment(call.leftMicros())
+                + ": "
+                + history.describe(call)));
+  }
+}
--- /dev/null
+++ b/faultinjection/src/main/java/lemondock/faultinjection/AttemptAudits.java
@@ -0,0 +1,24 @@
+package lemondock.faultinjection;
+
+import java.util.List;
+import java.util.function.Consumer;
+
+/** Has each attempt audited that arrived when its gateway sent it. */
+final class AttemptAudits implements CallAudit {
+  private final RunHistory history;
+  private final List<AttemptAudit> audits;
+
+  AttemptAudits(RunHistory history, List<AttemptAudit> audits) {
+    this.history = history;
+    this.audits = audits;
+  }
+
+  @Override
+  public void audit(ClientCall call, Consumer<Breach> breaches) {
+    for (Arrival arrival : history.arrivals(call)) {
+      if (history.arrivedUndelayed(call, arrival)) {
+        audits.forEach(audit -> audit.audit(call, arrival, breaches));
+      }
+    }
+  }
+}
--- /dev/null
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ChatRequest.java
@@ -0,0 +1,33 @@
+package lemondock.faultinjection;
+
+import java.util.concurrent.TimeUnit;
+
+/** The requests of clients on the platform's protocol, as text. */
+final class ChatRequest {
+  private ChatRequest() {}
+
+  /**
+   * Formats the request of a call.
+   *
+   * @param promptCharacters length of the prompt
+   * @param prefixKey calls with the same number share the beginning of their prompts
+   */
+  static String format(ClientCall call, int promptCharacters, int prefixKey) {
+    String body =
+        "{\"model\":\"chat\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\""
+            + "x".repeat(promptCharacters)
+            + "\"}]}";
+    return "POST /v1/chat/completions HTTP/1.1\r\nhost: origin.svc\r\nx-request-id: "
+        + call.id()
+        + "\r\nx-class: "
+        + (call.effect() == CallEffect.ONCE ? "pay" : "chat")
+        + "\r\nx-key: k"
+        + prefixKey
+        + "\r\nx-deadline-ms: "
+        + TimeUnit.MICROSECONDS.toMillis(call.deadlineMicros())
+        + "\r\nx-extras: max_out=40\r\ncontent-length: "
+        + body.length()
+        + "\r\n\r\n"
+        + body;
+  }
+}
--- a/faultinjection/src/main/java/lemondock/faultinjection/DiscoveryAgent.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/DiscoveryAgent.java
@@ -8,82 +8,82 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.concurrent.atomic.AtomicInteger;
+import java.util.Optional;
+import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
+import lemondock.faultinjection.HttpMessageReader.Message;
+import lemondock.faultinjection.RunRecord.Announcement;
 
 /**
- * A stand-in for one gateway's discovery agent: tells the whole list, then changes to whoever
- * watches.
+ * An emulator of one gateway's discovery agent: answers with the full endpoint list, or holds a
+ * watch until the list has changed or the watch's time is up. Thread-safe; each connection has a
+ * thread of its own.
  */
 final class DiscoveryAgent implements AutoCloseable {
-  private final String gateway;
-  private final RunRecord truth;
-  private final ServerSocket port;
-  private final Map<String, Entry> entries = new LinkedHashMap<>();
-  private final AtomicInteger version = new AtomicInteger(1);
-
-  /** One server as listed here; {@code changed} is the version that brought it. */
-  record Entry(
-      String id,
-      String address,
-      String zone,
-      String kind,
-      String state,
-      long startedMillis,
-      int changed) {
-    String json() {
-      return "{\"id\":\"%s\",\"addr\":\"%s\",\"zone\":\"%s\",\"kind\":\"%s\",\"cell\":0,\"state\":\"%s\",\"weight\":1.0,\"started_ms\":%d}"
-          .formatted(id, address, zone, kind, state, startedMillis);
-    }
-  }
+  private static final int BACKLOG = 64;
+
+  private final String gatewayName;
+  private final RunRecord runRecord;
+  private final ServerSocket serverSocket;
+
+  /** By server id; guarded by this, as the version is. */
+  private final Map<String, ListEntry> entries = new LinkedHashMap<>();
 
-  DiscoveryAgent(String gateway, RunRecord truth) throws IOException {
-    this.gateway = gateway;
-    this.truth = truth;
-    this.port = new ServerSocket(0, 64, InetAddress.getByName("127.0.0.1"));
-    Thread accept = new Thread(this::accept, "discovery-" + gateway);
-    accept.setDaemon(true);
-    accept.start();
+  private int version = 1;
+
+  /** A server and the version of the list that brought its present state. */
+  private record ListEntry(ListedServer server, int version) {}
+
+  /** The body of an answer and the servers that it announces. */
+  private record Answer(String body, List<ListedServer> servers) {}
+
+  /** Begins to listen on a free port of loopback. */
+  DiscoveryAgent(String gatewayName, RunRecord runRecord) throws IOException {
+    this.gatewayName = gatewayName;
+    this.runRecord = runRecord;
+    this.serverSocket = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
+    DaemonThreads.start("discovery-" + gatewayName, this::acceptConnections);
   }
 
   InetSocketAddress address() {
-    return new InetSocketAddress("127.0.0.1", port.getLocalPort());
+    return new InetSocketAddress("127.0.0.1", serverSocket.getLocalPort());
   }
 
-  /** Lists a server anew. */
-  synchronized void list(
-      String id, String address, String zone, String kind, String state, long startedMillis) {
-    entries.put(
-        id, new Entry(id, address, zone, kind, state, startedMillis, version.incrementAndGet()));
+  /** Adds a server to the list, or replaces what the list says of it, and wakes watches. */
+  synchronized void update(ListedServer server) {
+    version++;
+    entries.put(server.id(), new ListEntry(server, version));
     notifyAll();
   }
 
-  /** The list as a gateway's configuration and a whole answer have it. */
-  synchronized String whole() {
-    return sheet(
-        true, entries.values().stream().filter(entry -> !entry.state().equals("gone")).toList());
+  /** The full list, as a gateway's configuration and an answer have it. */
+  synchronized String fullListJson() {
+    return listJson(true, listedServers());
+  }
+
+  private List<ListedServer> listedServers() {
+    return entries.values().stream().map(ListEntry::server).toList();
   }
 
-  private String sheet(boolean full, List<Entry> some) {
+  private String listJson(boolean full, Collection<ListedServer> servers) {
     return "{\"version\":"
         + version
         + ",\"full\":"
         + full
         + ",\"servers\":["
-        + some.stream().map(Entry::json).collect(Collectors.joining(","))
+        + servers.stream().map(ListedServer::toJson).collect(Collectors.joining(","))
         + "]}";
   }
 
-  private void accept() {
+  private void acceptConnections() {
     try {
       while (true) {
-        Socket socket = port.accept();
-        Thread serve = new Thread(null, () -> serve(socket), "watch-" + gateway, 128 * 1024);
-        serve.setDaemon(true);
-        serve.start();
+        Socket socket = serverSocket.accept();
+        DaemonThreads.start("watch-" + gatewayName, () -> serve(socket));
       }
     } catch (IOException e) {
       // closed
@@ -93,53 +93,66 @@
   private void serve(Socket socket) {
     try (socket) {
       InputStream in = new BufferedInputStream(socket.getInputStream());
-      for (HttpMessageReader.Message message = HttpMessageReader.read(in);
-          message != null;
-          message = HttpMessageReader.read(in)) {
-        String query = message.first().split(" ")[1];
-        List<Entry> news = new ArrayList<>();
-        String body = query.contains("since=") ? changes(query, news) : told(news);
-        socket
-            .getOutputStream()
-            .write(
-                HttpMessageReader.bytes(
-                    "HTTP/1.1 200 OK\r\ncontent-length: " + body.length() + "\r\n\r\n" + body));
-        long at = MonotonicClock.now();
-        news.forEach(
-            entry -> truth.told.add(new RunRecord.Told(gateway, entry.id(), entry.state(), at)));
+      Optional<Message> request = HttpMessageReader.read(in);
+      while (request.isPresent()) {
+        answer(socket, request.get());
+        request = HttpMessageReader.read(in);
       }
     } catch (IOException | RuntimeException e) {
       // the gateway has gone
     }
   }
 
-  private synchronized String told(List<Entry> news) {
-    news.addAll(entries.values());
-    return whole();
+  private void answer(Socket socket, Message request) throws IOException {
+    String target = request.target();
+    Answer answer = target.contains("since=") ? awaitChanges(target) : fullList();
+    String head = "HTTP/1.1 200 OK\r\ncontent-length: " + answer.body().length() + "\r\n\r\n";
+    HttpMessageWriter.write(socket, head + answer.body());
+    long writtenMicros = MonotonicClock.nowMicros();
+    for (ListedServer server : answer.servers()) {
+      runRecord.addAnnouncement(
+          new Announcement(gatewayName, server.id(), server.state(), writtenMicros));
+    }
+  }
+
+  private synchronized Answer fullList() {
+    return new Answer(fullListJson(), listedServers());
+  }
+
+  private synchronized Answer awaitChanges(String target) {
+    int since = queryNumber(target, "since=");
+    int timeoutMillis = queryNumber(target, "timeout_ms=");
+    awaitVersionAfter(
+        since, MonotonicClock.nowMicros() + TimeUnit.MILLISECONDS.toMicros(timeoutMillis));
+    List<ListedServer> changed = new ArrayList<>();
+    for (ListEntry entry : entries.values()) {
+      if (entry.version() > since) {
+        changed.add(entry.server());
+      }
+    }
+    return new Answer(listJson(false, changed), changed);
   }
 
-  private synchronized String changes(String query, List<Entry> news) {
-    int since = number(query, "since=");
-    long until = MonotonicClock.now() + number(query, "timeout_ms=") * MonotonicClock.MILLI;
+  private synchronized void awaitVersionAfter(int since, long untilMicros) {
     try {
-      while (version.get() <= since && MonotonicClock.now() < until) {
-        wait(Math.max(1, (until - MonotonicClock.now()) / MonotonicClock.MILLI));
+      while (version <= since && MonotonicClock.nowMicros() < untilMicros) {
+        long remainingMicros = untilMicros - MonotonicClock.nowMicros();
+        wait(Math.max(1, TimeUnit.MICROSECONDS.toMillis(remainingMicros)));
       }
     } catch (InterruptedException e) {
-      throw new IllegalStateException(e);
+      throw new IllegalStateException("interrupted while a watch waits", e);
     }
-    entries.values().stream().filter(entry -> entry.changed() > since).forEach(news::add);
-    return sheet(false, news);
   }
 
-  private static int number(String query, String name) {
-    int at = query.indexOf(name) + name.length();
-    int end = query.indexOf('&', at);
-    return Integer.parseInt(end < 0 ? query.substring(at) : query.substring(at, end));
+  private static int queryNumber(String target, String name) {
+    int begin = target.indexOf(name) + name.length();
+    int end = target.indexOf('&', begin);
+    return Integer.parseInt(end < 0 ? target.substring(begin) : target.substring(begin, end));
   }
 
+  /** Stops accepting connections; open ones end with their gateway. */
   @Override
   public void close() throws IOException {
-    port.close();
+    serverSocket.close();
   }
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/DisturbanceLog.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/DisturbanceLog.java
@@ -4,36 +4,47 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * The times in which something was not well, for whoever judges by what happened meanwhile.
- * Thread-safe.
+ * The periods in which faults were injected into a link or a process, so that audits can leave out
+ * what happened meanwhile. Thread-safe.
  */
 final class DisturbanceLog {
-  private final List<Trouble> all = new CopyOnWriteArrayList<>();
+  private final List<Disturbance> disturbances = new CopyOnWriteArrayList<>();
 
-  private static final class Trouble {
-    private final long began = MonotonicClock.now();
-    private volatile long ended = Long.MAX_VALUE;
+  private static final class Disturbance {
+    private final long beganMicros = MonotonicClock.nowMicros();
+    private volatile long endedMicros = Long.MAX_VALUE;
+
+    /** Ends it, unless it ended before. */
+    void end(long nowMicros) {
+      endedMicros = Math.min(endedMicros, nowMicros);
+    }
+
+    boolean overlaps(long fromMicros, long untilMicros) {
+      return beganMicros <= untilMicros && endedMicros >= fromMicros;
+    }
   }
 
-  /** From now on it is not well, until {@link #end}. */
+  /** Begins a disturbance that lasts until {@link #endAll}. */
   void begin() {
-    all.add(new Trouble());
+    disturbances.add(new Disturbance());
   }
 
-  /** Something short went wrong just now. */
-  void moment() {
-    Trouble now = new Trouble();
-    now.ended = now.began;
-    all.add(now);
+  /** Records a disturbance of this moment alone. */
+  void addMomentary() {
+    Disturbance disturbance = new Disturbance();
+    disturbance.end(disturbance.beganMicros);
+    disturbances.add(disturbance);
   }
 
-  /** All is well again. */
-  void end() {
-    long now = MonotonicClock.now();
-    all.forEach(trouble -> trouble.ended = Math.min(trouble.ended, now));
+  /** Ends all disturbances that still last. */
+  void endAll() {
+    long nowMicros = MonotonicClock.nowMicros();
+    disturbances.forEach(disturbance -> disturbance.end(nowMicros));
   }
 
-  boolean noneBetween(long from, long until) {
-    return all.stream().noneMatch(trouble -> trouble.began <= until && trouble.ended >= from);
+  /** Whether there was no disturbance in that period. */
+  boolean noneBetween(long fromMicros, long untilMicros) {
+    return disturbances.stream()
+        .noneMatch(disturbance -> disturbance.overlaps(fromMicros, untilMicros));
   }
 }
--- /dev/null
+++ b/faultinjection/src/main/java/lemondock/faultinjection/DuplicateEffectAudit.java
@@ -0,0 +1,35 @@
+package lemondock.faultinjection;
+
+import java.util.List;
+import java.util.function.Consumer;
+
+/** A non-idempotent call must not run twice, and not at all if it was rejected. */
+final class DuplicateEffectAudit implements CallAudit {
+  private final RunHistory history;
+
+  DuplicateEffectAudit(RunHistory history) {
+    this.history = history;
+  }
+
+  @Override
+  public void audit(ClientCall call, Consumer<Breach> breaches) {
+    if (call.effect() == CallEffect.SAFE) {
+      return;
+    }
+    List<Arrival> runs =
+        history.arrivals(call).stream()
+            .filter(arrival -> arrival.role() == ServerRole.WRITER)
+            .filter(arrival -> arrival.fate() == AttemptFate.RAN)
+            .toList();
+    if (runs.size() > 1) {
+      add("ran " + runs.size() + " times", call, breaches);
+    }
+    if (!runs.isEmpty() && call.outcome() == CallOutcome.REFUSED) {
+      add("refused though it ran at " + runs.get(0).serverId(), call, breaches);
+    }
+  }
+
+  private void add(String description, ClientCall call, Consumer<Breach> breaches) {
+    breaches.accept(new Breach(Rule.DUPLICATE, description + ": " + history.describe(call)));
+  }
+}
--- a/faultinjection/src/main/java/lemondock/faultinjection/FaultInjector.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultInjector.java
@@ -3,18 +3,22 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.SplittableRandom;
-import lemondock.faultinjection.FaultProxy.Admission;
-import lemondock.faultinjection.FaultProxy.Flow;
-import lemondock.faultinjection.FaultProxy.Link;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
 
-/** Carries out the steps of a plan on a fleet, each on a thread of its own. */
+/**
+ * Injects the faults of a plan into a fleet. Each fault is injected by a thread of its own, which
+ * it keeps until the fault has ended; signals to one gateway exclude each other.
+ */
 final class FaultInjector {
-  private static final long RESET_PAUSE = 80 * MonotonicClock.MILLI;
-  private static final long FREEZE = 130 * MonotonicClock.MILLI;
-  private static final long FREEZE_PAUSE = 700 * MonotonicClock.MILLI;
-  private static final long DOWN = 400 * MonotonicClock.MILLI;
-  private static final long HOUR_MILLIS = 3_600_000;
-  private static final int SLOWEST_MILLIS = 120;
+  private static final long RESET_INTERVAL_MICROS = TimeUnit.MILLISECONDS.toMicros(80);
+  private static final long FREEZE_MICROS = TimeUnit.MILLISECONDS.toMicros(130);
+  private static final long FREEZE_PAUSE_MICROS = TimeUnit.MILLISECONDS.toMicros(700);
+  private static final long KILLED_DOWN_MICROS = TimeUnit.MILLISECONDS.toMicros(400);
+  private static final int MAX_LINK_DELAY_MILLIS = 120;
+  private static final long HOUR_MILLIS = TimeUnit.HOURS.toMillis(1);
+  private static final long MIN_CLOCK_STEP_MILLIS = 1_000;
+  private static final long MAX_CLOCK_STEP_MILLIS = 10_000;
 
   private final ProcessFleet fleet;
 
@@ -22,190 +26,211 @@
     this.fleet = fleet;
   }
 
-  /** Begins the fault now, and ends it after its time. */
-  void carryOut(FaultPlan.Step step) throws IOException, InterruptedException {
+  /**
+   * Begins the fault now, and returns once its time is over and it is ended. What a fault draws, it
+   * draws from the step's seed in a fixed order.
+   */
+  void inject(FaultPlan.Step step) throws IOException, InterruptedException {
     SplittableRandom random = new SplittableRandom(step.seed());
-    GatewayProcess gateway = fleet.gateways.get(random.nextInt(fleet.gateways.size()));
-    long until = MonotonicClock.now() + step.lasting();
+    GatewayProcess gateway = fleet.gateways().get(random.nextInt(fleet.gateways().size()));
+    long untilMicros = MonotonicClock.nowMicros() + step.durationMicros();
     switch (step.kind()) {
-      case SILENT_WRITERS -> silence(mostOf(false, random), Flow.HOLD, Flow.HOLD, until, random);
-      case SILENT_READERS -> silence(mostOf(true, random), Flow.HOLD, Flow.HOLD, until, random);
-      case ZONE_CUT ->
-          silence(
-              fleet.links(
-                  each -> each == gateway, server -> !server.zone.equals(fleet.zone(gateway))),
-              Flow.HOLD,
-              Flow.HOLD,
-              until,
-              random);
-      case ANSWERS_HELD -> silence(someLinks(random), Flow.PASS, Flow.HOLD, until, random);
-      case REQUESTS_HELD -> silence(someLinks(random), Flow.HOLD, Flow.PASS, until, random);
-      case RESETS -> resets(someLinks(random), until);
-      case SLOW_LINKS ->
-          slow(
-              someLinks(random),
-              (1 + random.nextInt(SLOWEST_MILLIS)) * MonotonicClock.MILLI,
-              until);
-      case REFUSED -> admission(someLinks(random), Admission.RESET, until);
-      case HALF_OPEN -> admission(someLinks(random), Admission.HALF_OPEN, until);
-      case SERVERS_HANG -> hang(random, until);
-      case SERVER_RESTARTS -> fleet.restartCold(anyServer(random), step.lasting() / 4);
-      case SERVERS_DRAIN -> drain(random, until);
-      case DISCOVERY_SILENT ->
-          silence(List.of(fleet.discovery(gateway)), Flow.HOLD, Flow.HOLD, until, random);
-      case DISCOVERY_RESET -> resets(List.of(fleet.discovery(gateway)), until);
-      case GATEWAY_TERMINATED -> terminate(gateway);
-      case GATEWAY_KILLED -> killed(gateway);
-      case GATEWAY_FREEZES -> freezes(gateway, until);
+      case SILENT_WRITERS -> silence(linksToMost(ServerRole.WRITER, random), untilMicros, random);
+      case SILENT_READERS -> silence(linksToMost(ServerRole.READER, random), untilMicros, random);
+      case ZONE_CUT -> silence(linksToOtherZones(gateway), untilMicros, random);
+      case ANSWERS_HELD ->
+          hold(someLinks(random), LinkFlow.PASS, LinkFlow.HOLD, untilMicros, random);
+      case REQUESTS_HELD ->
+          hold(someLinks(random), LinkFlow.HOLD, LinkFlow.PASS, untilMicros, random);
+      case RESETS -> resetRepeatedly(someLinks(random), untilMicros);
+      case SLOW_LINKS -> slowDown(someLinks(random), untilMicros, random);
+      case REFUSED -> setAdmission(someLinks(random), LinkAdmission.RESET, untilMicros);
+      case HALF_OPEN -> setAdmission(someLinks(random), LinkAdmission.HALF_OPEN, untilMicros);
+      case SERVERS_HANG -> hangServers(untilMicros, random);
+      case SERVER_RESTARTS -> fleet.restartCold(anyServer(random), step.durationMicros() / 4);
+      case SERVERS_DRAIN -> drainServers(untilMicros, random);
+      case DISCOVERY_SILENT -> silence(List.of(fleet.discoveryLink(gateway)), untilMicros, random);
+      case DISCOVERY_RESET -> resetRepeatedly(List.of(fleet.discoveryLink(gateway)), untilMicros);
+      case GATEWAY_TERMINATED -> terminateAndRestart(gateway);
+      case GATEWAY_KILLED -> killAndRestart(gateway);
+      case GATEWAY_FREEZES -> freezeRepeatedly(gateway, untilMicros);
       case GATEWAY_RELOADS -> reload(gateway);
-      case CLOCK_STEP -> clock(gateway, random);
-      case CALLS_FAIL -> callsFail(gateway, random, until);
-      case CALLS_INTERRUPTED -> callsInterrupted(gateway, random, until);
+      case CLOCK_STEP -> stepClock(gateway, random);
+      case CALLS_FAIL -> failCalls(gateway, untilMicros, shim -> setFailureRates(shim, random));
+      case CALLS_INTERRUPTED ->
+          failCalls(gateway, untilMicros, shim -> setInterruptionRates(shim, random));
       default -> throw new IllegalArgumentException("unknown fault " + step.kind());
     }
   }
 
   private ModelServer anyServer(SplittableRandom random) {
-    return fleet.servers.get(random.nextInt(fleet.servers.size()));
+    return fleet.servers().get(random.nextInt(fleet.servers().size()));
   }
 
-  /** The links of all gateways to four in five servers of a role. */
-  private List<Link> mostOf(boolean readers, SplittableRandom random) {
-    List<ModelServer> role =
-        fleet.servers.stream().filter(server -> server.reads == readers).toList();
-    int spared = random.nextInt(role.size());
+  // ==== links
+
+  /** The links of all gateways to all servers of a role but one; to that one if it is alone. */
+  private List<ProxyLink> linksToMost(ServerRole role, SplittableRandom random) {
+    List<ModelServer> servers =
+        fleet.servers().stream().filter(server -> server.role() == role).toList();
+    ModelServer spared = servers.get(random.nextInt(servers.size()));
     return fleet.links(
         gateway -> true,
-        server -> role.contains(server) && (role.size() == 1 || server != role.get(spared)));
+        server -> servers.contains(server) && (servers.size() == 1 || server != spared));
+  }
+
+  private List<ProxyLink> linksToOtherZones(GatewayProcess gateway) {
+    String zone = fleet.zone(gateway);
+    return fleet.links(each -> each == gateway, server -> !server.zone().equals(zone));
   }
 
-  private List<Link> someLinks(SplittableRandom random) {
+  private List<ProxyLink> someLinks(SplittableRandom random) {
     double share = 0.2 + 0.6 * random.nextDouble();
     return fleet.links(gateway -> true, server -> random.nextDouble() < share);
   }
 
-  private void silence(
-      List<Link> links, Flow toServer, Flow toClient, long until, SplittableRandom random) {
-    links.forEach(link -> link.set(toServer, toClient, Admission.ACCEPT));
-    MonotonicClock.sleepUntil(until);
+  private void silence(List<ProxyLink> links, long untilMicros, SplittableRandom random) {
+    hold(links, LinkFlow.HOLD, LinkFlow.HOLD, untilMicros, random);
+  }
+
+  /** Holds bytes back; afterwards they are delivered, or lost with their connections. */
+  private void hold(
+      List<ProxyLink> links,
+      LinkFlow flowToServer,
+      LinkFlow flowToClient,
+      long untilMicros,
+      SplittableRandom random) {
+    links.forEach(link -> link.setFault(flowToServer, flowToClient, LinkAdmission.ACCEPT));
+    MonotonicClock.sleepUntil(untilMicros);
     if (random.nextBoolean()) {
-      links.forEach(Link::reset);
+      links.forEach(ProxyLink::reset);
     }
-    links.forEach(Link::heal);
+    links.forEach(ProxyLink::heal);
   }
 
-  private void resets(List<Link> links, long until) {
-    while (MonotonicClock.now() < until) {
-      links.forEach(Link::reset);
-      MonotonicClock.sleep(RESET_PAUSE);
+  private void resetRepeatedly(List<ProxyLink> links, long untilMicros) {
+    while (MonotonicClock.nowMicros() < untilMicros) {
+      links.forEach(ProxyLink::reset);
+      MonotonicClock.sleepMicros(RESET_INTERVAL_MICROS);
     }
   }
 
-  private void slow(List<Link> links, long delay, long until) {
-    links.forEach(link -> link.delay(delay));
-    MonotonicClock.sleepUntil(until);
-    links.forEach(Link::heal);
+  private void slowDown(List<ProxyLink> links, long untilMicros, SplittableRandom random) {
+    long delayMillis = 1 + random.nextInt(MAX_LINK_DELAY_MILLIS);
+    long delayMicros = TimeUnit.MILLISECONDS.toMicros(delayMillis);
+    links.forEach(link -> link.setDelayMicros(delayMicros));
+    MonotonicClock.sleepUntil(untilMicros);
+    links.forEach(ProxyLink::heal);
   }
 
-  private void admission(List<Link> links, Admission admission, long until) {
+  private void setAdmission(List<ProxyLink> links, LinkAdmission admission, long untilMicros) {
     links.forEach(
         link -> {
-          link.set(Flow.PASS, Flow.PASS, admission);
+          link.setFault(LinkFlow.PASS, LinkFlow.PASS, admission);
           link.reset();
         });
-    MonotonicClock.sleepUntil(until);
-    links.forEach(Link::heal);
+    MonotonicClock.sleepUntil(untilMicros);
+    links.forEach(ProxyLink::heal);
   }
 
-  private void hang(SplittableRandom random, long until) {
+  // ==== servers
+
+  private void hangServers(long untilMicros, SplittableRandom random) {
     double share = 0.2 + 0.4 * random.nextDouble();
-    List<ModelServer> some =
-        fleet.servers.stream().filter(server -> random.nextDouble() < share).toList();
-    some.forEach(server -> server.hang(true));
-    MonotonicClock.sleepUntil(until);
-    some.forEach(server -> server.hang(false));
-  }
-
-  private void drain(SplittableRandom random, long until) throws IOException {
-    List<ModelServer> some =
-        fleet.servers.stream().filter(server -> random.nextInt(4) == 0).toList();
-    for (ModelServer server : some) {
-      fleet.list(server, "draining");
+    List<ModelServer> servers =
+        fleet.servers().stream().filter(server -> random.nextDouble() < share).toList();
+    servers.forEach(server -> server.setHanging(true));
+    MonotonicClock.sleepUntil(untilMicros);
+    servers.forEach(server -> server.setHanging(false));
+  }
+
+  private void drainServers(long untilMicros, SplittableRandom random) throws IOException {
+    List<ModelServer> servers =
+        fleet.servers().stream().filter(server -> random.nextInt(4) == 0).toList();
+    for (ModelServer server : servers) {
+      fleet.list(server, ListedState.DRAINING);
     }
-    MonotonicClock.sleepUntil(until);
-    for (ModelServer server : some) {
-      fleet.list(server, "ready");
+    MonotonicClock.sleepUntil(untilMicros);
+    for (ModelServer server : servers) {
+      fleet.list(server, ListedState.READY);
     }
   }
 
-  private void terminate(GatewayProcess gateway) throws IOException, InterruptedException {
+  // ==== gateways
+
+  private void terminateAndRestart(GatewayProcess gateway)
+      throws IOException, InterruptedException {
     synchronized (gateway) {
-      if (gateway.alive()) {
-        gateway.terminate(fleet.shape.killAfterMs());
+      if (gateway.isAlive()) {
+        gateway.terminate(fleet.shape().killAfterMs());
         fleet.restart(gateway);
         gateway.awaitReady();
       }
     }
   }
 
-  private void killed(GatewayProcess gateway) throws IOException, InterruptedException {
+  private void killAndRestart(GatewayProcess gateway) throws IOException, InterruptedException {
     synchronized (gateway) {
-      if (gateway.alive()) {
+      if (gateway.isAlive()) {
         gateway.kill();
-        MonotonicClock.sleep(DOWN);
+        MonotonicClock.sleepMicros(KILLED_DOWN_MICROS);
         fleet.restart(gateway);
         gateway.awaitReady();
       }
     }
   }
 
-  private void freezes(GatewayProcess gateway, long until) {
-    while (MonotonicClock.now() < until) {
+  private void freezeRepeatedly(GatewayProcess gateway, long untilMicros) {
+    while (MonotonicClock.nowMicros() < untilMicros) {
       synchronized (gateway) {
         gateway.signal("STOP");
-        MonotonicClock.sleep(FREEZE);
+        MonotonicClock.sleepMicros(FREEZE_MICROS);
         gateway.signal("CONT");
       }
-      MonotonicClock.sleep(FREEZE_PAUSE);
+      MonotonicClock.sleepMicros(FREEZE_PAUSE_MICROS);
     }
   }
 
   private void reload(GatewayProcess gateway) throws IOException {
     synchronized (gateway) {
-      if (gateway.alive()) {
+      if (gateway.isAlive()) {
         fleet.moveDiscovery(gateway);
       }
     }
   }
 
-  private void clock(GatewayProcess gateway, SplittableRandom random) {
-    long size = random.nextBoolean() ? HOUR_MILLIS : 1_000 + random.nextLong(9_000);
-    gateway.shim().ifPresent(shim -> shim.wallClockOffset(random.nextBoolean() ? size : -size));
-  }
-
-  private void callsFail(GatewayProcess gateway, SplittableRandom random, long until) {
+  private void stepClock(GatewayProcess gateway, SplittableRandom random) {
+    long stepMillis =
+        random.nextBoolean()
+            ? HOUR_MILLIS
+            : MIN_CLOCK_STEP_MILLIS
+                + random.nextLong(MAX_CLOCK_STEP_MILLIS - MIN_CLOCK_STEP_MILLIS);
     gateway
         .shim()
         .ifPresent(
-            shim -> {
-              shim.rate(FaultShim.Fault.ACCEPT, random.nextLong(300_000));
-              shim.rate(FaultShim.Fault.SOCKET, random.nextLong(100_000));
-              shim.rate(FaultShim.Fault.CONNECT, random.nextLong(300_000));
-              shim.rate(FaultShim.Fault.TIMEOUT, random.nextLong(3_000));
-              MonotonicClock.sleepUntil(until);
-              shim.heal();
-            });
+            shim -> shim.setWallClockOffsetMillis(random.nextBoolean() ? stepMillis : -stepMillis));
   }
 
-  private void callsInterrupted(GatewayProcess gateway, SplittableRandom random, long until) {
+  private void failCalls(GatewayProcess gateway, long untilMicros, Consumer<FaultShim> setRates) {
     gateway
         .shim()
         .ifPresent(
             shim -> {
-              shim.rate(FaultShim.Fault.INTERRUPT, random.nextLong(200_000));
-              shim.rate(FaultShim.Fault.SHORTEN, random.nextLong(400_000));
-              MonotonicClock.sleepUntil(until);
+              setRates.accept(shim);
+              MonotonicClock.sleepUntil(untilMicros);
               shim.heal();
             });
   }
+
+  private static void setFailureRates(FaultShim shim, SplittableRandom random) {
+    shim.setFailureRate(FaultShim.Fault.ACCEPT, random.nextLong(300_000));
+    shim.setFailureRate(FaultShim.Fault.SOCKET, random.nextLong(100_000));
+    shim.setFailureRate(FaultShim.Fault.CONNECT, random.nextLong(300_000));
+    shim.setFailureRate(FaultShim.Fault.TIMEOUT, random.nextLong(3_000));
+  }
+
+  private static void setInterruptionRates(FaultShim shim, SplittableRandom random) {
+    shim.setFailureRate(FaultShim.Fault.INTERRUPT, random.nextLong(200_000));
+    shim.setFailureRate(FaultShim.Fault.SHORTEN, random.nextLong(400_000));
+  }
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/FaultPlan.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultPlan.java
@@ -4,84 +4,84 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.SplittableRandom;
+import java.util.concurrent.TimeUnit;
 
-/** What befalls a fleet in one run, drawn from a seed. */
+/**
+ * The fleet of one run and the faults that are injected into it, drawn from a seed.
+ *
+ * @param crowd whether the gateways have several times their usual clients
+ * @param termination whether all gateways are terminated at the end of the load
+ * @param steps the faults by their begin
+ */
 record FaultPlan(FleetShape shape, boolean crowd, boolean termination, List<Step> steps) {
-  private static final long FIRST_AT = 800 * MonotonicClock.MILLI;
-  private static final long LAST_AT = 8_000 * MonotonicClock.MILLI;
-  private static final long SHORTEST = 300 * MonotonicClock.MILLI;
-  private static final long LONGEST = 3_500 * MonotonicClock.MILLI;
-  private static final double CROWD_SHARE = 0.25;
+  private static final long FIRST_BEGIN_MICROS = TimeUnit.MILLISECONDS.toMicros(800);
+  private static final long LAST_BEGIN_MICROS = TimeUnit.MILLISECONDS.toMicros(8_000);
+  private static final long MIN_DURATION_MICROS = TimeUnit.MILLISECONDS.toMicros(300);
+  private static final long MAX_DURATION_MICROS = TimeUnit.MILLISECONDS.toMicros(3_500);
+  private static final double CROWD_PROBABILITY = 0.25;
+  private static final double MICROS_PER_SECOND = 1e6;
+  private static final long DRAIN_GRACE_MILLIS = 250;
 
-  /** One fault. */
-  enum Kind {
-    /** Most servers of one role fall silent together; what was sent arrives late or never. */
-    SILENT_WRITERS,
-    SILENT_READERS,
-    /** A gateway's zone is cut from the other zones. */
-    ZONE_CUT,
-    /** Some links carry bytes one way only. */
-    ANSWERS_HELD,
-    REQUESTS_HELD,
-    /**
-     * Some links are reset again and again, slow, refuse connections, or let them come up without a
-     * far side.
-     */
-    RESETS,
-    SLOW_LINKS,
-    REFUSED,
-    HALF_OPEN,
-    /** Some servers hang, die and come back cold, or are told to drain. */
-    SERVERS_HANG,
-    SERVER_RESTARTS,
-    SERVERS_DRAIN,
-    /** Discovery says nothing, or resets its connections. */
-    DISCOVERY_SILENT,
-    DISCOVERY_RESET,
-    /** Signals to a gateway: SIGTERM and SIGKILL, SIGKILL alone, SIGSTOP for a moment, SIGHUP. */
-    GATEWAY_TERMINATED,
-    GATEWAY_KILLED,
-    GATEWAY_FREEZES,
-    GATEWAY_RELOADS,
-    /** The wall clock steps; system calls fail; reads and writes are interrupted and short. */
-    CLOCK_STEP,
-    CALLS_FAIL,
-    CALLS_INTERRUPTED
-  }
-
-  /** A fault, when it begins and how long it lasts (microseconds from the start of the load). */
-  record Step(Kind kind, long at, long lasting, long seed) {
+  /**
+   * One fault of a plan.
+   *
+   * @param beginMicros from the start of the load
+   * @param seed draws what the kind leaves open, as the links that are chosen
+   */
+  record Step(FaultKind kind, long beginMicros, long durationMicros, long seed) {
     @Override
     public String toString() {
-      return String.format("%s %.1f+%.1f", kind, at / 1e6, lasting / 1e6);
+      return String.format(
+          "%s %.1f+%.1f",
+          kind, beginMicros / MICROS_PER_SECOND, durationMicros / MICROS_PER_SECOND);
     }
   }
 
-  /** Draws the plan of that seed. */
+  /** Draws the plan of a seed. A plan depends on its seed alone: the order of draws is fixed. */
   static FaultPlan draw(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    long release = random.nextBoolean() ? 500 : 300;
-    FleetShape shape =
-        new FleetShape(
-            2 + random.nextInt(2),
-            3 + random.nextInt(3),
-            4 + random.nextInt(3),
-            release,
-            2_000 + 500L * random.nextInt(4),
-            6 + random.nextInt(5),
-            random.nextBoolean() ? 15_000 : 3_000,
-            250);
+    FleetShape shape = drawShape(random);
+    List<Step> steps = drawSteps(random);
+    boolean crowd = random.nextDouble() < CROWD_PROBABILITY;
+    boolean termination = random.nextBoolean();
+    return new FaultPlan(shape, crowd, termination, steps);
+  }
+
+  private static FleetShape drawShape(SplittableRandom random) {
+    long releaseWithinMillis = random.nextBoolean() ? 500 : 300;
+    int gateways = 2 + random.nextInt(2);
+    int readers = 3 + random.nextInt(3);
+    int writers = 4 + random.nextInt(3);
+    long deadlineMillis = 2_000 + 500L * random.nextInt(4);
+    int clientsPerGateway = 6 + random.nextInt(5);
+    long idleMillis = random.nextBoolean() ? 15_000 : 3_000;
+    return new FleetShape(
+        gateways,
+        readers,
+        writers,
+        releaseWithinMillis,
+        deadlineMillis,
+        clientsPerGateway,
+        idleMillis,
+        DRAIN_GRACE_MILLIS);
+  }
+
+  private static List<Step> drawSteps(SplittableRandom random) {
     List<Step> steps = new ArrayList<>();
-    Kind[] kinds = Kind.values();
-    for (int i = 2 + random.nextInt(5); i > 0; i--) {
-      steps.add(
-          new Step(
-              kinds[random.nextInt(kinds.length)],
-              FIRST_AT + random.nextLong(LAST_AT - FIRST_AT),
-              SHORTEST + random.nextLong(LONGEST - SHORTEST),
-              random.nextLong()));
+    int count = 2 + random.nextInt(5);
+    for (int i = 0; i < count; i++) {
+      steps.add(drawStep(random));
     }
-    steps.sort(Comparator.comparingLong(Step::at));
-    return new FaultPlan(shape, random.nextDouble() < CROWD_SHARE, random.nextBoolean(), steps);
+    steps.sort(Comparator.comparingLong(Step::beginMicros));
+    return steps;
+  }
+
+  private static Step drawStep(SplittableRandom random) {
+    FaultKind[] kinds = FaultKind.values();
+    FaultKind kind = kinds[random.nextInt(kinds.length)];
+    long beginMicros = FIRST_BEGIN_MICROS + random.nextLong(LAST_BEGIN_MICROS - FIRST_BEGIN_MICROS);
+    long durationMicros =
+        MIN_DURATION_MICROS + random.nextLong(MAX_DURATION_MICROS - MIN_DURATION_MICROS);
+    return new Step(kind, beginMicros, durationMicros, random.nextLong());
   }
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/FaultShim.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultShim.java
@@ -8,27 +8,30 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
+import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
 /**
- * The control of one process's preloaded library (faultshim.c): its wall clock, and how often its
- * system calls fail.
+ * Controls the library that is preloaded into one process (faultshim.c): the wall clock that the
+ * process sees, and how often its system calls fail. The two share a file of 64-bit words, which
+ * the library maps; a word may be changed from any thread while the process runs.
  */
 final class FaultShim {
   private static final String SOURCE = "faultshim.c";
-  private static final int WORD = Long.BYTES;
+  private static final int WORD_BYTES = Long.BYTES;
   private static final int WORDS = 10;
-  private static final int SEED = 9;
+  private static final int CLOCK_OFFSET_WORD = 0;
+  private static final int SEED_WORD = 9;
   private static final long COMPILE_SECONDS = 60;
 
   private final Path library;
-  private final Path file;
+  private final Path controlFile;
   private final MappedByteBuffer words;
-  private final DisturbanceLog troubles = new DisturbanceLog();
+  private final DisturbanceLog disturbances = new DisturbanceLog();
 
-  /** What can be made to fail; each has a rate in parts of a million. */
+  /** A kind of failure of system calls. */
   enum Fault {
     /** {@code accept} fails: ECONNABORTED, ENFILE, ENOBUFS or EINTR. */
     ACCEPT(1),
@@ -59,36 +62,28 @@
   /** Makes a control file in a folder for a library that was {@link #compile compiled}. */
   FaultShim(Path library, Path folder, String name, long seed) throws IOException {
     this.library = library;
-    this.file = folder.resolve(name + ".faults");
-    Files.write(file, new byte[WORDS * WORD]);
+    this.controlFile = folder.resolve(name + ".faults");
+    Files.write(controlFile, new byte[WORDS * WORD_BYTES]);
     try (FileChannel channel =
-        FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-      words = channel.map(FileChannel.MapMode.READ_WRITE, 0, WORDS * WORD);
+        FileChannel.open(controlFile, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
+      words = channel.map(FileChannel.MapMode.READ_WRITE, 0, WORDS * WORD_BYTES);
     }
     words.order(ByteOrder.nativeOrder());
-    words.putLong(SEED * WORD, seed);
+    setWord(SEED_WORD, seed);
   }
 
-  /** Compiles the library into a folder; empty where no C compiler is present. */
+  /**
+   * Compiles the library.
+   *
+   * @param project the root of the repository, which has the source
+   * @param folder where the library goes
+   * @return the library; empty where no C compiler is present
+   */
   static Optional<Path> compile(Path project, Path folder) {
     Path library = folder.resolve("faultshim.so");
     Path source = project.resolve("faultinjection/src/main/c").resolve(SOURCE);
     try {
-      Process compiler =
-          new ProcessBuilder(
-                  "cc",
-                  "-O2",
-                  "-shared",
-                  "-fPIC",
-                  "-o",
-                  library.toString(),
-                  source.toString(),
-                  "-ldl")
-              .inheritIO()
-              .start();
-      boolean done =
-          compiler.waitFor(COMPILE_SECONDS, TimeUnit.SECONDS) && compiler.exitValue() == 0;
-      return done ? Optional.of(library) : Optional.empty();
+      return runCompiler(source, library) ? Optional.of(library) : Optional.empty();
     } catch (IOException e) {
       return Optional.empty();
     } catch (InterruptedException e) {
@@ -96,41 +91,54 @@
     }
   }
 
-  /** What a process must be started with. */
+  private static boolean runCompiler(Path source, Path library)
+      throws IOException, InterruptedException {
+    List<String> command =
+        List.of(
+            "cc", "-O2", "-shared", "-fPIC", "-o", library.toString(), source.toString(), "-ldl");
+    Process compiler = new ProcessBuilder(command).inheritIO().start();
+    return compiler.waitFor(COMPILE_SECONDS, TimeUnit.SECONDS) && compiler.exitValue() == 0;
+  }
+
+  /** The environment variables that a process must be started with to be under this control. */
   Map<String, String> environment() {
-    return Map.of("LD_PRELOAD", library.toString(), "LEMONDOCK_FAULTS", file.toString());
+    return Map.of("LD_PRELOAD", library.toString(), "LEMONDOCK_FAULTS", controlFile.toString());
   }
 
   /** Moves the wall clock to so many milliseconds off the true one. */
-  void wallClockOffset(long millis) {
-    words.putLong(0, millis);
+  void setWallClockOffsetMillis(long millis) {
+    setWord(CLOCK_OFFSET_WORD, millis);
   }
 
-  /** Lets a system call fail in so many of a million cases from now on. */
-  void rate(Fault fault, long perMillion) {
+  /** Lets system calls fail in so many of a million cases from now on. */
+  void setFailureRate(Fault fault, long perMillion) {
     if (perMillion > 0) {
-      troubles.begin();
+      disturbances.begin();
     }
-    words.putLong(fault.word * WORD, perMillion);
+    setWord(fault.word, perMillion);
   }
 
-  /** Lets all system calls work again; the clock stays. */
+  /** Lets all system calls work again; the clock stays as it is. */
   void heal() {
     for (Fault fault : Fault.values()) {
-      rate(fault, 0);
+      setFailureRate(fault, 0);
     }
-    troubles.end();
+    disturbances.endAll();
+  }
+
+  /** Whether no system call was made to fail in that period. */
+  boolean isHealthyBetween(long fromMicros, long untilMicros) {
+    return disturbances.noneBetween(fromMicros, untilMicros);
   }
 
-  /** Whether no system call was made to fail between those moments. */
-  boolean cleanBetween(long from, long until) {
-    return troubles.noneBetween(from, until);
+  private void setWord(int word, long value) {
+    words.putLong(word * WORD_BYTES, value);
   }
 
   /** Removes the control file. */
   void delete() {
     try {
-      Files.deleteIfExists(file);
+      Files.deleteIfExists(controlFile);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- /dev/null
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FinalAnswerAudit.java
@@ -0,0 +1,91 @@
+package lemondock.faultinjection;
+
+import java.util.Optional;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+
+/**
+ * Each call must get one final answer in time. Calls of a gateway that was killed without notice
+ * and calls whose clients left are excused.
+ */
+final class FinalAnswerAudit implements CallAudit {
+  private static final long KILL_SLACK_MICROS = TimeUnit.MILLISECONDS.toMicros(50);
+
+  /**
+   * The clients' own lateness on a busy machine, on top of the half second that a final answer may
+   * be late.
+   */
+  private static final long LATE_SLACK_MICROS = TimeUnit.MILLISECONDS.toMicros(500);
+
+  private final RunHistory history;
+
+  FinalAnswerAudit(RunHistory history) {
+    this.history = history;
+  }
+
+  @Override
+  public void audit(ClientCall call, Consumer<Breach> breaches) {
+    if (isExcused(call)) {
+      return;
+    }
+    switch (call.outcome()) {
+      case OPEN -> auditOpen(call, breaches);
+      case UNANSWERED -> add("closed with no answer", call, breaches);
+      case CUT_SHORT -> add("ended as if it were whole", call, breaches);
+      case NOT_TAKEN -> auditNotTaken(call, breaches);
+      case BROKEN -> auditBroken(call, breaches);
+      case REFUSED, FAILED -> auditLate(call, breaches);
+      case SERVED, LEFT -> {}
+      default -> throw new IllegalStateException("unknown outcome " + call.outcome());
+    }
+  }
+
+  private boolean isExcused(ClientCall call) {
+    Optional<GatewayIncarnation> incarnation =
+        history.runRecord().incarnationAt(call.gatewayName(), call.sentMicros());
+    return incarnation.isEmpty()
+        || incarnation.get().wasKilledWithoutNotice()
+            && call.endedMicros() >= incarnation.get().killedMicros() - KILL_SLACK_MICROS;
+  }
+
+  private void auditOpen(ClientCall call, Consumer<Breach> breaches) {
+    if (stalledMicros(call) == 0) {
+      add("no final answer", call, breaches);
+    }
+  }
+
+  private void auditNotTaken(ClientCall call, Consumer<Breach> breaches) {
+    if (!history.arrivals(call).isEmpty()) {
+      add("forwarded, then closed with no answer", call, breaches);
+    }
+  }
+
+  /** A stream that its server finished over a link that worked must reach its client complete. */
+  private void auditBroken(ClientCall call, Consumer<Breach> breaches) {
+    for (Arrival arrival : history.arrivals(call)) {
+      if (arrival.isStreamComplete()
+          && history.isLinkHealthyUntil(call, arrival, call.endedMicros())) {
+        String finished = history.formatMoment(arrival.streamedMicros());
+        add(
+            "a stream that " + arrival.serverId() + " finished at " + finished + " was cut",
+            call,
+            breaches);
+      }
+    }
+  }
+
+  private void auditLate(ClientCall call, Consumer<Breach> breaches) {
+    long lateMicros = call.endedMicros() - call.dueMicros() - stalledMicros(call);
+    if (lateMicros > LATE_SLACK_MICROS) {
+      add("answered " + TimeUnit.MICROSECONDS.toMillis(lateMicros) + " ms late", call, breaches);
+    }
+  }
+
+  private long stalledMicros(ClientCall call) {
+    return history.stalledMicros(call.sentMicros(), call.endedMicros());
+  }
+
+  private void add(String description, ClientCall call, Consumer<Breach> breaches) {
+    breaches.accept(new Breach(Rule.LOST, description + ": " + history.describe(call)));
+  }
+}
--- a/faultinjection/src/main/java/lemondock/faultinjection/FleetShape.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FleetShape.java
@@ -1,11 +1,13 @@
 package lemondock.faultinjection;
 
 /**
- * What a fleet is made of.
+ * The size of a fleet and the settings of its gateways that vary between runs.
  *
- * @param releaseWithinMs the settings' limit on what is held
- * @param deadlineMs the classes' deadline
+ * @param releaseWithinMs the settings' limit on how long a state may be reserved and not taken
+ * @param deadlineMs the deadline of the request classes
  * @param clientsPerGateway usual clients of each gateway
+ * @param idleMs how long servers keep unused connections, as the gateways are told
+ * @param drainGraceMs how long after a server is listed as draining it may still get attempts
  */
 record FleetShape(
     int gateways,
@@ -16,20 +18,31 @@
     int clientsPerGateway,
     long idleMs,
     long drainGraceMs) {
+  /** How long a server takes after its start until it has its full capacity. */
   static final long WARM_UP_MS = 3_000;
+
+  /** The part of its capacity that a server has when it starts. */
   static final double COLD_SHARE = 0.3;
+
+  /** A warm server may get that many times its capacity within a window. */
   static final double OVERLOAD_FACTOR = 2.5;
+
   static final long OVERLOAD_WINDOW_MS = 1_000;
-  static final long LONGEST_GRACE_MS = 3_000;
-  static final long KILL_AFTER_MS = 700;
+  private static final long MAX_SHUTDOWN_GRACE_MS = 3_000;
+  private static final long KILL_SLACK_MS = 700;
 
-  /** When SIGKILL may follow SIGTERM at the earliest. */
+  /** When SIGKILL may follow SIGTERM at the earliest, in milliseconds. */
   long killAfterMs() {
-    return Math.min(deadlineMs, LONGEST_GRACE_MS) + KILL_AFTER_MS;
+    return Math.min(deadlineMs, MAX_SHUTDOWN_GRACE_MS) + KILL_SLACK_MS;
   }
 
-  /** A gateway's configuration. */
-  String config(String name, int port, String discovery, String known, long seed) {
+  /**
+   * Writes a gateway's configuration.
+   *
+   * @param discoveryAddress HOST:PORT of its discovery agent
+   * @param knownServers the endpoint list that it starts with, as JSON
+   */
+  String config(String name, int port, String discoveryAddress, String knownServers, long seed) {
     return """
     {"name":"%s","listen":"127.0.0.1:%d","discovery":"%s","seed":"%x",
      "limits":{"cores":1.0,"memory_mb":96,"sockets":384},"known":%s,
@@ -46,9 +59,9 @@
         .formatted(
             name,
             port,
-            discovery,
+            discoveryAddress,
             seed,
-            known,
+            knownServers,
             gateways,
             deadlineMs,
             deadlineMs,
--- a/faultinjection/src/main/java/lemondock/faultinjection/HttpMessageReader.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/HttpMessageReader.java
@@ -8,83 +8,102 @@
 import java.util.HashMap;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * A small reader of HTTP/1.1 messages for stand-ins and clients, which speak only as their own
- * peers do.
+ * Reads HTTP/1.1 messages in the form that this package's servers and clients and the gateway send
+ * them to each other. Malformed messages end in an {@link IOException} or a {@link
+ * RuntimeException}; callers treat both as a broken connection.
  */
 final class HttpMessageReader {
-  private static final int MOST_LINE = 16 * 1024;
+  private static final int MAX_LINE_BYTES = 16 * 1024;
+  private static final int HEXADECIMAL = 16;
 
   private HttpMessageReader() {}
 
   /**
-   * A message.
+   * A message with its body.
    *
-   * @param first the request line or status line
+   * @param startLine the request line or status line
    * @param headers by name in lower case
-   * @param firstByteAt when its first byte was read
+   * @param firstByteMicros when its first byte was read
    */
-  record Message(String first, Map<String, String> headers, byte[] body, long firstByteAt) {
-    String header(String name) {
-      return headers.get(name);
+  record Message(String startLine, Map<String, String> headers, byte[] body, long firstByteMicros) {
+    /** A header by its name in lower case. */
+    Optional<String> header(String name) {
+      return Optional.ofNullable(headers.get(name));
+    }
+
+    /** The path and query of a request. */
+    String target() {
+      return startLine.split(" ")[1];
     }
 
     /** The status of a response. */
     int status() {
-      return Integer.parseInt(first.split(" ")[1]);
+      return Integer.parseInt(startLine.split(" ")[1]);
+    }
+
+    private int contentLength() {
+      return Integer.parseInt(headers.getOrDefault("content-length", "0"));
     }
   }
 
-  /** Reads a head, and a body of the length that it tells; null at an end before the first byte. */
-  static Message read(InputStream in) throws IOException {
-    int begin = in.read();
-    if (begin < 0) {
-      return null;
+  /**
+   * Reads a head, and a body of the length that it states; a chunked body is left to {@link
+   * #readChunk}. Empty if the connection ends before the first byte.
+   *
+   * @throws EOFException if the connection ends within the message
+   */
+  static Optional<Message> read(InputStream in) throws IOException {
+    int firstByte = in.read();
+    if (firstByte < 0) {
+      return Optional.empty();
     }
-    long firstByteAt = MonotonicClock.now();
-    String first = (char) begin + line(in);
+    long firstByteMicros = MonotonicClock.nowMicros();
+    String startLine = (char) firstByte + readLine(in);
+    Message head = new Message(startLine, readHeaders(in), new byte[0], firstByteMicros);
+    byte[] body = readBytes(in, head.contentLength(), "a body");
+    return Optional.of(new Message(startLine, head.headers(), body, firstByteMicros));
+  }
+
+  private static Map<String, String> readHeaders(InputStream in) throws IOException {
     Map<String, String> headers = new HashMap<>();
-    for (String line = line(in); !line.isEmpty(); line = line(in)) {
+    for (String line = readLine(in); !line.isEmpty(); line = readLine(in)) {
       int colon = line.indexOf(':');
-      headers.put(
-          line.substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT),
-          line.substring(colon + 1).strip());
+      String name = line.substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT);
+      headers.put(name, line.substring(colon + 1).strip());
     }
-    int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
-    byte[] body = in.readNBytes(length);
-    if (body.length < length) {
-      throw new EOFException("the connection ended within a body");
+    return headers;
+  }
+
+  /** Reads the next chunk of a chunked body; empty at its end. */
+  static byte[] readChunk(InputStream in) throws IOException {
+    int length = Integer.parseInt(readLine(in).strip(), HEXADECIMAL);
+    byte[] chunk = readBytes(in, length, "a chunk");
+    readLine(in);
+    return chunk;
+  }
+
+  private static byte[] readBytes(InputStream in, int length, String part) throws IOException {
+    byte[] bytes = in.readNBytes(length);
+    if (bytes.length < length) {
+      throw new EOFException("the connection ended within " + part);
     }
-    return new Message(first, headers, body, firstByteAt);
+    return bytes;
   }
 
-  /** A line without its end. */
-  static String line(InputStream in) throws IOException {
+  /** Reads a line without its end. */
+  private static String readLine(InputStream in) throws IOException {
     ByteArrayOutputStream line = new ByteArrayOutputStream();
-    for (int b = in.read(); b != '\n'; b = in.read()) {
-      if (b < 0 || line.size() > MOST_LINE) {
+    for (int next = in.read(); next != '\n'; next = in.read()) {
+      if (next < 0 || line.size() > MAX_LINE_BYTES) {
         throw new EOFException("the connection ended within a line");
       }
-      if (b != '\r') {
-        line.write(b);
+      if (next != '\r') {
+        line.write(next);
       }
     }
     return line.toString(StandardCharsets.ISO_8859_1);
   }
-
-  /** The next chunk of a body in chunks; empty at its end. */
-  static byte[] chunk(InputStream in) throws IOException {
-    int size = Integer.parseInt(line(in).strip(), 16);
-    byte[] bytes = in.readNBytes(size);
-    if (bytes.length < size) {
-      throw new EOFException("the connection ended within a chunk");
-    }
-    line(in);
-    return bytes;
-  }
-
-  static byte[] bytes(String text) {
-    return text.getBytes(StandardCharsets.ISO_8859_1);
-  }
 }
--- /dev/null
+++ b/faultinjection/src/main/java/lemondock/faultinjection/HttpMessageWriter.java
@@ -0,0 +1,27 @@
+package lemondock.faultinjection;
+
+import java.io.IOException;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+
+/** Writes HTTP/1.1 messages that are at hand as text. */
+final class HttpMessageWriter {
+  private static final String LAST_CHUNK = "0\r\n\r\n";
+
+  private HttpMessageWriter() {}
+
+  /** Writes a message, or a part of one, as ISO 8859-1. */
+  static void write(Socket socket, String text) throws IOException {
+    socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+  }
+
+  /** Writes a chunk of a chunked body. */
+  static void writeChunk(Socket socket, String data) throws IOException {
+    write(socket, Integer.toHexString(data.length()) + "\r\n" + data + "\r\n");
+  }
+
+  /** Ends a chunked body. */
+  static void writeLastChunk(Socket socket) throws IOException {
+    write(socket, LAST_CHUNK);
+  }
+}
--- a/faultinjection/src/main/java/lemondock/faultinjection/LoadClient.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/LoadClient.java
@@ -1,63 +1,74 @@
 package lemondock.faultinjection;
 
-import java.io.BufferedInputStream;
 import java.io.IOException;
-import java.io.InputStream;
-import java.net.InetSocketAddress;
-import java.net.Socket;
 import java.net.SocketTimeoutException;
-import java.nio.charset.StandardCharsets;
+import java.util.Optional;
 import java.util.SplittableRandom;
-import lemondock.faultinjection.RunRecord.ClientCall;
-import lemondock.faultinjection.RunRecord.Effect;
-import lemondock.faultinjection.RunRecord.Outcome;
+import java.util.concurrent.TimeUnit;
+import lemondock.faultinjection.HttpMessageReader.Message;
 
 /**
- * One client of a gateway: asks one thing at a time on a connection that it keeps, until told to
- * stop; some calls it leaves early. It goes on using an open connection whatever the gateway's
- * state.
+ * One client of a gateway: sends one call at a time on a connection that it keeps, until it is
+ * stopped; some calls it leaves early. It goes on using an open connection whatever the gateway's
+ * state. Runs on one thread; {@link #stop} may be called from any.
  */
 final class LoadClient implements Runnable {
-  private static final long ANSWER_SLACK = 500 * MonotonicClock.MILLI;
-  private static final int STREAM_SILENCE_MILLIS = 7_000;
-  private static final int CONNECT_MILLIS = 1_000;
+  private static final long ANSWER_SLACK_MICROS = TimeUnit.MILLISECONDS.toMicros(500);
+  private static final int STREAM_IDLE_TIMEOUT_MILLIS = 7_000;
 
   /** Clients do not begin all at once. */
-  private static final long LONGEST_DELAY = 800 * MonotonicClock.MILLI;
+  private static final long MAX_START_DELAY_MICROS = TimeUnit.MILLISECONDS.toMicros(800);
 
-  private static final long AWAY = 50 * MonotonicClock.MILLI;
-  private static final double ONCE_SHARE = 0.3;
+  private static final long RECONNECT_PAUSE_MICROS = TimeUnit.MILLISECONDS.toMicros(50);
+  private static final double NON_IDEMPOTENT_SHARE = 0.3;
   private static final double LEAVING_SHARE = 0.06;
-  private static final double FRESH_SHARE = 0.05;
+  private static final double NEW_CONNECTION_SHARE = 0.05;
+  private static final int MIN_DEADLINE_PERCENT = 60;
+  private static final int MAX_DEADLINE_PERCENT = 100;
+  private static final int MIN_PROMPT_CHARACTERS = 200;
+  private static final int PROMPT_CHARACTERS_RANGE = 3_000;
+  private static final int PREFIX_KEYS = 40;
+  private static final String STREAM_END = "data: [DONE]\n\n";
 
-  /** A resting connection's close crosses a request only if it is heard of so soon. */
-  static final long CROSSING = 100 * MonotonicClock.MILLI;
+  /** The close of an idle connection crosses a request only if it is noticed so soon. */
+  private static final long CROSSING_MICROS = TimeUnit.MILLISECONDS.toMicros(100);
 
   private final String name;
   private final GatewayProcess gateway;
-  private final RunRecord truth;
-  private final FleetShape shape;
+  private final RunRecord runRecord;
+  private final Options options;
   private final SplittableRandom random;
-  private final long thinkMicros;
   private volatile boolean stopped;
-  private Socket socket;
-  private InputStream in;
-  private long restingSince;
+
+  /** The connection that is kept; null while there is none. */
+  private ClientConnection connection;
+
   private int calls;
 
-  LoadClient(
-      String name,
-      GatewayProcess gateway,
-      RunRecord truth,
-      FleetShape shape,
-      long thinkMicros,
-      long seed) {
+  /**
+   * How a client behaves.
+   *
+   * @param deadlineMillis the longest deadline of its calls
+   * @param thinkMicros mean pause between two calls
+   * @param seed of all that it draws
+   */
+  record Options(long deadlineMillis, long thinkMicros, long seed) {}
+
+  /** A call, whether it is the first on its connection, and when its client gives up or leaves. */
+  private record PendingCall(
+      ClientCall call, boolean isFirstOnConnection, boolean leaves, long untilMicros) {
+    int remainingMillis() {
+      long remainingMicros = untilMicros - MonotonicClock.nowMicros();
+      return (int) Math.max(1, TimeUnit.MICROSECONDS.toMillis(remainingMicros));
+    }
+  }
+
+  LoadClient(String name, GatewayProcess gateway, RunRecord runRecord, Options options) {
     this.name = name;
     this.gateway = gateway;
-    this.truth = truth;
-    this.shape = shape;
-    this.thinkMicros = thinkMicros;
-    this.random = new SplittableRandom(seed);
+    this.runRecord = runRecord;
+    this.options = options;
+    this.random = new SplittableRandom(options.seed());
   }
 
   /** Ends it after its present call. */
@@ -67,156 +78,148 @@
 
   @Override
   public void run() {
-    MonotonicClock.sleep(random.nextLong(LONGEST_DELAY));
+    MonotonicClock.sleepMicros(random.nextLong(MAX_START_DELAY_MICROS));
     while (!stopped) {
       call();
-      MonotonicClock.sleep(thinkMicros / 2 + random.nextLong(thinkMicros));
+      MonotonicClock.sleepMicros(
+          options.thinkMicros() / 2 + random.nextLong(options.thinkMicros()));
     }
-    drop(false);
+    closeConnection();
   }
 
   private void call() {
-    Effect effect = random.nextDouble() < ONCE_SHARE ? Effect.ONCE : Effect.SAFE;
-    long deadline = shape.deadlineMs() * MonotonicClock.MILLI * (60 + random.nextInt(41)) / 100;
-    ClientCall call =
-        new ClientCall(
-            name + "-" + ++calls + "-" + Long.toHexString(random.nextLong() >>> 32),
-            gateway.name,
-            effect,
-            deadline);
-    if (random.nextDouble() < FRESH_SHARE) {
-      drop(false);
+    ClientCall call = drawCall();
+    if (random.nextDouble() < NEW_CONNECTION_SHARE) {
+      closeConnection();
     }
-    call.fresh = socket == null;
-    call.restedMicros = call.fresh ? 0 : MonotonicClock.now() - restingSince;
+    boolean isFirstOnConnection = connection == null;
     try {
-      if (socket == null) {
-        if (!gateway.admitted()) {
-          throw new IOException("the front does not send clients there");
-        }
-        connect();
-      }
+      connectIfNeeded();
     } catch (IOException e) {
-      MonotonicClock.sleep(AWAY); // nothing was taken: the gateway is down or starts
+      // nothing was sent: the gateway is down or starts
+      MonotonicClock.sleepMicros(RECONNECT_PAUSE_MICROS);
       return;
     }
-    byte[] request = request(call);
-    truth.calls.put(call.id, call);
+    String request = drawRequest(call);
+    runRecord.addCall(call);
     boolean leaves = random.nextDouble() < LEAVING_SHARE;
-    long leaveAt = MonotonicClock.now() + random.nextLong(deadline / 3);
-    try {
-      call.sentAt = MonotonicClock.now();
-      socket.getOutputStream().write(request);
-    } catch (IOException e) {
-      end(call, Outcome.NOT_TAKEN);
-      drop(false);
-      return;
+    long leaveMicros = MonotonicClock.nowMicros() + random.nextLong(call.deadlineMicros() / 3);
+    if (send(call, request)) {
+      long giveUpMicros = call.dueMicros() + ANSWER_SLACK_MICROS;
+      boolean leavesFirst = leaves && leaveMicros <= giveUpMicros;
+      awaitAnswer(
+          new PendingCall(
+              call, isFirstOnConnection, leavesFirst, leavesFirst ? leaveMicros : giveUpMicros));
     }
-    await(call, leaves ? leaveAt : Long.MAX_VALUE);
   }
 
-  private void connect() throws IOException {
-    Socket made = new Socket();
-    made.setTcpNoDelay(true);
-    made.connect(new InetSocketAddress("127.0.0.1", gateway.port()), CONNECT_MILLIS);
-    socket = made;
-    in = new BufferedInputStream(made.getInputStream());
+  private ClientCall drawCall() {
+    CallEffect effect =
+        random.nextDouble() < NON_IDEMPOTENT_SHARE ? CallEffect.ONCE : CallEffect.SAFE;
+    int deadlinePercent =
+        MIN_DEADLINE_PERCENT + random.nextInt(MAX_DEADLINE_PERCENT - MIN_DEADLINE_PERCENT + 1);
+    long deadlineMicros =
+        TimeUnit.MILLISECONDS.toMicros(options.deadlineMillis()) * deadlinePercent / 100;
+    calls++;
+    String id = name + "-" + calls + "-" + Long.toHexString(random.nextLong() >>> 32);
+    return new ClientCall(id, gateway.name(), effect, deadlineMicros);
   }
 
-  private byte[] request(ClientCall call) {
-    String body =
-        "{\"model\":\"chat\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\""
-            + "x".repeat(200 + random.nextInt(3_000))
-            + "\"}]}";
-    String head =
-        "POST /v1/chat/completions HTTP/1.1\r\nhost: origin.svc\r\nx-request-id: "
-            + call.id
-            + "\r\nx-class: "
-            + (call.effect == Effect.ONCE ? "pay" : "chat")
-            + "\r\nx-key: k"
-            + random.nextInt(40)
-            + "\r\nx-deadline-ms: "
-            + call.deadlineMicros / MonotonicClock.MILLI
-            + "\r\nx-extras: max_out=40\r\ncontent-length: "
-            + body.length()
-            + "\r\n\r\n";
-    return (head + body).getBytes(StandardCharsets.ISO_8859_1);
+  private String drawRequest(ClientCall call) {
+    int promptCharacters = MIN_PROMPT_CHARACTERS + random.nextInt(PROMPT_CHARACTERS_RANGE);
+    int prefixKey = random.nextInt(PREFIX_KEYS);
+    return ChatRequest.format(call, promptCharacters, prefixKey);
   }
 
-  private void await(ClientCall call, long leaveAt) {
-    long until = Math.min(leaveAt, call.sentAt + call.deadlineMicros + ANSWER_SLACK);
+  private void connectIfNeeded() throws IOException {
+    if (connection != null) {
+      return;
+    }
+    if (!gateway.getsNewConnections()) {
+      throw new IOException("the platform sends no clients to " + gateway.name());
+    }
+    connection = ClientConnection.open(gateway.port());
+  }
+
+  /** Writes the request; returns false if the connection took it no more. */
+  private boolean send(ClientCall call, String request) {
     try {
-      socket.setSoTimeout((int) Math.max(1, (until - MonotonicClock.now()) / MonotonicClock.MILLI));
-      HttpMessageReader.Message head = HttpMessageReader.read(in);
-      if (head == null) {
-        unanswered(call);
-        return;
-      }
-      call.status = head.status();
-      if (call.status == 200) {
-        stream(call);
+      call.markSent();
+      connection.write(request);
+      return true;
+    } catch (IOException e) {
+      call.end(CallOutcome.NOT_TAKEN);
+      closeConnection();
+      return false;
+    }
+  }
+
+  private void awaitAnswer(PendingCall pending) {
+    try {
+      Optional<Message> answer = connection.readAnswer(pending.remainingMillis());
+      if (answer.isPresent()) {
+        handleAnswer(pending.call(), answer.get());
       } else {
-        end(call, call.status == 429 || call.status == 503 ? Outcome.REFUSED : Outcome.FAILED);
-      }
-      if ("close".equals(head.header("connection"))) {
-        drop(false);
+        endUnanswered(pending);
       }
-      restingSince = MonotonicClock.now();
     } catch (SocketTimeoutException e) {
-      if (until == leaveAt) {
-        boolean reset = random.nextBoolean();
-        drop(reset);
-        call.leftAt = MonotonicClock.now();
-        end(call, Outcome.LEFT);
-      } else {
-        end(call, Outcome.OPEN);
-        drop(false);
-      }
+      giveUp(pending);
     } catch (IOException | RuntimeException e) {
-      unanswered(call);
+      endUnanswered(pending);
+    }
+  }
+
+  private void handleAnswer(ClientCall call, Message answer) {
+    int status = answer.status();
+    call.setStatus(status);
+    if (status == 200) {
+      readStream(call);
+    } else {
+      boolean rejected = status == 429 || status == 503;
+      call.end(rejected ? CallOutcome.REFUSED : CallOutcome.FAILED);
+    }
+    if (answer.header("connection").filter("close"::equals).isPresent()) {
+      closeConnection();
     }
   }
 
-  /** Reads the stream; a break of the connection ends the call as broken. */
-  private void stream(ClientCall call) throws IOException {
-    socket.setSoTimeout(STREAM_SILENCE_MILLIS);
-    StringBuilder text = new StringBuilder();
+  private void readStream(ClientCall call) {
     try {
-      for (byte[] chunk = HttpMessageReader.chunk(in);
-          chunk.length > 0;
-          chunk = HttpMessageReader.chunk(in)) {
-        text.append(new String(chunk, StandardCharsets.ISO_8859_1));
-      }
+      String text = connection.readChunks(STREAM_IDLE_TIMEOUT_MILLIS);
+      call.end(text.endsWith(STREAM_END) ? CallOutcome.SERVED : CallOutcome.CUT_SHORT);
     } catch (IOException e) {
-      end(call, Outcome.BROKEN);
-      drop(false);
-      return;
+      call.end(CallOutcome.BROKEN);
+      closeConnection();
     }
-    end(call, text.toString().endsWith("data: [DONE]\n\n") ? Outcome.SERVED : Outcome.CUT_SHORT);
   }
 
-  private void unanswered(ClientCall call) {
-    boolean crossed = !call.fresh && MonotonicClock.now() - call.sentAt < CROSSING;
-    end(call, crossed ? Outcome.NOT_TAKEN : Outcome.UNANSWERED);
-    drop(false);
+  /** Ends a call without an answer so far: its client leaves, or its time is up. */
+  private void giveUp(PendingCall pending) {
+    if (!pending.leaves()) {
+      pending.call().end(CallOutcome.OPEN);
+      closeConnection();
+      return;
+    }
+    if (random.nextBoolean()) {
+      connection.reset();
+      connection = null;
+    } else {
+      closeConnection();
+    }
+    pending.call().markLeft();
   }
 
-  private static void end(ClientCall call, Outcome outcome) {
-    call.endedAt = MonotonicClock.now();
-    call.outcome = outcome;
+  private void endUnanswered(PendingCall pending) {
+    long waitedMicros = MonotonicClock.nowMicros() - pending.call().sentMicros();
+    boolean crossed = !pending.isFirstOnConnection() && waitedMicros < CROSSING_MICROS;
+    pending.call().end(crossed ? CallOutcome.NOT_TAKEN : CallOutcome.UNANSWERED);
+    closeConnection();
   }
 
-  private void drop(boolean reset) {
-    if (socket != null) {
-      try {
-        if (reset) {
-          socket.setSoLinger(true, 0);
-        }
-        socket.close();
-      } catch (IOException e) {
-        // closed in any case
-      }
-      socket = null;
+  private void closeConnection() {
+    if (connection != null) {
+      connection.close();
+      connection = null;
     }
   }
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/MachineStalls.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/MachineStalls.java
@@ -2,22 +2,27 @@
 
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.TimeUnit;
 
 /**
- * How long the machine did not run a thread that was due: what takes longer meanwhile is not the
- * gateways' doing.
+ * The periods in which the machine did not run a thread that was due, or in which the test rig
+ * itself kept others waiting: delays meanwhile are not the gateways' doing. Thread-safe.
  */
 final class MachineStalls implements AutoCloseable {
-  private static final long TICK = 5 * MonotonicClock.MILLI;
-  private static final long LEAST = 25 * MonotonicClock.MILLI;
+  private static final long TICK_MICROS = TimeUnit.MILLISECONDS.toMicros(5);
+  private static final long MIN_STALL_MICROS = TimeUnit.MILLISECONDS.toMicros(25);
 
   private final List<Stall> stalls = new CopyOnWriteArrayList<>();
   private final Thread thread = new Thread(this::watch, "machine-stalls");
   private volatile boolean closed;
 
-  private record Stall(long from, long until) {}
+  private record Stall(long fromMicros, long untilMicros) {
+    long overlapMicros(long from, long until) {
+      return Math.max(0, Math.min(until, untilMicros) - Math.max(from, fromMicros));
+    }
+  }
 
-  /** Begins to watch. */
+  /** Begins to watch, on a thread of its own. */
   MachineStalls() {
     thread.setDaemon(true);
     thread.start();
@@ -25,32 +30,27 @@
 
   private void watch() {
     while (!closed) {
-      long due = MonotonicClock.now() + TICK;
-      MonotonicClock.sleepUntil(due);
-      long late = MonotonicClock.now() - due;
-      if (late >= LEAST) {
-        stalls.add(new Stall(due, due + late));
-      }
+      long dueMicros = MonotonicClock.nowMicros() + TICK_MICROS;
+      MonotonicClock.sleepUntil(dueMicros);
+      recordWork(dueMicros, MonotonicClock.nowMicros());
     }
   }
 
-  /** Work of the rig itself that others wait for took from then to then. */
-  void worked(long from, long until) {
-    if (until - from >= LEAST) {
-      stalls.add(new Stall(from, until));
+  /** Records work of the rig that others had to wait for; it counts as a stall if it was long. */
+  void recordWork(long fromMicros, long untilMicros) {
+    if (untilMicros - fromMicros >= MIN_STALL_MICROS) {
+      stalls.add(new Stall(fromMicros, untilMicros));
     }
   }
 
-  /** Time that was lost between those moments. */
-  long lost(long from, long until) {
-    return stalls.stream()
-        .mapToLong(stall -> Math.max(0, Math.min(until, stall.until) - Math.max(from, stall.from)))
-        .sum();
+  /** Time lost in that period, in microseconds. */
+  long stalledMicros(long fromMicros, long untilMicros) {
+    return stalls.stream().mapToLong(stall -> stall.overlapMicros(fromMicros, untilMicros)).sum();
   }
 
-  /** All time that was lost so far. */
-  long total() {
-    return lost(0, Long.MAX_VALUE);
+  /** All time lost so far, in microseconds. */
+  long totalMicros() {
+    return stalledMicros(0, Long.MAX_VALUE);
   }
 
   @Override
--- a/faultinjection/src/main/java/lemondock/faultinjection/ModelServer.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ModelServer.java
@@ -1,119 +1,74 @@
 package lemondock.faultinjection;
 
-import java.io.BufferedInputStream;
 import java.io.IOException;
-import java.io.PushbackInputStream;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
-import java.net.SocketTimeoutException;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Semaphore;
-import java.util.concurrent.ThreadLocalRandom;
-import java.util.concurrent.TimeUnit;
-import lemondock.faultinjection.RunRecord.Arrival;
-import lemondock.faultinjection.RunRecord.Fate;
 import lemondock.net.nio.LoopbackPort;
 
 /**
- * A stand-in for one model server, a reader or a writer. It can hang (accepts, takes nothing), die
- * and start again. It tells the truth of what reached it with its last byte while it ran.
+ * An emulator of one model server, a reader or a writer. It can hang (accept connections and take
+ * nothing), die and start again at the same address. It records what reached it with its last byte
+ * while it ran. Each connection has a thread of its own; the methods may be called from any thread.
  */
 final class ModelServer implements AutoCloseable {
-  private static final long READ_MICROS = 15_000;
-  private static final long READ_MICROS_PER_TOKEN = 20;
-  private static final long TOKEN_MICROS = 15_000;
-  private static final long FIRST_TOKEN_MICROS = 10_000;
-  private static final long LOOK_MICROS = 4_000;
-  private static final String HEAD =
-      "HTTP/1.1 200 OK\r\n"
-          + "content-type: text/event-stream\r\n"
-          + "transfer-encoding: chunked\r\n\r\n";
-  private static final String NOT_RUN = "\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
+  /** The start time of a server that has been up for long. */
+  static final long LONG_AGO_MILLIS = 0;
 
-  final String id;
-  final String zone;
-  final boolean reads;
-  private final RunRecord truth;
-  private final int slots;
-  private final long mostQueueMicros;
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-  private volatile Semaphore free;
-  private final LoopbackPort reservedPort = LoopbackPort.reserve();
-  private volatile ServerSocket port;
-  private volatile boolean hanging;
-  private volatile long startedAt;
-
-  /** A server with so many places; a call that finds none for that long is turned away. */
-  ModelServer(
-      String id, String zone, boolean reads, int slots, long mostQueueMicros, RunRecord truth)
-      throws IOException {
-    this.id = id;
-    this.zone = zone;
-    this.reads = reads;
-    this.slots = slots;
-    this.mostQueueMicros = mostQueueMicros;
-    this.truth = truth;
-    start(0);
-  }
-
-  /** Starts, always at the same address; {@code since} is the wall time told, 0 for long ago. */
-  void start(long since) throws IOException {
-    ServerSocket next = new ServerSocket();
-    next.setReuseAddress(true);
-    next.bind(reservedPort.address(), 256);
-    free = new Semaphore(slots, true);
-    startedAt = since;
-    port = next;
-    daemon("accept-" + id, () -> accept(next));
-  }
-
-  /** Dies: its connections are reset, new ones refused, its states gone. */
-  void die() {
-    try {
-      port.close();
-    } catch (IOException e) {
-      throw new IllegalStateException(e);
-    }
-    for (Socket socket : open) {
-      try {
-        socket.setSoLinger(true, 0);
-        socket.close();
-      } catch (IOException e) {
-        // its peer was quicker
-      }
-    }
-    truth.states.died(id);
-  }
+  private static final int BACKLOG = 256;
 
-  /** Hangs, or goes on with what has come meanwhile. */
-  void hang(boolean on) {
-    hanging = on;
-  }
-
-  InetSocketAddress address() {
-    return reservedPort.address();
-  }
+  private final Options options;
+  private final RunRecord runRecord;
+  private final LoopbackPort reservedPort = LoopbackPort.reserve();
+  private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
 
-  /** Wall time of its last start in milliseconds, 0 for long ago. */
-  long startedAt() {
-    return startedAt;
-  }
+  /** Replaced at each start: what ran before it counts no more. */
+  private volatile Semaphore freeSlots;
 
-  private static void daemon(String name, Runnable task) {
-    Thread thread = new Thread(null, task, name, 128 * 1024);
-    thread.setDaemon(true);
-    thread.start();
-  }
-
-  private void accept(ServerSocket from) {
+  private volatile ServerSocket serverSocket;
+  private volatile boolean hanging;
+  private volatile long startedMillis;
+
+  /**
+   * What a server is.
+   *
+   * @param slots requests that run at the same time
+   * @param maxQueueMicros how long a request may wait for a slot before it is rejected
+   */
+  record Options(String id, String zone, ServerRole role, int slots, long maxQueueMicros) {}
+
+  /** Makes and starts a server that counts as up for long. */
+  ModelServer(Options options, RunRecord runRecord) throws IOException {
+    this.options = options;
+    this.runRecord = runRecord;
+    start(LONG_AGO_MILLIS);
+  }
+
+  /**
+   * Starts a process, always at the same address.
+   *
+   * @param newStartedMillis wall time of the start as endpoint lists state it
+   */
+  void start(long newStartedMillis) throws IOException {
+    ServerSocket newSocket = new ServerSocket();
+    newSocket.setReuseAddress(true);
+    newSocket.bind(reservedPort.address(), BACKLOG);
+    freeSlots = new Semaphore(options.slots(), true);
+    startedMillis = newStartedMillis;
+    serverSocket = newSocket;
+    DaemonThreads.start("accept-" + id(), () -> acceptConnections(newSocket));
+  }
+
+  private void acceptConnections(ServerSocket from) {
     try {
       while (true) {
         Socket socket = from.accept();
         socket.setTcpNoDelay(true);
-        open.add(socket);
-        daemon("serve-" + id, () -> serve(socket));
+        openSockets.add(socket);
+        DaemonThreads.start("serve-" + id(), () -> serve(socket));
       }
     } catch (IOException e) {
       // it has died
@@ -122,200 +77,69 @@
 
   private void serve(Socket socket) {
     try (socket) {
-      PushbackInputStream in =
-          new PushbackInputStream(new BufferedInputStream(socket.getInputStream()));
-      while (true) {
-        socket.setSoTimeout(0);
-        HttpMessageReader.Message message = HttpMessageReader.read(in);
-        if (message == null) {
-          return;
-        }
-        awaitRunning();
-        if (message.first().startsWith("DELETE /state/")) {
-          String of = message.first().split(" ")[1].substring("/state/".length());
-          truth.releases.add(new RunRecord.Release(of, id, MonotonicClock.now()));
-          truth.states.release(of);
-          socket
-              .getOutputStream()
-              .write(HttpMessageReader.bytes("HTTP/1.1 204 No Content\r\n\r\n"));
-        } else if (!attempt(message, socket, in)) {
-          return;
-        }
-      }
+      new ModelServerConnection(this, socket, runRecord).serve();
     } catch (IOException | RuntimeException e) {
       // its peer has gone, or it died
     } finally {
-      open.remove(socket);
+      openSockets.remove(socket);
     }
   }
 
-  private void awaitRunning() {
-    while (hanging) {
-      MonotonicClock.sleep(LOOK_MICROS);
-    }
-  }
-
-  private boolean attempt(HttpMessageReader.Message message, Socket socket, PushbackInputStream in)
-      throws IOException {
-    Arrival arrival =
-        new Arrival(
-            message.header("x-request-id"),
-            id,
-            reads,
-            message.firstByteAt(),
-            MonotonicClock.now(),
-            Long.parseLong(message.header("x-deadline-ms")));
-    truth.arrivals.add(arrival);
+  /** Dies: its connections are reset, new ones are refused, its reserved states are lost. */
+  void die() {
     try {
-      return reads ? read(arrival, message, socket, in) : write(arrival, socket, in);
+      serverSocket.close();
     } catch (IOException e) {
-      arrival.fate = arrival.fate == Fate.UNDER_WAY ? Fate.DROPPED : arrival.fate;
-      throw e;
+      throw new IllegalStateException(id() + " cannot close its port", e);
     }
-  }
-
-  /** Waits for a place; null if it has one, else what to do. */
-  private Fate placed(Semaphore places, Socket socket, PushbackInputStream in) throws IOException {
-    long until = MonotonicClock.now() + mostQueueMicros;
-    try {
-      while (!places.tryAcquire(LOOK_MICROS, TimeUnit.MICROSECONDS)) {
-        if (gone(socket, in)) {
-          return Fate.DROPPED;
-        }
-        if (MonotonicClock.now() > until) {
-          return Fate.NOT_RUN;
-        }
+    for (Socket socket : openSockets) {
+      try {
+        socket.setSoLinger(true, 0);
+        socket.close();
+      } catch (IOException e) {
+        // its peer was quicker
       }
-      return null;
-    } catch (InterruptedException e) {
-      throw new IllegalStateException(e);
     }
+    runRecord.reservedStates().serverDied(id());
   }
 
-  private boolean read(
-      Arrival arrival, HttpMessageReader.Message message, Socket socket, PushbackInputStream in)
-      throws IOException {
-    Semaphore places = free;
-    Fate turnedAway = placed(places, socket, in);
-    if (turnedAway != null) {
-      return end(arrival, turnedAway, socket, "503 Service Unavailable");
-    }
-    try {
-      long end =
-          MonotonicClock.now() + READ_MICROS + message.body().length / 4 * READ_MICROS_PER_TOKEN;
-      while (MonotonicClock.now() < end) {
-        MonotonicClock.sleepUntil(Math.min(end, MonotonicClock.now() + LOOK_MICROS));
-        awaitRunning();
-        if (MonotonicClock.now() < end && gone(socket, in)) {
-          arrival.fate = Fate.DROPPED;
-          return false;
-        }
-      }
-    } finally {
-      places.release();
-    }
-    if (socket.isClosed()
-        || gone(socket, in)) { // also one that has hung notices before it keeps a state that nobody
-      // wants
-      arrival.fate = Fate.DROPPED;
-      return false;
-    }
-    arrival.fate = Fate.READ;
-    truth.states.made(arrival.id, id);
-    socket
-        .getOutputStream()
-        .write(
-            HttpMessageReader.bytes(
-                "HTTP/1.1 202 Accepted\r\n"
-                    + "content-length: 19\r\n\r\n"
-                    + "{\"cached_tokens\":4}"));
-    return true;
+  /** Hangs, or goes on with what has come meanwhile. */
+  void setHanging(boolean isHanging) {
+    hanging = isHanging;
   }
 
-  private boolean write(Arrival arrival, Socket socket, PushbackInputStream in) throws IOException {
-    if (!truth.states.attach(arrival.id)) {
-      return end(arrival, Fate.NOT_RUN, socket, "410 Gone");
-    }
-    Semaphore places = free;
-    Fate turnedAway;
-    try {
-      turnedAway = placed(places, socket, in);
-    } catch (IOException e) {
-      truth.states.detach(arrival.id);
-      throw e;
-    }
-    if (turnedAway != null) {
-      truth.states.detach(arrival.id);
-      return end(arrival, turnedAway, socket, "503 Service Unavailable");
-    }
-    try {
-      awaitRunning();
-      if (!truth.states.take(arrival.id)) {
-        return end(arrival, Fate.NOT_RUN, socket, "410 Gone");
-      }
-      arrival.fate = Fate.RAN;
-      return stream(arrival, socket);
-    } finally {
-      places.release();
-    }
+  boolean isHanging() {
+    return hanging;
   }
 
-  private boolean stream(Arrival arrival, Socket socket) throws IOException {
-    MonotonicClock.sleep(FIRST_TOKEN_MICROS);
-    int tokens = 3 + ThreadLocalRandom.current().nextInt(20);
-    socket.getOutputStream().write(HttpMessageReader.bytes(HEAD));
-    for (int i = 0; i < tokens; i++) {
-      awaitRunning();
-      socket
-          .getOutputStream()
-          .write(
-              chunk(
-                  "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"t"
-                      + i
-                      + "\"}}]}\n\n"));
-      MonotonicClock.sleep(TOKEN_MICROS);
-    }
-    awaitRunning();
-    socket
-        .getOutputStream()
-        .write(
-            chunk(
-                "data:"
-                    + " {\"choices\":[],\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":4}}}\n\n"
-                    + "data: [DONE]\n\n"));
-    socket.getOutputStream().write(HttpMessageReader.bytes("0\r\n\r\n"));
-    arrival.streamedAt = MonotonicClock.now();
-    arrival.streamedWhole = true;
-    return true;
+  String id() {
+    return options.id();
   }
 
-  private static byte[] chunk(String data) {
-    return HttpMessageReader.bytes(Integer.toHexString(data.length()) + "\r\n" + data + "\r\n");
+  String zone() {
+    return options.zone();
   }
 
-  private boolean end(Arrival arrival, Fate fate, Socket socket, String status) throws IOException {
-    arrival.fate = fate;
-    if (fate == Fate.DROPPED) {
-      return false;
-    }
-    socket.getOutputStream().write(HttpMessageReader.bytes("HTTP/1.1 " + status + NOT_RUN));
-    return true;
+  ServerRole role() {
+    return options.role();
   }
 
-  /** Whether the peer has closed; a byte that comes instead is kept. */
-  private static boolean gone(Socket socket, PushbackInputStream in) throws IOException {
-    socket.setSoTimeout(1);
-    try {
-      int next = in.read();
-      if (next >= 0) {
-        in.unread(next);
-      }
-      return next < 0;
-    } catch (SocketTimeoutException e) {
-      return false;
-    } finally {
-      socket.setSoTimeout(0);
-    }
+  long maxQueueMicros() {
+    return options.maxQueueMicros();
+  }
+
+  /** The slots of the present process. */
+  Semaphore freeSlots() {
+    return freeSlots;
+  }
+
+  InetSocketAddress address() {
+    return reservedPort.address();
+  }
+
+  /** Wall time of its last start in milliseconds, 0 for long ago. */
+  long startedMillis() {
+    return startedMillis;
   }
 
   @Override
--- a/faultinjection/src/main/java/lemondock/faultinjection/MonotonicClock.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/MonotonicClock.java
@@ -1,30 +1,33 @@
 package lemondock.faultinjection;
 
+import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** Monotonic time in microseconds, the one clock of a run. */
+/**
+ * The one clock of a run: monotonic microseconds since an arbitrary origin. Every field and
+ * parameter of this package whose name ends in {@code Micros} is a duration or a moment of it.
+ */
 final class MonotonicClock {
-  static final long MILLI = 1_000;
-  static final long SECOND = 1_000_000;
-  private static final long NANOS = 1_000;
-
   private MonotonicClock() {}
 
-  static long now() {
-    return System.nanoTime() / NANOS;
+  static long nowMicros() {
+    return TimeUnit.NANOSECONDS.toMicros(System.nanoTime());
   }
 
-  /** Waits until that moment, not at all if it has passed. */
-  static void sleepUntil(long at) {
-    for (long left = at - now(); left > 0; left = at - now()) {
-      LockSupport.parkNanos(left * NANOS);
+  /** Waits until that moment, not at all if it has passed; returns early if interrupted. */
+  static void sleepUntil(long momentMicros) {
+    for (long remaining = momentMicros - nowMicros();
+        remaining > 0;
+        remaining = momentMicros - nowMicros()) {
+      LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(remaining));
       if (Thread.currentThread().isInterrupted()) {
         return;
       }
     }
   }
 
-  static void sleep(long micros) {
-    sleepUntil(now() + micros);
+  /** Waits for that long; returns early if interrupted. */
+  static void sleepMicros(long micros) {
+    sleepUntil(nowMicros() + micros);
   }
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/ProcessFleet.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ProcessFleet.java
@@ -1,88 +1,124 @@
 package lemondock.faultinjection;
 
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 
 /**
- * Gateways, model servers in three zones and a proxy with a link for each pair of them, put
- * together for one run.
+ * The fleet of one run: gateways with a discovery agent each, model servers in three zones, and a
+ * proxy with a link for each pair of gateway and server and for each gateway's discovery.
  */
 final class ProcessFleet implements AutoCloseable {
-  private static final String[] ZONES = {"a", "b", "c"};
+  private static final List<String> ZONES = List.of("a", "b", "c");
   private static final int READER_SLOTS = 4;
   private static final int WRITER_SLOTS = 10;
+  private static final double MEAN_READ_SECONDS = 0.025;
+  private static final double MEAN_WRITE_SECONDS = 0.22;
+  private static final long MAX_QUEUE_MICROS = TimeUnit.MILLISECONDS.toMicros(1_500);
 
-  /** Calls a second that a warm server's places allow with the mean request. */
-  private static final double READER_CAPACITY = 4 / 0.025;
-
-  private static final double WRITER_CAPACITY = 10 / 0.22;
-  private static final long MOST_QUEUE = 1_500 * MonotonicClock.MILLI;
-
-  final FleetShape shape;
-  final RunRecord truth = new RunRecord();
-  final List<ModelServer> servers = new ArrayList<>();
-  final List<GatewayProcess> gateways = new ArrayList<>();
-  private final FaultProxy proxy = new FaultProxy(truth.stalls);
-  private final Map<String, DiscoveryAgent> agents = new LinkedHashMap<>();
-  private final Map<String, FaultProxy.Link> discoveries = new LinkedHashMap<>();
-  private final Map<String, FaultProxy.Link> links = new LinkedHashMap<>();
-  private final Map<String, String> states = new LinkedHashMap<>();
+  private final FleetShape shape;
   private final long seed;
+  private final RunRecord runRecord = new RunRecord();
+  private final FaultProxy proxy = new FaultProxy(runRecord.stalls());
+  private final List<ModelServer> servers = new ArrayList<>();
+  private final List<GatewayProcess> gateways = new ArrayList<>();
 
-  ProcessFleet(FleetShape shape, Path project, Path folder, Optional<Path> library, long seed)
+  /** By gateway; fixed once the fleet is made. */
+  private final Map<String, DiscoveryAgent> discoveryAgents = new LinkedHashMap<>();
+
+  /** By gateway; a value is replaced while the gateway's monitor is held. */
+  private final Map<String, ProxyLink> discoveryLinks = new LinkedHashMap<>();
+
+  /** Fixed once the fleet is made. */
+  private final Map<LinkKey, ProxyLink> links = new LinkedHashMap<>();
+
+  /** By server. */
+  private final Map<String, ListedState> listedStates = new LinkedHashMap<>();
+
+  private record LinkKey(String gatewayName, String serverId) {}
+
+  /**
+   * Makes a fleet whose servers run and whose gateways are not started.
+   *
+   * @param project the root of the repository, which has the gateway's program
+   * @param folder where the gateways' files go
+   * @param faultLibrary the library of {@link FaultShim}, if system calls are to be under control
+   */
+  ProcessFleet(FleetShape shape, Path project, Path folder, Optional<Path> faultLibrary, long seed)
       throws IOException {
     this.shape = shape;
     this.seed = seed;
     for (int i = 0; i < shape.readers() + shape.writers(); i++) {
-      boolean reads = i < shape.readers();
-      String id = (reads ? "r" : "w") + (reads ? i : i - shape.readers());
-      servers.add(
-          new ModelServer(
-              id,
-              ZONES[i % ZONES.length],
-              reads,
-              reads ? READER_SLOTS : WRITER_SLOTS,
-              MOST_QUEUE,
-              truth));
-      states.put(id, "ready");
-      truth.capacities.put(id, reads ? READER_CAPACITY : WRITER_CAPACITY);
+      addServer(i);
     }
-    for (int g = 0; g < shape.gateways(); g++) {
-      String name = "n" + g;
-      Optional<FaultShim> shim =
-          library.isEmpty()
-              ? Optional.empty()
-              : Optional.of(new FaultShim(library.get(), folder, name, seed * 31 + g));
-      GatewayProcess gateway = new GatewayProcess(name, project, folder, shim, truth);
-      gateways.add(gateway);
-      DiscoveryAgent agent = new DiscoveryAgent(name, truth);
-      agents.put(name, agent);
-      discoveries.put(name, proxy.link(agent.address()));
-      for (ModelServer server : servers) {
-        links.put(name + "/" + server.id, proxy.link(server.address()));
-        tell(name, server);
+    for (int i = 0; i < shape.gateways(); i++) {
+      String name = "n" + i;
+      Optional<FaultShim> shim = Optional.empty();
+      if (faultLibrary.isPresent()) {
+        shim = Optional.of(new FaultShim(faultLibrary.get(), folder, name, seed * 31 + i));
       }
-      configure(gateway);
+      addGateway(new GatewayProcess(name, project, folder, shim, runRecord));
     }
   }
 
+  private void addServer(int number) throws IOException {
+    boolean isReader = number < shape.readers();
+    ServerRole role = isReader ? ServerRole.READER : ServerRole.WRITER;
+    String id = role.code() + (isReader ? number : number - shape.readers());
+    String zone = ZONES.get(number % ZONES.size());
+    int slots = isReader ? READER_SLOTS : WRITER_SLOTS;
+    servers.add(
+        new ModelServer(
+            new ModelServer.Options(id, zone, role, slots, MAX_QUEUE_MICROS), runRecord));
+    listedStates.put(id, ListedState.READY);
+    runRecord.setServerCapacity(id, slots / (isReader ? MEAN_READ_SECONDS : MEAN_WRITE_SECONDS));
+  }
+
+  private void addGateway(GatewayProcess gateway) throws IOException {
+    String name = gateway.name();
+    gateways.add(gateway);
+    DiscoveryAgent agent = new DiscoveryAgent(name, runRecord);
+    discoveryAgents.put(name, agent);
+    discoveryLinks.put(name, proxy.createLink(agent.address()));
+    for (ModelServer server : servers) {
+      links.put(new LinkKey(name, server.id()), proxy.createLink(server.address()));
+      updateList(name, server);
+    }
+    configure(gateway);
+  }
+
   private void configure(GatewayProcess gateway) throws IOException {
     gateway.configure(
         shape.config(
-            gateway.name,
+            gateway.name(),
             gateway.port(),
-            discoveries.get(gateway.name).address(),
-            agents.get(gateway.name).whole(),
+            discoveryLink(gateway).address(),
+            discoveryAgents.get(gateway.name()).fullListJson(),
             seed + gateway.port()));
   }
 
+  FleetShape shape() {
+    return shape;
+  }
+
+  RunRecord runRecord() {
+    return runRecord;
+  }
+
+  List<ModelServer> servers() {
+    return servers;
+  }
+
+  List<GatewayProcess> gateways() {
+    return gateways;
+  }
+
   /** Starts all gateways and waits until they are ready. */
   void start() throws IOException, InterruptedException {
     for (GatewayProcess gateway : gateways) {
@@ -93,105 +129,106 @@
     }
   }
 
-  /** Starts a gateway's next process with the list that its agent has now. */
+  /** Starts a gateway's next process with the endpoint list that its agent has now. */
   void restart(GatewayProcess gateway) throws IOException {
     configure(gateway);
     gateway.start();
   }
 
   /**
-   * Moves a gateway's discovery to another address and tells it by SIGHUP; the old address accepts
-   * no more.
+   * Moves a gateway's discovery to another address and notifies it by SIGHUP; the old address
+   * resets connections.
    */
   void moveDiscovery(GatewayProcess gateway) throws IOException {
-    FaultProxy.Link old =
-        discoveries.put(gateway.name, proxy.link(agents.get(gateway.name).address()));
+    DiscoveryAgent agent = discoveryAgents.get(gateway.name());
+    ProxyLink oldLink = discoveryLinks.put(gateway.name(), proxy.createLink(agent.address()));
     configure(gateway);
     gateway.signal("HUP");
-    old.set(FaultProxy.Flow.PASS, FaultProxy.Flow.PASS, FaultProxy.Admission.RESET);
-    old.reset();
-  }
-
-  FaultProxy.Link discovery(GatewayProcess gateway) {
-    return discoveries.get(gateway.name);
+    oldLink.setFault(LinkFlow.PASS, LinkFlow.PASS, LinkAdmission.RESET);
+    oldLink.reset();
   }
 
-  FaultProxy.Link link(String gateway, String server) {
-    return links.get(gateway + "/" + server);
+  /** The link of a gateway to its discovery agent. */
+  ProxyLink discoveryLink(GatewayProcess gateway) {
+    return discoveryLinks.get(gateway.name());
   }
 
-  /**
-   * Whether neither the link nor the gateway's system calls were made to fail between those
-   * moments.
-   */
-  boolean clean(String gateway, String server, long from, long until) {
-    boolean calls =
-        gateways.stream()
-            .filter(each -> each.name.equals(gateway))
-            .flatMap(each -> each.shim().stream())
-            .allMatch(shim -> shim.cleanBetween(from, until));
-    return calls && link(gateway, server).cleanBetween(from, until);
+  private ProxyLink link(String gatewayName, String serverId) {
+    return links.get(new LinkKey(gatewayName, serverId));
   }
 
   /** The links of those gateways to those servers. */
-  List<FaultProxy.Link> links(Predicate<GatewayProcess> from, Predicate<ModelServer> to) {
-    List<FaultProxy.Link> some = new ArrayList<>();
+  List<ProxyLink> links(Predicate<GatewayProcess> fromGateways, Predicate<ModelServer> toServers) {
+    List<ProxyLink> chosen = new ArrayList<>();
     for (GatewayProcess gateway : gateways) {
       for (ModelServer server : servers) {
-        if (from.test(gateway) && to.test(server)) {
-          some.add(link(gateway.name, server.id));
+        if (fromGateways.test(gateway) && toServers.test(server)) {
+          chosen.add(link(gateway.name(), server.id()));
         }
       }
     }
-    return some;
+    return chosen;
+  }
+
+  /**
+   * Whether neither the link nor the gateway's system calls were made to fail in that period; a
+   * {@link LinkHealth}.
+   */
+  boolean isHealthyBetween(String gatewayName, String serverId, long fromMicros, long untilMicros) {
+    boolean callsWork =
+        gateways.stream()
+            .filter(gateway -> gateway.name().equals(gatewayName))
+            .flatMap(gateway -> gateway.shim().stream())
+            .allMatch(shim -> shim.isHealthyBetween(fromMicros, untilMicros));
+    return callsWork && link(gatewayName, serverId).isHealthyBetween(fromMicros, untilMicros);
   }
 
   /** The zone that a gateway stands in. */
   String zone(GatewayProcess gateway) {
-    return ZONES[gateways.indexOf(gateway) % ZONES.length];
+    return ZONES.get(gateways.indexOf(gateway) % ZONES.size());
   }
 
   /** Lists a server in another state at all gateways' agents. */
-  void list(ModelServer server, String state) throws IOException {
-    states.put(server.id, state);
+  void list(ModelServer server, ListedState state) throws IOException {
+    listedStates.put(server.id(), state);
     for (GatewayProcess gateway : gateways) {
-      tell(gateway.name, server);
+      updateList(gateway.name(), server);
     }
   }
 
-  private void tell(String gateway, ModelServer server) throws IOException {
-    agents
-        .get(gateway)
-        .list(
-            server.id,
-            link(gateway, server.id).address(),
-            server.zone,
-            server.reads ? "r" : "w",
-            states.get(server.id),
-            server.startedAt());
+  private void updateList(String gatewayName, ModelServer server) throws IOException {
+    discoveryAgents
+        .get(gatewayName)
+        .update(
+            new ListedServer(
+                server.id(),
+                link(gatewayName, server.id()).address(),
+                server.zone(),
+                server.role(),
+                listedStates.get(server.id()),
+                server.startedMillis()));
   }
 
   /**
-   * Kills a server and starts a new process of it at the same address, cold; its gateways learn of
-   * the start.
+   * Kills a server and, after a while, starts a new process of it at the same address, cold; the
+   * gateways' endpoint lists state the new start.
    */
   void restartCold(ModelServer server, long downMicros) throws IOException {
     server.die();
-    MonotonicClock.sleep(downMicros);
-    truth.starts.add(new RunRecord.Start(server.id, MonotonicClock.now()));
+    MonotonicClock.sleepMicros(downMicros);
+    runRecord.addServerStart(server.id());
     server.start(System.currentTimeMillis());
     for (GatewayProcess gateway : gateways) {
-      link(gateway.name, server.id)
-          .upstream(new InetSocketAddress("127.0.0.1", server.address().getPort()));
+      link(gateway.name(), server.id()).setUpstream(server.address());
     }
-    list(server, "ready");
+    list(server, ListedState.READY);
   }
 
-  /** Ends every fault of the network and of system calls; clocks stay as they are. */
+  /** Ends every fault of the network, the servers and system calls; clocks stay as they are. */
   void heal() {
-    links.values().forEach(FaultProxy.Link::heal);
-    discoveries.values().forEach(FaultProxy.Link::heal);
-    servers.forEach(server -> server.hang(false));
+    links.values().forEach(ProxyLink::heal);
+    discoveryLinks.values().forEach(ProxyLink::heal);
+    servers.forEach(server -> server.setHanging(false));
     gateways.forEach(gateway -> gateway.shim().ifPresent(FaultShim::heal));
   }
 
@@ -199,10 +236,10 @@
   public void close() throws IOException {
     gateways.forEach(GatewayProcess::close);
     servers.forEach(ModelServer::close);
-    for (DiscoveryAgent agent : agents.values()) {
+    for (DiscoveryAgent agent : discoveryAgents.values()) {
       agent.close();
     }
     proxy.close();
-    truth.stalls.close();
+    runRecord.close();
   }
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/ReservedStateTable.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ReservedStateTable.java
@@ -6,131 +6,139 @@
 import java.util.Map;
 
 /**
- * The states that readers hold for requests, in truth, and for how long each was held while no
- * write waited for it.
+ * The states that readers truly reserve for requests, and the periods in which no write waited for
+ * them. Thread-safe.
  */
 final class ReservedStateTable {
-  private final Map<String, List<Held>> held = new HashMap<>();
-  private final List<Span> spans = new ArrayList<>();
+  private final Map<String, List<ReservedState>> statesByRequest = new HashMap<>();
+  private final List<IdlePeriod> idlePeriods = new ArrayList<>();
 
-  /** How a span ended. */
+  /** How an idle period ended. */
   enum End {
+    /** A write arrived for the state. */
     TAKEN,
     RELEASED,
     SERVER_DIED,
+    /** Not at all: the state is still reserved. */
     LEFT
   }
 
-  /** For how long a state was held with no write waiting for it. */
-  record Span(String id, String server, long from, long until, End end) {}
+  /** A period in which a state was reserved and no write waited for it. */
+  record IdlePeriod(String requestId, String serverId, long fromMicros, long untilMicros, End end) {
+    long durationMicros() {
+      return untilMicros - fromMicros;
+    }
+  }
 
-  private static final class Held {
-    private final String server;
-    private long idleSince;
-    private int waiting;
+  private static final class ReservedState {
+    private final String requestId;
+    private final String serverId;
+    private long idleSinceMicros;
+    private int waitingWrites;
 
-    Held(String server, long since) {
-      this.server = server;
-      this.idleSince = since;
+    ReservedState(String requestId, String serverId) {
+      this.requestId = requestId;
+      this.serverId = serverId;
+      this.idleSinceMicros = MonotonicClock.nowMicros();
+    }
+
+    boolean isIdle() {
+      return waitingWrites == 0;
+    }
+
+    IdlePeriod idlePeriod(End end) {
+      return new IdlePeriod(requestId, serverId, idleSinceMicros, MonotonicClock.nowMicros(), end);
     }
   }
 
-  /** A read has ended and left its state at a server. */
-  synchronized void made(String id, String server) {
-    held.computeIfAbsent(id, k -> new ArrayList<>()).add(new Held(server, MonotonicClock.now()));
+  /** Records that a read has ended and left its state at a server. */
+  synchronized void reserve(String requestId, String serverId) {
+    statesByRequest
+        .computeIfAbsent(requestId, absent -> new ArrayList<>())
+        .add(new ReservedState(requestId, serverId));
   }
 
-  /** A write has arrived and waits for the newest state; false if there is none. */
-  synchronized boolean attach(String id) {
-    List<Held> all = held.get(id);
-    if (all == null) {
+  /** Records that a write has arrived for the newest state; returns false if there is none. */
+  synchronized boolean beginWrite(String requestId) {
+    List<ReservedState> states = statesByRequest.get(requestId);
+    if (states == null) {
       return false;
     }
-    Held newest = all.get(all.size() - 1);
-    if (newest.waiting++ == 0) {
-      close(id, newest, End.TAKEN);
+    ReservedState newest = newest(states);
+    if (newest.isIdle()) {
+      idlePeriods.add(newest.idlePeriod(End.TAKEN));
     }
+    newest.waitingWrites++;
     return true;
   }
 
-  /** A write that waited has ended without taking the state. */
-  synchronized void detach(String id) {
-    List<Held> all = held.get(id);
-    if (all != null) {
-      Held newest = all.get(all.size() - 1);
-      newest.waiting = Math.max(0, newest.waiting - 1);
-      if (newest.waiting == 0) {
-        newest.idleSince = MonotonicClock.now();
-      }
+  /** Records that a write that waited has ended without taking the state. */
+  synchronized void abandonWrite(String requestId) {
+    List<ReservedState> states = statesByRequest.get(requestId);
+    if (states == null) {
+      return;
+    }
+    ReservedState newest = newest(states);
+    newest.waitingWrites = Math.max(0, newest.waitingWrites - 1);
+    if (newest.isIdle()) {
+      newest.idleSinceMicros = MonotonicClock.nowMicros();
     }
   }
 
   /**
-   * A write takes the state, and all else that is held for the request goes by itself; false if
+   * Lets a write take the state, which also ends all other states of the request; returns false if
    * there is none any more.
    */
-  synchronized boolean take(String id) {
-    return end(id, true, End.TAKEN);
+  synchronized boolean take(String requestId) {
+    List<ReservedState> states = statesByRequest.remove(requestId);
+    if (states == null) {
+      return false;
+    }
+    states.forEach(state -> endIdlePeriod(state, End.TAKEN));
+    return true;
   }
 
-  /** Whatever is held for the request and no write waits for is released. */
-  synchronized void release(String id) {
-    end(id, false, End.RELEASED);
+  /** Releases all states of the request that no write waits for. */
+  synchronized void release(String requestId) {
+    statesByRequest.computeIfPresent(
+        requestId,
+        (id, states) -> {
+          states.stream()
+              .filter(ReservedState::isIdle)
+              .forEach(state -> endIdlePeriod(state, End.RELEASED));
+          states.removeIf(ReservedState::isIdle);
+          return states.isEmpty() ? null : states;
+        });
   }
 
-  private boolean end(String id, boolean alsoWaitedFor, End how) {
-    List<Held> all = held.get(id);
-    if (all == null) {
-      return false;
-    }
-    all.removeIf(
-        each -> {
-          boolean ends = alsoWaitedFor || each.waiting == 0;
-          if (ends && each.waiting == 0) {
-            close(id, each, how);
-          }
-          return ends;
-        });
-    if (all.isEmpty()) {
-      held.remove(id);
+  /** Records that a server's process has ended, and with it all states that it had reserved. */
+  synchronized void serverDied(String serverId) {
+    for (List<ReservedState> states : statesByRequest.values()) {
+      states.stream()
+          .filter(state -> state.serverId.equals(serverId))
+          .forEach(state -> endIdlePeriod(state, End.SERVER_DIED));
+      states.removeIf(state -> state.serverId.equals(serverId));
     }
-    return true;
+    statesByRequest.values().removeIf(List::isEmpty);
   }
 
-  /** A server's process has ended, and with it what it held. */
-  synchronized void died(String server) {
-    for (String id : List.copyOf(held.keySet())) {
-      List<Held> all = held.get(id);
-      all.removeIf(
-          each -> {
-            boolean there = each.server.equals(server);
-            if (there && each.waiting == 0) {
-              close(id, each, End.SERVER_DIED);
-            }
-            return there;
-          });
-      if (all.isEmpty()) {
-        held.remove(id);
-      }
-    }
+  /** All idle periods so far; those of states that are still reserved last until now. */
+  synchronized List<IdlePeriod> idlePeriods() {
+    List<IdlePeriod> periods = new ArrayList<>(idlePeriods);
+    statesByRequest.values().stream()
+        .flatMap(List::stream)
+        .filter(ReservedState::isIdle)
+        .forEach(state -> periods.add(state.idlePeriod(End.LEFT)));
+    return periods;
   }
 
-  private void close(String id, Held each, End how) {
-    spans.add(new Span(id, each.server, each.idleSince, MonotonicClock.now(), how));
+  private void endIdlePeriod(ReservedState state, End end) {
+    if (state.isIdle()) {
+      idlePeriods.add(state.idlePeriod(end));
+    }
   }
 
-  /** All spans so far; what is still held counts as held until now. */
-  synchronized List<Span> spans() {
-    List<Span> all = new ArrayList<>(spans);
-    held.forEach(
-        (id, states) ->
-            states.stream()
-                .filter(each -> each.waiting == 0)
-                .forEach(
-                    each ->
-                        all.add(
-                            new Span(
-                                id, each.server, each.idleSince, MonotonicClock.now(), End.LEFT))));
-    return all;
+  private static ReservedState newest(List<ReservedState> states) {
+    return states.get(states.size() - 1);
   }
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/RunRecord.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/RunRecord.java
@@ -1,167 +1,130 @@
 package lemondock.faultinjection;
 
+import java.util.Collection;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.Queue;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * All that truly happened in a run, told by clients, servers, discovery and whoever sends signals.
- * Thread-safe.
+ * All that truly happened in a run, recorded by clients, servers, discovery and whoever sends
+ * signals. Thread-safe; complete once all of them have stopped.
  */
-final class RunRecord {
-  final Map<String, ClientCall> calls = new ConcurrentHashMap<>();
-  final ConcurrentLinkedQueue<Arrival> arrivals = new ConcurrentLinkedQueue<>();
-  final ConcurrentLinkedQueue<Release> releases = new ConcurrentLinkedQueue<>();
-  final ConcurrentLinkedQueue<Start> starts = new ConcurrentLinkedQueue<>();
-
-  /** Calls a second that each server answers when warm. */
-  final Map<String, Double> capacities = new ConcurrentHashMap<>();
-
-  final ConcurrentLinkedQueue<Told> told = new ConcurrentLinkedQueue<>();
-  final List<Life> lives = new CopyOnWriteArrayList<>();
-  final ReservedStateTable states = new ReservedStateTable();
-  final MachineStalls stalls = new MachineStalls();
-  final long origin = MonotonicClock.now();
-
-  /** Whether a call may run more than once. */
-  enum Effect {
-    SAFE,
-    ONCE
-  }
-
-  /** What became of a call as its client saw it. */
-  enum Outcome {
-    /** Not known yet. */
-    OPEN,
-    /** A whole stream. */
-    SERVED,
-    /** 429 or 503. */
-    REFUSED,
-    /** Any other status. */
-    FAILED,
-    /** A stream that broke off. */
-    BROKEN,
-    /** A stream with its last chunk that is not whole. */
-    CUT_SHORT,
-    /** The connection ended with no answer. */
-    UNANSWERED,
-    /** The client left. */
-    LEFT,
-    /**
-     * The last byte was never written, or on a resting connection that had been closed: it was sent
-     * once more.
-     */
-    NOT_TAKEN
-  }
-
-  /** A client's request. Written by its client's thread only. */
-  static final class ClientCall {
-    final String id;
-    final String gateway;
-    final Effect effect;
-    final long deadlineMicros;
-    volatile long sentAt;
-    volatile long endedAt;
-    volatile long leftAt;
-    volatile boolean fresh;
-    volatile long restedMicros;
-    volatile int status;
-    volatile Outcome outcome = Outcome.OPEN;
-
-    ClientCall(String id, String gateway, Effect effect, long deadlineMicros) {
-      this.id = id;
-      this.gateway = gateway;
-      this.effect = effect;
-      this.deadlineMicros = deadlineMicros;
-    }
-  }
-
-  /** What became of an attempt at its server. */
-  enum Fate {
-    UNDER_WAY,
-    READ,
-    RAN,
-    NOT_RUN,
-    FAILED,
-    DROPPED
-  }
-
-  /** A call that has reached a running server with its last byte. */
-  static final class Arrival {
-    final String id;
-    final String server;
-    final boolean reads;
-    final long firstByteAt;
-    final long arrivedAt;
-    final long toldMillis;
-    volatile Fate fate = Fate.UNDER_WAY;
-    volatile boolean streamedWhole;
-    volatile long streamedAt;
-
-    Arrival(
-        String id,
-        String server,
-        boolean reads,
-        long firstByteAt,
-        long arrivedAt,
-        long toldMillis) {
-      this.id = id;
-      this.server = server;
-      this.reads = reads;
-      this.firstByteAt = firstByteAt;
-      this.arrivedAt = arrivedAt;
-      this.toldMillis = toldMillis;
-    }
-  }
-
-  /** A release that has reached a running server. */
-  record Release(String id, String server, long at) {}
-
-  /** A new process of a server began. */
-  record Start(String server, long at) {}
-
-  /** Discovery has written to a gateway that a server drains, is gone, or has started. */
-  record Told(String gateway, String server, String state, long at) {}
-
-  /**
-   * One process of a gateway, from its start to its end; times of signals are 0 if there was none.
-   */
-  static final class Life {
-    final String gateway;
-    final long startedAt;
-    volatile long readyAt;
-    volatile long terminatedAt;
-    volatile long killedAt;
-    volatile long endedAt;
-    volatile int exitCode;
-
-    Life(String gateway, long startedAt) {
-      this.gateway = gateway;
-      this.startedAt = startedAt;
-    }
-
-    boolean covers(long at) {
-      return at >= startedAt && (endedAt == 0 || at <= endedAt);
-    }
-
-    /** Whether the process was killed without notice. */
-    boolean crashedOnPurpose() {
-      return killedAt > 0 && terminatedAt == 0;
-    }
-  }
-
-  /** The process of a gateway at that moment; null if there was none. */
-  Life life(String gateway, long at) {
-    return lives.stream()
-        .filter(life -> life.gateway.equals(gateway) && life.covers(at))
-        .findFirst()
-        .orElse(null);
+final class RunRecord implements AutoCloseable {
+  private static final double MICROS_PER_SECOND = 1e6;
+
+  private final Map<String, ClientCall> calls = new ConcurrentHashMap<>();
+  private final Queue<Arrival> arrivals = new ConcurrentLinkedQueue<>();
+  private final Queue<Release> releases = new ConcurrentLinkedQueue<>();
+  private final Queue<ServerStart> serverStarts = new ConcurrentLinkedQueue<>();
+  private final Queue<Announcement> announcements = new ConcurrentLinkedQueue<>();
+  private final Map<String, Double> serverCapacities = new ConcurrentHashMap<>();
+  private final List<GatewayIncarnation> incarnations = new CopyOnWriteArrayList<>();
+  private final ReservedStateTable reservedStates = new ReservedStateTable();
+  private final MachineStalls stalls = new MachineStalls();
+  private final long originMicros = MonotonicClock.nowMicros();
+
+  /** A release of a reserved state that has reached a running server. */
+  record Release(String requestId, String serverId, long arrivedMicros) {}
+
+  /** The start of a new process of a server. */
+  record ServerStart(String serverId, long startedMicros) {}
+
+  /** An endpoint list, or a change of one, that discovery has written to a gateway. */
+  record Announcement(String gatewayName, String serverId, ListedState state, long writtenMicros) {}
+
+  void addCall(ClientCall call) {
+    calls.put(call.id(), call);
+  }
+
+  void addArrival(Arrival arrival) {
+    arrivals.add(arrival);
+  }
+
+  /** Records a release that has arrived just now. */
+  void addRelease(String requestId, String serverId) {
+    releases.add(new Release(requestId, serverId, MonotonicClock.nowMicros()));
+  }
+
+  /** Records a process of a server that starts now. */
+  void addServerStart(String serverId) {
+    serverStarts.add(new ServerStart(serverId, MonotonicClock.nowMicros()));
+  }
+
+  void addAnnouncement(Announcement announcement) {
+    announcements.add(announcement);
+  }
+
+  /** Records how many calls a second a server answers when it is warm. */
+  void setServerCapacity(String serverId, double callsPerSecond) {
+    serverCapacities.put(serverId, callsPerSecond);
+  }
+
+  void addIncarnation(GatewayIncarnation incarnation) {
+    incarnations.add(incarnation);
+  }
+
+  Collection<ClientCall> calls() {
+    return calls.values();
+  }
+
+  /** The call with that id; empty for requests of others, as health checks. */
+  Optional<ClientCall> call(String id) {
+    return Optional.ofNullable(calls.get(id));
+  }
+
+  Collection<Arrival> arrivals() {
+    return arrivals;
+  }
+
+  Collection<Release> releases() {
+    return releases;
+  }
+
+  Collection<ServerStart> serverStarts() {
+    return serverStarts;
+  }
+
+  Collection<Announcement> announcements() {
+    return announcements;
+  }
+
+  /** Calls a second that a server answers when it is warm; 0 for an unknown server. */
+  double serverCapacity(String serverId) {
+    return serverCapacities.getOrDefault(serverId, 0.0);
+  }
+
+  List<GatewayIncarnation> incarnations() {
+    return incarnations;
+  }
+
+  /** The process of a gateway at that moment. */
+  Optional<GatewayIncarnation> incarnationAt(String gatewayName, long momentMicros) {
+    return incarnations.stream()
+        .filter(incarnation -> incarnation.gatewayName().equals(gatewayName))
+        .filter(incarnation -> incarnation.covers(momentMicros))
+        .findFirst();
+  }
+
+  ReservedStateTable reservedStates() {
+    return reservedStates;
+  }
+
+  MachineStalls stalls() {
+    return stalls;
   }
 
   /** A moment as seconds of the run. */
-  String time(long at) {
-    return String.format("%.3f", (at - origin) / 1e6);
+  String formatMoment(long momentMicros) {
+    return String.format("%.3f", (momentMicros - originMicros) / MICROS_PER_SECOND);
+  }
+
+  /** Stops watching for stalls. */
+  @Override
+  public void close() {
+    stalls.close();
   }
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/SoakMain.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/SoakMain.java
@@ -1,7 +1,9 @@
 package lemondock.faultinjection;
 
+import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
@@ -9,65 +11,77 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import java.util.stream.LongStream;
 
-/** The soak by hand: {@code bin/soak FIRST COUNT [PARALLEL]}. Exits with 1 if a rule was broken. */
+/**
+ * The soak as a program: {@code bin/soak FIRST COUNT [PARALLEL]}. Exits with 1 if a rule was broken
+ * or a run could not be played, with 2 on wrong use.
+ */
 public final class SoakMain {
+  private static final int PRINTED_BREACHES_PER_RUN = 4;
+
+  private final Map<Rule, Integer> breachesByRule = new TreeMap<>();
+  private int brokenRuns;
+
   private SoakMain() {}
 
   /**
    * Plays seeds FIRST to FIRST + COUNT - 1 and prints a line for each, then a line that sums them
-   * up.
+   * up. Logs and reports go to the folder of the system property {@code lemondock.soak.out}.
    */
   public static void main(String[] args) throws Exception {
     if (args.length < 2 || args.length > 3) {
       System.err.println("usage: soak FIRST COUNT [PARALLEL]");
       System.exit(2);
     }
-    long first = Long.parseLong(args[0]);
+    long firstSeed = Long.parseLong(args[0]);
     long count = Long.parseLong(args[1]);
     int parallel = args.length > 2 ? Integer.parseInt(args[2]) : 1;
+    SoakMain soak = new SoakMain();
+    soak.printResults(startRuns(firstSeed, count, parallel));
+    System.out.println(
+        count + " seeds, " + soak.brokenRuns + " with a broken rule " + soak.breachesByRule);
+    System.exit(soak.brokenRuns == 0 ? 0 : 1);
+  }
+
+  private static Map<Long, Future<SoakResult>> startRuns(long firstSeed, long count, int parallel)
+      throws IOException {
     Path project = Path.of(System.getProperty("lemondock.project", ".")).toAbsolutePath();
-    Path out =
-        Files.createDirectories(
-            Path.of(
-                System.getProperty(
-                    "lemondock.soak.out", project.resolve("target/soak").toString())));
-    Optional<Path> library = FaultShim.compile(project, out);
+    Path defaultFolder = project.resolve("target/soak");
+    Path folder = Path.of(System.getProperty("lemondock.soak.out", defaultFolder.toString()));
+    Files.createDirectories(folder);
+    Optional<Path> library = FaultShim.compile(project, folder);
     if (library.isEmpty()) {
       System.out.println("no C compiler: system calls and clocks are left alone");
     }
-    ExecutorService players = Executors.newFixedThreadPool(parallel);
-    Map<Long, Future<SoakRun.Result>> runs = new TreeMap<>();
-    LongStream.range(first, first + count)
-        .forEach(
-            seed ->
-                runs.put(
-                    seed,
-                    players.submit(
-                        () ->
-                            new SoakRun(project, out.resolve("seed-" + seed), library, seed)
-                                .play())));
-    players.shutdown();
-    int broken = 0;
-    Map<SoakAuditor.Rule, Integer> rules = new TreeMap<>();
-    for (Future<SoakRun.Result> run : runs.values()) {
-      SoakRun.Result result;
+    ExecutorService executor = Executors.newFixedThreadPool(parallel);
+    Map<Long, Future<SoakResult>> runs = new LinkedHashMap<>();
+    for (long seed = firstSeed; seed < firstSeed + count; seed++) {
+      SoakRun run = new SoakRun(project, folder.resolve("seed-" + seed), library, seed);
+      runs.put(seed, executor.submit(run::play));
+    }
+    executor.shutdown();
+    return runs;
+  }
+
+  /** Prints each result as soon as it and those of all seeds before it are there. */
+  private void printResults(Map<Long, Future<SoakResult>> runs) throws InterruptedException {
+    for (Future<SoakResult> run : runs.values()) {
       try {
-        result = run.get();
+        printResult(run.get());
       } catch (ExecutionException e) {
         System.out.println("not played: " + e.getCause());
-        broken++;
-        continue;
+        brokenRuns++;
       }
-      broken += result.breaches().isEmpty() ? 0 : 1;
-      result.breaches().forEach(breach -> rules.merge(breach.rule(), 1, Integer::sum));
-      System.out.println(result);
-      result.breaches().stream()
-          .limit(4)
-          .forEach(breach -> System.out.println("    " + breach.rule() + ": " + breach.what()));
     }
-    System.out.println(count + " seeds, " + broken + " with a broken rule " + rules);
-    System.exit(broken == 0 ? 0 : 1);
+  }
+
+  private void printResult(SoakResult result) {
+    brokenRuns += result.isKept() ? 0 : 1;
+    result.breaches().forEach(breach -> breachesByRule.merge(breach.rule(), 1, Integer::sum));
+    System.out.println(result);
+    result.breaches().stream()
+        .limit(PRINTED_BREACHES_PER_RUN)
+        .forEach(
+            breach -> System.out.println("    " + breach.rule() + ": " + breach.description()));
   }
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/SoakRun.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/SoakRun.java
@@ -8,165 +8,150 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
-import lemondock.faultinjection.RunRecord.Outcome;
+import java.util.concurrent.TimeUnit;
 
 /** One seeded run: a fleet under load, its faults, and the audit. */
 final class SoakRun {
-  private static final long LOAD = 11 * MonotonicClock.SECOND;
+  private static final long LOAD_MICROS = TimeUnit.SECONDS.toMicros(11);
 
-  /** After the last call: whatever is held must have been released by then. */
-  private static final long SETTLE = 1_500 * MonotonicClock.MILLI;
+  /** After the last call: whatever is reserved must have been released by then. */
+  private static final long SETTLE_MICROS = TimeUnit.MILLISECONDS.toMicros(1_500);
 
-  private static final long THINK = 40 * MonotonicClock.MILLI;
-  private static final int CROWD_TIMES = 4;
+  private static final long THINK_MICROS = TimeUnit.MILLISECONDS.toMicros(40);
+  private static final int CROWD_FACTOR = 4;
   private static final long JOIN_MILLIS = 20_000;
 
+  /** Client seeds of different runs do not overlap. */
+  private static final long CLIENT_SEEDS_PER_RUN = 1_000;
+
   private final Path project;
   private final Path folder;
-  private final Optional<Path> library;
+  private final Optional<Path> faultLibrary;
   private final long seed;
   private final FaultPlan plan;
-  private final ConcurrentLinkedQueue<String> troubles = new ConcurrentLinkedQueue<>();
-
-  /** What came of a run. */
-  record Result(
-      long seed,
-      FaultPlan plan,
-      Map<Outcome, Integer> outcomes,
-      List<SoakAuditor.Breach> breaches,
-      long stalledMicros,
-      List<String> troubles) {
-    @Override
-    public String toString() {
-      return "seed "
-          + seed
-          + ": "
-          + (breaches.isEmpty() ? "kept" : "BROKEN " + breaches.size())
-          + " "
-          + outcomes
-          + (plan.crowd() ? " crowd" : "")
-          + (plan.termination() ? " terminated" : "")
-          + " machine stalled "
-          + stalledMicros / MonotonicClock.MILLI
-          + " ms "
-          + plan.steps()
-          + " "
-          + plan.shape()
-          + (troubles.isEmpty() ? "" : " rig: " + troubles);
-    }
-  }
 
-  SoakRun(Path project, Path folder, Optional<Path> library, long seed) {
+  /** Added to by the threads that inject faults. */
+  private final Queue<String> rigFailures = new ConcurrentLinkedQueue<>();
+
+  /**
+   * Prepares a run.
+   *
+   * @param project the root of the repository
+   * @param folder where logs of the gateways and the report go
+   * @param faultLibrary the library of {@link FaultShim}; without it system calls are left alone
+   */
+  SoakRun(Path project, Path folder, Optional<Path> faultLibrary, long seed) {
     this.project = project;
     this.folder = folder;
-    this.library = library;
+    this.faultLibrary = faultLibrary;
     this.seed = seed;
     this.plan = FaultPlan.draw(seed);
   }
 
-  /** Plays it; logs of the gateways and the breaches are left in its folder. */
-  Result play() throws IOException, InterruptedException {
+  /** Plays the run, which takes about 15 s, and writes its report. */
+  SoakResult play() throws IOException, InterruptedException {
     Files.createDirectories(folder);
-    try (ProcessFleet fleet = new ProcessFleet(plan.shape(), project, folder, library, seed)) {
+    try (ProcessFleet fleet = new ProcessFleet(plan.shape(), project, folder, faultLibrary, seed)) {
       fleet.start();
-      List<LoadClient> clients = clients(fleet);
-      final List<Thread> load = clients.stream().map(client -> begun(client, "client")).toList();
-      List<Thread> faults = faults(fleet);
-      MonotonicClock.sleep(LOAD);
+      List<LoadClient> clients = createClients(fleet);
+      List<Thread> load = startAll("client", clients);
+      List<Thread> faults = startFaults(fleet);
+      MonotonicClock.sleepMicros(LOAD_MICROS);
       join(faults);
       fleet.heal();
-      List<Thread> endings = plan.termination() ? terminations(fleet) : List.of();
-      join(endings);
+      if (plan.termination()) {
+        join(startTerminations(fleet));
+      }
       clients.forEach(LoadClient::stop);
       join(load);
-      MonotonicClock.sleep(SETTLE);
-      return audited(fleet);
+      MonotonicClock.sleepMicros(SETTLE_MICROS);
+      SoakResult result = audit(fleet);
+      writeReport(result);
+      return result;
     }
   }
 
-  private List<LoadClient> clients(ProcessFleet fleet) {
-    int each = plan.shape().clientsPerGateway() * (plan.crowd() ? CROWD_TIMES : 1);
+  private List<LoadClient> createClients(ProcessFleet fleet) {
+    int perGateway = plan.shape().clientsPerGateway() * (plan.crowd() ? CROWD_FACTOR : 1);
     List<LoadClient> clients = new ArrayList<>();
-    for (GatewayProcess gateway : fleet.gateways) {
-      for (int i = 0; i < each; i++) {
-        clients.add(
-            new LoadClient(
-                gateway.name + "-c" + i,
-                gateway,
-                fleet.truth,
-                plan.shape(),
-                THINK,
-                seed * 1_000 + clients.size()));
+    for (GatewayProcess gateway : fleet.gateways()) {
+      for (int i = 0; i < perGateway; i++) {
+        long clientSeed = seed * CLIENT_SEEDS_PER_RUN + clients.size();
+        LoadClient.Options options =
+            new LoadClient.Options(plan.shape().deadlineMs(), THINK_MICROS, clientSeed);
+        clients.add(new LoadClient(gateway.name() + "-c" + i, gateway, fleet.runRecord(), options));
       }
     }
     return clients;
   }
 
-  private List<Thread> faults(ProcessFleet fleet) {
-    long begin = MonotonicClock.now();
+  private static List<Thread> startAll(String name, List<? extends Runnable> tasks) {
+    return tasks.stream().map(task -> DaemonThreads.start(name, task)).toList();
+  }
+
+  private List<Thread> startFaults(ProcessFleet fleet) {
+    long beginMicros = MonotonicClock.nowMicros();
     FaultInjector injector = new FaultInjector(fleet);
     return plan.steps().stream()
         .map(
             step ->
-                begun(
-                    () -> {
-                      MonotonicClock.sleepUntil(begin + step.at());
-                      try {
-                        injector.carryOut(step);
-                      } catch (IOException | InterruptedException | RuntimeException e) {
-                        troubles.add(step + ": " + e);
-                      }
-                    },
-                    "fault-" + step.kind()))
+                DaemonThreads.start(
+                    "fault-" + step.kind(), () -> injectWhenDue(injector, step, beginMicros)))
         .toList();
   }
 
-  /** All gateways are told to end, one soon after another, while their clients go on. */
-  private List<Thread> terminations(ProcessFleet fleet) {
-    return fleet.gateways.stream()
-        .filter(GatewayProcess::alive)
-        .map(
-            gateway ->
-                begun(
-                    () -> {
-                      try {
-                        gateway.terminate(plan.shape().killAfterMs());
-                      } catch (InterruptedException e) {
-                        Thread.currentThread().interrupt();
-                      }
-                    },
-                    "terminate"))
+  private void injectWhenDue(FaultInjector injector, FaultPlan.Step step, long beginMicros) {
+    MonotonicClock.sleepUntil(beginMicros + step.beginMicros());
+    try {
+      injector.inject(step);
+    } catch (IOException | InterruptedException | RuntimeException e) {
+      rigFailures.add(step + ": " + e);
+    }
+  }
+
+  /** Terminates all gateways, one soon after another, while their clients go on. */
+  private List<Thread> startTerminations(ProcessFleet fleet) {
+    return fleet.gateways().stream()
+        .filter(GatewayProcess::isAlive)
+        .map(gateway -> DaemonThreads.start("terminate", () -> terminate(gateway)))
         .toList();
   }
 
-  private static Thread begun(Runnable task, String name) {
-    Thread thread = new Thread(null, task, name, 256 * 1024);
-    thread.setDaemon(true);
-    thread.start();
-    return thread;
+  private void terminate(GatewayProcess gateway) {
+    try {
+      gateway.terminate(plan.shape().killAfterMs());
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
   }
 
   private void join(List<Thread> threads) throws InterruptedException {
     for (Thread thread : threads) {
       thread.join(JOIN_MILLIS);
       if (thread.isAlive()) {
-        troubles.add(thread.getName() + " did not end");
+        rigFailures.add(thread.getName() + " did not end");
       }
     }
   }
 
-  private Result audited(ProcessFleet fleet) throws IOException {
-    SoakAuditor auditor = new SoakAuditor(fleet.truth, plan.shape(), fleet::clean);
-    List<SoakAuditor.Breach> breaches = auditor.audit();
-    Map<Outcome, Integer> outcomes = new EnumMap<>(Outcome.class);
-    fleet.truth.calls.values().forEach(call -> outcomes.merge(call.outcome, 1, Integer::sum));
-    Result result =
-        new Result(
-            seed, plan, outcomes, breaches, fleet.truth.stalls.total(), List.copyOf(troubles));
-    List<String> report = new ArrayList<>(List.of(result.toString()));
-    breaches.forEach(breach -> report.add(breach.rule() + ": " + breach.what()));
-    Files.write(folder.resolve("report.txt"), report);
-    return result;
+  private SoakResult audit(ProcessFleet fleet) {
+    RunRecord runRecord = fleet.runRecord();
+    SoakAuditor auditor = new SoakAuditor(runRecord, plan.shape(), fleet::isHealthyBetween);
+    List<Breach> breaches = auditor.audit();
+    Map<CallOutcome, Integer> outcomes = new EnumMap<>(CallOutcome.class);
+    runRecord.calls().forEach(call -> outcomes.merge(call.outcome(), 1, Integer::sum));
+    return new SoakResult(
+        seed, plan, outcomes, breaches, runRecord.stalls().totalMicros(), List.copyOf(rigFailures));
+  }
+
+  private void writeReport(SoakResult result) throws IOException {
+    List<String> lines = new ArrayList<>();
+    lines.add(result.toString());
+    for (Breach breach : result.breaches()) {
+      lines.add(breach.rule() + ": " + breach.description());
+    }
+    Files.write(folder.resolve("report.txt"), lines);
   }
 }
--- a/faultinjection/src/test/java/lemondock/faultinjection/HeldStateTest.java
+++ b/faultinjection/src/test/java/lemondock/faultinjection/HeldStateTest.java
@@ -7,12 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
+import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import lemondock.faultinjection.FaultProxy.Admission;
-import lemondock.faultinjection.FaultProxy.Flow;
-import lemondock.faultinjection.FaultProxy.Link;
-import lemondock.faultinjection.SoakAuditor.Breach;
-import lemondock.faultinjection.SoakAuditor.Rule;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -24,9 +20,10 @@
 @Timeout(60)
 class HeldStateTest {
   private static final Path PROJECT = Path.of("..").toAbsolutePath().normalize();
-  private static final long BEFORE = 1_500 * MonotonicClock.MILLI;
-  private static final long SILENCE = 4_500 * MonotonicClock.MILLI;
-  private static final long AFTER = 1_500 * MonotonicClock.MILLI;
+  private static final long BEFORE_MICROS = TimeUnit.MILLISECONDS.toMicros(1_500);
+  private static final long SILENCE_MICROS = TimeUnit.MILLISECONDS.toMicros(4_500);
+  private static final long AFTER_MICROS = TimeUnit.MILLISECONDS.toMicros(1_500);
+  private static final long THINK_MICROS = TimeUnit.MILLISECONDS.toMicros(60);
   private static final int CLIENTS = 12;
 
   @TempDir Path folder;
@@ -34,13 +31,19 @@
   /** As reported: writes leave on connections that took them before, and never arrive. */
   @Test
   void aStateWhoseWriteNeverArrivesIsReleasedInTime() throws Exception {
-    assertEquals(List.of(), heldWhile(server -> !server.reads, Flow.HOLD, Flow.HOLD));
+    assertEquals(
+        List.of(),
+        breachesWhileSilent(
+            server -> server.role() == ServerRole.WRITER, LinkFlow.HOLD, LinkFlow.HOLD));
   }
 
   /** The write arrives, or not; the gateway hears nothing either way. */
   @Test
   void aStateIsReleasedInTimeWhereRequestsAreHeldBackOneWay() throws Exception {
-    assertEquals(List.of(), heldWhile(server -> !server.reads, Flow.HOLD, Flow.PASS));
+    assertEquals(
+        List.of(),
+        breachesWhileSilent(
+            server -> server.role() == ServerRole.WRITER, LinkFlow.HOLD, LinkFlow.PASS));
   }
 
   /**
@@ -51,14 +54,15 @@
   void aStateWhoseReadsAnswerNeverArrivesIsReleasedInTime() throws Exception {
     assertEquals(
         List.of(),
-        heldWhile(server -> server.reads && server.id.equals("r0"), Flow.PASS, Flow.HOLD));
+        breachesWhileSilent(server -> server.id().equals("r0"), LinkFlow.PASS, LinkFlow.HOLD));
   }
 
   /**
    * One gateway, two readers, three writers; for a while the links to some servers are silent. What
    * was held for too long.
    */
-  private List<Breach> heldWhile(Predicate<ModelServer> silent, Flow toServer, Flow toClient)
+  private List<Breach> breachesWhileSilent(
+      Predicate<ModelServer> silentServers, LinkFlow flowToServer, LinkFlow flowToClient)
       throws Exception {
     FleetShape shape = new FleetShape(1, 2, 3, 500, 3_500, CLIENTS, 15_000, 250);
     try (ProcessFleet fleet = new ProcessFleet(shape, PROJECT, folder, Optional.empty(), 36)) {
@@ -66,26 +70,27 @@
       List<LoadClient> clients = new ArrayList<>();
       List<Thread> threads = new ArrayList<>();
       for (int i = 0; i < CLIENTS; i++) {
+        LoadClient.Options options = new LoadClient.Options(shape.deadlineMs(), THINK_MICROS, i);
         LoadClient client =
-            new LoadClient(
-                "c" + i, fleet.gateways.get(0), fleet.truth, shape, 60 * MonotonicClock.MILLI, i);
+            new LoadClient("c" + i, fleet.gateways().get(0), fleet.runRecord(), options);
         clients.add(client);
         threads.add(new Thread(client));
       }
       threads.forEach(Thread::start);
-      MonotonicClock.sleep(BEFORE);
-      List<Link> links = fleet.links(gateway -> true, silent);
-      links.forEach(link -> link.set(toServer, toClient, Admission.ACCEPT));
-      MonotonicClock.sleep(SILENCE);
-      links.forEach(Link::heal);
+      MonotonicClock.sleepMicros(BEFORE_MICROS);
+      List<ProxyLink> links = fleet.links(gateway -> true, silentServers);
+      links.forEach(link -> link.setFault(flowToServer, flowToClient, LinkAdmission.ACCEPT));
+      MonotonicClock.sleepMicros(SILENCE_MICROS);
+      links.forEach(ProxyLink::heal);
       clients.forEach(LoadClient::stop);
       for (Thread thread : threads) {
         thread.join();
       }
-      MonotonicClock.sleep(AFTER);
-      assertTrue(fleet.truth.calls.size() > CLIENTS * 3, "the test asks enough");
+      MonotonicClock.sleepMicros(AFTER_MICROS);
+      assertTrue(fleet.runRecord().calls().size() > CLIENTS * 3, "the test asks enough");
       List<Breach> breaches =
-          new SoakAuditor(fleet.truth, shape, (gateway, server, from, until) -> false).audit();
+          new SoakAuditor(fleet.runRecord(), shape, (gateway, server, from, until) -> false)
+              .audit();
       return breaches.stream().filter(breach -> breach.rule() == Rule.HELD).toList();
     }
   }
--- a/faultinjection/src/test/java/lemondock/faultinjection/InterruptedCallsTest.java
+++ b/faultinjection/src/test/java/lemondock/faultinjection/InterruptedCallsTest.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
+import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import lemondock.faultinjection.FaultShim.Fault;
-import lemondock.faultinjection.RunRecord.Outcome;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -21,7 +21,10 @@
 @Timeout(60)
 class InterruptedCallsTest {
   private static final Path PROJECT = Path.of("..").toAbsolutePath().normalize();
-  private static final long LOAD = 3 * MonotonicClock.SECOND;
+  private static final long LOAD_MICROS = TimeUnit.SECONDS.toMicros(3);
+  private static final long SETTLE_MICROS = TimeUnit.SECONDS.toMicros(1);
+  private static final long THINK_MICROS = TimeUnit.MILLISECONDS.toMicros(40);
+  private static final long FAILURES_PER_MILLION = 150_000;
   private static final int CLIENTS = 8;
 
   @TempDir Path folder;
@@ -32,50 +35,52 @@
    */
   @Test
   void interruptedAndShortTransfersLoseNothing() throws Exception {
-    Set<Outcome> outcomes = outcomesWith(Fault.INTERRUPT, Fault.SHORTEN);
-    assertTrue(EnumSet.of(Outcome.SERVED, Outcome.LEFT).containsAll(outcomes), outcomes.toString());
+    Set<CallOutcome> outcomes = outcomesWith(Fault.INTERRUPT, Fault.SHORTEN);
+    assertTrue(
+        EnumSet.of(CallOutcome.SERVED, CallOutcome.LEFT).containsAll(outcomes),
+        outcomes.toString());
   }
 
   /** Sockets that cannot be had for a moment cost time, and no request its answer. */
   @Test
   void failingAcceptsAndConnectsLeaveNoRequestUnanswered() throws Exception {
-    Set<Outcome> outcomes = outcomesWith(Fault.ACCEPT, Fault.SOCKET, Fault.CONNECT);
+    Set<CallOutcome> outcomes = outcomesWith(Fault.ACCEPT, Fault.SOCKET, Fault.CONNECT);
     assertTrue(
-        EnumSet.of(Outcome.SERVED, Outcome.LEFT, Outcome.REFUSED).containsAll(outcomes),
+        EnumSet.of(CallOutcome.SERVED, CallOutcome.LEFT, CallOutcome.REFUSED).containsAll(outcomes),
         outcomes.toString());
   }
 
-  private Set<Outcome> outcomesWith(Fault... faults) throws Exception {
+  private Set<CallOutcome> outcomesWith(Fault... faults) throws Exception {
     Optional<Path> library = FaultShim.compile(PROJECT, folder);
     assumeTrue(library.isPresent(), "no C compiler");
     FleetShape shape = new FleetShape(1, 2, 2, 500, 3_000, CLIENTS, 15_000, 250);
     try (ProcessFleet fleet = new ProcessFleet(shape, PROJECT, folder, library, 5)) {
       fleet.start();
       for (Fault fault : faults) {
-        fleet.gateways.get(0).shim().orElseThrow().rate(fault, 150_000);
+        fleet.gateways().get(0).shim().orElseThrow().setFailureRate(fault, FAILURES_PER_MILLION);
       }
       List<LoadClient> clients = new ArrayList<>();
       List<Thread> threads = new ArrayList<>();
       for (int i = 0; i < CLIENTS; i++) {
-        clients.add(
-            new LoadClient(
-                "c" + i, fleet.gateways.get(0), fleet.truth, shape, 40 * MonotonicClock.MILLI, i));
+        LoadClient.Options options = new LoadClient.Options(shape.deadlineMs(), THINK_MICROS, i);
+        clients.add(new LoadClient("c" + i, fleet.gateways().get(0), fleet.runRecord(), options));
         threads.add(new Thread(clients.get(i)));
       }
       threads.forEach(Thread::start);
-      MonotonicClock.sleep(LOAD);
+      MonotonicClock.sleepMicros(LOAD_MICROS);
       clients.forEach(LoadClient::stop);
       for (Thread thread : threads) {
         thread.join();
       }
-      MonotonicClock.sleep(MonotonicClock.SECOND);
+      MonotonicClock.sleepMicros(SETTLE_MICROS);
       fleet.heal();
       assertEquals(
           List.of(),
-          new SoakAuditor(fleet.truth, shape, (gateway, server, from, until) -> true).audit());
-      assertTrue(fleet.truth.calls.size() > CLIENTS * 3, "the test asks enough");
-      return fleet.truth.calls.values().stream()
-          .map(call -> call.outcome)
+          new SoakAuditor(fleet.runRecord(), shape, (gateway, server, from, until) -> true)
+              .audit());
+      assertTrue(fleet.runRecord().calls().size() > CLIENTS * 3, "the test asks enough");
+      return fleet.runRecord().calls().stream()
+          .map(ClientCall::outcome)
           .collect(Collectors.toSet());
     }
   }
--- a/faultinjection/src/test/java/lemondock/faultinjection/SoakTest.java
+++ b/faultinjection/src/test/java/lemondock/faultinjection/SoakTest.java
@@ -6,7 +6,6 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Optional;
-import lemondock.faultinjection.RunRecord.Outcome;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -19,7 +18,7 @@
 @Timeout(120)
 class SoakTest {
   private static final Path PROJECT = Path.of("..").toAbsolutePath().normalize();
-  private static final int LEAST_SERVED = 100;
+  private static final int MIN_SERVED = 100;
 
   @TempDir Path folder;
 
@@ -41,12 +40,12 @@
 
   private void play(long seed) throws Exception {
     Optional<Path> library = FaultShim.compile(PROJECT, folder);
-    SoakRun.Result result = new SoakRun(PROJECT, folder.resolve("run"), library, seed).play();
+    SoakResult result = new SoakRun(PROJECT, folder.resolve("run"), library, seed).play();
     System.out.println(result);
     assertEquals(List.of(), result.breaches(), result.toString());
-    assertEquals(List.of(), result.troubles());
+    assertEquals(List.of(), result.rigFailures());
     assertTrue(
-        result.outcomes().getOrDefault(Outcome.SERVED, 0) > LEAST_SERVED,
+        result.outcomes().getOrDefault(CallOutcome.SERVED, 0) > MIN_SERVED,
         "enough is served: " + result);
   }
 }
