--- a/benchmark/src/main/java/lemondock/benchmark/AffinityBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/AffinityBenchmark.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.lang.reflect.Proxy;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -15,19 +14,12 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import java.util.concurrent.atomic.AtomicLong;
-import java.util.concurrent.atomic.AtomicLongArray;
-import lemondock.dispatch.RouterFactory;
 import lemondock.emulator.EngineSettings;
 import lemondock.emulator.TrafficEvent;
-import lemondock.gateway.Gateway;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.net.http.HttpClient;
 import lemondock.net.http.HttpClientOptions;
 import lemondock.net.http.HttpLimits;
-import lemondock.policy.AttemptResult;
-import lemondock.policy.RequestRouter;
-import lemondock.policy.RoutingRequest;
 import lemondock.scenario.EmulatedProcess;
 import lemondock.scenario.LoopbackSettings;
 import lemondock.scenario.McpClient;
@@ -36,227 +28,213 @@
 import lemondock.scenario.ToolCallRequest;
 
 /**
- * What is won by sending the leg behind a tool call to the reader that has the text, against one
- * that reads it anew: tokens found kept, and the time from the leg's arrival at a reader to the
- * beginning of its writing. Nothing is held for it meanwhile in either case. Stand-ins.
+ * What is won by sending the turn behind a tool call to the reader that has the text cached,
+ * against one that reads it anew: tokens found in the cache, and the time from the turn's arrival
+ * at a reader to the beginning of its writing. Nothing is reserved for it meanwhile in either case.
+ * Emulated engines.
  */
-final class AffinityBenchmark {
+final class AffinityBenchmark implements Benchmark {
   private static final int CALLS = 200;
-  private static final int WORDS = 3_000;
+  private static final int CONCURRENT_CALLS = 4;
+  private static final int PROMPT_WORDS = 3_000;
+  private static final int ANSWER_WORDS = 5;
   private static final int READERS = 6;
-  private static final double READ_A_SECOND = 20_000;
-  private static final int AT_A_TIME = 4;
+  private static final int WRITERS = 2;
+  private static final int WRITER_SLOTS = 64;
+  private static final double READ_TOKENS_PER_SECOND = 20_000;
+  private static final long MEMORY_TOKENS = 10_000_000;
+  private static final long TOOL_MICROS = 20_000;
+  private static final int MAX_TOKENS = 100;
+  private static final String GATEWAY = "gw";
+  private static final long SERVERS_WAIT_MILLIS = 10_000;
+  private static final long DONE_WAIT_SECONDS = 120;
+  private static final double MICROS_PER_MILLI = 1e3;
 
-  private AffinityBenchmark() {}
-
-  /**
-   * The module as it is, and one to which each leg is a conversation of its own without a shared
-   * beginning.
-   */
-  private static RouterFactory maker(boolean anew, AtomicLongArray kept) {
-    return (settings, seed, host) -> {
-      RequestRouter module = Gateway.DEFAULT_ROUTER_FACTORY.create(settings, seed, host);
-      AtomicLong sessions = new AtomicLong(1);
-      return (RequestRouter)
-          Proxy.newProxyInstance(
-              RequestRouter.class.getClassLoader(),
-              new Class<?>[] {RequestRouter.class},
-              (proxy, method, args) -> {
-                Object[] given = args;
-                if (method.getName().equals("requestArrived")) {
-                  RoutingRequest r = (RoutingRequest) args[1];
-                  kept.addAndGet(1, r.promptTokens());
-                  if (anew) {
-                    given =
-                        new Object[] {
-                          args[0],
-                          new RoutingRequest(
-                              r.id(),
-                              r.classId(),
-                              r.tenantId(),
-                              sessions.addAndGet(0x9E3779B97F4A7C15L),
-                              0,
-                              r.promptTokens(),
-                              0,
-                              r.maxAnswerTokens(),
-                              r.clientTimeoutMicros(),
-                              r.expectedWriteMicros(),
-                              r.clientRetry(),
-                              r.resumed())
-                        };
-                  }
-                } else if (method.getName().equals("attemptEnded")) {
-                  kept.addAndGet(0, Math.max(0, ((AttemptResult) args[1]).cachedTokens()));
-                }
-                return method.invoke(module, given);
-              });
-    };
-  }
-
-  static void measure() throws Exception {
+  @Override
+  public void run() throws Exception {
     System.out.println(
         CALLS
             + " calls with one tool call each, prompts of "
-            + WORDS
+            + PROMPT_WORDS
             + " words, "
             + READERS
             + " readers that read "
-            + (int) READ_A_SECOND
+            + (int) READ_TOKENS_PER_SECOND
             + " tokens a second, "
-            + AT_A_TIME
+            + CONCURRENT_CALLS
             + " calls at a time\n"
             + "| the leg behind the call | prompt tokens found kept, of all legs | from"
             + " its arrival to its writing, ms p50 | p99 |\n"
             + "| --- | --- | --- | --- |");
-    for (boolean anew : new boolean[] {false, true}) {
-      AtomicLongArray kept = new AtomicLongArray(2);
-      List<Long> times = run(anew, kept);
-      long[] sorted = times.stream().mapToLong(t -> t).sorted().toArray();
-      System.out.printf(
-          Locale.ROOT,
-          "| %s | %.2f | %.1f | %.1f |%n",
-          anew ? "anywhere" : "where the module sends it",
-          (double) kept.get(0) / kept.get(1),
-          sorted[sorted.length / 2] / 1e3,
-          sorted[(int) (sorted.length * 0.99)] / 1e3);
-    }
+    measure("where the module sends it", PrefixCacheMeter.withAffinity());
+    measure("anywhere", PrefixCacheMeter.withoutAffinity());
+  }
+
+  private static void measure(String name, PrefixCacheMeter meter) throws Exception {
+    long[] sortedMicros = runCalls(meter).stream().mapToLong(Long::longValue).sorted().toArray();
+    System.out.printf(
+        Locale.ROOT,
+        "| %s | %.2f | %.1f | %.1f |%n",
+        name,
+        meter.cachedShare(),
+        sortedMicros[sortedMicros.length / 2] / MICROS_PER_MILLI,
+        sortedMicros[(int) (sortedMicros.length * 0.99)] / MICROS_PER_MILLI);
   }
 
-  private static List<Long> run(boolean anew, AtomicLongArray kept) throws Exception {
-    GatewaySettings[] settings = new GatewaySettings[1];
-    List<GatewaySettings.ClassSettings> classes =
-        LoopbackSettings.gateway("x", 0, 1, "north", 1, "127.0.0.1:1", s -> change(s)).classes();
+  /** Runs all calls; gives for each the time from its second read to its second write. */
+  private static List<Long> runCalls(PrefixCacheMeter meter) throws Exception {
+    List<GatewaySettings.ClassSettings> classes = settings(1, "127.0.0.1:1").classes();
     try (ScenarioFleet fleet = new ScenarioFleet(classes, 1);
         EmulatedProcess clients = new EmulatedProcess("clients", 1)) {
       int port = fleet.reservePort();
-      for (int i = 0; i < READERS; i++) {
-        EngineSettings reader = EngineSettings.quick("r" + i, "reader", "north", "r1");
-        fleet.addEngine(
-            new EngineSettings(
-                reader.name(),
-                reader.listen(),
-                reader.role(),
-                reader.kind(),
-                reader.zone(),
-                reader.rack(),
-                reader.slots(),
-                reader.queue(),
-                10_000_000,
-                READ_A_SECOND,
-                reader.readMs(),
-                reader.firstMs(),
-                reader.tokenMs(),
-                reader.coldShare(),
-                0,
-                null));
-      }
-      fleet.addEngine(
-          EngineSettings.quick("w0", "writer", "north", "r1").withLimits(64, 64, 10_000_000));
+      startFleet(fleet, port, meter);
+      ToolCallers callers = new ToolCallers(clients, new InetSocketAddress("127.0.0.1", port));
+      callers.run();
+      return secondReadToWriteMicros(fleet.events());
+    }
+  }
+
+  private static void startFleet(ScenarioFleet fleet, int port, PrefixCacheMeter meter) {
+    for (int i = 0; i < READERS; i++) {
+      fleet.addEngine(reader("r" + i));
+    }
+    for (int i = 0; i < WRITERS; i++) {
       fleet.addEngine(
-          EngineSettings.quick("w1", "writer", "north", "r1").withLimits(64, 64, 10_000_000));
-      settings[0] =
-          LoopbackSettings.gateway(
-              "gw", 0, 1, "north", port, fleet.catalogueAddress(), s -> change(s));
-      fleet.addGateway(settings[0], maker(anew, kept));
-      if (!fleet.awaitServers("gw", READERS + 2, 10_000)) {
-        throw new IllegalStateException("the gateway does not see its servers");
-      }
-      HttpClient http =
+          EngineSettings.quick("w" + i, "writer", "north", "r1")
+              .withLimits(WRITER_SLOTS, WRITER_SLOTS, MEMORY_TOKENS));
+    }
+    fleet.addGateway(settings(port, fleet.catalogueAddress()), meter.routerFactory());
+    if (!fleet.awaitServers(GATEWAY, READERS + WRITERS, SERVERS_WAIT_MILLIS)) {
+      throw new IllegalStateException("the gateway does not see its servers");
+    }
+  }
+
+  private static EngineSettings reader(String name) {
+    EngineSettings quick = EngineSettings.quick(name, "reader", "north", "r1");
+    return new EngineSettings(
+        quick.name(),
+        quick.listen(),
+        quick.role(),
+        quick.kind(),
+        quick.zone(),
+        quick.rack(),
+        quick.slots(),
+        quick.queue(),
+        MEMORY_TOKENS,
+        READ_TOKENS_PER_SECOND,
+        quick.readMs(),
+        quick.firstMs(),
+        quick.tokenMs(),
+        quick.coldShare(),
+        0,
+        null);
+  }
+
+  private static GatewaySettings settings(int port, String catalogueAddress) {
+    return LoopbackSettings.gateway(
+        GATEWAY, 0, 1, "north", port, catalogueAddress, AffinityBenchmark::widen);
+  }
+
+  private static void widen(ObjectNode settings) {
+    settings.putObject("overload").put("refuse", false);
+    ((ObjectNode) settings.at("/classes/0")).put("deadlineMs", 60_000).put("aimMs", 20_000);
+  }
+
+  /** Clients that make one call after the other, until all are made. */
+  private static final class ToolCallers {
+    private final EmulatedProcess process;
+    private final HttpClient http;
+    private final InetSocketAddress gateway;
+    private final AtomicInteger started = new AtomicInteger();
+    private final CountDownLatch done = new CountDownLatch(CALLS);
+
+    ToolCallers(EmulatedProcess process, InetSocketAddress gateway) {
+      this.process = process;
+      this.gateway = gateway;
+      this.http =
           new HttpClient(
-              clients.loop(),
-              clients.network(),
+              process.loop(),
+              process.network(),
               new HttpClientOptions(HttpLimits.DEFAULT, 1 << 20, 2_000, 1_000_000, 15_000_000));
-      CountDownLatch done = new CountDownLatch(CALLS);
-      AtomicInteger number = new AtomicInteger();
-      for (int i = 0; i < AT_A_TIME; i++) {
-        clients.loop().execute(() -> next(clients, http, port, number, done));
+    }
+
+    void run() throws InterruptedException {
+      for (int i = 0; i < CONCURRENT_CALLS; i++) {
+        process.loop().execute(this::startNext);
       }
-      if (!done.await(120, TimeUnit.SECONDS)) {
+      if (!done.await(DONE_WAIT_SECONDS, TimeUnit.SECONDS)) {
         throw new IllegalStateException(done.getCount() + " calls have not ended");
       }
-      return times(fleet.events());
     }
-  }
 
-  private static void change(ObjectNode settings) {
-    settings.putObject("overload").put("refuse", false);
-    ((ObjectNode) settings.at("/classes/0")).put("deadlineMs", 60_000).put("aimMs", 20_000);
-  }
+    private void startNext() {
+      int number = started.getAndIncrement();
+      if (number >= CALLS) {
+        return;
+      }
+      ToolCallRequest request = request(number);
+      McpClient client = new McpClient(process.loop(), http, gateway, GATEWAY);
+      client.open(
+          opened ->
+              client.call(
+                  request,
+                  ended -> {
+                    done.countDown();
+                    startNext();
+                  }));
+    }
 
-  private static void next(
-      EmulatedProcess clients,
-      HttpClient http,
-      int port,
-      AtomicInteger number,
-      CountDownLatch done) {
-    int call = number.getAndIncrement();
-    if (call >= CALLS) {
-      return;
+    private static ToolCallRequest request(int number) {
+      ArrayNode messages = JsonNodeFactory.instance.arrayNode();
+      messages.addObject().put("role", "user").put("content", prompt(number));
+      return new ToolCallRequest(
+          RequestBodies.DEFAULT_TOOL,
+          0,
+          messages,
+          "talk-" + number,
+          List.of(ToolCallPrompt.TOOL),
+          ToolBehaviour.ANSWER,
+          TOOL_MICROS,
+          MAX_TOKENS,
+          "m" + number,
+          false);
     }
-    SplittableRandom random = new SplittableRandom(call);
-    StringBuilder text = new StringBuilder("#m" + call + "# call the tool stock answer in 5 words");
-    for (int i = 0; i < WORDS; i++) {
-      text.append(" w").append(random.nextInt(100_000));
+
+    private static String prompt(int number) {
+      SplittableRandom random = new SplittableRandom(number);
+      StringBuilder text = new StringBuilder(ToolCallPrompt.text("m" + number, ANSWER_WORDS));
+      for (int i = 0; i < PROMPT_WORDS; i++) {
+        text.append(" w").append(random.nextInt(100_000));
+      }
+      return text.toString();
     }
-    ArrayNode messages = JsonNodeFactory.instance.arrayNode();
-    messages.addObject().put("role", "user").put("content", text.toString());
-    McpClient client =
-        new McpClient(clients.loop(), http, new InetSocketAddress("127.0.0.1", port), "gw");
-    client.open(
-        ok ->
-            client.call(
-                new ToolCallRequest(
-                    "sale-lookup",
-                    0,
-                    messages,
-                    "talk-" + call,
-                    List.of("stock"),
-                    ToolBehaviour.ANSWER,
-                    20_000,
-                    100,
-                    "m" + call,
-                    false),
-                ended -> {
-                  done.countDown();
-                  next(clients, http, port, number, done);
-                }));
   }
 
   /** For each call, from the arrival of its second read to the second beginning of writing. */
-  private static List<Long> times(List<TrafficEvent> events) {
-    Map<String, List<TrafficEvent>> byMark = new LinkedHashMap<>();
-    events.stream()
-        .filter(
-            e ->
-                e.kind() == TrafficEvent.Kind.PREFILL
-                    || e.kind() == TrafficEvent.Kind.DECODE_STARTED)
-        .forEach(e -> byMark.computeIfAbsent(e.mark(), k -> new ArrayList<>()).add(e));
-    List<Long> times = new ArrayList<>();
-    byMark
-        .values()
-        .forEach(
-            all -> {
-              long[] reads =
-                  all.stream()
-                      .filter(e -> e.kind() == TrafficEvent.Kind.PREFILL)
-                      .mapToLong(TrafficEvent::atMicros)
-                      .sorted()
-                      .toArray();
-              long[] writes =
-                  all.stream()
-                      .filter(e -> e.kind() == TrafficEvent.Kind.DECODE_STARTED)
-                      .mapToLong(TrafficEvent::atMicros)
-                      .sorted()
-                      .toArray();
-              long from =
-                  Arrays.stream(reads)
-                      .filter(r -> writes.length > 1 && r > writes[0])
-                      .findFirst()
-                      .orElse(-1);
-              if (from > 0) {
-                times.add(writes[1] - from);
-              }
-            });
-    return times;
+  private static List<Long> secondReadToWriteMicros(List<TrafficEvent> events) {
+    Map<String, List<TrafficEvent>> eventsByCall = new LinkedHashMap<>();
+    for (TrafficEvent event : events) {
+      eventsByCall.computeIfAbsent(event.mark(), absent -> new ArrayList<>()).add(event);
+    }
+    List<Long> micros = new ArrayList<>();
+    for (List<TrafficEvent> ofCall : eventsByCall.values()) {
+      long[] reads = sortedMoments(ofCall, TrafficEvent.Kind.PREFILL);
+      long[] writes = sortedMoments(ofCall, TrafficEvent.Kind.DECODE_STARTED);
+      if (writes.length > 1) {
+        Arrays.stream(reads)
+            .filter(read -> read > writes[0])
+            .findFirst()
+            .ifPresent(read -> micros.add(writes[1] - read));
+      }
+    }
+    return micros;
+  }
+
+  private static long[] sortedMoments(List<TrafficEvent> events, TrafficEvent.Kind kind) {
+    return events.stream()
+        .filter(event -> event.kind() == kind)
+        .mapToLong(TrafficEvent::atMicros)
+        .sorted()
+        .toArray();
   }
 }
--- /dev/null
+++ b/benchmark/src/main/java/lemondock/benchmark/CpuTime.java
@@ -0,0 +1,38 @@
+package lemondock.benchmark;
+
+import java.time.Duration;
+import java.util.concurrent.TimeUnit;
+
+/** CPU time of processes. */
+final class CpuTime {
+  private static final int SHARE_SAMPLES = 10;
+  private static final double NANOS_PER_MICRO = 1e3;
+  private static final double NANOS_PER_PERCENT_OF_SECOND = 1e7;
+
+  private CpuTime() {}
+
+  /** CPU time that this process has used so far. */
+  static Duration ofThisProcess() {
+    return ProcessHandle.current().info().totalCpuDuration().orElse(Duration.ZERO);
+  }
+
+  /** CPU time between two readings for each of so many events, in microseconds. */
+  static double microsPerEvent(Duration before, Duration after, double events) {
+    return after.minus(before).toNanos() / NANOS_PER_MICRO / events;
+  }
+
+  /**
+   * Watches a process for ten seconds and formats its use of one processor, in percent, as {@code
+   * median (least to most)}.
+   */
+  static String formatShare(ChildProcess process) throws InterruptedException {
+    RoundValues shares = new RoundValues(1, SHARE_SAMPLES);
+    for (int i = 0; i < SHARE_SAMPLES; i++) {
+      Duration before = process.cpuTime();
+      TimeUnit.SECONDS.sleep(1);
+      long usedNanos = process.cpuTime().minus(before).toNanos();
+      shares.record(i, usedNanos / NANOS_PER_PERCENT_OF_SECOND);
+    }
+    return shares.format(0);
+  }
+}
--- a/benchmark/src/main/java/lemondock/benchmark/DecisionBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/DecisionBenchmark.java
@@ -4,6 +4,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.Optional;
+import java.util.Queue;
 import java.util.SplittableRandom;
 import lemondock.policy.AttemptOutcome;
 import lemondock.policy.AttemptResult;
@@ -13,7 +15,6 @@
 import lemondock.policy.EndpointListKind;
 import lemondock.policy.Idempotency;
 import lemondock.policy.RequestClass;
-import lemondock.policy.RouterHost;
 import lemondock.policy.RouterSettings;
 import lemondock.policy.RoutingRequest;
 import lemondock.policy.ServerEntry;
@@ -23,144 +24,158 @@
 import lemondock.policy.ServiceRules;
 import org.HdrHistogram.Histogram;
 
-/** How long the module takes for a request, with 64 servers and 400 requests under way. */
-final class DecisionBenchmark {
+/**
+ * How long the decision module takes for a request, with 64 servers and 400 requests in flight. A
+ * request is four events: it arrives, its prompt is read, its first token comes, its answer ends.
+ */
+final class DecisionBenchmark implements Benchmark {
   private static final int SERVERS = 64;
-  private static final int UNDER_WAY = 400;
+  private static final int IN_FLIGHT = 400;
   private static final int REQUESTS = 300_000;
+  private static final int WARM_UP_REQUESTS = REQUESTS / 3;
+  private static final long REQUEST_INTERVAL_MICROS = 1_000;
+  private static final long MAX_DECISION_NANOS = 1_000_000_000L;
+  private static final double NANOS_PER_MICRO = 1e3;
+  private static final double NANOS_PER_SECOND = 1e9;
 
-  private DecisionBenchmark() {}
+  private final RecordingRouterHost host = new RecordingRouterHost();
+  private final Control control = new Control(settings(), 1, host);
+  private final Queue<RecordingRouterHost.Send> writes = new ArrayDeque<>();
+  private final SplittableRandom random = new SplittableRandom(1);
 
-  private record Send(long id, long server) {}
+  /** Times of the module's own clock. */
+  private long nowMicros = 1_000_000;
 
-  static void run() {
-    ArrayDeque<Send> sends = new ArrayDeque<>();
-    RouterHost host =
-        new RouterHost() {
-          @Override
-          public void send(long requestId, long serverId, long timeout) {
-            sends.add(new Send(requestId, serverId));
-          }
-
-          @Override
-          public void reject(long requestId, long retryAfter) {}
+  @Override
+  public void run() {
+    control.started(nowMicros);
+    control.endpointsChanged(nowMicros, EndpointListKind.FULL_LIST, servers());
+    Histogram requestNanos = new Histogram(MAX_DECISION_NANOS, 3);
+    for (int i = 0; i < WARM_UP_REQUESTS; i++) {
+      decide(i + 1);
+    }
+    long startNanos = System.nanoTime();
+    for (int i = WARM_UP_REQUESTS; i < REQUESTS; i++) {
+      requestNanos.recordValue(decide(i + 1));
+    }
+    print(requestNanos, (System.nanoTime() - startNanos) / NANOS_PER_SECOND);
+  }
 
-          @Override
-          public void fail(long requestId) {}
+  private void print(Histogram requestNanos, double seconds) {
+    System.out.printf(
+        Locale.ROOT,
+        "decisions, %d servers, %d under way: %.0f requests a second (four events each); "
+            + "a request p50 %.1f us, p99 %.1f us%n",
+        SERVERS,
+        writes.size(),
+        (REQUESTS - WARM_UP_REQUESTS) / seconds,
+        requestNanos.getValueAtPercentile(50) / NANOS_PER_MICRO,
+        requestNanos.getValueAtPercentile(99) / NANOS_PER_MICRO);
+  }
 
-          @Override
-          public void cancel(long requestId, int attempt) {}
+  /** Has a request decided and an earlier one ended; gives the time that it took. */
+  private long decide(long requestId) {
+    nowMicros += REQUEST_INTERVAL_MICROS;
+    long startNanos = System.nanoTime();
+    control.requestArrived(nowMicros, drawRequest(requestId));
+    host.pollSend().ifPresent(this::readAndWrite);
+    if (writes.size() > IN_FLIGHT) {
+      endAnswer(writes.remove());
+    }
+    long tookNanos = System.nanoTime() - startNanos;
+    host.clearSends();
+    return tookNanos;
+  }
 
-          @Override
-          public void releaseState(long requestId) {}
+  private void readAndWrite(RecordingRouterHost.Send read) {
+    control.attemptEnded(
+        nowMicros + 100,
+        new AttemptResult(
+            read.requestId(),
+            0,
+            read.serverId(),
+            AttemptOutcome.PROMPT_READ,
+            20_000,
+            false,
+            500,
+            false));
+    Optional<RecordingRouterHost.Send> write = host.pollSend();
+    if (write.isPresent()) {
+      control.firstToken(
+          nowMicros + 200, write.get().requestId(), 1, write.get().serverId(), 20_000);
+      writes.add(write.get());
+    }
+  }
 
-          @Override
-          public void setTimer(long token, long delay) {}
+  private void endAnswer(RecordingRouterHost.Send write) {
+    control.attemptEnded(
+        nowMicros + 300,
+        new AttemptResult(
+            write.requestId(),
+            1,
+            write.serverId(),
+            AttemptOutcome.OK,
+            2_000_000,
+            true,
+            500,
+            false));
+  }
 
-          @Override
-          public void watchEndpoints() {}
+  private RoutingRequest drawRequest(long requestId) {
+    return new RoutingRequest(
+        requestId,
+        0,
+        0,
+        random.nextInt(5_000) + 1,
+        random.nextInt(40) + 1,
+        900,
+        600,
+        200,
+        5_000_000,
+        0,
+        false,
+        false);
+  }
 
-          @Override
-          public void log(String line) {}
-        };
-    RouterSettings settings =
-        new RouterSettings(
-            0,
+  private static RouterSettings settings() {
+    RequestClass requestClass =
+        new RequestClass(
+            1_200_000,
+            40_000,
+            5_000_000,
             1,
+            0.1,
+            Idempotency.IDEMPOTENT,
+            DeduplicationScope.ALL,
             0,
-            2_000,
-            List.of(
-                new RequestClass(
-                    1_200_000,
-                    40_000,
-                    5_000_000,
-                    1,
-                    0.1,
-                    Idempotency.IDEMPOTENT,
-                    DeduplicationScope.ALL,
-                    0,
-                    60_000)),
-            List.of(),
-            List.of(
-                new ServerKind(ServerRole.READER, 10_000_000),
-                new ServerKind(ServerRole.WRITER, 10_000_000)),
-            new DeploymentLimits(5, true, false, false, false, true, 1_000_000, 250_000, false),
-            new ServiceRules(8_000, 2_000_000, 0.3, 13_000_000, 2.5, 3_000_000, 300_000),
-            true,
-            false);
-    Control control = new Control(settings, 1, host);
-    long now = 1_000_000;
-    control.started(now);
+            60_000);
+    List<ServerKind> kinds =
+        List.of(
+            new ServerKind(ServerRole.READER, 10_000_000),
+            new ServerKind(ServerRole.WRITER, 10_000_000));
+    return new RouterSettings(
+        0,
+        1,
+        0,
+        2_000,
+        List.of(requestClass),
+        List.of(),
+        kinds,
+        new DeploymentLimits(5, true, false, false, false, true, 1_000_000, 250_000, false),
+        new ServiceRules(8_000, 2_000_000, 0.3, 13_000_000, 2.5, 3_000_000, 300_000),
+        true,
+        false);
+  }
+
+  private static List<ServerEntry> servers() {
     List<ServerEntry> servers = new ArrayList<>();
     for (int i = 0; i < SERVERS; i++) {
-      servers.add(
-          new ServerEntry(
-              1_000 + i * 7919L, i % 2, i % 3 == 0 ? 0 : 1, i % 12, ServerLifecycle.READY, 1, 0));
-    }
-    control.endpointsChanged(now, EndpointListKind.FULL_LIST, servers);
-    SplittableRandom random = new SplittableRandom(1);
-    Histogram all = new Histogram(1_000_000_000L, 3);
-    ArrayDeque<long[]> open = new ArrayDeque<>();
-    long begun = 0;
-    for (int i = 0; i < REQUESTS; i++) {
-      if (i == REQUESTS / 3) {
-        all.reset();
-        begun = System.nanoTime();
-      }
-      now += 1_000;
-      final long at = System.nanoTime();
-      control.requestArrived(
-          now,
-          new RoutingRequest(
-              i + 1,
-              0,
-              0,
-              random.nextInt(5_000) + 1,
-              random.nextInt(40) + 1,
-              900,
-              600,
-              200,
-              5_000_000,
-              0,
-              false,
-              false));
-      Send read = sends.poll();
-      if (read != null) {
-        control.attemptEnded(
-            now + 100,
-            new AttemptResult(
-                read.id(),
-                0,
-                read.server(),
-                AttemptOutcome.PROMPT_READ,
-                20_000,
-                false,
-                500,
-                false));
-        Send write = sends.poll();
-        if (write != null) {
-          control.firstToken(now + 200, write.id(), 1, write.server(), 20_000);
-          open.add(new long[] {write.id(), write.server()});
-        }
-      }
-      if (open.size() > UNDER_WAY) {
-        long[] done = open.poll();
-        control.attemptEnded(
-            now + 300,
-            new AttemptResult(done[0], 1, done[1], AttemptOutcome.OK, 2_000_000, true, 500, false));
-      }
-      all.recordValue(System.nanoTime() - at);
-      sends.clear();
+      long id = 1_000 + i * 7_919L;
+      int zone = i % 2;
+      int kind = i % 3 == 0 ? 0 : 1;
+      int cell = i % 12;
+      servers.add(new ServerEntry(id, zone, kind, cell, ServerLifecycle.READY, 1, 0));
     }
-    double seconds = (System.nanoTime() - begun) / 1e9;
-    System.out.printf(
-        Locale.ROOT,
-        "decisions, %d servers, %d under way: %.0f requests a second (four events each); "
-            + "a request p50 %.1f us, p99 %.1f us%n",
-        SERVERS,
-        open.size(),
-        REQUESTS * 2 / 3 / seconds,
-        all.getValueAtPercentile(50) / 1e3,
-        all.getValueAtPercentile(99) / 1e3);
+    return servers;
   }
 }
--- /dev/null
+++ b/benchmark/src/main/java/lemondock/benchmark/Degradation.java
@@ -0,0 +1,72 @@
+package lemondock.benchmark;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.TimeUnit;
+import lemondock.benchmark.RecordedScenario.Call;
+
+/**
+ * A degradation of service as clients saw it: from a bad call on, over two seconds of a gateway's
+ * calls (all, or of one class), at least a quarter, and four, were lost or late.
+ *
+ * @param fromMicros when its first bad call was sent
+ * @param toMicros when its last bad call was sent
+ */
+record Degradation(long fromMicros, long toMicros) {
+  private static final long WINDOW_MICROS = TimeUnit.SECONDS.toMicros(2);
+  private static final long MAX_GAP_MICROS = TimeUnit.SECONDS.toMicros(1);
+  private static final double MIN_BAD_SHARE = 0.25;
+  private static final int MIN_BAD_CALLS = 4;
+
+  /** Finds the degradations among calls; those close to each other are one. */
+  static List<Degradation> find(List<Call> calls) {
+    List<Call> sorted = new ArrayList<>(calls);
+    sorted.sort(Comparator.comparingLong(Call::atMicros));
+    List<Degradation> found = new ArrayList<>();
+    for (int i = 0; i < sorted.size(); i++) {
+      beginningAt(sorted, i).ifPresent(next -> addOrMerge(found, next));
+    }
+    return found;
+  }
+
+  private static Optional<Degradation> beginningAt(List<Call> sorted, int first) {
+    long fromMicros = sorted.get(first).atMicros();
+    if (sorted.get(first).good()) {
+      return Optional.empty();
+    }
+    int bad = 0;
+    int all = 0;
+    long lastBadMicros = 0;
+    for (Call call : sorted.subList(first, sorted.size())) {
+      if (call.atMicros() - fromMicros > WINDOW_MICROS) {
+        break;
+      }
+      all++;
+      if (!call.good()) {
+        bad++;
+        lastBadMicros = call.atMicros();
+      }
+    }
+    return bad >= MIN_BAD_CALLS && bad >= MIN_BAD_SHARE * all
+        ? Optional.of(new Degradation(fromMicros, lastBadMicros))
+        : Optional.empty();
+  }
+
+  private static void addOrMerge(List<Degradation> found, Degradation next) {
+    int lastIndex = found.size() - 1;
+    if (lastIndex >= 0 && next.fromMicros <= found.get(lastIndex).toMicros + MAX_GAP_MICROS) {
+      Degradation last = found.get(lastIndex);
+      found.set(
+          lastIndex, new Degradation(last.fromMicros, Math.max(last.toMicros, next.toMicros)));
+    } else {
+      found.add(next);
+    }
+  }
+
+  /** Whether a moment lies in it or not longer than that behind it. */
+  boolean includes(long momentMicros, long afterMicros) {
+    return momentMicros >= fromMicros && momentMicros <= toMicros + afterMicros;
+  }
+}
--- /dev/null
+++ b/benchmark/src/main/java/lemondock/benchmark/GatewaySettingsFile.java
@@ -0,0 +1,100 @@
+package lemondock.benchmark;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.OptionalInt;
+
+/**
+ * The settings file of a gateway under test: wide limits, one request class without a tight
+ * objective, engines from a list in a file. Parts of it can be replaced before it is written.
+ */
+final class GatewaySettingsFile {
+  /** The shortest tick that settings may have stands for a gateway that reports nothing. */
+  static final int NO_REPORTS_TICK_MILLIS = 10;
+
+  /** The part {@code reporting} of a gateway that reports nothing. */
+  static final String NO_REPORTS = "{\"tickMs\":" + NO_REPORTS_TICK_MILLIS + ",\"intervalMs\":10}";
+
+  /** Limits that no benchmark reaches. */
+  static final String WIDE_LIMITS = "\"limits\":{\"maxCalls\":40000}";
+
+  private static final String ONE_CLASS =
+      "[{\"name\":\"sale-lookup\","
+          + "\"aimMs\":60000,\"deadlineMs\":120000,\"maxTokens\":1000000,\"tokenAimMs\":2000}]";
+
+  private final int[] enginePorts;
+  private String reporting = NO_REPORTS;
+  private String limits = WIDE_LIMITS;
+  private String classes = ONE_CLASS;
+  private OptionalInt ioThreads = OptionalInt.empty();
+
+  /** Settings of a gateway with engines at those ports of loopback. */
+  GatewaySettingsFile(int... enginePorts) {
+    this.enginePorts = enginePorts.clone();
+  }
+
+  /** Replaces the object {@code reporting}. */
+  GatewaySettingsFile withReporting(String json) {
+    reporting = json;
+    return this;
+  }
+
+  /** Replaces the member {@code limits}, possibly by several members. */
+  GatewaySettingsFile withLimits(String jsonMembers) {
+    limits = jsonMembers;
+    return this;
+  }
+
+  /** Replaces the array {@code classes}. */
+  GatewaySettingsFile withClasses(String json) {
+    classes = json;
+    return this;
+  }
+
+  /** Sets the number of I/O threads. */
+  GatewaySettingsFile withIoThreads(int threads) {
+    ioThreads = OptionalInt.of(threads);
+    return this;
+  }
+
+  /** Writes settings and engine list to a new temporary folder. */
+  Path write() throws IOException {
+    Path folder = Files.createTempDirectory("lemondock-benchmark");
+    Path engineList = folder.resolve("list.json");
+    Files.writeString(engineList, engineListJson());
+    Path settings = folder.resolve("gateway.json");
+    Files.writeString(settings, settingsJson(engineList));
+    return settings;
+  }
+
+  private String engineListJson() {
+    StringBuilder list = new StringBuilder("{\"servers\":[");
+    for (int i = 0; i < enginePorts.length; i++) {
+      list.append(i == 0 ? "" : ",")
+          .append("{\"name\":\"m")
+          .append(i)
+          .append("\",\"address\":\"127.0.0.1:")
+          .append(enginePorts[i])
+          .append("\",\"kind\":\"mixed\",\"zone\":\"north\",\"rack\":\"r1\"}");
+    }
+    return list.append("]}").toString();
+  }
+
+  private String settingsJson(Path engineList) {
+    String threads = ioThreads.isPresent() ? "\"ioThreads\":" + ioThreads.getAsInt() + "," : "";
+    return "{\"name\":\"gw\","
+        + threads
+        + "\"reporting\":"
+        + reporting
+        + ",\"front\":{\"listen\":\"127.0.0.1:0\",\"maxConnections\":40000,"
+        + "\"maxSessions\":40000,\"replayBytes\":4096},"
+        + limits
+        + ",\"engines\":{\"maxConnectionsPerServer\":40000,\"streamSilenceMs\":60000,\"connectTimeoutMs\":5000},"
+        + "\"discovery\":{\"kind\":\"file\",\"path\":\""
+        + engineList
+        + "\"},\"classes\":"
+        + classes
+        + ",\"kinds\":[{\"name\":\"mixed\",\"role\":\"mixed\",\"memoryTokens\":100000000000}]}";
+  }
+}
--- a/benchmark/src/main/java/lemondock/benchmark/MetricRecordingBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/MetricRecordingBenchmark.java
@@ -101,7 +101,8 @@
     timer.record(micros++ & 0xFFFFF, TimeUnit.MICROSECONDS);
   }
 
-  static void run() throws RunnerException {
+  /** Runs all measurements of this class. */
+  static void runAll() throws RunnerException {
     new Runner(
             new OptionsBuilder()
                 .include(MetricRecordingBenchmark.class.getName())
--- /dev/null
+++ b/benchmark/src/main/java/lemondock/benchmark/OverloadCallReceiver.java
@@ -0,0 +1,88 @@
+package lemondock.benchmark;
+
+import java.util.concurrent.TimeUnit;
+import lemondock.net.http.RequestFailure;
+import lemondock.net.http.ResponseReceiver;
+import lemondock.net.sse.SseEvent;
+
+/**
+ * Judges one call: in time if its first token comes within its class's latency objective and its
+ * last within a second of the first. Made when its request is sent; used on one loop.
+ */
+final class OverloadCallReceiver implements ResponseReceiver {
+  private static final long MAX_STREAM_MICROS = TimeUnit.SECONDS.toMicros(1);
+
+  private final OverloadOutcome outcome;
+  private final OverloadClass requestClass;
+  private final int slot;
+  private final long sentMicros = nowMicros();
+  private long firstTokenMicros;
+  private boolean complete;
+
+  /** What an event of the stream says. */
+  private enum EventKind {
+    TOKEN,
+    RESULT,
+    OTHER
+  }
+
+  /**
+   * Makes a receiver.
+   *
+   * @param slot of the outcome in which the call was sent
+   */
+  OverloadCallReceiver(OverloadOutcome outcome, OverloadClass requestClass, int slot) {
+    this.outcome = outcome;
+    this.requestClass = requestClass;
+    this.slot = slot;
+  }
+
+  private static long nowMicros() {
+    return TimeUnit.NANOSECONDS.toMicros(System.nanoTime());
+  }
+
+  @Override
+  public Object mapEvent(SseEvent event) {
+    String data = event.data();
+    if (data.contains("\"error\"")) {
+      return EventKind.OTHER;
+    }
+    if (data.contains("\"result\"")) {
+      return EventKind.RESULT;
+    }
+    return data.contains("progress") ? EventKind.TOKEN : EventKind.OTHER;
+  }
+
+  @Override
+  public void onEvent(Object mapped) {
+    if (mapped == EventKind.TOKEN && firstTokenMicros == 0) {
+      firstTokenMicros = nowMicros();
+    }
+    complete |= mapped == EventKind.RESULT;
+  }
+
+  @Override
+  public void onComplete() {
+    if (!complete) {
+      outcome.countRejected();
+    } else if (isInTime()) {
+      outcome.countInTime(requestClass, slot);
+    } else {
+      outcome.countLate(slot);
+    }
+  }
+
+  private boolean isInTime() {
+    return firstTokenMicros - sentMicros <= requestClass.latencyObjectiveMicros()
+        && nowMicros() - firstTokenMicros <= MAX_STREAM_MICROS;
+  }
+
+  @Override
+  public void onFailure(RequestFailure failure, String reason) {
+    if (firstTokenMicros == 0) {
+      outcome.countRejected();
+    } else {
+      outcome.countBroken();
+    }
+  }
+}
--- /dev/null
+++ b/benchmark/src/main/java/lemondock/benchmark/RecordingRouterHost.java
@@ -0,0 +1,49 @@
+package lemondock.benchmark;
+
+import java.util.ArrayDeque;
+import java.util.Optional;
+import java.util.Queue;
+import lemondock.policy.RouterHost;
+
+/** A host of the decision module that notes where requests are sent and does nothing else. */
+final class RecordingRouterHost implements RouterHost {
+  private final Queue<Send> sends = new ArrayDeque<>();
+
+  /** An attempt that the module asked for. */
+  record Send(long requestId, long serverId) {}
+
+  /** The oldest attempt that was not polled. */
+  Optional<Send> pollSend() {
+    return Optional.ofNullable(sends.poll());
+  }
+
+  void clearSends() {
+    sends.clear();
+  }
+
+  @Override
+  public void send(long requestId, long serverId, long timeoutMicros) {
+    sends.add(new Send(requestId, serverId));
+  }
+
+  @Override
+  public void reject(long requestId, long retryAfterMicros) {}
+
+  @Override
+  public void fail(long requestId) {}
+
+  @Override
+  public void cancel(long requestId, int attempt) {}
+
+  @Override
+  public void releaseState(long requestId) {}
+
+  @Override
+  public void setTimer(long token, long delayMicros) {}
+
+  @Override
+  public void watchEndpoints() {}
+
+  @Override
+  public void log(String line) {}
+}
--- a/benchmark/src/main/java/lemondock/benchmark/ReportBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ReportBenchmark.java
@@ -2,9 +2,11 @@
 
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
 import java.util.SplittableRandom;
+import java.util.concurrent.TimeUnit;
 import lemondock.exporter.BufferedSnapshot;
 import lemondock.exporter.SnapshotBuffer;
 import lemondock.exporter.SnapshotEncoder;
@@ -23,130 +25,178 @@
 import lemondock.metrics.Series;
 
 /**
- * Bytes and packets of a report, time to take and encode it, and memory of the ring, by number of
- * tenants.
+ * Bytes and packets of a report, time to take and encode it, and memory of the buffered snapshots,
+ * by number of tenants.
  */
-final class ReportBenchmark {
-  private static final String[] CLASSES = {"sale-lookup", "day-close", "card-refund", "till-move"};
+final class ReportBenchmark implements Benchmark {
+  private static final int[] TENANT_COUNTS = {3, 100, 1_000};
   private static final int SNAPSHOTS = 360;
-  private static final int ROUNDS = 5;
+  private static final int ENCODE_ROUNDS = 5;
+  private static final int MAX_PACKET_BYTES = 1_452;
+  private static final int INTERVAL_MILLIS = 10_000;
+  private static final double NANOS_PER_MILLI = 1e6;
+  private static final double BYTES_PER_MEGABYTE = 1e6;
+  private static final String PREFIX = "lemondock";
+  private static final String INSTANCE = "gw-north-8080";
 
-  private ReportBenchmark() {}
-
-  static void run() {
+  @Override
+  public void run() {
     System.out.println(
         "| tenants | values | snapshot us | plaintext | pickle | PUTVAL | collectd packets,"
             + " bytes | signed | encrypted | encode ms (spread) | ring of an hour, MB |"
             + " copies, MB |");
     System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    for (int tenants : new int[] {3, 100, 1_000}) {
-      report(tenants);
+    for (int tenants : TENANT_COUNTS) {
+      measure(tenants);
     }
   }
 
-  private static void report(int tenants) {
-    MetricRegistry registry = new MetricRegistry(131_072);
-    Recorder recorder = registry.newRecorder();
-    List<Series> worth = new ArrayList<>();
-    List<Series> requests = new ArrayList<>();
-    for (String c : CLASSES) {
-      for (int t = 0; t < tenants; t++) {
-        worth.add(
-            registry.series(MetricFamilies.PRIORITY_WEIGHT, c, "northern-ind", "tenant-" + t));
-        requests.add(registry.series(MetricFamilies.REQUESTS, c, "northern-ind", "tenant-" + t));
+  /**
+   * An hour of snapshots.
+   *
+   * @param takeNanos how long each took, least first
+   * @param copiesBytes memory that full copies of them would need
+   */
+  private record Hour(
+      SnapshotBuffer buffer, BufferedSnapshot last, long[] takeNanos, long copiesBytes) {}
+
+  private static void measure(int tenants) {
+    Hour hour = takeSnapshots(new LoadedMetrics(tenants));
+    BufferedSnapshot view = hour.last();
+    double[] encodeMillis = measureEncoding(view);
+    CollectdIdentifiers identifiers = new CollectdIdentifiers("till-gateway-17", INSTANCE);
+    Packetized plain = packetize(identifiers, SecurityLevel.NONE, view);
+    Packetized signed = packetize(identifiers, SecurityLevel.SIGN, view);
+    Packetized encrypted = packetize(identifiers, SecurityLevel.ENCRYPT, view);
+    System.out.printf(
+        Locale.ROOT,
+        "| %d | %d | p50 %d, p99 %d | %d | %d | %d | %d, %d | %d, %d | %d, %d | %.2f (%.2f"
+            + " to %.2f) | %.2f | %.1f |%n",
+        tenants,
+        view.values().length,
+        TimeUnit.NANOSECONDS.toMicros(hour.takeNanos()[SNAPSHOTS / 2]),
+        TimeUnit.NANOSECONDS.toMicros(hour.takeNanos()[SNAPSHOTS * 99 / 100]),
+        encodedBytes(new PlaintextEncoder(PREFIX, INSTANCE, false), view),
+        encodedBytes(new PickleEncoder(PREFIX, INSTANCE, false), view),
+        encodedBytes(new PutvalEncoder(identifiers, INTERVAL_MILLIS), view),
+        plain.packets(),
+        plain.bytes(),
+        signed.packets(),
+        signed.bytes(),
+        encrypted.packets(),
+        encrypted.bytes(),
+        encodeMillis[ENCODE_ROUNDS / 2],
+        encodeMillis[0],
+        encodeMillis[ENCODE_ROUNDS - 1],
+        hour.buffer().byteCount() / BYTES_PER_MEGABYTE,
+        hour.copiesBytes() / BYTES_PER_MEGABYTE);
+  }
+
+  /** The metrics of a gateway under load, some tenants busier than others. */
+  private static final class LoadedMetrics {
+    private static final String[] CLASSES = {
+      "sale-lookup", "day-close", "card-refund", "till-move"
+    };
+    private static final String ZONE = "northern-ind";
+    private static final int REGISTRY_SLOTS = 131_072;
+    private static final int REQUESTS_PER_INTERVAL = 300;
+    private static final long FULL_WEIGHT = 1_000_000;
+
+    private final MetricRegistry registry = new MetricRegistry(REGISTRY_SLOTS);
+    private final Recorder recorder = registry.newRecorder();
+    private final List<Series> weights = new ArrayList<>();
+    private final List<Series> requests = new ArrayList<>();
+    private final SplittableRandom random = new SplittableRandom(1);
+
+    LoadedMetrics(int tenants) {
+      for (String requestClass : CLASSES) {
+        for (int tenant = 0; tenant < tenants; tenant++) {
+          String name = "tenant-" + tenant;
+          weights.add(registry.series(MetricFamilies.PRIORITY_WEIGHT, requestClass, ZONE, name));
+          requests.add(registry.series(MetricFamilies.REQUESTS, requestClass, ZONE, name));
+        }
+        registry.series(MetricFamilies.TIME_TO_FIRST_TOKEN, requestClass);
+        registry.series(MetricFamilies.TIME_PER_OUTPUT_TOKEN, requestClass);
+        registry.series(MetricFamilies.REQUEST_DURATION, requestClass);
       }
-      registry.series(MetricFamilies.TIME_TO_FIRST_TOKEN, c);
-      registry.series(MetricFamilies.TIME_PER_OUTPUT_TOKEN, c);
-      registry.series(MetricFamilies.REQUEST_DURATION, c);
     }
-    SplittableRandom random = new SplittableRandom(1);
-    SnapshotBuffer ring = new SnapshotBuffer(Long.MAX_VALUE, SNAPSHOTS);
-    long[] took = new long[SNAPSHOTS];
-    long copies = 0;
-    BufferedSnapshot view = null;
-    for (int s = 0;
-        s < SNAPSHOTS;
-        s++) { // ten seconds each, 30 requests a second, some tenants busier than others
-      for (int i = 0; i < 300; i++) {
-        int at = (int) (worth.size() * Math.pow(random.nextDouble(), 3));
+
+    /** Records the requests of ten seconds, 30 a second. */
+    void recordInterval() {
+      for (int i = 0; i < REQUESTS_PER_INTERVAL; i++) {
+        int chosen = (int) (weights.size() * Math.pow(random.nextDouble(), 3));
         long ticket = recorder.beginUpdate();
-        recorder.add(worth.get(at).slot(0), 1_000_000);
-        recorder.add(worth.get(at).slot(2), 1_000_000);
-        recorder.add(requests.get(at).slot(0), 1);
-        recorder.add(requests.get(at).slot(2), 1);
+        recorder.add(weights.get(chosen).slot(0), FULL_WEIGHT);
+        recorder.add(weights.get(chosen).slot(2), FULL_WEIGHT);
+        recorder.add(requests.get(chosen).slot(0), 1);
+        recorder.add(requests.get(chosen).slot(2), 1);
         recorder.endUpdate(ticket);
       }
-      long from = System.nanoTime();
-      MetricsSnapshot snapshot = registry.snapshotAndEndInterval();
-      took[s] = System.nanoTime() - from;
-      copies += 8L * snapshot.values().length;
-      ring.append(s * 10_000L, snapshot);
-      view = new BufferedSnapshot(s, s * 10_000L, snapshot.series(), snapshot.values());
     }
-    java.util.Arrays.sort(took);
-    CollectdIdentifiers identifiers = new CollectdIdentifiers("till-gateway-17", "gw-north-8080");
-    double[] encode = new double[ROUNDS];
-    long[] sizes = new long[3];
-    long[][] packets = new long[3][];
-    for (int round = 0; round < ROUNDS; round++) {
-      long from = System.nanoTime();
-      sizes[0] = size(new PlaintextEncoder("lemondock", "gw-north-8080", false), view);
-      encode[round] = (System.nanoTime() - from) / 1e6;
-      sizes[1] = size(new PickleEncoder("lemondock", "gw-north-8080", false), view);
-      sizes[2] = size(new PutvalEncoder(identifiers, 10_000), view);
-      SecurityLevel[] levels = SecurityLevel.values();
-      for (int i = 0; i < levels.length; i++) {
-        packets[i] =
-            packets(
-                new NetworkPacketEncoder(
-                    identifiers,
-                    new PacketSecurity(levels[i], "till", "secret"),
-                    1_452,
-                    10_000,
-                    CounterType.DERIVE),
-                view);
-      }
+
+    MetricsSnapshot snapshot() {
+      return registry.snapshotAndEndInterval();
     }
-    java.util.Arrays.sort(encode);
-    System.out.printf(
-        Locale.ROOT,
-        "| %d | %d | p50 %d, p99 %d | %d | %d | %d | %d, %d | %d, %d | %d, %d | %.2f (%.2f"
-            + " to %.2f) | %.2f | %.1f |%n",
-        tenants,
-        view.values().length,
-        took[SNAPSHOTS / 2] / 1000,
-        took[SNAPSHOTS * 99 / 100] / 1000,
-        sizes[0],
-        sizes[1],
-        sizes[2],
-        packets[0][0],
-        packets[0][1],
-        packets[1][0],
-        packets[1][1],
-        packets[2][0],
-        packets[2][1],
-        encode[ROUNDS / 2],
-        encode[0],
-        encode[ROUNDS - 1],
-        ring.byteCount() / 1e6,
-        copies / 1e6);
   }
 
-  private static long size(SnapshotEncoder encoder, BufferedSnapshot view) {
-    ByteArrayOutputStream out = new ByteArrayOutputStream();
-    encoder.encode(view, 0, Integer.MAX_VALUE, out);
-    return out.size();
+  private static Hour takeSnapshots(LoadedMetrics metrics) {
+    SnapshotBuffer buffer = new SnapshotBuffer(Long.MAX_VALUE, SNAPSHOTS);
+    long[] takeNanos = new long[SNAPSHOTS];
+    long copiesBytes = 0;
+    BufferedSnapshot last = null;
+    for (int number = 0; number < SNAPSHOTS; number++) {
+      metrics.recordInterval();
+      long startNanos = System.nanoTime();
+      MetricsSnapshot snapshot = metrics.snapshot();
+      takeNanos[number] = System.nanoTime() - startNanos;
+      copiesBytes += (long) Long.BYTES * snapshot.values().length;
+      long stampMillis = (long) number * INTERVAL_MILLIS;
+      buffer.append(stampMillis, snapshot);
+      last = new BufferedSnapshot(number, stampMillis, snapshot.series(), snapshot.values());
+    }
+    Arrays.sort(takeNanos);
+    return new Hour(buffer, last, takeNanos, copiesBytes);
+  }
+
+  /** Encodes a report as plaintext several times; gives the times, least first. */
+  private static double[] measureEncoding(BufferedSnapshot view) {
+    double[] millis = new double[ENCODE_ROUNDS];
+    for (int round = 0; round < ENCODE_ROUNDS; round++) {
+      long startNanos = System.nanoTime();
+      encodedBytes(new PlaintextEncoder(PREFIX, INSTANCE, false), view);
+      millis[round] = (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
+    }
+    Arrays.sort(millis);
+    return millis;
   }
 
-  private static long[] packets(NetworkPacketEncoder packets, BufferedSnapshot view) {
-    int count = 0;
+  private static long encodedBytes(SnapshotEncoder encoder, BufferedSnapshot view) {
+    ByteArrayOutputStream text = new ByteArrayOutputStream();
+    encoder.encode(view, 0, Integer.MAX_VALUE, text);
+    return text.size();
+  }
+
+  /** A report in collectd's packets. */
+  private record Packetized(long packets, long bytes) {}
+
+  private static Packetized packetize(
+      CollectdIdentifiers identifiers, SecurityLevel level, BufferedSnapshot view) {
+    NetworkPacketEncoder encoder =
+        new NetworkPacketEncoder(
+            identifiers,
+            new PacketSecurity(level, "till", "secret"),
+            MAX_PACKET_BYTES,
+            INTERVAL_MILLIS,
+            CounterType.DERIVE);
+    int packets = 0;
     long bytes = 0;
-    for (int at = 0; at < view.series().size(); ) {
-      NetworkPacketEncoder.Packet packet = packets.encode(view, at);
-      count++;
+    int position = 0;
+    while (position < view.series().size()) {
+      NetworkPacketEncoder.Packet packet = encoder.encode(view, position);
+      packets++;
       bytes += packet.bytes().remaining();
-      at = packet.nextSeries();
+      position = packet.nextSeries();
     }
-    return new long[] {count, bytes};
+    return new Packetized(packets, bytes);
   }
 }
--- a/benchmark/src/main/java/lemondock/benchmark/StreamLoad.java
+++ b/benchmark/src/main/java/lemondock/benchmark/StreamLoad.java
@@ -1,9 +1,10 @@
 package lemondock.benchmark;
 
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
+import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Objects;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
@@ -12,90 +13,127 @@
 import lemondock.net.http.HttpClient;
 import lemondock.net.http.HttpClientOptions;
 import lemondock.net.http.HttpEncoder;
-import lemondock.net.http.HttpEvent;
 import lemondock.net.http.HttpLimits;
-import lemondock.net.http.RequestFailure;
 import lemondock.net.http.ResponseReceiver;
-import lemondock.net.sse.SseEvent;
 import lemondock.scenario.EmulatedProcess;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Streams over a gateway, or straight to an engine, and what their clients saw. */
+/**
+ * Sends streams over a gateway, or straight to an engine, from several loops of this process, and
+ * counts what their clients see. Thread-safe.
+ */
 final class StreamLoad implements AutoCloseable {
-  private static final long MICROS = 1_000_000;
-  private final List<EmulatedProcess> nodes = new ArrayList<>();
-  private final List<HttpClient> clients = new ArrayList<>();
-  final Histogram first = new ConcurrentHistogram(60 * MICROS, 3);
-  final Histogram transit = new ConcurrentHistogram(60 * MICROS, 3);
-  final AtomicLong events = new AtomicLong();
-  final AtomicLong failures = new AtomicLong();
-
-  StreamLoad(int loops) {
-    this(loops, 100_000);
-  }
-
-  StreamLoad(int loops, int connections) {
-    for (int i = 0; i < loops; i++) {
-      EmulatedProcess node = new EmulatedProcess("load-" + i, 1);
-      nodes.add(node);
-      clients.add(
-          new HttpClient(
-              node.loop(),
-              node.network(),
-              new HttpClientOptions(
-                  new HttpLimits(8_192, 32_768, 100, 1L << 40),
-                  1 << 20,
-                  connections,
-                  10 * MICROS,
-                  60 * MICROS)));
+  static final long MAX_RECORDED_MICROS = TimeUnit.SECONDS.toMicros(59);
+  private static final long HISTOGRAM_MICROS = TimeUnit.SECONDS.toMicros(60);
+  private static final int HISTOGRAM_DIGITS = 3;
+  private static final int DEFAULT_CONNECTIONS = 100_000;
+  private static final int MAX_EVENT_BYTES = 1 << 20;
+  private static final long CONNECT_TIMEOUT_MICROS = TimeUnit.SECONDS.toMicros(10);
+  private static final long IDLE_TIMEOUT_MICROS = TimeUnit.SECONDS.toMicros(60);
+  private static final HttpLimits LIMITS = new HttpLimits(8_192, 32_768, 100, 1L << 40);
+  private static final long SESSIONS_WAIT_SECONDS = 60;
+
+  private final List<LoadLoop> loops = new ArrayList<>();
+  private final Histogram firstTokenMicros =
+      new ConcurrentHistogram(HISTOGRAM_MICROS, HISTOGRAM_DIGITS);
+  private final Histogram tokenDelayMicros =
+      new ConcurrentHistogram(HISTOGRAM_MICROS, HISTOGRAM_DIGITS);
+  private final AtomicLong events = new AtomicLong();
+  private final AtomicLong failures = new AtomicLong();
+
+  /** A loop with a client of its own. */
+  private record LoadLoop(EmulatedProcess process, HttpClient client) {}
+
+  /** An HTTP request to a port of loopback. */
+  private record Post(int port, String path, Headers headers, byte[] body) {
+    InetSocketAddress address() {
+      return new InetSocketAddress("127.0.0.1", port);
+    }
+
+    ByteBuffer encode() {
+      return HttpEncoder.request("POST", path, headers, body);
+    }
+  }
+
+  /** Makes a load of so many loops. */
+  StreamLoad(int loopCount) {
+    this(loopCount, DEFAULT_CONNECTIONS);
+  }
+
+  /** Makes a load of so many loops that keep at most so many connections to an address each. */
+  StreamLoad(int loopCount, int connectionsPerLoop) {
+    HttpClientOptions options =
+        new HttpClientOptions(
+            LIMITS,
+            MAX_EVENT_BYTES,
+            connectionsPerLoop,
+            CONNECT_TIMEOUT_MICROS,
+            IDLE_TIMEOUT_MICROS);
+    for (int i = 0; i < loopCount; i++) {
+      EmulatedProcess process = new EmulatedProcess("load-" + i, 1);
+      loops.add(new LoadLoop(process, new HttpClient(process.loop(), process.network(), options)));
     }
   }
 
-  /** Opens sessions at a gateway. */
-  List<String> sessions(int port, int count) throws InterruptedException {
+  /**
+   * Opens sessions at a gateway.
+   *
+   * @return their ids; null for each session that the gateway rejected
+   */
+  List<String> openSessions(int port, int count) throws InterruptedException {
     List<String> ids = new ArrayList<>();
     CountDownLatch done = new CountDownLatch(count);
-    byte[] body =
-        ("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"initialize\",\"params\":"
-                + "{\"protocolVersion\":\"2025-06-18\"}}")
-            .getBytes(StandardCharsets.UTF_8);
+    byte[] body = RequestBodies.initialize();
     for (int i = 0; i < count; i++) {
-      int at = i % nodes.size();
-      nodes
-          .get(at)
-          .loop()
-          .execute(
-              () ->
-                  clients
-                      .get(at)
-                      .send(
-                          new InetSocketAddress("127.0.0.1", port),
-                          HttpEncoder.request("POST", "/mcp", headers(), body),
-                          new ResponseReceiver() {
-                            @Override
-                            public void onHead(HttpEvent.ResponseHead head) {
-                              synchronized (ids) {
-                                ids.add(head.headers().firstValue("mcp-session-id").orElse(null));
-                              }
-                            }
-
-                            @Override
-                            public void onComplete() {
-                              done.countDown();
-                            }
-
-                            @Override
-                            public void onFailure(RequestFailure failure, String what) {
-                              failures.incrementAndGet();
-                              done.countDown();
-                            }
-                          }));
+      Post post = new Post(port, StreamRequest.MCP_PATH, headers(), body);
+      send(i, post, () -> new SessionReceiver(ids, failures, done));
     }
-    done.await(60, TimeUnit.SECONDS);
+    done.await(SESSIONS_WAIT_SECONDS, TimeUnit.SECONDS);
     return ids;
   }
 
+  /** Opens sessions, some at a time, until there are that many; a rejected one is tried again. */
+  List<String> openSessionsInSteps(int port, int count, int step) throws InterruptedException {
+    List<String> ids = new ArrayList<>();
+    while (ids.size() < count) {
+      openSessions(port, step).stream().filter(Objects::nonNull).forEach(ids::add);
+    }
+    return ids;
+  }
+
+  /** Sends a call over a gateway; the receiver is made when it goes out. */
+  void call(
+      int number, int port, String session, byte[] body, Supplier<ResponseReceiver> receiver) {
+    Headers headers = headers();
+    headers.add("mcp-session-id", session);
+    send(number, new Post(port, StreamRequest.MCP_PATH, headers, body), receiver);
+  }
+
+  /** Begins a stream whose words, times and failures are counted here. */
+  void stream(StreamRequest request, CountDownLatch done) {
+    Headers headers = headers();
+    request.session().ifPresent(session -> headers.add("mcp-session-id", session));
+    Post post = new Post(request.port(), request.path(), headers, request.body());
+    EmulatedProcess process = loop(request.number()).process();
+    send(request.number(), post, () -> new StreamReceiver(this, process.loop(), request, done));
+  }
+
+  private void send(int number, Post post, Supplier<ResponseReceiver> receiver) {
+    LoadLoop loop = loop(number);
+    loop.process()
+        .loop()
+        .execute(
+            () -> {
+              ResponseReceiver responseReceiver = receiver.get();
+              loop.client().send(post.address(), post.encode(), responseReceiver);
+            });
+  }
+
+  private LoadLoop loop(int number) {
+    return loops.get(number % loops.size());
+  }
+
   private static Headers headers() {
     return Headers.of(
         "host",
@@ -106,148 +144,36 @@
         "application/json, text/event-stream");
   }
 
-  /** A call of a gateway's tool. */
-  static byte[] call(int id, String prompt) {
-    return call(id, "sale-lookup", prompt);
-  }
-
-  static byte[] call(int id, String tool, String prompt) {
-    return ("{\"jsonrpc\":\"2.0\",\"id\":"
-            + id
-            + ",\"method\":\"tools/call\",\"params\":{\"name\":\""
-            + tool
-            + "\","
-            + "\"_meta\":{\"progressToken\":1},\"arguments\":{\"prompt\":\""
-            + prompt
-            + "\"}}}")
-        .getBytes(StandardCharsets.UTF_8);
+  /** From sending a request to its first word. */
+  Histogram firstTokenMicros() {
+    return firstTokenMicros;
   }
 
-  /** A call that offers the model a tool. */
-  static byte[] toolCall(int id, String prompt) {
-    return ("{\"jsonrpc\":\"2.0\",\"id\":"
-            + id
-            + ",\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\","
-            + "\"arguments\":{\"prompt\":\""
-            + prompt
-            + "\",\"tools\":[{\"name\":\"stock\",\"inputSchema\":{\"type\":\"object\"}}]}}}")
-        .getBytes(StandardCharsets.UTF_8);
+  /** From the moment that a word names to its arrival; of requests with timestamps. */
+  Histogram tokenDelayMicros() {
+    return tokenDelayMicros;
   }
 
-  /** The same prompt for an engine. */
-  static byte[] direct(String prompt) {
-    return ("{\"model\":\"m\",\"stream\":true,\"max_tokens\":1000000,\"messages\":[{\"role\":\"user\",\"content\":\""
-            + prompt
-            + "\"}]}")
-        .getBytes(StandardCharsets.UTF_8);
+  /** Words that have arrived so far. */
+  long events() {
+    return events.get();
   }
 
-  /** Sends a call; the receiver is made when it goes out. */
-  void send(
-      int number, int port, String session, byte[] body, Supplier<ResponseReceiver> receiver) {
-    int at = number % nodes.size();
-    Headers headers = headers();
-    headers.add("mcp-session-id", session);
-    nodes
-        .get(at)
-        .loop()
-        .execute(
-            () ->
-                clients
-                    .get(at)
-                    .send(
-                        new InetSocketAddress("127.0.0.1", port),
-                        HttpEncoder.request("POST", "/mcp", headers, body),
-                        receiver.get()));
+  /** Requests that failed so far, and events that told of an error. */
+  long failures() {
+    return failures.get();
   }
 
-  /**
-   * Begins a stream; {@code session} null goes to an engine. Words that are moments tell how long
-   * they took.
-   */
-  void stream(
-      int number, int port, String session, byte[] body, boolean stamped, CountDownLatch done) {
-    int at = number % nodes.size();
-    EmulatedProcess node = nodes.get(at);
-    Headers headers = headers();
-    if (session != null) {
-      headers.add("mcp-session-id", session);
-    }
-    node.loop()
-        .execute(
-            () -> {
-              long begun = node.loop().now();
-              clients
-                  .get(at)
-                  .send(
-                      new InetSocketAddress("127.0.0.1", port),
-                      HttpEncoder.request(
-                          "POST", session == null ? "/v1/chat/completions" : "/mcp", headers, body),
-                      new ResponseReceiver() {
-                        private boolean heard;
-
-                        @Override
-                        public void onHead(HttpEvent.ResponseHead head) {
-                          if (head.status() != 200) {
-                            failures.incrementAndGet();
-                          }
-                        }
-
-                        @Override
-                        public Object mapEvent(SseEvent event) {
-                          String word =
-                              word(
-                                  event.data(),
-                                  session == null ? "\"content\":\" " : "\"message\":\" ");
-                          if (word == null && event.data().contains("\"error\"")) {
-                            failures.incrementAndGet();
-                          }
-                          if (word != null) {
-                            events.incrementAndGet();
-                            if (stamped) {
-                              transit.recordValue(
-                                  Math.max(
-                                      0,
-                                      Math.min(
-                                          59 * MICROS, node.loop().now() - Long.parseLong(word))));
-                            }
-                          }
-                          return word == null ? "" : word;
-                        }
-
-                        @Override
-                        public void onEvent(Object mapped) {
-                          if (!heard && !mapped.equals("")) {
-                            heard = true;
-                            first.recordValue(Math.min(59 * MICROS, node.loop().now() - begun));
-                          }
-                        }
-
-                        @Override
-                        public void onComplete() {
-                          done.countDown();
-                        }
-
-                        @Override
-                        public void onFailure(RequestFailure failure, String what) {
-                          failures.incrementAndGet();
-                          done.countDown();
-                        }
-                      });
-            });
+  void countEvent() {
+    events.incrementAndGet();
   }
 
-  private static String word(String data, String before) {
-    int at = data.indexOf(before);
-    if (at < 0) {
-      return null;
-    }
-    int from = at + before.length();
-    return data.substring(from, data.indexOf('"', from));
+  void countFailure() {
+    failures.incrementAndGet();
   }
 
   @Override
   public void close() {
-    nodes.forEach(EmulatedProcess::close);
+    loops.forEach(loop -> loop.process().close());
   }
 }
