--- a/cli/src/main/java/lemondock/cli/ScenarioCommand.java
+++ b/cli/src/main/java/lemondock/cli/ScenarioCommand.java
@@ -89,7 +89,7 @@
   private ScenarioResult playWithReports(ScenarioScript scenario)
       throws InterruptedException, IOException {
     try (ReportComparison comparison = new ReportComparison()) {
-      ScenarioResult result = new FaultScenario(scenario).reporting(comparison).play();
+      ScenarioResult result = new FaultScenario(scenario).compareReports(comparison).play();
       boolean differs = !comparison.differences().isEmpty();
       System.out.println(
           "reports: "
