--- a/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
+++ b/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
@@ -109,13 +109,12 @@
   }
 
   /** Begins a call; the future ends with it. */
-  CompletableFuture<McpClient.Call> begin(McpClient client, ToolCallRequest ask) {
+  CompletableFuture<McpCall> begin(McpClient client, ToolCallRequest ask) {
     return begin(client, ask, call -> {});
   }
 
-  CompletableFuture<McpClient.Call> begin(
-      McpClient client, ToolCallRequest ask, Consumer<McpClient.Call> begun) {
-    CompletableFuture<McpClient.Call> done = new CompletableFuture<>();
+  CompletableFuture<McpCall> begin(McpClient client, ToolCallRequest ask, Consumer<McpCall> begun) {
+    CompletableFuture<McpCall> done = new CompletableFuture<>();
     clients
         .loop()
         .execute(
@@ -133,7 +132,7 @@
   }
 
   CallRecord call(ToolCallRequest ask) {
-    return get(begin(client(), ask)).seen();
+    return get(begin(client(), ask)).record();
   }
 
   static <T> T get(CompletableFuture<T> future) {
@@ -188,16 +187,18 @@
   }
 
   private String busy() {
-    int legs = fleet.node(GATEWAY).invokeAndWait(fleet.gateway(GATEWAY)::requestsInFlight);
-    int calls = fleet.node(GATEWAY).invokeAndWait(fleet.gateway(GATEWAY)::callsInFlight);
+    int requests =
+        fleet.gatewayProcess(GATEWAY).invokeAndWait(fleet.gateway(GATEWAY)::requestsInFlight);
+    int calls = fleet.gatewayProcess(GATEWAY).invokeAndWait(fleet.gateway(GATEWAY)::callsInFlight);
     StringBuilder busy =
-        new StringBuilder(legs + calls == 0 ? "" : legs + " legs, " + calls + " calls ");
+        new StringBuilder(
+            requests + calls == 0 ? "" : requests + " requests, " + calls + " calls ");
     for (String e : fleet.engines()) {
       fleet
           .emulators()
           .invokeAndWait(
               () ->
-                  fleet.engine(e).states() + fleet.engine(e).running() == 0
+                  fleet.engine(e).reservedStates() + fleet.engine(e).runningRequests() == 0
                       ? busy
                       : busy.append(e).append(": ").append(fleet.engine(e).load()).append(' '));
     }
