--- a/dispatch/src/main/java/lemondock/dispatch/Endpoint.java
+++ b/dispatch/src/main/java/lemondock/dispatch/Endpoint.java
@@ -7,7 +7,7 @@
 /**
  * A server as an endpoint list states it; the router knows servers, zones and kinds by numbers.
  *
- * @param name unique within the list
+ * @param name the server's name, unique within the list
  * @param address where its requests are sent
  * @param kind name of the server's kind in the settings
  * @param zone failure domain that it stands in
@@ -32,7 +32,7 @@
     return new Builder();
   }
 
-  /** Collects the components of a {@link Endpoint}. For one thread. */
+  /** Collects the components of an {@link Endpoint}. For one thread. */
   public static final class Builder {
     private String name;
     private InetSocketAddress address;
@@ -45,7 +45,7 @@
 
     private Builder() {}
 
-    /** Unique within the list. */
+    /** The server's name, unique within the list. */
     public Builder name(String value) {
       name = value;
       return this;
--- a/net/src/main/java/lemondock/net/http/HttpExchange.java
+++ b/net/src/main/java/lemondock/net/http/HttpExchange.java
@@ -1,6 +1,5 @@
 package lemondock.net.http;
 
-import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import lemondock.net.Connection;
 import lemondock.net.OutBuffer;
@@ -61,11 +60,6 @@
     return prepared;
   }
 
-  /** The client's address, null if the connection is closed already. */
-  public InetSocketAddress remoteAddress() {
-    return connection.transport().remoteAddress();
-  }
-
   /** Responds whole; does nothing if a response was begun or the connection is gone. */
   public void respond(int status, Headers headers, byte[] body) {
     if (state != ResponseState.NOT_BEGUN || !isCurrent()) {
--- a/policy/src/main/java/lemondock/policy/AttemptResult.java
+++ b/policy/src/main/java/lemondock/policy/AttemptResult.java
@@ -30,7 +30,7 @@
     return new Builder();
   }
 
-  /** Collects the components of a {@link AttemptResult}. For one thread. */
+  /** Collects the components of an {@link AttemptResult}. For one thread. */
   public static final class Builder {
     private long requestId;
     private int attempt;
--- a/policy/src/main/java/lemondock/policy/Control.java
+++ b/policy/src/main/java/lemondock/policy/Control.java
@@ -132,12 +132,11 @@
       long serverId,
       long timeToFirstTokenMicros) {
     clock.advanceTo(nowMicros);
-    find(requestId)
-        .ifPresent(
-            request ->
-                request
-                    .attempt(attemptNumber)
-                    .ifPresent(attempt -> beginStream(request, attempt, timeToFirstTokenMicros)));
+    Optional<InFlightRequest> request = find(requestId);
+    Optional<Attempt> attempt = request.flatMap(found -> found.attempt(attemptNumber));
+    if (attempt.isPresent()) {
+      beginStream(request.get(), attempt.get(), timeToFirstTokenMicros);
+    }
   }
 
   private Optional<InFlightRequest> find(long requestId) {
@@ -154,13 +153,11 @@
   @Override
   public void attemptEnded(long nowMicros, AttemptResult result) {
     clock.advanceTo(nowMicros);
-    find(result.requestId())
-        .ifPresent(
-            request ->
-                request
-                    .attempt(result.attempt())
-                    .filter(attempt -> !attempt.ended())
-                    .ifPresent(attempt -> endAttempt(request, attempt, result)));
+    Optional<InFlightRequest> request = find(result.requestId());
+    Optional<Attempt> attempt = request.flatMap(found -> found.attempt(result.attempt()));
+    if (attempt.isPresent() && !attempt.get().ended()) {
+      endAttempt(request.get(), attempt.get(), result);
+    }
   }
 
   private void endAttempt(InFlightRequest request, Attempt attempt, AttemptResult result) {
--- a/policy/src/main/java/lemondock/policy/DeploymentLimits.java
+++ b/policy/src/main/java/lemondock/policy/DeploymentLimits.java
@@ -8,8 +8,8 @@
  * @param mayHedge whether hedged requests are allowed
  * @param mayProbe whether health checks are allowed
  * @param mayGossip whether gateways may tell each other what they see
- * @param sendsRetryAfter whether a rejection may say when to come back
- * @param maxRetryAfterMicros the longest such advice
+ * @param sendsRetryAfter whether a rejection may carry a Retry-After
+ * @param maxRetryAfterMicros the longest Retry-After that may be advised
  * @param connectTimeoutMicros how long a connection to a server may take to come up; 0 if not told
  * @param pollsEndpointList whether the endpoint list comes only when asked for
  */
@@ -73,13 +73,13 @@
       return this;
     }
 
-    /** Whether a rejection may say when to come back. */
+    /** Whether a rejection may carry a Retry-After. */
     public Builder sendsRetryAfter(boolean value) {
       sendsRetryAfter = value;
       return this;
     }
 
-    /** The longest such advice. */
+    /** The longest Retry-After that may be advised. */
     public Builder maxRetryAfterMicros(long value) {
       maxRetryAfterMicros = value;
       return this;
--- a/policy/src/main/java/lemondock/policy/RequestClass.java
+++ b/policy/src/main/java/lemondock/policy/RequestClass.java
@@ -7,13 +7,14 @@
  * arrival to its first token.
  *
  * @param latencyObjectiveMicros when the first token should come, for a prompt without tokens
- * @param objectiveMicrosPerThousandTokens what each thousand tokens of the prompt add to it
+ * @param objectiveMicrosPerThousandTokens what each thousand tokens of the prompt add to the
+ *     latency objective
  * @param deadlineMicros when the first token, or another final answer, must have come
  * @param priorityWeight what an answer in time counts; classes of lower weight are rejected first
- * @param latePriorityWeight what a late answer counts
+ * @param latePriorityWeight what an answer after the objective counts
  * @param idempotency whether its requests may be repeated
  * @param deduplicationScope which servers drop the repeats of a request with an idempotency key
- * @param deduplicationWindowMicros for how long they do
+ * @param deduplicationWindowMicros how long servers remember an idempotency key
  * @param tokenIntervalObjectiveMicros wanted time between two tokens of an answer; 0 if not told
  */
 public record RequestClass(
@@ -52,7 +53,7 @@
       return this;
     }
 
-    /** What each thousand tokens of the prompt add to it. */
+    /** What each thousand tokens of the prompt add to the latency objective. */
     public Builder objectiveMicrosPerThousandTokens(long value) {
       objectiveMicrosPerThousandTokens = value;
       return this;
@@ -70,7 +71,7 @@
       return this;
     }
 
-    /** What a late answer counts. */
+    /** What an answer after the objective counts. */
     public Builder latePriorityWeight(double value) {
       latePriorityWeight = value;
       return this;
@@ -88,7 +89,7 @@
       return this;
     }
 
-    /** For how long they do. */
+    /** How long servers remember an idempotency key. */
     public Builder deduplicationWindowMicros(long value) {
       deduplicationWindowMicros = value;
       return this;
--- a/policy/src/main/java/lemondock/policy/RoutingRequest.java
+++ b/policy/src/main/java/lemondock/policy/RoutingRequest.java
@@ -8,8 +8,8 @@
  * @param tenantId index into {@link RouterSettings#tenants}
  * @param sessionId requests of one session share their earlier turns; 0 for none
  * @param prefixId requests of one prefix begin with the same text; 0 for none
- * @param promptTokens length of the whole prompt
- * @param prefixTokens length of that text
+ * @param promptTokens tokens of the whole prompt
+ * @param prefixTokens tokens of the text that the prefix stands for
  * @param maxAnswerTokens longest answer that the client takes
  * @param clientTimeoutMicros how long the client waits for the first token
  * @param expectedWriteMicros expected time of writing the answer at the class's token interval; 0
@@ -83,13 +83,13 @@
       return this;
     }
 
-    /** Length of the whole prompt. */
+    /** Tokens of the whole prompt. */
     public Builder promptTokens(int value) {
       promptTokens = value;
       return this;
     }
 
-    /** Length of that text. */
+    /** Tokens of the text that the prefix stands for. */
     public Builder prefixTokens(int value) {
       prefixTokens = value;
       return this;
--- a/policy/src/main/java/lemondock/policy/ServiceRules.java
+++ b/policy/src/main/java/lemondock/policy/ServiceRules.java
@@ -6,9 +6,10 @@
  * @param answerSlackMicros how long after its deadline a final answer may still come
  * @param drainGraceMicros how long after a server began to drain something new may still reach it
  * @param slowStartInitialShare the part of its capacity with which a server starts at least
- * @param slowStartMicros time until a server that has started bears all of its capacity
- * @param overloadFactor how many times its capacity at that time a server in slow start bears
- * @param overloadWindowMicros the time over which that is counted
+ * @param slowStartMicros time until a server that has started has its whole capacity
+ * @param overloadFactor load that a server in slow start takes, in multiples of its capacity at
+ *     that moment
+ * @param overloadWindowMicros time over which the load of a server in slow start is counted
  * @param releaseWithinMicros how long a reader may hold a state that nobody takes; 0 for no limit
  */
 public record ServiceRules(
@@ -55,19 +56,19 @@
       return this;
     }
 
-    /** Time until a server that has started bears all of its capacity. */
+    /** Time until a server that has started has its whole capacity. */
     public Builder slowStartMicros(long value) {
       slowStartMicros = value;
       return this;
     }
 
-    /** How many times its capacity at that time a server in slow start bears. */
+    /** Load that a server in slow start takes, in multiples of its capacity at that moment. */
     public Builder overloadFactor(double value) {
       overloadFactor = value;
       return this;
     }
 
-    /** The time over which that is counted. */
+    /** Time over which the load of a server in slow start is counted. */
     public Builder overloadWindowMicros(long value) {
       overloadWindowMicros = value;
       return this;
--- a/policy/src/main/java/lemondock/policy/package-info.java
+++ b/policy/src/main/java/lemondock/policy/package-info.java
@@ -26,9 +26,10 @@
  * <ul>
  *   <li>Requests and attempts in flight: {@code InFlightRequest}, {@code Attempt}, sent by {@code
  *       AttemptSender} alone and recorded by {@code AttemptRecorder}.
- *   <li>Servers: {@code ServerTable} with a {@code ServerState} for each and {@code RoleStatistics}
- *       for each role; {@code SlowStart}, {@code OutlierDetector} and {@code LatencyEstimator}
- *       estimate what they bear, whether they are to be ejected and how long work waits there.
+ *   <li>Servers: {@code ServerTable} with a {@code ServerState} for each, its {@code ServerQueue}
+ *       of unanswered attempts among it, and {@code RoleStatistics} for each role; {@code
+ *       SlowStart}, {@code OutlierDetector} and {@code LatencyEstimator} estimate what they bear,
+ *       whether they are to be ejected and how long work waits there.
  *   <li>Admission: {@code AdaptiveCapacityLimit} and {@code AdmissionQuota}; what has to wait is in
  *       the {@code AdmissionQueue}.
  *   <li>Choice of a reader: {@code ReaderSelector}, over {@code SessionTable}, {@code
@@ -38,6 +39,9 @@
  *       cancels what is overdue.
  * </ul>
  *
- * <p>Each tuned value stands in the class that uses it.
+ * <p>Each tuned value stands in the class that uses it. State is private to its class; where a
+ * record of state is shared, as {@code ServerState}, a comment at each group of fields names the
+ * one class that writes them. The records that hosts pass in are made by builders; input that
+ * cannot be used is an {@link lemondock.policy.InvalidRouterInputException}.
  */
 package lemondock.policy;
