--- a/exporter/src/main/java/lemondock/exporter/DestinationQueue.java
+++ b/exporter/src/main/java/lemondock/exporter/DestinationQueue.java
@@ -23,7 +23,7 @@
   }
 
   /** The snapshot being sent, or else the next pending one, which is then being sent. */
-  public Optional<BufferedSnapshot> current() {
+  public Optional<BufferedSnapshot> currentOrNext() {
     if (current == null) {
       cursor.dropOldestBeyond(maxPending);
       current = cursor.next().orElse(null);
--- a/exporter/src/main/java/lemondock/exporter/StreamDestination.java
+++ b/exporter/src/main/java/lemondock/exporter/StreamDestination.java
@@ -112,7 +112,7 @@
       connection.abort();
     }
     while (connection != null && connection.pendingBytes() <= MAX_UNSENT_BYTES) {
-      Optional<BufferedSnapshot> snapshot = queue.current();
+      Optional<BufferedSnapshot> snapshot = queue.currentOrNext();
       if (snapshot.isEmpty()) {
         break;
       }
--- a/exporter/src/main/java/lemondock/exporter/collectd/DatagramDestination.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/DatagramDestination.java
@@ -159,7 +159,7 @@
     if (!notifications.isEmpty()) {
       return Optional.of(notifications.poll());
     }
-    Optional<BufferedSnapshot> snapshot = queue.current();
+    Optional<BufferedSnapshot> snapshot = queue.currentOrNext();
     if (snapshot.isEmpty()) {
       return Optional.empty();
     }
