--- a/scenario/src/main/java/lemondock/scenario/FaultScenario.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultScenario.java
@@ -14,6 +14,7 @@
 import lemondock.dispatch.RouterFactory;
 import lemondock.emulator.TrafficEvent;
 import lemondock.gateway.Gateway;
+import lemondock.gateway.settings.GatewaySettings;
 import lemondock.idempotency.FileSystemPort;
 
 /**
@@ -93,7 +94,7 @@
     try (ScenarioFleet fleet = new ScenarioFleet(ScenarioSettings.requestClasses(), script.seed());
         EmulatedProcess clientProcess = new EmulatedProcess("clients", 2)) {
       fleet.onSnapshot(snapshotListener);
-      fleet.files(fileSystemDecorator);
+      fleet.decorateFileSystem(fileSystemDecorator);
       new FleetBuilder(script, routerFactory, folder, reports).build(fleet);
       ClientLoad load = new ClientLoad(script, random, fleet, clientProcess);
       Timetable timetable = new Timetable();
@@ -118,20 +119,21 @@
 
   private ScenarioResult result(
       ScenarioFleet fleet, List<CallRecord> calls, long endMicros, long startNanos) {
-    ScenarioAuditor auditor =
-        new ScenarioAuditor(
-            ScenarioSettings.model(),
+    GatewaySettings model = ScenarioSettings.model();
+    ScenarioRecording recording =
+        new ScenarioRecording(
+            model,
             fleet.engineSettings(),
             fleet.events(),
             calls,
-            fleet.killed(),
-            fleet.stood(),
+            fleet.kills(),
+            fleet.pauses(),
             endMicros);
     return new ScenarioResult(
         script,
-        auditor.check(),
-        auditor.service(),
-        auditor.endings(),
+        ScenarioAuditor.check(recording),
+        ServiceStatistics.valueInTimeShares(model.classes(), calls),
+        ServiceStatistics.outcomeCounts(calls),
         calls.size(),
         countEngineRequests(fleet.events()),
         (System.nanoTime() - startNanos) / 1e9,
--- a/scenario/src/test/java/lemondock/scenario/NonIdempotentCallsTest.java
+++ b/scenario/src/test/java/lemondock/scenario/NonIdempotentCallsTest.java
@@ -50,7 +50,7 @@
   }
 
   private static void restart(ScenarioFixture bench) {
-    bench.fleet.kill(ScenarioFixture.GATEWAY);
+    bench.fleet.killGateway(ScenarioFixture.GATEWAY);
     bench.fleet.startGateway(ScenarioFixture.GATEWAY);
     assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 2, 10_000));
   }
@@ -106,8 +106,7 @@
           .emulators()
           .invokeAndWait(
               () -> {
-                bench.fleet.catalogue().empty(true);
-                return null;
+                bench.fleet.catalogue().setEmpty(true);
               });
       assertTrue(bench.fleet.awaitServers(ScenarioFixture.GATEWAY, 0, 10_000));
       assertEquals(
@@ -121,8 +120,7 @@
           .emulators()
           .invokeAndWait(
               () -> {
-                bench.fleet.catalogue().empty(false);
-                return null;
+                bench.fleet.catalogue().setEmpty(false);
               });
       restart(bench);
       ConversationClient next = new ConversationClient(bench.port);
@@ -190,7 +188,7 @@
   void nothingIsSentBeforeItIsDurable() throws Exception {
     try (ScenarioFixture bench = bench()) {
       Failing[] disk = new Failing[1];
-      bench.fleet.files(f -> disk[0] = new Failing(f, 1_000));
+      bench.fleet.decorateFileSystem(f -> disk[0] = new Failing(f, 1_000));
       restart(bench);
       ConversationClient session = new ConversationClient(bench.port);
       disk[0].goodSyncs = 0;
