--- a/gateway/src/main/java/lemondock/gateway/core/ClientCall.java
+++ b/gateway/src/main/java/lemondock/gateway/core/ClientCall.java
@@ -185,19 +185,17 @@
     ObjectNode body = CompletionRequestBody.of(model, prompt, turns, partial);
     int promptTokens = CompletionRequestBody.estimatedTokens(prompt, turns, partial);
     DispatchedRequest<ObjectNode> request =
-        new DispatchedRequest<>(
-            prompt.classId(),
-            0,
-            sessionKey,
-            prompt.size().prefixKey(),
-            promptTokens,
-            prompt.size().prefixTokens(),
-            maxTokens,
-            requestClass.deadlineMicros(promptTokens),
-            clientRetry && requestsSent == 0,
-            resumed,
-            sink.clientShard(),
-            body);
+        DispatchedRequest.builder(body)
+            .classId(prompt.classId())
+            .sessionKey(sessionKey)
+            .prefix(prompt.size().prefixKey(), prompt.size().prefixTokens())
+            .promptTokens(promptTokens)
+            .maxAnswerTokens(maxTokens)
+            .firstTokenTimeoutMicros(requestClass.deadlineMicros(promptTokens))
+            .clientRetry(clientRetry && requestsSent == 0)
+            .resumed(resumed)
+            .clientShard(sink.clientShard())
+            .build();
     requestsSent++;
     requestId =
         context.dispatcher().submit(request, new AnswerRequestListener(answer, metrics, sink));
--- a/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
@@ -155,7 +155,7 @@
       long index;
       try {
         listed = EndpointListCodec.parseConsul(body());
-        index = Long.parseLong(String.valueOf(header("x-consul-index")));
+        index = Long.parseLong(header("x-consul-index").orElse("null"));
       } catch (EndpointListCodec.MalformedListException | NumberFormatException e) {
         retryAfterFailure("the catalogue's answer cannot be read: " + e.getMessage());
         return;
--- a/gateway/src/main/java/lemondock/gateway/mcp/ContentNegotiation.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ContentNegotiation.java
@@ -12,14 +12,16 @@
 
   /** Whether a request's content is JSON. */
   static boolean isJson(Headers headers) {
-    String type = headers.get("content-type");
-    return type != null && withoutParameters(type).equalsIgnoreCase(JSON);
+    return headers
+        .firstValue("content-type")
+        .filter(type -> withoutParameters(type).equalsIgnoreCase(JSON))
+        .isPresent();
   }
 
   /** Whether a client accepts responses of a type; weights are not looked at. */
   static boolean accepts(Headers headers, String type) {
     String wholeFamily = type.split("/")[0] + "/*";
-    for (String value : headers.getAll("accept")) {
+    for (String value : headers.allValues("accept")) {
       for (String part : value.split(",")) {
         String range = withoutParameters(part).toLowerCase(Locale.ROOT);
         if (range.equals(type) || range.equals("*/*") || range.equals(wholeFamily)) {
--- a/gateway/src/main/java/lemondock/gateway/mcp/GetHandler.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/GetHandler.java
@@ -3,6 +3,7 @@
 import static lemondock.gateway.mcp.HttpReplies.clip;
 import static lemondock.gateway.mcp.HttpReplies.text;
 
+import java.util.Optional;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import lemondock.gateway.settings.GatewaySettings;
@@ -44,15 +45,15 @@
   }
 
   private void handle(HttpExchange exchange, McpSession session) {
-    String lastEventId = exchange.request().headers().get(Mcp.LAST_EVENT_HEADER);
-    if (lastEventId == null) {
+    Optional<String> lastEventId = exchange.request().headers().firstValue(Mcp.LAST_EVENT_HEADER);
+    if (lastEventId.isEmpty()) {
       openServerStream(exchange, session);
-    } else if (!resume(exchange, session, lastEventId)) {
+    } else if (!resume(exchange, session, lastEventId.get())) {
       text(
           exchange,
           404,
           "the stream of event "
-              + clip(lastEventId)
+              + clip(lastEventId.get())
               + " is over or its events are not kept any more");
     }
   }
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpHttpHandler.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpHttpHandler.java
@@ -138,8 +138,8 @@
   }
 
   @Override
-  public HttpRejection rejectEarly(HttpRequest request) {
-    return preparer.rejectBeforeParsing(request).orElse(null);
+  public Optional<HttpRejection> rejectEarly(HttpRequest request) {
+    return preparer.rejectBeforeParsing(request);
   }
 
   // On the loop.
