--- a/gateway/src/main/java/lemondock/gateway/mcp/ContentNegotiation.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ContentNegotiation.java
@@ -12,8 +12,10 @@
 
   /** Whether a request's content is JSON. */
   static boolean isJson(Headers headers) {
-    String type = headers.firstValue("content-type").orElse(null);
-    return type != null && withoutParameters(type).equalsIgnoreCase(JSON);
+    return headers
+        .firstValue("content-type")
+        .filter(type -> withoutParameters(type).equalsIgnoreCase(JSON))
+        .isPresent();
   }
 
   /** Whether a client accepts responses of a type; weights are not looked at. */
--- a/gateway/src/main/java/lemondock/gateway/mcp/PostHandler.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/PostHandler.java
@@ -34,7 +34,7 @@
   void handle(HttpExchange exchange) {
     Headers headers = exchange.request().headers();
     if (!ContentNegotiation.isJson(headers)) {
-      String type = String.valueOf(headers.firstValue("content-type").orElse(null));
+      String type = headers.firstValue("content-type").orElse("null");
       text(exchange, 415, "expected content-type application/json, found " + clip(type));
       return;
     }
--- a/gateway/src/main/java/lemondock/gateway/reporting/ServiceWindow.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/ServiceWindow.java
@@ -10,26 +10,46 @@
 
 /**
  * Priority weight requested and answered in time over the last seconds, by class; from snapshots,
- * with time passed in. One thread.
+ * with time passed in. Reports' loop only.
  */
 final class ServiceWindow {
+  // Fields of MetricFamilies.PRIORITY_WEIGHT.
+  private static final int REQUESTED_FIELD = 0;
+  private static final int RETRIED_FIELD = 1;
+  private static final int IN_TIME_FIELD = 2;
+
   private final long spanMicros;
   private final ArrayDeque<Sample> samples = new ArrayDeque<>();
 
-  private record Sample(long atMicros, Map<String, long[]> byClass) {}
+  /** Sums since the start. */
+  private record Sample(long atMicros, Map<String, Weights> byClass) {}
+
+  /** Priority weights in the unit of the metrics. */
+  private record Weights(long requested, long inTime) {
+    static final Weights NONE = new Weights(0, 0);
 
-  /** A window of so many microseconds. */
-  ServiceWindow(long span) {
-    this.spanMicros = span;
+    Weights plus(Weights other) {
+      return new Weights(requested + other.requested, inTime + other.inTime);
+    }
+
+    Service since(Weights before) {
+      return new Service(
+          (requested - before.requested) / MetricFamilies.PRIORITY_WEIGHT_SCALE,
+          (inTime - before.inTime) / MetricFamilies.PRIORITY_WEIGHT_SCALE);
+    }
   }
 
+  ServiceWindow(long spanMicros) {
+    this.spanMicros = spanMicros;
+  }
+
+  /** Takes a snapshot in, and drops those from before the window. */
   void add(long nowMicros, MetricsSnapshot snapshot) {
-    Map<String, long[]> sums = new LinkedHashMap<>();
+    Map<String, Weights> sums = new LinkedHashMap<>();
     for (Series series : snapshot.series()) {
       if (series.family().equals(MetricFamilies.PRIORITY_WEIGHT)) {
-        long[] sum = sums.computeIfAbsent(series.labelValues().get(0), c -> new long[2]);
-        sum[0] += snapshot.values()[series.slot(0)] + snapshot.values()[series.slot(1)];
-        sum[1] += snapshot.values()[series.slot(2)];
+        String requestClass = series.labelValues().get(0);
+        sums.merge(requestClass, weights(series, snapshot.values()), Weights::plus);
       }
     }
     samples.add(new Sample(nowMicros, sums));
@@ -38,6 +58,12 @@
     }
   }
 
+  private static Weights weights(Series series, long[] values) {
+    return new Weights(
+        values[series.slot(REQUESTED_FIELD)] + values[series.slot(RETRIED_FIELD)],
+        values[series.slot(IN_TIME_FIELD)]);
+  }
+
   private Sample secondSample() {
     Iterator<Sample> all = samples.iterator();
     all.next();
@@ -51,19 +77,13 @@
   Map<String, Service> serviceByClass() {
     Map<String, Service> services = new LinkedHashMap<>();
     if (!samples.isEmpty()) {
-      Sample first = samples.peekFirst();
+      Map<String, Weights> before = samples.getFirst().byClass();
       samples
-          .peekLast()
+          .getLast()
           .byClass()
           .forEach(
-              (name, sum) -> {
-                long[] before = first.byClass().getOrDefault(name, new long[2]);
-                services.put(
-                    name,
-                    new Service(
-                        (sum[0] - before[0]) / MetricFamilies.PRIORITY_WEIGHT_SCALE,
-                        (sum[1] - before[1]) / MetricFamilies.PRIORITY_WEIGHT_SCALE));
-              });
+              (name, sums) ->
+                  services.put(name, sums.since(before.getOrDefault(name, Weights.NONE))));
     }
     return services;
   }
