--- a/gateway/src/main/java/lemondock/gateway/mcp/DnsRebindingGuard.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/DnsRebindingGuard.java
@@ -36,15 +36,16 @@
 
   /** Why the request is not allowed here; empty if it is. */
   Optional<String> rejectionReason(HttpRequest request) {
-    String host = request.headers().firstValue("host").orElse(null);
-    if (host != null && !isAllowedHost(host)) {
-      return Optional.of("host " + clip(host) + " is not allowed here");
+    Optional<String> forbiddenHost =
+        request.headers().firstValue("host").filter(host -> !isAllowedHost(host));
+    if (forbiddenHost.isPresent()) {
+      return Optional.of("host " + clip(forbiddenHost.get()) + " is not allowed here");
     }
-    String origin = request.headers().firstValue("origin").orElse(null);
-    if (origin != null && !isAllowedOrigin(origin)) {
-      return Optional.of("origin " + clip(origin) + " is not allowed here");
-    }
-    return Optional.empty();
+    return request
+        .headers()
+        .firstValue("origin")
+        .filter(origin -> !isAllowedOrigin(origin))
+        .map(origin -> "origin " + clip(origin) + " is not allowed here");
   }
 
   private boolean isAllowedHost(String host) {
--- a/gateway/src/main/java/lemondock/gateway/mcp/SessionResolver.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/SessionResolver.java
@@ -21,23 +21,26 @@
   /** The session of a request; if it is empty, the request was answered with an error. */
   Optional<McpSession> resolve(HttpExchange exchange) {
     Headers headers = exchange.request().headers();
-    String protocolVersion = headers.firstValue(Mcp.VERSION_HEADER).orElse(null);
-    if (protocolVersion != null && !Mcp.VERSIONS.contains(protocolVersion)) {
+    Optional<String> unsupportedVersion =
+        headers
+            .firstValue(Mcp.VERSION_HEADER)
+            .filter(protocolVersion -> !Mcp.VERSIONS.contains(protocolVersion));
+    if (unsupportedVersion.isPresent()) {
       respondWithError(
           exchange,
           400,
           "Bad Request: unsupported protocol version "
-              + clip(protocolVersion)
+              + clip(unsupportedVersion.get())
               + ", expected one of "
               + Mcp.VERSIONS);
       return Optional.empty();
     }
-    String id = headers.firstValue(Mcp.SESSION_HEADER).orElse(null);
-    if (id == null) {
+    Optional<String> id = headers.firstValue(Mcp.SESSION_HEADER);
+    if (id.isEmpty()) {
       respondWithError(exchange, 400, "Bad Request: expected header " + Mcp.SESSION_HEADER);
       return Optional.empty();
     }
-    Optional<McpSession> session = sessions.use(id);
+    Optional<McpSession> session = sessions.use(id.get());
     if (session.isEmpty()) {
       respondWithError(exchange, 404, "Session not found");
     }
--- a/gateway/src/main/java/lemondock/gateway/reporting/DetectorInput.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/DetectorInput.java
@@ -10,23 +10,32 @@
 
 /** Takes from a snapshot what the detector of degradations watches. */
 final class DetectorInput {
+  // Fields of MetricFamilies.SERVICE_LEVEL.
+  private static final int GOOD = 0;
+  private static final int BAD = 1;
+
   private DetectorInput() {}
 
   /** Requests by class and zone: those in time against those that were not. */
-  static List<EventCounts> verdicts(MetricsSnapshot snapshot) {
+  static List<EventCounts> requests(MetricsSnapshot snapshot) {
     List<EventCounts> counts = new ArrayList<>();
     for (Series series : snapshot.series()) {
       if (series.family().equals(MetricFamilies.SERVICE_LEVEL)) {
         counts.add(
             new EventCounts(
-                new ServiceScope(series.labelValues().get(0), series.labelValues().get(1)),
-                snapshot.values()[series.slot(0)],
-                snapshot.values()[series.slot(1)]));
+                scope(series),
+                snapshot.values()[series.slot(GOOD)],
+                snapshot.values()[series.slot(BAD)]));
       }
     }
     return counts;
   }
 
+  /** The scope of a series whose labels are a class or role, and a zone. */
+  private static ServiceScope scope(Series series) {
+    return new ServiceScope(series.labelValues().get(0), series.labelValues().get(1));
+  }
+
   /**
    * Attempts by role and zone: answered ones against those that failed, were rejected or cancelled.
    */
@@ -43,7 +52,7 @@
         }
         counts.add(
             new EventCounts(
-                new ServiceScope(series.labelValues().get(0), series.labelValues().get(1)),
+                scope(series),
                 snapshot.values()[series.slot(okField)] + snapshot.values()[series.slot(readField)],
                 bad));
       }
--- a/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
@@ -152,7 +152,7 @@
     statusPage.onTick(stampMillis, loop.now(), snapshot);
     for (DegradationChange change :
         detector.observe(
-            loop.now(), DetectorInput.verdicts(snapshot), DetectorInput.attempts(snapshot))) {
+            loop.now(), DetectorInput.requests(snapshot), DetectorInput.attempts(snapshot))) {
       LOG.warn("{}", change.message());
       exporter.notifyServiceHealth(
           change.isStart() ? ServiceHealth.DEGRADED : ServiceHealth.RECOVERED, change.message());
--- a/gateway/src/main/java/lemondock/gateway/reporting/SnapshotJson.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/SnapshotJson.java
@@ -10,8 +10,8 @@
 import lemondock.metrics.Series;
 
 /**
- * A tally as JSON: for each family its rows, each with its labels and values. Values are exact
- * decimals.
+ * Metrics as JSON: for each family its series, each with its labels and values. Values are exact
+ * decimals. Safe for any thread.
  */
 public final class SnapshotJson {
   private SnapshotJson() {}
@@ -20,26 +20,30 @@
   public static ObjectNode of(MetricsSnapshot snapshot) {
     ObjectNode root = JsonNodeFactory.instance.objectNode();
     for (Series series : snapshot.series()) {
-      MetricFamily family = series.family();
-      ArrayNode rows = root.withArray("/" + family.name());
-      ObjectNode row = rows.addObject();
-      for (int i = 0; i < series.labelValues().size(); i++) {
-        row.put(family.labelNames().get(i), series.labelValues().get(i));
-      }
-      for (int i = 0; i < family.fields().size(); i++) {
-        MetricField field = family.fields().get(i);
-        long value = snapshot.values()[series.slot(i)];
-        if (value != MetricsSnapshot.NO_VALUE || field.kind() == MetricField.Kind.COUNTER) {
-          if (field.decimalPlaces() == 0) {
-            row.put(field.name(), value);
-          } else {
-            row.put(
-                field.name(),
-                BigDecimal.valueOf(value, field.decimalPlaces()).stripTrailingZeros());
-          }
-        }
-      }
+      ArrayNode rows = root.withArray("/" + series.family().name());
+      addSeries(series, snapshot.values(), rows.addObject());
     }
     return root;
   }
+
+  private static void addSeries(Series series, long[] values, ObjectNode row) {
+    MetricFamily family = series.family();
+    for (int i = 0; i < series.labelValues().size(); i++) {
+      row.put(family.labelNames().get(i), series.labelValues().get(i));
+    }
+    for (int i = 0; i < family.fields().size(); i++) {
+      addValue(family.fields().get(i), values[series.slot(i)], row);
+    }
+  }
+
+  private static void addValue(MetricField field, long value, ObjectNode row) {
+    if (value == MetricsSnapshot.NO_VALUE && field.kind() != MetricField.Kind.COUNTER) {
+      return;
+    }
+    if (field.decimalPlaces() == 0) {
+      row.put(field.name(), value);
+    } else {
+      row.put(field.name(), BigDecimal.valueOf(value, field.decimalPlaces()).stripTrailingZeros());
+    }
+  }
 }
