--- a/cli/src/main/java/lemondock/cli/GatewayCommand.java
+++ b/cli/src/main/java/lemondock/cli/GatewayCommand.java
@@ -15,8 +15,8 @@
 import lemondock.gateway.reporting.Reporting;
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.gateway.settings.SettingsFile;
-import lemondock.idempotency.LockedDirectory;
 import lemondock.idempotency.FileSystemPort;
+import lemondock.idempotency.LockedDirectory;
 import lemondock.net.nio.AsyncNetwork;
 import lemondock.net.nio.ThreadLoop;
 import lemondock.net.nio.WorkerPool;
@@ -84,13 +84,16 @@
 
   /** The folder of the idempotency log; null, as the environment wants it, if none is kept. */
   private static FileSystemPort idempotencyFolder(GatewaySettings settings) throws IOException {
-    return settings.durable() == null ? null : new LockedDirectory(Path.of(settings.durable().path()));
+    return settings.durable() == null
+        ? null
+        : new LockedDirectory(Path.of(settings.durable().path()));
   }
 
   private static Reporting createReporting(GatewaySettings settings, Gateway gateway)
       throws IOException {
     ExporterRuntime runtime = new ExporterRuntime("lemondock-reports");
-    return new Reporting(settings, gateway.metrics(), runtime.environment(), ProcessMeterRegistry.create());
+    return new Reporting(
+        settings, gateway.metrics(), runtime.environment(), ProcessMeterRegistry.create());
   }
 
   /** Stops the gateway, then its reports, so that the final metrics include its last calls. */
--- a/cli/src/main/java/lemondock/cli/PutvalCommand.java
+++ b/cli/src/main/java/lemondock/cli/PutvalCommand.java
@@ -65,7 +65,8 @@
         new BufferedSnapshot(
             0, metrics.path("stampMs").asLong(), snapshot.series(), snapshot.values());
     ByteArrayOutputStream text = new ByteArrayOutputStream();
-    new PutvalEncoder(new CollectdIdentifiers(host, metrics.path("instance").asText()), intervalMillis)
+    new PutvalEncoder(
+            new CollectdIdentifiers(host, metrics.path("instance").asText()), intervalMillis)
         .encode(buffered, 0, Integer.MAX_VALUE, text);
     System.out.writeBytes(text.toByteArray());
     System.out.flush();
--- a/cli/src/main/java/lemondock/cli/SnapshotParser.java
+++ b/cli/src/main/java/lemondock/cli/SnapshotParser.java
@@ -5,15 +5,16 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import lemondock.metrics.MetricFamilies;
 import lemondock.metrics.MetricFamily;
 import lemondock.metrics.MetricField;
-import lemondock.metrics.MetricFamilies;
-import lemondock.metrics.Series;
 import lemondock.metrics.MetricsSnapshot;
+import lemondock.metrics.Series;
 
 /**
  * Reads the metrics that a gateway answers as JSON back into series and values. Families that this
- * version does not know are left out; fields that an answer lacks are {@link MetricsSnapshot#NO_VALUE}.
+ * version does not know are left out; fields that an answer lacks are {@link
+ * MetricsSnapshot#NO_VALUE}.
  */
 final class SnapshotParser {
   private static final Map<String, MetricFamily> FAMILIES = new HashMap<>();
