--- a/gateway/src/main/java/lemondock/gateway/mcp/PostHandler.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/PostHandler.java
@@ -98,16 +98,10 @@
       exchange.respond(202, new Headers(), HttpReplies.EMPTY_BODY);
       return;
     }
-    PostResponder responder =
-        new PostResponder(
-            context,
-            exchange,
-            session,
-            new PostResponder.ResponseMode(batch, acceptsStream, requests.size()),
-            readyResponses);
-    for (JsonRpcMessage.Request request : requests) {
-      responder.accept(request, prepared.call(request));
-    }
+    PostResponder.ResponseMode mode =
+        new PostResponder.ResponseMode(batch, acceptsStream, requests.size());
+    PostResponder responder = new PostResponder(context, exchange, session, mode, readyResponses);
+    requests.forEach(request -> responder.accept(request, prepared.call(request)));
     responder.flush();
   }
 
--- a/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
@@ -113,7 +113,7 @@
 
     /**
      * The time (microseconds) that a client gives a prompt of so many tokens; it grows twice as
-     * fast as the aim.
+     * fast as the latency objective.
      */
     public long deadlineMicros(int promptTokens) {
       return micros(deadlineMs + 2 * aimMsPerThousandTokens * promptTokens / 1000);
@@ -174,8 +174,8 @@
   }
 
   /**
-   * What to let in at the gateway's own limit, and what counts as a stall of the process; see
-   * {@code lemondock.overload}.
+   * What to admit at the gateway's own limit, and what counts as a stall of the process; see {@code
+   * lemondock.overload}.
    */
   public record Overload(
       boolean refuse,
@@ -212,7 +212,7 @@
           new RetryBudget.Settings(repeatPart, repeatsPerSecond, micros(repeatHalfLifeMs)));
     }
 
-    /** How memory and handles in use bound what is let in. */
+    /** How memory and file handles in use bound what is admitted. */
     public ResourcePressure.Settings toResourcePressureSettings() {
       return new ResourcePressure.Settings(softPart, hardPart, risePerSecond);
     }
@@ -228,11 +228,11 @@
   /**
    * What is reported, and to whom.
    *
-   * @param instance tells this gateway's values from others'; null: its name and the port it
-   *     listens on, which no two gateways of a machine share
+   * @param instance distinguishes this gateway's metrics from others'; null: its name and the port
+   *     it listens on, which no two gateways of a machine share
    * @param host collectd's host; null: the machine's name
-   * @param listen where {@code lemondock status} and {@code tally} ask; null: nowhere
-   * @param tallyFile gets the final tally as JSON at the end; null: none
+   * @param listen the address that {@code lemondock status} and {@code metrics} ask; null: none
+   * @param tallyFile gets the final metrics as JSON at the end; null: none
    */
   public record Reporting(
       String instance,
@@ -311,7 +311,7 @@
     return Math.round(millis * MICROS_PER_MILLI);
   }
 
-  /** What the router is told; it hears numbers where the settings have names. */
+  /** The router's settings, which have numbers where these have names. */
   public RouterSettings toRouterSettings() {
     return new RouterSettings(
         number,
--- a/gateway/src/test/java/lemondock/gateway/engine/TextEventParserTest.java
+++ b/gateway/src/test/java/lemondock/gateway/engine/TextEventParserTest.java
@@ -16,30 +16,27 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * What the quick reader takes means what the whole reader says, and what it does not take it leaves
- * alone.
- */
+/** What the parser takes means the same to the general parser; it leaves the rest alone. */
 @SuppressWarnings("checkstyle:AvoidEscapedUnicodeCharacters") // The escapes are what is parsed.
 class TextEventParserTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private final TextEventParser piece = new TextEventParser();
+  private final TextEventParser parser = new TextEventParser();
 
-  /** Whether it was taken; if so it agrees with the whole reader. */
+  /** Whether it was taken; if so it agrees with the general parser. */
   private boolean takes(byte[] data) {
     byte[] longer =
         java.util.Arrays.copyOf(data, data.length + 7); // what is behind the length must not matter
-    boolean taken = piece.parse(longer, data.length);
+    boolean taken = parser.parse(longer, data.length);
     if (taken) {
       CompletionChunk whole = CompletionChunkParser.parse(new String(data, StandardCharsets.UTF_8));
       assertEquals(
           new CompletionChunk(
-              piece.text().toString(),
+              parser.text().toString(),
               List.of(),
               Optional.empty(),
               whole.promptTokens(),
               -1,
-              piece.completionTokens(),
+              parser.completionTokens(),
               Optional.empty()),
           whole);
     }
@@ -51,7 +48,7 @@
   }
 
   @Test
-  void theUsualEventOfVllmIsTaken() {
+  void theUsualEventOfVllmIsParsed() {
     assertTrue(
         takes(
             "{\"id\":\"chatcmpl-1\",\"object\":\"chat.completion.chunk\",\"created\":1764547200,\"model\":\"m\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\""
@@ -59,10 +56,10 @@
                 + "\\\"\\ud83d\\ude00"
                 + " \u00fc\u20ac\uD83D\uDE00\"},\"logprobs\":{\"content\":[{\"a\":[1.5e3,-0]}]},"
                 + "\"finish_reason\":null,\"stop_reason\":null}],\"usage\":{\"prompt_tokens\":5,\"total_tokens\":7,\"completion_tokens\":2}}"));
-    assertEquals(" a\u00e9\n\"\uD83D\uDE00 \u00fc\u20ac\uD83D\uDE00", piece.text().toString());
-    assertEquals(2, piece.completionTokens());
+    assertEquals(" a\u00e9\n\"\uD83D\uDE00 \u00fc\u20ac\uD83D\uDE00", parser.text().toString());
+    assertEquals(2, parser.completionTokens());
     assertTrue(takes(" { \"choices\" : [ { \"delta\" : { \"content\" : \"x\" } } ] } "));
-    assertEquals(-1, piece.completionTokens());
+    assertEquals(-1, parser.completionTokens());
   }
 
   @ParameterizedTest
@@ -100,12 +97,12 @@
         "{\"content\":\"x\",\"\\u0065rror\":1}",
         "[{\"content\":\"x\"}]"
       })
-  void whatSaysMoreOrIsBrokenIsLeftToTheWholeReader(String data) {
+  void unusualAndBrokenEventsAreLeftToTheGeneralParser(String data) {
     assertFalse(takes(data), data);
   }
 
   @Test
-  void badUtf8AndDepthAreLeftAlone() {
+  void invalidUtf8AndDeepNestingAreNotTaken() {
     for (int[] bytes :
         new int[][] {
           {0xc0, 0xaf},
@@ -127,8 +124,8 @@
   }
 
   @Property(tries = 2_000, seed = "20261201")
-  void anyTextComesThrough(
-      @ForAll String text, @ForAll @IntRange(min = 0, max = 100_000) int tokens) throws Exception {
+  void anyTextIsParsed(@ForAll String text, @ForAll @IntRange(min = 0, max = 100_000) int tokens)
+      throws Exception {
     String whole = new String(text.getBytes(StandardCharsets.UTF_8), StandardCharsets.UTF_8);
     ObjectNode event = MAPPER.createObjectNode().put("id", "x");
     event
@@ -141,11 +138,11 @@
     event.putObject("usage").put("completion_tokens", tokens);
     byte[] data = MAPPER.writeValueAsBytes(event);
     assertEquals(!whole.isEmpty(), takes(data));
-    assertEquals(whole, piece.text().toString());
+    assertEquals(whole, parser.text().toString());
   }
 
   /**
-   * Any byte of a usual event changed, left out or put twice: taken only where the whole reader
+   * Any byte of a usual event changed, left out or put twice: taken only where the general parser
    * says the same.
    */
   @Property(tries = 5_000, seed = "20261201")
