--- a/gateway/src/main/java/lemondock/gateway/reporting/ReportedGauges.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/ReportedGauges.java
@@ -21,12 +21,20 @@
   private static final int MAX_PROCESS_METERS = 200;
   private static final double VALUE_SCALE = 1_000;
 
+  // Fields of MetricFamilies.DEGRADATIONS.
+  private static final int IS_DEGRADED = 0;
+  private static final int DEGRADATION_COUNT = 1;
+  private static final int EVIDENCE = 2;
+
   private final MetricRegistry registry;
   private final MeterRegistry processMeters;
   private final DegradationDetector detector;
   private final Map<String, Series> processSeries = new LinkedHashMap<>();
   private final Map<ServiceScope, Series> degradations = new LinkedHashMap<>();
+
+  /** Readings that are no number, or too large for one. */
   private final Series notFinite;
+
   private long notFiniteCount;
 
   ReportedGauges(
@@ -37,7 +45,7 @@
     this.notFinite = registry.series(MetricFamilies.LABEL_OVERFLOWS, "not_finite");
   }
 
-  /** Sets all of them; within a group of the recorder. */
+  /** Sets all of them; within an update of the recorder. */
   void record(Recorder recorder) {
     MicrometerGauges.forEach(processMeters, (name, value) -> recordProcess(recorder, name, value));
     recorder.set(notFinite.firstSlot(), notFiniteCount);
@@ -45,10 +53,10 @@
       Series series =
           degradations.computeIfAbsent(
               status.scope(),
-              key -> registry.series(MetricFamilies.DEGRADATIONS, key.name(), key.zone()));
-      recorder.set(series.slot(0), status.isDegraded() ? 1 : 0);
-      recorder.set(series.slot(1), status.degradationCount());
-      recorder.set(series.slot(2), Math.round(status.evidence() * VALUE_SCALE));
+              scope -> registry.series(MetricFamilies.DEGRADATIONS, scope.name(), scope.zone()));
+      recorder.set(series.slot(IS_DEGRADED), status.isDegraded() ? 1 : 0);
+      recorder.set(series.slot(DEGRADATION_COUNT), status.degradationCount());
+      recorder.set(series.slot(EVIDENCE), Math.round(status.evidence() * VALUE_SCALE));
     }
   }
 
