--- a/scenario/src/main/java/lemondock/scenario/McpClient.java
+++ b/scenario/src/main/java/lemondock/scenario/McpClient.java
@@ -22,8 +22,8 @@
 
 /**
  * A client of MCP's Streamable HTTP transport for scenarios and tests: it records what it sees, can
- * abandon calls, and can leave tool calls unanswered or answer them late or twice. It has one
- * session at a time. Loop thread only.
+ * abandon calls, and can leave tool calls unanswered or answer them twice. It has one session at a
+ * time. Loop thread only.
  */
 public final class McpClient {
   private static final String PROTOCOL_VERSION = "2025-06-18";
--- a/scenario/src/main/java/lemondock/scenario/ToolBehaviour.java
+++ b/scenario/src/main/java/lemondock/scenario/ToolBehaviour.java
@@ -9,7 +9,5 @@
   /** No answer. */
   SILENT,
   /** The same result twice. */
-  TWICE,
-  /** One result, when the gateway may have stopped waiting for it. */
-  LATE
+  TWICE
 }
--- a/scenario/src/test/java/lemondock/scenario/ReportComparisonTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ReportComparisonTest.java
@@ -9,7 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What collectors are told agrees with the gateways' own final tally, through a day of troubles.
+ * What collectors receive agrees with the gateways' own final metrics, through a scenario with
+ * faults.
  */
 class ReportComparisonTest {
   @Test
