--- a/cli/src/main/java/lemondock/cli/CollectorEmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/CollectorEmulatorCommand.java
@@ -64,7 +64,7 @@
             + " values in "
             + collectd.packets()
             + " packets, notices "
-            + collectd.notices().size());
+            + collectd.notifications().size());
   }
 
   /** Sums the newest priority weights, answered in time and asked for, over all series. */
