--- a/benchmark/src/main/java/lemondock/benchmark/BenchmarkMain.java
+++ b/benchmark/src/main/java/lemondock/benchmark/BenchmarkMain.java
@@ -85,12 +85,12 @@
     new OpenStreamsBenchmark().run();
   }
 
-  /** {@code detector FILE...} */
+  /** Creates the benchmark of {@code detector FILE...}. */
   private static Benchmark detectorBenchmark(List<String> arguments) {
     return new DegradationDetectorBenchmark(arguments.stream().map(Path::of).toList());
   }
 
-  /** {@code detector-days FROM TO FILE} */
+  /** Creates the recorder of {@code detector-days FROM TO FILE}. */
   private static Benchmark scenarioRecorder(List<String> arguments) {
     return new DetectorScenarioRecorder(
         Long.parseLong(arguments.get(0)),
--- a/benchmark/src/main/java/lemondock/benchmark/DecisionBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/DecisionBenchmark.java
@@ -76,7 +76,7 @@
   /** Has a request decided and an earlier one ended; gives the time that it took. */
   private long decide(long requestId) {
     nowMicros += REQUEST_INTERVAL_MICROS;
-    long startNanos = System.nanoTime();
+    final long startNanos = System.nanoTime();
     control.requestArrived(nowMicros, drawRequest(requestId));
     host.pollSend().ifPresent(this::readAndWrite);
     if (writes.size() > IN_FLIGHT) {
--- a/faultinjection/src/main/java/lemondock/faultinjection/FaultProxy.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultProxy.java
@@ -77,7 +77,7 @@
     try {
       while (!closed) {
         selector.select(POLL_MILLIS);
-        long beganMicros = MonotonicClock.nowMicros();
+        final long beganMicros = MonotonicClock.nowMicros();
         runTasks();
         handleSelectedKeys();
         activeConnections.removeIf(
--- a/faultinjection/src/main/java/lemondock/faultinjection/SoakRun.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/SoakRun.java
@@ -56,7 +56,7 @@
     try (ProcessFleet fleet = new ProcessFleet(plan.shape(), project, folder, faultLibrary, seed)) {
       fleet.start();
       List<LoadClient> clients = createClients(fleet);
-      List<Thread> load = startAll("client", clients);
+      final List<Thread> load = startAll("client", clients);
       List<Thread> faults = startFaults(fleet);
       MonotonicClock.sleepMicros(LOAD_MICROS);
       join(faults);
