--- a/gateway/src/main/java/lemondock/gateway/engine/JsonScanner.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/JsonScanner.java
@@ -54,12 +54,13 @@
     if (position >= end || input[position] != '"') {
       return false;
     }
-    for (position++; position < end; position++) {
-      if (input[position] == '"') {
-        position++;
+    for (int i = position + 1; i < end; i++) {
+      byte next = input[i];
+      if (next == '"') {
+        position = i + 1;
         return true;
       }
-      if (input[position] < ' ' || input[position] == '\\') {
+      if (next < ' ' || next == '\\') {
         return false;
       }
     }
@@ -123,10 +124,12 @@
 
   private int skipDigits() {
     int start = position;
-    while (position < end && input[position] >= '0' && input[position] <= '9') {
-      position++;
+    int next = start;
+    while (next < end && input[next] >= '0' && input[next] <= '9') {
+      next++;
     }
-    return position - start;
+    position = next;
+    return next - start;
   }
 
   /** Passes over the object or array that begins here. */
--- a/gateway/src/main/java/lemondock/gateway/engine/TextEventParser.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/TextEventParser.java
@@ -101,10 +101,12 @@
 
   /** A member of an object or an element of an array, with the comma before it. */
   private boolean parseMember() {
-    if (hasPreviousMember && !accept(',')) {
-      return false;
+    if (hasPreviousMember) {
+      if (!accept(',')) {
+        return false;
+      }
+      skipWhitespace();
     }
-    skipWhitespace();
     int nameStart = 0;
     int nameEnd = 0;
     if (isObjectAtDepth[depth]) {
