--- a/policy/src/main/java/lemondock/policy/DecayingValue.java
+++ b/policy/src/main/java/lemondock/policy/DecayingValue.java
@@ -1,7 +1,7 @@
 package lemondock.policy;
 
 /**
- * A number that fades towards zero with time alone, falling to 1/e in its life time. Times in
+ * A number that decays exponentially with time alone, to 1/e in its life time. Times in
  * microseconds. Single-threaded, like all of the package.
  */
 final class DecayingValue {
@@ -20,12 +20,12 @@
     return value == 0 ? 0 : value * Math.exp(-(double) (nowMicros - updatedAtMicros) / lifeMicros);
   }
 
-  /** The value as it was last set, without what has faded of it since. */
+  /** The value as it was last set, without its decay since. */
   double lastSet() {
     return value;
   }
 
-  /** Replaces the value; it fades from that moment on. */
+  /** Replaces the value; it decays from that moment on. */
   void set(double newValue, long nowMicros) {
     value = newValue;
     updatedAtMicros = nowMicros;
