--- a/net/src/main/java/lemondock/net/http/HttpServer.java
+++ b/net/src/main/java/lemondock/net/http/HttpServer.java
@@ -31,7 +31,7 @@
   private final ByteBudget bodyBudget;
 
   // Loop thread only, each from here on:
-  /** Connections without a request under way, the one unused for longest first. */
+  /** Connections without a request in progress, the one unused for longest first. */
   private final Set<ServerConnection> unused = new LinkedHashSet<>();
 
   private int openConnections;
@@ -77,7 +77,7 @@
     List.copyOf(unused).forEach(connection -> connection.closeUnused(true));
   }
 
-  /** Requests whose response is awaited or under way. */
+  /** Requests whose response is awaited or in progress. */
   public int activeExchanges() {
     return activeExchanges;
   }
--- a/net/src/main/java/lemondock/net/http/ServerConnection.java
+++ b/net/src/main/java/lemondock/net/http/ServerConnection.java
@@ -30,7 +30,7 @@
   /** The socket's connection; null before it is up. */
   private Connection transport;
 
-  /** The exchange under way; null between requests. Read by other threads as its writers. */
+  /** The exchange in progress; null between requests. Read by other threads as its writers. */
   private HttpExchange current;
 
   /** Nothing that comes is served any more. */
@@ -41,7 +41,7 @@
 
   private boolean watchingProgress;
 
-  /** Bytes of the body of the exchange under way. */
+  /** Bytes of the body of the exchange in progress. */
   private long currentBodyBytes;
 
   private Loop.Timer requestTimer = () -> {};
@@ -248,8 +248,8 @@
   }
 
   /**
-   * The stream of requests makes no sense any more or took too long: says so if no response is
-   * under way, and closes.
+   * The stream of requests makes no sense any more or took too long: says so if no response is in
+   * progress, and closes.
    */
   private void refuse(int status, String reason) {
     closing = true;
--- a/net/src/main/java/lemondock/net/nio/AsyncConnection.java
+++ b/net/src/main/java/lemondock/net/nio/AsyncConnection.java
@@ -336,7 +336,7 @@
     }
   }
 
-  /** No write is under way any more, and what the last one brought is known. */
+  /** No write is in progress any more, and what the last one brought is known. */
   void reportClosed() {
     handler.closed(closeCause);
   }
--- a/net/src/main/java/lemondock/net/nio/LoopbackPort.java
+++ b/net/src/main/java/lemondock/net/nio/LoopbackPort.java
@@ -7,9 +7,9 @@
 import java.net.Socket;
 
 /**
- * A port of the loopback interface, reserved for a program that is told its port before it starts.
+ * A port of the loopback interface, reserved for a program that gets its port in its configuration.
  *
- * <p>A port that is found free and let go again can be given to any other socket of the machine
+ * <p>A port that is found free and closed again can be given to any other socket of the machine
  * before it is used. This class keeps a socket bound to the port until it is closed. The socket
  * never listens and allows its address to be reused. On Linux a listener that allows reuse too, as
  * Java's listeners do, can bind to the port at any time, in any process, also again after a
--- a/net/src/main/java/lemondock/net/nio/ShardDelayProbe.java
+++ b/net/src/main/java/lemondock/net/nio/ShardDelayProbe.java
@@ -38,7 +38,7 @@
   /** A byte was sent and the shard's thread has not come to it. */
   private boolean waiting;
 
-  /** Hears of the byte under way. */
+  /** Hears of the byte in progress. */
   private LongConsumer onDelay;
 
   ShardDelayProbe(ThreadLoop loop, AsynchronousChannelGroup group) throws IOException {
--- a/net/src/main/java/lemondock/net/nio/SocketReader.java
+++ b/net/src/main/java/lemondock/net/nio/SocketReader.java
@@ -33,7 +33,7 @@
   /** Of {@link #batchesRead}, those that the owner has seen. */
   private int batchesSeen;
 
-  // I/O thread only, or the thread that starts the one read under way, each from here on:
+  // I/O thread only, or the thread that starts the one read in progress, each from here on:
   private ByteBuffer buffer;
   private int readBytes = MIN_READ_BYTES;
 
--- a/net/src/main/java/lemondock/net/nio/SocketWriter.java
+++ b/net/src/main/java/lemondock/net/nio/SocketWriter.java
@@ -69,9 +69,9 @@
   }
 
   /**
-   * Writes what is queued unless a write is under way. On a thread of the socket's shard the write
-   * is tried at once and its handler called here; elsewhere the shard's thread does it when the
-   * socket can take it. Either way nothing is done for a peer that takes nothing until it does.
+   * Writes what is queued unless a write is in progress. On a thread of the socket's shard the
+   * write is tried at once and its handler called here; elsewhere the shard's thread does it when
+   * the socket can take it. Either way nothing is done for a peer that takes nothing until it does.
    */
   private void flush() {
     ByteBuffer bytes = queue.beginWrite();
--- a/net/src/main/java/lemondock/net/nio/WriteQueue.java
+++ b/net/src/main/java/lemondock/net/nio/WriteQueue.java
@@ -16,7 +16,7 @@
 
   /** How the queue stands after a write. */
   enum State {
-    /** The queue was closed while the write was under way. */
+    /** The queue was closed while the write was in progress. */
     CLOSED(false, false),
     /** More is queued. */
     NOT_EMPTY(false, false),
@@ -55,10 +55,10 @@
 
   private boolean tailQueued;
 
-  /** A write of the first buffer is under way. */
+  /** A write of the first buffer is in progress. */
   private boolean writing;
 
-  /** Closed while a write was under way. */
+  /** Closed while a write was in progress. */
   private boolean closedWhileWriting;
 
   private boolean aboveHighMark;
@@ -96,7 +96,7 @@
     aboveHighMark |= pendingBytes > HIGH_MARK_BYTES;
   }
 
-  /** What to write next; null if nothing is queued or a write is under way. */
+  /** What to write next; null if nothing is queued or a write is in progress. */
   synchronized ByteBuffer beginWrite() {
     if (writing || buffers.isEmpty()) {
       return null;
@@ -136,7 +136,7 @@
     return first;
   }
 
-  /** The write under way has written so many bytes. */
+  /** The write in progress has written so many bytes. */
   synchronized State endWrite(long written) {
     writing = false;
     flushedBytes += written;
@@ -156,7 +156,7 @@
   }
 
   /**
-   * The write under way has failed.
+   * The write in progress has failed.
    *
    * @return whether the queue was closed meanwhile
    */
@@ -168,7 +168,7 @@
   /**
    * Drops what is queued.
    *
-   * @return whether a write is still under way
+   * @return whether a write is still in progress
    */
   synchronized boolean close() {
     buffers.clear();
--- a/policy/src/main/java/lemondock/policy/ReservedState.java
+++ b/policy/src/main/java/lemondock/policy/ReservedState.java
@@ -6,7 +6,7 @@
  * <p>Only an answer proves that a peer has got what was sent to it: a write may have left on a
  * connection that has fallen silent, a read may have ended and its answer be lost. So a state's
  * time runs from its read's answer until a writer has answered from it or for want of it, whatever
- * else is under way; and a read that is out far longer than it should may have left one. A release
+ * else is in flight; and a read that is out far longer than it should may have left one. A release
  * takes nothing from a write that waits at its server, so it is repeated for as long as something
  * may be held.
  *
@@ -30,14 +30,14 @@
 
   private final long limitMicros;
 
-  /** A read is under way: it may end at any moment, and its answer be lost. */
+  /** A read is in flight: it may end at any moment, and its answer be lost. */
   private boolean reading;
 
   /** A read has answered that its state is held. */
   private boolean confirmed;
 
   /**
-   * A read broke off, or a release was begun while a write was under way: whether anything is held
+   * A read broke off, or a release was begun while a write was in flight: whether anything is held
    * cannot be told.
    */
   private boolean uncertain;
@@ -105,7 +105,7 @@
   }
 
   /**
-   * A release was begun. A write under way may have arrived before it, and its state then waits for
+   * A release was begun. A write in flight may have arrived before it, and its state then waits for
    * it as before.
    */
   void released(long nowMicros, boolean writing) {
@@ -123,7 +123,7 @@
     return (long) (limitMicros * part);
   }
 
-  /** Whether a read is under way and nothing else may be held. */
+  /** Whether a read is in flight and nothing else may be held. */
   boolean onlyReading() {
     return reading && !confirmed && !uncertain;
   }
