--- a/dispatch/src/main/java/lemondock/dispatch/AttemptHandle.java
+++ b/dispatch/src/main/java/lemondock/dispatch/AttemptHandle.java
@@ -2,15 +2,18 @@
 
 /** Controls an attempt that was sent to an engine. Loop thread only. */
 public interface AttemptHandle {
-  /** Closes the attempt's connection; its listener hears nothing more. */
+  /** Closes the attempt's connection; its listener is not called again. */
   void cancel();
 
   /** Stops reading the output until {@link #resume}; back-pressure slows the engine. */
   default void pause() {}
 
-  /** Reads the output again. */
+  /** Resumes reading the output after {@link #pause}. */
   default void resume() {}
 
-  /** Sends plain text of the output there from now on, if the adapter can tell it apart. */
+  /**
+   * Sends plain text of the output directly to {@code output} from now on, if the adapter can
+   * distinguish it from other events.
+   */
   default void setDirectOutput(DirectOutput output) {}
 }
--- a/dispatch/src/main/java/lemondock/dispatch/AttemptLifecycle.java
+++ b/dispatch/src/main/java/lemondock/dispatch/AttemptLifecycle.java
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The life cycle of attempts: sent to an engine, cancelled, timed out, streaming, ended. Each
- * attempt that the router asks for gets exactly one {@link AttemptResult}. Loop thread only.
+ * Manages the lifecycle of attempts: sending, streaming, timeout, cancellation and end. Each
+ * attempt that the router requests gets exactly one {@link AttemptResult}. Loop thread only.
  */
 final class AttemptLifecycle<P, S, C extends StreamChunk> {
   private static final Logger LOG = LoggerFactory.getLogger(AttemptLifecycle.class);
@@ -28,7 +28,7 @@
   private final DispatchCounters counters;
   private final RouterEvents<P, S, C> events;
   private final RequestTable<P, S, C> requests;
-  private final ReservedStateReleaser<P, S, C> states;
+  private final ReservedStateReleaser<P, S, C> stateReleaser;
 
   AttemptLifecycle(
       DispatcherEnvironment<P, S, C> environment,
@@ -46,32 +46,36 @@
     this.counters = counters;
     this.events = events;
     this.requests = requests;
-    this.states = new ReservedStateReleaser<>(loop, engines, metrics, counters);
+    this.stateReleaser = new ReservedStateReleaser<>(loop, engines, metrics, counters);
   }
 
-  /** Sends a request to a server. {@code timeoutMicros} 0: without a time-out. */
+  /**
+   * Sends a request to a server.
+   *
+   * @param timeoutMicros time within which the first output must arrive; 0 for no timeout
+   */
   void send(InFlightRequest<P, S, C> request, long serverId, long timeoutMicros) {
-    EngineAttempt<P, S, C> attempt = add(request, serverId);
+    EngineAttempt<P, S, C> attempt = createAttempt(request, serverId);
     if (request.hasEnded() || attempt.target().isEmpty()) {
       endOnNextTurn(
           attempt,
           AttemptEnd.of(
               AttemptOutcome.ABANDONED_BEFORE_SEND,
-              "the request has ended or the server is not known"));
+              "not sent: the request has ended or server " + serverId + " is unknown"));
       return;
     }
     LOG.debug(
-        "request {}: attempt {} goes to {}",
+        "request {}: sending attempt {} to {}",
         request.id(),
         attempt.number(),
         attempt.endpoint().name());
     sendToEngine(attempt, attempt.target().get());
     if (timeoutMicros > 0) {
-      attempt.setTimeout(loop.schedule(timeoutMicros, () -> timedOut(attempt)));
+      attempt.setTimeout(loop.schedule(timeoutMicros, () -> handleTimeout(attempt)));
     }
   }
 
-  private EngineAttempt<P, S, C> add(InFlightRequest<P, S, C> request, long serverId) {
+  private EngineAttempt<P, S, C> createAttempt(InFlightRequest<P, S, C> request, long serverId) {
     Optional<EngineAttempt.Target> target =
         endpoints
             .find(serverId)
@@ -87,7 +91,8 @@
             new EngineAttempt.AttemptOrigin(idPrefix, loop.now(), stallMonitor.totalStallMicros()));
     request.addAttempt(attempt);
     counters.attemptStarted();
-    target.ifPresent(to -> metrics.attemptSent(to.role(), to.endpoint().zone()));
+    target.ifPresent(
+        destination -> metrics.attemptSent(destination.role(), destination.endpoint().zone()));
     return attempt;
   }
 
@@ -96,15 +101,15 @@
     Optional<ReservedState<S>> state = request.newestState();
     if (target.role() == ServerRole.READER) {
       request.setLastPrefill(attempt);
-      attempt.sentAs(
+      attempt.setHandle(
           engines.prefill(target.endpoint(), attempt.id(), request.dispatched(), attempt));
     } else if (target.role() == ServerRole.WRITER && state.isEmpty()) {
       endOnNextTurn(
           attempt,
-          new AttemptEnd(AttemptOutcome.REJECTED, 0, true, "there is no state to decode from"));
+          new AttemptEnd(AttemptOutcome.REJECTED, 0, true, "no reserved state to decode from"));
     } else {
       attempt.setDecodedState(state);
-      attempt.sentAs(startOutput(attempt, target.endpoint(), state));
+      attempt.setHandle(startOutput(attempt, target.endpoint(), state));
       if (request.isOutputPaused()) {
         attempt.pause();
       }
@@ -119,14 +124,14 @@
         : engines.prefillAndDecode(endpoint, attempt.id(), request, attempt);
   }
 
-  private void timedOut(EngineAttempt<P, S, C> attempt) {
+  private void handleTimeout(EngineAttempt<P, S, C> attempt) {
     if (!attempt.hasEnded() && !attempt.isStreaming()) {
       abort(attempt);
-      end(attempt, AttemptEnd.of(AttemptOutcome.TIMEOUT, "no answer in time"));
+      end(attempt, AttemptEnd.of(AttemptOutcome.TIMEOUT, "the attempt timed out"));
     }
   }
 
-  /** The router cancels an attempt; one whose output the client gets goes on. */
+  /** Cancels an attempt for the router; the attempt whose output the client receives continues. */
   void cancel(InFlightRequest<P, S, C> request, int number) {
     if (number >= request.attempts().size()) {
       return;
@@ -139,14 +144,14 @@
     }
   }
 
-  /** The client has cancelled the request whose output it got. */
+  /** Cancels the attempt whose output the client receives, because the client has cancelled. */
   void cancelStream(EngineAttempt<P, S, C> attempt) {
     attempt.cancelAtEngine();
     endOnNextTurn(
         attempt, AttemptEnd.of(AttemptOutcome.CANCELLED, "the client cancelled the request"));
   }
 
-  /** Closes the connection; what a prefill may have reserved is released with it. */
+  /** Closes the connection and, for a prefill, releases the state that it may have reserved. */
   private void abort(EngineAttempt<P, S, C> attempt) {
     boolean sent = attempt.cancelAtEngine();
     if (sent && attempt.isPrefill()) {
@@ -158,9 +163,9 @@
     engines.releaseUncertain(prefill.endpoint(), prefill.id(), prefill.request().prompt());
   }
 
-  /** The router asks to release what is reserved for the request and no attempt uses. */
+  /** Releases the states that are reserved for the request and that no attempt uses. */
   void releaseStates(InFlightRequest<P, S, C> request) {
-    states.release(request);
+    stateReleaser.release(request);
   }
 
   void prefillCompleted(EngineAttempt<P, S, C> attempt, S state, int cachedTokens) {
@@ -169,19 +174,25 @@
     }
     InFlightRequest<P, S, C> request = attempt.request();
     Endpoint endpoint = attempt.endpoint();
-    states.reserved(request, new ReservedState<>(endpoint, attempt.id(), state, loop.now()));
+    stateReleaser.addReserved(
+        request, new ReservedState<>(endpoint, attempt.id(), state, loop.now()));
     LOG.debug("request {}: state reserved at {}", request.id(), endpoint.name());
     end(attempt, new AttemptEnd(AttemptOutcome.PROMPT_READ, cachedTokens, false, ""));
   }
 
-  /** The first output of a request: from now on its client gets this attempt's output. */
+  /**
+   * Handles the first output of a request: its client receives this attempt's output from now on.
+   */
   void firstTokenReceived(EngineAttempt<P, S, C> attempt) {
     InFlightRequest<P, S, C> request = attempt.request();
     request.beginStream(attempt);
-    if (attempt.decodedState().filter(state -> states.fetched(request, state)).isPresent()) {
+    if (attempt
+        .decodedState()
+        .filter(state -> stateReleaser.markFetched(request, state))
+        .isPresent()) {
       LOG.debug("request {}: state fetched by {}", request.id(), attempt.endpoint().name());
     }
-    states.supersedeAll(request);
+    stateReleaser.supersedeAll(request);
     events.raise(
         request,
         (router, nowMicros) ->
@@ -193,12 +204,12 @@
                 elapsedMicros(attempt)));
   }
 
-  /** Ends an attempt, but not within the event that led to it. */
+  /** Ends an attempt in a later task of the loop, because router events must not be nested. */
   private void endOnNextTurn(EngineAttempt<P, S, C> attempt, AttemptEnd end) {
     loop.execute(() -> end(attempt, end));
   }
 
-  /** The one place where an attempt ends. */
+  /** Ends an attempt; every attempt ends here. Ignored if it has ended already. */
   void end(EngineAttempt<P, S, C> attempt, AttemptEnd end) {
     if (attempt.hasEnded()) {
       return;
@@ -216,17 +227,17 @@
         .ifPresent(
             target -> metrics.attemptEnded(target.role(), target.endpoint().zone(), outcome));
     boolean endsRequest = attempt.isStreaming() || outcome == AttemptOutcome.OK;
-    final boolean firstEnd = endsRequest && !request.hasEnded();
+    final boolean isFirstEnd = endsRequest && !request.hasEnded();
     if (endsRequest) {
       request.end();
     }
     logUnlessSuccessful(attempt, end);
     if (end.stateMissing()) {
-      attempt.decodedState().ifPresent(state -> states.missing(request, state));
+      attempt.decodedState().ifPresent(state -> stateReleaser.discardMissing(request, state));
     }
     AttemptResult result = result(attempt, end);
     events.raise(request, (router, nowMicros) -> router.attemptEnded(nowMicros, result));
-    if (firstEnd) {
+    if (isFirstEnd) {
       notifyListener(request, end);
     }
     requests.removeIfFinished(request);
@@ -266,11 +277,11 @@
               "server", attempt.target().map(target -> target.endpoint().name()).orElse("?"))
           .addKeyValue("ending", outcome)
           .addKeyValue("why", end.cause())
-          .log("an attempt failed");
+          .log("attempt ended without success");
     }
   }
 
-  /** The time since an attempt was sent, without the time for which this process stalled. */
+  /** Time since an attempt was sent, excluding the time for which this process was stalled. */
   private long elapsedMicros(EngineAttempt<P, S, C> attempt) {
     stallMonitor.detectStall(loop.now());
     EngineAttempt.AttemptOrigin origin = attempt.origin();
--- a/dispatch/src/main/java/lemondock/dispatch/AttemptMetrics.java
+++ b/dispatch/src/main/java/lemondock/dispatch/AttemptMetrics.java
@@ -9,35 +9,35 @@
 import lemondock.policy.ServerRole;
 
 /**
- * Receives what is to be counted of attempts and reserved states; methods that are not overridden
+ * Receives events about attempts, reserved states and decisions, to count them; the default methods
  * count nothing. Loop thread only; times are microseconds.
  */
 public interface AttemptMetrics {
   /** Counts nothing. */
   AttemptMetrics NONE = new AttemptMetrics() {};
 
-  /** An attempt was sent to a server of that role and zone. */
+  /** An attempt was sent to a server of this role and zone. */
   default void attemptSent(ServerRole role, String zone) {}
 
   /** An attempt has ended. */
   default void attemptEnded(ServerRole role, String zone, AttemptOutcome outcome) {}
 
-  /** A state was reserved at a server of that zone. */
+  /** A state was reserved at a server of this zone. */
   default void stateReserved(String zone) {}
 
-  /** A reserved state was fetched by the server that decodes from it. */
+  /** A state was fetched by the server that decodes from it, after this time in reservation. */
   default void stateFetched(String zone, long reservedMicros) {}
 
-  /** A reserved state was released unused. */
+  /** A state was released unused, after this time in reservation. */
   default void stateReleased(String zone, long reservedMicros) {}
 
-  /** The router gave that reason for a decision on a request. */
+  /** The router made a decision on a request for this reason. */
   default void decisionMade(DecisionReason reason) {}
 
   /**
    * A visitor that records the router's state.
    *
-   * @param zoneOf the zone of a server by its number, empty if the server is not known
+   * @param zoneOf maps a server id to its zone; empty if the server is unknown
    */
   default RouterStateVisitor stateVisitor(LongFunction<Optional<String>> zoneOf) {
     return new RouterStateVisitor() {
--- a/dispatch/src/main/java/lemondock/dispatch/DispatchCounters.java
+++ b/dispatch/src/main/java/lemondock/dispatch/DispatchCounters.java
@@ -1,6 +1,6 @@
 package lemondock.dispatch;
 
-/** The running counts behind {@link DispatchCounts}. Loop thread only. */
+/** Mutable counters of a dispatcher, read as {@link DispatchCounts}. Loop thread only. */
 final class DispatchCounters {
   private long requests;
   private long attempts;
@@ -16,12 +16,12 @@
     requests++;
   }
 
-  /** The router has asked for an attempt. */
+  /** The router has requested an attempt. */
   void attemptStarted() {
     attempts++;
   }
 
-  /** A request has got its complete answer. */
+  /** The answer of a request is complete. */
   void requestCompleted() {
     completed++;
   }
@@ -31,12 +31,12 @@
     rejected++;
   }
 
-  /** The router has given up a request. */
+  /** A request has failed before its first event. */
   void requestFailed() {
     failed++;
   }
 
-  /** The stream of a request has broken. */
+  /** The output stream of a request was interrupted. */
   void requestInterrupted() {
     interrupted++;
   }
--- a/dispatch/src/main/java/lemondock/dispatch/DispatchedRequest.java
+++ b/dispatch/src/main/java/lemondock/dispatch/DispatchedRequest.java
@@ -1,22 +1,22 @@
 package lemondock.dispatch;
 
 /**
- * A request as it is handed to the dispatcher. Made by a {@link Builder}. Immutable if its prompt
- * is.
+ * A request that is submitted to the dispatcher, created by a {@link Builder}. Immutable if the
+ * prompt is.
  *
  * @param classId index of the request's class in the settings
- * @param tenant number of the tenant, 0 if the request names none
+ * @param tenant number of the tenant, 0 if the request specifies none
  * @param sessionKey hash of the conversation; all requests of a conversation share it
- * @param prefixKey hash of the prompt's opening that other prompts share, 0 if there is none
- * @param promptTokens tokens of the whole prompt
- * @param prefixTokens tokens of that opening
- * @param maxAnswerTokens tokens that the answer may have at most
- * @param firstTokenTimeoutMicros time from now within which the first token must come
- * @param clientRetry whether the client repeats a request that failed before
- * @param resumed whether it continues an answer whose stream broke
- * @param clientShard the I/O shard of the client's connection; the engine's connection is best on
- *     the same one
- * @param prompt what the engine gets
+ * @param prefixKey hash of the prompt's shared prefix, 0 if there is none
+ * @param promptTokens number of tokens of the whole prompt
+ * @param prefixTokens number of tokens of the shared prefix
+ * @param maxAnswerTokens maximum number of tokens of the answer
+ * @param firstTokenTimeoutMicros time after submission within which the first token must arrive
+ * @param clientRetry whether the client retries a request that failed earlier
+ * @param resumed whether the request continues an answer whose stream was interrupted
+ * @param clientShard the I/O shard of the client's connection; the engine's connection should
+ *     preferably use the same shard
+ * @param prompt the prompt that is sent to the engine
  * @param <P> type of the prompt
  */
 public record DispatchedRequest<P>(
@@ -33,12 +33,14 @@
     int clientShard,
     P prompt) {
 
-  /** Begins a request with that prompt; what is not set is 0 or false. */
+  /**
+   * Returns a builder for a request with this prompt; attributes that are not set are 0 or false.
+   */
   public static <P> Builder<P> builder(P prompt) {
     return new Builder<>(prompt);
   }
 
-  /** Collects the attributes of a request. For one thread. */
+  /** Collects the attributes of a request. Not thread-safe. */
   public static final class Builder<P> {
     private final P prompt;
     private int classId;
@@ -63,7 +65,7 @@
       return this;
     }
 
-    /** Number of the tenant; 0 if the request names none. */
+    /** Number of the tenant; 0 if the request specifies none. */
     public Builder<P> tenant(int value) {
       tenant = value;
       return this;
@@ -75,52 +77,53 @@
       return this;
     }
 
-    /** The prompt's opening that other prompts share: its hash, 0 if there is none, and tokens. */
+    /** Hash of the prompt's shared prefix, 0 if there is none, and its number of tokens. */
     public Builder<P> prefix(long key, int tokens) {
       prefixKey = key;
       prefixTokens = tokens;
       return this;
     }
 
-    /** Tokens of the whole prompt. */
+    /** Number of tokens of the whole prompt. */
     public Builder<P> promptTokens(int value) {
       promptTokens = value;
       return this;
     }
 
-    /** Tokens that the answer may have at most. */
+    /** Maximum number of tokens of the answer. */
     public Builder<P> maxAnswerTokens(int value) {
       maxAnswerTokens = value;
       return this;
     }
 
-    /** Time from now within which the first token must come. */
+    /** Time after submission within which the first token must arrive. */
     public Builder<P> firstTokenTimeoutMicros(long value) {
       firstTokenTimeoutMicros = value;
       return this;
     }
 
-    /** Whether the client repeats a request that failed before. */
+    /** Whether the client retries a request that failed earlier. */
     public Builder<P> clientRetry(boolean value) {
       clientRetry = value;
       return this;
     }
 
-    /** Whether it continues an answer whose stream broke. */
+    /** Whether the request continues an answer whose stream was interrupted. */
     public Builder<P> resumed(boolean value) {
       resumed = value;
       return this;
     }
 
     /**
-     * The I/O shard of the client's connection; the engine's connection is best on the same one.
+     * I/O shard of the client's connection; the engine's connection should preferably use the same
+     * shard.
      */
     public Builder<P> clientShard(int value) {
       clientShard = value;
       return this;
     }
 
-    /** The request. */
+    /** Returns the request. */
     public DispatchedRequest<P> build() {
       return new DispatchedRequest<>(
           classId,
--- a/dispatch/src/main/java/lemondock/dispatch/DispatcherEnvironment.java
+++ b/dispatch/src/main/java/lemondock/dispatch/DispatcherEnvironment.java
@@ -4,15 +4,15 @@
 import lemondock.overload.StallMonitor;
 
 /**
- * What a dispatcher works with.
+ * Collaborators of a dispatcher.
  *
- * @param loop the loop whose thread it runs on
- * @param engines where attempts are sent
- * @param endpoints the servers by the router's numbers
- * @param stallMonitor knows when this process stood still
- * @param metrics hears what is to be counted
- * @param <P> the prompt that an engine gets
- * @param <S> how the engines' protocol names a reserved state
+ * @param loop the event loop on whose thread the dispatcher runs
+ * @param engines the adapter through which attempts are sent
+ * @param endpoints finds servers by the router's ids
+ * @param stallMonitor detects when this process was stalled
+ * @param metrics counts attempts, reserved states and decisions
+ * @param <P> the prompt that is sent to an engine
+ * @param <S> a reserved state as the engines' protocol represents it
  * @param <C> an event of the output stream
  */
 public record DispatcherEnvironment<P, S, C extends StreamChunk>(
--- a/dispatch/src/main/java/lemondock/dispatch/DispatcherOptions.java
+++ b/dispatch/src/main/java/lemondock/dispatch/DispatcherOptions.java
@@ -3,13 +3,13 @@
 import lemondock.policy.RouterSettings;
 
 /**
- * What a dispatcher is configured with.
+ * Configuration of a dispatcher.
  *
- * @param attemptIdPrefix what the ids that engines see begin with, unique to this process
- * @param routerFactory creates the router that decides
+ * @param attemptIdPrefix prefix of the attempt ids that are sent to engines, unique to this process
+ * @param routerFactory creates the router that makes the decisions
  * @param routerSettings the settings of that router
- * @param routerSeed the seed of its random draws
- * @param startEndpointWatch run when the router asks for the endpoint list and its changes
+ * @param routerSeed the seed of the router's random number generator
+ * @param startEndpointWatch called when the router requests the endpoint list and its changes
  */
 public record DispatcherOptions(
     String attemptIdPrefix,
--- a/dispatch/src/main/java/lemondock/dispatch/Endpoint.java
+++ b/dispatch/src/main/java/lemondock/dispatch/Endpoint.java
@@ -5,17 +5,19 @@
 import lemondock.policy.ServerLifecycle;
 
 /**
- * A server as an endpoint list states it; the router knows servers, zones and kinds by numbers.
+ * A server as given in an endpoint list. The router identifies servers, zones and kinds by numbers
+ * instead.
  *
  * @param name the server's name, unique within the list
- * @param address where its requests are sent
+ * @param address address to which requests are sent
  * @param kind name of the server's kind in the settings
- * @param zone failure domain that it stands in
- * @param rack part of the zone within which states move fastest; the router's cell
- * @param lifecycle whether it takes requests
+ * @param zone failure domain of the server
+ * @param rack part of the zone within which states are transferred fastest; the router calls it a
+ *     cell
+ * @param lifecycle lifecycle state, which says whether the server accepts requests
  * @param weight share of the load relative to other servers
- * @param startedAtMillis start of the server's process in milliseconds since the epoch, 0 if long
- *     ago or not listed
+ * @param startedAtMillis start time of the server's process in milliseconds since the epoch, 0 if
+ *     it is long ago or not listed
  */
 public record Endpoint(
     String name,
@@ -27,12 +29,12 @@
     double weight,
     long startedAtMillis) {
 
-  /** Begins one; what may be left out is 1 for the weight and 0 for the start. */
+  /** Returns a builder; the weight defaults to 1 and the start time to 0. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the components of an {@link Endpoint}. For one thread. */
+  /** Collects the components of an {@link Endpoint}. Not thread-safe. */
   public static final class Builder {
     private String name;
     private InetSocketAddress address;
@@ -51,7 +53,7 @@
       return this;
     }
 
-    /** Where its requests are sent. */
+    /** Address to which requests are sent. */
     public Builder address(InetSocketAddress value) {
       address = value;
       return this;
@@ -63,19 +65,19 @@
       return this;
     }
 
-    /** Failure domain that it stands in. */
+    /** Failure domain of the server. */
     public Builder zone(String value) {
       zone = value;
       return this;
     }
 
-    /** Part of the zone within which states move fastest; the router's cell. */
+    /** Part of the zone within which states are transferred fastest; the router calls it a cell. */
     public Builder rack(String value) {
       rack = value;
       return this;
     }
 
-    /** Whether it takes requests. */
+    /** Lifecycle state, which says whether the server accepts requests. */
     public Builder lifecycle(ServerLifecycle value) {
       lifecycle = value;
       return this;
@@ -88,7 +90,8 @@
     }
 
     /**
-     * Start of the server's process in milliseconds since the epoch, 0 if long ago or not listed.
+     * Start time of the server's process in milliseconds since the epoch, 0 if it is long ago or
+     * not listed.
      */
     public Builder startedAtMillis(long value) {
       startedAtMillis = value;
@@ -96,7 +99,7 @@
     }
 
     /**
-     * The {@link Endpoint}.
+     * Returns the {@link Endpoint}.
      *
      * @throws NullPointerException if name, address, kind, zone, rack or lifecycle is not set
      */
--- a/dispatch/src/main/java/lemondock/dispatch/EndpointRegistry.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EndpointRegistry.java
@@ -13,12 +13,14 @@
 import lemondock.policy.ServerLifecycle;
 
 /**
- * Translates endpoint lists, which name servers, into the router's terms: numbers, only the changes
- * where these suffice, and start times on the router's clock. A server's number is a hash of its
- * name and address, so that all gateways have the same number for it, also after a restart; the
- * router's rendezvous hashing depends on that. Does no I/O and reads no clock. Loop thread only.
+ * Translates endpoint lists into updates for the router: servers, zones and kinds become numbers,
+ * unchanged servers are left out where the changes suffice, and start times are converted to the
+ * router's clock. A server's id is a hash of its name and address, so that all gateways use the
+ * same id for it, also after a restart; the router's rendezvous hashing depends on that. Does no
+ * I/O and reads no clock. Loop thread only.
  */
 public final class EndpointRegistry {
+  /** Limits the memory for endpoints that are not listed any more. */
   private static final int MAX_REMOVED_ENDPOINTS = 4_096;
 
   private final List<String> kinds;
@@ -28,30 +30,32 @@
   private final Map<Long, RegisteredEndpoint> listed = new HashMap<>();
 
   /**
-   * The listed endpoints by identity: one that comes again as the same object costs neither a hash
-   * nor a comparison.
+   * The listed endpoints by object identity: an endpoint that is listed again as the same object
+   * needs neither hashing nor comparison.
    */
   private final Map<Endpoint, RegisteredEndpoint> listedByIdentity = new IdentityHashMap<>();
 
-  /**
-   * Endpoints that left the list, the one that left first first; attempts may still refer to them.
-   */
+  /** Endpoints removed from the list, in the order of removal; attempts may still refer to them. */
   private final Map<Long, RegisteredEndpoint> removed = new LinkedHashMap<>();
 
   private final ServerStartTimes startTimes = new ServerStartTimes();
   private boolean fullListReported;
 
-  /** An endpoint as last listed, and as the router was told of it. */
+  /** An endpoint as last listed, and the corresponding entry that the router received. */
   private record RegisteredEndpoint(Endpoint endpoint, ServerEntry server) {}
 
-  /** Makes an empty registry for the kinds of servers in the order of the settings. */
+  /**
+   * Creates an empty registry.
+   *
+   * @param kinds names of the server kinds, in the order of the settings
+   */
   public EndpointRegistry(List<String> kinds) {
     this(kinds, EndpointRegistry::hashOfNameAndAddress);
   }
 
   /**
-   * Makes an empty registry with another numbering of servers, as where each gateway reaches a
-   * server at an address of its own.
+   * Creates an empty registry with a custom function for server ids, for example where each gateway
+   * reaches a server at a different address.
    */
   public EndpointRegistry(List<String> kinds, ToLongFunction<Endpoint> idOf) {
     this.kinds = List.copyOf(kinds);
@@ -59,18 +63,18 @@
   }
 
   /**
-   * Takes a full list. The first one, and a cached one, is reported in full; later ones as changes,
-   * of which there may be none.
+   * Replaces the list by a new full list and returns the update for the router. The first list and
+   * a cached list are reported in full, later ones as changes, of which there may be none.
    *
-   * @param cached whether the list was kept from before a restart
-   * @param nowMicros the router's clock
-   * @param wallMillis milliseconds since the epoch at that moment
+   * @param cached whether the list was stored before a restart
+   * @param nowMicros current time of the router's clock
+   * @param wallMillis current wall-clock time in milliseconds since the epoch
    */
   public EndpointUpdate update(
       List<Endpoint> endpoints, boolean cached, long nowMicros, long wallMillis) {
     startTimes.setClocks(nowMicros, wallMillis);
     List<String> skipped = new ArrayList<>();
-    Map<Long, RegisteredEndpoint> next = registerAll(endpoints, skipped);
+    Map<Long, RegisteredEndpoint> next = registerEndpoints(endpoints, skipped);
     boolean full = cached || !fullListReported;
     List<ServerEntry> servers = serversToReport(next, full);
     next.keySet().forEach(removed::remove);
@@ -78,17 +82,17 @@
       fullListReported = true;
       startTimes.listReceived();
     }
-    return new EndpointUpdate(kindOfUpdate(cached, full), servers, skipped);
+    return new EndpointUpdate(updateKind(cached, full), servers, skipped);
   }
 
-  private static EndpointListKind kindOfUpdate(boolean cached, boolean full) {
+  private static EndpointListKind updateKind(boolean cached, boolean full) {
     if (cached) {
       return EndpointListKind.CACHED;
     }
     return full ? EndpointListKind.FULL_LIST : EndpointListKind.CHANGES;
   }
 
-  private Map<Long, RegisteredEndpoint> registerAll(
+  private Map<Long, RegisteredEndpoint> registerEndpoints(
       List<Endpoint> endpoints, List<String> skipped) {
     Map<Long, RegisteredEndpoint> next = new LinkedHashMap<>();
     for (Endpoint endpoint : endpoints) {
@@ -109,24 +113,24 @@
     return next;
   }
 
-  /** Replaces the list and says what of it the router has to hear. */
+  /** Replaces the list and returns the entries to report to the router. */
   private List<ServerEntry> serversToReport(Map<Long, RegisteredEndpoint> next, boolean full) {
     List<ServerEntry> servers = new ArrayList<>();
     next.forEach(
         (id, current) -> {
-          RegisteredEndpoint before = listed.get(id);
+          RegisteredEndpoint previous = listed.get(id);
           if (full
-              || before == null
-              || before != current && !before.server().equals(current.server())) {
+              || previous == null
+              || previous != current && !previous.server().equals(current.server())) {
             servers.add(current.server());
           }
         });
     listed.forEach(
-        (id, before) -> {
+        (id, previous) -> {
           if (!next.containsKey(id)) {
-            rememberRemoved(id, before);
+            retainRemoved(id, previous);
             if (!full) {
-              servers.add(withLifecycle(before.server(), ServerLifecycle.GONE));
+              servers.add(withLifecycle(previous.server(), ServerLifecycle.GONE));
             }
           }
         });
@@ -137,24 +141,26 @@
     return servers;
   }
 
-  /** Reports the next list in full, as after a failure in which changes may have been missed. */
+  /**
+   * Makes the next list be reported in full, after a failure in which changes may have been lost.
+   */
   public void requireFullUpdate() {
     fullListReported = false;
   }
 
   /**
-   * The endpoint of that number, also for some time after it has left the list; empty if it was
-   * never listed.
+   * Finds an endpoint by its id, also for some time after its removal from the list; empty if it
+   * was never listed.
    */
   public Optional<Endpoint> find(long id) {
-    return Optional.ofNullable(registered(id)).map(RegisteredEndpoint::endpoint);
+    return Optional.ofNullable(findRegistered(id)).map(RegisteredEndpoint::endpoint);
   }
 
-  private RegisteredEndpoint registered(long id) {
+  private RegisteredEndpoint findRegistered(long id) {
     return listed.getOrDefault(id, removed.get(id));
   }
 
-  /** The lifecycle state that the last list gave the server; GONE if it is not listed. */
+  /** The lifecycle state of the server in the last list; GONE if it is not listed. */
   public ServerLifecycle lifecycle(long id) {
     RegisteredEndpoint current = listed.get(id);
     return current == null ? ServerLifecycle.GONE : current.endpoint().lifecycle();
@@ -177,27 +183,27 @@
     return kinds.indexOf(endpoint.kind());
   }
 
-  /** Number of endpoints listed now. */
+  /** Number of endpoints in the current list. */
   public int size() {
     return listed.size();
   }
 
-  /** The endpoints listed now. */
+  /** The endpoints in the current list. */
   public List<Endpoint> endpoints() {
     return listed.values().stream().map(RegisteredEndpoint::endpoint).toList();
   }
 
   /**
-   * A start time is converted once and kept, also while the server is off the list: a start time
-   * that changes means a new process.
+   * A start time is converted once and kept, even while the server is not listed: a different start
+   * time means that the server runs in a new process.
    */
   private RegisteredEndpoint register(long id, int kind, Endpoint endpoint) {
-    RegisteredEndpoint before = registered(id);
+    RegisteredEndpoint previous = findRegistered(id);
     boolean sameProcess =
-        before != null && before.endpoint().startedAtMillis() == endpoint.startedAtMillis();
+        previous != null && previous.endpoint().startedAtMillis() == endpoint.startedAtMillis();
     long startedAtMicros =
         sameProcess
-            ? before.server().startedAtMicros()
+            ? previous.server().startedAtMicros()
             : startTimes.toRouterMicros(endpoint.startedAtMillis(), listed.containsKey(id));
     return new RegisteredEndpoint(
         endpoint,
@@ -212,7 +218,7 @@
             .build());
   }
 
-  private void rememberRemoved(long id, RegisteredEndpoint endpoint) {
+  private void retainRemoved(long id, RegisteredEndpoint endpoint) {
     removed.put(id, endpoint);
     if (removed.size() > MAX_REMOVED_ENDPOINTS) {
       removed.remove(removed.keySet().iterator().next());
@@ -220,7 +226,7 @@
   }
 
   private static int numberOf(String name, Map<String, Integer> numbers) {
-    return numbers.computeIfAbsent(name, unknown -> numbers.size());
+    return numbers.computeIfAbsent(name, newName -> numbers.size());
   }
 
   private static long hashOfNameAndAddress(Endpoint endpoint) {
--- a/dispatch/src/main/java/lemondock/dispatch/EndpointUpdate.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EndpointUpdate.java
@@ -5,11 +5,11 @@
 import lemondock.policy.ServerEntry;
 
 /**
- * What the router is told of an endpoint list.
+ * The update that the router receives for an endpoint list.
  *
  * @param kind whether the servers are a full list, a cached one, or only the changes
- * @param servers the servers that the router has to hear of
- * @param skipped why entries of the list could not be used, one line each
+ * @param servers the servers to report to the router
+ * @param skipped the reasons why entries of the list could not be used, one line per entry
  */
 public record EndpointUpdate(
     EndpointListKind kind, List<ServerEntry> servers, List<String> skipped) {}
--- a/dispatch/src/main/java/lemondock/dispatch/EngineAttempt.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EngineAttempt.java
@@ -6,17 +6,17 @@
 import lemondock.policy.ServerRole;
 
 /**
- * One attempt at a request: what was sent to which server, and how far it has come. Hands what the
- * engine answers to the {@link AttemptLifecycle}, which alone changes it. Loop thread only.
+ * One attempt of a request: its target server and its progress. Forwards the engine's replies to
+ * the {@link AttemptLifecycle}, which alone changes the attempt. Loop thread only.
  */
 final class EngineAttempt<P, S, C extends StreamChunk> implements AttemptListener<S, C> {
-  /** Where an attempt goes. */
+  /** The server to which an attempt is sent, and its role. */
   record Target(Endpoint endpoint, ServerRole role) {}
 
   /**
-   * What an attempt's id begins with, and when it was sent.
+   * Prefix of an attempt's id and the time at which the attempt was sent.
    *
-   * @param stalledMicrosBefore how long this process had stalled by then, in all
+   * @param stalledMicrosBefore total time for which this process had been stalled by then
    */
   record AttemptOrigin(String idPrefix, long sentAtMicros, long stalledMicrosBefore) {}
 
@@ -55,27 +55,31 @@
     return request;
   }
 
-  /** Its number within the request, from 0. */
+  /** Number of the attempt within its request, from 0. */
   int number() {
     return number;
   }
 
-  /** The id that the engine sees. */
+  /** The id that is sent to the engine. */
   String id() {
     return id;
   }
 
-  /** The router's number of the server. */
+  /** The router's id of the server. */
   long serverId() {
     return serverId;
   }
 
-  /** Where it goes; empty if the router named a server that was never listed. */
+  /** The target; empty if the router chose a server that was never listed. */
   Optional<Target> target() {
     return target;
   }
 
-  /** The server of an attempt that was sent to one. */
+  /**
+   * The target server.
+   *
+   * @throws java.util.NoSuchElementException if there is no target
+   */
   Endpoint endpoint() {
     return target.orElseThrow().endpoint();
   }
@@ -85,15 +89,15 @@
   }
 
   boolean isPrefill() {
-    return target.filter(to -> to.role() == ServerRole.READER).isPresent();
+    return target.filter(destination -> destination.role() == ServerRole.READER).isPresent();
   }
 
-  /** Whether the client gets this attempt's output. */
+  /** Whether the client receives this attempt's output. */
   boolean isStreaming() {
     return request.isStreamedBy(this);
   }
 
-  /** The state that it decodes from; empty if it reads the prompt itself. */
+  /** The reserved state that the attempt decodes from; empty if it prefills the prompt itself. */
   Optional<ReservedState<S>> decodedState() {
     return decodedState;
   }
@@ -102,23 +106,23 @@
     decodedState = state;
   }
 
-  /** It was sent to the engine and is controlled by that handle. */
-  void sentAs(AttemptHandle sent) {
-    handle = Optional.of(sent);
+  /** Sets the handle that controls the attempt, once it was sent to the engine. */
+  void setHandle(AttemptHandle newHandle) {
+    handle = Optional.of(newHandle);
   }
 
-  /** Closes its connection; false if it was never sent. */
+  /** Closes the attempt's connection; returns false if the attempt was never sent. */
   boolean cancelAtEngine() {
     handle.ifPresent(AttemptHandle::cancel);
     return handle.isPresent();
   }
 
-  /** Stops reading its output. */
+  /** Stops reading the attempt's output. */
   void pause() {
     handle.ifPresent(AttemptHandle::pause);
   }
 
-  /** Reads its output again. */
+  /** Resumes reading the attempt's output. */
   void resume() {
     handle.ifPresent(AttemptHandle::resume);
   }
@@ -127,7 +131,7 @@
     timeout = timer;
   }
 
-  /** Whether the router has cancelled it. */
+  /** Whether the router has cancelled the attempt. */
   boolean isCancelled() {
     return cancelled;
   }
@@ -162,7 +166,7 @@
     }
   }
 
-  /** Once, after the first chunk that the listener has taken. */
+  /** Offers direct output to the engine once, after the listener has received the first chunk. */
   private void offerDirectOutput() {
     if (!directOutputSet && !request.hasEnded() && handle.isPresent()) {
       directOutputSet = true;
--- a/dispatch/src/main/java/lemondock/dispatch/EngineCall.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EngineCall.java
@@ -8,13 +8,13 @@
 import lemondock.policy.AttemptOutcome;
 
 /**
- * One attempt as an HTTP request to an engine, whatever the engine's protocol: it ends exactly
- * once, by a cancel or by an outcome for its listener, and the listener hears nothing afterwards. A
- * stream that has begun and then stays silent is broken off. Loop thread only, but for {@link
- * #dataReceived}.
+ * An attempt that is sent as an HTTP request to an engine, independent of the engine's protocol. It
+ * ends exactly once, by cancellation or with an outcome for its listener; the listener is not
+ * called afterwards. A stream that has begun and then stays idle for too long is cancelled. Loop
+ * thread only, except for {@link #dataReceived}.
  *
- * @param <S> how a protocol names a reserved state
- * @param <C> an event of a stream
+ * @param <S> a reserved state as the protocol represents it
+ * @param <C> an event of the output stream
  */
 public abstract class EngineCall<S, C extends StreamChunk> extends BufferingReceiver
     implements AttemptHandle {
@@ -25,30 +25,33 @@
   private boolean ended;
 
   /**
-   * Makes a call that is not sent yet.
+   * Creates a call that is not sent yet.
    *
-   * @param maxSilenceMicros time without an event after which a stream is broken off
+   * @param idleTimeoutMicros time without an event after which a stream is cancelled
    */
   protected EngineCall(
-      AttemptListener<S, C> listener, Loop loop, StallMonitor stallMonitor, long maxSilenceMicros) {
+      AttemptListener<S, C> listener,
+      Loop loop,
+      StallMonitor stallMonitor,
+      long idleTimeoutMicros) {
     this.listener = listener;
     this.idleTimeout =
         new StreamIdleTimeout(
             loop,
             stallMonitor,
-            maxSilenceMicros,
-            () -> breakOff(AttemptOutcome.RESET, silenceMessage()));
+            idleTimeoutMicros,
+            () -> cancelAndEnd(AttemptOutcome.RESET, idleTimeoutMessage()));
   }
 
-  /** Must be called once, with what {@link HttpClient#send} gave for this receiver. */
-  public final void sentAs(HttpCall call) {
+  /** Must be called once, with the result of {@link HttpClient#send} for this receiver. */
+  public final void setHttpCall(HttpCall call) {
     httpCall = call;
   }
 
-  /** Says in an outcome that the stream stayed silent. */
-  protected abstract String silenceMessage();
+  /** The message of the outcome if the stream was idle for too long. */
+  protected abstract String idleTimeoutMessage();
 
-  /** Called when the call ends, before its listener hears of it; must not throw. */
+  /** Called when the call ends, before its listener is notified; must not throw. */
   protected void onEnd() {}
 
   @Override
@@ -73,23 +76,23 @@
     httpCall.resume();
   }
 
-  /** Whether the call has ended, so that its listener must hear nothing more. */
+  /** Whether the call has ended, so that its listener must not be called again. */
   protected final boolean hasEnded() {
     return ended;
   }
 
-  /** Whether the listener has had the stream's first event with output. */
+  /** Whether the listener has received the stream's first event with output. */
   protected final boolean hasStreamBegun() {
     return streamBegun;
   }
 
-  /** The stream is not silent; any thread. */
+  /** Restarts the idle timeout because data was received; any thread. */
   protected final void dataReceived() {
     idleTimeout.dataReceived();
   }
 
   /**
-   * Passes an event of the stream to the listener; the idle time-out runs from the first output.
+   * Passes an event of the stream to the listener; the idle timeout starts with the first output.
    */
   protected final void forward(C chunk) {
     dataReceived();
@@ -100,7 +103,7 @@
     }
   }
 
-  /** Ends the call: the engine has read the prompt. */
+  /** Ends a prefill that has completed and reserved a state. */
   protected final void endWithState(S state, int cachedTokens) {
     if (!ended) {
       markEnded();
@@ -108,7 +111,7 @@
     }
   }
 
-  /** Ends the call. */
+  /** Ends the call with an outcome; ignored if it has ended already. */
   protected final void end(AttemptOutcome outcome, boolean stateMissing, String message) {
     if (!ended) {
       markEnded();
@@ -116,13 +119,13 @@
     }
   }
 
-  /** Ends the call and takes nothing more from the engine. */
-  protected final void breakOff(AttemptOutcome outcome, String message) {
+  /** Cancels the HTTP request and ends the call with an outcome. */
+  protected final void cancelAndEnd(AttemptOutcome outcome, String message) {
     httpCall.cancel();
     end(outcome, false, message);
   }
 
-  /** A timer that is left to run out would keep the whole call in memory until then. */
+  /** Also stops the idle timer, which would keep the whole call in memory until it expired. */
   private void markEnded() {
     onEnd();
     ended = true;
--- a/dispatch/src/main/java/lemondock/dispatch/EnginePort.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EnginePort.java
@@ -4,22 +4,22 @@
 import lemondock.policy.AttemptOutcome;
 
 /**
- * The port to the engines. An adapter turns calls into messages of the engines' protocol and
+ * The port to the engines. An adapter translates calls into messages of the engines' protocol and
  * reports the replies; it makes no decisions. Loop thread only.
  *
- * @param <P> the prompt that an engine gets
- * @param <S> how the engines' protocol names a state that is reserved at a prefill server
+ * @param <P> the prompt that is sent to an engine
+ * @param <S> a state that is reserved at a prefill server, as the engines' protocol represents it
  * @param <C> an event of the output stream
  */
 public interface EnginePort<P, S, C extends StreamChunk> {
-  /** Asks a server to read the prompt; {@code attemptId} is unique and never used again. */
+  /** Sends a prefill to a server; {@code attemptId} is unique and never reused. */
   AttemptHandle prefill(
       Endpoint endpoint,
       String attemptId,
       DispatchedRequest<P> request,
       AttemptListener<S, C> listener);
 
-  /** Asks a server to write the answer from a state that a prefill has reserved. */
+  /** Sends a decode to a server, from a state that a prefill has reserved. */
   AttemptHandle decode(
       Endpoint endpoint,
       String attemptId,
@@ -27,41 +27,44 @@
       S state,
       AttemptListener<S, C> listener);
 
-  /** Asks a server of a mixed kind to read the prompt and to write the answer. */
+  /** Sends a request for prefill and decode to a server of a mixed kind. */
   AttemptHandle prefillAndDecode(
       Endpoint endpoint,
       String attemptId,
       DispatchedRequest<P> request,
       AttemptListener<S, C> listener);
 
-  /** Releases the state that the prefill of that id has reserved at a server. */
+  /** Releases the state that the prefill with this attempt id has reserved at a server. */
   void release(Endpoint endpoint, String attemptId, P prompt);
 
   /**
-   * Releases whatever is reserved for the request and no attempt waits for, and leaves its attempts
-   * alone: attempts are in flight, or a prefill has ended without a reply. False, with nothing
-   * done, in a protocol that cannot say this; there states are released by their attempt's id.
+   * Releases every state that is reserved for the request and that no attempt waits for, without
+   * affecting its attempts. Needed while attempts are in flight, or after a prefill that ended
+   * without a reply.
    *
-   * @param requestEnded whether the request has ended, so that what servers still do for it is of
-   *     no use
+   * @param requestEnded whether the request has ended, so that the work that servers still do for
+   *     it is useless
+   * @return false, with nothing done, if the protocol has no such message; states are then released
+   *     by the ids of their attempts
    */
   default boolean releaseIdle(Endpoint endpoint, String attemptId, P prompt, boolean requestEnded) {
     return false;
   }
 
   /**
-   * A state is of no use though its request goes on: another state is used, or this one was not
-   * found. An adapter whose protocol names states by the request must not release it now, for that
-   * would release the state in use as well.
+   * Called for a state that a request in progress does not need any more, because another state is
+   * used or this one was not found; by default the state is released. An adapter whose protocol
+   * identifies states by the request must not release it now, because that would also release the
+   * state in use.
    */
   default void releaseSuperseded(Endpoint endpoint, String attemptId, P prompt) {
     release(endpoint, attemptId, prompt);
   }
 
   /**
-   * A prefill that was cancelled or broke may have reserved a state, now or soon. The adapter sees
-   * to it that nothing stays reserved: at once or, where a protocol names states by the request, by
-   * {@link #releaseIdle}.
+   * Releases the state that a cancelled or failed prefill may have reserved or may still reserve.
+   * The adapter ensures that nothing stays reserved: either immediately or, where the protocol
+   * identifies states by the request, with {@link #releaseIdle}.
    */
   void releaseUncertain(Endpoint endpoint, String attemptId, P prompt);
 
@@ -69,7 +72,7 @@
   static AttemptOutcome outcomeOf(RequestFailure failure) {
     return switch (failure) {
       case NOT_SENT -> AttemptOutcome.CONNECT_FAILED;
-      // this gateway lacks a connection; the server is not at fault
+      // this gateway has no connection left; the server is not at fault
       case LOCAL_LIMIT_REACHED -> AttemptOutcome.ABANDONED_BEFORE_SEND;
       case CONNECTION_LOST -> AttemptOutcome.RESET;
       case MALFORMED -> AttemptOutcome.ERROR;
--- a/dispatch/src/main/java/lemondock/dispatch/InFlightRequest.java
+++ b/dispatch/src/main/java/lemondock/dispatch/InFlightRequest.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 /**
- * A request from its submission until it has ended and none of its attempts is in flight. Loop
+ * A request, from its submission until it has ended and none of its attempts is in flight. Loop
  * thread only.
  */
 final class InFlightRequest<P, S, C extends StreamChunk> {
@@ -21,10 +21,10 @@
   private Optional<EngineAttempt<P, S, C>> streamingAttempt = Optional.empty();
   private Optional<EngineAttempt<P, S, C>> lastPrefill = Optional.empty();
 
-  /** Written by ReservedStateReleaser; the newest is the last. */
+  /** In the order of reservation, the newest last. Written by ReservedStateReleaser. */
   private final List<ReservedState<S>> reservedStates = new ArrayList<>();
 
-  /** Written by whoever ends it: RequestDispatcher, RouterEvents or AttemptLifecycle. */
+  /** Written by RequestDispatcher, RouterEvents and AttemptLifecycle. */
   private boolean ended;
 
   /** Written by RequestDispatcher. */
@@ -40,7 +40,7 @@
     return id;
   }
 
-  /** The request as it was handed in. */
+  /** The request as it was submitted. */
   DispatchedRequest<P> dispatched() {
     return dispatched;
   }
@@ -53,18 +53,18 @@
     return listener;
   }
 
-  /** Attempts by their numbers, ended ones among them; a view. */
+  /** All attempts, including ended ones, indexed by their numbers; an unmodifiable view. */
   List<EngineAttempt<P, S, C>> attempts() {
     return attemptsView;
   }
 
-  /** The router has asked for an attempt. */
+  /** Adds an attempt that the router has requested. */
   void addAttempt(EngineAttempt<P, S, C> attempt) {
     attempts.add(attempt);
     attemptsInFlight++;
   }
 
-  /** One of the attempts has ended. */
+  /** Called once for each attempt when it ends. */
   void attemptEnded() {
     attemptsInFlight--;
   }
@@ -73,7 +73,7 @@
     return attemptsInFlight > 0;
   }
 
-  /** The prefill sent last. */
+  /** The prefill that was sent last. */
   Optional<EngineAttempt<P, S, C>> lastPrefill() {
     return lastPrefill;
   }
@@ -82,27 +82,27 @@
     lastPrefill = Optional.of(prefill);
   }
 
-  /** From now on its client gets this attempt's output. */
+  /** Makes this attempt the one whose output the client receives. */
   void beginStream(EngineAttempt<P, S, C> attempt) {
     streamingAttempt = Optional.of(attempt);
   }
 
-  /** Whether its client gets an attempt's output: the first token has come. */
+  /** Whether the client receives an attempt's output: the first token has arrived. */
   boolean hasStreamBegun() {
     return streamingAttempt.isPresent();
   }
 
-  /** Whether its client gets this attempt's output. */
+  /** Whether the client receives this attempt's output. */
   boolean isStreamedBy(EngineAttempt<P, S, C> attempt) {
     return streamingAttempt.isPresent() && streamingAttempt.get() == attempt;
   }
 
-  /** The attempt whose output the client gets, while its stream is open. */
+  /** The attempt whose output the client receives, while its stream is open. */
   Optional<EngineAttempt<P, S, C>> openStream() {
     return streamingAttempt.filter(attempt -> !attempt.hasEnded());
   }
 
-  /** The state to decode from. */
+  /** The state to decode from; empty if none is reserved. */
   Optional<ReservedState<S>> newestState() {
     return reservedStates.isEmpty()
         ? Optional.empty()
@@ -113,19 +113,21 @@
     reservedStates.add(state);
   }
 
-  /** Removes a state; false if it was not reserved for the request any more. */
+  /** Removes a state; returns false if it was not reserved for the request any more. */
   boolean removeState(ReservedState<S> state) {
     return reservedStates.remove(state);
   }
 
-  /** Removes all states and gives them, the newest last. */
+  /** Removes all states and returns them, the newest last. */
   List<ReservedState<S>> removeStates() {
     List<ReservedState<S>> removed = List.copyOf(reservedStates);
     reservedStates.clear();
     return removed;
   }
 
-  /** Whether the listener has heard, or is about to hear, the end; or the client has cancelled. */
+  /**
+   * Whether the listener was or is about to be notified of the end, or the client has cancelled.
+   */
   boolean hasEnded() {
     return ended;
   }
@@ -138,7 +140,7 @@
     return outputPaused;
   }
 
-  /** Stops reading the output, of a stream that has begun and of one that begins later. */
+  /** Stops reading the output, also of a stream that begins later. */
   void pauseOutput() {
     if (!outputPaused) {
       outputPaused = true;
@@ -146,7 +148,7 @@
     }
   }
 
-  /** Reads the output again. */
+  /** Resumes reading the output. */
   void resumeOutput() {
     if (outputPaused) {
       outputPaused = false;
--- a/dispatch/src/main/java/lemondock/dispatch/RequestDispatcher.java
+++ b/dispatch/src/main/java/lemondock/dispatch/RequestDispatcher.java
@@ -16,12 +16,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the requests in flight: reports to the router what happens and carries out what it decides,
- * and decides nothing itself. It keeps the contract of {@link RequestRouter}: one outcome for each
- * attempt, events in order on one clock, no event within an event. Loop thread only.
+ * Manages the requests in flight: reports events to the router and carries out its decisions, but
+ * makes no decisions itself. It fulfils the contract of {@link RequestRouter}: one outcome for each
+ * attempt, events in the order of one clock, no nested events. Loop thread only.
  *
- * @param <P> the prompt that an engine gets
- * @param <S> how the engines' protocol names a reserved state
+ * @param <P> the prompt that is sent to an engine
+ * @param <S> a reserved state as the engines' protocol represents it
  * @param <C> an event of the output stream
  */
 public final class RequestDispatcher<P, S, C extends StreamChunk> {
@@ -38,7 +38,7 @@
   private final AttemptLifecycle<P, S, C> attempts;
 
   /**
-   * Makes a dispatcher and its router; neither does anything before {@link #start}.
+   * Creates a dispatcher and its router; neither does anything before {@link #start}.
    *
    * @throws RuntimeException if the router cannot use its settings
    */
@@ -56,12 +56,12 @@
             .create(options.routerSettings(), options.routerSeed(), new RouterActions()));
   }
 
-  /** Starts the router; called once. */
+  /** Starts the router; must be called once. */
   public void start() {
     events.raise(RequestRouter::started);
   }
 
-  /** Takes a request and returns its id; its listener hears how it ends. */
+  /** Submits a request and returns its id; the listener receives its output and its end. */
   public long submit(DispatchedRequest<P> request, RequestListener<C> listener) {
     InFlightRequest<P, S, C> added = requests.add(request, listener);
     counters.requestSubmitted();
@@ -87,8 +87,8 @@
   }
 
   /**
-   * The client does not want the answer any more: ends the request, however far it has come; its
-   * listener hears nothing more. Unknown and ended requests are ignored.
+   * Ends a request, at any stage, because its client does not want the answer any more. Its
+   * listener is not called again. Unknown and ended requests are ignored.
    */
   public void cancelRequest(long id) {
     requests.find(id).filter(request -> !request.hasEnded()).ifPresent(this::cancel);
@@ -103,22 +103,26 @@
     requests.removeIfFinished(request);
   }
 
-  /** Stops reading the answer from its engine; back-pressure slows the engine. */
+  /** Stops reading the answer from the engine; back-pressure slows the engine. */
   public void pauseOutput(long id) {
     requests.find(id).ifPresent(InFlightRequest::pauseOutput);
   }
 
-  /** Reads the answer again. */
+  /** Resumes reading the answer. */
   public void resumeOutput(long id) {
     requests.find(id).ifPresent(InFlightRequest::resumeOutput);
   }
 
-  /** Reports an update of the endpoint list, or that the list is not available, to the router. */
+  /** Reports to the router an update of the endpoint list, or that the list is not available. */
   public void updateEndpoints(EndpointListKind kind, List<ServerEntry> servers) {
     events.raise((router, nowMicros) -> router.endpointsChanged(nowMicros, kind, servers));
   }
 
-  /** This gateway shuts down and may be killed at that moment, microseconds of the loop's clock. */
+  /**
+   * Reports to the router that this gateway shuts down.
+   *
+   * @param killedAtMicros time of the loop's clock at which this process may be killed
+   */
   public void shuttingDown(long killedAtMicros) {
     events.raise((router, nowMicros) -> router.shutdownStarted(nowMicros, killedAtMicros));
   }
@@ -128,14 +132,14 @@
     visitRouterState(metrics.stateVisitor(id -> endpoints.find(id).map(Endpoint::zone)));
   }
 
-  /** Shows the router's state to a visitor. */
+  /** Passes the router's state to a visitor. */
   public void visitRouterState(RouterStateVisitor visitor) {
     events.router().visitState(loop.now(), visitor);
   }
 
-  /** Calls the consumer for each attempt in flight at a known server. */
+  /** Calls the consumer for each attempt that is in flight at a known server. */
   public void forEachAttemptInFlight(BiConsumer<Endpoint, DispatchedRequest<P>> consumer) {
-    for (InFlightRequest<P, S, C> request : requests.all()) {
+    for (InFlightRequest<P, S, C> request : requests.inFlight()) {
       for (EngineAttempt<P, S, C> attempt : request.attempts()) {
         if (!attempt.hasEnded() && attempt.target().isPresent()) {
           consumer.accept(attempt.endpoint(), request.dispatched());
@@ -144,31 +148,32 @@
     }
   }
 
-  /** Number of requests in flight, among them ended ones with attempts still in flight. */
+  /** Number of requests in flight, including ended requests with attempts still in flight. */
   public int requestsInFlight() {
     return requests.size();
   }
 
-  /** What was counted since the start. */
+  /** The counts since the start. */
   public DispatchCounts counts() {
     return counters.snapshot();
   }
 
   /**
-   * A timer of the router is due. After a stall of the process, what arrived meanwhile is read
-   * before anything is judged by time.
+   * Reports to the router that its timer is due. After a stall of the process the timer is
+   * postponed, so that the data that arrived during the stall is read before any timeout is
+   * evaluated.
    */
-  private void timerDue(long token) {
+  private void reportTimer(long token) {
     stallMonitor.detectStall(loop.now());
     long graceMicros = stallMonitor.remainingGraceMicros(loop.now());
     if (graceMicros > 0) {
-      loop.schedule(graceMicros, () -> timerDue(token));
+      loop.schedule(graceMicros, () -> reportTimer(token));
     } else {
       events.raise((router, nowMicros) -> router.timerFired(nowMicros, token));
     }
   }
 
-  /** The router's actions; each is ignored for a request that is not in flight any more. */
+  /** Executes the router's actions; ignores those for requests that are not in flight any more. */
   private final class RouterActions implements RouterHost {
     private Optional<InFlightRequest<P, S, C>> find(long requestId) {
       return requests.find(requestId);
@@ -201,7 +206,7 @@
 
     @Override
     public void setTimer(long token, long delayMicros) {
-      loop.schedule(delayMicros, () -> timerDue(token));
+      loop.schedule(delayMicros, () -> reportTimer(token));
     }
 
     @Override
--- a/dispatch/src/main/java/lemondock/dispatch/RequestListener.java
+++ b/dispatch/src/main/java/lemondock/dispatch/RequestListener.java
@@ -3,20 +3,20 @@
 import java.util.Optional;
 
 /**
- * Hears what becomes of a submitted request. Exactly one of {@link #completed}, {@link
- * #interrupted}, {@link #rejected} and {@link #failed} ends it, and nothing follows; a request that
- * was cancelled by {@link RequestDispatcher#cancelRequest} hears nothing more. Called on the loop
- * thread, never from within a call to the dispatcher.
+ * Receives the output and the end of a submitted request. Exactly one of {@link #completed}, {@link
+ * #interrupted}, {@link #rejected} and {@link #failed} is called, as the last call; after {@link
+ * RequestDispatcher#cancelRequest} nothing more is called. Called on the loop thread, never from
+ * within a call to the dispatcher.
  *
  * @param <C> an event of the output stream
  */
 public interface RequestListener<C extends StreamChunk> {
-  /** An event of the output stream. */
+  /** An event of the output stream has arrived. */
   void chunk(C chunk);
 
   /**
-   * Where plain text of the running stream may be written without the loop; asked once, after the
-   * first event. Empty if all of it has to come as events.
+   * The output to which plain text of the stream may be written without passing through the loop;
+   * called once, after the first event. Empty if all text must be delivered as events.
    */
   default Optional<DirectOutput> directOutput() {
     return Optional.empty();
@@ -25,16 +25,16 @@
   /** The answer is complete. */
   void completed();
 
-  /** The stream broke after its first event; the cause is for logs. */
+  /** The stream was interrupted after its first event; {@code cause} is text for logs. */
   void interrupted(String cause);
 
   /**
    * The request was rejected and had no effect; a retry is safe.
    *
-   * @param retryAfterMicros advice when to retry; 0 for none
+   * @param retryAfterMicros advised delay before a retry; 0 for no advice
    */
   void rejected(long retryAfterMicros);
 
-  /** The request failed before its first event; an engine may have run it. */
+  /** The request failed before its first event; an engine may have processed it. */
   void failed();
 }
--- a/dispatch/src/main/java/lemondock/dispatch/RequestTable.java
+++ b/dispatch/src/main/java/lemondock/dispatch/RequestTable.java
@@ -5,10 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/**
- * The requests in flight, by their ids. Its size is bounded by what the front ends admit. Loop
- * thread only.
- */
+/** The requests in flight, by id. The front ends' admission bounds its size. Loop thread only. */
 final class RequestTable<P, S, C extends StreamChunk> {
   private final Map<Long, InFlightRequest<P, S, C>> requests = new HashMap<>();
   private long nextId = 1;
@@ -23,7 +20,7 @@
     return Optional.ofNullable(requests.get(id));
   }
 
-  Collection<InFlightRequest<P, S, C>> all() {
+  Collection<InFlightRequest<P, S, C>> inFlight() {
     return requests.values();
   }
 
@@ -31,7 +28,7 @@
     return requests.size();
   }
 
-  /** Removes a request that has ended, once none of its attempts is in flight. */
+  /** Removes the request if it has ended and none of its attempts is in flight. */
   void removeIfFinished(InFlightRequest<P, S, C> request) {
     if (request.hasEnded() && !request.hasAttemptInFlight()) {
       requests.remove(request.id());
--- a/dispatch/src/main/java/lemondock/dispatch/ReservedStateReleaser.java
+++ b/dispatch/src/main/java/lemondock/dispatch/ReservedStateReleaser.java
@@ -3,7 +3,8 @@
 import lemondock.net.Loop;
 
 /**
- * Releases the states that requests have reserved at servers, and counts them. Loop thread only.
+ * Keeps, releases and counts the states that are reserved at servers for requests. Loop thread
+ * only.
  */
 final class ReservedStateReleaser<P, S, C extends StreamChunk> {
   private final Loop loop;
@@ -19,15 +20,15 @@
     this.counters = counters;
   }
 
-  /** A prefill has reserved a state. Any earlier one is superseded: a request needs only one. */
-  void reserved(InFlightRequest<P, S, C> request, ReservedState<S> state) {
+  /** Adds a reserved state. It supersedes earlier ones, because a request needs only one. */
+  void addReserved(InFlightRequest<P, S, C> request, ReservedState<S> state) {
     supersedeAll(request);
     metrics.stateReserved(state.endpoint().zone());
     request.addState(state);
   }
 
-  /** The server that decodes from a state has fetched it; false if it was not reserved any more. */
-  boolean fetched(InFlightRequest<P, S, C> request, ReservedState<S> state) {
+  /** Removes a state that a decoding server has fetched; false if it was not reserved any more. */
+  boolean markFetched(InFlightRequest<P, S, C> request, ReservedState<S> state) {
     if (!request.removeState(state)) {
       return false;
     }
@@ -35,14 +36,14 @@
     return true;
   }
 
-  /** A server did not find the state that it was to decode from. */
-  void missing(InFlightRequest<P, S, C> request, ReservedState<S> state) {
+  /** Discards a state that a server did not find when it was to decode from it. */
+  void discardMissing(InFlightRequest<P, S, C> request, ReservedState<S> state) {
     if (request.removeState(state)) {
       supersede(request, state);
     }
   }
 
-  /** The request needs none of its states, though it goes on. */
+  /** Releases all states of a request that continues but does not need them any more. */
   void supersedeAll(InFlightRequest<P, S, C> request) {
     request.removeStates().forEach(state -> supersede(request, state));
   }
@@ -52,7 +53,7 @@
     engines.releaseSuperseded(state.endpoint(), state.attemptId(), request.prompt());
   }
 
-  /** The router asks to release what is reserved for the request and no attempt uses. */
+  /** Releases the states that are reserved for the request and that no attempt uses. */
   void release(InFlightRequest<P, S, C> request) {
     if (releaseIdle(request)) {
       request.removeStates().forEach(this::countRelease);
@@ -61,7 +62,7 @@
     }
   }
 
-  /** Whether the engines' protocol could release all that is idle at once. */
+  /** Releases all idle states with one message; false if the engines' protocol has none for it. */
   private boolean releaseIdle(InFlightRequest<P, S, C> request) {
     return request
         .lastPrefill()
--- a/dispatch/src/main/java/lemondock/dispatch/RouterEvents.java
+++ b/dispatch/src/main/java/lemondock/dispatch/RouterEvents.java
@@ -8,9 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reports events to the router, one at a time: no event is raised within an event. A final answer
- * that the router gives within an event reaches the request's listener once the event is over. Loop
- * thread only.
+ * Reports events to the router, one at a time: events are not nested. If the router ends a request
+ * while it handles an event, the request's listener is notified after the event. Loop thread only.
  */
 final class RouterEvents<P, S, C extends StreamChunk> {
   private static final Logger LOG = LoggerFactory.getLogger(RouterEvents.class);
@@ -18,11 +17,11 @@
   private final Loop loop;
   private final RequestTable<P, S, C> requests;
   private final DispatchCounters counters;
-  private final ArrayDeque<Runnable> finalAnswers = new ArrayDeque<>();
+  private final ArrayDeque<Runnable> pendingNotifications = new ArrayDeque<>();
   private RequestRouter router;
   private boolean inEvent;
 
-  /** An event, reported with the time at which it is reported. */
+  /** An event together with the time at which it is reported. */
   interface RouterEvent {
     void report(RequestRouter router, long nowMicros);
   }
@@ -42,61 +41,64 @@
     return router;
   }
 
-  /** Raises an event that is about no single request. */
+  /** Reports an event that does not concern a particular request. */
   void raise(RouterEvent event) {
     report(event, () -> {});
   }
 
   /**
-   * Raises an event about a request. An exception of the router is a defect: the request is failed,
-   * so that its client gets an answer, and everything else goes on.
+   * Reports an event about a request. An exception thrown by the router is a defect: the request
+   * fails, so that its client receives an answer, and all other requests continue.
    */
   void raise(InFlightRequest<P, S, C> request, RouterEvent event) {
     report(event, () -> requests.find(request.id()).ifPresent(this::fail));
     requests.removeIfFinished(request);
   }
 
-  private void report(RouterEvent event, Runnable onDefect) {
+  private void report(RouterEvent event, Runnable onRouterException) {
     if (inEvent) {
-      throw new IllegalStateException("an event within an event");
+      throw new IllegalStateException(
+          "a router event was raised while another one is being handled");
     }
     inEvent = true;
     try {
       event.report(router, loop.now());
     } catch (RuntimeException e) {
-      LOG.error("the router threw an exception", e);
-      onDefect.run();
+      LOG.error("the router threw an exception while handling an event", e);
+      onRouterException.run();
     } finally {
       inEvent = false;
     }
-    for (Runnable next = finalAnswers.poll(); next != null; next = finalAnswers.poll()) {
+    for (Runnable next = pendingNotifications.poll();
+        next != null;
+        next = pendingNotifications.poll()) {
       next.run();
     }
   }
 
-  /** The router rejects a request; 0: without advice when to retry. */
+  /** Rejects a request for the router; 0 microseconds: no advice when to retry. */
   void reject(InFlightRequest<P, S, C> request, long retryAfterMicros) {
     if (!request.hasEnded()) {
       counters.requestRejected();
-      answerAfterEvent(request, listener -> listener.rejected(retryAfterMicros));
+      notifyAfterEvent(request, listener -> listener.rejected(retryAfterMicros));
     }
   }
 
-  /** The router gives up a request. */
+  /** Fails a request for the router; ignored if it has ended. */
   void fail(InFlightRequest<P, S, C> request) {
     if (!request.hasEnded()) {
       counters.requestFailed();
-      answerAfterEvent(request, RequestListener::failed);
+      notifyAfterEvent(request, RequestListener::failed);
     }
   }
 
-  private void answerAfterEvent(
-      InFlightRequest<P, S, C> request, Consumer<RequestListener<C>> answer) {
+  private void notifyAfterEvent(
+      InFlightRequest<P, S, C> request, Consumer<RequestListener<C>> notification) {
     request.end();
-    finalAnswers.add(
+    pendingNotifications.add(
         () -> {
-          answer.accept(request.listener());
-          // a timer may have ended it, with no attempt left whose end would remove it
+          notification.accept(request.listener());
+          // a router timer may have ended it, with no attempt left whose end would remove it
           requests.removeIfFinished(request);
         });
   }
--- a/dispatch/src/main/java/lemondock/dispatch/ServerStartTimes.java
+++ b/dispatch/src/main/java/lemondock/dispatch/ServerStartTimes.java
@@ -1,18 +1,18 @@
 package lemondock.dispatch;
 
 /**
- * Converts the start times of servers, which endpoint lists give in wall-clock time, to the
- * router's monotonic clock. This gateway's wall clock may step at any time, and a server must not
- * be taken for older than it is: it would get more load than a server in slow start can bear. So of
- * two wall clocks, the system's and one that advances steadily since the first list, the earlier
- * one counts; and a process that has replaced one of the last list cannot be much older than that
- * list. Does no I/O and reads no clock. Loop thread only.
+ * Converts the start times of servers from the wall-clock time of endpoint lists to the router's
+ * monotonic clock. This gateway's wall clock may step at any time, but a server must not appear
+ * older than it is, because it would receive more load than a server in slow start can handle.
+ * Therefore the earlier one of two wall clocks is used: the system's, and one that advances
+ * steadily since the first list. In addition, a process that has replaced a process of the last
+ * list cannot be much older than that list. Does no I/O and reads no clock. Loop thread only.
  */
 final class ServerStartTimes {
   private static final long MICROS_PER_MILLI = 1_000;
 
-  /** How late a list may report a start; an age beyond that is an error of the wall clock. */
-  private static final long LATEST_REPORT_MILLIS = 10_000;
+  /** Longest plausible delay between a start and its listing; beyond it the wall clock is wrong. */
+  private static final long MAX_LISTING_DELAY_MILLIS = 10_000;
 
   private static final long NEVER = -1;
 
@@ -22,7 +22,7 @@
   private long firstWallMillis;
   private long lastListAtMicros = NEVER;
 
-  /** A list has come at that moment of the router's clock and of the system's wall clock. */
+  /** Sets the times of the router's clock and of the system's wall clock for the current list. */
   void setClocks(long nowMicros, long systemWallMillis) {
     if (firstNowMicros == NEVER) {
       firstNowMicros = nowMicros;
@@ -39,10 +39,11 @@
   }
 
   /**
-   * The router's time of a start that was not known before, in microseconds; 0 for long ago. A
-   * start in the future counts as now.
+   * Converts a start time that was not known before to microseconds of the router's clock; 0 means
+   * long ago. A start time in the future is converted to the current time.
    *
-   * @param replacesProcess whether the last list had an earlier process of that server
+   * @param startedAtMillis milliseconds since the epoch; 0 or less if unknown or long ago
+   * @param replacesProcess whether the last list had an earlier process of this server
    */
   long toRouterMicros(long startedAtMillis, boolean replacesProcess) {
     if (startedAtMillis <= 0) {
@@ -52,7 +53,7 @@
     long sinceLastListMillis = (nowMicros - lastListAtMicros) / MICROS_PER_MILLI;
     if (replacesProcess
         && lastListAtMicros != NEVER
-        && ageMillis > sinceLastListMillis + LATEST_REPORT_MILLIS) {
+        && ageMillis > sinceLastListMillis + MAX_LISTING_DELAY_MILLIS) {
       ageMillis = sinceLastListMillis;
     }
     return Math.max(0, nowMicros - ageMillis * MICROS_PER_MILLI);
--- a/dispatch/src/main/java/lemondock/dispatch/StableHash.java
+++ b/dispatch/src/main/java/lemondock/dispatch/StableHash.java
@@ -6,8 +6,8 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * Numbers for names that all gateways, and a gateway before and after a restart, have to agree on:
- * servers, sessions and prompt prefixes.
+ * Hashes the names of servers, sessions and prompt prefixes. All gateways, and a gateway before and
+ * after a restart, must compute the same hash.
  */
 public final class StableHash {
   private StableHash() {}
@@ -19,7 +19,8 @@
           MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
       return Math.max(1, ByteBuffer.wrap(digest).getLong() & Long.MAX_VALUE);
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java has SHA-256", e);
+      throw new IllegalStateException(
+          "SHA-256 is missing, though every Java platform must provide it", e);
     }
   }
 }
--- a/dispatch/src/main/java/lemondock/dispatch/StreamChunk.java
+++ b/dispatch/src/main/java/lemondock/dispatch/StreamChunk.java
@@ -1,10 +1,10 @@
 package lemondock.dispatch;
 
-/** One event of an engine's output stream, as far as the dispatcher reads it. */
+/** The part of an event of an engine's output stream that the dispatcher needs. */
 public interface StreamChunk {
-  /** Whether the engine has produced output with it; the first such event is the first token. */
+  /** Whether the event carries output; the first such event of a stream is the first token. */
   boolean hasOutput();
 
-  /** Prompt tokens that the engine found cached, -1 if this event does not say. */
+  /** Number of prompt tokens that the engine found cached; -1 if the event does not contain it. */
   int cachedTokens();
 }
--- a/dispatch/src/main/java/lemondock/dispatch/StreamIdleTimeout.java
+++ b/dispatch/src/main/java/lemondock/dispatch/StreamIdleTimeout.java
@@ -4,12 +4,12 @@
 import lemondock.overload.StallMonitor;
 
 /**
- * The idle timeout of an output stream that has begun. Time while the stream is paused does not
- * count, nor time for which this process stalled: data that arrived meanwhile is read first. Loop
- * thread only, but for {@link #dataReceived}.
+ * The idle timeout of an output stream that has begun. Time for which the stream is paused does not
+ * count, nor time for which this process was stalled: the data that arrived in the meantime is read
+ * first. Loop thread only, except for {@link #dataReceived}.
  */
 public final class StreamIdleTimeout {
-  private static final long SHORTEST_TIMER_MICROS = 1_000;
+  private static final long MIN_TIMER_MICROS = 1_000;
 
   private final Loop loop;
   private final StallMonitor stallMonitor;
@@ -18,10 +18,12 @@
   private Loop.Timer timer = () -> {};
   private boolean paused;
 
-  /** Written by any thread that receives data. */
+  /** Written by every thread that receives data. */
   private volatile long lastDataAtMicros;
 
-  /** Runs {@code onTimeout} once the stream was idle for {@code timeoutMicros}. */
+  /**
+   * Creates a timeout that runs {@code onTimeout} once, after {@code timeoutMicros} without data.
+   */
   public StreamIdleTimeout(
       Loop loop, StallMonitor stallMonitor, long timeoutMicros, Runnable onTimeout) {
     this.loop = loop;
@@ -30,17 +32,17 @@
     this.onTimeout = onTimeout;
   }
 
-  /** Data was received; any thread. */
+  /** Restarts the idle time because data was received; any thread. */
   public void dataReceived() {
     lastDataAtMicros = loop.now();
   }
 
-  /** The stream is not read until {@link #resume}. */
+  /** Suspends the timeout, because the stream is not read until {@link #resume}. */
   public void pause() {
     paused = true;
   }
 
-  /** The stream is read again. */
+  /** Restarts the idle time, because the stream is read again. */
   public void resume() {
     paused = false;
     dataReceived();
@@ -50,8 +52,7 @@
   public void start() {
     timer =
         loop.schedule(
-            Math.max(SHORTEST_TIMER_MICROS, lastDataAtMicros + timeoutMicros - loop.now()),
-            this::check);
+            Math.max(MIN_TIMER_MICROS, lastDataAtMicros + timeoutMicros - loop.now()), this::check);
   }
 
   private void check() {
@@ -71,7 +72,8 @@
   }
 
   /**
-   * Stops the timeout: a timer that is left to expire would keep its stream in memory until then.
+   * Stops the timeout. A timer that is not cancelled would keep its stream in memory until it
+   * expires.
    */
   public void stop() {
     timer.cancel();
--- a/dispatch/src/main/java/lemondock/dispatch/package-info.java
+++ b/dispatch/src/main/java/lemondock/dispatch/package-info.java
@@ -1,11 +1,11 @@
 /**
- * Carries out what the router decides. {@link lemondock.dispatch.RequestDispatcher} keeps the
+ * Carries out the decisions of the router. {@link lemondock.dispatch.RequestDispatcher} manages the
  * requests and attempts in flight, reports events to the {@link lemondock.policy.RequestRouter
- * router} one at a time and sends what it asks for through an {@link lemondock.dispatch.EnginePort}
- * to the engines. {@link lemondock.dispatch.EndpointRegistry} translates endpoint lists into the
- * router's numbers.
+ * router} one at a time and sends the attempts that it requests to the engines through an {@link
+ * lemondock.dispatch.EnginePort}. {@link lemondock.dispatch.EndpointRegistry} translates endpoint
+ * lists into updates for the router.
  *
- * <p>All of it runs on the loop thread, unless a member says otherwise; times are microseconds of
- * the loop's monotonic clock. Nothing here survives a restart.
+ * <p>Everything runs on the loop thread unless a member's documentation says otherwise; times are
+ * microseconds of the loop's monotonic clock. No state is kept across a restart.
  */
 package lemondock.dispatch;
--- a/dispatch/src/test/java/lemondock/dispatch/StreamIdleTimeoutTest.java
+++ b/dispatch/src/test/java/lemondock/dispatch/StreamIdleTimeoutTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The idle timeout of an output stream, on a clock that the test moves. */
+/** The idle timeout of an output stream, on a clock that the test controls. */
 class StreamIdleTimeoutTest {
   private static final long SECOND = 1_000_000;
 
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void dataPostponesTheTimeoutWhichComesOnce() {
+  void dataPostponesTheTimeoutAndItFiresOnce() {
     loop.advance(3 * SECOND);
     idleTimeout.dataReceived();
     loop.advance(3 * SECOND);
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void noTimeoutWhileThePausedStreamIsNotReadNorAfterStop() {
+  void doesNotFireWhilePausedNorAfterStop() {
     idleTimeout.pause();
     loop.advance(20 * SECOND);
     idleTimeout.resume();
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void afterAStallOfTheProcessArrivedDataIsReadBeforeTheTimeout() {
+  void readsArrivedDataBeforeTheTimeoutAfterAStall() {
     loop.pauseFor(10 * SECOND);
     assertEquals(0, timeouts);
     idleTimeout.dataReceived();
--- a/gateway/src/main/java/lemondock/gateway/ResourcePressureMonitor.java
+++ b/gateway/src/main/java/lemondock/gateway/ResourcePressureMonitor.java
@@ -49,7 +49,7 @@
     final ResourcePressure.Resource before = pressure.scarcest();
     pressure.update(loop.now(), memoryUsed, handlesUsed);
     admission.limitByResources(loop.now(), pressure.admittedShare());
-    if (pressure.takeMemoryRefresh(loop.now(), MEMORY_REFRESH_INTERVAL_MICROS)) {
+    if (pressure.tryStartMemoryRefresh(loop.now(), MEMORY_REFRESH_INTERVAL_MICROS)) {
       disk.runOrDrop(resources::refreshMemory);
     }
     if (pressure.scarcest() != before) {
--- a/gateway/src/main/java/lemondock/gateway/engine/DecodeCall.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/DecodeCall.java
@@ -40,7 +40,7 @@
   }
 
   @Override
-  protected String silenceMessage() {
+  protected String idleTimeoutMessage() {
     return "the stream stayed silent for " + maxSilenceMicros / MICROS_PER_MILLI + " ms";
   }
 
@@ -79,9 +79,9 @@
       return;
     }
     if (status() != 200) {
-      breakOff(AttemptOutcome.ERROR, "status " + status() + " with an event stream");
+      cancelAndEnd(AttemptOutcome.ERROR, "status " + status() + " with an event stream");
     } else if (chunk.error().isPresent()) {
-      breakOff(AttemptOutcome.ERROR, chunk.error().get());
+      cancelAndEnd(AttemptOutcome.ERROR, chunk.error().get());
     } else {
       finished |= chunk.finishReason().isPresent();
       forward(chunk);
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
@@ -92,7 +92,7 @@
             request.prompt(), attemptId, transfer, request.maxAnswerTokens());
     ByteBuffer message = post(address, EngineProtocol.COMPLETIONS_PATH, attemptId, body);
     DecodeCall call = new DecodeCall(listener, loop, stallMonitor, streamIdleMicros);
-    call.sentAs(client.send(address, message, request.clientShard(), call));
+    call.setHttpCall(client.send(address, message, request.clientShard(), call));
     return call;
   }
 
--- a/gateway/src/test/java/lemondock/gateway/core/RequestDispatcherTest.java
+++ b/gateway/src/test/java/lemondock/gateway/core/RequestDispatcherTest.java
@@ -47,7 +47,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The dispatcher's contract with the router, on a clock and a network that the test moves. */
+/** The dispatcher's contract with the router, on a clock and a network that the test controls. */
 class RequestDispatcherTest {
   /** A connection to an engine; the test reads what was written and sends the replies. */
   private final class EngineConnection extends ScriptedConnection {
@@ -59,13 +59,13 @@
       this.to = to;
     }
 
-    void answer(String text) {
+    void reply(String text) {
       receive(text);
       loop.runTasks();
     }
 
-    void cut() {
-      end(new IOException("cut"));
+    void breakConnection() {
+      end(new IOException("connection broken by the test"));
       loop.runTasks();
     }
 
@@ -95,7 +95,7 @@
   private final StallMonitor stallMonitor = new StallMonitor(100_000, 300_000, 50_000);
   private long lastElapsedMicros;
 
-  /** A router that decides nothing and records its events. */
+  /** A router that makes no decisions and records its events. */
   private final class RecordingRouter implements RequestRouter {
     @Override
     public void started(long nowMicros) {}
@@ -108,7 +108,7 @@
     public void requestArrived(long nowMicros, RoutingRequest request) {
       routerEvents.add("request " + request.id());
       if (routerThrows) {
-        throw new IllegalStateException("a defect of the router");
+        throw new IllegalStateException("router failure injected by the test");
       }
     }
 
@@ -131,7 +131,7 @@
 
     @Override
     public void clientDisconnected(long nowMicros, long requestId) {
-      routerEvents.add("left");
+      routerEvents.add("disconnected");
     }
 
     @Override
@@ -204,8 +204,8 @@
                 new GatewayMetrics(minimalSettings()).attempts()),
             new DispatcherOptions(
                 "t",
-                (s, seed, h) -> {
-                  host = h;
+                (routerSettings, seed, routerHost) -> {
+                  host = routerHost;
                   return new RecordingRouter();
                 },
                 settings,
@@ -296,20 +296,20 @@
   private long abortsSent() {
     return connections.stream()
         .filter(
-            l ->
-                l.written.toString().startsWith("POST /abort_request")
-                    || l.written.indexOf("POST /abort_request") > 0)
+            connection ->
+                connection.written.toString().startsWith("POST /abort_request")
+                    || connection.written.indexOf("POST /abort_request") > 0)
         .count();
   }
 
   @Test
   void aCompleteRequestRunsPrefillThenDecode() {
     long id = submit();
-    send(id, reader).answer(PREFILL_REPLY);
+    send(id, reader).reply(PREFILL_REPLY);
     EngineConnection decode = send(id, writer);
     assertTrue(decode.written.toString().contains("\"kv_transfer_params\":{\"x\":1}"));
-    decode.answer(STREAM_HEAD + token("a"));
-    decode.answer(
+    decode.reply(STREAM_HEAD + token("a"));
+    decode.reply(
         event("{\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}")
             + event("[DONE]")
             + "0\r\n\r\n");
@@ -320,18 +320,18 @@
   }
 
   @Test
-  void everyAttemptHasOneOutcomeWhetherCancelOrReplyComesFirst() {
+  void everyAttemptHasOneOutcomeIfACancelAndAReplyRace() {
     long id = submit();
     EngineConnection prefill = send(id, reader);
     host.cancel(id, 0);
     host.cancel(id, 0);
-    prefill.answer(PREFILL_REPLY); // it was on its way
-    prefill.cut();
+    prefill.reply(PREFILL_REPLY); // the reply was already on its way
+    prefill.breakConnection();
     loop.runTasks();
     assertEquals(List.of("request " + id, "CANCELLED 0"), routerEvents);
-    assertEquals(1, abortsSent()); // what the prefill may have reserved is released
+    assertEquals(1, abortsSent()); // releases the state that the prefill may have reserved
     EngineConnection second = send(id, reader);
-    second.answer(PREFILL_REPLY);
+    second.reply(PREFILL_REPLY);
     host.cancel(id, 1);
     loop.runTasks();
     assertEquals("PROMPT_READ 1", routerEvents.get(2));
@@ -339,7 +339,7 @@
   }
 
   @Test
-  void attemptsThatWereNeverSentAreReportedAsSuch() {
+  void unsentAttemptsAreReportedAsNotSent() {
     long id = submit();
     host.send(id, 999, 0);
     host.send(id, writer, 0);
@@ -349,45 +349,45 @@
     assertEquals(0, connections.size());
     host.fail(id);
     loop.runTasks();
-    assertEquals(1, routerEvents.stream().filter(t -> t.startsWith("request")).count());
+    assertEquals(1, routerEvents.stream().filter(event -> event.startsWith("request")).count());
   }
 
   @Test
   void brokenConnectionsAreResetsUnlessNothingWasSent() {
     long id = submit();
-    send(id, reader).cut();
+    send(id, reader).breakConnection();
     host.send(id, reader, 0);
     connections.get(connections.size() - 1).end(new IOException("refused"));
-    loop.dropNextTask(); // the connection that never came up
+    loop.dropNextTask(); // the connection that was never established
     loop.runTasks();
     assertEquals(List.of("request " + id, "RESET 0", "CONNECT_FAILED 1"), routerEvents);
   }
 
   @Test
-  void aStallOfTheProcessIsNotCountedAndArrivedDataIsReadBeforeTimersFire() {
+  void aStallIsNotCountedAndArrivedDataIsReadBeforeTimersFire() {
     stallMonitor.onTick(loop.now());
     long id = submit();
     final EngineConnection prefill = send(id, reader);
-    host.setTimer(7, 200_000); // the router is to check whether the prefill is overdue
+    host.setTimer(7, 200_000); // lets the router check whether the prefill is overdue
     loop.advance(50_000);
     loop.pauseFor(3_000_000);
     assertEquals(
-        List.of("request " + id), routerEvents, "no timer fires before the sockets were read");
-    prefill.answer(PREFILL_REPLY);
+        List.of("request " + id), routerEvents, "no timer may fire before the sockets were read");
+    prefill.reply(PREFILL_REPLY);
     loop.advance(60_000);
     assertEquals(List.of("request " + id, "PROMPT_READ 0", "timer 7"), routerEvents);
     assertTrue(
         lastElapsedMicros >= 50_000 && lastElapsedMicros <= 160_000,
-        "took " + lastElapsedMicros + " us, of which the process stood still 3 s");
+        "took " + lastElapsedMicros + " us, though the 3 s stall of the process must not count");
   }
 
   @Test
   void anInterruptedStreamEndsItsRequestOnce() {
     long id = submit();
-    send(id, reader).answer(PREFILL_REPLY);
+    send(id, reader).reply(PREFILL_REPLY);
     EngineConnection decode = send(id, writer);
-    decode.answer(STREAM_HEAD + token("a"));
-    decode.cut();
+    decode.reply(STREAM_HEAD + token("a"));
+    decode.breakConnection();
     host.fail(id);
     loop.runTasks();
     assertEquals("RESET 1 ended", routerEvents.get(routerEvents.size() - 1));
@@ -398,11 +398,11 @@
   @Test
   void anIdleStreamIsInterrupted() {
     long id = submit();
-    send(id, reader).answer(PREFILL_REPLY);
+    send(id, reader).reply(PREFILL_REPLY);
     EngineConnection decode = send(id, writer);
-    decode.answer(STREAM_HEAD + token("a"));
+    decode.reply(STREAM_HEAD + token("a"));
     loop.advance(60_000);
-    decode.answer(token("b"));
+    decode.reply(token("b"));
     loop.advance(90_000);
     assertEquals(List.of("'a'", "'b'"), listenerEvents);
     loop.advance(20_000);
@@ -411,18 +411,18 @@
   }
 
   @Test
-  void aCancelledRequestHearsNothingMoreAndReservesNothing() {
+  void aCancelledRequestGetsNoEventsAndReservesNoState() {
     long id = submit();
-    send(id, reader).answer(PREFILL_REPLY);
+    send(id, reader).reply(PREFILL_REPLY);
     dispatcher.cancelRequest(id);
     host.releaseState(id);
     loop.runTasks();
     assertEquals(List.of(), listenerEvents);
     assertEquals(0, dispatcher.requestsInFlight());
     long streaming = submit();
-    send(streaming, reader).answer(PREFILL_REPLY);
+    send(streaming, reader).reply(PREFILL_REPLY);
     EngineConnection decode = send(streaming, writer);
-    decode.answer(STREAM_HEAD + token("a"));
+    decode.reply(STREAM_HEAD + token("a"));
     dispatcher.cancelRequest(streaming);
     loop.runTasks();
     assertTrue(decode.isClosed());
@@ -432,11 +432,11 @@
   }
 
   @Test
-  void aNewStateSupersedesTheOldOne() {
+  void aNewStateReleasesTheOldOne() {
     long id = submit();
-    send(id, reader).answer(PREFILL_REPLY);
+    send(id, reader).reply(PREFILL_REPLY);
     long before = dispatcher.counts().releases();
-    send(id, reader).answer(PREFILL_REPLY);
+    send(id, reader).reply(PREFILL_REPLY);
     assertEquals(before + 1, dispatcher.counts().releases());
     host.releaseState(id);
     assertEquals(before + 2, dispatcher.counts().releases());
@@ -447,7 +447,7 @@
   @Test
   void nothingIsReleasedWhileAnAttemptIsInFlight() {
     long id = submit();
-    send(id, reader).answer(PREFILL_REPLY);
+    send(id, reader).reply(PREFILL_REPLY);
     send(id, writer);
     host.releaseState(id);
     assertEquals(0, dispatcher.counts().releases());
@@ -473,7 +473,7 @@
     host.reject(id, 5);
     host.fail(id);
     dispatcher.updateEndpoints(EndpointListKind.CHANGES, List.of());
-    // the next event carries out what was decided
+    // the notification is delivered after the next event
     assertEquals(List.of("rejected"), listenerEvents);
     assertEquals(0, dispatcher.requestsInFlight());
   }
--- a/gateway/src/test/java/lemondock/gateway/discovery/EndpointRegistryTest.java
+++ b/gateway/src/test/java/lemondock/gateway/discovery/EndpointRegistryTest.java
@@ -19,22 +19,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Updates for the router that the registry derives from endpoint lists. */
 class EndpointRegistryTest {
   private static final long NOW_MICROS = 100_000_000;
   private static final long WALL_MILLIS = 1_700_000_000_000L;
   private final EndpointRegistry registry = new EndpointRegistry(List.of("reader", "writer"));
 
   private static Endpoint entry(
-      String name, String kind, ServerLifecycle standing, long startedAt) {
+      String name, String kind, ServerLifecycle lifecycle, long startedAtMillis) {
     return new Endpoint(
         name,
         new InetSocketAddress("127.0.0.1", 9000 + name.charAt(0)),
         kind,
         "north",
         "r1",
-        standing,
+        lifecycle,
         1,
-        startedAt);
+        startedAtMillis);
   }
 
   private EndpointUpdate applyList(Endpoint... entries) {
@@ -42,34 +43,34 @@
   }
 
   @Test
-  void theFirstListIsCompleteAndLaterOnesAreChanges() {
+  void theFirstListIsReportedInFullAndLaterOnesAsChanges() {
     assertEquals(
         EndpointListKind.FULL_LIST,
         applyList(
                 entry("a", "reader", ServerLifecycle.READY, 0),
                 entry("b", "writer", ServerLifecycle.READY, 0))
             .kind());
-    EndpointUpdate none =
+    EndpointUpdate unchanged =
         applyList(
             entry("a", "reader", ServerLifecycle.READY, 0),
             entry("b", "writer", ServerLifecycle.READY, 0));
-    assertEquals(EndpointListKind.CHANGES, none.kind());
-    assertEquals(List.of(), none.servers());
-    EndpointUpdate drain = applyList(entry("a", "reader", ServerLifecycle.DRAINING, 0));
+    assertEquals(EndpointListKind.CHANGES, unchanged.kind());
+    assertEquals(List.of(), unchanged.servers());
+    EndpointUpdate changed = applyList(entry("a", "reader", ServerLifecycle.DRAINING, 0));
     assertEquals(
         List.of(ServerLifecycle.DRAINING, ServerLifecycle.GONE),
-        drain.servers().stream().map(ServerEntry::lifecycle).toList());
+        changed.servers().stream().map(ServerEntry::lifecycle).toList());
   }
 
-  /** A change of a list of thousands must not cost a hash for each of them. */
+  /** A change of a list with thousands of endpoints must not hash each of them again. */
   @Test
   void anUnchangedEndpointKeepsItsIdWithoutHashingAgain() {
-    AtomicInteger numbered = new AtomicInteger();
-    EndpointRegistry counted =
+    AtomicInteger computedIds = new AtomicInteger();
+    EndpointRegistry countingRegistry =
         new EndpointRegistry(
             List.of("reader", "writer"),
             server -> {
-              numbered.incrementAndGet();
+              computedIds.incrementAndGet();
               return StableHash.of(server.name());
             });
     List<Endpoint> listed = new ArrayList<>();
@@ -77,13 +78,13 @@
       listed.add(entry("s" + i, "reader", ServerLifecycle.READY, WALL_MILLIS - i));
     }
     final List<ServerEntry> first =
-        counted.update(listed, false, NOW_MICROS, WALL_MILLIS).servers();
-    assertEquals(100, numbered.get());
+        countingRegistry.update(listed, false, NOW_MICROS, WALL_MILLIS).servers();
+    assertEquals(100, computedIds.get());
     listed.set(3, entry("s3", "reader", ServerLifecycle.DRAINING, WALL_MILLIS - 3));
     listed.remove(7);
     List<ServerEntry> changes =
-        counted.update(listed, false, NOW_MICROS + 5, WALL_MILLIS + 3).servers();
-    assertEquals(101, numbered.get());
+        countingRegistry.update(listed, false, NOW_MICROS + 5, WALL_MILLIS + 3).servers();
+    assertEquals(101, computedIds.get());
     assertEquals(
         List.of(ServerLifecycle.DRAINING, ServerLifecycle.GONE),
         changes.stream().map(ServerEntry::lifecycle).toList());
@@ -92,82 +93,83 @@
         changes.stream().map(ServerEntry::id).toList());
     assertEquals(
         List.of(listed.get(5).name() + ": listed twice under " + listed.get(5).address()),
-        counted
+        countingRegistry
             .update(List.of(listed.get(5), listed.get(5)), false, NOW_MICROS, WALL_MILLIS)
             .skipped());
-    assertEquals(1, counted.size());
+    assertEquals(1, countingRegistry.size());
   }
 
   /**
-   * A wall clock that steps must not make a server that has just started look warm, nor an old one
-   * look new.
+   * A step of the wall clock must not make a server that has just started appear older, nor change
+   * the start time of a server that is already listed.
    */
   @ParameterizedTest
   @CsvSource({"0", "3600000", "-3600000", "5000", "-5000"})
-  void aStepOfTheWallClockDoesNotMakeANewServerLookWarm(long step) {
-    long second = 1_000_000;
+  void aStepOfTheWallClockDoesNotMakeANewServerOlder(long stepMillis) {
+    long secondMicros = 1_000_000;
     applyList(entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS - 60_000));
-    long later = NOW_MICROS + 20 * second;
-    List<ServerEntry> news =
+    long laterMicros = NOW_MICROS + 20 * secondMicros;
+    List<ServerEntry> changes =
         registry
             .update(
                 List.of(
                     entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS - 60_000),
                     entry("b", "reader", ServerLifecycle.READY, WALL_MILLIS + 19_000)),
                 false,
-                later,
-                WALL_MILLIS + 20_000 + step)
+                laterMicros,
+                WALL_MILLIS + 20_000 + stepMillis)
             .servers();
-    assertEquals(1, news.size(), "what is known keeps its start");
+    assertEquals(1, changes.size(), "a server that is already listed keeps its start time");
     assertTrue(
-        news.get(0).startedAtMicros() >= later - second,
-        "started " + (later - news.get(0).startedAtMicros()) / second + " s ago");
-    assertTrue(news.get(0).startedAtMicros() <= later);
+        changes.get(0).startedAtMicros() >= laterMicros - secondMicros,
+        "started " + (laterMicros - changes.get(0).startedAtMicros()) / secondMicros + " s ago");
+    assertTrue(changes.get(0).startedAtMicros() <= laterMicros);
   }
 
   /**
-   * The clock was wrong from the start of this gateway, and the last list had an earlier process of
-   * the server.
+   * The wall clock has been wrong since the start of this gateway, but the last list had an earlier
+   * process of the server, which limits the age of the new one.
    */
   @Test
   void aReplacementProcessIsNotOlderThanTheLastList() {
-    long hour = 3_600_000;
+    long hourMillis = 3_600_000;
     registry.update(
         List.of(entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS - 60_000)),
         false,
         NOW_MICROS,
-        WALL_MILLIS + hour);
-    long later = NOW_MICROS + 2_000_000;
-    List<ServerEntry> news =
+        WALL_MILLIS + hourMillis);
+    long laterMicros = NOW_MICROS + 2_000_000;
+    List<ServerEntry> changes =
         registry
             .update(
                 List.of(entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS + 1_000)),
                 false,
-                later,
-                WALL_MILLIS + hour + 2_000)
+                laterMicros,
+                WALL_MILLIS + hourMillis + 2_000)
             .servers();
     assertTrue(
-        news.get(0).startedAtMicros() >= NOW_MICROS,
-        "started " + (later - news.get(0).startedAtMicros()) / 1_000_000 + " s ago");
+        changes.get(0).startedAtMicros() >= NOW_MICROS,
+        "started " + (laterMicros - changes.get(0).startedAtMicros()) / 1_000_000 + " s ago");
   }
 
   /**
-   * A list may be the first to have a server that has run for long, as after one that was emptied
-   * by mistake.
+   * A server that has been running for some time may appear for the first time in a later list, for
+   * example after a list that was empty by mistake.
    */
   @Test
-  void aServerFirstListedLateIsAsOldAsItsStartTime() {
+  void aServerFirstListedLaterKeepsItsListedStartTime() {
     applyList(entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS - 60_000));
-    List<ServerEntry> news =
+    List<ServerEntry> changes =
         applyList(
                 entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS - 60_000),
                 entry("b", "reader", ServerLifecycle.READY, WALL_MILLIS - 50_000))
             .servers();
     assertEquals(
-        List.of(NOW_MICROS - 50_000_000), news.stream().map(ServerEntry::startedAtMicros).toList());
+        List.of(NOW_MICROS - 50_000_000),
+        changes.stream().map(ServerEntry::startedAtMicros).toList());
   }
 
-  /** One that was off the list for a while is the process that it was. */
+  /** A server that was not listed for a while is still the same process. */
   @Test
   void aServerThatReturnsToTheListKeepsItsStartTime() {
     long startedAt =
@@ -190,7 +192,7 @@
   }
 
   @Test
-  void afterAnOutageTheNextUpdateIsComplete() {
+  void aRequiredFullUpdateReportsTheNextListInFull() {
     applyList(entry("a", "reader", ServerLifecycle.READY, 0));
     registry.requireFullUpdate();
     assertEquals(
@@ -201,9 +203,9 @@
   }
 
   @Test
-  void idsAreTheSameInEveryGatewayAndIncarnation() {
-    long here = applyList(entry("a", "reader", ServerLifecycle.READY, 0)).servers().get(0).id();
-    long there =
+  void idsAreTheSameInEveryGatewayAndAfterRestart() {
+    long id = applyList(entry("a", "reader", ServerLifecycle.READY, 0)).servers().get(0).id();
+    long otherGatewayId =
         new EndpointRegistry(List.of("writer", "reader"))
             .update(
                 List.of(
@@ -215,11 +217,11 @@
             .servers()
             .get(1)
             .id();
-    assertEquals(here, there);
+    assertEquals(id, otherGatewayId);
   }
 
   @Test
-  void aStartTimeIsConvertedOnceAndADifferentOneIsANewProcess() {
+  void convertsAStartTimeOnceUntilItChanges() {
     long first =
         applyList(entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS - 2_000))
             .servers()
@@ -234,7 +236,7 @@
                 false,
                 NOW_MICROS + 7,
                 WALL_MILLIS + 900)
-            .servers()); // clocks that drift apart do not make a new process
+            .servers()); // a drift between the clocks does not indicate a new process
     assertNotEquals(
         first,
         applyList(entry("a", "reader", ServerLifecycle.READY, WALL_MILLIS - 1_000))
@@ -251,14 +253,14 @@
 
   @Test
   void unusableEntriesAreSkippedWithAReason() {
-    EndpointUpdate news =
+    EndpointUpdate changes =
         applyList(
             entry("a", "painter", ServerLifecycle.READY, 0),
             entry("b", "reader", ServerLifecycle.READY, 0),
             entry("b", "reader", ServerLifecycle.READY, 0));
-    assertEquals(1, news.servers().size());
-    assertEquals(2, news.skipped().size());
-    assertTrue(news.skipped().get(0).contains("painter"));
+    assertEquals(1, changes.servers().size());
+    assertEquals(2, changes.skipped().size());
+    assertTrue(changes.skipped().get(0).contains("painter"));
   }
 
   @Test
--- a/overload/src/main/java/lemondock/overload/GradientLimit.java
+++ b/overload/src/main/java/lemondock/overload/GradientLimit.java
@@ -1,11 +1,11 @@
 package lemondock.overload;
 
 /**
- * A limit of concurrent calls that follows their time to the first token: it shrinks as that time
- * grows over its long-term average, and grows by its own square root while it does not (the
- * "gradient2" limit of Netflix's concurrency-limits library). Weighed against {@link Admission} and
- * kept to be measured beside it: it knows nothing of priorities, and it takes slow engines for a
- * slow gateway. No clock, no I/O; one thread.
+ * A limit of concurrent calls that adapts to their time to the first token: it shrinks while that
+ * time exceeds its long-term average, and otherwise grows by its own square root (the "gradient2"
+ * limit of Netflix's concurrency-limits library). It is an alternative to {@link Admission}, kept
+ * for comparison: it ignores priorities, and it cannot distinguish slow engines from a slow
+ * gateway. Reads no clock and does no I/O. Not thread-safe.
  */
 public final class GradientLimit {
   private static final double LONG_TERM_WEIGHT = 1.0 / 600;
@@ -14,45 +14,56 @@
   private static final double MIN_GRADIENT = 0.5;
   private static final double RECOVERY_FACTOR = 0.95;
 
-  private final double min;
-  private final double max;
+  private final double minLimit;
+  private final double maxLimit;
   private final double tolerance;
   private double limit;
-  private double longTermMicros;
-  private double shortTermMicros;
+  private double longTermAverageMicros;
+  private double shortTermAverageMicros;
 
   /**
-   * Makes one.
+   * Creates a limit.
    *
-   * @param initial limit at the start
-   * @param tolerance how many times the long-term time is still good
+   * @param minLimit lower bound of the limit
+   * @param initialLimit limit at the start
+   * @param maxLimit upper bound of the limit
+   * @param tolerance multiple of the long-term average that is still acceptable
    */
-  public GradientLimit(int min, int initial, int max, double tolerance) {
-    this.min = min;
-    this.limit = initial;
-    this.max = max;
+  public GradientLimit(int minLimit, int initialLimit, int maxLimit, double tolerance) {
+    this.minLimit = minLimit;
+    this.limit = initialLimit;
+    this.maxLimit = maxLimit;
     this.tolerance = tolerance;
   }
 
-  /** A call had its first token after so many microseconds, with so many calls in flight. */
+  /**
+   * Records the time to the first token of a call.
+   *
+   * @param micros time to the first token
+   * @param inFlight number of calls in flight at that time
+   */
   public void recordFirstToken(long micros, int inFlight) {
-    longTermMicros += longTermMicros == 0 ? micros : (micros - longTermMicros) * LONG_TERM_WEIGHT;
-    shortTermMicros +=
-        shortTermMicros == 0 ? micros : (micros - shortTermMicros) * SHORT_TERM_WEIGHT;
-    if (longTermMicros / shortTermMicros > 2) {
-      // the average of an overload is no measure once the overload is over
-      longTermMicros *= RECOVERY_FACTOR;
+    longTermAverageMicros +=
+        longTermAverageMicros == 0 ? micros : (micros - longTermAverageMicros) * LONG_TERM_WEIGHT;
+    shortTermAverageMicros +=
+        shortTermAverageMicros == 0
+            ? micros
+            : (micros - shortTermAverageMicros) * SHORT_TERM_WEIGHT;
+    if (longTermAverageMicros / shortTermAverageMicros > 2) {
+      // the long-term average of an overload must not apply after the overload has ended
+      longTermAverageMicros *= RECOVERY_FACTOR;
     }
     if (inFlight < limit / 2) {
-      return; // the limit was not what kept the time short
+      return; // far below the limit, the time says nothing about it
     }
     double gradient =
-        Math.max(MIN_GRADIENT, Math.min(1, tolerance * longTermMicros / shortTermMicros));
-    double wanted = limit * gradient + Math.sqrt(limit);
-    limit = Math.max(min, Math.min(max, limit + (wanted - limit) * LIMIT_WEIGHT));
+        Math.max(
+            MIN_GRADIENT, Math.min(1, tolerance * longTermAverageMicros / shortTermAverageMicros));
+    double targetLimit = limit * gradient + Math.sqrt(limit);
+    limit = Math.max(minLimit, Math.min(maxLimit, limit + (targetLimit - limit) * LIMIT_WEIGHT));
   }
 
-  /** Calls that may be in flight. */
+  /** Maximum number of calls in flight. */
   public int limit() {
     return (int) limit;
   }
--- a/overload/src/main/java/lemondock/overload/ResourcePressure.java
+++ b/overload/src/main/java/lemondock/overload/ResourcePressure.java
@@ -1,22 +1,23 @@
 package lemondock.overload;
 
 /**
- * Which share of the traffic memory and file handles allow. What ends a process when it is used up
- * must not be used up by new requests: from a soft limit on the share falls with what is left, and
- * at the hard limit nothing new is admitted, so that what runs can end (Envoy's overload manager
- * scales its actions so). It falls at once and rises slowly, because what was just admitted has not
- * taken its part yet. No clock, no I/O; one thread.
+ * Computes the share of the traffic that memory and file handles allow. New requests must not
+ * exhaust a resource whose exhaustion ends the process: above a soft limit the share falls with the
+ * remaining part of the resource, and at the hard limit nothing new is admitted, so that running
+ * work can finish (Envoy's overload manager scales its actions in the same way). The share falls
+ * immediately and rises slowly, because recently admitted requests have not used their part of the
+ * resource yet. Reads no clock and does no I/O. Not thread-safe.
  */
 public final class ResourcePressure {
   private static final double MICROS_PER_SECOND = 1e6;
 
   private final Settings settings;
   private double admittedShare = 1;
-  private long updatedAt = Long.MIN_VALUE;
+  private long updatedAtMicros = Long.MIN_VALUE;
   private Resource scarcest = Resource.NONE;
-  private long refreshedAt = Long.MIN_VALUE / 2;
+  private long refreshedAtMicros = Long.MIN_VALUE / 2;
 
-  /** What can run out. */
+  /** A resource that can be exhausted. */
   public enum Resource {
     NONE,
     MEMORY,
@@ -24,23 +25,25 @@
   }
 
   /**
-   * Parameters.
+   * Parameters of the resource limits.
    *
-   * @param softLimit used part of a resource from which on less is admitted
-   * @param hardLimit used part from which on nothing new is admitted
-   * @param risePerSecond by how much the share grows at most once there is more again
+   * @param softLimit used fraction of a resource above which less is admitted
+   * @param hardLimit used fraction from which nothing new is admitted
+   * @param risePerSecond maximum growth of the share per second after a shortage
    */
   public record Settings(double softLimit, double hardLimit, double risePerSecond) {}
 
-  /** Makes one that has seen nothing and admits everything. */
+  /** Creates an instance that admits everything until the first {@link #update}. */
   public ResourcePressure(Settings settings) {
     this.settings = settings;
   }
 
   /**
-   * Takes what is in use, as parts (0 to 1) of what there is; 0 where that is not known.
+   * Updates the share from the current use of the resources.
    *
-   * @param nowMicros time of the figures
+   * @param nowMicros time of the measurement
+   * @param memoryUsed used fraction of the memory, 0 to 1; 0 if unknown
+   * @param handlesUsed used fraction of the file handles, 0 to 1; 0 if unknown
    */
   public void update(long nowMicros, double memoryUsed, double handlesUsed) {
     double used = Math.max(memoryUsed, handlesUsed);
@@ -49,30 +52,31 @@
     } else {
       scarcest = memoryUsed >= handlesUsed ? Resource.MEMORY : Resource.HANDLES;
     }
-    double left = (settings.hardLimit() - used) / (settings.hardLimit() - settings.softLimit());
-    double wanted = Math.max(0, Math.min(1, left));
-    admittedShare = Math.min(wanted, maxShareByRise(nowMicros));
-    updatedAt = nowMicros;
+    double remaining =
+        (settings.hardLimit() - used) / (settings.hardLimit() - settings.softLimit());
+    double targetShare = Math.max(0, Math.min(1, remaining));
+    admittedShare = Math.min(targetShare, maxRisenShare(nowMicros));
+    updatedAtMicros = nowMicros;
   }
 
-  private double maxShareByRise(long nowMicros) {
-    if (updatedAt == Long.MIN_VALUE) {
+  private double maxRisenShare(long nowMicros) {
+    if (updatedAtMicros == Long.MIN_VALUE) {
       return 1;
     }
     return admittedShare
-        + settings.risePerSecond() * Math.max(0, nowMicros - updatedAt) / MICROS_PER_SECOND;
+        + settings.risePerSecond() * Math.max(0, nowMicros - updatedAtMicros) / MICROS_PER_SECOND;
   }
 
   /**
-   * Whether the caller should refresh the figure of memory, by a garbage collection: the figure is
-   * as old as the last collection, and where nothing is admitted there may not be another one. True
-   * at most once in {@code minIntervalMicros}.
+   * Whether the caller should refresh the measured memory use by a garbage collection: the
+   * measurement is as old as the last collection, and while nothing is admitted there may not be
+   * another one. Returns true at most once per {@code minIntervalMicros}.
    */
-  public boolean takeMemoryRefresh(long nowMicros, long minIntervalMicros) {
-    if (scarcest != Resource.MEMORY || nowMicros - refreshedAt < minIntervalMicros) {
+  public boolean tryStartMemoryRefresh(long nowMicros, long minIntervalMicros) {
+    if (scarcest != Resource.MEMORY || nowMicros - refreshedAtMicros < minIntervalMicros) {
       return false;
     }
-    refreshedAt = nowMicros;
+    refreshedAtMicros = nowMicros;
     return true;
   }
 
@@ -81,7 +85,7 @@
     return admittedShare;
   }
 
-  /** The resource that is short now. */
+  /** The scarcest resource if it is above its soft limit, otherwise {@link Resource#NONE}. */
   public Resource scarcest() {
     return scarcest;
   }
--- a/overload/src/main/java/lemondock/overload/RetryBudget.java
+++ b/overload/src/main/java/lemondock/overload/RetryBudget.java
@@ -1,11 +1,12 @@
 package lemondock.overload;
 
 /**
- * How many retries are admitted for the new calls that arrive. A client that was rejected comes
- * again, and where each rejection brings back a call the load grows by being rejected; so retries
- * get a budget: a part of the calls that were new, and some a second besides, so that a client of a
- * quiet gateway may always retry (Finagle's RetryBudget, kept at the server: its clients are
- * strangers). Counts decay by half each {@code halfLifeMicros}. No clock, no I/O; one thread.
+ * Limits the retries that are admitted. Rejected clients retry, and if each rejection leads to a
+ * retry, rejecting calls increases the load. Therefore retries have a budget: a fraction of the new
+ * calls, plus a fixed rate per second, so that the clients of a gateway with little traffic can
+ * always retry. This is Finagle's RetryBudget, but kept by the server, because its clients are not
+ * under its control. Counts decay by half every {@code halfLifeMicros}. Reads no clock and does no
+ * I/O. Not thread-safe.
  */
 public final class RetryBudget {
   private static final double MICROS_PER_SECOND = 1e6;
@@ -13,23 +14,23 @@
   private final Settings settings;
   private double newCalls;
   private double retries;
-  private long decayedAt = Long.MIN_VALUE;
+  private long decayedAtMicros = Long.MIN_VALUE;
 
   /**
-   * Parameters.
+   * Parameters of the retry budget.
    *
-   * @param retriesPerNewCall retries that each new call pays for
-   * @param retriesPerSecond retries a second that need no new call
-   * @param halfLifeMicros time in which half of the counts decays
+   * @param retriesPerNewCall retries that each new call adds to the budget
+   * @param retriesPerSecond retries per second that are admitted without new calls
+   * @param halfLifeMicros half-life of the counts
    */
   public record Settings(double retriesPerNewCall, double retriesPerSecond, long halfLifeMicros) {}
 
-  /** Makes one that has counted nothing. */
+  /** Creates a budget that has counted nothing. */
   public RetryBudget(Settings settings) {
     this.settings = settings;
   }
 
-  /** A call arrived, whether it is admitted or not. */
+  /** Records the arrival of a call, whether it is admitted or not. */
   public void recordArrival(boolean retry) {
     if (retry) {
       retries++;
@@ -38,17 +39,19 @@
     }
   }
 
-  /** The share of retries that is within the budget now, 0 to 1. */
+  /** Decays the counts and returns the share of retries that is within the budget, 0 to 1. */
   public double admittedShare(long nowMicros) {
-    if (decayedAt != Long.MIN_VALUE) {
-      double decay = Math.pow(0.5, (double) (nowMicros - decayedAt) / settings.halfLifeMicros());
+    if (decayedAtMicros != Long.MIN_VALUE) {
+      double decay =
+          Math.pow(0.5, (double) (nowMicros - decayedAtMicros) / settings.halfLifeMicros());
       newCalls *= decay;
       retries *= decay;
     }
-    decayedAt = nowMicros;
-    // what a steady rate of one a second adds up to under this decay
-    double seconds = settings.halfLifeMicros() / MICROS_PER_SECOND / Math.log(2);
-    double budget = settings.retriesPerNewCall() * newCalls + settings.retriesPerSecond() * seconds;
+    decayedAtMicros = nowMicros;
+    // the decaying count that a steady rate of one per second converges to
+    double effectiveSeconds = settings.halfLifeMicros() / MICROS_PER_SECOND / Math.log(2);
+    double budget =
+        settings.retriesPerNewCall() * newCalls + settings.retriesPerSecond() * effectiveSeconds;
     return retries <= budget ? 1 : budget / retries;
   }
 }
--- a/overload/src/main/java/lemondock/overload/StallMonitor.java
+++ b/overload/src/main/java/lemondock/overload/StallMonitor.java
@@ -1,29 +1,30 @@
 package lemondock.overload;
 
 /**
- * Detects that the gateway process itself did not run, by a tick that should run at a fixed pace.
- * It keeps two things apart that look alike from within: engines that are slow, and a process that
- * did not run (stopped, swapped out, collecting garbage, starved of processors). Stalled time is
- * nobody's fault: it is taken off the duration of attempts, and time-outs are postponed until what
- * arrived during the stall was read. No clock, no I/O; one thread. Times are microseconds.
+ * Detects stalls of the gateway process, by a tick that should run at a fixed interval. From within
+ * the process, slow engines and a process that does not run (stopped, swapped out, collecting
+ * garbage, without processor time) look alike; this class tells them apart. The engines are not
+ * responsible for stalls: their duration is subtracted from the duration of attempts, and timeouts
+ * are postponed until the data that arrived during the stall was read. Reads no clock and does no
+ * I/O. Not thread-safe. Times are microseconds.
  */
 public final class StallMonitor {
   private final long tickMicros;
   private final long minStallMicros;
   private final long graceMicros;
-  private long nextTickAt;
+  private long nextTickAtMicros;
   private boolean ticking;
   private long totalStallMicros;
-  private long graceEndsAt = Long.MIN_VALUE;
+  private long graceEndsAtMicros = Long.MIN_VALUE;
   private long stallCount;
   private long longestStallMicros;
 
   /**
-   * Makes one that begins with the first tick.
+   * Creates a monitor that detects stalls from the first tick on.
    *
-   * @param tickMicros time between two ticks
+   * @param tickMicros interval between two ticks
    * @param minStallMicros smallest delay of a tick that counts as a stall
-   * @param graceMicros time after a stall in which what waits at the sockets is read
+   * @param graceMicros time after a stall for reading the data that is waiting at the sockets
    */
   public StallMonitor(long tickMicros, long minStallMicros, long graceMicros) {
     this.tickMicros = tickMicros;
@@ -31,45 +32,45 @@
     this.graceMicros = graceMicros;
   }
 
-  /** The tick runs; returns the time at which the next one is due. */
+  /** Records a tick and returns the time at which the next one is due. */
   public long onTick(long nowMicros) {
     detectStall(nowMicros);
     ticking = true;
-    nextTickAt = nowMicros + tickMicros;
-    return nextTickAt;
+    nextTickAtMicros = nowMicros + tickMicros;
+    return nextTickAtMicros;
   }
 
   /**
-   * To be called before anything is judged by time: a stall is detected by whatever runs first
-   * after it, which need not be the tick; the tick then finds that the stall was counted.
+   * Must be called before any timeout is evaluated: the first task after a stall, which need not be
+   * the tick, has to detect it. A later tick does not count the same stall again.
    */
   public void detectStall(long nowMicros) {
-    long late = ticking ? nowMicros - nextTickAt : 0;
-    if (late >= minStallMicros) {
-      totalStallMicros += late;
+    long tickDelayMicros = ticking ? nowMicros - nextTickAtMicros : 0;
+    if (tickDelayMicros >= minStallMicros) {
+      totalStallMicros += tickDelayMicros;
       stallCount++;
-      longestStallMicros = Math.max(longestStallMicros, late);
-      graceEndsAt = nowMicros + graceMicros;
-      nextTickAt = nowMicros;
+      longestStallMicros = Math.max(longestStallMicros, tickDelayMicros);
+      graceEndsAtMicros = nowMicros + graceMicros;
+      nextTickAtMicros = nowMicros;
     }
   }
 
-  /** Time for which the process did not run since the start; only differences of it matter. */
+  /** Total duration of the stalls since the start; meant for computing differences. */
   public long totalStallMicros() {
     return totalStallMicros;
   }
 
-  /** How long to postpone a judgement by time, as a time-out; 0 if it may be made now. */
+  /** Time by which timeouts must be postponed; 0 if they may be evaluated now. */
   public long remainingGraceMicros(long nowMicros) {
-    return graceEndsAt > nowMicros ? graceEndsAt - nowMicros : 0;
+    return graceEndsAtMicros > nowMicros ? graceEndsAtMicros - nowMicros : 0;
   }
 
-  /** Stalls since the start. */
+  /** Number of stalls since the start. */
   public long stallCount() {
     return stallCount;
   }
 
-  /** The longest stall since the start. */
+  /** Duration of the longest stall since the start. */
   public long longestStallMicros() {
     return longestStallMicros;
   }
--- a/overload/src/test/java/lemondock/overload/AdmissionTest.java
+++ b/overload/src/test/java/lemondock/overload/AdmissionTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Admission by queueing delay and by resources, on a clock moved by hand. */
+/** Admission by queueing delay and by resources, with times set by the test. */
 class AdmissionTest {
   private static final long MILLIS = 1_000;
 
@@ -24,7 +24,7 @@
           new RetryBudget.Settings(0.2, 10, 5_000 * MILLIS));
 
   @Test
-  void singleLongDelayIsNoOverload() {
+  void longDelaysAreNoOverloadWhileTheShortestIsBelowTarget() {
     Admission admission = new Admission(SETTINGS, 1);
     for (int i = 0; i < 1_000; i++) {
       admission.recordDelay(i * 10 * MILLIS, 0, i % 5 == 0 ? 0 : 200 * MILLIS);
@@ -35,7 +35,9 @@
     for (int i = 0; i < 20; i++) {
       admission.recordDelay(10_000 * MILLIS + i * 10 * MILLIS, 0, 4 * MILLIS);
     }
-    assertFalse(admission.isRelaxed(), "not bad yet, but to be looked at more often");
+    assertFalse(
+        admission.isRelaxed(),
+        "a delay below the target but above a quarter of it must be measured more often");
   }
 
   @Test
@@ -49,12 +51,12 @@
     long now = 0;
     for (int i = 0; i <= 10; i++) {
       admission.recordDelay(
-          now += 10 * MILLIS, 0, (50 + 20 * i) * MILLIS); // grows twice as fast as it is done
+          now += 10 * MILLIS, 0, (50 + 20 * i) * MILLIS); // the queue grows by 2 ms per ms
     }
     assertEquals(
         1 / 1.5 * (1 - 40.0 / 500),
         admission.admittedShare(),
-        1e-9); // the shortest was 50 ms in 100, above a target of 10
+        1e-9); // the shortest delay was 50 ms, 40 above the target, in an interval of 100 ms
     for (int i = 0; i < 10; i++) {
       admission.recordDelay(now += 10 * MILLIS, 0, 250 * MILLIS);
     }
@@ -63,13 +65,13 @@
         "share " + admission.admittedShare());
     assertFalse(
         admission.gate().admits(low, 0),
-        "a quarter has a higher priority, so nothing of the rest is admitted");
+        "a quarter of the requests has a higher priority, so none of the others is admitted");
     for (int i = 0; i < 400; i++) {
       admission.recordDelay(now += 10 * MILLIS, 0, 500 * MILLIS);
     }
     assertEquals(0.02, admission.admittedShare(), 1e-9);
     assertFalse(admission.gate().admits(high, 0.3));
-    assertTrue(admission.gate().admits(high, 0.05), "never nothing at all");
+    assertTrue(admission.gate().admits(high, 0.05), "the minimum share is always admitted");
     int intervals = 0;
     while (admission.admittedShare() < 1) {
       for (int i = 0; i < 10; i++) {
@@ -77,7 +79,7 @@
       }
       intervals++;
     }
-    assertTrue(intervals <= 21, "back after " + intervals * 100 + " ms");
+    assertTrue(intervals <= 21, "everything is admitted again after " + intervals * 100 + " ms");
     assertSame(Admission.Gate.OPEN, admission.gate());
   }
 
@@ -104,7 +106,7 @@
     admission.recordDelay(now, 0, 0);
     for (int i = 1;
         i <= 10;
-        i++) { // the probe of a queue that is 300 ms long is asked after as it grows old
+        i++) { // a probe that waits in a queue of 300 ms reports its growing age
       admission.recordOngoingDelay(1, i * 10 * MILLIS);
       admission.recordDelay(now += 10 * MILLIS, 0, 0);
     }
@@ -112,7 +114,7 @@
         1 / 2.0 * (1 - 90.0 / 500),
         admission.admittedShare(),
         1e-9,
-        "the oldest it was, not the youngest");
+        "the last reported delay counts, not the first");
     Admission other = new Admission(SETTINGS, 2);
     other.recordDelay(now = 0, 0, 0);
     for (int i = 1; i <= 10; i++) {
@@ -120,7 +122,8 @@
       other.recordOngoingDelay(1, 90 * MILLIS);
       other.recordDelay(now += 10 * MILLIS, 0, 0);
     }
-    assertEquals(1, other.admittedShare(), "one that passed quickly says more than one that waits");
+    assertEquals(
+        1, other.admittedShare(), "a short completed delay takes precedence over an ongoing one");
   }
 
   @Test
@@ -131,23 +134,26 @@
     for (int i = 0; i < 25; i++) {
       admission.recordDelay(now += 10 * MILLIS, 0, 50 * MILLIS);
     }
-    long early = admission.gate().retryAfterMicros(0.5);
+    long earlyRetryAfterMicros = admission.gate().retryAfterMicros(0.5);
     for (int i = 0; i < 5_000; i++) {
       admission.recordDelay(now += 10 * MILLIS, 0, 50 * MILLIS);
     }
-    assertTrue(early >= 500 * MILLIS && early < 1_000 * MILLIS, "early " + early);
+    assertTrue(
+        earlyRetryAfterMicros >= 500 * MILLIS && earlyRetryAfterMicros < 1_000 * MILLIS,
+        "early Retry-After in microseconds: " + earlyRetryAfterMicros);
     assertEquals(5_000 * MILLIS * 0.5, admission.gate().retryAfterMicros(0));
     assertTrue(admission.gate().retryAfterMicros(0.999) > 9_000 * MILLIS);
   }
 
   @Test
-  void shorterLatencyObjectiveWinsAmongEqualWeights() {
+  void shorterLatencyObjectiveHasPriorityAmongEqualWeights() {
     assertTrue(Admission.priority(1, 500 * MILLIS) > Admission.priority(1, 5_000 * MILLIS));
     assertTrue(Admission.priority(1.01, 500_000 * MILLIS) > Admission.priority(1, 0));
   }
 
   /**
-   * A server of fixed capacity and a queue: goodput past saturation, with and without. Simulated.
+   * Simulates a server with a fixed capacity and a queue, and compares its goodput beyond
+   * saturation with and without admission control.
    */
   @Test
   void goodputHoldsAtTenTimesCapacity() {
@@ -157,32 +163,36 @@
       double with = goodput(load, true);
       double without = goodput(load, false);
       assertTrue(with >= 0.85 * peak, "at " + load + " times capacity " + with + " of " + peak);
-      assertTrue(with > 3 * without, "without admission " + without);
+      assertTrue(
+          with > 3 * without,
+          "at " + load + " times capacity " + with + ", without admission " + without);
     }
   }
 
-  /** Requests served within 100 ms, per millisecond, for one unit of work a millisecond. */
+  /** Requests served within 100 ms, per millisecond, at a capacity of one unit of work per ms. */
   private static double goodput(double load, boolean limited) {
     Admission admission = new Admission(SETTINGS, 1);
     SplittableRandom random = new SplittableRandom(1);
-    double free = 0;
-    double good = 0;
+    double busyUntilMillis = 0;
+    double servedInTime = 0;
     double priority = Admission.priority(1, 100 * MILLIS);
-    int milliseconds = 20_000;
-    double due = 0;
-    for (int ms = 0; ms < milliseconds; ms++) {
-      admission.recordDelay(ms * MILLIS, 0, (long) Math.max(0, free - ms) * MILLIS);
-      for (due += load; due >= 1; due--) {
+    int durationMillis = 20_000;
+    double dueRequests = 0;
+    for (int nowMillis = 0; nowMillis < durationMillis; nowMillis++) {
+      admission.recordDelay(
+          nowMillis * MILLIS, 0, (long) Math.max(0, busyUntilMillis - nowMillis) * MILLIS);
+      for (dueRequests += load; dueRequests >= 1; dueRequests--) {
         admission.recordArrival(priority, false);
         if (!limited || admission.gate().admits(priority, random.nextDouble())) {
-          free = Math.max(free, ms) + 0.98;
-          good += free - ms <= 100 && ms > 2_000 ? 1 : 0;
+          busyUntilMillis = Math.max(busyUntilMillis, nowMillis) + 0.98;
+          servedInTime += busyUntilMillis - nowMillis <= 100 && nowMillis > 2_000 ? 1 : 0;
         } else {
-          free = Math.max(free, ms) + 0.01; // a rejection costs something too
+          busyUntilMillis =
+              Math.max(busyUntilMillis, nowMillis) + 0.01; // a rejection takes some work, too
         }
       }
     }
-    return good / (milliseconds - 2_000);
+    return servedInTime / (durationMillis - 2_000);
   }
 
   @Test
@@ -203,14 +213,19 @@
     pressure.update(2_000 * MILLIS, 0.99, 0.1);
     assertEquals(ResourcePressure.Resource.MEMORY, pressure.scarcest());
     admission.limitByResources(2_000 * MILLIS, pressure.admittedShare());
-    assertFalse(admission.gate().admits(1e9, 0), "nothing at all is admitted");
+    assertFalse(admission.gate().admits(1e9, 0), "nothing is admitted above the hard limit");
     assertFalse(admission.gate().admitsNewSession(0) || admission.gate().admitsRetry(0));
-    assertTrue(pressure.takeMemoryRefresh(2_000 * MILLIS, 5_000 * MILLIS), "the figure may be old");
-    assertFalse(pressure.takeMemoryRefresh(6_999 * MILLIS, 5_000 * MILLIS), "but not too often");
+    assertTrue(
+        pressure.tryStartMemoryRefresh(2_000 * MILLIS, 5_000 * MILLIS),
+        "the measured memory use may be outdated");
+    assertFalse(
+        pressure.tryStartMemoryRefresh(6_999 * MILLIS, 5_000 * MILLIS),
+        "refreshed again within the minimum interval");
     pressure.update(3_000 * MILLIS, 0.1, 0.1);
-    assertFalse(pressure.takeMemoryRefresh(60_000 * MILLIS, 5_000 * MILLIS), "nothing is short");
-    assertEquals(
-        0.2, pressure.admittedShare(), 1e-9, "what was admitted last has not taken its part yet");
+    assertFalse(
+        pressure.tryStartMemoryRefresh(60_000 * MILLIS, 5_000 * MILLIS),
+        "refreshed though no resource is short");
+    assertEquals(0.2, pressure.admittedShare(), 1e-9, "the share rises slowly, by 0.2 per second");
     pressure.update(3_500 * MILLIS, 0.1, 0.1);
     assertEquals(0.3, pressure.admittedShare(), 1e-9);
     pressure.update(60_000 * MILLIS, 0.1, 0.1);
@@ -227,7 +242,8 @@
     for (int i = 0; i <= 20; i++) {
       admission.recordDelay(now += 10 * MILLIS, 0, 0);
     }
-    assertEquals(0.5, admission.admittedShare(), 1e-9, "no wait, but little memory");
+    assertEquals(
+        0.5, admission.admittedShare(), 1e-9, "limited by resources only, without any delay");
     for (int i = 0; i <= 10; i++) {
       admission.recordDelay(now += 10 * MILLIS, 0, 260 * MILLIS);
     }
--- a/overload/src/test/java/lemondock/overload/GradientLimitTest.java
+++ b/overload/src/test/java/lemondock/overload/GradientLimitTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The limit of concurrent calls by their time to the first token. */
+/** The limit of concurrent calls, adapted to their time to the first token. */
 class GradientLimitTest {
   private static final long MILLIS = 1_000;
 
@@ -20,11 +20,11 @@
       gradient.recordFirstToken(200 * MILLIS, gradient.limit());
     }
     assertTrue(gradient.limit() < 100, "limit " + gradient.limit());
-    int low = gradient.limit();
+    int reducedLimit = gradient.limit();
     for (int i = 0; i < 300; i++) {
       gradient.recordFirstToken(20 * MILLIS, 1);
     }
-    assertEquals(low, gradient.limit(), "not by calls that it did not bound");
+    assertEquals(reducedLimit, gradient.limit(), "calls far below the limit must not raise it");
     for (int i = 0; i < 300; i++) {
       gradient.recordFirstToken(20 * MILLIS, gradient.limit());
     }
