--- a/policy/src/main/java/lemondock/policy/AdaptiveCapacityLimit.java
+++ b/policy/src/main/java/lemondock/policy/AdaptiveCapacityLimit.java
@@ -3,34 +3,42 @@
 import java.util.List;
 
 /**
- * Rejects before it costs work what the writers cannot take: tokens in flight are held to a part of
- * the writers' memory that this gateway learns by additive increase and multiplicative decrease.
- * One figure stands for all writers, for one of many gateways sees each too rarely. Guards against
- * overload, bursts, shared slowness and lost writers; it can do harm where first tokens are late
- * for another cause, until prompt ones let the limit grow back.
+ * Limits admission, so that requests beyond the capacity of the writers are rejected before any
+ * work is spent on them. The tokens in flight are limited to a share of the writers' memory, which
+ * this gateway learns: each first token in time raises the limit, and each late first token or
+ * rejection lowers it by a multiple of that. One share applies to all writers, because one gateway
+ * of many sees each writer too rarely to learn a share for it. Protects against overload, bursts,
+ * slowness of all writers and lost writers. It rejects too much while first tokens are late for
+ * another cause, until first tokens in time let the limit grow again.
  */
 final class AdaptiveCapacityLimit {
-  /** First share, in even shares of the memory: gateways use writers unevenly. */
+  /**
+   * Initial share of the memory, as a multiple of an even split between all gateways. More than 1,
+   * because gateways use the writers unevenly.
+   */
   private static final double INITIAL_SHARE = 1.2;
 
   /**
-   * Times its own tokens that a late or rejected request takes off; a prompt one adds them once.
+   * A late or rejected request lowers the limit by this multiple of its tokens; a request with its
+   * first token in time raises it by its tokens.
    */
   private static final double DECREASE_FACTOR = 2.0;
 
-  /** The limit grows only while more than this share of what is open to the request is in use. */
+  /** The limit grows only while more than this share of the request's allowance is in use. */
   private static final double INCREASE_UTILIZATION = 0.5;
 
-  /** Streams that take this share of the wanted time: their writer takes no more. */
-  private static final double SATURATED_PACE = 0.9;
+  /** A writer whose streams take this share of their objective has no capacity left. */
+  private static final double SATURATED_STREAM_TIME_RATIO = 0.9;
 
   private final ServerModel servers;
   private final AdmissionQuota quota;
 
-  /** Whether writers are of two roles: the pace of one role sends work to the other. */
+  /**
+   * Whether the writers have two roles, so that slow streams of one role move work to the other.
+   */
   private final boolean mixedFleet;
 
-  private double share;
+  private double memoryShare;
   private long tokensInFlight;
   private long writeTokensInFlight;
 
@@ -39,33 +47,36 @@
     this.quota = quota;
     this.mixedFleet =
         settings.serverKinds().stream().anyMatch(kind -> kind.role() == ServerRole.MIXED);
-    this.share = Math.min(1, INITIAL_SHARE / Math.max(1, settings.gatewayCount()));
+    this.memoryShare = Math.min(1, INITIAL_SHARE / Math.max(1, settings.gatewayCount()));
   }
 
-  /** Whether the request may begin; with nothing in flight one always may. */
+  /**
+   * Whether the request may be sent now. Always true while nothing is in flight, so that a limit
+   * that has fallen to zero can grow again.
+   */
   boolean admits(InFlightRequest request) {
     return tokensInFlight == 0
         || tokensInFlight + request.writeTokens()
-            <= share * memoryTokens() * quota.allowedShare(request);
+            <= memoryShare * memoryTokens() * quota.allowedShare(request);
   }
 
-  /** Whether the writer can take the request's answer and write it at the wanted pace. */
+  /** Whether the writer can take the request's answer and stream it as fast as its class wants. */
   boolean hasCapacity(ServerState server, InFlightRequest request) {
     double lateMicros = request.objectiveMicros() * LatencyEstimator.LATE_FIRST_TOKEN_SHARE;
-    return streamPace(server) < SATURATED_PACE
+    return streamTimeRatio(server) < SATURATED_STREAM_TIME_RATIO
         && servers.latency().estimatedWaitMicros(server) <= lateMicros
         && (server.writeTokensInFlight() == 0
             || server.writeTokensInFlight() + request.writeTokens()
-                <= share * server.memoryTokens());
+                <= memoryShare * server.memoryTokens());
   }
 
-  private double streamPace(ServerState server) {
+  private double streamTimeRatio(ServerState server) {
     return mixedFleet
-        ? Math.max(server.streamPace().lastSet(), server.roleStatistics().streamPace())
-        : server.streamPace().lastSet();
+        ? Math.max(server.streamTimeRatio().lastSet(), server.roleStatistics().streamTimeRatio())
+        : server.streamTimeRatio().lastSet();
   }
 
-  /** An attempt is sent. */
+  /** Adds the tokens of an attempt that is being sent. */
   void recordSent(Attempt attempt) {
     tokensInFlight += attempt.tokens();
     if (attempt.writes()) {
@@ -75,7 +86,7 @@
     }
   }
 
-  /** An attempt has ended. */
+  /** Subtracts the tokens of an attempt that has ended. */
   void recordEnded(Attempt attempt) {
     tokensInFlight -= attempt.tokens();
     if (attempt.writes()) {
@@ -85,8 +96,8 @@
   }
 
   /**
-   * A first token that came late says that the writers have too much; one that never came may be
-   * lost and says nothing.
+   * Adjusts the limit after a first token. A late one shows that the writers are overloaded. An
+   * attempt that never gets a first token may be lost and shows nothing, so it changes nothing.
    */
   void recordFirstToken(InFlightRequest request, Attempt attempt, long timeToFirstTokenMicros) {
     double lateMicros = request.objectiveMicros() * LatencyEstimator.LATE_FIRST_TOKEN_SHARE;
@@ -94,13 +105,13 @@
       decrease(attempt);
       return;
     }
-    double open = share * memoryTokens() * quota.allowedShare(request);
-    if (attempt.writeTokensInFlightAtSend() > open * INCREASE_UTILIZATION) {
-      share = Math.min(1, share + attempt.tokens() / memoryTokens());
+    double allowedTokens = memoryShare * memoryTokens() * quota.allowedShare(request);
+    if (attempt.writeTokensInFlightAtSend() > allowedTokens * INCREASE_UTILIZATION) {
+      memoryShare = Math.min(1, memoryShare + attempt.tokens() / memoryTokens());
     }
   }
 
-  /** A server has rejected an attempt for want of capacity. */
+  /** Lowers the limit after a server has rejected a write for lack of capacity. */
   void recordRejection(Attempt attempt) {
     if (attempt.writes()) {
       decrease(attempt);
@@ -111,14 +122,17 @@
     return tokensInFlight;
   }
 
-  /** The tokens that may be in flight. */
+  /** The most tokens that may be in flight. */
   long capacityTokens() {
-    return Math.round(share * memoryTokens());
+    return Math.round(memoryShare * memoryTokens());
   }
 
-  /** Late writes settle at one in so many, for a decrease takes a multiple of an increase. */
+  /**
+   * Lowers the limit. A decrease is a multiple of an increase, so the limit settles where writes in
+   * time outnumber late ones by that factor.
+   */
   private void decrease(Attempt attempt) {
-    share -= Math.min(share, DECREASE_FACTOR * attempt.tokens() / memoryTokens());
+    memoryShare -= Math.min(memoryShare, DECREASE_FACTOR * attempt.tokens() / memoryTokens());
   }
 
   private double memoryTokens() {
--- a/policy/src/main/java/lemondock/policy/AdmissionQuota.java
+++ b/policy/src/main/java/lemondock/policy/AdmissionQuota.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * The share of the capacity that is open to a request: under pressure, classes of lower priority
- * and tenants beyond their quota are rejected first.
+ * Decides which share of the capacity a request may use. Near the capacity limit, classes of lower
+ * priority and tenants over their quota are therefore rejected first.
  */
 final class AdmissionQuota {
-  /** Share open to classes of a lower priority than the highest. */
+  /** Share that classes below the highest priority may use. */
   private static final double LOWER_PRIORITY_SHARE = 0.8;
 
-  /** Share open to a tenant beyond its quota. */
+  /** Share that a tenant over its quota may use. */
   private static final double OVER_QUOTA_SHARE = 0.6;
 
   private final RouterSettings settings;
@@ -24,13 +24,14 @@
         settings.tenants().stream().map(tenant -> new DecayingCounter()).toList();
   }
 
-  /** A request has arrived; a client's retry does not count against its tenant. */
+  /** Counts a request that has arrived; a client's retry does not count against its tenant. */
   void recordArrival(RoutingRequest request) {
     if (request.tenantId() < arrivalsByTenant.size() && !request.clientRetry()) {
-      arrivalsByTenant.get(request.tenantId()).add(clock.nowMicros());
+      arrivalsByTenant.get(request.tenantId()).increment(clock.nowMicros());
     }
   }
 
+  /** The share of the capacity, from 0 to 1, that the request may use. */
   double allowedShare(InFlightRequest request) {
     if (isOverQuota(request.attributes().tenantId())) {
       return OVER_QUOTA_SHARE;
@@ -42,9 +43,9 @@
     if (tenantId >= arrivalsByTenant.size()) {
       return false;
     }
-    double quota = settings.tenants().get(tenantId).quotaPerSecond();
-    double own = arrivalsByTenant.get(tenantId).perSecond(clock.nowMicros());
-    return quota > 0 && own * settings.gatewayCount() > quota;
+    double quotaPerSecond = settings.tenants().get(tenantId).quotaPerSecond();
+    double arrivalsPerSecond = arrivalsByTenant.get(tenantId).ratePerSecond(clock.nowMicros());
+    return quotaPerSecond > 0 && arrivalsPerSecond * settings.gatewayCount() > quotaPerSecond;
   }
 
   private boolean hasHigherPriorityClass(RequestClass requestClass) {
--- a/policy/src/main/java/lemondock/policy/AttemptRecorder.java
+++ b/policy/src/main/java/lemondock/policy/AttemptRecorder.java
@@ -1,6 +1,9 @@
 package lemondock.policy;
 
-/** Records what attempts show: tokens in flight, health, speed, capacity and cached text. */
+/**
+ * Updates everything that is learned from attempts: tokens in flight, health and speed of servers,
+ * the capacity limit, sticky sessions and cached text.
+ */
 final class AttemptRecorder {
   private final ServerModel servers;
   private final AdaptiveCapacityLimit capacity;
@@ -18,8 +21,8 @@
     this.cachedPrompts = cachedPrompts;
   }
 
-  /** The answer of the attempt has begun. */
-  void firstToken(InFlightRequest request, Attempt attempt, long timeToFirstTokenMicros) {
+  /** Records the first token of an attempt's answer. */
+  void recordFirstToken(InFlightRequest request, Attempt attempt, long timeToFirstTokenMicros) {
     attempt.recordFirstToken(timeToFirstTokenMicros);
     servers.recordAnswer(attempt, AttemptVerdict.SUCCESS);
     servers.latency().recordFirstToken(attempt, timeToFirstTokenMicros);
@@ -29,8 +32,8 @@
     }
   }
 
-  /** The attempt has ended. */
-  void ended(InFlightRequest request, Attempt attempt, AttemptResult result) {
+  /** Records the end of an attempt. */
+  void recordEnd(InFlightRequest request, Attempt attempt, AttemptResult result) {
     AttemptOutcome outcome = result.outcome();
     attempt.end(outcome);
     request.attemptEnded(attempt);
@@ -59,7 +62,7 @@
       }
       case OK -> {
         recordUncached(request, attempt, uncachedTokens);
-        servers.latency().recordStreamPace(request, attempt, result.elapsedMicros());
+        servers.latency().recordStreamTime(request, attempt, result.elapsedMicros());
       }
       case REJECTED -> {
         if (!result.stateMissing()) {
@@ -68,7 +71,7 @@
         }
       }
       default -> {
-        // Nothing but the verdict.
+        // Only the verdict counts, which the caller has recorded.
       }
     }
   }
--- a/policy/src/main/java/lemondock/policy/CachedPromptEstimator.java
+++ b/policy/src/main/java/lemondock/policy/CachedPromptEstimator.java
@@ -2,41 +2,42 @@
 
 import java.util.Optional;
 
-/** Estimates how much of a prompt a server has to read because it has not cached it. */
+/** Estimates how many tokens of a prompt a server has to read because it has not cached them. */
 final class CachedPromptEstimator {
   private final SlowStart slowStart;
 
-  /** Tokens that reads of each class usually had to read; 0 while unknown. */
-  private final double[] usualUncachedTokens;
+  /** Moving average of the tokens that reads of each class had to read; 0 while unknown. */
+  private final double[] meanUncachedTokens;
 
   CachedPromptEstimator(int classCount, SlowStart slowStart) {
     this.slowStart = slowStart;
-    this.usualUncachedTokens = new double[classCount];
+    this.meanUncachedTokens = new double[classCount];
   }
 
   /**
-   * Tokens of the prompt that the server has likely not cached. Primaries are shared by all
-   * gateways: their text is likely cached though this gateway never sent it, the prefix at all of
-   * them, the session's earlier turns at the first, but for what is usually new in the class. Not
-   * so at a server that has started of late.
+   * Tokens of the prompt that the server has probably not cached. All gateways use the same
+   * primaries, so a primary has probably cached text that this gateway never sent to it: every
+   * primary the prefix, and the first one also the session's earlier turns, that is all but the
+   * tokens that are new in an average request of the class. This does not hold for a server that
+   * has started recently.
    *
-   * @param rank the server's place in the ranking for the request, from 0
-   * @param primaryCount how many servers of the ranking are primaries
+   * @param rank the server's position in the ranking for the request, from 0
+   * @param primaryCount how many servers at the head of the ranking are primaries
    */
   long uncachedTokens(InFlightRequest request, ServerState server, int rank, int primaryCount) {
     RoutingRequest attributes = request.attributes();
-    boolean settledPrimary = rank < primaryCount && !slowStart.isWarmingUp(server);
-    long cached = knownCachedTokens(request, server, settledPrimary);
+    boolean warmPrimary = rank < primaryCount && !slowStart.isWarmingUp(server);
+    long cached = knownCachedTokens(request, server, warmPrimary);
     long uncached = Math.max(0, attributes.promptTokens() - cached);
-    double usual = usualUncachedTokens[attributes.classId()];
-    return rank == 0 && settledPrimary && usual > 0 ? Math.min(uncached, (long) usual) : uncached;
+    double mean = meanUncachedTokens[attributes.classId()];
+    return rank == 0 && warmPrimary && mean > 0 ? Math.min(uncached, (long) mean) : uncached;
   }
 
   private static long knownCachedTokens(
-      InFlightRequest request, ServerState server, boolean settledPrimary) {
+      InFlightRequest request, ServerState server, boolean warmPrimary) {
     RoutingRequest attributes = request.attributes();
     boolean prefixCached =
-        settledPrimary && attributes.prefixId() != 0 || server.knowsPrefix(attributes.prefixId());
+        warmPrimary && attributes.prefixId() != 0 || server.hasRecentPrefix(attributes.prefixId());
     long cached = prefixCached ? attributes.prefixTokens() : 0;
     Optional<SessionEntry> session = request.session();
     if (session.isPresent() && session.get().serverId() == server.id()) {
@@ -45,10 +46,10 @@
     return cached;
   }
 
-  /** A read of the class has ended and had to read so many tokens. */
+  /** Updates the average of the class after a read that had to read {@code uncachedTokens}. */
   void recordRead(int classId, long uncachedTokens) {
-    double usual = usualUncachedTokens[classId];
-    double weight = usual == 0 ? 1 : RoleStatistics.WEIGHT;
-    usualUncachedTokens[classId] += weight * (uncachedTokens - usual);
+    double mean = meanUncachedTokens[classId];
+    double weight = mean == 0 ? 1 : RoleStatistics.WEIGHT;
+    meanUncachedTokens[classId] += weight * (uncachedTokens - mean);
   }
 }
--- a/policy/src/main/java/lemondock/policy/Control.java
+++ b/policy/src/main/java/lemondock/policy/Control.java
@@ -146,7 +146,7 @@
   private void beginStream(InFlightRequest request, Attempt attempt, long timeToFirstTokenMicros) {
     request.setStreaming(true);
     stateReleases.firstToken(request);
-    recorder.firstToken(request, attempt, timeToFirstTokenMicros);
+    recorder.recordFirstToken(request, attempt, timeToFirstTokenMicros);
     dispatchQueued();
   }
 
@@ -161,7 +161,7 @@
   }
 
   private void endAttempt(InFlightRequest request, Attempt attempt, AttemptResult result) {
-    recorder.ended(request, attempt, result);
+    recorder.recordEnd(request, attempt, result);
     if (result.requestEnded()) {
       request.end();
     }
--- a/policy/src/main/java/lemondock/policy/DecayingCounter.java
+++ b/policy/src/main/java/lemondock/policy/DecayingCounter.java
@@ -1,18 +1,21 @@
 package lemondock.policy;
 
-/** Counts events with exponential decay and so tells their recent rate. */
+/** Counts events with exponential decay, which gives their recent rate. */
 final class DecayingCounter {
-  private static final long LIFE_MICROS = 15_000_000L;
+  /** Time constant of the decay. */
+  private static final long DECAY_MICROS = 15_000_000L;
+
   private static final double MICROS_PER_SECOND = 1e6;
 
-  private final DecayingValue count = new DecayingValue(LIFE_MICROS);
+  private final DecayingValue count = new DecayingValue(DECAY_MICROS);
 
-  /** An event has happened. */
-  void add(long nowMicros) {
+  /** Counts an event that happens now. */
+  void increment(long nowMicros) {
     count.set(1 + count.at(nowMicros), nowMicros);
   }
 
-  double perSecond(long nowMicros) {
-    return count.at(nowMicros) * MICROS_PER_SECOND / LIFE_MICROS;
+  /** Recent events per second. */
+  double ratePerSecond(long nowMicros) {
+    return count.at(nowMicros) * MICROS_PER_SECOND / DECAY_MICROS;
   }
 }
--- a/policy/src/main/java/lemondock/policy/DecayingValue.java
+++ b/policy/src/main/java/lemondock/policy/DecayingValue.java
@@ -1,37 +1,37 @@
 package lemondock.policy;
 
 /**
- * A number that decays exponentially with time alone, to 1/e in its life time. Times in
- * microseconds. Single-threaded, like all of the package.
+ * A number that decays exponentially with time, to 1/e within its time constant. Times are in
+ * microseconds. Single-threaded, like the whole package.
  */
 final class DecayingValue {
-  private final long lifeMicros;
+  private final long decayMicros;
   private double value;
   private long updatedAtMicros;
 
-  /** Begins with zero. */
-  DecayingValue(long lifeMicros) {
-    this.lifeMicros = lifeMicros;
+  /** Creates a value of zero that decays with this time constant. */
+  DecayingValue(long decayMicros) {
+    this.decayMicros = decayMicros;
   }
 
-  /** What is left of the value at that moment. */
+  /** The decayed value at this time. */
   double at(long nowMicros) {
-    // Most servers of a large fleet are unseen: their values are zero and need no exponential.
-    return value == 0 ? 0 : value * Math.exp(-(double) (nowMicros - updatedAtMicros) / lifeMicros);
+    // In a large fleet most servers are never used: skip the exponential for their zero values.
+    return value == 0 ? 0 : value * Math.exp(-(double) (nowMicros - updatedAtMicros) / decayMicros);
   }
 
-  /** The value as it was last set, without its decay since. */
+  /** The value as it was last set, without the decay since then. */
   double lastSet() {
     return value;
   }
 
-  /** Replaces the value; it decays from that moment on. */
+  /** Replaces the value, which decays from this time on. */
   void set(double newValue, long nowMicros) {
     value = newValue;
     updatedAtMicros = nowMicros;
   }
 
-  /** Replaces the value if what is left of it is less: a maximum of what came of late. */
+  /** Replaces the value if its decayed value is less, which keeps a maximum of recent values. */
   void raiseTo(double newValue, long nowMicros) {
     if (newValue > at(nowMicros)) {
       set(newValue, nowMicros);
--- a/policy/src/main/java/lemondock/policy/DecisionClock.java
+++ b/policy/src/main/java/lemondock/policy/DecisionClock.java
@@ -1,8 +1,8 @@
 package lemondock.policy;
 
 /**
- * The time of the event at hand, in microseconds. It is set once per event and never goes back, so
- * that every decision about one event sees the same time. Single-threaded, like all of the package.
+ * The time of the current event, in microseconds. It is set once per event and never goes back, so
+ * that all decisions about one event use the same time. Single-threaded, like the whole package.
  */
 final class DecisionClock {
   private long nowMicros;
--- a/policy/src/main/java/lemondock/policy/LatencyEstimator.java
+++ b/policy/src/main/java/lemondock/policy/LatencyEstimator.java
@@ -1,31 +1,31 @@
 package lemondock.policy;
 
 /**
- * Learns how long work takes when nothing hinders it, and how long it waits in each server's queue
- * beyond that. One sign stands for queues of other gateways' work, slow machines, stalls and
- * silence alike. Times in microseconds.
+ * Learns the service time of work, that is its duration without queueing, and how much longer it
+ * waits at each server. One measure of waiting covers queued work of other gateways, slow machines,
+ * stalls and silent servers alike. Times are in microseconds.
  */
 final class LatencyEstimator {
   /**
-   * A first token that takes more than this share of the latency objective is late: the writer has
-   * too much.
+   * A first token that takes more than this share of the latency objective is late: the writer is
+   * overloaded.
    */
   static final double LATE_FIRST_TOKEN_SHARE = 0.2;
 
-  /** Wait that a server which rejects an attempt for want of capacity stands for. */
+  /** Wait that is recorded for a server that rejects an attempt for lack of capacity. */
   static final long REJECTED_WAIT_MICROS = 1_000_000L;
 
-  /** Weight of a new stream in a server's pace. */
-  private static final double PACE_WEIGHT = 0.15;
+  /** Weight of a new stream in the moving average of a server's stream time ratio. */
+  private static final double STREAM_TIME_WEIGHT = 0.15;
 
-  /** Weight of a new wait in a server's. */
+  /** Weight of a new wait in the moving average of a server's wait. */
   private static final double WAIT_WEIGHT = 0.5;
 
-  /** Waits fall to 1/e in this time. */
-  static final long WAIT_LIFE_MICROS = 10_000_000L;
+  /** Waits decay to 1/e in this time. */
+  static final long WAIT_DECAY_MICROS = 10_000_000L;
 
-  /** Paces of streams fall to 1/e in this time. */
-  static final long PACE_LIFE_MICROS = 8_000_000L;
+  /** Stream time ratios decay to 1/e in this time. */
+  static final long STREAM_TIME_DECAY_MICROS = 8_000_000L;
 
   private final SlowStart slowStart;
   private final DecisionClock clock;
@@ -36,15 +36,15 @@
   }
 
   /**
-   * How long work waits here beyond what it takes by itself: from what came back last, or from the
-   * oldest attempt that is unanswered and not overtaken.
+   * How long work waits at the server beyond its service time: estimated from the last answers or,
+   * if that is longer, from the oldest unanswered attempt that no later one has overtaken.
    */
   double estimatedWaitMicros(ServerState server) {
     long now = clock.nowMicros();
     return Math.max(server.waitMicros().at(now), server.queue().overdueMicros(now));
   }
 
-  /** What a read of so many tokens should take here, behind those already in the queue. */
+  /** Expected duration of a read of these tokens, behind the reads already in the queue. */
   long expectedReadMicros(ServerState server, long uncachedTokens) {
     double readMicros =
         server.roleStatistics().microsPerReadToken()
@@ -54,24 +54,28 @@
   }
 
   /**
-   * What a read that was sent takes at most, if its server is as slow as any, or itself, was of
-   * late and has dropped the text that it had cached.
+   * Upper bound of the duration of a read that was sent, if it waits as long as the longest recent
+   * read at its server or at any server of the role, and if the server has evicted the text that it
+   * had cached.
    */
   double longestReadMicros(InFlightRequest request, Attempt read) {
     RoleStatistics role = read.server().roleStatistics();
     long queuedTokens = read.readQueueTokensAtSend() - read.uncachedTokens();
     long tokens =
         queuedTokens + request.attributes().promptTokens() + ReaderSelector.READ_OVERHEAD_TOKENS;
-    double unhinderedMicros =
+    double serviceMicros =
         role.microsPerReadToken() * tokens / slowStart.relativeSpeed(read.server());
     double waitMicros =
         Math.max(
             role.longestReadWaitMicros(clock.nowMicros()),
             read.server().longestReadWaitMicros().at(clock.nowMicros()));
-    return unhinderedMicros + waitMicros;
+    return serviceMicros + waitMicros;
   }
 
-  /** Load of a writer with the request added: its tokens, weighted by wait, weight and speed. */
+  /**
+   * Load of a writer with the request added: its tokens, scaled up by its wait and divided by its
+   * weight and its speed.
+   */
   double writeLoad(InFlightRequest request, ServerState server) {
     double lateMicros = request.objectiveMicros() * LATE_FIRST_TOKEN_SHARE;
     double tokens =
@@ -80,24 +84,27 @@
     return tokens / (server.entry().weight() * slowStart.relativeSpeed(server));
   }
 
-  /** The server has answered an attempt, well or not: its pace fades until now. */
+  /**
+   * Applies the decay of the server's stream time ratio up to now, after an attempt that the server
+   * answered, successfully or not.
+   */
   void recordAnswer(ServerState server) {
     long now = clock.nowMicros();
-    server.streamPace().set(server.streamPace().at(now), now);
+    server.streamTimeRatio().set(server.streamTimeRatio().at(now), now);
   }
 
-  /** An attempt that is cancelled now has waited at least so long. */
+  /** Records how long an attempt that is cancelled now has waited at least. */
   void recordTimeout(Attempt attempt) {
     recordWait(
         attempt.server(), clock.nowMicros() - attempt.sentAtMicros() - attempt.expectedMicros());
   }
 
-  /** The server rejected an attempt for want of capacity. */
+  /** Records a wait for a server that rejected an attempt for lack of capacity. */
   void recordRejection(ServerState server) {
     recordWait(server, REJECTED_WAIT_MICROS);
   }
 
-  /** A read has ended; the tokens are those that the server really had to read. */
+  /** Records a read that has ended, with the tokens that the server actually had to read. */
   void recordRead(Attempt attempt, long uncachedTokens, long elapsedMicros) {
     double queuedTokens =
         attempt.readQueueTokensAtSend() - attempt.uncachedTokens() + uncachedTokens;
@@ -112,7 +119,7 @@
     }
   }
 
-  /** The first token of an answer has come. */
+  /** Records the time until the first token of an answer. */
   void recordFirstToken(Attempt attempt, long timeToFirstTokenMicros) {
     if (attempt.reads()) {
       recordRead(attempt, attempt.uncachedTokens(), timeToFirstTokenMicros);
@@ -123,15 +130,16 @@
     recordWait(attempt.server(), timeToFirstTokenMicros - role.firstTokenMicros());
   }
 
-  /** A stream has ended: its time over the time that its class wants. */
-  void recordStreamPace(InFlightRequest request, Attempt attempt, long elapsedMicros) {
-    long wantedMicros =
+  /** Records the duration of a stream that has ended, relative to the objective of its class. */
+  void recordStreamTime(InFlightRequest request, Attempt attempt, long elapsedMicros) {
+    long streamObjectiveMicros =
         request.answerTokens() * request.requestClass().tokenIntervalObjectiveMicros();
-    double pace = (elapsedMicros - attempt.timeToFirstTokenMicros()) / Math.max(1.0, wantedMicros);
+    double ratio =
+        (elapsedMicros - attempt.timeToFirstTokenMicros()) / Math.max(1.0, streamObjectiveMicros);
     long now = clock.nowMicros();
-    DecayingValue known = attempt.server().streamPace();
-    known.set(known.at(now) + PACE_WEIGHT * (pace - known.at(now)), now);
-    attempt.server().roleStatistics().recordStreamPace(pace);
+    DecayingValue known = attempt.server().streamTimeRatio();
+    known.set(known.at(now) + STREAM_TIME_WEIGHT * (ratio - known.at(now)), now);
+    attempt.server().roleStatistics().recordStreamTime(ratio);
   }
 
   private void recordWait(ServerState server, double waitMicros) {
--- a/policy/src/main/java/lemondock/policy/OutlierDetector.java
+++ b/policy/src/main/java/lemondock/policy/OutlierDetector.java
@@ -1,27 +1,27 @@
 package lemondock.policy;
 
 /**
- * Ejects servers whose attempts fail more often than those of their role: fast errors, a crash,
- * lost answers, a cut link. The role's failure rate stands in for what was not seen and counts as
- * normal. Scores fade with time, so that an ejected server is tried again, with one attempt at a
- * time (half-open). Slowness is no failure. It can wrong a server whose requests fail for their own
- * sake.
+ * Ejects servers whose attempts fail more often than the average of their role, because of fast
+ * errors, a crash, lost answers or a broken link. The role's failure rate counts as normal and
+ * serves as the prior for a server with few outcomes. Scores decay with time, so that an ejected
+ * server is tried again, with one attempt at a time (half-open). Slow answers are not failures. It
+ * can eject a healthy server if the failures are caused by the requests themselves.
  */
 final class OutlierDetector {
-  /** Weight of a server's older outcomes at each new one. */
+  /** Factor by which each new outcome reduces the weight of a server's older ones. */
   private static final double OLDER_OUTCOMES_WEIGHT = 0.7;
 
-  /** Outcomes of the role that stand in for unseen ones. */
+  /** Weight of the role's failure rate as a prior, as a number of outcomes. */
   private static final double PRIOR_OUTCOMES = 2.0;
 
-  /** Failure rate above the role's that ejects a server. */
+  /** A server is ejected if its failure rate exceeds the role's by this much. */
   private static final double EJECTION_EXCESS = 0.3;
 
-  /** Failure rate above the role's with which a server gets one attempt at a time. */
+  /** A server gets only one attempt at a time if its failure rate exceeds the role's by this. */
   private static final double TRIAL_EXCESS = 0.12;
 
-  /** Scores fall to 1/e in this time. */
-  static final long SCORE_LIFE_MICROS = 8_000_000L;
+  /** Scores decay to 1/e in this time. */
+  static final long SCORE_DECAY_MICROS = 8_000_000L;
 
   private final DecisionClock clock;
 
@@ -29,6 +29,7 @@
     this.clock = clock;
   }
 
+  /** Whether the server is not ejected and, in a half-open trial, has no unanswered attempt. */
   boolean isHealthy(ServerState server) {
     double excess = failureRate(server) - server.roleStatistics().failureRate();
     return excess < TRIAL_EXCESS || excess < EJECTION_EXCESS && server.queue().isEmpty();
@@ -40,9 +41,9 @@
     addOutcome(server.successes(), success);
   }
 
-  private void addOutcome(DecayingValue score, boolean counts) {
+  private void addOutcome(DecayingValue score, boolean occurred) {
     long now = clock.nowMicros();
-    score.set(score.at(now) * OLDER_OUTCOMES_WEIGHT + (counts ? 1 : 0), now);
+    score.set(score.at(now) * OLDER_OUTCOMES_WEIGHT + (occurred ? 1 : 0), now);
   }
 
   private double failureRate(ServerState server) {
--- a/policy/src/main/java/lemondock/policy/ReaderSelector.java
+++ b/policy/src/main/java/lemondock/policy/ReaderSelector.java
@@ -5,25 +5,25 @@
 import java.util.Optional;
 
 /**
- * Chooses the server that reads a prompt: the session's reader, else the prefix's primary by
- * rendezvous hashing. A primary whose read would take clearly longer than the best one's is passed
- * over for the next in rank. Guards against a hot prefix, a slow or overloaded reader and text that
- * a server has dropped; it can do harm by reading a text twice too often.
+ * Selects the server that reads a prompt: the session's last reader, or else the prefix's primary
+ * by rendezvous hashing. A primary whose read would take clearly longer than the fastest one is
+ * skipped for the next in rank. Protects against a hot prefix, a slow or overloaded reader and
+ * cached text that a server has evicted. The cost is that the same text may be read more than once.
  */
 final class ReaderSelector {
-  /** Uncached prompts longer than this are for readers only, not for mixed servers. */
+  /** Reads of more uncached tokens than this go to readers only, not to mixed servers. */
   static final int LONG_READ_TOKENS = 1_500;
 
-  /** Added to each read for its fixed cost. */
+  /** Fixed cost of a read, as a number of tokens that is added to each. */
   static final int READ_OVERHEAD_TOKENS = 300;
 
-  /** A prefix has one primary, and one more for each so many readers. */
+  /** A prefix has one primary, and one more for each group of this many readers. */
   private static final int READERS_PER_PRIMARY = 8;
 
-  /** Share of the latency objective that a primary's read may take in any case. */
+  /** A read that takes at most this share of the latency objective is never skipped as too slow. */
   private static final double PRIMARY_OBJECTIVE_SHARE = 0.2;
 
-  /** Times the best reader's expected read that a primary's may take. */
+  /** A read is skipped as too slow beyond this multiple of the fastest one's expected duration. */
   private static final double PRIMARY_BEST_FACTOR = 3.0;
 
   private final ServerEligibility eligibility;
@@ -33,7 +33,7 @@
   private final CachedPromptEstimator cachedPrompts;
   private final RendezvousRanking ranking;
 
-  /** An attempt that could be sent, and whether its server suits such a read. */
+  /** A read that could be sent, and whether its server is suitable for it. */
   private record ReadOption(AttemptPlan plan, boolean suitable) {
     long expectedMicros() {
       return plan.expectedMicros();
@@ -54,19 +54,19 @@
     this.ranking = new RendezvousRanking(servers.slowStart());
   }
 
-  /** The read to send; empty if no server may take it. */
+  /** The read to send; empty if no server may receive it. */
   Optional<AttemptPlan> select(InFlightRequest request) {
     request.setSession(sessions.find(request.attributes().sessionId()));
     List<ReadOption> options = rankedOptions(request);
     double primaryMicros = request.objectiveMicros() * PRIMARY_OBJECTIVE_SHARE;
     if (options.stream()
         .anyMatch(option -> option.suitable && option.expectedMicros() <= primaryMicros)) {
-      // Else readers are overloaded and mixed servers help out.
+      // Otherwise the readers are overloaded, and unsuitable mixed servers help out.
       options.removeIf(option -> !option.suitable);
     }
-    double best = options.stream().mapToDouble(ReadOption::expectedMicros).min().orElse(0);
-    double longest = Math.max(best * PRIMARY_BEST_FACTOR, primaryMicros);
-    options.removeIf(option -> option.expectedMicros() > longest);
+    double fastestMicros = options.stream().mapToDouble(ReadOption::expectedMicros).min().orElse(0);
+    double maxMicros = Math.max(fastestMicros * PRIMARY_BEST_FACTOR, primaryMicros);
+    options.removeIf(option -> option.expectedMicros() > maxMicros);
     return options.stream()
         .filter(option -> isSessionReader(request, option.plan.server()))
         .findFirst()
@@ -80,9 +80,9 @@
   }
 
   /**
-   * The reads that could be sent, by rank. A large fleet has several primaries for a prefix, which
-   * would be too much for one reader if popular; a session picks among them by its own hash, so
-   * that all gateways pick alike.
+   * The reads that could be sent, by rank. A large fleet has several primaries for a prefix,
+   * because a popular prefix would overload a single reader. Each session chooses among them by its
+   * own hash, so that all gateways choose the same one.
    */
   private List<ReadOption> rankedOptions(InFlightRequest request) {
     RoutingRequest attributes = request.attributes();
@@ -104,7 +104,7 @@
     long expectedMicros = latency.expectedReadMicros(server, uncachedTokens);
     boolean mixed = server.role() == ServerRole.MIXED;
     AttemptWork work = mixed ? AttemptWork.READ_AND_WRITE : AttemptWork.READ;
-    // A mixed server suits short reads, and only while it can write the answer in place.
+    // A mixed server is suitable for short reads only, and while it can also write the answer.
     boolean suitable =
         server.role() == ServerRole.READER
             || uncachedTokens <= LONG_READ_TOKENS && capacity.hasCapacity(server, request);
--- a/policy/src/main/java/lemondock/policy/RendezvousRanking.java
+++ b/policy/src/main/java/lemondock/policy/RendezvousRanking.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Weighted rendezvous hashing: all gateways rank the servers for a key alike, and a server in slow
- * start is first for its speed's part of the keys.
+ * Weighted rendezvous hashing: all gateways rank the servers for a key in the same order, and a
+ * server in slow start comes first for a share of the keys in proportion to its speed.
  */
 final class RendezvousRanking {
   private final SlowStart slowStart;
@@ -14,16 +14,18 @@
     this.slowStart = slowStart;
   }
 
-  /** Sorts the servers by their rank for the key. */
+  /** Sorts the servers by their rank for the key, best first. */
   void sort(List<ServerState> servers, long key) {
     for (ServerState server : servers) {
       double hash = unitInterval(mix(key ^ mix(server.id())));
-      server.setHashRank(-Math.log(hash) / slowStart.relativeSpeed(server));
+      server.setHashScore(-Math.log(hash) / slowStart.relativeSpeed(server));
     }
-    servers.sort(Comparator.comparingDouble(ServerState::hashRank));
+    servers.sort(Comparator.comparingDouble(ServerState::hashScore));
   }
 
-  /** A hash as a number between 0 and 1, neither of them, the smaller the larger the hash. */
+  /**
+   * Maps a hash to a number between 0 and 1, both exclusive; larger hashes give smaller numbers.
+   */
   private static double unitInterval(long hash) {
     return 1 - ((hash - Long.MIN_VALUE >>> 12) + 0.5) * 0x1p-52;
   }
--- a/policy/src/main/java/lemondock/policy/RoleStatistics.java
+++ b/policy/src/main/java/lemondock/policy/RoleStatistics.java
@@ -1,38 +1,38 @@
 package lemondock.policy;
 
 /**
- * What all servers of one role have shown. It stands in for what is not known of a single server:
- * one of many gateways sees each server too rarely. Times in microseconds.
+ * Statistics over all servers of one role. They are used where too little is known of a single
+ * server, because one gateway of many sees each server too rarely. Times are in microseconds.
  */
 final class RoleStatistics {
-  /** Weight of a new outcome, wait or pace. */
+  /** Weight of a new outcome, wait or stream time ratio in its moving average. */
   static final double WEIGHT = 0.1;
 
   private static final double INITIAL_MICROS_PER_READ_TOKEN = 100;
   private static final double INITIAL_FIRST_TOKEN_MICROS = 50_000;
 
-  /** Weight of a faster case in what work takes unhindered. */
+  /** Weight of a new sample that is below the tracked minimum. */
   private static final double FASTER_WEIGHT = 0.3;
 
-  /** Growth of what work takes unhindered at each slower case. */
+  /** Factor by which a sample above the tracked minimum raises the minimum at most. */
   private static final double SLOWER_FACTOR = 1.1;
 
-  /** The longest wait falls to 1/e in this time. */
-  static final long LONGEST_WAIT_LIFE_MICROS = 10_000_000L;
+  /** The longest wait decays to 1/e in this time. */
+  static final long LONGEST_WAIT_DECAY_MICROS = 10_000_000L;
 
-  /** The count of answered reads falls to 1/e in this time. */
-  private static final long ANSWERED_READS_LIFE_MICROS = 1_000_000L;
+  /** The count of answered reads decays to 1/e in this time. */
+  private static final long ANSWERED_READS_DECAY_MICROS = 1_000_000L;
 
   private static final long NEVER = Long.MIN_VALUE;
 
   // Written by LatencyEstimator.
   private double microsPerReadToken = INITIAL_MICROS_PER_READ_TOKEN;
   private double firstTokenMicros = INITIAL_FIRST_TOKEN_MICROS;
-  private double streamPace;
+  private double streamTimeRatio;
   private double waitMicros;
   private int waitCount;
-  private final DecayingValue longestReadWaitMicros = new DecayingValue(LONGEST_WAIT_LIFE_MICROS);
-  private final DecayingValue answeredReads = new DecayingValue(ANSWERED_READS_LIFE_MICROS);
+  private final DecayingValue longestReadWaitMicros = new DecayingValue(LONGEST_WAIT_DECAY_MICROS);
+  private final DecayingValue answeredReads = new DecayingValue(ANSWERED_READS_DECAY_MICROS);
 
   // Written by OutlierDetector.
   private double failureRate;
@@ -41,43 +41,44 @@
   private double warmAnswersPerSecond;
   private long warmRateComputedAtMicros = NEVER;
 
-  /** Time to read a token when nothing hinders it. */
+  /** Time to read one token, without queueing. */
   double microsPerReadToken() {
     return microsPerReadToken;
   }
 
-  /** A read has taken so long for each token. */
-  void recordReadSpeed(double seenMicrosPerToken) {
-    microsPerReadToken = trackMinimum(microsPerReadToken, seenMicrosPerToken);
+  /** Records the time per token of one read. */
+  void recordReadSpeed(double sampleMicrosPerToken) {
+    microsPerReadToken = trackMinimum(microsPerReadToken, sampleMicrosPerToken);
   }
 
-  /** Time from a write's sending to its first token when nothing hinders it. */
+  /** Time from sending a write to its first token, without queueing. */
   double firstTokenMicros() {
     return firstTokenMicros;
   }
 
-  /** The first token of a write has come so long after its sending. */
-  void recordFirstToken(double seenMicros) {
-    firstTokenMicros = trackMinimum(firstTokenMicros, seenMicros);
+  /** Records the time from sending one write to its first token. */
+  void recordFirstToken(double sampleMicros) {
+    firstTokenMicros = trackMinimum(firstTokenMicros, sampleMicros);
   }
 
-  /** Follows what work takes when nothing is in its way: falls quickly, rises slowly. */
-  private static double trackMinimum(double known, double seen) {
-    return seen < known
-        ? known + FASTER_WEIGHT * (seen - known)
-        : Math.min(seen, known * SLOWER_FACTOR);
+  /** Tracks the time that work takes without queueing: falls quickly, rises slowly. */
+  private static double trackMinimum(double minimum, double sample) {
+    return sample < minimum
+        ? minimum + FASTER_WEIGHT * (sample - minimum)
+        : Math.min(sample, minimum * SLOWER_FACTOR);
   }
 
-  /** Time of streams over the time that their class wants. */
-  double streamPace() {
-    return streamPace;
+  /** Mean duration of streams, relative to the objective of their class; above 1 is too slow. */
+  double streamTimeRatio() {
+    return streamTimeRatio;
   }
 
-  void recordStreamPace(double pace) {
-    streamPace += WEIGHT * (pace - streamPace);
+  /** Records the duration of one stream, relative to the objective of its class. */
+  void recordStreamTime(double ratio) {
+    streamTimeRatio += WEIGHT * (ratio - streamTimeRatio);
   }
 
-  /** Mean wait of work in queues. */
+  /** Mean time that work waits in the servers' queues. */
   double waitMicros() {
     return waitMicros;
   }
@@ -88,24 +89,25 @@
   }
 
   /**
-   * The longest that a read has waited of late until its answer came. Those that were cancelled or
-   * taken for lost do not count: they tell how long an outage is, not a queue.
+   * The longest recent wait of a read that was answered. Reads that were cancelled or suspected to
+   * be lost do not count, because they show the length of an outage, not of a queue.
    */
   double longestReadWaitMicros(long nowMicros) {
     return longestReadWaitMicros.at(nowMicros);
   }
 
-  /** Reads that were answered of late, by which the longest wait is judged. */
+  /** Decaying count of answered reads: how many recent ones the longest wait is based on. */
   double answeredReads(long nowMicros) {
     return answeredReads.at(nowMicros);
   }
 
+  /** Records the wait of a read that was answered. */
   void recordReadWait(double wait, long nowMicros) {
     longestReadWaitMicros.raiseTo(wait, nowMicros);
     answeredReads.set(answeredReads.at(nowMicros) + 1, nowMicros);
   }
 
-  /** Share of attempts that fail. */
+  /** Share of attempts that fail, from 0 to 1. */
   double failureRate() {
     return failureRate;
   }
@@ -114,13 +116,13 @@
     failureRate += WEIGHT * ((success ? 0 : 1) - failureRate);
   }
 
-  /** Answers per second of one warm server to this gateway, as last computed. */
+  /** Answers per second that one warm server sends to this gateway, as last computed. */
   double warmAnswersPerSecond() {
     return warmAnswersPerSecond;
   }
 
-  /** Whether that rate was computed at this moment, so that it need not be computed again. */
-  boolean isWarmRateOf(long nowMicros) {
+  /** Whether the rate was already computed at this time and need not be computed again. */
+  boolean isWarmRateCurrent(long nowMicros) {
     return warmRateComputedAtMicros == nowMicros;
   }
 
@@ -129,7 +131,7 @@
     warmRateComputedAtMicros = nowMicros;
   }
 
-  /** Has the rate computed again within the event at hand. */
+  /** Discards the rate, so that it is computed again even within the current event. */
   void invalidateWarmRate() {
     warmRateComputedAtMicros = NEVER;
   }
--- a/policy/src/main/java/lemondock/policy/ServerEligibility.java
+++ b/policy/src/main/java/lemondock/policy/ServerEligibility.java
@@ -4,9 +4,9 @@
 import java.util.function.Predicate;
 
 /**
- * Which servers a request may go to. Guards rule 3 (nothing new to servers that drain or are gone)
- * and rule 4 (servers in slow start are not pushed over): every attempt goes to a server that was
- * chosen among the candidates of this class.
+ * Determines which servers a request may be sent to. Enforces rule 3 (nothing new is sent to
+ * servers that are draining or gone) and rule 4 (servers in slow start are not overloaded): every
+ * attempt goes to a server that was selected from the candidates of this class.
  */
 final class ServerEligibility {
   private final ServerModel servers;
@@ -17,17 +17,20 @@
     this.retryPolicy = retryPolicy;
   }
 
-  /** Servers that may read the request's prompt now. */
+  /** Servers that may read the request's prompt now, mixed ones included. */
   List<ServerState> readers(InFlightRequest request) {
     return candidates(request, servers.table().readers());
   }
 
-  /** Servers that may write the request's answer now. */
+  /** Servers that may write the request's answer now, mixed ones included. */
   List<ServerState> writers(InFlightRequest request) {
     return candidates(request, servers.table().writers());
   }
 
-  /** Ready servers that may take the request; those healthy and not yet failed, if any are. */
+  /**
+   * Ready servers that may receive the request. Prefers healthy servers and those where the request
+   * has not failed yet, if there are any.
+   */
   private List<ServerState> candidates(InFlightRequest request, List<ServerState> ready) {
     List<ServerState> allowed =
         ready.stream()
@@ -41,9 +44,10 @@
     return server.isReady() && servers.slowStart().hasCredit(server);
   }
 
-  /** The servers that pass the test, or all where none does. */
-  static List<ServerState> preferIfAny(List<ServerState> from, Predicate<ServerState> test) {
-    List<ServerState> passing = from.stream().filter(test).toList();
-    return passing.isEmpty() ? from : passing;
+  /** The servers that match the predicate, or all of them if none does. */
+  static List<ServerState> preferIfAny(
+      List<ServerState> candidates, Predicate<ServerState> predicate) {
+    List<ServerState> matching = candidates.stream().filter(predicate).toList();
+    return matching.isEmpty() ? candidates : matching;
   }
 }
--- a/policy/src/main/java/lemondock/policy/ServerEntry.java
+++ b/policy/src/main/java/lemondock/policy/ServerEntry.java
@@ -3,15 +3,15 @@
 import java.util.Objects;
 
 /**
- * One server as the endpoint list has it.
+ * One server, as described by the endpoint list.
  *
- * @param id its number, the same for all gateways
+ * @param id number of the server, the same for all gateways
  * @param zone number of its zone
  * @param kind index into {@link RouterSettings#serverKinds}
- * @param cell number of its cell, the part of a zone within which states move fastest
- * @param lifecycle whether it takes requests
- * @param weight its part of the load, 1 for an ordinary server
- * @param startedAtMicros when its process started, on the events' clock; 0 for long ago
+ * @param cell number of its cell, the part of a zone within which state is transferred fastest
+ * @param lifecycle whether it accepts requests
+ * @param weight its relative share of the load, 1 for an ordinary server
+ * @param startedAtMicros when its process started, on the clock of the events; 0 for long ago
  */
 public record ServerEntry(
     long id,
@@ -22,12 +22,12 @@
     double weight,
     long startedAtMicros) {
 
-  /** Begins one; what is not set is 0, or 1 for the weight. */
+  /** Returns a new builder. The lifecycle must be set; the weight defaults to 1, the rest to 0. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the components of a {@link ServerEntry}. For one thread. */
+  /** Builder of a {@link ServerEntry}. Not thread-safe. */
   public static final class Builder {
     private long id;
     private int zone;
@@ -39,50 +39,52 @@
 
     private Builder() {}
 
-    /** Its number, the same for all gateways. */
+    /** Sets the number of the server, the same for all gateways. */
     public Builder id(long value) {
       id = value;
       return this;
     }
 
-    /** Number of its zone. */
+    /** Sets the number of its zone. */
     public Builder zone(int value) {
       zone = value;
       return this;
     }
 
-    /** Index into {@link RouterSettings#serverKinds}. */
+    /** Sets its kind, an index into {@link RouterSettings#serverKinds}. */
     public Builder kind(int value) {
       kind = value;
       return this;
     }
 
-    /** Number of its cell, the part of a zone within which states move fastest. */
+    /**
+     * Sets the number of its cell, the part of a zone within which state is transferred fastest.
+     */
     public Builder cell(int value) {
       cell = value;
       return this;
     }
 
-    /** Whether it takes requests. */
+    /** Sets whether it accepts requests. */
     public Builder lifecycle(ServerLifecycle value) {
       lifecycle = value;
       return this;
     }
 
-    /** Its part of the load, 1 for an ordinary server. */
+    /** Sets its relative share of the load, 1 for an ordinary server. */
     public Builder weight(double value) {
       weight = value;
       return this;
     }
 
-    /** When its process started, on the events' clock; 0 for long ago. */
+    /** Sets when its process started, on the clock of the events; 0 for long ago. */
     public Builder startedAtMicros(long value) {
       startedAtMicros = value;
       return this;
     }
 
     /**
-     * The {@link ServerEntry}.
+     * Creates the {@link ServerEntry}.
      *
      * @throws NullPointerException if lifecycle is not set
      */
--- a/policy/src/main/java/lemondock/policy/ServerKind.java
+++ b/policy/src/main/java/lemondock/policy/ServerKind.java
@@ -1,9 +1,9 @@
 package lemondock.policy;
 
 /**
- * One kind of server.
+ * A kind of server, shared by many servers of the endpoint list.
  *
- * @param role what such servers can do
- * @param memoryTokens tokens that one server can hold at a time; 0 if not told
+ * @param role whether its servers read prompts, write answers or do both
+ * @param memoryTokens tokens that one server can hold at a time; 0 if unknown
  */
 public record ServerKind(ServerRole role, long memoryTokens) {}
--- a/policy/src/main/java/lemondock/policy/ServerLifecycle.java
+++ b/policy/src/main/java/lemondock/policy/ServerLifecycle.java
@@ -1,11 +1,11 @@
 package lemondock.policy;
 
-/** Lifecycle of a server, as the endpoint list has it. */
+/** Lifecycle state of a server, as reported by the endpoint list. */
 public enum ServerLifecycle {
-  /** It takes requests. */
+  /** It accepts requests. */
   READY,
-  /** It ends what it has and takes nothing new. */
+  /** It finishes the requests that it has and accepts no new ones. */
   DRAINING,
-  /** It is not listed any more. */
+  /** It is no longer listed. */
   GONE
 }
--- a/policy/src/main/java/lemondock/policy/ServerModel.java
+++ b/policy/src/main/java/lemondock/policy/ServerModel.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** The servers known and what is estimated of them, as one unit for the classes that choose. */
+/** The known servers and the estimates about them, in one object for the classes that use them. */
 record ServerModel(
     ServerTable table,
     SlowStart slowStart,
@@ -17,16 +17,16 @@
     return new ServerModel(table, slowStart, new OutlierDetector(clock), latency, clock);
   }
 
-  /** An attempt goes to its server. */
+  /** Records that an attempt is sent to its server. */
   void recordSent(Attempt attempt) {
     attempt.server().queue().add(attempt);
     slowStart.spendCredit(attempt.server(), attempt.tokens());
   }
 
-  /** An attempt's answer has begun, or the attempt has ended. */
+  /** Records that an attempt's answer has begun or that the attempt has ended. */
   void recordAnswer(Attempt attempt, AttemptVerdict verdict) {
     ServerState server = attempt.server();
-    final boolean first = server.queue().remove(attempt);
+    final boolean firstAnswer = server.queue().remove(attempt);
     if (verdict == AttemptVerdict.NEUTRAL) {
       return;
     }
@@ -36,7 +36,7 @@
     if (success) {
       server.queue().recordSuccess(attempt, clock.nowMicros());
     }
-    if (first && success) {
+    if (firstAnswer && success) {
       slowStart.recordAnswer(server);
     }
   }
--- a/policy/src/main/java/lemondock/policy/ServerQueue.java
+++ b/policy/src/main/java/lemondock/policy/ServerQueue.java
@@ -5,57 +5,61 @@
 
 /**
  * The attempts of this gateway that one server has not answered yet, and when the server last
- * answered. Written by {@link ServerModel} and {@link StateReleasePolicy}. Times in microseconds.
+ * answered. Written by {@link ServerModel} and {@link StateReleasePolicy} only. Times are in
+ * microseconds.
  */
 final class ServerQueue {
-  /** In the order of sending. */
+  /** In the order in which they were sent. */
   private final Set<Attempt> unanswered = new LinkedHashSet<>();
 
   private long readTokens;
   private long lastSuccessAtMicros;
   private long lastLostReadAtMicros;
 
-  /** Of all attempts answered well, the latest sending. */
+  /** The latest send time of all attempts that were answered successfully. */
   private long newestAnsweredSentAtMicros;
 
-  /** An attempt goes to the server. */
+  /** Adds an attempt that is being sent to the server. */
   void add(Attempt attempt) {
     unanswered.add(attempt);
     readTokens += attempt.uncachedTokens();
     attempt.setReadQueueTokensAtSend(readTokens);
   }
 
-  /** The attempt's answer has begun, or it has ended; false if it was answered before. */
+  /**
+   * Removes an attempt whose answer has begun or that has ended; returns false if it was already
+   * removed.
+   */
   boolean remove(Attempt attempt) {
-    boolean first = unanswered.remove(attempt);
-    if (first) {
+    boolean removed = unanswered.remove(attempt);
+    if (removed) {
       readTokens -= attempt.uncachedTokens();
     }
-    return first;
+    return removed;
   }
 
-  /** The server has answered the attempt well. */
+  /** Records that the server has answered the attempt successfully. */
   void recordSuccess(Attempt attempt, long nowMicros) {
     lastSuccessAtMicros = nowMicros;
     newestAnsweredSentAtMicros = Math.max(newestAnsweredSentAtMicros, attempt.sentAtMicros());
   }
 
-  /** A read here was taken for lost. */
+  /** Records that a read at the server is suspected to be lost. */
   void recordLostRead(long nowMicros) {
     lastLostReadAtMicros = nowMicros;
   }
 
-  /** Whether a read was lost here, and nothing was answered since. */
+  /** Whether a read was suspected to be lost here and nothing has been answered since then. */
   boolean isSilent() {
     return lastLostReadAtMicros > lastSuccessAtMicros;
   }
 
-  /** Whether the server has answered an attempt well since that moment. */
+  /** Whether the server has answered an attempt successfully after this time. */
   boolean hasAnsweredSince(long sinceMicros) {
     return lastSuccessAtMicros > sinceMicros;
   }
 
-  /** When the server last answered an attempt well. */
+  /** When the server last answered an attempt successfully; 0 if it never did. */
   long lastSuccessAtMicros() {
     return lastSuccessAtMicros;
   }
@@ -64,14 +68,14 @@
     return unanswered.isEmpty();
   }
 
-  /** Tokens that the server was sent to read and has not answered. */
+  /** Uncached prompt tokens of the unanswered attempts, which the server still has to read. */
   long readTokens() {
     return readTokens;
   }
 
   /**
-   * How long the oldest attempt that no later one has overtaken is out beyond the time that it
-   * should take; 0 if there is none, or none so late.
+   * How far the oldest attempt that no later one has overtaken exceeds its expected duration; 0 if
+   * it does not, or if there is no such attempt.
    */
   long overdueMicros(long nowMicros) {
     for (Attempt attempt : unanswered) {
@@ -83,8 +87,9 @@
   }
 
   /**
-   * When work that is older than the attempt was last answered: since then the queue before it has
-   * not moved. Its sending if there was none since, or if a later attempt has overtaken it.
+   * The time since which the queue ahead of the attempt has not moved: when older work was last
+   * answered, or the attempt's own send time if none has been answered since or if a later attempt
+   * has overtaken it.
    */
   long unmovedSinceMicros(Attempt attempt) {
     return newestAnsweredSentAtMicros <= attempt.sentAtMicros()
--- a/policy/src/main/java/lemondock/policy/ServerState.java
+++ b/policy/src/main/java/lemondock/policy/ServerState.java
@@ -4,8 +4,9 @@
 import java.util.Map;
 
 /**
- * One server process: what the endpoint list says of it and what this gateway has seen of it. Each
- * group of fields is written by one class only, which is named at the group. Times in microseconds.
+ * One server process: what the endpoint list reports about it and what this gateway has observed.
+ * Each group of fields is written by only one class, which is named at the group. Times are in
+ * microseconds.
  */
 final class ServerState {
   private static final long DEFAULT_MEMORY_TOKENS = 100_000L;
@@ -23,25 +24,26 @@
   // Written by AdaptiveCapacityLimit.
   private long writeTokensInFlight;
 
-  // Written by OutlierDetector: how many attempts failed and succeeded of late.
-  private final DecayingValue failures = new DecayingValue(OutlierDetector.SCORE_LIFE_MICROS);
-  private final DecayingValue successes = new DecayingValue(OutlierDetector.SCORE_LIFE_MICROS);
+  // Written by OutlierDetector: how many attempts failed and succeeded recently.
+  private final DecayingValue failures = new DecayingValue(OutlierDetector.SCORE_DECAY_MICROS);
+  private final DecayingValue successes = new DecayingValue(OutlierDetector.SCORE_DECAY_MICROS);
 
   // Written by LatencyEstimator.
-  private final DecayingValue waitMicros = new DecayingValue(LatencyEstimator.WAIT_LIFE_MICROS);
+  private final DecayingValue waitMicros = new DecayingValue(LatencyEstimator.WAIT_DECAY_MICROS);
   private final DecayingValue longestReadWaitMicros =
-      new DecayingValue(RoleStatistics.LONGEST_WAIT_LIFE_MICROS);
-  private final DecayingValue streamPace = new DecayingValue(LatencyEstimator.PACE_LIFE_MICROS);
+      new DecayingValue(RoleStatistics.LONGEST_WAIT_DECAY_MICROS);
+  private final DecayingValue streamTimeRatio =
+      new DecayingValue(LatencyEstimator.STREAM_TIME_DECAY_MICROS);
 
   // Written by SlowStart.
   private final DecayingCounter answerRate = new DecayingCounter();
   private final SlowStartCredit slowStartCredit;
 
-  // Written by SessionTable: when a prompt with that prefix was last read here.
+  // Written by SessionTable: when a prompt with this prefix was last read here.
   private final Map<Long, Long> prefixUsedAtMicros = new HashMap<>();
 
-  // Written by RendezvousRanking: the rank for the request at hand.
-  private double hashRank;
+  // Written by RendezvousRanking: the sort key for the current request.
+  private double hashScore;
 
   ServerState(
       ServerEntry entry,
@@ -59,18 +61,18 @@
     return entry.id();
   }
 
-  /** The server as it was last listed. */
+  /** The latest entry of the server in the endpoint list. */
   ServerEntry entry() {
     return entry;
   }
 
-  /** The endpoint list has it so now. */
+  /** Applies a newer entry of the endpoint list. */
   void update(ServerEntry listed) {
     entry = listed;
     lifecycle = listed.lifecycle();
   }
 
-  /** The endpoint list does not have it any more. */
+  /** Marks a server that is missing from the endpoint list. */
   void markGone() {
     lifecycle = ServerLifecycle.GONE;
   }
@@ -91,7 +93,7 @@
     return roleStatistics;
   }
 
-  /** Tokens that it can hold at a time; a usual size where its kind tells none. */
+  /** Tokens that the server can hold at a time; a typical size if its kind does not specify it. */
   long memoryTokens() {
     return kind.memoryTokens() > 0 ? kind.memoryTokens() : DEFAULT_MEMORY_TOKENS;
   }
@@ -100,12 +102,12 @@
     return queue;
   }
 
-  /** Tokens of this gateway's writes here. */
+  /** Tokens of this gateway's writes in flight at the server. */
   long writeTokensInFlight() {
     return writeTokensInFlight;
   }
 
-  /** Writes have begun, or ended where the number is negative. */
+  /** Adds the tokens of a write that is sent; negative for a write that has ended. */
   void addWriteTokensInFlight(long tokens) {
     writeTokensInFlight += tokens;
   }
@@ -118,22 +120,25 @@
     return successes;
   }
 
-  /** How long work waits here beyond what it takes by itself, as far as answers have shown. */
+  /**
+   * Moving average of how long work waits here beyond its service time, as shown by attempts that
+   * were answered, rejected or cancelled.
+   */
   DecayingValue waitMicros() {
     return waitMicros;
   }
 
-  /** The longest that a read which it answered has waited of late, however late the answer was. */
+  /** The longest recent wait of a read that the server answered, even of one suspected lost. */
   DecayingValue longestReadWaitMicros() {
     return longestReadWaitMicros;
   }
 
-  /** Time of its streams over the time that their class wants. */
-  DecayingValue streamPace() {
-    return streamPace;
+  /** Moving average of the duration of its streams, relative to the objective of their class. */
+  DecayingValue streamTimeRatio() {
+    return streamTimeRatio;
   }
 
-  /** Attempts answered well. */
+  /** Attempts that the server answered successfully. */
   DecayingCounter answerRate() {
     return answerRate;
   }
@@ -142,26 +147,27 @@
     return slowStartCredit;
   }
 
-  /** A prompt with that prefix was read here. */
+  /** Records that a prompt with this prefix was read here. */
   void recordPrefix(long prefixId, long nowMicros) {
     prefixUsedAtMicros.put(prefixId, nowMicros);
   }
 
-  /** Whether a prompt with that prefix was read here of late. */
-  boolean knowsPrefix(long prefixId) {
+  /** Whether a prompt with this prefix was read here recently. */
+  boolean hasRecentPrefix(long prefixId) {
     return prefixUsedAtMicros.containsKey(prefixId);
   }
 
-  /** Forgets the prefixes that were last read before that moment. */
-  void forgetPrefixesUsedBefore(long micros) {
+  /** Evicts the prefixes that were last read before this time. */
+  void evictPrefixesUsedBefore(long micros) {
     prefixUsedAtMicros.values().removeIf(usedAtMicros -> usedAtMicros < micros);
   }
 
-  double hashRank() {
-    return hashRank;
+  /** Sort key of the server for the current request; the lowest comes first. */
+  double hashScore() {
+    return hashScore;
   }
 
-  void setHashRank(double rank) {
-    hashRank = rank;
+  void setHashScore(double score) {
+    hashScore = score;
   }
 }
--- a/policy/src/main/java/lemondock/policy/ServerTable.java
+++ b/policy/src/main/java/lemondock/policy/ServerTable.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** The servers of the endpoint list, with the state that this gateway keeps of each. */
+/** The servers of the endpoint list, each with the state that this gateway keeps about it. */
 final class ServerTable {
   private final List<ServerKind> kinds;
   private final SplittableRandom random;
@@ -26,7 +26,12 @@
     }
   }
 
-  /** Applies an endpoint list or its changes; {@link EndpointListKind#FAILED} has none. */
+  /**
+   * Applies a full endpoint list or changes to it. {@link EndpointListKind#FAILED}, which has no
+   * entries, must not be passed.
+   *
+   * @throws InvalidRouterInputException if an entry has a kind that the settings do not define
+   */
   void apply(EndpointListKind listKind, List<ServerEntry> entries) {
     if (listKind != EndpointListKind.CHANGES) {
       servers.values().forEach(ServerState::markGone);
@@ -39,10 +44,10 @@
   }
 
   /**
-   * A new process at a known id starts from nothing; attempts in flight still count for the old
-   * one.
+   * Adds or updates one server. A new process with a known id starts with new state; attempts in
+   * flight still count for the old process.
    *
-   * @throws InvalidRouterInputException if the settings have no such kind
+   * @throws InvalidRouterInputException if the settings do not define the kind of the entry
    */
   private void update(ServerEntry entry) {
     if (entry.kind() >= kinds.size()) {
@@ -73,17 +78,20 @@
         .toList();
   }
 
-  /** All servers known, by id. */
+  /**
+   * All known servers, in the order of their ids. Includes servers that are gone but had unanswered
+   * attempts when the endpoint list last changed.
+   */
   Collection<ServerState> all() {
     return servers.values();
   }
 
-  /** The ready servers that can read, mixed ones among them. */
+  /** The ready servers that can read, mixed ones included. */
   List<ServerState> readers() {
     return readers;
   }
 
-  /** The ready servers that can write, mixed ones among them. */
+  /** The ready servers that can write, mixed ones included. */
   List<ServerState> writers() {
     return writers;
   }
@@ -92,14 +100,15 @@
     return statisticsByRole.get(role);
   }
 
-  /** The part of the zone's readers, mixed servers left out, that stand in the entry's cell. */
+  /** The share of the readers in the entry's zone, without mixed servers, that are in its cell. */
   double readerShareOfCell(ServerEntry entry) {
-    List<ServerState> zone =
+    List<ServerState> zoneReaders =
         readers.stream()
             .filter(server -> server.role() == ServerRole.READER)
             .filter(server -> server.entry().zone() == entry.zone())
             .toList();
-    long cell = zone.stream().filter(server -> server.entry().cell() == entry.cell()).count();
-    return cell / Math.max(1.0, zone.size());
+    long cellReaders =
+        zoneReaders.stream().filter(server -> server.entry().cell() == entry.cell()).count();
+    return cellReaders / Math.max(1.0, zoneReaders.size());
   }
 }
--- a/policy/src/main/java/lemondock/policy/SessionEntry.java
+++ b/policy/src/main/java/lemondock/policy/SessionEntry.java
@@ -1,10 +1,10 @@
 package lemondock.policy;
 
 /**
- * Where a session's earlier turns were read.
+ * The server that last read a session's prompt.
  *
- * @param serverId the server that read them last
- * @param cachedTokens tokens that it has cached of them
- * @param usedAtMicros when that was
+ * @param serverId id of that server
+ * @param cachedTokens tokens of the session that it has cached
+ * @param usedAtMicros when it read them
  */
 record SessionEntry(long serverId, int cachedTokens, long usedAtMicros) {}
--- a/policy/src/main/java/lemondock/policy/SessionTable.java
+++ b/policy/src/main/java/lemondock/policy/SessionTable.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 
 /**
- * Sticky sessions and cached prefixes: where each was read last. Entries live for a sliding time; a
- * round of the reaper drops the idle ones.
+ * Sticky sessions and cached prefixes: which server last read each. Entries expire when they have
+ * not been used for {@link #TTL_MICROS}; a periodic call of {@link #reap} evicts them.
  */
 final class SessionTable {
-  /** Idle life of a session's entry, and of a known prefix. */
+  /** Time after its last use at which a session's entry or a known prefix expires. */
   static final long TTL_MICROS = 60_000_000L;
 
   private final ServerTable servers;
@@ -26,8 +26,8 @@
   }
 
   /**
-   * The server has read the request's prompt. Called only after a read that succeeded, so that a
-   * silent server does not keep its sessions.
+   * Records that the server has read the request's prompt. Called only after a successful read, so
+   * that a silent server does not keep its sessions.
    */
   void recordRead(RoutingRequest request, ServerState server) {
     long now = clock.nowMicros();
@@ -40,10 +40,10 @@
     }
   }
 
-  /** Drops what has been idle for too long. */
+  /** Evicts the sessions and prefixes that have expired. */
   void reap() {
     long oldestMicros = clock.nowMicros() - TTL_MICROS;
     sessions.values().removeIf(entry -> entry.usedAtMicros() < oldestMicros);
-    servers.all().forEach(server -> server.forgetPrefixesUsedBefore(oldestMicros));
+    servers.all().forEach(server -> server.evictPrefixesUsedBefore(oldestMicros));
   }
 }
--- a/policy/src/main/java/lemondock/policy/SlowStartCredit.java
+++ b/policy/src/main/java/lemondock/policy/SlowStartCredit.java
@@ -1,8 +1,8 @@
 package lemondock.policy;
 
 /**
- * Token bucket of one server in slow start: the mean requests that this gateway may still send to
- * it. Written by {@link SlowStart}.
+ * Token bucket of one server in slow start: how many requests of mean size this gateway may still
+ * send to it. Written by {@link SlowStart} only.
  */
 final class SlowStartCredit {
   private static final double MAX_REQUESTS = 1;
@@ -16,7 +16,7 @@
     this.earnedAtMicros = nowMicros;
   }
 
-  /** Adds what was earned since the last call, at that rate. */
+  /** Adds the credit earned since the last call at this rate, up to {@link #MAX_REQUESTS}. */
   void earn(double requestsPerSecond, long nowMicros) {
     long elapsedMicros = nowMicros - earnedAtMicros;
     requests =
@@ -24,11 +24,13 @@
     earnedAtMicros = nowMicros;
   }
 
+  /** Subtracts the cost of a request; the credit may become negative. */
   void spend(double cost) {
     requests -= cost;
   }
 
-  boolean holdsRequest() {
+  /** Whether there is credit for a request of mean size. */
+  boolean hasRequestCredit() {
     return requests >= 1;
   }
 }
--- a/policy/src/main/java/lemondock/policy/WriterSelector.java
+++ b/policy/src/main/java/lemondock/policy/WriterSelector.java
@@ -7,13 +7,15 @@
 import java.util.SplittableRandom;
 
 /**
- * Chooses the server that writes an answer: power of two choices, one drawn from the cell of the
- * reader and one from its zone, else any; the lower load wins. A cell with more than its part of
- * the zone's readers keeps only its writers' part of its states, by chance: of many gateways each
- * sees few of their tokens and would always find them idle.
+ * Selects the server that writes an answer by the power of two choices: one candidate is drawn from
+ * the cell of the reader and one from its zone, or from all writers if the zone has none, and the
+ * one with the lower load wins. A cell that has a larger share of the zone's readers than of its
+ * writers keeps, at random, only as many of its states as match its share of the writers. Load
+ * alone would not do this: one gateway of many sees few of the tokens of the cell's writers and
+ * would always take them for idle.
  */
 final class WriterSelector {
-  /** A writer outside the cell wins only below this share of the near one's load. */
+  /** A writer outside the cell wins only if its load is below this share of the near one's. */
   private static final double REMOTE_LOAD_FACTOR = 0.7;
 
   private final ServerEligibility eligibility;
@@ -32,7 +34,7 @@
     this.random = random;
   }
 
-  /** The write of what the state holder has read; empty if no server may take it. */
+  /** The write for the state at the state holder; empty if no server may receive it. */
   Optional<AttemptPlan> select(InFlightRequest request, ServerState stateHolder) {
     return selectServer(request, stateHolder.entry()).map(WriterSelector::planWrite);
   }
@@ -43,24 +45,29 @@
   }
 
   private Optional<ServerState> selectServer(InFlightRequest request, ServerEntry reader) {
-    List<ServerState> able =
+    List<ServerState> available =
         preferIfAny(eligibility.writers(request), server -> capacity.hasCapacity(server, request));
-    List<ServerState> zone = preferIfAny(able, server -> server.entry().zone() == reader.zone());
-    if (zone.isEmpty()) {
+    List<ServerState> zoneWriters =
+        preferIfAny(available, server -> server.entry().zone() == reader.zone());
+    if (zoneWriters.isEmpty()) {
       return Optional.empty();
     }
-    List<ServerState> cell =
-        zone.stream().filter(server -> server.entry().cell() == reader.cell()).toList();
-    if (cell.isEmpty()) {
-      return Optional.of(lessLoaded(request, draw(zone), draw(zone)));
+    List<ServerState> cellWriters =
+        zoneWriters.stream().filter(server -> server.entry().cell() == reader.cell()).toList();
+    if (cellWriters.isEmpty()) {
+      return Optional.of(lessLoaded(request, drawRandom(zoneWriters), drawRandom(zoneWriters)));
     }
     double readerShare = servers.table().readerShareOfCell(reader);
-    if (random.nextDouble() * readerShare * zone.size() >= cell.size()) {
-      return Optional.of(draw(preferIfAny(zone, server -> server.entry().cell() != reader.cell())));
+    if (random.nextDouble() * readerShare * zoneWriters.size() >= cellWriters.size()) {
+      return Optional.of(
+          drawRandom(preferIfAny(zoneWriters, server -> server.entry().cell() != reader.cell())));
     }
-    return Optional.of(lessLoaded(request, draw(cell), draw(zone)));
+    return Optional.of(lessLoaded(request, drawRandom(cellWriters), drawRandom(zoneWriters)));
   }
 
+  /**
+   * The less loaded server, with a preference for the near one if the far one is in another cell.
+   */
   private ServerState lessLoaded(InFlightRequest request, ServerState near, ServerState far) {
     double factor = near.entry().cell() == far.entry().cell() ? 1 : REMOTE_LOAD_FACTOR;
     LatencyEstimator latency = servers.latency();
@@ -69,8 +76,8 @@
         : far;
   }
 
-  /** Any of the servers, of which there is at least one. */
-  private ServerState draw(List<ServerState> from) {
-    return from.get(random.nextInt(from.size()));
+  /** Draws a server at random; the list must not be empty. */
+  private ServerState drawRandom(List<ServerState> candidates) {
+    return candidates.get(random.nextInt(candidates.size()));
   }
 }
--- a/policy/src/test/java/lemondock/policy/AdaptiveCapacityLimitTest.java
+++ b/policy/src/test/java/lemondock/policy/AdaptiveCapacityLimitTest.java
@@ -13,10 +13,10 @@
 import lemondock.policy.RecordingHost.Action;
 import org.junit.jupiter.api.Test;
 
-/** What is admitted, queued or rejected before it costs work. */
+/** Which requests are admitted, queued or rejected before any work is spent on them. */
 class AdaptiveCapacityLimitTest extends ControlFixture {
   @Test
-  void withoutAnyReaderTheRequestIsRejectedInTime() {
+  void rejectsARequestInTimeWhenThereIsNoReader() {
     startFleet(readyServer(11, WRITER, 0));
     assertEquals(0, submit(1, IDEMPOTENT_CLASS, 1, 0, 1000));
     now += SECOND;
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void aQueuedRequestIsSentWhenAReaderComes() {
+  void sendsAQueuedRequestWhenAReaderIsAdded() {
     startFleet(readyServer(11, WRITER, 0));
     submit(1, IDEMPOTENT_CLASS, 1, 0, 1000);
     control.endpointsChanged(now, EndpointListKind.CHANGES, List.of(readyServer(1, READER, 0)));
@@ -33,16 +33,18 @@
   }
 
   @Test
-  void tokensInFlightOfEndedReadsAreGivenBack() {
+  void subtractsTheTokensOfAttemptsThatEnded() {
     startSmallFleet();
     for (int i = 0; i < 2000; i++) {
       assertNotEquals(
-          0, serveRequest(i, i, i % 7, 2000), "request " + i + " was queued: a leak of tokens");
+          0,
+          serveRequest(i, i, i % 7, 2000),
+          "request " + i + " was queued: tokens in flight leaked");
     }
   }
 
   @Test
-  void whatTheWritersCannotTakeIsRejectedBeforeItIsRead() {
+  void readsNoPromptsBeyondTheCapacityOfTheWriters() {
     startSmallFleet();
     int sent = 0;
     for (int i = 0; i < 400; i++) {
@@ -55,24 +57,30 @@
         control.firstToken(now, i, 1, lastSentTo(), 10);
       }
     }
-    assertTrue(sent > 50 && sent < 150, "sent " + sent);
+    assertTrue(sent > 50 && sent < 150, "reads sent: " + sent);
   }
 
   /**
-   * Why admission reopens: with nothing in flight one request is always admitted, and each prompt
-   * answer adds capacity for one more.
+   * Guards against a gateway that rejects everything forever after its limit has fallen: with
+   * nothing in flight one request is always admitted, and each answer in time adds capacity for one
+   * more.
    */
   @Test
-  void aGatewayThatRejectsProbesForCapacity() {
+  void probesForCapacityWhileItRejectsRequests() {
     startSmallFleet();
     long id = 0;
     while (id < 100) {
       firstTokenAfter(++id, SECOND);
     }
     assertNotEquals(
-        0, submit(++id, IDEMPOTENT_CLASS, id, 0, 3000), "the probe: nothing else is in flight");
+        0,
+        submit(++id, IDEMPOTENT_CLASS, id, 0, 3000),
+        "the probe is admitted, because nothing is in flight");
     final long probe = id;
-    assertEquals(0, submit(++id, IDEMPOTENT_CLASS, id, 0, 3000), "no capacity beside the probe");
+    assertEquals(
+        0,
+        submit(++id, IDEMPOTENT_CLASS, id, 0, 3000),
+        "there is no capacity for a second request during the probe");
     final long rejected = id;
     List<Action> queueTimers =
         host.actionsNamed("timer").stream().filter(timer -> timer.value() <= SECOND).toList();
@@ -83,10 +91,10 @@
     answerAfter(probe, 10);
     firstTokenAfter(++id, 10);
     firstTokenAfter(++id, 10);
-    assertNotEquals(0, submit(++id, IDEMPOTENT_CLASS, id, 0, 3000), "the next probe");
+    assertNotEquals(0, submit(++id, IDEMPOTENT_CLASS, id, 0, 3000), "the next probe is admitted");
     assertNotEquals(
         0,
         submit(++id, IDEMPOTENT_CLASS, id, 0, 3000),
-        "three prompt answers add capacity for one beside it, though of a class of lower priority");
+        "three answers in time add capacity for a second request, even of lower priority");
   }
 }
--- a/policy/src/test/java/lemondock/policy/ReaderSelectorTest.java
+++ b/policy/src/test/java/lemondock/policy/ReaderSelectorTest.java
@@ -13,24 +13,24 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which server reads a prompt: sessions, prefixes and mixed servers. */
+/** Selection of the server that reads a prompt: sessions, prefixes and mixed servers. */
 class ReaderSelectorTest extends ControlFixture {
   @Test
-  void aSessionReturnsToItsReaderAndAPrefixHasOnePrimary() {
+  void usesTheSessionsReaderBeforeThePrefixPrimary() {
     startSmallFleet();
     Set<Long> readers = new HashSet<>();
     for (int i = 0; i < 6; i++) {
       readers.add(serveRequest(i, 500 + i, 77, 2000));
     }
-    assertEquals(1, readers.size(), "one prefix is read at one reader");
+    assertEquals(1, readers.size(), "all requests with one prefix go to one reader");
     assertEquals(
         readers.iterator().next(),
         serveRequest(10, 500, 99, 2500),
-        "the session table comes before the hash");
+        "the session's last reader takes precedence over the hash");
   }
 
   @Test
-  void prefixesSpreadOverTheReaders() {
+  void spreadsPrefixesOverTheReaders() {
     startSmallFleet();
     Set<Long> readers = new HashSet<>();
     for (int i = 0; i < 12; i++) {
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void aSessionIsForgottenAfterItsTimeToLive() {
+  void evictsASessionAfterItsTimeToLive() {
     startSmallFleet();
     long first = serveRequest(1, 500, 77, 2000);
     long other = 0;
@@ -55,28 +55,30 @@
   }
 
   @Test
-  void aMixedServerWritesInPlaceAndLongPromptsGoToReaders() {
+  void readersGetLongPromptsAndMixedServersAnswerShortOnes() {
     startFleet(readyServer(3, MIXED, 0), readyServer(1, READER, 0), readyServer(11, WRITER, 0));
     assertEquals(1, submit(1, IDEMPOTENT_CLASS, 1, 0, ReaderSelector.LONG_READ_TOKENS + 500));
-    boolean mixed = false;
-    for (int i = 2; i < 30 && !mixed; i++) {
+    boolean usedMixedServer = false;
+    for (int i = 2; i < 30 && !usedMixedServer; i++) {
       if (submit(i, IDEMPOTENT_CLASS, i, 0, 200) == 3) {
-        mixed = true;
+        usedMixedServer = true;
         control.firstToken(now + 1000, i, 0, 3, 1000);
         endAttempt(i, 0, 3, AttemptOutcome.OK, true);
         assertTrue(
-            host.actionsNamed("send").isEmpty(), "nothing more is sent once it answered in place");
+            host.actionsNamed("send").isEmpty(),
+            "nothing more is sent after the mixed server has answered");
       }
     }
-    assertTrue(mixed);
+    assertTrue(usedMixedServer);
   }
 
   /**
-   * Found on a quiet day at size: sessions come to ever other gateways, so only an equal choice
-   * finds their prompts cached.
+   * Guards against cache misses in a large fleet, first seen at low load: each turn of a session
+   * may arrive at another gateway, so the prompt is found in a cache only if all gateways choose
+   * the same primary.
    */
   @Test
-  void gatewaysAgreeOnASessionsPrimaryWithoutHavingSeenIt() {
+  void gatewaysSelectTheSamePrimaryForAnUnknownSession() {
     ServerEntry[] large = new ServerEntry[40];
     for (int i = 0; i < large.length; i++) {
       large[i] = readyServer(1 + i, i < 30 ? READER : WRITER, i % 8);
@@ -85,37 +87,37 @@
     for (int session = 1; session <= 30; session++) {
       control = new Control(RecordingHost.settings(4, true), 7, host);
       startFleet(large);
-      long one = submit(session, IDEMPOTENT_CLASS, session, 77, 3000);
+      long primary = submit(session, IDEMPOTENT_CLASS, session, 77, 3000);
       control = new Control(RecordingHost.settings(4, true), 1000 + session, host);
       startFleet(large);
-      assertEquals(one, submit(session, IDEMPOTENT_CLASS, session, 77, 3000));
-      primariesOfThePrefix.add(one);
+      assertEquals(primary, submit(session, IDEMPOTENT_CLASS, session, 77, 3000));
+      primariesOfThePrefix.add(primary);
     }
     assertTrue(
         primariesOfThePrefix.size() > 1 && primariesOfThePrefix.size() <= 4,
-        primariesOfThePrefix + " are the primaries");
+        "primaries of the prefix: " + primariesOfThePrefix);
   }
 
   /**
-   * Reads in place slow a mixed server's answers; in a large fleet each server is seen too rarely,
-   * so the statistics of its role count.
+   * Prompts read on a mixed server slow down the answers that it streams. In a large fleet one
+   * gateway sees each server too rarely, so the statistics of the role decide.
    */
   @Test
-  void mixedServersThatStreamTooSlowlyGetNoMoreReadsInPlace() {
+  void sendsNoReadsToMixedServersThatStreamTooSlowly() {
     startFleet(
         readyServer(3, MIXED, 0),
         readyServer(4, MIXED, 1),
         readyServer(5, MIXED, 2),
         readyServer(1, READER, 0),
         readyServer(11, WRITER, 0));
-    int inPlace = 0;
+    int mixedServerReads = 0;
     for (int i = 1; i < 200; i++) {
       long server = submit(i, IDEMPOTENT_CLASS, i, 0, 200);
       if (server == 1) {
         control.clientDisconnected(now, i);
         endAttempt(i, 0, server, AttemptOutcome.CANCELLED, true);
       } else {
-        inPlace += i > 150 ? 1 : 0;
+        mixedServerReads += i > 150 ? 1 : 0;
         control.firstToken(now, i, 0, server, 20_000);
         control.attemptEnded(
             now,
@@ -129,6 +131,6 @@
       }
       now += 10_000;
     }
-    assertEquals(0, inPlace);
+    assertEquals(0, mixedServerReads);
   }
 }
--- a/policy/src/test/java/lemondock/policy/ServerEligibilityTest.java
+++ b/policy/src/test/java/lemondock/policy/ServerEligibilityTest.java
@@ -14,10 +14,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Servers that drain, are gone, fail or have just started. */
+/** Selection among servers that are draining, gone, failing or in slow start. */
 class ServerEligibilityTest extends ControlFixture {
   @Test
-  void nothingGoesToADrainingServer() {
+  void sendsNothingToADrainingServer() {
     startSmallFleet();
     long reader = serveRequest(1, 500, 77, 2000);
     control.endpointsChanged(
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void aServerMissingFromAFullListIsGone() {
+  void sendsNothingToAServerMissingFromAFullList() {
     startSmallFleet();
     control.endpointsChanged(
         now,
@@ -40,20 +40,22 @@
   }
 
   @Test
-  void aFailingReaderLosesItsSessions() {
+  void movesSessionsAwayFromAFailingReader() {
     startSmallFleet();
     long reader = serveRequest(1, 500, 77, 2000);
     submit(2, IDEMPOTENT_CLASS, 500, 77, 2000);
     endAttempt(2, 0, reader, AttemptOutcome.ERROR, false);
-    assertNotEquals(reader, lastSentTo(), "the retry goes elsewhere");
+    assertNotEquals(reader, lastSentTo(), "the retry goes to another server");
     submit(3, IDEMPOTENT_CLASS, 500, 77, 2000);
     endAttempt(3, 0, reader, AttemptOutcome.ERROR, false);
     assertNotEquals(
-        reader, submit(9, IDEMPOTENT_CLASS, 500, 77, 2000), "two failures in a row eject a server");
+        reader,
+        submit(9, IDEMPOTENT_CLASS, 500, 77, 2000),
+        "two consecutive failures eject a server");
   }
 
   @Test
-  void aSilentReaderLosesItsSessionsBeforeAnyOutcome() {
+  void movesSessionsFromASilentReaderBeforeItsAttemptEnds() {
     startSmallFleet();
     final long reader = serveRequest(1, 500, 77, 2000);
     now += SECOND;
@@ -63,7 +65,7 @@
   }
 
   @Test
-  void whereEveryServerIsEjectedOneIsStillChosen() {
+  void usesAnEjectedServerWhenAllAreEjected() {
     startSmallFleet();
     for (int i = 1; i < 9; i++) {
       long server = submit(i, IDEMPOTENT_CLASS, i, i, 1000);
@@ -73,11 +75,11 @@
   }
 
   /**
-   * Why an ejected server comes back: failures fade with time alone, so that one that was passed
-   * over is tried again.
+   * Guards against servers that stay ejected forever: failures decay with time alone, so a server
+   * that gets no attempts is tried again.
    */
   @Test
-  void anEjectedServerIsTriedAgainOnceItsFailuresHaveDecayed() {
+  void triesAnEjectedServerAgainAfterItsFailuresDecay() {
     startSmallFleet();
     long reader = serveRequest(1, 500, 77, 2000);
     for (long id = 2; id < 4; id++) {
@@ -85,12 +87,13 @@
       endAttempt(id, 0, reader, AttemptOutcome.ERROR, false);
     }
     assertNotEquals(reader, submit(9, IDEMPOTENT_CLASS, 0, 77, 2000));
-    now += 4 * OutlierDetector.SCORE_LIFE_MICROS;
-    assertEquals(reader, submit(10, IDEMPOTENT_CLASS, 0, 77, 2000), "the prefix's reader again");
+    now += 4 * OutlierDetector.SCORE_DECAY_MICROS;
+    assertEquals(
+        reader, submit(10, IDEMPOTENT_CLASS, 0, 77, 2000), "the prefix's primary is used again");
   }
 
   @Test
-  void aReaderInSlowStartGetsOnlyItsPart() {
+  void limitsTheLoadOfAReaderInSlowStart() {
     long warmingUp = 5;
     startFleet(
         readyServer(1, READER, 0),
@@ -103,15 +106,16 @@
       sentTo.add(serveRead(i));
     }
     long sends = sentTo.stream().filter(server -> server == warmingUp).count();
-    assertTrue(sends > 0 && sends < 200 / 3 * 0.75, "the server in slow start got " + sends);
+    assertTrue(
+        sends > 0 && sends < 200 / 3 * 0.75, "reads sent to the server in slow start: " + sends);
   }
 
   /**
-   * A server in slow start is listed to all gateways at once; one request from each of a hundred
-   * would push it over.
+   * All gateways learn of a server in slow start at the same time; one request from each of a
+   * hundred gateways would overload it.
    */
   @Test
-  void aHundredGatewaysTogetherSpareAServerInSlowStart() {
+  void aHundredGatewaysDoNotOverloadAServerInSlowStart() {
     int atOnce = 0;
     int later = 0;
     for (int gateway = 0; gateway < 100; gateway++) {
@@ -127,8 +131,9 @@
         later += serveRead(1000 + i) == 5 ? 1 : 0;
       }
     }
-    assertTrue(atOnce < 5, atOnce + " of 100 gateways sent at once");
+    assertTrue(atOnce < 5, atOnce + " of 100 gateways used the server in slow start immediately");
     assertTrue(
-        later > 100 && later < 1900 / 3, "the server in slow start got " + later + " of 1900");
+        later > 100 && later < 1900 / 3,
+        "the server in slow start got " + later + " of 1900 later reads");
   }
 }
--- a/policy/src/test/java/lemondock/policy/SlowStartTest.java
+++ b/policy/src/test/java/lemondock/policy/SlowStartTest.java
@@ -14,46 +14,46 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Slow start of a whole fleet: many routers that know nothing of one another, readers with queues,
- * uneven traffic and a burst. Readers that start together get no more than the settings allow from
- * all gateways together, and so much that the warm ones are not overloaded instead. Times are
- * microseconds.
+ * Simulates the slow start of part of a fleet: many independent routers, readers with queues,
+ * uneven traffic and a burst. Readers that start at the same time must not get more load from all
+ * gateways together than the settings allow, but enough that the warm readers are not overloaded
+ * instead. Times are in microseconds.
  */
 class SlowStartTest {
   private static final int READERS = 10;
   private static final int REPLACED_READERS = 6;
 
-  /** Mean requests that a warm reader reads in a second. */
+  /** Requests of mean size that a warm reader reads per second. */
   private static final double CAPACITY_PER_SECOND = 20;
 
   private static final long REPLACED_AT_MICROS = 20 * SECOND;
   private static final long END_MICROS = REPLACED_AT_MICROS + 14 * SECOND;
   private static final long WRITE_MICROS = 30_000;
 
-  /** Writers have this id and the next one, readers lower ones. */
+  /** The two writers have this id and the next one, the initial readers lower ones. */
   private static final int FIRST_WRITER_ID = 100;
 
-  /** Ids of readers that replace others begin behind this one. */
+  /** Readers that replace others have ids above this one. */
   private static final int REPLACEMENT_IDS = 1_000;
 
   private static final int MEAN_PROMPT_TOKENS = 1_000;
 
-  /** One gateway in five has four times the load of the others. */
+  /** Mean over all gateways: one in five has four times the load of the others. */
   private static final double MEAN_RELATIVE_LOAD = 1.6;
 
   private static final int MANY_SESSIONS = 400;
 
-  /** One reader is the primary of all of the traffic, which is more than the fleet can take. */
+  /** A single reader is the primary of all traffic, which exceeds the capacity of the fleet. */
   private static final int ONE_SESSION = 1;
 
-  /** Requests that come, as a share of what the warm fleet reads. */
+  /** Load of the requests that arrive, as a share of the warm fleet's capacity. */
   private static final double LOAD = 0.55;
 
   private static final double OVERLOAD = 1.2;
 
   private record Event(long atMicros, long order, Runnable task) {}
 
-  /** A request of a gateway, with the number of attempts that it has had. */
+  /** A request in flight at a gateway, with the number of attempts sent for it. */
   private static final class OpenRequest {
     private final int promptTokens;
     private int attempts;
@@ -63,12 +63,12 @@
     }
   }
 
-  /** A request that went to a server, in mean requests. */
+  /** The work of a request that was sent to a server, as a multiple of a mean request's. */
   private record SentWork(long atMicros, double work) {}
 
   /**
-   * A fleet. The routers are told certain rules of slow start; the readers keep to those of {@link
-   * RecordingHost}.
+   * A simulated fleet. The routers get the slow-start rules passed to the constructor; the readers
+   * behave according to those of {@link RecordingHost}.
    */
   private static final class Fleet {
     private final PriorityQueue<Event> events =
@@ -77,7 +77,7 @@
     private final SplittableRandom random;
     private final List<Gateway> gateways = new ArrayList<>();
     private final Map<Long, Long> freeAtMicros = new HashMap<>();
-    private final Map<Long, ArrayDeque<SentWork>> workInWindow = new HashMap<>();
+    private final Map<Long, ArrayDeque<SentWork>> recentWork = new HashMap<>();
     private final ServiceRules rules = RecordingHost.settings(4, true).rules();
     private final double load;
     private final int sessions;
@@ -85,13 +85,14 @@
     private long order;
     private long requests;
 
-    /** The most work sent to a replacement in a window, over what is allowed in it. */
-    private double worst;
+    /** Highest ratio of the work sent to a replacement in a window to the work allowed in it. */
+    private double worstLoadRatio;
 
-    /** Work sent since the replacement, to replacements and in all. */
+    /** Work sent to replacements, from one second after the replacement on. */
     private double replacementWork;
 
-    private double allWork;
+    /** Work sent to all readers in the same time. */
+    private double totalWork;
 
     Fleet(int gatewayCount, long seed, double load, int sessions, ServiceRules routerRules) {
       random = new SplittableRandom(seed);
@@ -157,10 +158,10 @@
                       / rules.slowStartMicros());
     }
 
-    /** A request reaches a reader: tells when it has been read. */
+    /** Queues a read at a reader and returns the time at which it will be done. */
     long read(long server, double work) {
       if (now > REPLACED_AT_MICROS + SECOND) {
-        allWork += work;
+        totalWork += work;
         replacementWork += isReplacement(server) ? work : 0;
       }
       if (isReplacement(server)) {
@@ -173,7 +174,7 @@
     }
 
     private void recordWindow(long server, double work) {
-      ArrayDeque<SentWork> sent = workInWindow.computeIfAbsent(server, id -> new ArrayDeque<>());
+      ArrayDeque<SentWork> sent = recentWork.computeIfAbsent(server, id -> new ArrayDeque<>());
       sent.add(new SentWork(now, work));
       while (sent.peek().atMicros() < now - rules.overloadWindowMicros()) {
         sent.poll();
@@ -184,15 +185,16 @@
               * rules.overloadFactor()
               * rules.overloadWindowMicros()
               / SECOND;
-      double most = allowed + 2 * Math.sqrt(allowed) + 2;
-      worst = Math.max(worst, sent.stream().mapToDouble(SentWork::work).sum() / most);
+      double upperBound = allowed + 2 * Math.sqrt(allowed) + 2;
+      worstLoadRatio =
+          Math.max(worstLoadRatio, sent.stream().mapToDouble(SentWork::work).sum() / upperBound);
     }
 
-    /** One gateway, host of its router; every read ends well, every write too. */
+    /** One gateway, the host of its router. All reads and writes succeed. */
     private final class Gateway implements RouterHost {
       private final Control router;
       private final double requestsPerSecond;
-      private final Map<Long, OpenRequest> open = new HashMap<>();
+      private final Map<Long, OpenRequest> openRequests = new HashMap<>();
 
       Gateway(ServiceRules routerRules, int gatewayCount, long seed, double relativeLoad) {
         router = new Control(settings(routerRules, gatewayCount), seed, this);
@@ -201,16 +203,17 @@
       }
 
       private static RouterSettings settings(ServiceRules rules, int gatewayCount) {
-        RouterSettings usual = RecordingHost.settings(4, true, gatewayCount);
+        RouterSettings defaults = RecordingHost.settings(4, true, gatewayCount);
         return RouterSettings.builder()
-            .gatewayIndex(usual.gatewayIndex())
-            .gatewayCount(usual.gatewayCount())
-            .zone(usual.zone())
-            .timerResolutionMicros(usual.timerResolutionMicros())
-            .classes(usual.classes())
+            .gatewayIndex(defaults.gatewayIndex())
+            .gatewayCount(defaults.gatewayCount())
+            .zone(defaults.zone())
+            .timerResolutionMicros(defaults.timerResolutionMicros())
+            .classes(defaults.classes())
             .serverKinds(
-                List.of(usual.serverKinds().get(0), new ServerKind(ServerRole.WRITER, 50_000_000)))
-            .limits(usual.limits())
+                List.of(
+                    defaults.serverKinds().get(0), new ServerKind(ServerRole.WRITER, 50_000_000)))
+            .limits(defaults.limits())
             .rules(rules)
             .build();
       }
@@ -225,7 +228,7 @@
       private void arrive() {
         long id = ++requests;
         int promptTokens = (int) Math.max(100, exponentialDraw() * MEAN_PROMPT_TOKENS);
-        open.put(id, new OpenRequest(promptTokens));
+        openRequests.put(id, new OpenRequest(promptTokens));
         router.requestArrived(
             now,
             RecordingHost.newRequest(
@@ -239,7 +242,7 @@
 
       @Override
       public void send(long id, long server, long timeoutMicros) {
-        OpenRequest request = open.get(id);
+        OpenRequest request = openRequests.get(id);
         int attempt = request.attempts++;
         long sentAtMicros = now;
         if (server < FIRST_WRITER_ID || isReplacement(server)) {
@@ -303,21 +306,21 @@
   }
 
   private static ServiceRules rules(double initialShare, double overloadFactor) {
-    ServiceRules usual = RecordingHost.settings(4, true).rules();
+    ServiceRules defaults = RecordingHost.settings(4, true).rules();
     return ServiceRules.builder()
-        .answerSlackMicros(usual.answerSlackMicros())
-        .drainGraceMicros(usual.drainGraceMicros())
+        .answerSlackMicros(defaults.answerSlackMicros())
+        .drainGraceMicros(defaults.drainGraceMicros())
         .slowStartInitialShare(initialShare)
-        .slowStartMicros(usual.slowStartMicros())
+        .slowStartMicros(defaults.slowStartMicros())
         .overloadFactor(overloadFactor)
-        .overloadWindowMicros(usual.overloadWindowMicros())
-        .releaseWithinMicros(usual.releaseWithinMicros())
+        .overloadWindowMicros(defaults.overloadWindowMicros())
+        .releaseWithinMicros(defaults.releaseWithinMicros())
         .build();
   }
 
   @Test
-  void allGatewaysTogetherKeepToTheBudgetOfAServerInSlowStart() {
-    ServiceRules usual = RecordingHost.settings(4, true).rules();
+  void allGatewaysTogetherStayWithinTheSlowStartLimit() {
+    ServiceRules defaults = RecordingHost.settings(4, true).rules();
     for (int gateways : new int[] {3, 30, 100}) {
       for (int seed = 1; seed <= 4; seed++) {
         for (int sessions : new int[] {MANY_SESSIONS, ONE_SESSION}) {
@@ -327,33 +330,36 @@
                   seed,
                   sessions == ONE_SESSION ? OVERLOAD : LOAD,
                   sessions,
-                  rules(usual.slowStartInitialShare(), usual.overloadFactor()));
+                  rules(defaults.slowStartInitialShare(), defaults.overloadFactor()));
           fleet.run();
-          String which = gateways + " gateways, seed " + seed + ", " + sessions + " sessions: ";
+          String scenario = gateways + " gateways, seed " + seed + ", " + sessions + " sessions: ";
           assertTrue(
-              fleet.worst < 1, which + fleet.worst + " of what a server in slow start bears");
+              fleet.worstLoadRatio < 1,
+              scenario + "a server in slow start got " + fleet.worstLoadRatio + " times its limit");
           assertTrue(
-              sessions == ONE_SESSION || fleet.replacementWork > 0.4 * fleet.allWork,
-              which + "servers in slow start got " + fleet.replacementWork / fleet.allWork);
+              sessions == ONE_SESSION || fleet.replacementWork > 0.4 * fleet.totalWork,
+              scenario
+                  + "share of work sent to replacements "
+                  + fleet.replacementWork / fleet.totalWork);
         }
       }
     }
   }
 
   /**
-   * The check above can fail: routers that know of no slow start push a server over (three alone
-   * see its queue in time).
+   * Shows that the test above can fail: routers without slow start overload a server. Three
+   * gateways do not, because each of them sees the server's queue in time.
    */
   @Test
-  void withoutSlowStartTheBudgetIsBroken() {
+  void exceedsTheLimitWithoutSlowStart() {
     for (int gateways : new int[] {30, 100}) {
-      double worst = 0;
+      double worstLoadRatio = 0;
       for (int seed = 1; seed <= 4; seed++) {
         Fleet fleet = new Fleet(gateways, seed, OVERLOAD, ONE_SESSION, rules(1, 100));
         fleet.run();
-        worst = Math.max(worst, fleet.worst);
+        worstLoadRatio = Math.max(worstLoadRatio, fleet.worstLoadRatio);
       }
-      assertTrue(worst > 1, gateways + " gateways: " + worst);
+      assertTrue(worstLoadRatio > 1, gateways + " gateways: highest load ratio " + worstLoadRatio);
     }
   }
 }
--- a/policy/src/test/java/lemondock/policy/WriterSelectorTest.java
+++ b/policy/src/test/java/lemondock/policy/WriterSelectorTest.java
@@ -14,10 +14,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which server writes an answer. */
+/** Selection of the server that writes an answer. */
 class WriterSelectorTest extends ControlFixture {
   @Test
-  void theWriterIsInTheReadersCellOrZone() {
+  void selectsAWriterInTheZoneOfTheReader() {
     startFleet(
         readyServer(1, READER, 0),
         readyServer(11, WRITER, 0),
@@ -30,12 +30,13 @@
       endAttempt(i, 0, 1, AttemptOutcome.PROMPT_READ, false);
       writers.add(lastSentTo());
     }
-    assertFalse(writers.contains(13L), "another zone is used only if the own one has no writer");
+    assertFalse(
+        writers.contains(13L), "another zone is used only if the reader's zone has no writer");
   }
 
-  /** In a cell with many readers and one writer, most states go to the zone's other writers. */
+  /** With three readers and one writer in a cell, most states go to the zone's other writers. */
   @Test
-  void aReaderHeavyCellSendsMostOfItsStatesAway() {
+  void sendsMostStatesOutOfACellWithTooManyReaders() {
     startFleet(
         readyServer(1, READER, 0),
         readyServer(2, READER, 0),
@@ -44,28 +45,30 @@
         readyServer(12, WRITER, 1),
         readyServer(13, WRITER, 1),
         readyServer(14, WRITER, 1));
-    int near = 0;
+    int sameCellWrites = 0;
     for (int i = 0; i < 200; i++) {
       long reader = submit(i, IDEMPOTENT_CLASS, i, 0, 800);
       now += 10_000;
       endAttempt(i, 0, reader, AttemptOutcome.PROMPT_READ, false);
       long writer = lastSentTo();
-      near += writer == 11 ? 1 : 0;
+      sameCellWrites += writer == 11 ? 1 : 0;
       control.firstToken(now, i, 1, writer, 10_000);
       endAttempt(i, 1, writer, AttemptOutcome.OK, true);
     }
-    assertTrue(near > 20 && near < 100, near + " of 200 stayed in the cell");
+    assertTrue(
+        sameCellWrites > 20 && sameCellWrites < 100,
+        sameCellWrites + " of 200 states stayed in the cell");
   }
 
   @Test
-  void aWriterThatStreamsTooSlowlyIsPassedOver() {
+  void skipsAWriterThatStreamsTooSlowly() {
     startSmallFleet();
-    long slow = 0;
+    long slowWriter = 0;
     for (int i = 1; i < 60; i++) {
       long reader = submit(i, IDEMPOTENT_CLASS, i, i, 1000);
       endAttempt(i, 0, reader, AttemptOutcome.PROMPT_READ, false);
       long writer = lastSentTo();
-      slow = slow == 0 ? writer : slow;
+      slowWriter = slowWriter == 0 ? writer : slowWriter;
       control.firstToken(now, i, 1, writer, 20_000);
       control.attemptEnded(
           now,
@@ -74,7 +77,7 @@
               .attempt(1)
               .serverId(writer)
               .outcome(AttemptOutcome.OK)
-              .elapsedMicros(writer == slow ? 20 * SECOND : SECOND)
+              .elapsedMicros(writer == slowWriter ? 20 * SECOND : SECOND)
               .requestEnded(true)
               .build());
       now += 10_000;
@@ -82,13 +85,13 @@
     for (int i = 100; i < 110; i++) {
       long reader = submit(i, IDEMPOTENT_CLASS, i, i, 1000);
       endAttempt(i, 0, reader, AttemptOutcome.PROMPT_READ, false);
-      assertNotEquals(slow, lastSentTo());
+      assertNotEquals(slowWriter, lastSentTo());
       control.clientDisconnected(now, i);
     }
   }
 
   @Test
-  void aWriteThatWasRejectedGoesToAnotherWriter() {
+  void sendsARejectedWriteToAnotherWriter() {
     startSmallFleet();
     readPrompt(1, NON_IDEMPOTENT_CLASS, 1, 0, 1000);
     long writer = lastSentTo();
