--- a/policy/src/main/java/lemondock/policy/AdmissionQueue.java
+++ b/policy/src/main/java/lemondock/policy/AdmissionQueue.java
@@ -6,17 +6,18 @@
 import java.util.function.Predicate;
 
 /**
- * Requests that wait for capacity or for a reader, by priority and then age. Waiting costs no
- * server anything and reserves no state; it ends in time for the client to try elsewhere.
+ * Requests that wait for capacity or for a reader, ordered by priority weight and then by age. A
+ * queued request loads no server and reserves no state. Its wait is limited, so that a rejected
+ * client still has time to try another gateway.
  */
 final class AdmissionQueue {
-  /** Longest wait, as a share of the latency objective. */
+  /** Longest wait, as a share of the request's latency objective. */
   private static final double MAX_WAIT_OBJECTIVE_SHARE = 0.5;
 
-  /** Requests that one scan may pass over. */
+  /** Number of requests that could not be dispatched after which a scan stops. */
   private static final int MAX_SKIPPED = 8;
 
-  /** Time between two scans when nothing else happens. */
+  /** Interval of the scan timer; events that free capacity scan earlier. */
   private static final long SCAN_INTERVAL_MICROS = 50_000L;
 
   private static final Comparator<InFlightRequest> PRIORITY_THEN_AGE =
@@ -59,12 +60,12 @@
     return queue.size();
   }
 
-  /** The timer of the scan has fired; the next {@link #scan} sets it again. */
+  /** Notes that the scan timer has fired, so that the next {@link #scan} sets it again. */
   void scanTimerFired() {
     scanScheduled = false;
   }
 
-  /** Offers the first requests for dispatch and removes those that were taken. */
+  /** Tries to dispatch queued requests in order, and removes those for which it succeeded. */
   void scan(Predicate<InFlightRequest> tryDispatch) {
     Iterator<InFlightRequest> waiting = queue.iterator();
     int skipped = 0;
--- a/policy/src/main/java/lemondock/policy/Attempt.java
+++ b/policy/src/main/java/lemondock/policy/Attempt.java
@@ -3,7 +3,7 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** One attempt of a request at one server, from its sending to its end. Times in microseconds. */
+/** One attempt of a request at one server, from the send to its end. Times in microseconds. */
 final class Attempt {
   private static final Set<AttemptOutcome> NEVER_RAN =
       EnumSet.of(
@@ -18,7 +18,7 @@
   private final long tokens;
   private final long uncachedTokens;
 
-  // Written once, as it is sent: by ServerQueue, and by AdaptiveCapacityLimit.
+  // Written once, at the send: the first by ServerQueue, the second by AdaptiveCapacityLimit.
   private long readQueueTokensAtSend;
   private long writeTokensInFlightAtSend;
 
@@ -29,7 +29,7 @@
   private long overdueAfterMicros;
 
   // Written by StateReleasePolicy.
-  private boolean suspected;
+  private boolean suspectedLost;
 
   // Written by AttemptRecorder.
   private long timeToFirstTokenMicros;
@@ -66,22 +66,22 @@
     return sentAtMicros;
   }
 
-  /** What it should take until it is answered. */
+  /** Expected time from the send to the answer, including the wait in the server's queue. */
   long expectedMicros() {
     return expectedMicros;
   }
 
-  /** Tokens of prompt and answer, in flight until the attempt ends. */
+  /** Tokens of prompt and expected answer; they count as in flight until the attempt ends. */
   long tokens() {
     return tokens;
   }
 
-  /** Prompt tokens that the server was expected to read; 0 for a write. */
+  /** Prompt tokens that the server is expected to read, plus the overhead; 0 for a write. */
   long uncachedTokens() {
     return uncachedTokens;
   }
 
-  /** All tokens to be read at the server once this attempt was sent, its own included. */
+  /** Tokens queued for reading at the server right after the send, including this attempt's. */
   long readQueueTokensAtSend() {
     return readQueueTokensAtSend;
   }
@@ -90,7 +90,7 @@
     readQueueTokensAtSend = queuedTokens;
   }
 
-  /** All tokens in flight at writers of this gateway once this attempt was sent. */
+  /** Tokens that this gateway had in flight at writers right after the send. */
   long writeTokensInFlightAtSend() {
     return writeTokensInFlightAtSend;
   }
@@ -99,46 +99,49 @@
     writeTokensInFlightAtSend = inFlightTokens;
   }
 
-  /** When the attempt counts as overdue; 0 where it is never cancelled for being slow. */
+  /** When the attempt times out; 0 if it is never cancelled for being slow. */
   long timeoutAtMicros() {
     return timeoutAtMicros;
   }
 
-  void setTimeoutAt(long micros) {
-    timeoutAtMicros = micros;
+  void setTimeoutAtMicros(long atMicros) {
+    timeoutAtMicros = atMicros;
   }
 
-  /** The server's queue moves, so that the attempt is given more time from now on. */
+  /** Notes that the timeout starts again now, because the server's queue makes progress. */
   void extendTimeout(long nowMicros) {
     timeoutExtendedAtMicros = nowMicros;
   }
 
-  /** Whether the server's queue has moved since the attempt was last given time. */
-  boolean queueHasMovedSinceTimeoutStarted() {
-    return queueUnmovedSinceMicros() > Math.max(sentAtMicros, timeoutExtendedAtMicros);
+  /** Whether the server has answered older work since the timeout last started. */
+  boolean hasQueueProgressedSinceTimeoutStart() {
+    return lastQueueProgressAtMicros() > Math.max(sentAtMicros, timeoutExtendedAtMicros);
   }
 
-  /** Since when nothing has come back from the server; its sending if nothing has at all. */
-  long serverSilentSinceMicros() {
+  /** When the server last answered any attempt with success; the send if that is later. */
+  long lastServerAnswerAtMicros() {
     return Math.max(sentAtMicros, server.queue().lastSuccessAtMicros());
   }
 
-  /** Since when no older work has come back from the server; its sending if none has at all. */
-  long queueUnmovedSinceMicros() {
+  /**
+   * When the server last answered work older than this attempt; the send if that is later, or if a
+   * newer attempt has been answered before this one.
+   */
+  long lastQueueProgressAtMicros() {
     return server.queue().unmovedSinceMicros(this);
   }
 
-  /** Time after which the read is overdue if nothing older comes back from its server. */
+  /** Time without an answer to this read or to older work after which the read is overdue. */
   long overdueAfterMicros() {
     return overdueAfterMicros;
   }
 
-  void setOverdueAfter(long micros) {
-    overdueAfterMicros = micros;
+  void setOverdueAfterMicros(long delayMicros) {
+    overdueAfterMicros = delayMicros;
   }
 
-  /** Whether it took too long and was cancelled for it. */
-  boolean timedOut() {
+  /** Whether the attempt was cancelled because it took too long. */
+  boolean hasTimedOut() {
     return timedOut;
   }
 
@@ -146,16 +149,16 @@
     timedOut = true;
   }
 
-  /** Whether its answer was taken for lost, and what it may have left was released. */
-  boolean suspected() {
-    return suspected;
+  /** Whether the read's answer was assumed lost, and the state it may have left was released. */
+  boolean isSuspectedLost() {
+    return suspectedLost;
   }
 
-  void markSuspected() {
-    suspected = true;
+  void markSuspectedLost() {
+    suspectedLost = true;
   }
 
-  /** Time from its sending to its first token; 0 while none has come. */
+  /** Time from the send to the first token; 0 until the first token has come. */
   long timeToFirstTokenMicros() {
     return timeToFirstTokenMicros;
   }
@@ -164,16 +167,16 @@
     return timeToFirstTokenMicros > 0;
   }
 
-  /** The answer has begun after that time. */
+  /** Records the first token; a time below 1 counts as 1, because 0 means none has come. */
   void recordFirstToken(long elapsedMicros) {
     timeToFirstTokenMicros = Math.max(1, elapsedMicros);
   }
 
-  boolean ended() {
+  boolean hasEnded() {
     return ended;
   }
 
-  /** It has ended with that outcome. */
+  /** Marks the attempt as ended with this outcome. */
   void end(AttemptOutcome outcome) {
     ended = true;
     neverRan = NEVER_RAN.contains(outcome);
@@ -181,14 +184,15 @@
   }
 
   /**
-   * Whether it ended without what it was sent for: its server is avoided for the request's next
-   * attempt. A read that was cancelled for being slow does not count.
+   * Whether the request's next attempts should avoid the server of this one, because it ended with
+   * anything but {@link AttemptOutcome#PROMPT_READ}. A read that was cancelled for being slow does
+   * not count.
    */
-  boolean failed() {
+  boolean hasFailed() {
     return failed;
   }
 
-  /** Whether its outcome proves that the server never worked on it. */
+  /** Whether the outcome proves that the server never worked on the attempt. */
   boolean neverRan() {
     return neverRan;
   }
--- a/policy/src/main/java/lemondock/policy/AttemptPlan.java
+++ b/policy/src/main/java/lemondock/policy/AttemptPlan.java
@@ -1,13 +1,13 @@
 package lemondock.policy;
 
 /**
- * An attempt about to be sent.
+ * A planned attempt, before it is sent.
  *
- * @param server where it goes
- * @param work what it asks of that server
- * @param uncachedTokens prompt tokens that the server has to read, with the fixed cost of a read; 0
- *     for a write
- * @param expectedMicros what the attempt should take, its wait in the server's queue included
+ * @param server the server that will receive it
+ * @param work what the server is asked to do
+ * @param uncachedTokens prompt tokens that the server is expected to read, plus the overhead of a
+ *     read in tokens; 0 for a write
+ * @param expectedMicros expected time to the answer, including the wait in the server's queue
  */
 record AttemptPlan(
     ServerState server, AttemptWork work, long uncachedTokens, long expectedMicros) {}
--- a/policy/src/main/java/lemondock/policy/AttemptRecorder.java
+++ b/policy/src/main/java/lemondock/policy/AttemptRecorder.java
@@ -43,7 +43,7 @@
     return switch (outcome) {
       case PROMPT_READ, OK -> AttemptVerdict.SUCCESS;
       case REJECTED, ABANDONED_BEFORE_SEND -> AttemptVerdict.NEUTRAL;
-      case CANCELLED -> attempt.timedOut() ? AttemptVerdict.FAILURE : AttemptVerdict.NEUTRAL;
+      case CANCELLED -> attempt.hasTimedOut() ? AttemptVerdict.FAILURE : AttemptVerdict.NEUTRAL;
       default -> AttemptVerdict.FAILURE;
     };
   }
--- a/policy/src/main/java/lemondock/policy/AttemptResult.java
+++ b/policy/src/main/java/lemondock/policy/AttemptResult.java
@@ -5,14 +5,14 @@
 /**
  * The end of one attempt.
  *
- * @param requestId the request that it was sent for
- * @param attempt number of the attempt within its request, from 0
- * @param serverId the server that it was sent to
- * @param outcome how it ended
- * @param elapsedMicros time since the attempt was sent
- * @param requestEnded whether the client has its whole answer, or nothing more is owed to it
- * @param cachedTokens prompt tokens that the server had cached; told with {@link
- *     AttemptOutcome#PROMPT_READ} and {@link AttemptOutcome#OK}
+ * @param requestId id of the request that the attempt belongs to
+ * @param attempt index of the attempt within its request, from 0
+ * @param serverId id of the server that the attempt was sent to
+ * @param outcome how the attempt ended
+ * @param elapsedMicros time from the send to the end of the attempt
+ * @param requestEnded whether the client has received its whole answer, or needs none any more
+ * @param cachedTokens prompt tokens that the server had cached; set for {@link
+ *     AttemptOutcome#PROMPT_READ} and {@link AttemptOutcome#OK} only
  * @param stateMissing whether the server rejected a write because it found no state to write from
  */
 public record AttemptResult(
@@ -25,12 +25,12 @@
     int cachedTokens,
     boolean stateMissing) {
 
-  /** Begins one; what is not set is 0 or false. */
+  /** Returns a builder whose components are 0 or false until set; the outcome must be set. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the components of an {@link AttemptResult}. For one thread. */
+  /** Builder of an {@link AttemptResult}; not thread-safe. */
   public static final class Builder {
     private long requestId;
     private int attempt;
@@ -43,59 +43,59 @@
 
     private Builder() {}
 
-    /** The request that it was sent for. */
+    /** Sets the id of the request that the attempt belongs to. */
     public Builder requestId(long value) {
       requestId = value;
       return this;
     }
 
-    /** Number of the attempt within its request, from 0. */
+    /** Sets the index of the attempt within its request, from 0. */
     public Builder attempt(int value) {
       attempt = value;
       return this;
     }
 
-    /** The server that it was sent to. */
+    /** Sets the id of the server that the attempt was sent to. */
     public Builder serverId(long value) {
       serverId = value;
       return this;
     }
 
-    /** How it ended. */
+    /** Sets how the attempt ended. */
     public Builder outcome(AttemptOutcome value) {
       outcome = value;
       return this;
     }
 
-    /** Time since the attempt was sent. */
+    /** Sets the time from the send to the end of the attempt. */
     public Builder elapsedMicros(long value) {
       elapsedMicros = value;
       return this;
     }
 
-    /** Whether the client has its whole answer, or nothing more is owed to it. */
+    /** Sets whether the client has received its whole answer, or needs none any more. */
     public Builder requestEnded(boolean value) {
       requestEnded = value;
       return this;
     }
 
     /**
-     * Prompt tokens that the server had cached; told with {@link AttemptOutcome#PROMPT_READ} and
-     * {@link AttemptOutcome#OK}.
+     * Sets the prompt tokens that the server had cached; for {@link AttemptOutcome#PROMPT_READ} and
+     * {@link AttemptOutcome#OK} only.
      */
     public Builder cachedTokens(int value) {
       cachedTokens = value;
       return this;
     }
 
-    /** Whether the server rejected a write because it found no state to write from. */
+    /** Sets whether the server rejected a write because it found no state to write from. */
     public Builder stateMissing(boolean value) {
       stateMissing = value;
       return this;
     }
 
     /**
-     * The {@link AttemptResult}.
+     * Builds the {@link AttemptResult}.
      *
      * @throws NullPointerException if outcome is not set
      */
--- a/policy/src/main/java/lemondock/policy/AttemptSender.java
+++ b/policy/src/main/java/lemondock/policy/AttemptSender.java
@@ -1,6 +1,9 @@
 package lemondock.policy;
 
-/** The only place that sends attempts; their servers come from {@link ServerEligibility}. */
+/**
+ * Sends attempts, as the only class that does. The selectors choose their servers among the
+ * candidates of {@link ServerEligibility}.
+ */
 final class AttemptSender {
   private final DecisionClock clock;
   private final RouterHost host;
@@ -21,7 +24,7 @@
     this.timeouts = timeouts;
   }
 
-  /** Sends one attempt and starts its timeout. */
+  /** Sends one attempt, records it with its server and its request, and starts its timeout. */
   Attempt send(InFlightRequest request, AttemptPlan plan) {
     Attempt attempt = new Attempt(plan, clock.nowMicros(), request.writeTokens());
     capacity.recordSent(attempt);
--- a/policy/src/main/java/lemondock/policy/AttemptTimeouts.java
+++ b/policy/src/main/java/lemondock/policy/AttemptTimeouts.java
@@ -1,32 +1,41 @@
 package lemondock.policy;
 
 /**
- * Cancels attempts that are overdue, so that the next server is tried. Overdue is judged by how
- * long work waits at all servers of the role: one gateway cannot tell a lost answer, a stall or a
- * cut link from a queue, and under plain load all waits grow. It can do harm where one server is
- * overloaded: the prompt is read twice.
+ * Cancels overdue attempts, so that the request can be retried at another server. The timeout
+ * depends on how long work waits at all servers of the role: one gateway cannot distinguish a lost
+ * answer, a stall or a network partition from a queue, and under ordinary load all waits grow.
+ * Cancelling can do harm where a single server is overloaded: the prompt is then read twice.
  */
 final class AttemptTimeouts {
-  /** Share of what is left of the latency objective, after which an attempt may be overdue. */
+  /** An attempt may time out after this share of the remaining latency objective. */
   private static final double OBJECTIVE_SHARE = 0.9;
 
-  /** Times what an attempt should take, after which it may be overdue; both bounds must pass. */
+  /**
+   * An attempt may time out after this multiple of its expected time. Both this and the bound by
+   * the objective must have passed.
+   */
   private static final double EXPECTED_FACTOR = 2.0;
 
-  /** Times what work of the role waits now, added to the latter bound. */
+  /** Multiple of the role's mean wait that is added to the bound by the expected time. */
   private static final double ROLE_WAIT_FACTOR = 5.0;
 
-  /** Share of the timeout after which the answer of a read is suspected to be lost. */
-  private static final double SUSPECT_SHARE = 0.8;
+  /** Share of the timeout after which the answer of a read is assumed lost. */
+  private static final double SUSPECTED_LOST_SHARE = 0.8;
 
-  /** Times what the slowest read of late would have taken, after which the same is suspected. */
-  private static final double SLOWEST_FACTOR = 2.0;
+  /**
+   * Multiple of the time of the slowest recent read after which the answer of a read at a silent
+   * server is assumed lost.
+   */
+  private static final double SLOWEST_READ_FACTOR = 2.0;
 
-  /** A server that has answered within this time can be noticed to fall silent. */
-  private static final long RECENT_MICROS = 1_000_000L;
+  /** If a server has answered within this time, its silence since then can be detected. */
+  private static final long RECENT_ANSWER_MICROS = 1_000_000L;
 
-  /** So many reads answered of late tell what one may take at a server not heard of, too. */
-  private static final double ENOUGH_READS = 5;
+  /**
+   * Number of recently answered reads of the role that is enough to judge a server that has not
+   * answered recently itself.
+   */
+  private static final double MIN_ROLE_READS = 5;
 
   private final boolean mayCancel;
   private final DecisionClock clock;
@@ -47,29 +56,35 @@
     this.latency = latency;
   }
 
-  /** Sets the attempt's timeout, twice as long after each attempt that was cancelled. */
+  /**
+   * Starts the attempt's timeout. Its share of the latency objective doubles with each earlier
+   * attempt of the request that timed out.
+   */
   void start(InFlightRequest request, Attempt attempt) {
     if (!mayCancel || RetryPolicy.isNonRepeatableWrite(request, attempt)) {
       return;
     }
-    long earlier = request.timedOutAttempts();
-    double base =
-        earlier == 0
+    long earlierTimeouts = request.timedOutAttempts();
+    double baseMicros =
+        earlierTimeouts == 0
             ? request.remainingObjectiveMicros(clock.nowMicros())
-            : request.objectiveMicros() * (1L << earlier);
+            : request.objectiveMicros() * (1L << earlierTimeouts);
     long timeoutMicros =
-        (long) Math.max(1, Math.max(base * OBJECTIVE_SHARE, slowAfterMicros(attempt)));
-    attempt.setTimeoutAt(clock.nowMicros() + timeoutMicros);
+        (long) Math.max(1, Math.max(baseMicros * OBJECTIVE_SHARE, slowThresholdMicros(attempt)));
+    attempt.setTimeoutAtMicros(clock.nowMicros() + timeoutMicros);
     host.setTimer(RequestTimer.ATTEMPT_TIMEOUT.token(request.id()), timeoutMicros);
   }
 
-  /** A timer set by {@link #start} has fired: cancels the request's last attempt if overdue. */
+  /**
+   * Handles a timer set by {@link #start}: cancels the request's last attempt if it has timed out,
+   * or starts its timeout again if the server has answered older work meanwhile.
+   */
   void timerFired(InFlightRequest request) {
     Attempt attempt = request.lastAttempt();
-    if (!mayTimeOut(request, attempt)) {
+    if (!isTimeoutDue(request, attempt)) {
       return;
     }
-    if (attempt.queueHasMovedSinceTimeoutStarted()) {
+    if (attempt.hasQueueProgressedSinceTimeoutStart()) {
       attempt.extendTimeout(clock.nowMicros());
       start(request, attempt);
       return;
@@ -80,8 +95,8 @@
     host.cancel(request.id(), request.attemptCount() - 1);
   }
 
-  private boolean mayTimeOut(InFlightRequest request, Attempt attempt) {
-    return !attempt.ended()
+  private boolean isTimeoutDue(InFlightRequest request, Attempt attempt) {
+    return !attempt.hasEnded()
         && !RetryPolicy.isNonRepeatableWrite(request, attempt)
         && clock.nowMicros() >= attempt.timeoutAtMicros()
         && !retryPolicy.attemptsExhausted(request)
@@ -89,45 +104,45 @@
   }
 
   /**
-   * Sets the time after which a read without an answer is overdue, as it is sent: soon it is
-   * cancelled.
+   * Sets, at the send, the time after which a read without an answer is overdue. It lies shortly
+   * before the timeout that cancels the read.
    */
   void setOverdueTime(Attempt read) {
     long leftMicros = read.timeoutAtMicros() - clock.nowMicros();
-    read.setOverdueAfter(
-        leftMicros > 0 ? (long) (leftMicros * SUSPECT_SHARE) : slowAfterMicros(read));
+    read.setOverdueAfterMicros(
+        leftMicros > 0 ? (long) (leftMicros * SUSPECTED_LOST_SHARE) : slowThresholdMicros(read));
   }
 
   /**
-   * When the answer of a read counts as lost, by what is known now: it is overdue, or its server
-   * has fallen silent, that is it has answered nothing for twice what the slowest read of late
-   * would have taken, whatever the latency objective.
+   * When the answer of a read counts as lost, as far as is known now. That is when the read becomes
+   * overdue, or when its server has been silent for too long: it has answered nothing for twice the
+   * time that the slowest recent read would have taken, regardless of the latency objective.
    *
-   * @param leastSilenceMicros time for which a server may answer nothing in any case
+   * @param minSilenceMicros time without any answer that every server is granted
    */
-  long lostAtMicros(InFlightRequest request, Attempt read, long leastSilenceMicros) {
-    long overdueAtMicros = read.queueUnmovedSinceMicros() + read.overdueAfterMicros();
-    if (!canBeNoticedAsSilent(read.server())) {
+  long lostAtMicros(InFlightRequest request, Attempt read, long minSilenceMicros) {
+    long overdueAtMicros = read.lastQueueProgressAtMicros() + read.overdueAfterMicros();
+    if (!isSilenceDetectable(read.server())) {
       return overdueAtMicros;
     }
-    double slowestMicros = latency.longestReadMicros(request, read) * SLOWEST_FACTOR;
-    long silenceMicros = (long) Math.max(leastSilenceMicros, slowestMicros);
-    return Math.min(overdueAtMicros, read.serverSilentSinceMicros() + silenceMicros);
+    double slowestMicros = latency.longestReadMicros(request, read) * SLOWEST_READ_FACTOR;
+    long silenceMicros = (long) Math.max(minSilenceMicros, slowestMicros);
+    return Math.min(overdueAtMicros, read.lastServerAnswerAtMicros() + silenceMicros);
   }
 
   /**
-   * Where this gateway hears of its servers too rarely to know what is usual, one that has not
-   * answered for long may only be slow.
+   * Whether silence of the server is a sign of failure. If this gateway receives too few answers to
+   * know the usual time, a server that has not answered for long may merely be slow.
    */
-  private boolean canBeNoticedAsSilent(ServerState server) {
+  private boolean isSilenceDetectable(ServerState server) {
     long now = clock.nowMicros();
-    return server.queue().hasAnsweredSince(now - RECENT_MICROS)
+    return server.queue().hasAnsweredSince(now - RECENT_ANSWER_MICROS)
         || server.queue().isSilent()
-        || server.roleStatistics().answeredReads(now) >= ENOUGH_READS;
+        || server.roleStatistics().answeredReads(now) >= MIN_ROLE_READS;
   }
 
-  /** What an attempt may take before it is more than slow. */
-  private static long slowAfterMicros(Attempt attempt) {
+  /** Time after which an attempt is too slow, by its expected time and the role's mean wait. */
+  private static long slowThresholdMicros(Attempt attempt) {
     return (long)
         (attempt.expectedMicros() * EXPECTED_FACTOR
             + attempt.server().roleStatistics().waitMicros() * ROLE_WAIT_FACTOR);
--- a/policy/src/main/java/lemondock/policy/AttemptVerdict.java
+++ b/policy/src/main/java/lemondock/policy/AttemptVerdict.java
@@ -1,9 +1,9 @@
 package lemondock.policy;
 
-/** What an attempt's first answer, or its end, says of its server. */
+/** What an attempt's first token, or its end, indicates about the health of its server. */
 enum AttemptVerdict {
   SUCCESS,
   FAILURE,
-  /** The end has another cause than the server. */
+  /** The attempt ended for a reason that says nothing about the server's health. */
   NEUTRAL
 }
--- a/policy/src/main/java/lemondock/policy/AttemptWork.java
+++ b/policy/src/main/java/lemondock/policy/AttemptWork.java
@@ -1,12 +1,12 @@
 package lemondock.policy;
 
-/** What one attempt asks of its server. */
+/** What one attempt asks of its server: a read (prefill), a write (decode), or both. */
 enum AttemptWork {
-  /** Read the prompt and keep the state for a writer. */
+  /** Read the prompt and hold its state for a writer. */
   READ,
-  /** Write the answer from a state that a reader holds. */
+  /** Write the answer from the state that a reader holds. */
   WRITE,
-  /** Read the prompt and write the answer in place, at a mixed server. */
+  /** Read the prompt and write the answer at the same mixed server. */
   READ_AND_WRITE;
 
   boolean reads() {
--- a/policy/src/main/java/lemondock/policy/Control.java
+++ b/policy/src/main/java/lemondock/policy/Control.java
@@ -7,22 +7,23 @@
 import java.util.SplittableRandom;
 
 /**
- * Entry point of the routing decisions, behind the interface in {@code RequestRouter.java}: takes
- * the events in and orders the work. A request is admitted or queued, its prompt is read, its
- * answer is written, and it ends with one final answer. Each concern is a class of its own; the
- * package comment names them and the guards of the five rules.
+ * Implements the interface in {@code RequestRouter.java}: receives the events of one gateway and
+ * decides the order of work. A request is admitted or queued, its prompt is read (prefill) by one
+ * server, its answer is written (decode) by the same or another one, and it ends with exactly one
+ * final answer. Every other concern has a class of its own; the package comment lists them, and
+ * says which class enforces each of the five rules.
  *
- * <p>One instance serves one gateway. It is single-threaded: all events come on one thread, and all
- * state below it belongs to that thread.
+ * <p>One instance serves one gateway. It is not thread-safe: the host delivers all events on one
+ * thread, which owns all state of this package.
  */
 public final class Control implements RequestRouter {
-  /** Time before the kill in which last answers reach their clients. */
+  /** Reserved before the process may be killed, for the last answers to reach their clients. */
   static final long SHUTDOWN_MARGIN_MICROS = 300_000L;
 
-  /** Time between two rounds of the session reaper, which also logs the state. */
+  /** Interval of the timer that reaps expired sessions and logs the router's state. */
   private static final long REAP_INTERVAL_MICROS = 5_000_000L;
 
-  /** A read must end within this share of what is left of the latency objective. */
+  /** Share of the remaining latency objective within which a read should end. */
   private static final double READ_OBJECTIVE_SHARE = 0.7;
 
   private static final long NEVER = Long.MAX_VALUE;
@@ -50,9 +51,9 @@
   /**
    * Creates the router of one gateway.
    *
-   * @param seed of the generator that makes all random choices; equal seeds and events give equal
-   *     actions
-   * @throws InvalidRouterInputException if the settings contradict each other; the message says how
+   * @param seed seed of the generator behind all random choices; equal settings, seeds and events
+   *     lead to equal actions
+   * @throws InvalidRouterInputException if the settings cannot be used; the message says why
    */
   public Control(RouterSettings settings, long seed, RouterHost host) {
     SettingsCheck.check(settings);
@@ -133,7 +134,8 @@
       long timeToFirstTokenMicros) {
     clock.advanceTo(nowMicros);
     Optional<InFlightRequest> request = find(requestId);
-    Optional<Attempt> attempt = request.flatMap(found -> found.attempt(attemptNumber));
+    Optional<Attempt> attempt =
+        request.flatMap(foundRequest -> foundRequest.attempt(attemptNumber));
     if (attempt.isPresent()) {
       beginStream(request.get(), attempt.get(), timeToFirstTokenMicros);
     }
@@ -145,7 +147,7 @@
 
   private void beginStream(InFlightRequest request, Attempt attempt, long timeToFirstTokenMicros) {
     request.setStreaming(true);
-    stateReleases.firstToken(request);
+    stateReleases.recordFirstToken(request);
     recorder.firstToken(request, attempt, timeToFirstTokenMicros);
     dispatchQueued();
   }
@@ -154,8 +156,9 @@
   public void attemptEnded(long nowMicros, AttemptResult result) {
     clock.advanceTo(nowMicros);
     Optional<InFlightRequest> request = find(result.requestId());
-    Optional<Attempt> attempt = request.flatMap(found -> found.attempt(result.attempt()));
-    if (attempt.isPresent() && !attempt.get().ended()) {
+    Optional<Attempt> attempt =
+        request.flatMap(foundRequest -> foundRequest.attempt(result.attempt()));
+    if (attempt.isPresent() && !attempt.get().hasEnded()) {
       endAttempt(request.get(), attempt.get(), result);
     }
   }
@@ -166,24 +169,24 @@
       request.end();
     }
     if (attempt.hasFirstToken()) {
-      // A stream that ends without ending its request leaves it unanswered.
+      // The stream has ended. Unless the request ended with it, the client still needs an answer.
       request.setStreaming(false);
     }
-    stateReleases.attemptEnded(request, attempt, result);
-    if (request.ended() || request.streaming()) {
+    stateReleases.recordAttemptEnd(request, attempt, result);
+    if (request.hasEnded() || request.isStreaming()) {
       stateReleases.releaseIfIdle(request);
     } else {
       continueRequest(request);
       stateReleases.schedule(request);
     }
-    completion.forgetIfEnded(request);
+    completion.removeIfEnded(request);
     dispatchQueued();
   }
 
   @Override
   public void clientDisconnected(long nowMicros, long requestId) {
     clock.advanceTo(nowMicros);
-    find(requestId).filter(request -> !request.ended()).ifPresent(completion::abandon);
+    find(requestId).filter(request -> !request.hasEnded()).ifPresent(completion::abandon);
   }
 
   @Override
@@ -204,26 +207,29 @@
       case DEADLINE ->
           unansweredRequest(token)
               .ifPresent(request -> completion.complete(request, DecisionReason.DEADLINE_EXCEEDED));
-      default -> throw new IllegalStateException("no handler for the timer " + token);
+      default -> throw new IllegalStateException("no handler for the kind of timer token " + token);
     }
   }
 
-  /** The request of a timer, if it still waits for its answer. */
+  /** Finds the request that a timer token belongs to, if no answer to it has begun. */
   private Optional<InFlightRequest> unansweredRequest(long token) {
     return find(RequestTimer.requestIdOf(token))
-        .filter(request -> !request.ended() && !request.streaming());
+        .filter(request -> !request.hasEnded() && !request.isStreaming());
   }
 
   @Override
   public void shutdownStarted(long nowMicros, long killedAtMicros) {
     clock.advanceTo(nowMicros);
     this.killedAtMicros = killedAtMicros;
-    // None may be cut off without an answer.
+    // Every request gets its final answer before the process may be killed.
     long leftMicros = Math.max(0, killedAtMicros - SHUTDOWN_MARGIN_MICROS - nowMicros);
     inFlight.keySet().forEach(id -> host.setTimer(RequestTimer.DEADLINE.token(id), leftMicros));
   }
 
-  /** Whether the longest answer, begun as late as may be, would go on beyond the kill. */
+  /**
+   * Whether the request could still be streaming when the process may be killed: its first token
+   * comes at the client's timeout, and its answer has the maximum length.
+   */
   private boolean mayOutliveShutdown(InFlightRequest request) {
     RoutingRequest attributes = request.attributes();
     long longestAnswerMicros =
@@ -247,12 +253,15 @@
     queue.scan(this::tryDispatch);
   }
 
-  /** Sends an admitted request to its reader; false if it has to wait. */
+  /** Sends the request to a reader if it is admitted; returns false if it has to wait. */
   private boolean tryDispatch(InFlightRequest request) {
     return capacity.admits(request) && dispatchRead(request);
   }
 
-  /** False if no reader can take the request now, or, by chance, if its read would be late. */
+  /**
+   * Sends the request to a reader. Returns false if no reader may take it now, or if the read would
+   * probably end too late: see {@link InFlightRequest#lateReadThreshold}.
+   */
   private boolean dispatchRead(InFlightRequest request) {
     Optional<AttemptPlan> read = readerSelector.select(request);
     double leftMicros = request.remainingObjectiveMicros(clock.nowMicros()) * READ_OBJECTIVE_SHARE;
@@ -276,23 +285,27 @@
     Attempt attempt = sender.send(request, plan);
     if (attempt.work() == AttemptWork.READ) {
       timeouts.setOverdueTime(attempt);
-      stateReleases.readSent(request);
+      stateReleases.recordReadSent(request);
     }
   }
 
-  /** After an attempt that left the request unanswered: writes what was read, retries, or ends. */
+  /**
+   * Decides what follows an attempt that left the request unanswered: a write from the state that
+   * was read, a retry, or the final answer.
+   */
   private void continueRequest(InFlightRequest request) {
     if (request.hasAttemptInFlight()) {
       return;
     }
     Attempt last = request.lastAttempt();
     if (last.neverRan() && request.reservedState().isDue(clock.nowMicros())) {
-      // Writers that never come up: a further one would hold the state beyond its time.
+      // The writers tried so far were never reached. Trying another one could hold the state
+      // beyond its limit.
       stateReleases.releaseIfIdle(request);
     }
     boolean retry = !last.reads() || request.stateHolder().isEmpty();
-    boolean readAnew = retryPolicy.mayHaveConsumedState(request, last);
-    Optional<DecisionReason> refusal = retryPolicy.takeFurtherAttempt(request, retry);
+    boolean readAgain = retryPolicy.mayHaveConsumedState(request, last);
+    Optional<DecisionReason> refusal = retryPolicy.requestFurtherAttempt(request, retry);
     if (refusal.isPresent()) {
       completion.complete(request, refusal.get());
       return;
@@ -300,7 +313,7 @@
     if (retry) {
       host.trace(request.id(), DecisionReason.RETRY);
     }
-    if (request.stateHolder().isPresent() && !readAnew) {
+    if (request.stateHolder().isPresent() && !readAgain) {
       dispatchWrite(request, request.stateHolder().get());
     } else if (!dispatchRead(request)) {
       completion.complete(request, DecisionReason.NO_READER);
@@ -321,18 +334,20 @@
             .map(ServerState::id)
             .toList();
     host.log(
-        capacity.tokensInFlight()
-            + " tokens in flight of capacity "
+        "router state: tokens in flight "
+            + capacity.tokensInFlight()
+            + " of "
             + capacity.capacityTokens()
-            + ", queued "
+            + ", queued requests "
             + queue.size()
-            + ", ejected "
+            + ", ejected servers "
             + ejected
-            + ", reads wait us "
+            + ", mean wait of reads "
             + (long) readers.waitMicros()
-            + " (longest "
+            + " us (longest "
             + (long) readers.longestReadWaitMicros(clock.nowMicros())
-            + "), writes "
-            + (long) servers.table().statistics(ServerRole.WRITER).waitMicros());
+            + " us), mean wait of writes "
+            + (long) servers.table().statistics(ServerRole.WRITER).waitMicros()
+            + " us");
   }
 }
--- a/policy/src/main/java/lemondock/policy/DecisionReason.java
+++ b/policy/src/main/java/lemondock/policy/DecisionReason.java
@@ -1,31 +1,34 @@
 package lemondock.policy;
 
-/** Why a request was queued, retried, released or ended. Names appear in debug and count lines. */
+/**
+ * Why a request was queued, retried or ended, or its state released. The constants' names appear in
+ * debug output and as counters.
+ */
 public enum DecisionReason {
-  /** Its deadline, or the end that a shutdown leaves it, has come. */
+  /** The request's deadline has passed, or the earlier one that a shutdown sets. */
   DEADLINE_EXCEEDED,
-  /** It could not end before this gateway may be killed. */
+  /** The request might not end before this gateway may be killed. */
   SHUTTING_DOWN,
-  /** It waited in the queue until another attempt would have been too late. */
+  /** The request waited in the queue until an attempt would have been too late. */
   QUEUE_TIMEOUT,
-  /** It waits in the queue for capacity, or for a reader that would be in time. */
+  /** The request was queued, for capacity or for a reader that can be in time. */
   QUEUED,
-  /** No reader may take it, or each would be too late. */
+  /** A further attempt found no reader that may take the request, or each would be too late. */
   NO_READER,
-  /** No writer may take it. */
+  /** No writer may take the request. */
   NO_WRITER,
-  /** Too few attempts are left for an answer. */
+  /** Too few attempts are left to reach an answer. */
   ATTEMPTS_EXHAUSTED,
-  /** Its client's time was over when an attempt ended. */
+  /** The client's timeout had passed when an attempt ended. */
   CLIENT_TIMEOUT,
-  /** The budget for retries is spent. */
+  /** The retry budget is exhausted. */
   RETRY_BUDGET_EXHAUSTED,
-  /** Another attempt follows one that did not end well. */
+  /** A further attempt follows one that did not succeed. */
   RETRY,
-  /** An attempt took far longer than it should and was cancelled. */
+  /** An attempt took far longer than expected and was cancelled. */
   ATTEMPT_TIMEOUT,
-  /** A read took far longer than any of late, so that its answer is taken for lost. */
+  /** A read is overdue, or its server has been silent for too long: its answer counts as lost. */
   READ_SUSPECTED,
-  /** What readers hold, or may hold, was released. */
+  /** The state that readers hold, or may hold, for the request was released. */
   STATE_RELEASED
 }
--- a/policy/src/main/java/lemondock/policy/DeduplicationScope.java
+++ b/policy/src/main/java/lemondock/policy/DeduplicationScope.java
@@ -1,11 +1,11 @@
 package lemondock.policy;
 
-/** The servers that drop a repeat of what one of them has had under the same idempotency key. */
+/** The servers that share their idempotency keys: each drops a repeat that any of them has seen. */
 public enum DeduplicationScope {
   /** All servers. */
   ALL,
-  /** The servers of the zone. */
+  /** The servers of one zone. */
   ZONE,
-  /** The servers of the cell. */
+  /** The servers of one cell, a part of a zone. */
   CELL
 }
--- a/policy/src/main/java/lemondock/policy/DeploymentLimits.java
+++ b/policy/src/main/java/lemondock/policy/DeploymentLimits.java
@@ -1,17 +1,17 @@
 package lemondock.policy;
 
 /**
- * What the deployment allows. Times in microseconds.
+ * What the deployment allows the router to do. Times in microseconds.
  *
- * @param maxAttempts attempts that one request may take
+ * @param maxAttempts maximum number of attempts per request, at least 1
  * @param mayCancel whether attempts may be cancelled
  * @param mayHedge whether hedged requests are allowed
  * @param mayProbe whether health checks are allowed
- * @param mayGossip whether gateways may tell each other what they see
+ * @param mayGossip whether gateways may exchange their observations
  * @param sendsRetryAfter whether a rejection may carry a Retry-After
- * @param maxRetryAfterMicros the longest Retry-After that may be advised
- * @param connectTimeoutMicros how long a connection to a server may take to come up; 0 if not told
- * @param pollsEndpointList whether the endpoint list comes only when asked for
+ * @param maxRetryAfterMicros longest Retry-After that may be sent
+ * @param connectTimeoutMicros how long connecting to a server may take; 0 if unknown
+ * @param pollsEndpointList whether the router has to ask for the endpoint list
  */
 public record DeploymentLimits(
     int maxAttempts,
@@ -24,12 +24,12 @@
     long connectTimeoutMicros,
     boolean pollsEndpointList) {
 
-  /** Begins one; what is not set is 0 or false. */
+  /** Returns a builder whose components are 0 or false until set. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the components of a {@link DeploymentLimits}. For one thread. */
+  /** Builder of a {@link DeploymentLimits}; not thread-safe. */
   public static final class Builder {
     private int maxAttempts;
     private boolean mayCancel;
@@ -43,61 +43,61 @@
 
     private Builder() {}
 
-    /** Attempts that one request may take. */
+    /** Sets the maximum number of attempts per request, at least 1. */
     public Builder maxAttempts(int value) {
       maxAttempts = value;
       return this;
     }
 
-    /** Whether attempts may be cancelled. */
+    /** Sets whether attempts may be cancelled. */
     public Builder mayCancel(boolean value) {
       mayCancel = value;
       return this;
     }
 
-    /** Whether hedged requests are allowed. */
+    /** Sets whether hedged requests are allowed. */
     public Builder mayHedge(boolean value) {
       mayHedge = value;
       return this;
     }
 
-    /** Whether health checks are allowed. */
+    /** Sets whether health checks are allowed. */
     public Builder mayProbe(boolean value) {
       mayProbe = value;
       return this;
     }
 
-    /** Whether gateways may tell each other what they see. */
+    /** Sets whether gateways may exchange their observations. */
     public Builder mayGossip(boolean value) {
       mayGossip = value;
       return this;
     }
 
-    /** Whether a rejection may carry a Retry-After. */
+    /** Sets whether a rejection may carry a Retry-After. */
     public Builder sendsRetryAfter(boolean value) {
       sendsRetryAfter = value;
       return this;
     }
 
-    /** The longest Retry-After that may be advised. */
+    /** Sets the longest Retry-After that may be sent. */
     public Builder maxRetryAfterMicros(long value) {
       maxRetryAfterMicros = value;
       return this;
     }
 
-    /** How long a connection to a server may take to come up; 0 if not told. */
+    /** Sets how long connecting to a server may take; 0 if unknown. */
     public Builder connectTimeoutMicros(long value) {
       connectTimeoutMicros = value;
       return this;
     }
 
-    /** Whether the endpoint list comes only when asked for. */
+    /** Sets whether the router has to ask for the endpoint list. */
     public Builder pollsEndpointList(boolean value) {
       pollsEndpointList = value;
       return this;
     }
 
-    /** The {@link DeploymentLimits}. */
+    /** Builds the {@link DeploymentLimits}. */
     public DeploymentLimits build() {
       return new DeploymentLimits(
           maxAttempts,
--- a/policy/src/main/java/lemondock/policy/EndpointListKind.java
+++ b/policy/src/main/java/lemondock/policy/EndpointListKind.java
@@ -1,13 +1,13 @@
 package lemondock.policy;
 
-/** What an endpoint list event holds. */
+/** What an endpoint list event contains. */
 public enum EndpointListKind {
   /** Only the servers that have changed. */
   CHANGES,
   /** All servers. */
   FULL_LIST,
-  /** All servers, as they were cached before a restart. */
+  /** All servers, from the list that was cached before a restart. */
   CACHED,
-  /** Nothing: the list could not be had. */
+  /** Nothing: fetching the list failed. */
   FAILED
 }
--- a/policy/src/main/java/lemondock/policy/Idempotency.java
+++ b/policy/src/main/java/lemondock/policy/Idempotency.java
@@ -2,10 +2,10 @@
 
 /** Whether requests of a class may be repeated. */
 public enum Idempotency {
-  /** Always. */
+  /** They may always be repeated. */
   IDEMPOTENT,
-  /** With the same idempotency key, within the class's scope and window. */
+  /** They may be repeated with the same idempotency key, within the class's scope and window. */
   IDEMPOTENCY_KEY,
-  /** Never once they may have run. */
+  /** They may not be repeated once an attempt may have run. */
   NON_IDEMPOTENT
 }
--- a/policy/src/main/java/lemondock/policy/InFlightRequest.java
+++ b/policy/src/main/java/lemondock/policy/InFlightRequest.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.stream.IntStream;
 
-/** One request from its arrival until it is answered and none of its attempts is in flight. */
+/** One request, from its arrival until it has ended and none of its attempts is in flight. */
 final class InFlightRequest {
   private final RoutingRequest attributes;
   private final RequestClass requestClass;
@@ -71,40 +71,41 @@
     return arrivedAtMicros;
   }
 
-  /** Time from arrival to first token that the class wants, for this prompt's length. */
+  /** Latency objective for the first token, counted from the arrival, for this prompt's length. */
   long objectiveMicros() {
     return objectiveMicros;
   }
 
-  /** What is left of the latency objective; negative once it is missed. */
+  /** Time left until the latency objective; negative once it is missed. */
   long remainingObjectiveMicros(long nowMicros) {
     return objectiveMicros - (nowMicros - arrivedAtMicros);
   }
 
-  /** Expected length of the answer. */
+  /** Expected length of the answer, at least 1. */
   long answerTokens() {
     return answerTokens;
   }
 
-  /** Tokens that the request occupies at a writer: prompt and answer. */
+  /** Tokens that the request occupies at a writer: the prompt and the expected answer. */
   long writeTokens() {
     return attributes.promptTokens() + answerTokens;
   }
 
-  /** What readers may hold for the request. */
+  /** The state that readers may hold for the request. */
   ReservedState reservedState() {
     return reservedState;
   }
 
   /**
-   * Drawn once, from 0 to 1: a read that would be late is put off by chance, the longer the
-   * likelier.
+   * Random number from 0 to 1, drawn once per request. A read is postponed if its expected time
+   * times this number exceeds the time left for it: the later a read would end, the more likely it
+   * is postponed.
    */
   double lateReadThreshold() {
     return lateReadThreshold;
   }
 
-  /** An attempt is sent. */
+  /** Adds an attempt that is about to be sent. */
   void addAttempt(Attempt attempt) {
     attempts.add(attempt);
     attemptsInFlight++;
@@ -113,7 +114,7 @@
     }
   }
 
-  /** The attempt has ended. */
+  /** Records that the attempt, which has been marked as ended, is no longer in flight. */
   void attemptEnded(Attempt attempt) {
     attemptsInFlight--;
     if (attempt.neverRan() && possibleEffect.filter(first -> first == attempt).isPresent()) {
@@ -121,7 +122,7 @@
     }
   }
 
-  /** The attempt of that number, from 0; empty if none was sent. */
+  /** The attempt with this index, from 0; empty if no such attempt was sent. */
   Optional<Attempt> attempt(int number) {
     return number < attempts.size() ? Optional.of(attempts.get(number)) : Optional.empty();
   }
@@ -130,14 +131,14 @@
     return attempts.get(attempts.size() - 1);
   }
 
-  /** Attempts sent so far, ended ones among them. */
+  /** Number of attempts sent so far, including those that have ended. */
   int attemptCount() {
     return attempts.size();
   }
 
-  /** Numbers of the attempts that have not ended. */
+  /** Indexes of the attempts that have not ended. */
   IntStream attemptNumbersInFlight() {
-    return IntStream.range(0, attempts.size()).filter(number -> !attempts.get(number).ended());
+    return IntStream.range(0, attempts.size()).filter(number -> !attempts.get(number).hasEnded());
   }
 
   boolean hasAttemptInFlight() {
@@ -145,23 +146,23 @@
   }
 
   boolean hasWriteInFlight() {
-    return attempts.stream().anyMatch(attempt -> attempt.writes() && !attempt.ended());
+    return attempts.stream().anyMatch(attempt -> attempt.writes() && !attempt.hasEnded());
   }
 
   boolean hasFailedAt(ServerState server) {
-    return attempts.stream().anyMatch(attempt -> attempt.server() == server && attempt.failed());
+    return attempts.stream().anyMatch(attempt -> attempt.server() == server && attempt.hasFailed());
   }
 
   long timedOutAttempts() {
-    return attempts.stream().filter(Attempt::timedOut).count();
+    return attempts.stream().filter(Attempt::hasTimedOut).count();
   }
 
-  /** The first write that may have had an effect. */
+  /** The first write that may have had an effect; empty if there is none. */
   Optional<Attempt> possibleEffect() {
     return possibleEffect;
   }
 
-  /** The reader whose state a writer can take. */
+  /** The reader that holds the state for a writer, as far as is known. */
   Optional<ServerState> stateHolder() {
     return stateHolder;
   }
@@ -174,7 +175,7 @@
     stateHolder = Optional.empty();
   }
 
-  /** Where the session was read last, as found when a reader was last chosen. */
+  /** Where the session was last read, as looked up when a reader was last selected. */
   Optional<SessionEntry> session() {
     return session;
   }
@@ -183,17 +184,17 @@
     session = found;
   }
 
-  /** Whether the answer has begun and belongs to the client. */
-  boolean streaming() {
+  /** Whether the answer is being streamed to the client. */
+  boolean isStreaming() {
     return streaming;
   }
 
-  void setStreaming(boolean begun) {
-    streaming = begun;
+  void setStreaming(boolean isStreaming) {
+    streaming = isStreaming;
   }
 
-  /** Whether nothing more is owed to the client. */
-  boolean ended() {
+  /** Whether the client has its final answer, or needs none any more. */
+  boolean hasEnded() {
     return ended;
   }
 
--- a/policy/src/main/java/lemondock/policy/LatencyEstimator.java
+++ b/policy/src/main/java/lemondock/policy/LatencyEstimator.java
@@ -107,7 +107,7 @@
     double waitMicros = elapsedMicros - role.microsPerReadToken() * queuedTokens / speed;
     recordWait(attempt.server(), waitMicros);
     attempt.server().longestReadWaitMicros().raiseTo(waitMicros, clock.nowMicros());
-    if (!attempt.suspected()) {
+    if (!attempt.isSuspectedLost()) {
       role.recordReadWait(waitMicros, clock.nowMicros());
     }
   }
--- a/policy/src/main/java/lemondock/policy/RequestClass.java
+++ b/policy/src/main/java/lemondock/policy/RequestClass.java
@@ -3,19 +3,20 @@
 import java.util.Objects;
 
 /**
- * One class of requests. Times in microseconds; objective and deadline run from the request's
- * arrival to its first token.
+ * A class of requests with the same objectives. Times in microseconds; the latency objective and
+ * the deadline count from a request's arrival to its first token.
  *
- * @param latencyObjectiveMicros when the first token should come, for a prompt without tokens
- * @param objectiveMicrosPerThousandTokens what each thousand tokens of the prompt add to the
- *     latency objective
- * @param deadlineMicros when the first token, or another final answer, must have come
- * @param priorityWeight what an answer in time counts; classes of lower weight are rejected first
- * @param latePriorityWeight what an answer after the objective counts
+ * @param latencyObjectiveMicros latency objective for the first token of an empty prompt
+ * @param objectiveMicrosPerThousandTokens added to the latency objective for each thousand tokens
+ *     of the prompt
+ * @param deadlineMicros time by which the first token, or another final answer, must be sent
+ * @param priorityWeight value of an answer within the objective; classes of lower weight are
+ *     rejected first
+ * @param latePriorityWeight value of an answer after the objective
  * @param idempotency whether its requests may be repeated
  * @param deduplicationScope which servers drop the repeats of a request with an idempotency key
  * @param deduplicationWindowMicros how long servers remember an idempotency key
- * @param tokenIntervalObjectiveMicros wanted time between two tokens of an answer; 0 if not told
+ * @param tokenIntervalObjectiveMicros objective for the time between two tokens; 0 if unknown
  */
 public record RequestClass(
     long latencyObjectiveMicros,
@@ -28,12 +29,15 @@
     long deduplicationWindowMicros,
     long tokenIntervalObjectiveMicros) {
 
-  /** Begins one; what is not set is 0, or all servers for the scope. */
+  /**
+   * Returns a builder whose components are 0 until set; the scope is {@link
+   * DeduplicationScope#ALL}, and the idempotency must be set.
+   */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the components of a {@link RequestClass}. For one thread. */
+  /** Builder of a {@link RequestClass}; not thread-safe. */
   public static final class Builder {
     private long latencyObjectiveMicros;
     private long objectiveMicrosPerThousandTokens;
@@ -47,62 +51,62 @@
 
     private Builder() {}
 
-    /** When the first token should come, for a prompt without tokens. */
+    /** Sets the latency objective for the first token of an empty prompt. */
     public Builder latencyObjectiveMicros(long value) {
       latencyObjectiveMicros = value;
       return this;
     }
 
-    /** What each thousand tokens of the prompt add to the latency objective. */
+    /** Sets what is added to the latency objective for each thousand tokens of the prompt. */
     public Builder objectiveMicrosPerThousandTokens(long value) {
       objectiveMicrosPerThousandTokens = value;
       return this;
     }
 
-    /** When the first token, or another final answer, must have come. */
+    /** Sets the time by which the first token, or another final answer, must be sent. */
     public Builder deadlineMicros(long value) {
       deadlineMicros = value;
       return this;
     }
 
-    /** What an answer in time counts; classes of lower weight are rejected first. */
+    /** Sets the value of an answer in time; classes of lower weight are rejected first. */
     public Builder priorityWeight(double value) {
       priorityWeight = value;
       return this;
     }
 
-    /** What an answer after the objective counts. */
+    /** Sets the value of an answer after the objective. */
     public Builder latePriorityWeight(double value) {
       latePriorityWeight = value;
       return this;
     }
 
-    /** Whether its requests may be repeated. */
+    /** Sets whether its requests may be repeated. */
     public Builder idempotency(Idempotency value) {
       idempotency = value;
       return this;
     }
 
-    /** Which servers drop the repeats of a request with an idempotency key. */
+    /** Sets which servers drop the repeats of a request with an idempotency key. */
     public Builder deduplicationScope(DeduplicationScope value) {
       deduplicationScope = value;
       return this;
     }
 
-    /** How long servers remember an idempotency key. */
+    /** Sets how long servers remember an idempotency key. */
     public Builder deduplicationWindowMicros(long value) {
       deduplicationWindowMicros = value;
       return this;
     }
 
-    /** Wanted time between two tokens of an answer; 0 if not told. */
+    /** Sets the objective for the time between two tokens of an answer; 0 if unknown. */
     public Builder tokenIntervalObjectiveMicros(long value) {
       tokenIntervalObjectiveMicros = value;
       return this;
     }
 
     /**
-     * The {@link RequestClass}.
+     * Builds the {@link RequestClass}.
      *
      * @throws NullPointerException if idempotency is not set
      */
--- a/policy/src/main/java/lemondock/policy/RequestCompletion.java
+++ b/policy/src/main/java/lemondock/policy/RequestCompletion.java
@@ -3,12 +3,12 @@
 import java.util.Map;
 
 /**
- * Ends requests. Guards rule 1: each request gets exactly one final answer from the router, unless
- * its stream or its client ended it first; and a rejection, which invites the client to try again,
- * only where that is harmless.
+ * Ends requests. Enforces rule 1: the router gives each request exactly one final answer, unless
+ * its stream or its client has ended it first. It rejects a request, which invites the client to
+ * retry, only if a retry is harmless; otherwise it fails the request.
  */
 final class RequestCompletion {
-  /** Advice to a rejected client when to come back. */
+  /** Retry-After of a rejection, unless the deployment limits it to less. */
   private static final long RETRY_AFTER_MICROS = 500_000L;
 
   private final DeploymentLimits limits;
@@ -30,7 +30,7 @@
     this.inFlight = inFlight;
   }
 
-  /** Gives the one final answer and ends what is in flight. */
+  /** Gives the final answer, rejected or failed, and cancels the attempts in flight. */
   void complete(InFlightRequest request, DecisionReason reason) {
     request.end();
     host.trace(request.id(), reason);
@@ -42,7 +42,7 @@
     cancelAttempts(request);
   }
 
-  /** The client has left and is owed nothing: ends what is in flight. */
+  /** Ends the request of a disconnected client without an answer, and cancels its attempts. */
   void abandon(InFlightRequest request) {
     request.end();
     cancelAttempts(request);
@@ -63,17 +63,20 @@
   }
 
   private void cancelAttempts(InFlightRequest request) {
-    if (limits.mayCancel() && !request.streaming()) {
+    if (limits.mayCancel() && !request.isStreaming()) {
       request.attemptNumbersInFlight().forEach(number -> host.cancel(request.id(), number));
     }
     stateReleases.releaseIfIdle(request);
-    forgetIfEnded(request);
+    removeIfEnded(request);
   }
 
-  /** Takes the request out of the queue, and out of all once it is over. */
-  void forgetIfEnded(InFlightRequest request) {
+  /**
+   * Removes the request from the queue and, once it has ended and has no attempt in flight, from
+   * the requests in flight.
+   */
+  void removeIfEnded(InFlightRequest request) {
     queue.remove(request);
-    if (request.ended() && !request.hasAttemptInFlight()) {
+    if (request.hasEnded() && !request.hasAttemptInFlight()) {
       inFlight.remove(request.id());
     }
   }
--- a/policy/src/main/java/lemondock/policy/RequestRouter.java
+++ b/policy/src/main/java/lemondock/policy/RequestRouter.java
@@ -3,20 +3,21 @@
 import java.util.List;
 
 /**
- * Events of one gateway, in the order they happened, all on one thread. {@code nowMicros} never
- * goes back. Each event may lead to calls on the {@link RouterHost} before it returns.
+ * Receives the events of one gateway, in the order in which they happen, all on one thread. {@code
+ * nowMicros} is the time of the event and never decreases. Each method may call the {@link
+ * RouterHost} before it returns.
  */
 public interface RequestRouter {
-  /** The first call, made once. */
+  /** The gateway has started; called once, before all other methods. */
   void started(long nowMicros);
 
-  /** The endpoint list, or changes of it; FAILED leaves the list as it is. */
+  /** The endpoint list has been received, or changes of it; FAILED leaves the list as it is. */
   void endpointsChanged(long nowMicros, EndpointListKind kind, List<ServerEntry> entries);
 
-  /** A client's request; exactly one final answer is owed from here on. */
+  /** A request of a client has arrived; the router has to give it exactly one final answer. */
   void requestArrived(long nowMicros, RoutingRequest request);
 
-  /** The answer of this attempt has begun to stream to the client, who gets no other. */
+  /** The answer of this attempt has begun to stream to the client, which gets no other answer. */
   void firstToken(
       long nowMicros,
       long requestId,
@@ -24,18 +25,21 @@
       long serverId,
       long timeToFirstTokenMicros);
 
-  /** An attempt has ended; exactly one for each {@link RouterHost#send}. */
+  /** An attempt has ended; called exactly once for each {@link RouterHost#send}. */
   void attemptEnded(long nowMicros, AttemptResult result);
 
-  /** The client has left; nothing more is owed. */
+  /** The client has disconnected; its request needs no answer any more. */
   void clientDisconnected(long nowMicros, long requestId);
 
   /** A timer set by {@link RouterHost#setTimer} is due. */
   void timerFired(long nowMicros, long token);
 
-  /** Graceful shutdown: what is in flight goes on, the process may be killed at that time. */
+  /**
+   * Graceful shutdown has begun: requests in flight go on, and the process may be killed at {@code
+   * killedAtMicros}.
+   */
   default void shutdownStarted(long nowMicros, long killedAtMicros) {}
 
-  /** Shows the state at this moment, for load reports; leads to no action. */
+  /** Shows the current state to the visitor, for load reports; causes no action of the router. */
   default void visitState(long nowMicros, RouterStateVisitor visitor) {}
 }
--- a/policy/src/main/java/lemondock/policy/RequestTimer.java
+++ b/policy/src/main/java/lemondock/policy/RequestTimer.java
@@ -1,11 +1,11 @@
 package lemondock.policy;
 
 /**
- * The kinds of timer that the router sets. The host's timers carry one number, the token, which
- * holds the kind and the request; request 0 stands for timers that belong to no request.
+ * The kinds of timers that the router sets. A timer of the host carries a single number, the token,
+ * which encodes the kind and the request id; id 0 marks timers that belong to no request.
  */
 enum RequestTimer {
-  // The order is part of the tokens, which the simulator's recordings contain.
+  // The tokens encode the order of the constants, and the simulator's recordings contain tokens.
   DEADLINE,
   QUEUE_TIMEOUT,
   REAP_SESSIONS,
--- a/policy/src/main/java/lemondock/policy/ReservedState.java
+++ b/policy/src/main/java/lemondock/policy/ReservedState.java
@@ -1,159 +1,161 @@
 package lemondock.policy;
 
 /**
- * What readers may hold for one request, and when it has to be released at the latest.
+ * The state that readers may hold for one request, and the latest time to release it.
  *
- * <p>Only an answer proves that a peer has got what was sent to it: a write may have left on a
- * connection that has fallen silent, a read may have ended and its answer be lost. So a state's
- * time runs from its read's answer until a writer has answered from it or for want of it, whatever
- * else is in flight; and a read that is out far longer than it should may have left one. A release
- * takes nothing from a write that waits at its server, so it is repeated for as long as something
- * may be held.
+ * <p>Only an answer proves that a server has received what was sent to it: a write may have been
+ * sent on a connection that no longer delivers anything, and a read may have ended although its
+ * answer was lost. Therefore the time of a held state runs from its read's answer until a writer
+ * has answered from the state, or has answered that there is none, whatever else is in flight. A
+ * read that takes far longer than expected may also have left a state. A release does not harm a
+ * write that waits at its server, so the release is repeated as long as a state may be held.
  *
- * <p>Times are microseconds. The limit is the deployment's (release-within); the platform's slack
- * on top of it is for the release to arrive.
+ * <p>Times are microseconds. The limit is the deployment's setting (release-within); the platform
+ * grants additional slack for the release to arrive.
  */
 final class ReservedState {
   /**
-   * Part of the limit after which what may be held is released; the rest and the slack are for the
-   * release to find a server.
+   * Share of the limit after which a state that may be held is released; the rest of the limit and
+   * the slack are for the release to reach its server.
    */
   static final double RELEASE_SHARE = 0.8;
 
   /**
-   * The same that a write has at least to arrive where an earlier state of the request is still to
-   * be released.
+   * Minimum share of the limit, counted from a read's answer, that a write is given to arrive if an
+   * earlier state of the request is still to be released.
    */
   static final double REREAD_SHARE = 0.3;
 
-  /** Part of the limit after which a read without an answer is looked at again. */
+  /** Share of the limit after which a read without an answer is checked again. */
   private static final double RECHECK_SHARE = 0.2;
 
   private static final long NEVER = Long.MAX_VALUE;
 
   private final long limitMicros;
 
-  /** A read is in flight: it may end at any moment, and its answer be lost. */
-  private boolean reading;
+  /** A read is in flight: it may end at any moment, and its answer may be lost. */
+  private boolean readInFlight;
 
-  /** A read has answered that its state is held. */
+  /** A read was answered: its state is held. */
   private boolean confirmed;
 
   /**
-   * A read broke off, or a release was begun while a write was in flight: whether anything is held
-   * cannot be told.
+   * A read ended without an answer, or a release was sent while a write was in flight: whether a
+   * state is held is unknown.
    */
   private boolean uncertain;
 
   private long dueAtMicros;
 
-  /** Nothing is held yet; a limit of 0 means that the deployment has none. */
+  /** Starts without any state; a limit of 0 means that the deployment sets none. */
   ReservedState(long limitMicros) {
     this.limitMicros = limitMicros;
   }
 
   /**
-   * A read was sent; from 0.8 of the limit on it may be taken to have ended and lost its answer.
+   * Records that a read was sent. From 0.8 of the limit on it may be assumed to have ended with its
+   * answer lost.
    */
-  void readSent(long nowMicros) {
+  void recordReadSent(long nowMicros) {
     if (!mayBeReserved()) {
       dueAtMicros = nowMicros + share(RELEASE_SHARE);
     }
-    reading = true;
+    readInFlight = true;
   }
 
-  /** A read has answered: its state is held. */
-  void readAnswered(long nowMicros) {
+  /** Records that a read was answered: its state is held. */
+  void recordReadAnswered(long nowMicros) {
     long latestMicros = nowMicros + share(RELEASE_SHARE);
     dueAtMicros =
-        onlyReading()
+        isOnlyReadInFlight()
             ? latestMicros
             : Math.min(latestMicros, Math.max(dueAtMicros, nowMicros + share(REREAD_SHARE)));
-    reading = false;
+    readInFlight = false;
     confirmed = true;
   }
 
   /**
-   * A read ended without an answer: it may have ended well just then, unless it provably never ran.
+   * Records that a read ended without an answer. It may have succeeded at its server at that
+   * moment, unless it provably never ran.
    */
-  void readFailed(long nowMicros, boolean neverRan) {
-    reading = false;
+  void recordReadFailed(long nowMicros, boolean neverRan) {
+    readInFlight = false;
     if (!neverRan) {
       markUncertain(nowMicros);
     }
   }
 
   /**
-   * A write ended without an answer from the state. If a release was begun meanwhile, the state may
-   * have waited for the write until now.
+   * Records that a write ended without an answer from the state. If a release was sent while the
+   * write was in flight, the state may have been held for the write until now.
    */
-  void writeFailed(long nowMicros) {
+  void recordWriteFailed(long nowMicros) {
     if (uncertain) {
       markUncertain(nowMicros);
     }
   }
 
   /**
-   * The whole limit counts from here: another read may bring the answer within it, and the writer's
-   * answer ends all that is held.
+   * Restarts the whole limit unless a state is confirmed: another read may lead to an answer within
+   * it, and the writer's answer ends all states that are held.
    */
   private void markUncertain(long nowMicros) {
     dueAtMicros = confirmed ? dueAtMicros : nowMicros + limitMicros;
     uncertain = true;
   }
 
-  /** A writer has answered from the state, or that there is none: nothing is held. */
-  void cleared() {
-    reading = false;
+  /** Records that a writer has answered from the state, or that there is none: none is held. */
+  void clear() {
+    readInFlight = false;
     confirmed = false;
     uncertain = false;
   }
 
   /**
-   * A release was begun. A write in flight may have arrived before it, and its state then waits for
-   * it as before.
+   * Records that a release was sent. A write in flight may have arrived at its server before the
+   * release; its state is then held for it as before.
    */
-  void released(long nowMicros, boolean writing) {
+  void recordRelease(long nowMicros, boolean writeInFlight) {
     confirmed = false;
-    uncertain = writing;
+    uncertain = writeInFlight;
     dueAtMicros = nowMicros + share(RELEASE_SHARE);
   }
 
   /**
-   * The read in flight counts as lost from that moment on, as far as is known now: puts the release
-   * off until then, or until more may be known.
+   * Postpones the release until the read in flight counts as lost, as far as is known now, but at
+   * most until the next check.
    */
-  void readLostAt(long nowMicros, long lostAtMicros) {
+  void postponeUntilReadLost(long nowMicros, long lostAtMicros) {
     if (lostAtMicros > nowMicros) {
       dueAtMicros = Math.min(lostAtMicros, nowMicros + share(RECHECK_SHARE));
     }
   }
 
-  /** Time for which something may be held until it is released. */
+  /** Time for which a state may be held until it is released. */
   long releaseAfterMicros() {
     return share(RELEASE_SHARE);
   }
 
-  private long share(double part) {
-    return (long) (limitMicros * part);
+  private long share(double fraction) {
+    return (long) (limitMicros * fraction);
   }
 
-  /** Whether a read is in flight and nothing else may be held. */
-  boolean onlyReading() {
-    return reading && !confirmed && !uncertain;
+  /** Whether a state may be held only because a read is in flight. */
+  boolean isOnlyReadInFlight() {
+    return readInFlight && !confirmed && !uncertain;
   }
 
-  /** Whether anything may be held. */
+  /** Whether a state may be held. */
   boolean mayBeReserved() {
-    return reading || confirmed || uncertain;
+    return readInFlight || confirmed || uncertain;
   }
 
-  /** Whether what may be held has to be released now. */
+  /** Whether a state that may be held has to be released now. */
   boolean isDue(long nowMicros) {
     return nowMicros >= dueAtMicros();
   }
 
-  /** When what may be held has to be released; the end of time if nothing is. */
+  /** When the state that may be held has to be released; {@link Long#MAX_VALUE} for never. */
   long dueAtMicros() {
     return mayBeReserved() && limitMicros > 0 ? dueAtMicros : NEVER;
   }
--- a/policy/src/main/java/lemondock/policy/RetryPolicy.java
+++ b/policy/src/main/java/lemondock/policy/RetryPolicy.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * Whether and where a request may be attempted again. Guards rule 2, no effect twice, in {@link
+ * Decides whether and where a request may be retried. Enforces rule 2, no effect twice, in {@link
  * #mayRepeat}.
  */
 final class RetryPolicy {
@@ -18,19 +18,19 @@
     this.clock = clock;
   }
 
-  /** A request has arrived; it earns its part of the retry budget. */
+  /** Records the arrival of a request, which adds its share to the retry budget. */
   void recordArrival() {
-    budget.earn();
+    budget.addRequestShare();
   }
 
-  /** Whether the budget holds a whole retry. */
+  /** Whether the budget allows at least one retry. */
   boolean hasBudget() {
-    return budget.holdsRetry();
+    return budget.hasToken();
   }
 
   /**
-   * Rule 2: whether an attempt at this server could be a second effect. A plain read has none, so a
-   * request whose writes all provably never ran may go anywhere.
+   * Whether an attempt at this server cannot cause a second effect (rule 2). A plain read has no
+   * effect, so a request whose writes all provably never ran may be sent to any server.
    */
   boolean mayRepeat(InFlightRequest request, ServerState server) {
     RequestClass requestClass = request.requestClass();
@@ -58,23 +58,26 @@
     return ageMicros < requestClass.deduplicationWindowMicros() - timerResolutionMicros;
   }
 
-  /** A write that may not simply be repeated; it is never cancelled for being slow. */
+  /**
+   * Whether the attempt is a write that may not be repeated freely. Such a write is never cancelled
+   * for being slow.
+   */
   static boolean isNonRepeatableWrite(InFlightRequest request, Attempt attempt) {
     return attempt.writes() && request.requestClass().idempotency() != Idempotency.IDEMPOTENT;
   }
 
   /**
-   * Whether the state is likely gone after this write, so that the prompt is read anew (then cheap)
-   * where enough attempts are left.
+   * Whether the attempt is a write that has probably consumed the state, so that the prompt should
+   * be read again, which is cheap then, and enough attempts are left for that.
    */
-  boolean mayHaveConsumedState(InFlightRequest request, Attempt write) {
-    return write.writes()
-        && !write.neverRan()
-        && !isNonRepeatableWrite(request, write)
+  boolean mayHaveConsumedState(InFlightRequest request, Attempt attempt) {
+    return attempt.writes()
+        && !attempt.neverRan()
+        && !isNonRepeatableWrite(request, attempt)
         && attemptsLeft(request) > 1;
   }
 
-  /** Whether too few attempts are left to reach an answer: a read and a write, or a write alone. */
+  /** Whether fewer attempts are left than an answer needs: a read and a write, or a write alone. */
   boolean attemptsExhausted(InFlightRequest request) {
     int needed = request.stateHolder().isEmpty() ? 2 : 1;
     return attemptsLeft(request) < needed;
@@ -85,23 +88,24 @@
   }
 
   /**
-   * Takes a further attempt, a retry from the budget, and says why if there may be none.
+   * Asks for a further attempt, which takes a token of the budget if it is a retry. Returns the
+   * reason for the refusal, or empty if the attempt is allowed.
    *
-   * @param retry whether an earlier attempt did not do what it was sent for; a write that follows
-   *     its read is none
+   * @param retry whether the previous attempt did not succeed; a write that follows its read is no
+   *     retry
    */
-  Optional<DecisionReason> takeFurtherAttempt(InFlightRequest request, boolean retry) {
+  Optional<DecisionReason> requestFurtherAttempt(InFlightRequest request, boolean retry) {
     if (retry) {
-      budget.spend();
+      budget.takeToken();
     }
-    Optional<DecisionReason> refusal = whyNoFurtherAttempt(request, retry);
+    Optional<DecisionReason> refusal = findRefusalReason(request, retry);
     if (refusal.isPresent()) {
-      budget.forgiveDebt();
+      budget.clearDebt();
     }
     return refusal;
   }
 
-  private Optional<DecisionReason> whyNoFurtherAttempt(InFlightRequest request, boolean retry) {
+  private Optional<DecisionReason> findRefusalReason(InFlightRequest request, boolean retry) {
     long ageMicros = clock.nowMicros() - request.arrivedAtMicros();
     if (ageMicros >= request.attributes().clientTimeoutMicros()) {
       return Optional.of(DecisionReason.CLIENT_TIMEOUT);
--- a/policy/src/main/java/lemondock/policy/RetryTokenBucket.java
+++ b/policy/src/main/java/lemondock/policy/RetryTokenBucket.java
@@ -1,7 +1,8 @@
 package lemondock.policy;
 
 /**
- * Budget for retries: requests earn a part of one each, so that no storm begins when all is slow.
+ * Retry budget: each arriving request adds a fraction of a retry. This prevents retry storms while
+ * all servers are slow.
  */
 final class RetryTokenBucket {
   private static final double TOKENS_PER_REQUEST = 0.3;
@@ -9,16 +10,17 @@
 
   private double tokens = MAX_TOKENS;
 
-  void earn() {
+  /** Adds the share of one arriving request. */
+  void addRequestShare() {
     tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_REQUEST);
   }
 
-  boolean holdsRetry() {
+  boolean hasToken() {
     return tokens >= 1;
   }
 
-  /** Takes one retry; the bucket may be overdrawn by it, see {@link #isOverdrawn}. */
-  void spend() {
+  /** Takes one retry; this may overdraw the bucket, see {@link #isOverdrawn}. */
+  void takeToken() {
     tokens--;
   }
 
@@ -26,8 +28,8 @@
     return tokens < 0;
   }
 
-  /** Undoes a debt: the retry that made it does not take place. */
-  void forgiveDebt() {
+  /** Resets a negative balance to 0, because the retry that caused it does not take place. */
+  void clearDebt() {
     tokens = Math.max(0, tokens);
   }
 }
--- a/policy/src/main/java/lemondock/policy/RouterHost.java
+++ b/policy/src/main/java/lemondock/policy/RouterHost.java
@@ -1,39 +1,46 @@
 package lemondock.policy;
 
 /**
- * Actions of the router, carried out in the order of the calls, at the time of the event that led
- * to them and on its thread.
+ * Carries out the actions of the router, in the order of the calls. The router calls it on the
+ * thread of the event that caused the action, before the event's method returns.
  */
 public interface RouterHost {
-  /** Sends the next attempt, counted from 0, to a server. Timeout 0: until the client gives up. */
+  /**
+   * Sends the next attempt of a request, counted from 0, to a server. A timeout of 0 means that the
+   * attempt may last until the client gives up.
+   */
   void send(long requestId, long serverId, long timeoutMicros);
 
-  /** Final answer: rejected, trying again is harmless. 0: without Retry-After. */
+  /**
+   * Gives the final answer: rejected, a retry is harmless. A {@code retryAfterMicros} of 0 means
+   * that the answer carries no Retry-After.
+   */
   void reject(long requestId, long retryAfterMicros);
 
-  /** Final answer: failed, it may have had an effect. */
+  /** Gives the final answer: failed, the request may have had an effect. */
   void fail(long requestId);
 
-  /** Stops waiting for an attempt; its outcome still comes. */
+  /** Cancels an attempt; {@link RequestRouter#attemptEnded} still follows for it. */
   void cancel(long requestId, int attempt);
 
-  /** Releases every state reserved for the request; allowed after its end. */
+  /** Releases all states that readers hold for the request; allowed after its end, too. */
   void releaseState(long requestId);
 
   /**
-   * Asks for a {@link RequestRouter#timerFired} event after the delay, never within the same event.
+   * Schedules a {@link RequestRouter#timerFired} event after the delay, never within the current
+   * event.
    */
   void setTimer(long token, long delayMicros);
 
-  /** Asks for the endpoint list and its changes, where they come only on demand. */
+  /** Asks for the endpoint list and its changes, if they are sent only on request. */
   void watchEndpoints();
 
-  /** One line for the operators. */
+  /** Logs one line for the operators. */
   void log(String line);
 
   /**
-   * Why the router did what it did with a request, for whoever traces that request; never built per
-   * request.
+   * Reports why the router decided as it did about a request, for tracing. The reason is a
+   * constant, so that the call allocates nothing per request.
    */
   default void trace(long requestId, DecisionReason reason) {}
 }
--- a/policy/src/main/java/lemondock/policy/RouterSettings.java
+++ b/policy/src/main/java/lemondock/policy/RouterSettings.java
@@ -4,20 +4,20 @@
 import java.util.Objects;
 
 /**
- * All that the router is told at its start. Numbers of classes, tenants and server kinds index the
- * lists here.
+ * Settings of a router, fixed at its start. The ids of request classes, tenants and server kinds
+ * are indexes into the lists of this record.
  *
- * @param gatewayIndex this gateway's number
- * @param gatewayCount how many gateways share the servers, this one included
- * @param zone this gateway's zone
- * @param timerResolutionMicros resolution of the timers of the host
- * @param classes the classes of requests, by their ids
- * @param tenants the tenants, by their ids; empty if there are none
- * @param serverKinds the kinds of servers, by their ids
+ * @param gatewayIndex index of this gateway
+ * @param gatewayCount number of gateways that share the servers, including this one
+ * @param zone number of this gateway's zone
+ * @param timerResolutionMicros resolution of the host's timers, in microseconds
+ * @param classes request classes by id, at least one
+ * @param tenants tenants by id; empty if there are none
+ * @param serverKinds server kinds by id, at least one
  * @param limits what the deployment allows
- * @param rules the figures of the five rules
+ * @param rules parameters of the five rules
  * @param streamsResume whether a broken stream may be resumed
- * @param writersRead whether writers can read prompts
+ * @param writersCanRead whether writers can read prompts
  */
 public record RouterSettings(
     int gatewayIndex,
@@ -30,14 +30,14 @@
     DeploymentLimits limits,
     ServiceRules rules,
     boolean streamsResume,
-    boolean writersRead) {
+    boolean writersCanRead) {
 
-  /** Begins one; what is not set is 0, false or empty. */
+  /** Returns a builder of 0, false or empty components; limits and rules must be set. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the components of a {@link RouterSettings}. For one thread. */
+  /** Builder of a {@link RouterSettings}; not thread-safe. */
   public static final class Builder {
     private int gatewayIndex;
     private int gatewayCount;
@@ -49,78 +49,78 @@
     private DeploymentLimits limits;
     private ServiceRules rules;
     private boolean streamsResume;
-    private boolean writersRead;
+    private boolean writersCanRead;
 
     private Builder() {}
 
-    /** This gateway's number. */
+    /** Sets the index of this gateway. */
     public Builder gatewayIndex(int value) {
       gatewayIndex = value;
       return this;
     }
 
-    /** How many gateways share the servers, this one included. */
+    /** Sets the number of gateways that share the servers, including this one. */
     public Builder gatewayCount(int value) {
       gatewayCount = value;
       return this;
     }
 
-    /** This gateway's zone. */
+    /** Sets the number of this gateway's zone. */
     public Builder zone(int value) {
       zone = value;
       return this;
     }
 
-    /** Resolution of the timers of the host. */
+    /** Sets the resolution of the host's timers. */
     public Builder timerResolutionMicros(long value) {
       timerResolutionMicros = value;
       return this;
     }
 
-    /** The classes of requests, by their ids. */
+    /** Sets the request classes by id, at least one. */
     public Builder classes(List<RequestClass> value) {
       classes = value;
       return this;
     }
 
-    /** The tenants, by their ids; empty if there are none. */
+    /** Sets the tenants by id; empty if there are none. */
     public Builder tenants(List<Tenant> value) {
       tenants = value;
       return this;
     }
 
-    /** The kinds of servers, by their ids. */
+    /** Sets the server kinds by id, at least one. */
     public Builder serverKinds(List<ServerKind> value) {
       serverKinds = value;
       return this;
     }
 
-    /** What the deployment allows. */
+    /** Sets what the deployment allows. */
     public Builder limits(DeploymentLimits value) {
       limits = value;
       return this;
     }
 
-    /** The figures of the five rules. */
+    /** Sets the parameters of the five rules. */
     public Builder rules(ServiceRules value) {
       rules = value;
       return this;
     }
 
-    /** Whether a broken stream may be resumed. */
+    /** Sets whether a broken stream may be resumed. */
     public Builder streamsResume(boolean value) {
       streamsResume = value;
       return this;
     }
 
-    /** Whether writers can read prompts. */
-    public Builder writersRead(boolean value) {
-      writersRead = value;
+    /** Sets whether writers can read prompts. */
+    public Builder writersCanRead(boolean value) {
+      writersCanRead = value;
       return this;
     }
 
     /**
-     * The {@link RouterSettings}.
+     * Builds the {@link RouterSettings}.
      *
      * @throws NullPointerException if limits or rules is not set
      */
@@ -136,7 +136,7 @@
           Objects.requireNonNull(limits, "limits"),
           Objects.requireNonNull(rules, "rules"),
           streamsResume,
-          writersRead);
+          writersCanRead);
     }
   }
 }
--- a/policy/src/main/java/lemondock/policy/RouterStateVisitor.java
+++ b/policy/src/main/java/lemondock/policy/RouterStateVisitor.java
@@ -1,11 +1,11 @@
 package lemondock.policy;
 
-/** Visitor of a state snapshot, see {@link RequestRouter#visitState}: each server, then totals. */
+/** Visits the servers of a router and then its totals, see {@link RequestRouter#visitState}. */
 public interface RouterStateVisitor {
-  /** One server and how this gateway judges it. */
+  /** Visits one server with its health as this gateway judges it. */
   void server(
       long id, ServerRole role, ServerLifecycle lifecycle, boolean warmingUp, boolean healthy);
 
-  /** Queued requests, tokens in flight, and the tokens that may be in flight. */
+  /** Visits the totals: queued requests, tokens in flight, and the limit of tokens in flight. */
   void totals(int queued, long tokensInFlight, long capacityTokens);
 }
--- a/policy/src/main/java/lemondock/policy/RoutingRequest.java
+++ b/policy/src/main/java/lemondock/policy/RoutingRequest.java
@@ -1,21 +1,21 @@
 package lemondock.policy;
 
 /**
- * One request of a client.
+ * The attributes of a client's request that matter for routing.
  *
- * @param id its number, never used again by this gateway
+ * @param id id of the request, unique for the lifetime of this gateway
  * @param classId index into {@link RouterSettings#classes}
  * @param tenantId index into {@link RouterSettings#tenants}
- * @param sessionId requests of one session share their earlier turns; 0 for none
- * @param prefixId requests of one prefix begin with the same text; 0 for none
- * @param promptTokens tokens of the whole prompt
- * @param prefixTokens tokens of the text that the prefix stands for
- * @param maxAnswerTokens longest answer that the client takes
+ * @param sessionId id of the session, whose requests share their earlier turns; 0 for none
+ * @param prefixId id of the prefix, the text with which the prompt begins; 0 for none
+ * @param promptTokens length of the whole prompt
+ * @param prefixTokens length of the prefix
+ * @param maxAnswerTokens maximum length of the answer
  * @param clientTimeoutMicros how long the client waits for the first token
  * @param expectedWriteMicros expected time of writing the answer at the class's token interval; 0
- *     if not told
+ *     if unknown
  * @param clientRetry whether the client has sent the request before
- * @param resumed whether it goes on with a stream that broke
+ * @param resumed whether the request resumes a broken stream
  */
 public record RoutingRequest(
     long id,
@@ -31,12 +31,12 @@
     boolean clientRetry,
     boolean resumed) {
 
-  /** Begins one; what is not set is 0 or false. */
+  /** Returns a builder whose components are 0 or false until set. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the components of a {@link RoutingRequest}. For one thread. */
+  /** Builder of a {@link RoutingRequest}; not thread-safe. */
   public static final class Builder {
     private long id;
     private int classId;
@@ -53,79 +53,79 @@
 
     private Builder() {}
 
-    /** Its number, never used again by this gateway. */
+    /** Sets the id of the request, unique for the lifetime of this gateway. */
     public Builder id(long value) {
       id = value;
       return this;
     }
 
-    /** Index into {@link RouterSettings#classes}. */
+    /** Sets the index into {@link RouterSettings#classes}. */
     public Builder classId(int value) {
       classId = value;
       return this;
     }
 
-    /** Index into {@link RouterSettings#tenants}. */
+    /** Sets the index into {@link RouterSettings#tenants}. */
     public Builder tenantId(int value) {
       tenantId = value;
       return this;
     }
 
-    /** Requests of one session share their earlier turns; 0 for none. */
+    /** Sets the id of the session, whose requests share their earlier turns; 0 for none. */
     public Builder sessionId(long value) {
       sessionId = value;
       return this;
     }
 
-    /** Requests of one prefix begin with the same text; 0 for none. */
+    /** Sets the id of the prefix, the text with which the prompt begins; 0 for none. */
     public Builder prefixId(long value) {
       prefixId = value;
       return this;
     }
 
-    /** Tokens of the whole prompt. */
+    /** Sets the length of the whole prompt. */
     public Builder promptTokens(int value) {
       promptTokens = value;
       return this;
     }
 
-    /** Tokens of the text that the prefix stands for. */
+    /** Sets the length of the prefix. */
     public Builder prefixTokens(int value) {
       prefixTokens = value;
       return this;
     }
 
-    /** Longest answer that the client takes. */
+    /** Sets the maximum length of the answer. */
     public Builder maxAnswerTokens(int value) {
       maxAnswerTokens = value;
       return this;
     }
 
-    /** How long the client waits for the first token. */
+    /** Sets how long the client waits for the first token. */
     public Builder clientTimeoutMicros(long value) {
       clientTimeoutMicros = value;
       return this;
     }
 
-    /** Expected time of writing the answer at the class's token interval; 0 if not told. */
+    /** Sets the expected time of writing the answer at the class's token interval; 0 if unknown. */
     public Builder expectedWriteMicros(long value) {
       expectedWriteMicros = value;
       return this;
     }
 
-    /** Whether the client has sent the request before. */
+    /** Sets whether the client has sent the request before. */
     public Builder clientRetry(boolean value) {
       clientRetry = value;
       return this;
     }
 
-    /** Whether it goes on with a stream that broke. */
+    /** Sets whether the request resumes a broken stream. */
     public Builder resumed(boolean value) {
       resumed = value;
       return this;
     }
 
-    /** The {@link RoutingRequest}. */
+    /** Builds the {@link RoutingRequest}. */
     public RoutingRequest build() {
       return new RoutingRequest(
           id,
--- a/policy/src/main/java/lemondock/policy/ServiceRules.java
+++ b/policy/src/main/java/lemondock/policy/ServiceRules.java
@@ -1,16 +1,17 @@
 package lemondock.policy;
 
 /**
- * The figures of the five rules. Times in microseconds.
+ * Parameters of the five rules. Times in microseconds.
  *
- * @param answerSlackMicros how long after its deadline a final answer may still come
- * @param drainGraceMicros how long after a server began to drain something new may still reach it
- * @param slowStartInitialShare the part of its capacity with which a server starts at least
- * @param slowStartMicros time until a server that has started has its whole capacity
- * @param overloadFactor load that a server in slow start takes, in multiples of its capacity at
- *     that moment
- * @param overloadWindowMicros time over which the load of a server in slow start is counted
- * @param releaseWithinMicros how long a reader may hold a state that nobody takes; 0 for no limit
+ * @param answerSlackMicros how long after the deadline a final answer may still be sent
+ * @param drainGraceMicros how long after a server began to drain new work may still reach it
+ * @param slowStartInitialShare minimum share of its capacity that a server has at its start
+ * @param slowStartMicros time from its start until a server has its full capacity
+ * @param overloadFactor load that a server in slow start tolerates, as a multiple of its current
+ *     capacity
+ * @param overloadWindowMicros window over which the load of a server in slow start is counted
+ * @param releaseWithinMicros how long a reader may hold a state that no writer takes; 0 for no
+ *     limit
  */
 public record ServiceRules(
     long answerSlackMicros,
@@ -21,12 +22,12 @@
     long overloadWindowMicros,
     long releaseWithinMicros) {
 
-  /** Begins one; what is not set is 0. */
+  /** Returns a builder whose components are 0 until set. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the components of a {@link ServiceRules}. For one thread. */
+  /** Builder of a {@link ServiceRules}; not thread-safe. */
   public static final class Builder {
     private long answerSlackMicros;
     private long drainGraceMicros;
@@ -38,49 +39,49 @@
 
     private Builder() {}
 
-    /** How long after its deadline a final answer may still come. */
+    /** Sets how long after the deadline a final answer may still be sent. */
     public Builder answerSlackMicros(long value) {
       answerSlackMicros = value;
       return this;
     }
 
-    /** How long after a server began to drain something new may still reach it. */
+    /** Sets how long after a server began to drain new work may still reach it. */
     public Builder drainGraceMicros(long value) {
       drainGraceMicros = value;
       return this;
     }
 
-    /** The part of its capacity with which a server starts at least. */
+    /** Sets the minimum share of its capacity that a server has at its start. */
     public Builder slowStartInitialShare(double value) {
       slowStartInitialShare = value;
       return this;
     }
 
-    /** Time until a server that has started has its whole capacity. */
+    /** Sets the time from its start until a server has its full capacity. */
     public Builder slowStartMicros(long value) {
       slowStartMicros = value;
       return this;
     }
 
-    /** Load that a server in slow start takes, in multiples of its capacity at that moment. */
+    /** Sets the load that a server in slow start tolerates, as a multiple of its capacity. */
     public Builder overloadFactor(double value) {
       overloadFactor = value;
       return this;
     }
 
-    /** Time over which the load of a server in slow start is counted. */
+    /** Sets the window over which the load of a server in slow start is counted. */
     public Builder overloadWindowMicros(long value) {
       overloadWindowMicros = value;
       return this;
     }
 
-    /** How long a reader may hold a state that nobody takes; 0 for no limit. */
+    /** Sets how long a reader may hold a state that no writer takes; 0 for no limit. */
     public Builder releaseWithinMicros(long value) {
       releaseWithinMicros = value;
       return this;
     }
 
-    /** The {@link ServiceRules}. */
+    /** Builds the {@link ServiceRules}. */
     public ServiceRules build() {
       return new ServiceRules(
           answerSlackMicros,
--- a/policy/src/main/java/lemondock/policy/SettingsCheck.java
+++ b/policy/src/main/java/lemondock/policy/SettingsCheck.java
@@ -2,31 +2,34 @@
 
 import java.util.List;
 
-/** Checks that the settings given to the router do not contradict each other. */
+/** Validates the settings of a router. */
 final class SettingsCheck {
   private SettingsCheck() {}
 
   /**
-   * Checks all settings.
+   * Validates all settings.
    *
-   * @throws InvalidRouterInputException at the first that cannot be used
+   * @throws InvalidRouterInputException for the first setting that cannot be used
    */
   static void check(RouterSettings settings) {
-    requireAny("classes", settings.classes());
-    requireAny("serverKinds", settings.serverKinds());
+    requireNonEmpty("classes", settings.classes());
+    requireNonEmpty("serverKinds", settings.serverKinds());
     int maxAttempts = settings.limits().maxAttempts();
     if (maxAttempts <= 0) {
       throw new InvalidRouterInputException(
-          "limits.maxAttempts", maxAttempts, "no attempt is allowed");
+          "limits.maxAttempts",
+          maxAttempts,
+          "limits.maxAttempts is " + maxAttempts + ", expected at least one attempt per request");
     }
     for (int id = 0; id < settings.classes().size(); id++) {
       checkClass(id, settings.classes().get(id));
     }
   }
 
-  private static void requireAny(String field, List<?> values) {
+  private static void requireNonEmpty(String field, List<?> values) {
     if (values.isEmpty()) {
-      throw new InvalidRouterInputException(field, values, "no classes or no kinds");
+      throw new InvalidRouterInputException(
+          field, values, field + " is empty, expected at least one entry");
     }
   }
 
@@ -34,16 +37,24 @@
     long objectiveMicros = requestClass.latencyObjectiveMicros();
     long deadlineMicros = requestClass.deadlineMicros();
     if (objectiveMicros <= 0) {
-      throw deadlineBeforeObjective(id, "latencyObjectiveMicros", objectiveMicros);
+      throw invalidObjective(id, "latencyObjectiveMicros", objectiveMicros);
     }
     if (deadlineMicros < objectiveMicros) {
-      throw deadlineBeforeObjective(id, "deadlineMicros", deadlineMicros);
+      throw invalidObjective(id, "deadlineMicros", deadlineMicros);
     }
   }
 
-  private static InvalidRouterInputException deadlineBeforeObjective(
+  private static InvalidRouterInputException invalidObjective(
       int classId, String field, long micros) {
     return new InvalidRouterInputException(
-        "classes[" + classId + "]." + field, micros, "a class's deadline lies before its aim");
+        "classes[" + classId + "]." + field,
+        micros,
+        "request class "
+            + classId
+            + ": "
+            + field
+            + " is "
+            + micros
+            + ", expected 0 < latencyObjectiveMicros <= deadlineMicros");
   }
 }
--- a/policy/src/main/java/lemondock/policy/StateReleasePolicy.java
+++ b/policy/src/main/java/lemondock/policy/StateReleasePolicy.java
@@ -4,8 +4,9 @@
 import java.util.Comparator;
 
 /**
- * Guards rule 5: what readers hold, or may hold, for a request is taken by a writer or released in
- * time. {@link ReservedState} says when; this class follows the attempts and asks for the release.
+ * Enforces rule 5: the state that readers hold, or may hold, for a request is taken by a writer or
+ * released in time. {@link ReservedState} keeps the due time; this class follows the attempts and
+ * requests the release.
  */
 final class StateReleasePolicy {
   private static final long NEVER = Long.MAX_VALUE;
@@ -16,7 +17,11 @@
   private final AttemptTimeouts timeouts;
   private long timerAtMicros = NEVER;
 
-  /** The requests are a view of those in flight, which the owner keeps up to date. */
+  /**
+   * Creates the policy.
+   *
+   * @param inFlight view of the requests in flight, which the owner keeps up to date
+   */
   StateReleasePolicy(
       DecisionClock clock,
       RouterHost host,
@@ -28,43 +33,49 @@
     this.timeouts = timeouts;
   }
 
-  /** A plain read was sent; it may end and its answer be lost. */
-  void readSent(InFlightRequest request) {
-    request.reservedState().readSent(clock.nowMicros());
+  /** Records that a plain read was sent; it may end with its answer lost. */
+  void recordReadSent(InFlightRequest request) {
+    request.reservedState().recordReadSent(clock.nowMicros());
     schedule(request);
   }
 
-  /** A writer has begun to answer: nothing is held any more. */
-  void firstToken(InFlightRequest request) {
+  /** Records that a writer has begun to answer: no state is held any more. */
+  void recordFirstToken(InFlightRequest request) {
     request.clearStateHolder();
-    request.reservedState().cleared();
+    request.reservedState().clear();
   }
 
-  /** An attempt has ended. */
-  void attemptEnded(InFlightRequest request, Attempt attempt, AttemptResult result) {
+  /** Records how the end of an attempt changes the state that may be held. */
+  void recordAttemptEnd(InFlightRequest request, Attempt attempt, AttemptResult result) {
     if (result.outcome() == AttemptOutcome.REJECTED && result.stateMissing()) {
       request.clearStateHolder();
     }
     if (result.outcome() == AttemptOutcome.PROMPT_READ) {
       request.setStateHolder(attempt.server());
-      request.reservedState().readAnswered(clock.nowMicros());
+      request.reservedState().recordReadAnswered(clock.nowMicros());
     } else if (result.outcome() == AttemptOutcome.OK || result.stateMissing()) {
-      request.reservedState().cleared();
+      request.reservedState().clear();
     } else if (attempt.work() == AttemptWork.READ) {
-      request.reservedState().readFailed(clock.nowMicros(), attempt.neverRan());
+      request.reservedState().recordReadFailed(clock.nowMicros(), attempt.neverRan());
     } else {
-      request.reservedState().writeFailed(clock.nowMicros());
+      request.reservedState().recordWriteFailed(clock.nowMicros());
     }
   }
 
-  /** Releases at the end of a request, and again when a late read leaves a state. */
+  /**
+   * Releases the state that may be held if no attempt is in flight: at the end of a request, and
+   * again when a late read leaves a state.
+   */
   void releaseIfIdle(InFlightRequest request) {
     if (request.reservedState().mayBeReserved() && !request.hasAttemptInFlight()) {
       release(request);
     }
   }
 
-  /** Releases what is due while an attempt is in flight that may be lost, or whose answer may. */
+  /**
+   * Releases the states that are due. Their requests may have an attempt in flight, which may be
+   * lost, or whose answer may be.
+   */
   void timerFired() {
     long now = clock.nowMicros();
     if (now >= timerAtMicros) {
@@ -80,17 +91,20 @@
         .ifPresent(this::schedule);
   }
 
-  /** Releases what may be held, unless all that may is what a read in a moving queue will leave. */
+  /**
+   * Releases the state that may be held, unless that is only the state of a read in flight that
+   * does not count as lost yet.
+   */
   private void releaseIfDue(InFlightRequest request) {
     ReservedState state = request.reservedState();
-    if (state.onlyReading()) {
+    if (state.isOnlyReadInFlight()) {
       Attempt read = request.lastAttempt();
       long lostAtMicros = timeouts.lostAtMicros(request, read, state.releaseAfterMicros());
-      state.readLostAt(clock.nowMicros(), lostAtMicros);
+      state.postponeUntilReadLost(clock.nowMicros(), lostAtMicros);
       if (!state.isDue(clock.nowMicros())) {
         return;
       }
-      read.markSuspected();
+      read.markSuspectedLost();
       read.server().queue().recordLostRead(clock.nowMicros());
       host.trace(request.id(), DecisionReason.READ_SUSPECTED);
     }
@@ -101,12 +115,13 @@
     host.trace(request.id(), DecisionReason.STATE_RELEASED);
     host.releaseState(request.id());
     request.clearStateHolder();
-    request.reservedState().released(clock.nowMicros(), request.hasWriteInFlight());
+    request.reservedState().recordRelease(clock.nowMicros(), request.hasWriteInFlight());
   }
 
   /**
-   * Sets the timer if the request's state is due before it. One timer serves all requests: a timer
-   * cannot be cancelled, and would outlive most of them.
+   * Sets the release timer if the request's state is due before the time it is set to. One timer
+   * serves all requests: timers cannot be cancelled, so one per request would outlive most
+   * requests.
    */
   void schedule(InFlightRequest request) {
     long dueAtMicros = request.reservedState().dueAtMicros();
--- a/policy/src/main/java/lemondock/policy/Tenant.java
+++ b/policy/src/main/java/lemondock/policy/Tenant.java
@@ -1,9 +1,8 @@
 package lemondock.policy;
 
 /**
- * One tenant.
+ * A tenant, whose requests share a quota.
  *
- * @param quotaPerSecond requests per second, over all gateways, that lie within its quota; 0 for no
- *     quota
+ * @param quotaPerSecond quota in requests per second, for all gateways together; 0 for no quota
  */
 public record Tenant(double quotaPerSecond) {}
--- a/policy/src/test/java/lemondock/policy/AttemptTimeoutsTest.java
+++ b/policy/src/test/java/lemondock/policy/AttemptTimeoutsTest.java
@@ -10,14 +10,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which attempts are cancelled for being slow. */
+/** Tests which attempts are cancelled for being slow. */
 class AttemptTimeoutsTest extends ControlFixture {
   /**
-   * Found by the soak: one older answer, and none after it, kept a lost read from being cancelled
-   * until its deadline.
+   * Found by the soak test: a single answer to older work, with none after it, kept a lost read
+   * from being cancelled until its deadline.
    */
   @Test
-  void aReadWhoseQueueHasStoppedMovingIsCancelled() {
+  void cancelsReadOnceItsQueueStopsProgressing() {
     startSmallFleet();
     long reader = submit(1, IDEMPOTENT_CLASS, 1, 77, 500);
     now += 10_000;
@@ -26,34 +26,37 @@
     endAttempt(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
     host.actions.clear();
     control.timerFired(now, RequestTimer.ATTEMPT_TIMEOUT.token(2));
-    assertTrue(host.actionsNamed("cancel").isEmpty(), "its queue moves");
+    assertTrue(host.actionsNamed("cancel").isEmpty(), "its queue has made progress");
     now += 4 * SECOND;
     control.timerFired(now, RequestTimer.ATTEMPT_TIMEOUT.token(2));
     assertEquals(1, host.actionsNamed("cancel").size());
   }
 
   /**
-   * Answers get lost in servers that otherwise work: a read far over its time is cancelled and
-   * attempted again.
+   * Answers can be lost at servers that otherwise work: a read that takes far too long is cancelled
+   * and retried.
    */
   @Test
-  void aLostReadIsCancelledAndReadAgain() {
+  void cancelsAndRetriesLostRead() {
     startSmallFleet();
     final long reader = submit(1, IDEMPOTENT_CLASS, 1, 77, 500);
     now += 620_000;
     host.actions.clear();
     control.timerFired(now, RequestTimer.ATTEMPT_TIMEOUT.token(1));
-    assertTrue(host.actionsNamed("cancel").isEmpty(), "not before its time");
+    assertTrue(host.actionsNamed("cancel").isEmpty(), "the read has not timed out yet");
     now += 310_000;
     control.timerFired(now, RequestTimer.ATTEMPT_TIMEOUT.token(1));
     assertEquals(List.of("cancel"), actionNames());
     endAttempt(1, 0, reader, AttemptOutcome.CANCELLED, false);
-    assertFalse(host.actions.isEmpty(), "a lost read is attempted again or answered");
+    assertFalse(host.actions.isEmpty(), "the request of a lost read is retried or answered");
   }
 
-  /** A read that waits in a queue that moves is not lost: cancelling it gives its place away. */
+  /**
+   * A read that waits in a queue that makes progress is not lost: cancelling it would give up its
+   * place in the queue.
+   */
   @Test
-  void anOverdueReadIsLeftAloneWhileOlderWorkComesBack() {
+  void keepsOverdueReadWhileOlderWorkIsAnswered() {
     startSmallFleet();
     long reader = submit(1, IDEMPOTENT_CLASS, 1, 77, 1000);
     now += 50_000;
@@ -67,7 +70,7 @@
   }
 
   @Test
-  void aTimeoutOfTheReadDoesNotCancelAWriteThatMayNotBeRepeated() {
+  void readTimeoutDoesNotCancelNonIdempotentWrite() {
     startSmallFleet();
     long reader = submit(1, NON_IDEMPOTENT_CLASS, 1, 0, 1000);
     now += 100_000;
--- a/policy/src/test/java/lemondock/policy/ControlFixture.java
+++ b/policy/src/test/java/lemondock/policy/ControlFixture.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import lemondock.policy.RecordingHost.Action;
 
-/** A router with a recording host, a clock, and the events that most tests need. */
+/** Fixture of a router with a recording host and a settable clock, with helpers for its events. */
 abstract class ControlFixture {
   final RecordingHost host = new RecordingHost();
 
@@ -33,7 +33,7 @@
         readyServer(12, WRITER, 1));
   }
 
-  /** Hands in a request and gives the server of its first attempt, 0 if there is none. */
+  /** Submits a request and returns the server of its first attempt, or 0 if none was sent. */
   long submit(long id, int classId, long session, long prefix, int prompt) {
     host.actions.clear();
     control.requestArrived(now, newRequest(id, classId, session, prefix, prompt));
@@ -59,7 +59,7 @@
             .build());
   }
 
-  /** A whole request served: read, written, streamed. */
+  /** Serves a whole request: read, write and stream; returns the reader. */
   long serveRequest(long id, long session, long prefix, int prompt) {
     long reader = submit(id, IDEMPOTENT_CLASS, session, prefix, prompt);
     now += 50_000;
@@ -76,16 +76,22 @@
       RecordingHost.settings(4, true).rules().releaseWithinMicros();
 
   /**
-   * Runs the timers on what is held by their times, the first of which was set at that moment,
-   * until one of them releases it.
+   * Advances the clock from one release timer to the next and fires them, until one of them
+   * releases a state.
+   *
+   * @param firstSetAtMicros when the first timer was set, if it is no longer among the recorded
+   *     actions
    */
   void awaitRelease(long firstSetAtMicros) {
     long token = RequestTimer.STATE_RELEASE.token();
-    long due = Long.MAX_VALUE;
+    long dueAtMicros = Long.MAX_VALUE;
     for (Action timer : host.actionsNamed("timer")) {
-      due = timer.id() == token ? Math.min(due, now + timer.value()) : due;
+      dueAtMicros = timer.id() == token ? Math.min(dueAtMicros, now + timer.value()) : dueAtMicros;
     }
-    now = due < Long.MAX_VALUE ? due : firstSetAtMicros + RELEASE_WITHIN_MICROS * 8 / 10;
+    now =
+        dueAtMicros < Long.MAX_VALUE
+            ? dueAtMicros
+            : firstSetAtMicros + RELEASE_WITHIN_MICROS * 8 / 10;
     fireReleaseTimer();
     while (host.actionsNamed("release").isEmpty()) {
       now += host.actionsNamed("timer").get(0).value();
@@ -98,6 +104,7 @@
     control.timerFired(now, RequestTimer.STATE_RELEASE.token());
   }
 
+  /** Takes the recorded actions and returns their names, without those of timers. */
   List<String> actionNames() {
     return host.takeActions().stream()
         .map(Action::name)
@@ -105,12 +112,13 @@
         .toList();
   }
 
-  /** One whole request whose first token takes so long. */
+  /** Submits a request and serves it with the given time to first token. */
   void firstTokenAfter(long id, long timeToFirstTokenMicros) {
     assertNotEquals(0, submit(id, IDEMPOTENT_CLASS, id, 0, 3000), "request " + id);
     answerAfter(id, timeToFirstTokenMicros);
   }
 
+  /** Serves a submitted request: its read ends now, its first token comes after the given time. */
   void answerAfter(long id, long timeToFirstTokenMicros) {
     long reader =
         host.actionsNamed("send").stream()
@@ -125,6 +133,9 @@
     endAttempt(id, 1, writer, AttemptOutcome.OK, true);
   }
 
+  /**
+   * Submits a request whose read succeeds and whose client then disconnects; returns the reader.
+   */
   long serveRead(long id) {
     long reader = submit(id, IDEMPOTENT_CLASS, id, id, 1000);
     if (reader != 0) {
@@ -136,7 +147,7 @@
     return reader;
   }
 
-  /** Hands in a request and ends its read well; its write is sent. */
+  /** Submits a request and ends its read successfully, so that its write is sent. */
   void readPrompt(long id, int classId, long session, long prefix, int prompt) {
     long reader = submit(id, classId, session, prefix, prompt);
     endAttempt(id, 0, reader, AttemptOutcome.PROMPT_READ, false);
--- a/policy/src/test/java/lemondock/policy/ControlTest.java
+++ b/policy/src/test/java/lemondock/policy/ControlTest.java
@@ -14,28 +14,32 @@
 import lemondock.policy.RecordingHost.Action;
 import org.junit.jupiter.api.Test;
 
-/** The order of work: shutdown, unknown requests and input that cannot be used. */
+/** Tests graceful shutdown, events of unknown requests, and invalid input. */
 class ControlTest extends ControlFixture {
-  /** The longest answer: 4 s until the client's timeout, then 200 tokens of 60 ms. */
+  /** The longest request takes 16 s: 4 s until the client's timeout, then 200 tokens of 60 ms. */
   @Test
-  void aGatewayThatShutsDownTakesOnlyWhatEndsBeforeItMayBeKilled() {
+  void shutdownRejectsRequestsThatMayOutliveTheGateway() {
     startSmallFleet();
     assertNotEquals(0, submit(1, IDEMPOTENT_CLASS, 1, 77, 500));
     control.shutdownStarted(now, now + 16 * SECOND);
-    assertNotEquals(0, submit(2, IDEMPOTENT_CLASS, 2, 77, 500), "it ends at the very last moment");
+    assertNotEquals(
+        0,
+        submit(2, IDEMPOTENT_CLASS, 2, 77, 500),
+        "it ends exactly when the gateway may be killed");
     now += 1_000;
     assertEquals(0, submit(3, IDEMPOTENT_CLASS, 3, 77, 500));
     assertEquals(1, host.actionsNamed("reject").size());
-    assertTrue(host.actionsNamed("reject").get(0).value() > 0, "with when to come back");
-    assertTrue(host.actionsNamed("cancel").isEmpty(), "what runs goes on");
+    assertTrue(
+        host.actionsNamed("reject").get(0).value() > 0, "the rejection carries a Retry-After");
+    assertTrue(host.actionsNamed("cancel").isEmpty(), "attempts in flight go on");
   }
 
   /**
-   * The platform kills 3 s after a notice where deadlines are longer: a client whose connection
-   * breaks then knows nothing of its request.
+   * The platform kills a gateway 3 s after the notice, although deadlines are longer. A client
+   * whose connection breaks at that moment does not learn what happened to its request.
    */
   @Test
-  void aRequestWhoseDeadlineLiesBehindTheKillIsAnsweredBeforeIt() {
+  void shutdownAnswersRequestsWithLaterDeadlinesBeforeTheKill() {
     startSmallFleet();
     readPrompt(1, NON_IDEMPOTENT_CLASS, 1, 77, 500);
     final long writer = lastSentTo();
@@ -48,24 +52,24 @@
     List<Action> timers = host.actionsNamed("timer");
     assertTrue(
         timers.stream().allMatch(timer -> timer.value() > 0 && timer.value() < 3 * SECOND),
-        "before the kill, but not at once: " + timers);
+        "deadline timers fire before the kill, but not at once: " + timers);
     host.actions.clear();
     now += 3 * SECOND - Control.SHUTDOWN_MARGIN_MICROS;
     timers.forEach(timer -> control.timerFired(now, timer.id()));
     assertEquals(
         List.of(1L, 2L),
         host.actionsNamed("fail").stream().map(Action::id).sorted().toList(),
-        "a write or a read is out");
+        "a read or a write of the request is in flight");
     assertEquals(
         Set.of(1L, 2L),
         host.actionsNamed("cancel").stream().map(Action::id).collect(Collectors.toSet()),
-        "the stream goes on");
+        "the stream is not cancelled");
     assertTrue(host.actionsNamed("reject").isEmpty());
     assertTrue(writer >= 11);
   }
 
   @Test
-  void eventsOfUnknownRequestsAreIgnored() {
+  void ignoresEventsOfUnknownRequests() {
     startSmallFleet();
     endAttempt(99, 0, 1, AttemptOutcome.PROMPT_READ, true);
     control.firstToken(now, 99, 0, 1, 10);
@@ -75,7 +79,7 @@
   }
 
   @Test
-  void contradictingSettingsAreNamed() {
+  void rejectsSettingsWithoutAttemptsAndNamesTheField() {
     RouterSettings settings = RecordingHost.settings(0, true);
     InvalidRouterInputException invalid =
         assertThrows(InvalidRouterInputException.class, () -> new Control(settings, 1, host));
@@ -85,7 +89,7 @@
   }
 
   @Test
-  void aServerOfAnUnknownKindIsNamed() {
+  void rejectsServerOfUnknownKindAndNamesTheField() {
     List<ServerEntry> servers = List.of(RecordingHost.readyServer(8, 99, 0));
     InvalidRouterInputException invalid =
         assertThrows(
--- a/policy/src/test/java/lemondock/policy/LostReadTest.java
+++ b/policy/src/test/java/lemondock/policy/LostReadTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** How long a read may be without an answer before its answer is taken for lost. */
+/** Tests how long a read may go unanswered before its answer is assumed lost. */
 class LostReadTest extends ControlFixture {
   private static final long FAST_MICROS = 20_000;
   private static final long SLOW_MICROS = 380_000;
@@ -24,20 +24,27 @@
     startSmallFleet();
   }
 
-  /** The class's objective of 1 s put the release off to 0.72 s, where 0.3 s are granted. */
+  /**
+   * Regression: the class's latency objective of 1 s delayed the release to 0.72 s, although a
+   * state has to be released within 0.3 s. A read at a silent server counts as lost after twice the
+   * time of the slowest recent read, regardless of the objective.
+   */
   @Test
-  void itIsTwiceWhatTheSlowestReadOfLateTookWhateverTheObjective() {
-    readsTake(FAST_MICROS);
+  void readAtSilentServerIsLostRegardlessOfObjective() {
+    answerReadsAfter(FAST_MICROS);
     long sentAt = now;
     submitNext();
-    assertEquals(List.of("release"), fireAfter(RELEASE_WITHIN_MICROS));
+    assertEquals(List.of("release"), fireReleaseTimerAfter(RELEASE_WITHIN_MICROS));
     assertEquals(RELEASE_WITHIN_MICROS, now - sentAt);
   }
 
-  /** Each cancelled read raised the wait of its role, and a retry doubled its time. */
+  /**
+   * Regression: each cancelled read raised the mean wait of its role, and each retry doubled the
+   * timeout.
+   */
   @Test
-  void earlierLossesDoNotMakeItLonger() {
-    readsTake(FAST_MICROS);
+  void earlierLostReadsDoNotDelayTheRelease() {
+    answerReadsAfter(FAST_MICROS);
     for (int cancelledAfterSeconds : List.of(1, 10)) {
       long id = nextId;
       final long reader = submitNext();
@@ -48,13 +55,13 @@
       endAttempt(id, 0, reader, AttemptOutcome.CANCELLED, true);
       now += 10 * SECOND;
     }
-    assertEquals(List.of("release"), releasesOfAFurtherReadAfter(RELEASE_WITHIN_MICROS));
+    assertEquals(List.of("release"), releasesOfNextReadAfter(RELEASE_WITHIN_MICROS));
   }
 
-  /** An answer that an outage held back says nothing of how long reads take at other servers. */
+  /** An answer that an outage delayed does not show how long reads take at other servers. */
   @Test
-  void answersThatCameAfterTheirReleaseMakeItLongerAtTheirServerOnly() {
-    readsTake(FAST_MICROS);
+  void answersAfterReleaseExtendTheTimeOfTheirServerOnly() {
+    answerReadsAfter(FAST_MICROS);
     final long id = nextId;
     final long reader = submitNext();
     now += 2 * SECOND;
@@ -64,28 +71,28 @@
     control.clientDisconnected(now, id);
     endAttempt(id, 1, 11, AttemptOutcome.CANCELLED, true);
     now += 2 * SECOND;
-    assertEquals(List.of(), releasesOfLostReadAt(reader), "it may be slow");
-    assertEquals(List.of("release"), releasesOfLostReadAt(other(reader)));
+    assertEquals(List.of(), releasesOfLostReadAt(reader), "the server may merely be slow");
+    assertEquals(List.of("release"), releasesOfLostReadAt(otherReader(reader)));
   }
 
-  private static long other(long reader) {
+  private static long otherReader(long reader) {
     return reader == 1 ? 2 : 1;
   }
 
-  private void drainAllReadersBut(long reader) {
+  private void drainOtherReader(long reader) {
     control.endpointsChanged(
         now,
         EndpointListKind.CHANGES,
         List.of(
             newServer(reader, READER, 0, ServerLifecycle.READY, 0),
-            newServer(other(reader), READER, 0, ServerLifecycle.DRAINING, 0)));
+            newServer(otherReader(reader), READER, 0, ServerLifecycle.DRAINING, 0)));
   }
 
-  /** What is released within the limit of a read that is lost right after others were answered. */
+  /** Loses a read right after others were answered; returns its releases within the limit. */
   private List<String> releasesOfLostReadAt(long reader) {
-    drainAllReadersBut(reader);
+    drainOtherReader(reader);
     fireReleaseTimer();
-    readsTake(FAST_MICROS);
+    answerReadsAfter(FAST_MICROS);
     final long id = nextId;
     assertEquals(reader, submitNext());
     now += RELEASE_WITHIN_MICROS;
@@ -103,20 +110,23 @@
         .toList();
   }
 
-  /** A release takes the state of a read that goes on: readers that are slow now get their time. */
+  /**
+   * A release takes away the state of a read that is still running, so reads get more time while
+   * readers are slow.
+   */
   @Test
-  void slowReadsThatWereAnsweredMakeItLonger() {
-    readsTake(FAST_MICROS);
-    readsTake(SLOW_MICROS);
+  void answeredSlowReadsDelayTheRelease() {
+    answerReadsAfter(FAST_MICROS);
+    answerReadsAfter(SLOW_MICROS);
     submitNext();
-    assertEquals(List.of(), fireAfter(RELEASE_WITHIN_MICROS));
-    assertEquals(List.of("release"), fireAfter(2 * SLOW_MICROS));
+    assertEquals(List.of(), fireReleaseTimerAfter(RELEASE_WITHIN_MICROS));
+    assertEquals(List.of("release"), fireReleaseTimerAfter(2 * SLOW_MICROS));
   }
 
-  /** The read waits behind older work until that stops coming back. */
+  /** A read waits in a queue behind older work; its time starts at the last answer to that work. */
   @Test
-  void itCountsFromTheLastAnswerToOlderWork() {
-    readsTake(FAST_MICROS);
+  void timeCountsFromLastAnswerToOlderWork() {
+    answerReadsAfter(FAST_MICROS);
     final long olderId = nextId;
     long reader = submitNext();
     now += 5_000;
@@ -124,54 +134,61 @@
     now += RELEASE_WITHIN_MICROS / 2;
     endRead(olderId, reader, RELEASE_WITHIN_MICROS / 2);
     control.firstToken(now, olderId, 1, lastSentTo(), 1_000);
-    assertEquals(List.of(), fireAfter(RELEASE_WITHIN_MICROS * 7 / 10));
-    assertEquals(List.of("release"), fireAfter(RELEASE_WITHIN_MICROS));
+    assertEquals(List.of(), fireReleaseTimerAfter(RELEASE_WITHIN_MICROS * 7 / 10));
+    assertEquals(List.of("release"), fireReleaseTimerAfter(RELEASE_WITHIN_MICROS));
   }
 
-  /** One gateway of many hears of a server too rarely to tell silence from a queue. */
+  /**
+   * One of many gateways receives too few answers of a server to distinguish silence from a queue.
+   */
   @Test
-  void aServerThatHasNotAnsweredOfLateGetsTheTimeOfTheClass() {
-    readsTake(FAST_MICROS);
+  void serverWithoutRecentAnswerGetsTimeOfTheClass() {
+    answerReadsAfter(FAST_MICROS);
     now += 5 * SECOND;
     submitNext();
-    assertEquals(List.of(), fireAfter(SECOND / 2));
-    assertEquals(List.of("release"), fireAfter(SECOND / 2));
+    assertEquals(List.of(), fireReleaseTimerAfter(SECOND / 2));
+    assertEquals(List.of("release"), fireReleaseTimerAfter(SECOND / 2));
   }
 
-  /** Enough reads elsewhere tell what one may take at a server that has never answered. */
+  /**
+   * Enough recent reads at other servers show how long one may take at a server without answers.
+   */
   @Test
-  void aServerThatNeverAnsweredIsJudgedByManyReadsOfOthers() {
+  void serverThatNeverAnsweredIsJudgedByReadsOfOthers() {
     for (int i = 0; i < 10; i++) {
-      readsTake(FAST_MICROS);
+      answerReadsAfter(FAST_MICROS);
     }
     control.endpointsChanged(
         now,
         EndpointListKind.FULL_LIST,
         List.of(readyServer(3, READER, 0), readyServer(11, WRITER, 0)));
     assertEquals(3, submitNext());
-    assertEquals(List.of("release"), fireAfter(RELEASE_WITHIN_MICROS));
+    assertEquals(List.of("release"), fireReleaseTimerAfter(RELEASE_WITHIN_MICROS));
   }
 
-  /** A read that is sent to a server known to be silent is given no more time than the first. */
+  /** A read at a server that is known to be silent gets no more time than the first lost read. */
   @Test
-  void aServerThatLostAReadAndAnsweredNothingSinceIsStillSilent() {
+  void serverStaysSilentAfterLostReadUntilItAnswers() {
     control = new Control(RecordingHost.settings(4, true), 7, host);
     startFleet(readyServer(1, READER, 0), readyServer(11, WRITER, 0));
-    readsTake(FAST_MICROS);
+    answerReadsAfter(FAST_MICROS);
     long lostId = nextId;
     submitNext();
-    assertEquals(List.of("release"), fireAfter(RELEASE_WITHIN_MICROS));
+    assertEquals(List.of("release"), fireReleaseTimerAfter(RELEASE_WITHIN_MICROS));
     control.clientDisconnected(now, lostId);
     endAttempt(lostId, 0, 1, AttemptOutcome.CANCELLED, true);
     now += 5 * SECOND;
     assertEquals(1, submitNext());
-    assertEquals(List.of("release"), fireAfter(RELEASE_WITHIN_MICROS));
+    assertEquals(List.of("release"), fireReleaseTimerAfter(RELEASE_WITHIN_MICROS));
   }
 
-  /** Its server is alive: by the platform's words the read is out, and it is not taken for lost. */
+  /**
+   * The server is alive: by the platform's specification the read is still in flight, and it does
+   * not count as lost.
+   */
   @Test
-  void aServerThatAnswersOthersGetsTheTimeOfTheClass() {
-    readsTake(FAST_MICROS);
+  void serverThatAnswersOtherReadsGetsTimeOfTheClass() {
+    answerReadsAfter(FAST_MICROS);
     final long lateId = nextId;
     final long reader = submitNext();
     for (int i = 0; i < 8; i++) {
@@ -193,8 +210,8 @@
     return submit(nextId++, IDEMPOTENT_CLASS, 1, 77, 500);
   }
 
-  /** Some reads are answered after so long. */
-  private void readsTake(long micros) {
+  /** Submits reads that are answered after the given time, and whose clients then disconnect. */
+  private void answerReadsAfter(long micros) {
     for (int i = 0; i < 3; i++) {
       long id = nextId;
       long reader = submitNext();
@@ -217,17 +234,18 @@
             .build());
   }
 
-  private List<String> fireAfter(long micros) {
+  /** Advances the clock, fires the release timer and returns the actions. */
+  private List<String> fireReleaseTimerAfter(long micros) {
     now += micros;
     fireReleaseTimer();
     return actionNames();
   }
 
-  /** What is released of a further read, at a reader that has just answered others. */
-  private List<String> releasesOfAFurtherReadAfter(long micros) {
+  /** Releases of another read after the given time, at a reader that has just answered others. */
+  private List<String> releasesOfNextReadAfter(long micros) {
     now += 10 * SECOND;
     fireReleaseTimer();
-    readsTake(FAST_MICROS);
+    answerReadsAfter(FAST_MICROS);
     final long id = nextId;
     submitNext();
     now += micros;
--- a/policy/src/test/java/lemondock/policy/ReadmeExampleTest.java
+++ b/policy/src/test/java/lemondock/policy/ReadmeExampleTest.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The example of README.md, run. */
+/** Runs the example of README.md. */
 class ReadmeExampleTest {
   @Test
-  void theExampleOfTheReadmeServesARequest() {
+  void readmeExampleServesRequest() {
     RecordingHost host = new RecordingHost();
     RequestRouter router = new Control(RecordingHost.settings(4, true), 1, host);
     long now = 1_000_000;
--- a/policy/src/test/java/lemondock/policy/RecordingHost.java
+++ b/policy/src/test/java/lemondock/policy/RecordingHost.java
@@ -4,11 +4,16 @@
 import java.util.List;
 
 /**
- * A host that writes down every action, and makers of small settings, servers and requests for
- * tests.
+ * A host that records every action of the router, with factory methods for small settings, servers
+ * and requests.
  */
 final class RecordingHost implements RouterHost {
-  /** One action; what it does not have is zero. */
+  /**
+   * One recorded action; components that do not apply are 0.
+   *
+   * @param id the request, or the token of a timer
+   * @param value delay, timeout or Retry-After in microseconds, or the index of an attempt
+   */
   record Action(String name, long id, long server, long value) {}
 
   static final long SECOND = 1_000_000L;
@@ -21,26 +26,27 @@
 
   final List<Action> actions = new ArrayList<>();
 
-  /** The actions since the last call. */
+  /** Returns the actions since the last call, without log lines, and clears the record. */
   List<Action> takeActions() {
-    List<Action> taken = actions.stream().filter(action -> !action.name().equals("log")).toList();
+    List<Action> recorded =
+        actions.stream().filter(action -> !action.name().equals("log")).toList();
     actions.clear();
-    return taken;
+    return recorded;
   }
 
-  /** The actions of one name since the last call of take. */
+  /** Returns the actions with this name since the last call of {@link #takeActions}. */
   List<Action> actionsNamed(String name) {
     return actions.stream().filter(action -> action.name().equals(name)).toList();
   }
 
   @Override
-  public void send(long requestId, long serverId, long timeout) {
-    actions.add(new Action("send", requestId, serverId, timeout));
+  public void send(long requestId, long serverId, long timeoutMicros) {
+    actions.add(new Action("send", requestId, serverId, timeoutMicros));
   }
 
   @Override
-  public void reject(long requestId, long retryAfter) {
-    actions.add(new Action("reject", requestId, 0, retryAfter));
+  public void reject(long requestId, long retryAfterMicros) {
+    actions.add(new Action("reject", requestId, 0, retryAfterMicros));
   }
 
   @Override
@@ -59,8 +65,8 @@
   }
 
   @Override
-  public void setTimer(long token, long delay) {
-    actions.add(new Action("timer", token, 0, delay));
+  public void setTimer(long token, long delayMicros) {
+    actions.add(new Action("timer", token, 0, delayMicros));
   }
 
   @Override
--- a/policy/src/test/java/lemondock/policy/RetryPolicyTest.java
+++ b/policy/src/test/java/lemondock/policy/RetryPolicyTest.java
@@ -13,23 +13,22 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What is attempted again, and where; and what the final answer is. */
+/** Tests what is retried, at which servers, and with which final answer a request ends. */
 class RetryPolicyTest extends ControlFixture {
   @Test
-  void afterAWriteThatMayHaveRunThePromptIsReadAnew() {
+  void readsPromptAgainAfterWriteThatMayHaveRun() {
     startSmallFleet();
     long reader = submit(1, IDEMPOTENT_CLASS, 1, 0, 1000);
     endAttempt(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
     endAttempt(1, 1, lastSentTo(), AttemptOutcome.ERROR, false);
     assertTrue(
-        lastSentTo() <= 10,
-        "a reader is asked anew: a write would find no state and cost an attempt");
+        lastSentTo() <= 10, "sent to a reader: a write would find no state and waste an attempt");
     endAttempt(1, 2, lastSentTo(), AttemptOutcome.PROMPT_READ, false);
     assertTrue(lastSentTo() > 10);
   }
 
   @Test
-  void theLastAttemptIsAWriteEvenIfTheStateMayHaveMoved() {
+  void lastAttemptIsWriteEvenIfStateMayBeConsumed() {
     startSmallFleet();
     readPrompt(1, IDEMPOTENT_CLASS, 1, 0, 1000);
     endAttempt(1, 1, lastSentTo(), AttemptOutcome.REJECTED, false);
@@ -38,7 +37,7 @@
   }
 
   @Test
-  void aNonIdempotentRequestFailsAfterAWriteThatMayHaveRun() {
+  void nonIdempotentRequestFailsAfterWriteThatMayHaveRun() {
     startSmallFleet();
     readPrompt(1, NON_IDEMPOTENT_CLASS, 1, 0, 1000);
     endAttempt(1, 1, lastSentTo(), AttemptOutcome.ERROR, false);
@@ -46,7 +45,7 @@
   }
 
   @Test
-  void aNonIdempotentRequestIsNotRejectedWhileAReadIsInFlight() {
+  void nonIdempotentRequestIsNotRejectedWhileReadIsInFlight() {
     startSmallFleet();
     submit(1, NON_IDEMPOTENT_CLASS, 1, 0, 1000);
     host.actions.clear();
@@ -56,7 +55,7 @@
   }
 
   @Test
-  void aRequestWithAnIdempotencyKeyStaysInItsDeduplicationScope() {
+  void retryWithIdempotencyKeyStaysInDeduplicationScope() {
     startFleet(
         readyServer(1, READER, 0),
         readyServer(11, WRITER, 0),
@@ -70,14 +69,14 @@
       assertEquals(
           List.of("fail", "release"),
           actionNames(),
-          "no other writer in the cell but itself: " + second);
+          "the cell has no other writer, retried at: " + second);
     } else {
       assertTrue(second == 11 || second == 13);
     }
   }
 
   @Test
-  void aStreamThatEndsWithoutEndingItsRequestIsStillAnswered() {
+  void answersRequestWhoseStreamEndsWithoutEndingIt() {
     startSmallFleet();
     readPrompt(1, NON_IDEMPOTENT_CLASS, 1, 0, 1000);
     long writer = lastSentTo();
--- a/policy/src/test/java/lemondock/policy/RulesTest.java
+++ b/policy/src/test/java/lemondock/policy/RulesTest.java
@@ -16,7 +16,10 @@
 import lemondock.policy.RecordingHost.Action;
 import org.junit.jupiter.api.Test;
 
-/** Random but legal events, rare orders among them, checked against the five rules. */
+/**
+ * Checks the five rules of the package against random but legal sequences of events, including rare
+ * orders.
+ */
 class RulesTest {
   private static final int RUNS = 60;
   private static final int STEPS = 1500;
@@ -24,12 +27,12 @@
   private static final int LARGE_FLEET = 80;
   private static final int MANY_GATEWAYS = 200;
 
-  /** Outcomes of a write that prove that it had no effect. */
-  private static final Set<AttemptOutcome> HARMLESS =
+  /** Outcomes of an attempt that prove that it had no effect. */
+  private static final Set<AttemptOutcome> WITHOUT_EFFECT =
       EnumSet.of(
           AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.PROMPT_READ);
 
-  /** One attempt as the servers see it. */
+  /** One attempt from the servers' view. */
   private static final class AttemptRecord {
     final long server;
     final boolean writes;
@@ -42,7 +45,7 @@
     }
   }
 
-  /** One request as its client and the servers see it. */
+  /** One request from the view of its client and the servers. */
   private static final class RequestRecord {
     final RoutingRequest request;
     final long deadlineMicros;
@@ -89,23 +92,28 @@
       this(seed, 0, 2);
     }
 
-    /** A fleet of so many servers (0: four to nine) and so many gateways, of which this is one. */
-    Simulation(long seed, int size, int gateways) {
+    /**
+     * Creates the router of one gateway and its fleet.
+     *
+     * @param fleetSize number of servers; 0 for a random number from four to nine
+     * @param gateways number of gateways that share the fleet, including this one
+     */
+    Simulation(long seed, int fleetSize, int gateways) {
       random = new Random(seed);
       settings = RecordingHost.settings(2 + random.nextInt(4), random.nextBoolean(), gateways);
-      fleet = size > 0 ? size : 4 + random.nextInt(6);
+      fleet = fleetSize > 0 ? fleetSize : 4 + random.nextInt(6);
       control = new Control(settings, seed, host);
       control.started(now);
-      List<ServerEntry> list = new ArrayList<>();
+      List<ServerEntry> initialServers = new ArrayList<>();
       for (int i = 0; i < fleet; i++) {
-        list.add(RecordingHost.readyServer(100 + i, i % 3, random.nextInt(4)));
+        initialServers.add(RecordingHost.readyServer(100 + i, i % 3, random.nextInt(4)));
       }
-      changeEndpoints(EndpointListKind.CACHED, list);
+      changeEndpoints(EndpointListKind.CACHED, initialServers);
     }
 
-    void changeEndpoints(EndpointListKind kind, List<ServerEntry> list) {
-      list.forEach(server -> servers.put(server.id(), server));
-      control.endpointsChanged(now, kind, list);
+    void changeEndpoints(EndpointListKind kind, List<ServerEntry> entries) {
+      entries.forEach(server -> servers.put(server.id(), server));
+      control.endpointsChanged(now, kind, entries);
       check();
     }
 
@@ -130,10 +138,11 @@
           .forEach(
               request ->
                   assertTrue(
-                      request.ended && !request.stateHeld, "left with a held state or unanswered"));
+                      request.ended && !request.stateHeld,
+                      "request left unanswered or with a held state"));
       assertTrue(
           requests.values().stream().allMatch(RequestRecord::hasNoAttemptInFlight),
-          "left with an attempt in flight");
+          "request left with an attempt in flight");
     }
 
     void step() {
@@ -145,19 +154,21 @@
       } else if (event < 90) {
         anyWithAttemptInFlight().ifPresent(this::finishOne);
       } else if (event < 93) {
-        anyWithAttemptInFlight().ifPresent(this::leave);
+        anyWithAttemptInFlight().ifPresent(this::disconnectClient);
       } else {
         changeOneServer();
       }
     }
 
     Optional<RequestRecord> anyWithAttemptInFlight() {
-      List<RequestRecord> open =
+      List<RequestRecord> unfinished =
           requests.values().stream()
               .filter(request -> !request.hasNoAttemptInFlight())
               .sorted(Comparator.comparingLong(RequestRecord::id))
               .toList();
-      return open.isEmpty() ? Optional.empty() : Optional.of(open.get(random.nextInt(open.size())));
+      return unfinished.isEmpty()
+          ? Optional.empty()
+          : Optional.of(unfinished.get(random.nextInt(unfinished.size())));
     }
 
     void submitRequest() {
@@ -174,7 +185,7 @@
       check();
     }
 
-    void leave(RequestRecord request) {
+    void disconnectClient(RequestRecord request) {
       if (!request.ended && !request.isStreaming()) {
         request.ended = true;
         control.clientDisconnected(now, request.id());
@@ -193,7 +204,7 @@
               request ->
                   assertTrue(
                       request.ended || request.isStreaming() || now <= latestAnswerAt(request),
-                      "unanswered after its deadline"));
+                      "request unanswered after its deadline"));
     }
 
     long latestAnswerAt(RequestRecord request) {
@@ -230,7 +241,7 @@
         control.firstToken(now, request.id(), number, attempt.server, 10_000);
         check();
       } else {
-        AttemptOutcome[] bad = {
+        AttemptOutcome[] failures = {
           AttemptOutcome.ERROR,
           AttemptOutcome.REJECTED,
           AttemptOutcome.TIMEOUT,
@@ -238,7 +249,7 @@
           AttemptOutcome.RESET,
           AttemptOutcome.CANCELLED
         };
-        end(request, number, attempt, bad[random.nextInt(bad.length)], request.ended);
+        end(request, number, attempt, failures[random.nextInt(failures.length)], request.ended);
       }
     }
 
@@ -247,9 +258,9 @@
         int number,
         AttemptRecord attempt,
         AttemptOutcome outcome,
-        boolean last) {
+        boolean requestEnded) {
       attempt.outcome = Optional.of(outcome);
-      request.ended |= last;
+      request.ended |= requestEnded;
       control.attemptEnded(
           now,
           AttemptResult.builder()
@@ -258,59 +269,60 @@
               .serverId(attempt.server)
               .outcome(outcome)
               .elapsedMicros(20_000)
-              .requestEnded(last)
+              .requestEnded(requestEnded)
               .build());
       check();
       assertTrue(
           !request.stateHeld || !request.hasNoAttemptInFlight(),
-          "a state is held and no attempt is out");
+          "a state is held although no attempt is in flight");
     }
 
     void changeOneServer() {
       long id = 100 + random.nextInt(Math.max(10, fleet));
-      ServerEntry old = servers.get(id);
+      ServerEntry previous = servers.get(id);
       ServerLifecycle lifecycle = ServerLifecycle.values()[random.nextInt(3)];
-      boolean restart = old == null || random.nextInt(3) == 0;
+      boolean restart = previous == null || random.nextInt(3) == 0;
       changeEndpoints(
           EndpointListKind.CHANGES,
           List.of(
               RecordingHost.newServer(
                   id,
                   (int) ((id - 100) % 3),
-                  old == null ? 1 : old.cell(),
+                  previous == null ? 1 : previous.cell(),
                   lifecycle,
-                  restart ? now : old.startedAtMicros())));
+                  restart ? now : previous.startedAtMicros())));
     }
 
     void check() {
-      List<Action> done = host.takeActions();
-      trace.addAll(done);
-      for (Action action : done) {
+      List<Action> newActions = host.takeActions();
+      trace.addAll(newActions);
+      for (Action action : newActions) {
         if (action.name().equals("timer")) {
           timers.add(new Timer(now + Math.max(1, action.value()), action.id()));
         } else if (action.name().equals("send")) {
-          sent(requests.get(action.id()), action);
+          recordSend(requests.get(action.id()), action);
         } else if (action.name().equals("release")) {
           requests.get(action.id()).stateHeld = false;
         } else if (action.name().equals("reject") || action.name().equals("fail")) {
-          answered(requests.get(action.id()), action.name());
+          recordAnswer(requests.get(action.id()), action.name());
         }
       }
     }
 
-    void sent(RequestRecord request, Action action) {
-      assertTrue(!request.ended, "sent after the final answer");
+    void recordSend(RequestRecord request, Action action) {
+      assertTrue(!request.ended, "attempt sent after the final answer");
       assertTrue(request.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
-      assertTrue(request.hasNoAttemptInFlight(), "two attempts at once");
+      assertTrue(request.hasNoAttemptInFlight(), "two attempts in flight at once");
       ServerEntry server = servers.get(action.server());
-      assertEquals(ServerLifecycle.READY, server.lifecycle(), "sent to a server that is not ready");
-      assertTrue(maySend(request, server), "a second effect");
+      assertEquals(
+          ServerLifecycle.READY, server.lifecycle(), "attempt sent to a server that is not ready");
+      assertTrue(maySend(request, server), "attempt may cause a second effect");
       request.attempts.add(new AttemptRecord(server.id(), server.kind() != RecordingHost.READER));
       checkSlowStart(server);
     }
 
     boolean mayHaveRun(AttemptRecord attempt) {
-      return attempt.writes && !attempt.outcome.map(HARMLESS::contains).orElse(false);
+      return attempt.writes && !attempt.outcome.map(WITHOUT_EFFECT::contains).orElse(false);
     }
 
     boolean maySend(RequestRecord request, ServerEntry server) {
@@ -324,62 +336,63 @@
                           && servers.get(attempt.server).cell() == server.cell());
     }
 
-    void answered(RequestRecord request, String answer) {
-      assertTrue(!request.ended, "answered twice");
+    void recordAnswer(RequestRecord request, String answer) {
+      assertTrue(!request.ended, "request answered twice");
       request.ended = true;
       Idempotency idempotency = settings.classes().get(request.request.classId()).idempotency();
       assertTrue(
           answer.equals("fail")
               || idempotency == Idempotency.IDEMPOTENT
               || request.attempts.stream().noneMatch(this::mayHaveRun),
-          "rejected though it may have run");
+          "request rejected although it may have run");
     }
 
-    /** At 50 requests a second, a server in slow start never gets an even share of them. */
+    /** At 50 requests per second, a server in slow start must never get an even share of them. */
     void checkSlowStart(ServerEntry server) {
       if (server.startedAtMicros() > 0
           && now - server.startedAtMicros() < settings.rules().slowStartMicros()) {
         List<Long> sends = slowStartSends.computeIfAbsent(server.id(), id -> new ArrayList<>());
         sends.add(now);
         long window = settings.rules().overloadWindowMicros();
-        sends.removeIf(at -> now - at > window);
+        sends.removeIf(sentAt -> now - sentAt > window);
         assertTrue(
-            sends.size() < 100, "a server in slow start got " + sends.size() + " in a window");
+            sends.size() < 100,
+            "a server in slow start got " + sends.size() + " attempts in a window");
       }
     }
   }
 
   @Test
-  void theRulesHoldWhateverHappens() {
+  void rulesHoldForRandomEvents() {
     int answered = 0;
     for (int seed = 0; seed < RUNS; seed++) {
       Simulation simulation = new Simulation(seed);
       simulation.run();
       answered += simulation.requests.size();
     }
-    assertTrue(answered > RUNS * 300, "the test asks enough");
+    assertTrue(answered > RUNS * 300, "enough requests were submitted");
   }
 
   /**
-   * A gateway of two hundred, with eighty servers that come and go: the same rules, and its part of
-   * what a server in slow start bears.
+   * One of two hundred gateways, with eighty servers that start and stop: the same rules hold, and
+   * the gateway keeps to its share of what a server in slow start can take.
    */
   @Test
-  void theRulesHoldInALargeFleetWithManyGateways() {
+  void rulesHoldInLargeFleetWithManyGateways() {
     for (int seed = 0; seed < LARGE_RUNS; seed++) {
       Simulation simulation = new Simulation(1000 + seed, LARGE_FLEET, MANY_GATEWAYS);
       simulation.run();
-      assertTrue(simulation.requests.size() > 300, "the test asks enough");
+      assertTrue(simulation.requests.size() > 300, "enough requests were submitted");
     }
   }
 
   @Test
-  void equalEventsGiveEqualActions() {
-    Simulation one = new Simulation(42);
-    Simulation two = new Simulation(42);
-    one.run();
-    two.run();
-    assertEquals(one.trace, two.trace);
-    assertTrue(one.trace.size() > 1000);
+  void equalSeedsAndEventsLeadToEqualActions() {
+    Simulation first = new Simulation(42);
+    Simulation second = new Simulation(42);
+    first.run();
+    second.run();
+    assertEquals(first.trace, second.trace);
+    assertTrue(first.trace.size() > 1000);
   }
 }
--- a/policy/src/test/java/lemondock/policy/StateReleasePolicyTest.java
+++ b/policy/src/test/java/lemondock/policy/StateReleasePolicyTest.java
@@ -12,14 +12,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When reserved state is released, and that a write finds it until then. */
+/** Tests when reserved state is released, and that a write finds the state until then. */
 class StateReleasePolicyTest extends ControlFixture {
   /**
-   * Found on a day on which most writers fell silent at once: each connection that never came up
-   * held the state for longer.
+   * Found when most writers became silent at once: each failed attempt to connect held the state
+   * for longer.
    */
   @Test
-  void aStateThatNoWriterTookInTimeIsReleasedAndReadAnew() {
+  void releasesStateThatNoWriterTookInTimeAndReadsAgain() {
     startFleet(
         readyServer(1, READER, 0),
         readyServer(2, READER, 0),
@@ -33,7 +33,7 @@
     now += RELEASE_WITHIN_MICROS / 2;
     host.actions.clear();
     endAttempt(1, 1, writer, AttemptOutcome.CONNECT_FAILED, false);
-    assertTrue(host.actionsNamed("release").isEmpty(), "another writer may still take it");
+    assertTrue(host.actionsNamed("release").isEmpty(), "another writer may still take the state");
     writer = lastSentTo();
     assertTrue(writer >= 11);
     now += RELEASE_WITHIN_MICROS * 3 / 10;
@@ -42,18 +42,19 @@
     assertEquals(1, host.actionsNamed("release").size());
     assertTrue(
         host.actionsNamed("send").stream().noneMatch(send -> send.server() >= 11),
-        "a write without a state");
+        "no write is sent without a state");
     assertEquals(
         1,
         host.actionsNamed("send").size() + host.actionsNamed("reject").size(),
-        "read anew or answered");
+        "the prompt is read again, or the request is answered");
   }
 
   /**
-   * Incident 36: a write that was sent is no proof that it has arrived; its state's time runs on.
+   * Incident 36: that a write was sent does not prove that it has arrived, so the time of its state
+   * continues to run.
    */
   @Test
-  void aStateIsReleasedInTimeThoughItsWriteIsOut() {
+  void releasesStateInTimeWhileWriteIsInFlight() {
     for (int classId : List.of(IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS)) {
       control = new Control(RecordingHost.settings(4, true), 7, host);
       startSmallFleet();
@@ -68,10 +69,13 @@
       assertEquals(
           List.of("release"),
           actionNames(),
-          "nothing is cancelled: the write may wait at its server");
+          "the write is not cancelled: it may wait at its server");
       now += RELEASE_WITHIN_MICROS;
       fireReleaseTimer();
-      assertEquals(List.of("release"), actionNames(), "it may have waited, and have ended unheard");
+      assertEquals(
+          List.of("release"),
+          actionNames(),
+          "released again: the write may have waited and ended with its answer lost");
       control.firstToken(now, 1, 1, writer, 2 * RELEASE_WITHIN_MICROS);
       fireReleaseTimer();
       assertEquals(List.of(), actionNames());
@@ -79,11 +83,11 @@
   }
 
   /**
-   * A write that comes after the release finds no state, which proves that it never ran, whatever
-   * the class.
+   * A write that arrives after the release finds no state, which proves that it never ran, so that
+   * requests of all classes are retried.
    */
   @Test
-  void aWriteThatComesAfterTheReleaseIsTriedAnew() {
+  void retriesWriteThatArrivesAfterTheRelease() {
     for (int classId : List.of(IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS)) {
       control = new Control(RecordingHost.settings(4, true), 7, host);
       startSmallFleet();
@@ -104,17 +108,17 @@
               .elapsedMicros(RELEASE_WITHIN_MICROS)
               .stateMissing(true)
               .build());
-      assertTrue(lastSentTo() == 1 || lastSentTo() == 2, "read anew");
-      assertTrue(host.actionsNamed("release").isEmpty(), "nothing is held any more");
+      assertTrue(lastSentTo() == 1 || lastSentTo() == 2, "the prompt is read again");
+      assertTrue(host.actionsNamed("release").isEmpty(), "no state is held any more");
     }
   }
 
   /**
-   * A read may have ended and its answer be lost: where it is out far longer than it should be,
-   * what it may hold is released.
+   * A read may have ended although its answer was lost: if it takes far longer than expected, the
+   * state that it may have left is released.
    */
   @Test
-  void whatAReadWithoutAnAnswerMayHoldIsReleased() {
+  void releasesStateOfReadWithoutAnswer() {
     startSmallFleet();
     submit(1, IDEMPOTENT_CLASS, 1, 77, 500);
     now += RELEASE_WITHIN_MICROS / 10;
@@ -122,22 +126,22 @@
     assertEquals(
         List.of(),
         actionNames(),
-        "it may still be read, and a release would take its state from it");
+        "the read may still be running, and a release would take its state away");
     now += SECOND / 2;
     for (int i = 0; i < 3; i++) {
       now += RELEASE_WITHIN_MICROS;
       fireReleaseTimer();
-      assertEquals(1, host.actionsNamed("timer").size(), "and again");
+      assertEquals(1, host.actionsNamed("timer").size(), "the timer is set again");
       assertEquals(List.of("release"), actionNames());
     }
   }
 
   /**
-   * Found in CI: an older answer came right after the read was sent, and none after it; the read's
-   * own was lost.
+   * Found in CI: an answer to older work came right after the read was sent and none after that;
+   * the read's own answer was lost.
    */
   @Test
-  void aQueueThatMovedOnlyAtFirstDoesNotPutTheReleaseOff() {
+  void queueThatStoppedProgressingDoesNotDelayTheRelease() {
     startSmallFleet();
     long reader = submit(1, IDEMPOTENT_CLASS, 1, 77, 500);
     now += 10_000;
@@ -150,9 +154,9 @@
     assertEquals(List.of("release"), actionNames());
   }
 
-  /** Its server goes on answering older work: the read waits in a queue that moves. */
+  /** The server continues to answer older work: the read waits in a queue that makes progress. */
   @Test
-  void aReadWhoseQueueMovesIsNotReleased() {
+  void keepsStateOfReadWhoseQueueProgresses() {
     startSmallFleet();
     long reader = submit(1, IDEMPOTENT_CLASS, 1, 77, 500);
     now += 10_000;
@@ -160,21 +164,21 @@
     now += SECOND;
     endAttempt(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
     fireReleaseTimer();
-    assertEquals(1, host.actionsNamed("timer").size(), "looked at again");
+    assertEquals(1, host.actionsNamed("timer").size(), "the read is checked again later");
     assertEquals(List.of(), actionNames());
   }
 
   /**
-   * At once it would take the state of the second read, which begins in the same moment; the limit
-   * is kept all the same.
+   * An immediate release would take away the state of the second read, which begins at the same
+   * moment. The release still happens within the limit.
    */
   @Test
-  void whatABrokenReadMayHaveLeftIsReleasedInTime() {
+  void releasesStateOfBrokenReadWithinTheLimit() {
     startSmallFleet();
     long reader = submit(1, IDEMPOTENT_CLASS, 1, 77, 500);
     now += 20_000;
     endAttempt(1, 0, reader, AttemptOutcome.RESET, false);
-    assertTrue(lastSentTo() == 1 || lastSentTo() == 2, "read anew");
+    assertTrue(lastSentTo() == 1 || lastSentTo() == 2, "the prompt is read again");
     assertTrue(host.actionsNamed("release").isEmpty());
     now += RELEASE_WITHIN_MICROS - 1_000;
     fireReleaseTimer();
@@ -185,7 +189,7 @@
   }
 
   @Test
-  void whatABrokenReadMayHaveLeftIsReleasedAtTheEndOfItsRequest() {
+  void releasesStateOfBrokenReadWhenRequestEnds() {
     startSmallFleet();
     long reader = submit(1, IDEMPOTENT_CLASS, 1, 77, 500);
     control.clientDisconnected(now, 1);
@@ -194,7 +198,7 @@
   }
 
   @Test
-  void aReadThatNeverRanLeavesNothingToRelease() {
+  void releasesNothingAfterReadThatNeverRan() {
     startSmallFleet();
     long reader = submit(1, IDEMPOTENT_CLASS, 1, 77, 500);
     endAttempt(1, 0, reader, AttemptOutcome.CONNECT_FAILED, false);
@@ -206,27 +210,27 @@
   }
 
   /**
-   * Found on days with hung writers: the release came after the second read had made its state, and
-   * the second write found none.
+   * Found with hung writers: the release arrived after the second read had created its state, so
+   * that the second write found none.
    */
   @Test
-  void aStateThatAWriteMayHaveTakenIsNotReleasedBeforeTheReadAnew() {
+  void keepsStateThatWriteMayHaveTakenBeforeReadingAgain() {
     startSmallFleet();
-    long within = RecordingHost.settings(4, true).rules().releaseWithinMicros();
+    long releaseWithinMicros = RecordingHost.settings(4, true).rules().releaseWithinMicros();
     long reader = submit(1, IDEMPOTENT_CLASS, 1, 77, 500);
     now += 50_000;
     endAttempt(1, 0, reader, AttemptOutcome.PROMPT_READ, false);
     long writer = lastSentTo();
-    now += within;
+    now += releaseWithinMicros;
     endAttempt(1, 1, writer, AttemptOutcome.CANCELLED, false);
     assertTrue(
         host.actionsNamed("release").isEmpty(),
-        "all attempts share the request's name where states are held");
-    assertTrue(lastSentTo() == 1 || lastSentTo() == 2, "read anew");
+        "readers hold the states of all attempts under the request's id");
+    assertTrue(lastSentTo() == 1 || lastSentTo() == 2, "the prompt is read again");
   }
 
   @Test
-  void aLateReadOfAnEndedRequestIsReleased() {
+  void releasesStateOfLateReadOfEndedRequest() {
     startSmallFleet();
     long reader = submit(1, IDEMPOTENT_CLASS, 1, 0, 1000);
     control.clientDisconnected(now, 1);
--- a/scenario/src/test/java/lemondock/scenario/RuleViolationTest.java
+++ b/scenario/src/test/java/lemondock/scenario/RuleViolationTest.java
@@ -160,7 +160,7 @@
                         settings.limits(),
                         settings.rules(),
                         settings.streamsResume(),
-                        settings.writersRead()),
+                        settings.writersCanRead()),
                     seed,
                     host)));
     assertEquals(Set.of(), broken(script, Gateway.DEFAULT_ROUTER_FACTORY));
--- a/simulator/src/main/java/lemondock/simulator/SettingsText.java
+++ b/simulator/src/main/java/lemondock/simulator/SettingsText.java
@@ -76,7 +76,7 @@
         .limits(limits())
         .rules(rules())
         .streamsResume(flag("specifics.resume"))
-        .writersRead(flag("specifics.local-read"))
+        .writersCanRead(flag("specifics.local-read"))
         .build();
   }
 
