--- a/idempotency/src/main/java/lemondock/idempotency/AppendLog.java
+++ b/idempotency/src/main/java/lemondock/idempotency/AppendLog.java
@@ -7,14 +7,14 @@
 import java.util.function.Consumer;
 
 /**
- * A write-ahead log: records in a file that is only appended to, each with its length and checksum.
- * What {@link #write} has returned from is found again by the next {@link #open}, whatever happens
- * to the process; what it has not may be found or not, but never in part. {@link #compact} bounds
- * the size: a new file begins with all that still matters and replaces the old one. Blocks; one
- * thread at a time.
+ * A write-ahead log: an append-only file of records, each with its length and checksum. Once {@link
+ * #write} has returned, the next {@link #open} finds its records, even after a crash of the
+ * process. A record whose write has not returned may be found or not, but never in part. {@link
+ * #compact} bounds the size: it replaces the file by a new one that starts with all records still
+ * needed. Methods block; one thread at a time.
  */
 public final class AppendLog implements AutoCloseable {
-  /** The longest record, in bytes. */
+  /** Maximum length of a record in bytes. */
   public static final int MAX_RECORD_BYTES = 1 << 20;
 
   private static final String NAME_PREFIX = "log-";
@@ -23,44 +23,44 @@
 
   private final FileSystemPort files;
 
-  /** Number of the current file; 0 before there is one. */
+  /** Number of the current file; 0 if there is none yet. */
   private long fileNumber;
 
   /** Bytes of the current file that hold complete records. */
   private long length;
 
-  /** A write has failed: it is not known what is behind {@link #length} in the file. */
+  /** A write has failed: the content of the file after {@link #length} is unknown. */
   private boolean tailUncertain;
 
   /**
    * A rename or a sync of the directory has failed: a new file may have replaced this one, and the
-   * directory may not be durable.
+   * changes to the directory may not be durable.
    */
   private boolean replacementUncertain;
 
   private long replacementLength;
 
   /** Null while no file is open. */
-  private FileSystemPort.AppendFile out;
+  private FileSystemPort.AppendFile output;
 
   /**
-   * What {@link #open} has found.
+   * The result of {@link #open}.
    *
-   * @param records complete records
-   * @param truncatedBytes bytes behind them, which were cut off
-   * @param file name of the log's file
+   * @param records number of complete records
+   * @param truncatedBytes number of bytes after the last complete record, which were cut off
+   * @param file name of the current log file
    */
   public record OpenResult(long records, long truncatedBytes, String file) {}
 
-  /** A log in that directory, not open yet. */
+  /** Creates a log in a directory; {@link #open} must be called before {@link #write}. */
   public AppendLog(FileSystemPort files) {
     this.files = files;
   }
 
   /**
-   * Reads all records, cuts off what is incomplete behind them, and makes ready to write.
+   * Reads all complete records, truncates the file after them and opens it for writing.
    *
-   * @throws LogFormatException if the newest file is not a log
+   * @throws LogFormatException if the newest file is not a log file
    */
   public OpenResult open(Consumer<ByteBuffer> consumer) throws IOException {
     List<String> names = files.fileNames();
@@ -75,7 +75,7 @@
     if (truncatedBytes > 0) {
       files.truncate(currentFile(), length);
     }
-    out = files.append(currentFile());
+    output = files.append(currentFile());
     deleteLeftovers(names);
     return new OpenResult(records, truncatedBytes, currentFile());
   }
@@ -90,20 +90,20 @@
 
   /** Sets {@link #length} to the end of the last complete record. */
   private long readRecords(byte[] content, Consumer<ByteBuffer> consumer) throws IOException {
-    ByteBuffer bytes = LogFrames.contentOf(currentFile(), content);
+    ByteBuffer bytes = LogFrames.contentAfterMagic(currentFile(), content);
     long records = 0;
     length = bytes.position();
-    Optional<ByteBuffer> record = LogFrames.next(bytes);
+    Optional<ByteBuffer> record = LogFrames.readNext(bytes);
     while (record.isPresent()) {
       consumer.accept(record.get());
       records++;
       length = bytes.position();
-      record = LogFrames.next(bytes);
+      record = LogFrames.readNext(bytes);
     }
     return records;
   }
 
-  /** A compaction that was interrupted leaves a file. */
+  /** Deletes the files that an interrupted compaction has left. */
   private void deleteLeftovers(List<String> names) throws IOException {
     for (String name : names) {
       if (!name.equals(currentFile()) && (name.equals(NEXT_FILE) || name.startsWith(NAME_PREFIX))) {
@@ -121,25 +121,25 @@
   }
 
   /**
-   * Writes records together and makes them durable; a failure leaves the log as it was before, as
-   * far as readers see.
+   * Writes records together and makes them durable. A failed write has no effect for readers: the
+   * next write first cuts off what it may have left in the file.
    */
   public void write(List<byte[]> records) throws IOException {
-    if (tailUncertain || replacementUncertain || out == null) {
+    if (tailUncertain || replacementUncertain || output == null) {
       recover();
     }
-    ByteBuffer bytes = LogFrames.frames(records);
+    ByteBuffer bytes = LogFrames.encodeFrames(records);
     final int size = bytes.remaining();
     tailUncertain = true;
-    writeFully(out, bytes);
-    out.sync();
+    writeFully(output, bytes);
+    output.sync();
     tailUncertain = false;
     length += size;
   }
 
   /**
-   * After a failure: goes on in the file that the next {@link #open} would find, and cuts off what
-   * a write may have left there.
+   * Recovers from a failure: continues in the file that the next {@link #open} would find, and cuts
+   * off what a failed write may have left there.
    */
   private void recover() throws IOException {
     close();
@@ -147,7 +147,7 @@
       finishReplacement();
     }
     files.truncate(currentFile(), length);
-    out = files.append(currentFile());
+    output = files.append(currentFile());
     tailUncertain = false;
   }
 
@@ -159,18 +159,23 @@
       file.write(bytes);
       emptyWrites = bytes.remaining() < before ? 0 : emptyWrites + 1;
       if (emptyWrites == MAX_EMPTY_WRITES) {
-        throw new IOException("the file takes no more bytes");
+        throw new IOException(
+            "the file accepted no bytes in "
+                + MAX_EMPTY_WRITES
+                + " writes, "
+                + before
+                + " bytes are left to write");
       }
     }
   }
 
   /**
-   * Begins a new file with these records, which replace all before; the old file is deleted once
-   * the new one is durable.
+   * Starts a new file with these records, which replace all earlier ones. The old file is deleted
+   * once the new one is durable.
    */
   public void compact(List<byte[]> records) throws IOException {
     files.delete(NEXT_FILE);
-    ByteBuffer bytes = LogFrames.file(records);
+    ByteBuffer bytes = LogFrames.encodeFile(records);
     int size = bytes.remaining();
     try (FileSystemPort.AppendFile next = files.append(NEXT_FILE)) {
       writeFully(next, bytes);
@@ -182,12 +187,12 @@
     close();
     finishReplacement();
     tailUncertain = false;
-    out = files.append(currentFile());
+    output = files.append(currentFile());
   }
 
   /**
-   * Goes over to the new file if it is there. Nothing more is written before the directory is
-   * durable: the next process must find the very file that the last records went to.
+   * Switches to the new file if it exists. Nothing is written before the directory has been synced,
+   * because the next process must find the file that the last records were written to.
    */
   private void finishReplacement() throws IOException {
     boolean replaced = files.fileNames().contains(nameOf(fileNumber + 1));
@@ -212,9 +217,9 @@
 
   @Override
   public void close() throws IOException {
-    if (out != null) {
-      out.close();
-      out = null;
+    if (output != null) {
+      output.close();
+      output = null;
     }
   }
 }
--- a/idempotency/src/main/java/lemondock/idempotency/CallRecord.java
+++ b/idempotency/src/main/java/lemondock/idempotency/CallRecord.java
@@ -8,11 +8,15 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A change of a call, as the log keeps it: one byte for its type, then the call's key and two more
- * texts, each as a length of four bytes and UTF-8.
+ * A change of a call's state as stored in the log: one byte for the type of the record, then the
+ * call's key and two more strings, each as a length of four bytes followed by UTF-8.
  */
 sealed interface CallRecord {
-  /** A call has started. {@code ageMillis}: how long before the record was written. */
+  /**
+   * A call has started.
+   *
+   * @param ageMillis time from the start of the call until this record was written
+   */
   record Started(String key, long ageMillis) implements CallRecord {
     @Override
     public byte[] encode() {
@@ -20,7 +24,7 @@
     }
   }
 
-  /** A tool call is to be relayed. */
+  /** A tool call is about to be relayed. */
   record ToolCallRelayed(String key, String id, String tool) implements CallRecord {
     @Override
     public byte[] encode() {
@@ -28,7 +32,7 @@
     }
   }
 
-  /** The result of a relayed tool call has come. */
+  /** The result of a relayed tool call has arrived. */
   record ToolCallAnswered(String key, String id) implements CallRecord {
     @Override
     public byte[] encode() {
@@ -40,8 +44,7 @@
   record Ended(String key, CallStatus status) implements CallRecord {
     public Ended {
       if (!status.isFinal()) {
-        throw new IllegalArgumentException(
-            "status: expected one that a call ends with, found " + status);
+        throw new IllegalArgumentException("call status: expected a final one, found " + status);
       }
     }
 
@@ -51,7 +54,7 @@
     }
   }
 
-  /** The first byte of a record is the place of its type here, counted from 1. */
+  /** The type of a record; stored as its position in this list, counted from 1. */
   enum Type {
     STARTED,
     TOOL_CALL_RELAYED,
@@ -65,13 +68,13 @@
     private static Type ofCode(byte code) {
       if (code < 1 || code > values().length) {
         throw new IllegalArgumentException(
-            "type: expected 1 to " + values().length + ", found " + code);
+            "record type: expected 1 to " + values().length + ", found " + code);
       }
       return values()[code - 1];
     }
   }
 
-  /** The record's bytes. */
+  /** Encodes the record as stored in the log. */
   byte[] encode();
 
   private static byte[] encode(Type type, String... texts) {
@@ -91,17 +94,16 @@
   }
 
   /**
-   * Reads a record.
+   * Decodes a record.
    *
-   * @throws InvalidRecordException if it is none: the log holds something else, or that of a later
-   *     version
+   * @throws InvalidRecordException if the bytes are not a valid record, or one of a later version
    */
   static CallRecord decode(ByteBuffer record) {
     try {
       byte code = record.get();
-      String key = text(record);
-      String first = text(record);
-      String second = text(record);
+      String key = readText(record);
+      String first = readText(record);
+      String second = readText(record);
       return switch (Type.ofCode(code)) {
         case STARTED -> new Started(key, Long.parseLong(first));
         case TOOL_CALL_RELAYED -> new ToolCallRelayed(key, first, second);
@@ -113,9 +115,9 @@
     }
   }
 
-  private static String text(ByteBuffer from) {
-    byte[] utf8 = new byte[from.getInt()];
-    from.get(utf8);
+  private static String readText(ByteBuffer record) {
+    byte[] utf8 = new byte[record.getInt()];
+    record.get(utf8);
     return new String(utf8, StandardCharsets.UTF_8);
   }
 }
--- a/idempotency/src/main/java/lemondock/idempotency/CallStatus.java
+++ b/idempotency/src/main/java/lemondock/idempotency/CallStatus.java
@@ -2,26 +2,28 @@
 
 import java.util.Locale;
 
-/** What is known of the call under an idempotency key. */
+/** The status of the call with an idempotency key. */
 public enum CallStatus {
-  /** Nothing is known of it: it may run. */
+  /** No such call is known: it may run. */
   UNKNOWN("unknown"),
 
-  /** It was rejected, and nothing of it ran: it may run. */
+  /** The call was rejected before anything of it ran: it may run. */
   NEVER_RAN("never_ran"),
 
-  /** It is in progress at this gateway. */
+  /** The call is in progress at this gateway. */
   IN_PROGRESS("under_way"),
 
-  /** It got a complete answer. */
+  /** The call got a complete answer. */
   COMPLETED("served"),
 
-  /** It ended, or this gateway did, and it may have run. */
+  /**
+   * The call, or the gateway process during it, ended without a complete answer; it may have run.
+   */
   MAY_HAVE_RUN("may_have_run"),
 
   /**
-   * The store is full of calls that must not be forgotten yet; nothing is known, and it may not
-   * run.
+   * No such call is known, but it may not run, because the store is full of calls that must not be
+   * evicted yet.
    */
   STORE_FULL("full");
 
@@ -31,27 +33,27 @@
     this.protocolName = protocolName;
   }
 
-  /** Its name in answers to clients. */
+  /** The name of this status in answers to clients. */
   public String protocolName() {
     return protocolName;
   }
 
-  /** Its name in the log. */
+  /** The name of this status in the log. */
   String storedName() {
     return protocolName.toUpperCase(Locale.ROOT);
   }
 
-  /** The status of that name in the log. */
+  /** Returns the status with the given name in the log. */
   static CallStatus ofStoredName(String name) {
     for (CallStatus status : values()) {
       if (status.storedName().equals(name)) {
         return status;
       }
     }
-    throw new IllegalArgumentException("status: expected the name of one, found " + name);
+    throw new IllegalArgumentException("call status: expected a stored name, found " + name);
   }
 
-  /** Whether a call of this status may run. */
+  /** Whether a call with this status may run. */
   public boolean mayRun() {
     return this == UNKNOWN || this == NEVER_RAN;
   }
--- a/idempotency/src/main/java/lemondock/idempotency/FileSystemPort.java
+++ b/idempotency/src/main/java/lemondock/idempotency/FileSystemPort.java
@@ -5,20 +5,20 @@
 import java.util.List;
 
 /**
- * The files of one directory, as a log needs them; simulations with faults of their own implement
- * it too. Calls may block.
+ * The operations on the files of one directory that a log needs. Also implemented by simulations
+ * that inject faults. Calls may block.
  */
 public interface FileSystemPort {
-  /** The names of the directory's files. */
+  /** Returns the names of the directory's files. */
   List<String> fileNames() throws IOException;
 
-  /** The content of a file. */
+  /** Reads the content of a file. */
   byte[] read(String name) throws IOException;
 
-  /** Opens a file to append to it; creates it if it does not exist. */
+  /** Opens a file for appending; creates it if it does not exist. */
   AppendFile append(String name) throws IOException;
 
-  /** Cuts a file to that length, in bytes. */
+  /** Truncates a file to a length in bytes. */
   void truncate(String name, long length) throws IOException;
 
   /** Renames a file atomically; replaces a file that has the new name. */
@@ -27,15 +27,15 @@
   /** Deletes a file if it exists. */
   void delete(String name) throws IOException;
 
-  /** Makes it durable which files were created, renamed and deleted. */
+  /** Makes the creation, renaming and deletion of files durable. */
   void syncDirectory() throws IOException;
 
   /** A file that is open for appending. */
   interface AppendFile extends AutoCloseable {
-    /** Writes some of the bytes, perhaps not all; advances the buffer by as many. */
+    /** Writes some or all of the bytes; advances the buffer by the number written. */
     void write(ByteBuffer bytes) throws IOException;
 
-    /** Makes durable what was written. */
+    /** Makes the bytes written so far durable. */
     void sync() throws IOException;
 
     @Override
--- a/idempotency/src/main/java/lemondock/idempotency/GroupCommit.java
+++ b/idempotency/src/main/java/lemondock/idempotency/GroupCommit.java
@@ -10,9 +10,9 @@
 import java.util.function.Supplier;
 
 /**
- * Group commit: records that come while others are written go out together next, with one sync for
- * all. Called on one thread, which hears there whether a record is durable; files are written by
- * another executor. The queue is bounded.
+ * Group commit: records that arrive during a write are written together in the next one, with a
+ * single sync. Called on one thread, on which callbacks report whether a record is durable; files
+ * are written by another executor. The queue is bounded.
  */
 public final class GroupCommit {
   private final AppendLog log;
@@ -21,7 +21,7 @@
   private final Settings settings;
   private final Supplier<List<byte[]>> snapshot;
 
-  // The caller's thread only.
+  // Accessed on the caller's thread only.
   private List<byte[]> queuedRecords = new ArrayList<>();
   private List<Consumer<Optional<IOException>>> queuedCallbacks = new ArrayList<>();
   private boolean commitInProgress;
@@ -34,21 +34,21 @@
   private volatile long logLength;
 
   /**
-   * The bounds.
+   * Limits on the queue and on the log.
    *
-   * @param maxQueuedRecords records that may wait for the disk
-   * @param compactAtBytes length of the log at which it is compacted, and again when it has doubled
-   *     since
+   * @param maxQueuedRecords maximum number of records that wait to be written
+   * @param compactAtBytes length of the log at which it is compacted; it is compacted again when
+   *     its length has doubled since, but not below this length
    */
   public record Settings(int maxQueuedRecords, long compactAtBytes) {}
 
   /**
-   * Makes a group commit for an open log.
+   * Creates a group commit for an open log.
    *
-   * @param caller the thread on which it is called and calls back
-   * @param disk where files are written
-   * @param snapshot all records that a compacted log needs, at the moment of the call; called on
-   *     the caller's thread
+   * @param caller runs callbacks on the thread that calls this object
+   * @param disk executor that writes files
+   * @param snapshot supplies all records that a log compacted at that moment needs; called on the
+   *     caller's thread
    */
   public GroupCommit(
       AppendLog log,
@@ -64,7 +64,10 @@
     this.compactAtBytes = settings.compactAtBytes();
   }
 
-  /** Commits a record; the callback hears nothing once it is durable, or why it is not. */
+  /**
+   * Commits a record. The callback gets an empty value once the record is durable, else the
+   * failure.
+   */
   public void append(byte[] record, Consumer<Optional<IOException>> callback) {
     if (queuedRecords.size() >= settings.maxQueuedRecords()) {
       IOException failure =
@@ -78,7 +81,7 @@
     commitQueued();
   }
 
-  /** Commits so far; each is one sync. */
+  /** Number of commits so far, including failed ones; each writes its records with one sync. */
   public long commits() {
     return commits;
   }
@@ -92,26 +95,27 @@
     List<Consumer<Optional<IOException>>> callbacks = queuedCallbacks;
     queuedRecords = new ArrayList<>();
     queuedCallbacks = new ArrayList<>();
-    // a snapshot has all of the batch already: the store changes before its records are queued
-    Optional<List<byte[]>> compacted =
+    // the snapshot already includes the batch: the store changes before its records are queued
+    Optional<List<byte[]>> compactedRecords =
         logLength >= compactAtBytes ? Optional.of(snapshot.get()) : Optional.empty();
     try {
       disk.execute(
           () -> {
-            Optional<IOException> failure = write(batch, compacted);
-            caller.execute(() -> committed(callbacks, failure));
+            Optional<IOException> failure = write(batch, compactedRecords);
+            caller.execute(() -> onCommitted(callbacks, failure));
           });
     } catch (RejectedExecutionException e) {
-      IOException failure = new IOException("the disk's queue is full", e);
-      caller.execute(() -> committed(callbacks, Optional.of(failure)));
+      IOException failure =
+          new IOException("the executor for disk writes rejected a commit, its queue is full", e);
+      caller.execute(() -> onCommitted(callbacks, Optional.of(failure)));
     }
   }
 
-  /** On the disk executor. */
-  private Optional<IOException> write(List<byte[]> batch, Optional<List<byte[]>> compacted) {
+  /** Runs on the disk executor. */
+  private Optional<IOException> write(List<byte[]> batch, Optional<List<byte[]>> compactedRecords) {
     try {
-      if (compacted.isPresent()) {
-        log.compact(compacted.get());
+      if (compactedRecords.isPresent()) {
+        log.compact(compactedRecords.get());
         compactAtBytes = Math.max(settings.compactAtBytes(), 2 * log.length());
       } else {
         log.write(batch);
@@ -125,7 +129,7 @@
     }
   }
 
-  private void committed(
+  private void onCommitted(
       List<Consumer<Optional<IOException>>> callbacks, Optional<IOException> failure) {
     commitInProgress = false;
     commits++;
--- a/idempotency/src/main/java/lemondock/idempotency/IdempotencyStore.java
+++ b/idempotency/src/main/java/lemondock/idempotency/IdempotencyStore.java
@@ -8,70 +8,76 @@
 import java.util.Map;
 
 /**
- * The status of calls that must not run twice, by the idempotency keys that their clients gave
- * them. A call is in the store before anything of it is sent anywhere, so one that is there without
- * an end may have run, whatever else was lost. The store decides whether a call that comes under a
+ * Holds the status of calls that must not run twice, by the idempotency keys that their clients
+ * gave them. A call is added to the store before anything of it is sent anywhere, so a call without
+ * a recorded end may have run, whatever else was lost. The store decides whether a call with a
  * known key may run. Each change is also a record, and replaying the records restores the store.
  * Does no I/O and reads no clock; one thread.
  */
 public final class IdempotencyStore {
-  /** Bounds what a call takes in memory and in a snapshot; further tool calls are not kept. */
+  /** Bounds the size of a call in memory and in a snapshot; further tool calls are not stored. */
   private static final int MAX_RELAYED_TOOL_CALLS = 256;
 
-  /** A longer age is a wall-clock time in milliseconds, which records of earlier versions have. */
-  private static final long LONGEST_AGE_MILLIS = 1_000_000_000_000L;
+  /**
+   * An age of this much or more is a wall-clock time in milliseconds, which earlier versions
+   * recorded instead of an age.
+   */
+  private static final long WALL_CLOCK_THRESHOLD_MILLIS = 1_000_000_000_000L;
 
   private final Settings settings;
   private final long createdAtMillis;
 
-  /** By the start of the calls, the oldest first. */
+  /** In the order in which the calls started, the oldest first. */
   private final Map<String, StoredCall> calls = new LinkedHashMap<>();
 
   /**
-   * How much is remembered.
+   * How many calls are remembered and for how long.
    *
-   * @param maxCalls how many calls
-   * @param retentionMillis how long an ended call is remembered, and one without an end that an
-   *     earlier process has started; both counted from the start of the call
+   * @param maxCalls maximum number of calls in the store
+   * @param retentionMillis how long a call is remembered, counted from its start; a call in
+   *     progress at this gateway is kept until it ends
    */
   public record Settings(int maxCalls, long retentionMillis) {}
 
   private static final class StoredCall {
     private final long startedAtMillis;
-    private final boolean startedHere;
+    private final boolean startedByThisProcess;
     private CallStatus status;
     private final Map<String, RelayedToolCall> toolCalls = new LinkedHashMap<>();
 
-    StoredCall(long startedAtMillis, boolean startedHere) {
+    StoredCall(long startedAtMillis, boolean startedByThisProcess) {
       this.startedAtMillis = startedAtMillis;
-      this.startedHere = startedHere;
-      this.status = startedHere ? CallStatus.IN_PROGRESS : CallStatus.MAY_HAVE_RUN;
+      this.startedByThisProcess = startedByThisProcess;
+      this.status = startedByThisProcess ? CallStatus.IN_PROGRESS : CallStatus.MAY_HAVE_RUN;
     }
 
-    /** Whether a record of the start without one of the end says the same. */
-    boolean isSaidByItsStart() {
-      return status == CallStatus.IN_PROGRESS || status == CallStatus.MAY_HAVE_RUN && !startedHere;
+    /** Whether the record of the start suffices to restore the status, without one of the end. */
+    boolean isImpliedByStartRecord() {
+      return status == CallStatus.IN_PROGRESS
+          || status == CallStatus.MAY_HAVE_RUN && !startedByThisProcess;
     }
   }
 
-  /** An empty store whose clock starts at 0. */
+  /** Creates an empty store whose clock starts at 0. */
   public IdempotencyStore(Settings settings) {
     this(settings, 0);
   }
 
   /**
-   * An empty store.
+   * Creates an empty store.
    *
-   * @param nowMillis a clock that neither goes back nor steps, and may start anywhere in each
-   *     process. Time between two processes does not count: what an earlier process has recorded is
-   *     remembered longer, never shorter, than the settings say
+   * @param nowMillis time of a monotonic clock, whose origin may differ between processes. Time
+   *     between two processes does not count: calls of an earlier process are remembered longer
+   *     than the settings say, never shorter
    */
   public IdempotencyStore(Settings settings, long nowMillis) {
     this.settings = settings;
     this.createdAtMillis = nowMillis;
   }
 
-  /** The status of the call under that key; {@code nowMillis} is the store's clock. */
+  /**
+   * Returns the status of the call with a key; {@code nowMillis} is the time of the store's clock.
+   */
   public CallStatus status(String key, long nowMillis) {
     StoredCall call = calls.get(key);
     if (call != null && isExpired(call, nowMillis)) {
@@ -96,14 +102,15 @@
   }
 
   /**
-   * Removes expired calls, or else the oldest that never ran: forgetting that one loses nothing.
+   * Removes expired calls or, if there are none, the oldest call that never ran, which is safe to
+   * forget. Returns whether there is room for a call.
    */
   private boolean makeRoom(long nowMillis) {
     removeExpired(nowMillis);
-    return calls.size() < settings.maxCalls() || removeOldestThatNeverRan();
+    return calls.size() < settings.maxCalls() || evictOldestThatNeverRan();
   }
 
-  private boolean removeOldestThatNeverRan() {
+  private boolean evictOldestThatNeverRan() {
     for (Iterator<StoredCall> oldestFirst = calls.values().iterator(); oldestFirst.hasNext(); ) {
       if (oldestFirst.next().status == CallStatus.NEVER_RAN) {
         oldestFirst.remove();
@@ -113,7 +120,7 @@
     return false;
   }
 
-  /** The tool calls that were relayed for the call under that key. */
+  /** Returns the tool calls that were relayed for the call with a key. */
   public List<RelayedToolCall> relayedToolCalls(String key) {
     StoredCall call = calls.get(key);
     return call == null ? List.of() : List.copyOf(call.toolCalls.values());
@@ -124,38 +131,38 @@
     return calls.size();
   }
 
-  // Changes; each returns its record.
+  // Changes of the store; each method returns the record of its change.
 
   /**
-   * A call starts; its record must be durable before anything of the call is sent.
+   * Records the start of a call. The record must be durable before anything of the call is sent.
    *
    * @throws IllegalStateException if the call may not run
    */
   public byte[] callStarted(String key, long nowMillis) {
     if (!status(key, nowMillis).mayRun()) {
-      throw new IllegalStateException("the call " + key + " may not run");
+      throw new IllegalStateException("the call with idempotency key " + key + " may not run");
     }
     put(key, new StoredCall(nowMillis, true));
     return new CallRecord.Started(key, 0).encode();
   }
 
   private void put(String key, StoredCall call) {
-    calls.remove(key); // a retry is as young as its own start
+    calls.remove(key); // so that a retry is ordered by its own start
     calls.put(key, call);
   }
 
-  /** A tool call is to be relayed; its record must be durable before it is. */
+  /** Records a tool call; the record must be durable before the tool call is relayed. */
   public byte[] toolCallRelayed(String key, String id, String tool) {
     return apply(new CallRecord.ToolCallRelayed(key, id, tool)).encode();
   }
 
-  /** The result of a relayed tool call has come. */
+  /** Records that the result of a relayed tool call has arrived. */
   public byte[] toolCallAnswered(String key, String id) {
     return apply(new CallRecord.ToolCallAnswered(key, id)).encode();
   }
 
   /**
-   * The call has ended.
+   * Records the end of a call.
    *
    * @param status COMPLETED, NEVER_RAN or MAY_HAVE_RUN
    */
@@ -188,19 +195,18 @@
     return record;
   }
 
-  // Records of earlier processes, and for later ones.
+  // Restoring from the records of earlier processes, and the snapshot for later ones.
 
   /**
-   * Applies a record of an earlier process; in their order they restore the store, but that no call
-   * is in progress any more.
+   * Applies a record of an earlier process. Applied in their order, the records restore the store,
+   * except that calls in progress become calls that may have run.
    *
-   * @throws InvalidRecordException if it is none: the log holds something else, or that of a later
-   *     version
+   * @throws InvalidRecordException if the bytes are not a valid record, or one of a later version
    */
   public void replay(ByteBuffer bytes) {
     CallRecord record = CallRecord.decode(bytes);
     if (record instanceof CallRecord.Started started) {
-      long ageMillis = started.ageMillis() < LONGEST_AGE_MILLIS ? started.ageMillis() : 0;
+      long ageMillis = started.ageMillis() < WALL_CLOCK_THRESHOLD_MILLIS ? started.ageMillis() : 0;
       put(started.key(), new StoredCall(createdAtMillis - ageMillis, false));
     } else if (record instanceof CallRecord.ToolCallRelayed relayed) {
       apply(relayed);
@@ -211,7 +217,7 @@
     }
   }
 
-  /** All records that restore the store, for a compacted log to begin with. */
+  /** Returns the records that restore the store, with which a compacted log starts. */
   public List<byte[]> snapshot(long nowMillis) {
     removeExpired(nowMillis);
     List<byte[]> records = new ArrayList<>();
@@ -228,7 +234,7 @@
         records.add(new CallRecord.ToolCallAnswered(key, toolCall.id()).encode());
       }
     }
-    if (!call.isSaidByItsStart()) {
+    if (!call.isImpliedByStartRecord()) {
       records.add(new CallRecord.Ended(key, call.status).encode());
     }
   }
--- a/idempotency/src/main/java/lemondock/idempotency/InvalidRecordException.java
+++ b/idempotency/src/main/java/lemondock/idempotency/InvalidRecordException.java
@@ -1,10 +1,10 @@
 package lemondock.idempotency;
 
-/** The log holds a record that is none of this version's. */
+/** Thrown for a record in the log that this version cannot decode. */
 public final class InvalidRecordException extends IllegalArgumentException {
   private static final long serialVersionUID = 1;
 
   InvalidRecordException(RuntimeException cause) {
-    super("not a record of a call: " + cause, cause);
+    super("cannot decode a call record: " + cause, cause);
   }
 }
--- a/idempotency/src/main/java/lemondock/idempotency/LockedDirectory.java
+++ b/idempotency/src/main/java/lemondock/idempotency/LockedDirectory.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A directory of the file system, locked for one process at a time. */
+/** A directory of the file system that is locked by at most one process at a time. */
 public final class LockedDirectory implements FileSystemPort, AutoCloseable {
   private static final String LOCK_FILE = "lock";
 
@@ -21,7 +21,7 @@
   /**
    * Creates the directory if it does not exist, and locks it.
    *
-   * @throws IOException also if another process has locked it
+   * @throws IOException if the directory cannot be created, or is already locked
    */
   public LockedDirectory(Path directory) throws IOException {
     this.directory = Files.createDirectories(directory);
@@ -33,11 +33,11 @@
         return;
       }
     } catch (OverlappingFileLockException e) {
-      // this process has locked it
+      // locked by this process
     }
     lock.close();
     throw new IOException(
-        directory + ": expected a folder of one's own, found one that another gateway uses");
+        directory + ": cannot lock the directory, because another gateway uses it");
   }
 
   /** Unlocks the directory. */
--- a/idempotency/src/main/java/lemondock/idempotency/LogFormatException.java
+++ b/idempotency/src/main/java/lemondock/idempotency/LogFormatException.java
@@ -2,17 +2,17 @@
 
 import java.io.IOException;
 
-/** A file that should be a log is something else. */
+/** Thrown for a file that is named like a log but has another format. */
 public final class LogFormatException extends IOException {
   private static final long serialVersionUID = 1;
 
   LogFormatException(String file, String expectedMagic, int foundBytes) {
     super(
         file
-            + ": expected a log that begins with "
+            + ": expected a log file that starts with "
             + expectedMagic
-            + ", found "
+            + ", found a file of "
             + foundBytes
-            + " bytes of something else");
+            + " bytes that does not");
   }
 }
--- a/idempotency/src/main/java/lemondock/idempotency/LogFrames.java
+++ b/idempotency/src/main/java/lemondock/idempotency/LogFrames.java
@@ -8,8 +8,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * The format of a log file: a magic text, then frames. A frame is a record's length, its CRC-32C,
- * four bytes each, and the record (as LevelDB's log, without its blocks).
+ * The format of a log file: a magic string, then frames. A frame consists of a record's length and
+ * CRC-32C, four bytes each, and the record itself (like LevelDB's log, but without blocks).
  */
 final class LogFrames {
   private static final String MAGIC_TEXT = "LDLOG001";
@@ -18,14 +18,14 @@
 
   private LogFrames() {}
 
-  /** A whole file that holds these records. */
-  static ByteBuffer file(List<byte[]> records) {
+  /** Encodes a complete file that holds these records. */
+  static ByteBuffer encodeFile(List<byte[]> records) {
     ByteBuffer bytes = ByteBuffer.allocate(MAGIC.length + sizeOf(records)).put(MAGIC);
     return putFrames(records, bytes);
   }
 
-  /** These records as they stand in a file. */
-  static ByteBuffer frames(List<byte[]> records) {
+  /** Encodes records as the frames to append to a file. */
+  static ByteBuffer encodeFrames(List<byte[]> records) {
     return putFrames(records, ByteBuffer.allocate(sizeOf(records)));
   }
 
@@ -33,7 +33,11 @@
     int size = 0;
     for (byte[] record : records) {
       if (record.length == 0 || record.length > AppendLog.MAX_RECORD_BYTES) {
-        throw new IllegalArgumentException("a record of " + record.length + " bytes");
+        throw new IllegalArgumentException(
+            "record length: expected 1 to "
+                + AppendLog.MAX_RECORD_BYTES
+                + " bytes, found "
+                + record.length);
       }
       size += FRAME_HEADER_BYTES + record.length;
     }
@@ -49,8 +53,8 @@
     return bytes.flip();
   }
 
-  /** The content of a file behind the magic text. */
-  static ByteBuffer contentOf(String file, byte[] bytes) throws LogFormatException {
+  /** Checks the magic string of a file and returns the content after it. */
+  static ByteBuffer contentAfterMagic(String file, byte[] bytes) throws LogFormatException {
     if (bytes.length < MAGIC.length
         || !Arrays.equals(bytes, 0, MAGIC.length, MAGIC, 0, MAGIC.length)) {
       throw new LogFormatException(file, MAGIC_TEXT, bytes.length);
@@ -58,8 +62,11 @@
     return ByteBuffer.wrap(bytes).position(MAGIC.length);
   }
 
-  /** Reads the next complete record; empty if what follows is none. */
-  static Optional<ByteBuffer> next(ByteBuffer bytes) {
+  /**
+   * Reads the next record; empty if the bytes that follow are not a complete record with a correct
+   * checksum.
+   */
+  static Optional<ByteBuffer> readNext(ByteBuffer bytes) {
     if (bytes.remaining() < FRAME_HEADER_BYTES) {
       return Optional.empty();
     }
--- a/idempotency/src/test/java/lemondock/idempotency/AppendLogTest.java
+++ b/idempotency/src/test/java/lemondock/idempotency/AppendLogTest.java
@@ -8,14 +8,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The write-ahead log where the file system fails. */
+/** The write-ahead log on a file system that fails. */
 class AppendLogTest {
   /**
-   * The old file and the new one both are in the directory after such a failure; the next process
-   * takes the new one.
+   * After a failed rename or directory sync, both the old file and the new one are in the
+   * directory, and the next process opens the new one. Records must not be written to the old one.
    */
   @Test
-  void aFailedCompactionLosesNothingThatIsWrittenLater() throws IOException {
+  void recordsWrittenAfterFailedCompactionSurviveRestart() throws IOException {
     for (int seed = 0; seed < 40; seed++) {
       SimulatedDirectory directory = new SimulatedDirectory(seed);
       AppendLog log = new AppendLog(directory);
@@ -28,12 +28,12 @@
       }
       assertThrows(IOException.class, () -> log.compact(List.of(new byte[] {1})));
       List<Byte> durable = new ArrayList<>(List.of((byte) 1));
-      for (byte next = 2; next < 8; next++) {
+      for (byte value = 2; value < 8; value++) {
         try {
-          log.write(List.of(new byte[] {next}));
-          durable.add(next);
+          log.write(List.of(new byte[] {value}));
+          durable.add(value);
         } catch (IOException e) {
-          assertTrue(next < 5, "written again once the directory can be synced");
+          assertTrue(value < 5, "writes must succeed once the directory can be synced");
         }
       }
       directory.restart();
--- a/idempotency/src/test/java/lemondock/idempotency/GroupCommitTest.java
+++ b/idempotency/src/test/java/lemondock/idempotency/GroupCommitTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Batches of records, and the compaction of the log. */
+/** Batching of records and compaction of the log. */
 class GroupCommitTest {
   @Test
-  void recordsThatComeDuringACommitAreCommittedTogether() throws IOException {
+  void batchesRecordsThatArriveDuringCommit() throws IOException {
     SimulatedDirectory directory = new SimulatedDirectory(1);
     AppendLog log = new AppendLog(directory);
     log.open(record -> {});
@@ -27,13 +27,15 @@
             log, Runnable::run, disk::add, new GroupCommit.Settings(10, 1 << 20), List::of);
     List<String> callbacks = new ArrayList<>();
     for (int i = 0; i < 15; i++) {
-      int n = i;
+      int number = i;
       groupCommit.append(
           new byte[] {1},
-          failure -> callbacks.add(n + failure.map(e -> " " + e.getMessage()).orElse("")));
+          failure -> callbacks.add(number + failure.map(e -> " " + e.getMessage()).orElse("")));
     }
     assertEquals(
-        4, callbacks.size(), "one is written, ten wait, the rest fails at once: " + callbacks);
+        4,
+        callbacks.size(),
+        "one is being written, ten are queued, the rest fail at once: " + callbacks);
     assertTrue(callbacks.get(0).contains("more than 10 records"));
     disk.poll().run();
     disk.poll().run();
@@ -44,7 +46,7 @@
   }
 
   @Test
-  void theLogOnDiskIsKeptShortByCompaction(@TempDir Path directory) throws IOException {
+  void compactionBoundsLogSizeOnDisk(@TempDir Path directory) throws IOException {
     IdempotencyStore store = new IdempotencyStore(new IdempotencyStore.Settings(50, 100));
     LockedDirectory files = new LockedDirectory(directory);
     String message =
@@ -71,15 +73,15 @@
     }
     log.close();
     files.close();
-    IdempotencyStore again = new IdempotencyStore(new IdempotencyStore.Settings(50, 100));
-    try (LockedDirectory later = new LockedDirectory(directory);
-        AppendLog next = new AppendLog(later)) {
-      next.open(again::replay);
-      assertEquals(1, later.fileNames().size());
+    IdempotencyStore restored = new IdempotencyStore(new IdempotencyStore.Settings(50, 100));
+    try (LockedDirectory reopened = new LockedDirectory(directory);
+        AppendLog reopenedLog = new AppendLog(reopened)) {
+      reopenedLog.open(restored::replay);
+      assertEquals(1, reopened.fileNames().size());
     }
     assertEquals(
         CallStatus.COMPLETED,
-        again.status("key-4999", 99),
-        "the clock of each process starts anew");
+        restored.status("key-4999", 99),
+        "the clock of each process starts at 0");
   }
 }
--- a/idempotency/src/test/java/lemondock/idempotency/IdempotencyStoreTest.java
+++ b/idempotency/src/test/java/lemondock/idempotency/IdempotencyStoreTest.java
@@ -9,14 +9,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the idempotency store remembers, and for how long. */
+/** Retention and eviction of calls in the idempotency store. */
 class IdempotencyStoreTest {
   /**
-   * Steps of the wall clock have no effect: times are those of a monotonic clock of each process,
-   * and an age is handed on to the next process.
+   * Steps of the wall clock have no effect: each process uses its own monotonic clock, and the log
+   * passes the age of a call, not its start time, to the next process.
    */
   @Test
-  void aCallIsRememberedForItsRetentionOverRestartsWhoseClocksStartAnywhere() {
+  void remembersCallForRetentionAcrossRestarts() {
     IdempotencyStore first =
         new IdempotencyStore(new IdempotencyStore.Settings(10, 1_000), 5_000_000);
     List<byte[]> log = new ArrayList<>();
@@ -31,14 +31,14 @@
       assertEquals(
           records == log ? CallStatus.COMPLETED : CallStatus.UNKNOWN,
           second.status("ran", 200),
-          "its age was 900 when the snapshot was taken");
+          "its age was 900 ms when the snapshot was taken");
       assertEquals(CallStatus.UNKNOWN, second.status("ran", 1_100));
     }
   }
 
-  /** Logs of earlier versions have wall-clock milliseconds in place of an age. */
+  /** Logs of earlier versions have a wall-clock time in milliseconds instead of an age. */
   @Test
-  void aRecordWithAWallClockTimeCountsAsNew() {
+  void treatsRecordWithWallClockTimeAsNew() {
     IdempotencyStore store = new IdempotencyStore(new IdempotencyStore.Settings(10, 1_000), 0);
     byte[] old =
         new IdempotencyStore(new IdempotencyStore.Settings(10, 1_000), 0).callStarted("old", 0);
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void expiredCallsAreForgottenAndNeverThoseThatMayHaveRunToMakeRoom() {
+  void evictsExpiredCallsButNoneThatMayHaveRun() {
     IdempotencyStore store = new IdempotencyStore(new IdempotencyStore.Settings(3, 1_000));
     store.callStarted("ran", 0);
     store.callStarted("refused", 1);
@@ -60,13 +60,15 @@
     store.callStarted("served", 2);
     store.callEnded("served", CallStatus.COMPLETED);
     assertEquals(CallStatus.IN_PROGRESS, store.status("ran", 5));
-    assertEquals(CallStatus.UNKNOWN, store.status("new", 5), "in place of one that never ran");
+    assertEquals(
+        CallStatus.UNKNOWN, store.status("new", 5), "a call that never ran is evicted for it");
     store.callStarted("new", 5);
     assertEquals(CallStatus.STORE_FULL, store.status("another", 6));
     assertThrows(IllegalStateException.class, () -> store.callStarted("another", 6));
     assertThrows(IllegalStateException.class, () -> store.callStarted("served", 6));
-    assertEquals(CallStatus.UNKNOWN, store.status("served", 1_003), "old enough");
-    assertEquals(CallStatus.IN_PROGRESS, store.status("ran", 5_000), "not while it is in progress");
+    assertEquals(CallStatus.UNKNOWN, store.status("served", 1_003), "expired");
+    assertEquals(
+        CallStatus.IN_PROGRESS, store.status("ran", 5_000), "a call in progress does not expire");
     store.callEnded("ran", CallStatus.MAY_HAVE_RUN);
     assertEquals(CallStatus.UNKNOWN, store.status("ran", 5_000));
   }
--- a/idempotency/src/test/java/lemondock/idempotency/SimulatedDirectory.java
+++ b/idempotency/src/test/java/lemondock/idempotency/SimulatedDirectory.java
@@ -11,13 +11,13 @@
 import java.util.TreeMap;
 
 /**
- * A directory in memory whose process may be killed, and its machine lose power, at any step: of
- * what was not synced a part survives, of a file some first bytes, of changes to names some first
- * ones. It can be full, take writes in pieces and fail. What survives is drawn from the seed. For
- * one thread.
+ * A directory in memory that simulates a kill of the process and a power loss at any step. Of what
+ * was not synced, a prefix survives: the first bytes of a file, and the first of the changes to
+ * file names. Also simulates a full disk, partial writes and failing operations. What survives is
+ * drawn from the seed. For one thread.
  */
 final class SimulatedDirectory implements FileSystemPort {
-  /** The simulated process was killed; an error, so that no code under test handles it. */
+  /** The simulated process was killed; an Error, so that the code under test does not catch it. */
   static final class Killed extends Error {
     private static final long serialVersionUID = 1;
   }
@@ -43,33 +43,33 @@
     random = new SplittableRandom(seed);
   }
 
-  /** The process is killed at that step from now on. */
+  /** Kills the process at the given step, counted from now. */
   void killAtStep(int step) {
     steps = 0;
     killAtStep = step;
   }
 
-  /** So many more bytes fit. */
+  /** Sets how many more bytes can be written. */
   void setFreeBytes(long bytes) {
     freeBytes = bytes;
   }
 
-  /** Each write takes so many bytes at most. */
+  /** Limits the bytes that a single write accepts. */
   void setMaxWriteBytes(int bytes) {
     maxWriteBytes = bytes;
   }
 
-  /** The next so many syncs fail. */
+  /** Makes the next syncs of files fail. */
   void failSyncs(int count) {
     syncFailuresLeft = count;
   }
 
-  /** The next so many syncs of the directory fail; what was to be durable by them may be or not. */
+  /** Makes the next syncs of the directory fail; their changes may be durable or not. */
   void failDirectorySyncs(int count) {
     directorySyncFailuresLeft = count;
   }
 
-  /** The next so many renames say that they failed, though they did their work. */
+  /** Makes the next renames report a failure although they were done. */
   void failRenames(int count) {
     renameFailuresLeft = count;
   }
@@ -90,7 +90,7 @@
     }
   }
 
-  /** Makes it what the next process finds. */
+  /** Simulates the power loss and restart: leaves what the next process finds. */
   void restart() {
     int surviving = unsyncedChanges.isEmpty() ? 0 : random.nextInt(unsyncedChanges.size() + 1);
     unsyncedChanges.subList(0, surviving).forEach(Runnable::run);
@@ -115,7 +115,7 @@
   @Override
   public byte[] read(String name) throws IOException {
     if (!files.containsKey(name)) {
-      throw new IOException("no " + name);
+      throw new IOException("no such file: " + name);
     }
     return files.get(name).bytes.clone();
   }
@@ -136,11 +136,11 @@
       public void write(ByteBuffer bytes) throws IOException {
         int count = (int) Math.min(Math.min(bytes.remaining(), maxWriteBytes), freeBytes);
         if (steps + 1 == killAtStep) {
-          count = random.nextInt(count + 1); // killed with a part of it handed over
+          count = random.nextInt(count + 1); // killed after a part of the bytes was written
         }
-        byte[] all = Arrays.copyOf(content.bytes, content.bytes.length + count);
-        bytes.get(all, content.bytes.length, count);
-        content.bytes = all;
+        byte[] extended = Arrays.copyOf(content.bytes, content.bytes.length + count);
+        bytes.get(extended, content.bytes.length, count);
+        content.bytes = extended;
         freeBytes -= count;
         step();
         if (count == 0 && bytes.hasRemaining()) {
@@ -168,7 +168,7 @@
     step();
     FileContent content = files.get(name);
     if (content == null) {
-      throw new IOException("no " + name);
+      throw new IOException("no such file: " + name);
     }
     freeBytes = Math.min(Long.MAX_VALUE / 2, freeBytes) + content.bytes.length - length;
     content.bytes = Arrays.copyOf(content.bytes, (int) length);
--- a/idempotency/src/test/java/lemondock/idempotency/StoredLogTest.java
+++ b/idempotency/src/test/java/lemondock/idempotency/StoredLogTest.java
@@ -12,17 +12,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Restores from logs that the build of commit 6ec0bf3 wrote; see the README beside them. */
+/** Restores from logs written by the build of commit 6ec0bf3; see the README next to them. */
 class StoredLogTest {
   private static final long RETENTION_MILLIS = 3_600_000;
   private static final IdempotencyStore.Settings SETTINGS =
       new IdempotencyStore.Settings(1_000, RETENTION_MILLIS);
   private static final String NON_ASCII_KEY = "Bestellung äöü 漢字";
 
-  /** Bytes of a record's length and checksum. */
+  /** Size of a record's length and checksum. */
   private static final int RECORD_HEADER_BYTES = 8;
 
-  /** Bytes of the last record of {@code appended/log-1}: a type and three texts with lengths. */
+  /** Size of the last record of {@code appended/log-1}: a type and three strings with lengths. */
   private static final int LAST_RECORD_BYTES =
       1 + 4 + "unfinished".length() + 4 + "1/b".length() + 4 + "order".length();
 
@@ -68,19 +68,21 @@
   }
 
   @Test
-  void restoresTheStatusAndTheToolCallsOfEveryCall() throws IOException {
+  void restoresStatusAndToolCallsOfEveryCall() throws IOException {
     AppendLog.OpenResult opened = restore("log-1", fixture("appended/log-1"));
     assertEquals(new AppendLog.OpenResult(RECORDS_OF_APPENDED, 0, "log-1"), opened);
     assertEquals(7, store.size());
     assertFinishedCallsOfAppended();
     assertEquals(
-        CallStatus.MAY_HAVE_RUN, store.status("unfinished", 0), "its gateway died before its end");
+        CallStatus.MAY_HAVE_RUN,
+        store.status("unfinished", 0),
+        "its gateway process ended before the call did");
     assertEquals(
         List.of(new RelayedToolCall("1/b", "order", false)), store.relayedToolCalls("unfinished"));
   }
 
   @Test
-  void aRestoredCallExpiresOneRetentionAfterTheRestart() throws IOException {
+  void restoredCallExpiresOneRetentionAfterRestart() throws IOException {
     restore("log-1", fixture("appended/log-1"));
     for (String key : List.of("completed", "may-have-run", "unfinished", NON_ASCII_KEY)) {
       CallStatus before = store.status(key, 0);
@@ -90,7 +92,7 @@
   }
 
   @Test
-  void theAgeThatACompactedLogTellsCountsTowardsTheExpiry() throws IOException {
+  void ageInCompactedLogCountsTowardsExpiry() throws IOException {
     AppendLog.OpenResult opened = restore("log-2", fixture("compacted/log-2"));
     assertEquals(new AppendLog.OpenResult(7, 0, "log-2"), opened);
     assertEquals(3, store.size());
@@ -106,25 +108,31 @@
   }
 
   @Test
-  void aLogWhoseLastRecordIsCutOffAnywhereRestoresAllBeforeIt() throws IOException {
+  void restoresAllRecordsBeforeTruncatedLastRecord() throws IOException {
     byte[] whole = fixture("appended/log-1");
-    int lastFrameAt = whole.length - LAST_FRAME_BYTES;
-    for (int length = lastFrameAt; length < whole.length; length++) {
+    int lastFrameOffset = whole.length - LAST_FRAME_BYTES;
+    for (int length = lastFrameOffset; length < whole.length; length++) {
       createStore();
       AppendLog.OpenResult opened = restore("log-1", Arrays.copyOf(whole, length));
       assertEquals(
-          new AppendLog.OpenResult(RECORDS_OF_APPENDED - 1, length - lastFrameAt, "log-1"), opened);
+          new AppendLog.OpenResult(RECORDS_OF_APPENDED - 1, length - lastFrameOffset, "log-1"),
+          opened);
       assertEquals(7, store.size(), "cut to " + length);
       assertFinishedCallsOfAppended();
       assertEquals(CallStatus.MAY_HAVE_RUN, store.status("unfinished", 0));
       assertEquals(
-          List.of(), store.relayedToolCalls("unfinished"), "its tool call is what was cut off");
-      assertEquals(lastFrameAt, Files.size(directory.resolve("log-1")), "the rest is cut off");
+          List.of(),
+          store.relayedToolCalls("unfinished"),
+          "the record of its tool call was cut off");
+      assertEquals(
+          lastFrameOffset,
+          Files.size(directory.resolve("log-1")),
+          "the incomplete record is truncated");
     }
   }
 
   @Test
-  void aRestoredLogIsContinued() throws IOException {
+  void appendsToRestoredLog() throws IOException {
     Files.write(directory.resolve("log-1"), fixture("appended/log-1"));
     try (LockedDirectory files = new LockedDirectory(directory);
         AppendLog log = new AppendLog(files)) {
