--- a/net/src/main/java/lemondock/net/http/BufferingReceiver.java
+++ b/net/src/main/java/lemondock/net/http/BufferingReceiver.java
@@ -2,9 +2,9 @@
 
 import java.util.Optional;
 
-/** A receiver that keeps the head and the body until the response is complete. Loop thread only. */
+/** A receiver that stores the head and the body of its response. Loop thread only. */
 public abstract class BufferingReceiver implements ResponseReceiver {
-  /** Empty before the head has come. */
+  /** Empty until the head is received. */
   private Optional<HttpEvent.ResponseHead> head = Optional.empty();
 
   private byte[] body = new byte[0];
@@ -19,17 +19,17 @@
     body = bytes;
   }
 
-  /** The body; empty if the response is an event stream or has not come. */
+  /** The body; empty if the response is an event stream or its body is not received yet. */
   protected byte[] body() {
     return body;
   }
 
-  /** The status, 0 before the head has come. */
+  /** The status code; 0 until the head is received. */
   protected int status() {
     return head.map(HttpEvent.ResponseHead::status).orElse(0);
   }
 
-  /** A header field's first value; empty also before the head has come. */
+  /** The first value of a header field; empty if it is absent or the head is not received yet. */
   protected Optional<String> header(String name) {
     return head.flatMap(received -> received.headers().firstValue(name));
   }
--- a/net/src/main/java/lemondock/net/http/ByteBudget.java
+++ b/net/src/main/java/lemondock/net/http/ByteBudget.java
@@ -2,17 +2,17 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A bound on the bytes that all connections together hold for one purpose. Any thread. */
+/** Upper bound on the bytes that all connections together hold for one purpose. Any thread. */
 public final class ByteBudget {
   private final long maxBytes;
   private final AtomicLong reservedBytes = new AtomicLong();
 
-  /** Makes a budget of so many bytes. */
-  public ByteBudget(long most) {
-    this.maxBytes = most;
+  /** Creates a budget without reservations. */
+  public ByteBudget(long maxBytes) {
+    this.maxBytes = maxBytes;
   }
 
-  /** Reserves bytes; false, with nothing reserved, if they do not fit. */
+  /** Reserves bytes; returns false and reserves nothing if they exceed the budget. */
   public boolean tryReserve(long bytes) {
     if (reservedBytes.addAndGet(bytes) <= maxBytes) {
       return true;
@@ -22,25 +22,26 @@
   }
 
   /**
-   * Reserves bytes only if no more than a part of the budget is reserved then: the rest is kept for
-   * others.
+   * Reserves bytes only if at most the given fraction of the budget is reserved afterwards, so that
+   * the rest stays available to other callers.
    *
-   * @param part 0 to 1
+   * @param fraction fraction of the budget, 0 to 1
+   * @return false, with nothing reserved, if the bytes do not fit
    */
-  public boolean tryReserveWithin(double part, long bytes) {
-    if (reservedBytes.addAndGet(bytes) <= maxBytes * part) {
+  public boolean tryReserveWithin(double fraction, long bytes) {
+    if (reservedBytes.addAndGet(bytes) <= maxBytes * fraction) {
       return true;
     }
     reservedBytes.addAndGet(-bytes);
     return false;
   }
 
-  /** Gives back bytes that were reserved. */
+  /** Releases bytes that were reserved. */
   public void release(long bytes) {
     reservedBytes.addAndGet(-bytes);
   }
 
-  /** Bytes reserved now. */
+  /** Bytes currently reserved. */
   public long reservedBytes() {
     return reservedBytes.get();
   }
--- a/net/src/main/java/lemondock/net/http/ClientConnection.java
+++ b/net/src/main/java/lemondock/net/http/ClientConnection.java
@@ -11,8 +11,8 @@
 import lemondock.net.Loop;
 
 /**
- * One connection of an {@link HttpClient}: carries one call at a time and rests in the pool between
- * them. Loop thread only, but for {@link #decode} and {@link #continueReading}.
+ * One connection of an {@link HttpClient}: carries one call at a time and is idle in the pool
+ * between calls. Loop thread only, except {@link #decode} and {@link #continueReading}.
  */
 final class ClientConnection implements Connection.Handler {
   private final Loop loop;
@@ -23,32 +23,41 @@
   /** I/O thread only. */
   private final ResponseAssembler assembler;
 
-  /** The call that it carries or comes up for; set on the loop, read on any thread. */
+  /**
+   * The call that this connection carries or is being opened for; null if there is none. Set on the
+   * loop, read on any thread.
+   */
   private volatile HttpCall call;
 
-  /** Aborted by this side; set on the loop, read on any thread. */
-  private volatile boolean dropped;
+  /**
+   * Whether this side has aborted the connection or will abort it once it is established; set on
+   * the loop, read on any thread.
+   */
+  private volatile boolean aborted;
 
   /**
-   * Where the request begins in what the connection has carried; set on the loop, read on any
-   * thread.
+   * Offset of the first byte of the current request among all bytes written to the connection; set
+   * on the loop, read on any thread.
    */
   private volatile long requestStartOffset;
 
-  // Loop thread only, each from here on:
-  /** The socket's connection; null before it is up. */
+  // All fields below: loop thread only.
+  /** The underlying connection; null until it is established. */
   private Connection transport;
 
-  /** What to send once the connection is up. */
+  /** Supplies the request to send once the connection is established. */
   private Supplier<Optional<ByteBuffer>> firstRequest;
 
-  /** Where the request ends in what the connection has carried. */
+  /** Offset behind the last byte of the current request among all bytes written. */
   private long requestEndOffset;
 
   private boolean keepAlive;
 
-  /** Null unless this side aborted for a fault of the server that the call is to be told. */
-  private String dropReason;
+  /**
+   * Reason that is reported to the call if this side aborts because the server misbehaved; else
+   * null.
+   */
+  private String abortReason;
 
   private long idleSinceMicros;
   private Loop.Timer idleTimer = () -> {};
@@ -85,17 +94,17 @@
     return idleSinceMicros;
   }
 
-  /** Has the call sent once the connection is up. */
+  /** Assigns the call whose request is sent once the connection is established. */
   void assign(HttpCall first, Supplier<Optional<ByteBuffer>> request) {
     call = first;
     firstRequest = request;
     first.setConnection(this);
   }
 
-  /** Sends a call's request; the connection is up and carries no other. */
+  /** Sends the request of a call; the connection must be established and without a call. */
   void begin(HttpCall next, Supplier<Optional<ByteBuffer>> request) {
     idleTimer.cancel();
-    // before the call: the I/O thread looks at both
+    // set before the call, as the I/O thread checks the call first and then the offset
     requestStartOffset = transport.flushedBytes() + transport.pendingBytes();
     call = next;
     next.setConnection(this);
@@ -122,16 +131,16 @@
                 RequestFailure.NOT_SENT, address() + ": withdrawn before it was written"));
   }
 
-  /** The call was cancelled: aborts the connection, now or once it is up. */
+  /** Cancels the current call: aborts the connection, now or once it is established. */
   void cancelCall() {
-    dropped = true;
+    aborted = true;
     call = null;
     if (transport != null) {
       transport.abort();
     }
   }
 
-  /** The call takes its response again. */
+  /** Resumes reading after the call was paused. */
   void resumeReading() {
     if (transport != null) {
       transport.read();
@@ -141,7 +150,7 @@
   @Override
   public void connected(Connection connection) {
     transport = connection;
-    if (dropped) {
+    if (aborted) {
       connection.abort();
     } else {
       begin(call, firstRequest);
@@ -161,22 +170,22 @@
   @Override
   public boolean continueReading() {
     HttpCall current = call;
-    return current != null && !current.isPaused() && !dropped;
+    return current != null && !current.isPaused() && !aborted;
   }
 
   @Override
   public void received(List<Object> events) {
     for (Object event : events) {
-      if (dropped) {
+      if (aborted) {
         return;
       }
       if (call == null) {
-        evict(); // bytes that no request asked for
+        evict(); // bytes received without a request
         return;
       }
       handle(event);
     }
-    if (!dropped && (call == null || !call.isPaused())) {
+    if (!aborted && (call == null || !call.isPaused())) {
       transport.read();
     }
   }
@@ -191,12 +200,12 @@
     } else if (event instanceof HttpEvent.End) {
       complete(current);
     } else if (event == ResponseAssembler.Surplus.BYTES) {
-      dropped = true; // the call stays: it fails as one that was never sent
-      dropReason = "bytes came before the request was written";
+      aborted = true; // the call is kept, so that closed() fails it as never sent
+      abortReason = "bytes came before the request was written";
       transport.abort();
     } else if (event instanceof HttpEvent.Malformed malformed) {
       call = null;
-      dropped = true;
+      aborted = true;
       transport.abort();
       current.fail(RequestFailure.MALFORMED, address() + ": " + malformed.reason());
     } else {
@@ -231,11 +240,11 @@
   }
 
   /**
-   * Leaves the pool at once and aborts: requests sent on it before its close is heard of would
-   * count as sent.
+   * Removes the connection from the pool immediately and aborts it. Otherwise a request written to
+   * it before the close is reported would count as sent.
    */
   void evict() {
-    dropped = true;
+    aborted = true;
     leavePool();
     transport.abort();
   }
@@ -248,7 +257,7 @@
   @Override
   public void inputEnded() {
     for (Object event : assembler.endOfInput()) {
-      if (dropped || call == null) {
+      if (aborted || call == null) {
         break;
       }
       handle(event);
@@ -281,8 +290,8 @@
   }
 
   private String reasonOf(IOException cause) {
-    if (dropReason != null) {
-      return dropReason;
+    if (abortReason != null) {
+      return abortReason;
     }
     return cause == null ? "closed by its peer" : cause.getMessage();
   }
--- a/net/src/main/java/lemondock/net/http/ConnectionPool.java
+++ b/net/src/main/java/lemondock/net/http/ConnectionPool.java
@@ -10,21 +10,21 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The connections of one {@link HttpClient}, by address. Loop thread only. */
+/** The connections of one {@link HttpClient}, grouped by address. Loop thread only. */
 final class ConnectionPool {
-  /** In place of a shard's number: a connection of any shard will do. */
+  /** Used instead of a shard number if a connection of any shard may be taken. */
   static final int ANY_SHARD = -1;
 
   private final Map<InetSocketAddress, AddressPool> addressPools = new HashMap<>();
 
-  /** All connections, coming up, in use or idle. */
+  /** All connections: being opened, in use or idle. */
   private final Set<ClientConnection> connections = new HashSet<>();
 
   /** The connections to one address. */
   static final class AddressPool {
     private final InetSocketAddress address;
 
-    /** Idle connections, the one used last at the end. */
+    /** Idle connections, the most recently used one last. */
     private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
 
     private int connections;
@@ -37,15 +37,16 @@
       return address;
     }
 
-    /** Connections to this address, coming up, in use or idle. */
+    /** Number of connections to this address: being opened, in use or idle. */
     int connections() {
       return connections;
     }
 
     /**
-     * Takes the idle connection that was used last, of that shard if there is one.
+     * Takes the most recently used idle connection of the given shard.
      *
-     * @param anyShard whether one of another shard will do as well
+     * @param shard shard number or {@link #ANY_SHARD}
+     * @param anyShard whether the most recently used connection is taken whatever its shard
      */
     Optional<ClientConnection> takeIdle(int shard, boolean anyShard) {
       if (idle.isEmpty()) {
@@ -54,10 +55,10 @@
       if (shard == ANY_SHARD || anyShard || idle.getLast().shard() == shard) {
         return Optional.of(idle.removeLast());
       }
-      for (Iterator<ClientConnection> it = idle.descendingIterator(); it.hasNext(); ) {
-        ClientConnection connection = it.next();
+      for (Iterator<ClientConnection> iterator = idle.descendingIterator(); iterator.hasNext(); ) {
+        ClientConnection connection = iterator.next();
         if (connection.shard() == shard) {
-          it.remove();
+          iterator.remove();
           return Optional.of(connection);
         }
       }
@@ -82,7 +83,7 @@
     connections.add(connection);
   }
 
-  /** Forgets a connection that is closed. */
+  /** Removes a connection that is closed. */
   void remove(ClientConnection connection) {
     AddressPool addressPool = connection.addressPool();
     addressPool.connections--;
@@ -93,7 +94,7 @@
     }
   }
 
-  /** Closes the connection that has been unused for longest; false if all are in use. */
+  /** Closes the connection that has been idle longest; returns false if none is idle. */
   boolean evictOldestIdle() {
     Optional<ClientConnection> oldest =
         addressPools.values().stream()
@@ -104,7 +105,7 @@
     return oldest.isPresent();
   }
 
-  /** Connections to all addresses, coming up, in use or idle. */
+  /** Number of connections to all addresses: being opened, in use or idle. */
   int connections() {
     return connections.size();
   }
--- a/net/src/main/java/lemondock/net/http/Headers.java
+++ b/net/src/main/java/lemondock/net/http/Headers.java
@@ -6,14 +6,14 @@
 import java.util.Optional;
 
 /**
- * Header fields in the order of the message; names compare without regard to case (RFC 9110,
- * section 5.1). For one thread at a time.
+ * Header fields in message order; names are case-insensitive (RFC 9110, section 5.1). Not
+ * thread-safe.
  */
 public final class Headers {
   private final List<String> names = new ArrayList<>();
   private final List<String> values = new ArrayList<>();
 
-  /** Makes headers of names and values in turn. */
+  /** Creates headers from alternating names and values. */
   public static Headers of(String... namesAndValues) {
     Headers headers = new Headers();
     for (int i = 0; i < namesAndValues.length; i += 2) {
@@ -29,25 +29,25 @@
     return this;
   }
 
-  /** The first value of that name. */
+  /** The first value of the field with the given name. */
   public Optional<String> firstValue(String name) {
     int index = names.indexOf(name.toLowerCase(Locale.ROOT));
     return index < 0 ? Optional.empty() : Optional.of(values.get(index));
   }
 
-  /** All values of that name, in the order of the message. */
+  /** All values of the fields with the given name, in message order. */
   public List<String> allValues(String name) {
-    List<String> found = new ArrayList<>();
-    String wanted = name.toLowerCase(Locale.ROOT);
+    List<String> matches = new ArrayList<>();
+    String lowerCaseName = name.toLowerCase(Locale.ROOT);
     for (int i = 0; i < names.size(); i++) {
-      if (names.get(i).equals(wanted)) {
-        found.add(values.get(i));
+      if (names.get(i).equals(lowerCaseName)) {
+        matches.add(values.get(i));
       }
     }
-    return found;
+    return matches;
   }
 
-  /** Whether a comma separated list field holds the token, without regard to case. */
+  /** Whether a comma-separated list field contains the token, ignoring case. */
   public boolean containsToken(String name, String token) {
     for (String value : allValues(name)) {
       for (String part : value.split(",")) {
@@ -64,12 +64,12 @@
     return names.size();
   }
 
-  /** Name of a field, in lower case. */
+  /** The name of the field at this index, in lower case. */
   public String name(int index) {
     return names.get(index);
   }
 
-  /** Value of a field. */
+  /** The value of the field at this index. */
   public String value(int index) {
     return values.get(index);
   }
--- a/net/src/main/java/lemondock/net/http/HttpCall.java
+++ b/net/src/main/java/lemondock/net/http/HttpCall.java
@@ -1,14 +1,16 @@
 package lemondock.net.http;
 
-/** One request of an {@link HttpClient} until its response has ended. Loop thread only. */
+/**
+ * One request of an {@link HttpClient}, from sending to the end of its response. Loop thread only.
+ */
 public final class HttpCall {
   private final ResponseReceiver receiver;
 
-  // Loop thread only, each from here on:
-  /** The connection that carries it or comes up for it; null if it has none. */
+  // All fields below: loop thread only, except where stated.
+  /** The connection that carries the call or is being opened for it; null if there is none. */
   private ClientConnection connection;
 
-  /** Nothing more is told to the receiver. */
+  /** Whether the receiver gets no further notification. */
   private boolean ended;
 
   /** Set on the loop, read on any thread. */
@@ -18,12 +20,12 @@
     this.receiver = receiver;
   }
 
-  /** Reads no more until {@link #resume}; what was read already still comes. */
+  /** Stops reading until {@link #resume}; bytes that were already read are still delivered. */
   public void pause() {
     paused = true;
   }
 
-  /** Reads on. */
+  /** Resumes reading after {@link #pause}. */
   public void resume() {
     if (paused) {
       paused = false;
@@ -34,9 +36,9 @@
   }
 
   /**
-   * Aborts the connection; the receiver hears nothing more.
+   * Aborts the connection; the receiver gets no further notification.
    *
-   * @return false if the call had ended before
+   * @return false if the call had already ended
    */
   public boolean cancel() {
     if (ended) {
--- a/net/src/main/java/lemondock/net/http/HttpClient.java
+++ b/net/src/main/java/lemondock/net/http/HttpClient.java
@@ -9,9 +9,9 @@
 import lemondock.net.Network;
 
 /**
- * An HTTP/1.1 client with pooled connections, one request at a time on each. An idle connection is
- * read from, so one that its peer closes leaves the pool at once. A failure says whether anything
- * can have reached the server. Loop thread only.
+ * An HTTP/1.1 client with pooled connections, one request at a time on each. The client keeps
+ * reading idle connections, so a connection that its peer closes leaves the pool immediately. A
+ * {@link RequestFailure} tells whether the server can have received the request. Loop thread only.
  */
 public final class HttpClient {
   private final Loop loop;
@@ -19,20 +19,21 @@
   private final HttpClientOptions options;
   private final ConnectionPool pool = new ConnectionPool();
 
-  /** Makes a client without connections. */
+  /** Creates a client without connections. */
   public HttpClient(Loop loop, Network network, HttpClientOptions options) {
     this.loop = loop;
     this.network = network;
     this.options = options;
   }
 
-  /** Sends a request; the receiver is never called before this returns. */
+  /** Sends a request; the receiver is not called before this method returns. */
   public HttpCall send(InetSocketAddress to, ByteBuffer request, ResponseReceiver receiver) {
     return send(to, () -> Optional.of(request), ConnectionPool.ANY_SHARD, receiver);
   }
 
   /**
-   * The same over a connection of the shard of that number, unless only others may still be had.
+   * Sends a request over a connection of the given shard; takes an idle connection of another shard
+   * only if the connection limit of the address is reached.
    */
   public HttpCall send(
       InetSocketAddress to, ByteBuffer request, int shard, ResponseReceiver receiver) {
@@ -40,9 +41,9 @@
   }
 
   /**
-   * The same with a request that is made in the moment in which its bytes are written, once its
-   * connection is up: what it says of the time left is true then. One that is empty by then is not
-   * sent, and fails with {@link RequestFailure#NOT_SENT}.
+   * Sends a request that is built when its bytes are written, once its connection is established,
+   * so that the remaining time stated in it is accurate. If the supplier returns empty, nothing is
+   * sent and the call fails with {@link RequestFailure#NOT_SENT}.
    */
   public HttpCall send(
       InetSocketAddress to, Supplier<Optional<ByteBuffer>> request, ResponseReceiver receiver) {
@@ -87,17 +88,19 @@
     }
   }
 
-  /** Connections open or coming up, over all addresses. */
+  /** Number of connections that are open or being opened, over all addresses. */
   public int openConnections() {
     return pool.connections();
   }
 
-  /** Requests that a connection carries or waits to carry, by address. */
+  /**
+   * Number of requests in progress, by address, including those whose connection is being opened.
+   */
   public Map<InetSocketAddress, Integer> requestsByAddress() {
     return pool.requestsByAddress();
   }
 
-  /** Whether a connection to that address waits to be used. */
+  /** Whether there is an idle connection to the address. */
   public boolean hasIdleConnection(InetSocketAddress to) {
     return pool.hasIdle(to);
   }
--- a/net/src/main/java/lemondock/net/http/HttpClientOptions.java
+++ b/net/src/main/java/lemondock/net/http/HttpClientOptions.java
@@ -1,18 +1,18 @@
 package lemondock.net.http;
 
 /**
- * What an {@link HttpClient} does; times in microseconds.
+ * Limits and timeouts of an {@link HttpClient}; times in microseconds.
  *
- * @param limits sizes of the responses that are accepted
- * @param maxEventBytes bytes of one event of an event stream
- * @param maxConnectionsPerAddress connections to one address at a time; a request beyond it fails
- *     unsent
- * @param connectTimeoutMicros time for a connection to come up
- * @param idleTimeoutMicros time after which an unused connection is closed
- * @param maxConnections connections to all addresses together; the one unused for longest makes
- *     room for another
- * @param reuseDelayMicros time without a byte after a response until its connection is used again:
- *     a server that sends more than it was asked for would be taken to answer the next request
+ * @param limits size limits of accepted responses
+ * @param maxEventBytes maximum bytes of one event of an event stream
+ * @param maxConnectionsPerAddress maximum connections to one address at a time; a request that
+ *     needs another one fails without being sent
+ * @param connectTimeoutMicros time limit for establishing a connection
+ * @param idleTimeoutMicros time after which an idle connection is closed
+ * @param maxConnections maximum connections to all addresses together; when it is reached, the
+ *     connection that has been idle longest is closed to make room for a new one
+ * @param reuseDelayMicros time without input after a response until its connection is reused:
+ *     surplus bytes that a server sends late would otherwise be taken for the next response
  */
 public record HttpClientOptions(
     HttpLimits limits,
@@ -23,7 +23,10 @@
     int maxConnections,
     long reuseDelayMicros) {
 
-  /** Options without a bound on all connections together, for servers that keep to the protocol. */
+  /**
+   * Options without a limit on the total number of connections and without a reuse delay, for
+   * servers that follow the protocol.
+   */
   public HttpClientOptions(
       HttpLimits limits,
       int maxEventBytes,
@@ -40,7 +43,7 @@
         0);
   }
 
-  /** The same options with another bound on all connections together. */
+  /** The same options with another limit on the total number of connections. */
   public HttpClientOptions withMaxConnections(int newMaxConnections) {
     return new HttpClientOptions(
         limits,
@@ -52,7 +55,7 @@
         reuseDelayMicros);
   }
 
-  /** The same options with another delay before a connection is used again. */
+  /** The same options with another delay before a connection is reused. */
   public HttpClientOptions withReuseDelayMicros(long newReuseDelayMicros) {
     return new HttpClientOptions(
         limits,
--- a/net/src/main/java/lemondock/net/http/HttpDecoder.java
+++ b/net/src/main/java/lemondock/net/http/HttpDecoder.java
@@ -8,20 +8,20 @@
 import java.util.List;
 
 /**
- * Reads HTTP/1.1 messages (RFC 9112) from bytes split anywhere; no I/O. Framing is taken strictly:
- * what two implementations might read differently (both a length and chunks, several lengths, bare
- * line ends in a head, folded fields, space before a colon) is refused, so that no request can hide
- * in another.
+ * Incremental decoder of HTTP/1.1 messages (RFC 9112) from bytes split anywhere; no I/O. Framing is
+ * strict: input that two implementations might interpret differently (both a content length and
+ * chunked coding, several content lengths, a bare CR or LF in a head, folded fields, a space before
+ * a colon) is rejected, which prevents request smuggling.
  */
 public final class HttpDecoder {
   private static final int INITIAL_LINE_BYTES = 256;
 
-  /** A buffer that a single long line made longer is not kept. */
+  /** A line buffer that grew beyond this size is replaced after the line. */
   private static final int MAX_KEPT_LINE_BYTES = 1024;
 
   private static final int MAX_CHUNK_SIZE_DIGITS = 12;
 
-  /** What comes next in the stream. */
+  /** The element that is expected next in the stream. */
   private enum State {
     START,
     FIELDS,
@@ -42,22 +42,22 @@
   private State state = State.START;
   private MessageHead head;
 
-  /** Of the content or the chunk at hand. */
+  /** Bytes still to come of the current content or chunk. */
   private long remainingBytes;
 
-  /** Content of the message so far. */
+  /** Content bytes of the message so far. */
   private long bodyBytes;
 
-  private boolean beganReported;
+  private boolean beginningReported;
   private ContentSink contentSink = bytes -> {};
 
-  /** Takes pieces of content where they lie. */
+  /** Receives pieces of content without a copy. */
   public interface ContentSink {
     /**
-     * The next piece, framing taken off; it is only there until this returns. All events before it
-     * have been added.
+     * Accepts the next piece of content without its framing. The buffer is only valid until this
+     * method returns. All events that precede the piece have already been added to the output.
      */
-    void piece(ByteBuffer bytes);
+    void accept(ByteBuffer bytes);
   }
 
   private HttpDecoder(boolean decodesRequests, HttpLimits limits) {
@@ -65,33 +65,33 @@
     this.limits = limits;
   }
 
-  /** A decoder for a server's side. */
+  /** Creates a decoder of requests, for a server. */
   public static HttpDecoder forRequests(HttpLimits limits) {
     return new HttpDecoder(true, limits);
   }
 
-  /** A decoder for a client's side. */
+  /** Creates a decoder of responses, for a client. */
   public static HttpDecoder forResponses(HttpLimits limits) {
     return new HttpDecoder(false, limits);
   }
 
-  /** Has content go there; without it content is dropped. */
+  /** Passes content to the sink; content is discarded if no sink is set. */
   public HttpDecoder withContentSink(ContentSink sink) {
     contentSink = sink;
     return this;
   }
 
   /**
-   * Takes all bytes and adds what they complete; after {@link HttpEvent.Malformed} it takes and
-   * drops them.
+   * Consumes all bytes and adds the events that they complete; after {@link HttpEvent.Malformed}
+   * all further bytes are consumed and discarded.
    */
   public void decode(ByteBuffer in, List<? super HttpEvent> out) {
     try {
       while (in.hasRemaining()) {
         step(in, out);
       }
-      if (!beganReported && state != State.FAILED && (state != State.START || lineLength > 0)) {
-        beganReported = true;
+      if (!beginningReported && state != State.FAILED && (state != State.START || lineLength > 0)) {
+        beginningReported = true;
         out.add(new HttpEvent.Began());
       }
     } catch (ProtocolViolation e) {
@@ -102,14 +102,15 @@
   }
 
   /**
-   * The peer has closed: completes content that lasts until then, and reports a message cut short.
+   * Handles the end of input: completes content that is delimited by the close, and reports an
+   * incomplete message as malformed.
    */
   public void end(List<? super HttpEvent> out) {
     if (state == State.UNTIL_CLOSE) {
       endMessage(out);
     } else if (state != State.FAILED && !(state == State.START && lineLength == 0)) {
       state = State.FAILED;
-      out.add(new HttpEvent.Malformed(400, "the connection ended within a message"));
+      out.add(new HttpEvent.Malformed(400, "the connection ended before the message was complete"));
     }
   }
 
@@ -174,20 +175,23 @@
     }
   }
 
-  /** Gathers one line; true when it is whole, its text being the first {@code lineLength} bytes. */
+  /**
+   * Reads bytes of the current line; returns true once it is complete and its text is the first
+   * {@code lineLength} bytes of {@code line}.
+   */
   private boolean readLine(ByteBuffer in) {
     while (in.hasRemaining()) {
-      byte b = in.get();
+      byte next = in.get();
       if (sawCarriageReturn) {
-        require(b == '\n', 400, "a carriage return without a line feed");
+        require(next == '\n', 400, "a carriage return without a line feed");
         sawCarriageReturn = false;
         return true;
       }
-      if (b == '\r') {
+      if (next == '\r') {
         sawCarriageReturn = true;
       } else {
-        require(b != '\n', 400, "a line feed without a carriage return");
-        require(b != 0, 400, "a NUL in a head");
+        require(next != '\n', 400, "a line feed without a carriage return");
+        require(next != 0, 400, "a NUL in a head");
         if (lineLength >= limits.maxLineBytes()) {
           throw new ProtocolViolation(
               state == State.START && decodesRequests ? 414 : 431,
@@ -196,7 +200,7 @@
         if (lineLength == line.length) {
           line = Arrays.copyOf(line, Math.min(limits.maxLineBytes(), line.length * 2));
         }
-        line[lineLength++] = b;
+        line[lineLength++] = next;
       }
     }
     return false;
@@ -204,11 +208,11 @@
 
   private String takeLine() {
     String text = new String(line, 0, lineLength, StandardCharsets.ISO_8859_1);
-    forgetLine();
+    clearLine();
     return text;
   }
 
-  private void forgetLine() {
+  private void clearLine() {
     lineLength = 0;
     if (line.length > MAX_KEPT_LINE_BYTES) {
       line = new byte[INITIAL_LINE_BYTES];
@@ -217,7 +221,7 @@
 
   private void parseStartLine() {
     if (lineLength == 0) {
-      return; // an empty line before a request is passed over (RFC 9112, section 2.2)
+      return; // an empty line before a request is ignored (RFC 9112, section 2.2)
     }
     head = new MessageHead(decodesRequests, limits, takeLine());
     bodyBytes = 0;
@@ -254,8 +258,8 @@
       boolean keepAlive, boolean chunked, long length, List<? super HttpEvent> out) {
     int status = head.status();
     if (status < 200) {
-      require(status != 101, 502, "an upgrade that was not asked for");
-      state = State.START; // an interim response
+      require(status != 101, 502, "a protocol upgrade (status 101) that was not requested");
+      state = State.START; // skips an interim response
       return;
     }
     boolean noContent = hasNoContent(status);
@@ -305,7 +309,7 @@
         size <= limits.maxBodyBytes() - bodyBytes,
         413,
         "a chunk of " + size + " bytes, over " + limits.maxBodyBytes() + " in all");
-    forgetLine();
+    clearLine();
     remainingBytes = size;
     state = size == 0 ? State.TRAILERS : State.CHUNK;
   }
@@ -318,14 +322,14 @@
     }
     int limit = in.limit();
     int end = in.position() + count;
-    contentSink.piece(in.limit(end));
+    contentSink.accept(in.limit(end));
     in.limit(limit).position(end);
     return count;
   }
 
   private void endMessage(List<? super HttpEvent> out) {
     state = State.START;
-    beganReported = false;
+    beginningReported = false;
     lineLength = 0;
     out.add(new HttpEvent.End());
   }
--- a/net/src/main/java/lemondock/net/http/HttpEncoder.java
+++ b/net/src/main/java/lemondock/net/http/HttpEncoder.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import lemondock.net.OutBuffer;
 
-/** Writes HTTP/1.1 messages as bytes; no I/O. */
+/** Encodes HTTP/1.1 messages as bytes; no I/O. */
 public final class HttpEncoder {
   private static final int LINE_END_BYTES = 2;
   private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
@@ -33,39 +33,41 @@
 
   private HttpEncoder() {}
 
-  /** A whole response; adds the content-length. */
+  /** A complete response; adds the content-length field. */
   public static ByteBuffer response(int status, Headers headers, byte[] body) {
-    Headers all = copy(headers).add("content-length", Integer.toString(body.length));
-    return join(head(statusLine(status), all), body);
+    Headers allHeaders = copy(headers).add("content-length", Integer.toString(body.length));
+    return join(head(statusLine(status), allHeaders), body);
   }
 
-  /** The head of a response whose content follows in chunks; adds the transfer-encoding. */
+  /** The head of a response with chunked content; adds the transfer-encoding field. */
   public static ByteBuffer chunkedHead(int status, Headers headers) {
-    Headers all = copy(headers).add("transfer-encoding", "chunked");
-    return ByteBuffer.wrap(head(statusLine(status), all));
+    Headers allHeaders = copy(headers).add("transfer-encoding", "chunked");
+    return ByteBuffer.wrap(head(statusLine(status), allHeaders));
   }
 
-  /** The head of a response whose content lasts until the connection is closed. */
+  /** The head of a response whose content is delimited by the close of the connection. */
   public static ByteBuffer headUntilClose(int status, Headers headers) {
     return ByteBuffer.wrap(head(statusLine(status), headers));
   }
 
-  /** A whole request; adds the content-length if there is content or the method is POST. */
+  /**
+   * A complete request; adds the content-length field if there is content or the method is POST.
+   */
   public static ByteBuffer request(String method, String target, Headers headers, byte[] body) {
-    Headers all = copy(headers);
+    Headers allHeaders = copy(headers);
     if (body.length > 0 || method.equals("POST")) {
-      all.add("content-length", Integer.toString(body.length));
+      allHeaders.add("content-length", Integer.toString(body.length));
     }
-    return join(head(method + " " + target + " HTTP/1.1", all), body);
+    return join(head(method + " " + target + " HTTP/1.1", allHeaders), body);
   }
 
-  /** One chunk of content that is not empty. */
+  /** One chunk with the given content, which must not be empty. */
   public static ByteBuffer chunk(byte[] bytes) {
     OutBuffer framed = new OutBuffer(bytes.length + LINE_END_BYTES).add(bytes).frameAsChunk();
     return ByteBuffer.wrap(framed.array(), framed.offset(), framed.length());
   }
 
-  /** The end of content in chunks. */
+  /** The last chunk, which ends chunked content. */
   public static ByteBuffer lastChunk() {
     return ByteBuffer.wrap(LAST_CHUNK);
   }
@@ -75,11 +77,11 @@
   }
 
   private static Headers copy(Headers headers) {
-    Headers all = new Headers();
+    Headers copy = new Headers();
     for (int i = 0; i < headers.size(); i++) {
-      all.add(headers.name(i), headers.value(i));
+      copy.add(headers.name(i), headers.value(i));
     }
-    return all;
+    return copy;
   }
 
   private static byte[] head(String startLine, Headers headers) {
--- a/net/src/main/java/lemondock/net/http/HttpEvent.java
+++ b/net/src/main/java/lemondock/net/http/HttpEvent.java
@@ -1,12 +1,15 @@
 package lemondock.net.http;
 
 /**
- * What an {@link HttpDecoder} finds in a byte stream, in this order for each message: head, end;
- * the content goes elsewhere between them ({@link HttpDecoder#withContentSink}). {@link Began}
- * comes between them where bytes end within a message.
+ * Event that an {@link HttpDecoder} finds in a byte stream: for each message its head, then its
+ * end. The content between them goes to a separate sink ({@link HttpDecoder#withContentSink}).
+ * {@link Began} is added when the bytes of a call end within a message.
  */
 public sealed interface HttpEvent {
-  /** A message has begun and is not complete; once a message, so that its time can be limited. */
+  /**
+   * A message has begun and is not complete; reported at most once per message, so that the
+   * receiver can limit the time until its end.
+   */
   record Began() implements HttpEvent {}
 
   /** Request line and header fields; {@code minorVersion} is the minor version of HTTP/1. */
@@ -21,10 +24,10 @@
   record End() implements HttpEvent {}
 
   /**
-   * The stream does not follow the protocol or exceeds a limit; nothing after it can be understood.
+   * The stream violates the protocol or exceeds a limit; nothing after this point can be decoded.
    *
    * @param status the status that a server should respond with
-   * @param reason what is wrong, as sent to the client
+   * @param reason the violation, as sent to the client
    */
   record Malformed(int status, String reason) implements HttpEvent {}
 }
--- a/net/src/main/java/lemondock/net/http/HttpExchange.java
+++ b/net/src/main/java/lemondock/net/http/HttpExchange.java
@@ -5,14 +5,14 @@
 import lemondock.net.OutBuffer;
 
 /**
- * One request and its response: either whole ({@link #respond}) or streamed ({@link #begin}, {@link
- * #send}, {@link #finish}). Loop thread only, unless a method says otherwise.
+ * One request and its response, which is sent either at once ({@link #respond}) or streamed ({@link
+ * #begin}, {@link #send}, {@link #finish}). Loop thread only, unless a method says otherwise.
  */
 public final class HttpExchange {
-  /** How long a client may take to read what was sent before a truncated response. */
+  /** Time that a client has to read what was sent before its truncated response is aborted. */
   private static final long TRUNCATE_TIMEOUT_MICROS = 2_000_000;
 
-  /** How far the response has come. */
+  /** Progress of the response. */
   private enum ResponseState {
     NOT_BEGUN,
     BEGUN,
@@ -25,8 +25,8 @@
   private final boolean keepAlive;
   private final boolean chunked;
 
-  // Loop thread only, each from here on; read by other threads in send() under the lock of the
-  // response's one writer:
+  // All fields below: written on the loop thread; send() reads them on other threads, under the
+  // lock of the only writer of the response.
   private ResponseState state = ResponseState.NOT_BEGUN;
   private boolean closesConnection;
   private Runnable onDisconnect = () -> {};
@@ -45,22 +45,22 @@
     this.chunked = chunked;
   }
 
-  /** The request; without its body if {@link HttpService#needsBodyToServe} says so. */
+  /** The request; without its body if {@link HttpService#needsBodyToServe} returns false. */
   public HttpRequest request() {
     return request;
   }
 
-  /** The shard of the client's connection. */
+  /** Number of the shard that serves the client's connection. */
   public int shard() {
     return connection.transport().shard();
   }
 
-  /** What {@link HttpService#prepare} made of the request. */
+  /** The result of {@link HttpService#prepare} for this request. */
   public Object prepared() {
     return prepared;
   }
 
-  /** Responds whole; does nothing if a response was begun or the connection is gone. */
+  /** Sends a complete response; does nothing if a response was begun or the connection is lost. */
   public void respond(int status, Headers headers, byte[] body) {
     if (state != ResponseState.NOT_BEGUN || !isCurrent()) {
       return;
@@ -74,7 +74,7 @@
     end();
   }
 
-  /** Begins a streamed response; does nothing if one was begun or the connection is gone. */
+  /** Begins a streamed response; does nothing if a response was begun or the connection is lost. */
   public void begin(int status, Headers headers) {
     if (state != ResponseState.NOT_BEGUN || !isCurrent()) {
       return;
@@ -90,8 +90,8 @@
   }
 
   /**
-   * Sends a piece of a response that was begun. Any thread, for a response that one holder of a
-   * lock writes; see {@link Connection#writeFromAnyThread}.
+   * Sends a piece of a response that was begun. Any thread, provided that a lock of the caller
+   * guards all writes of the response; see {@link Connection#writeFromAnyThread}.
    */
   public void send(byte[] bytes) {
     if (isStreaming() && bytes.length > 0) {
@@ -102,8 +102,8 @@
   }
 
   /**
-   * The same for a piece that stays the caller's; its buffer is framed in place, and to be reset
-   * before it is used again.
+   * Sends a piece of a response like {@link #send(byte[])}, but the caller keeps the buffer. The
+   * buffer is framed in place and must be reset before it is reused.
    */
   public void send(OutBuffer piece) {
     if (isStreaming() && piece.length() > 0) {
@@ -122,7 +122,7 @@
     }
   }
 
-  /** Breaks the connection, whatever was sent. */
+  /** Aborts the connection; bytes that are still queued are dropped. */
   public void abort() {
     if (isCurrent()) {
       connection.transport().abort();
@@ -130,9 +130,9 @@
   }
 
   /**
-   * Closes the connection behind what was sent so far, without ending the response: its client gets
-   * all there is and sees that it is not complete. One that does not take it in time is cut off all
-   * the same.
+   * Closes the connection after the bytes sent so far, without ending the response: the client
+   * receives all of them and can see that the response is incomplete. The connection is aborted if
+   * the client does not read them in time.
    */
   public void truncate() {
     if (isStreaming()) {
@@ -141,22 +141,22 @@
     }
   }
 
-  /** Bytes of this connection's responses that the operating system has not taken. */
+  /** Bytes queued on this connection that the operating system has not accepted yet. */
   public long pendingBytes() {
     return connection.transport().pendingBytes();
   }
 
-  /** Whether a response may still be given or go on. */
+  /** Whether a response may still be begun or continued. */
   public boolean isOpen() {
     return !isEnded() && isCurrent();
   }
 
-  /** Has the task run if the connection is lost before the response is finished. */
+  /** Sets the task that runs if the connection is lost before the response is finished. */
   public void onDisconnect(Runnable task) {
     onDisconnect = task;
   }
 
-  /** Has the task run when the queue of bytes has run low after having been long. */
+  /** Sets the task that runs when the write queue falls below its low mark after a high one. */
   public void onWriteQueueDrained(Runnable task) {
     onWriteQueueDrained = task;
   }
--- a/net/src/main/java/lemondock/net/http/HttpLimits.java
+++ b/net/src/main/java/lemondock/net/http/HttpLimits.java
@@ -1,16 +1,16 @@
 package lemondock.net.http;
 
 /**
- * Sizes of the messages that are accepted from a peer.
+ * Size limits of the messages that are accepted from a peer.
  *
- * @param maxLineBytes bytes of a request line, status line, header field or chunk line
- * @param maxHeaderBytes bytes of all header fields of a message
- * @param maxHeaderFields header fields of a message
- * @param maxBodyBytes bytes of a message's content
+ * @param maxLineBytes maximum bytes of a request line, status line, header field or chunk line
+ * @param maxHeaderBytes maximum bytes of all header and trailer fields of a message together
+ * @param maxHeaderFields maximum number of header fields of a message
+ * @param maxBodyBytes maximum bytes of the content of a message
  */
 public record HttpLimits(
     int maxLineBytes, int maxHeaderBytes, int maxHeaderFields, long maxBodyBytes) {
-  /** Limits for unknown peers. */
+  /** Default limits, for untrusted peers. */
   public static final HttpLimits DEFAULT =
       new HttpLimits(8 * 1024, 32 * 1024, 100, 4 * 1024 * 1024);
 }
--- a/net/src/main/java/lemondock/net/http/HttpRequest.java
+++ b/net/src/main/java/lemondock/net/http/HttpRequest.java
@@ -6,18 +6,18 @@
 /**
  * A complete request as a server received it.
  *
- * @param method such as {@code GET}, as sent
+ * @param method the request method as sent, such as {@code GET}
  * @param target the request target: path and query, not decoded
  * @param headers all header fields
  * @param body the content with its framing removed; empty if there is none
- * @param arrivedMicros when its last byte came, on the loop's clock: never much later than it did,
- *     and earlier where this process was held up and cannot tell
+ * @param arrivedMicros estimate of when its last byte arrived, in microseconds of the loop's clock:
+ *     at most slightly late, and early if this process stalled and cannot know the time
  */
 public record HttpRequest(
     String method, String target, Headers headers, byte[] body, long arrivedMicros) {
   private static final byte[] NO_BODY = new byte[0];
 
-  /** The target up to its query. */
+  /** The target without its query. */
   public String path() {
     int query = target.indexOf('?');
     return query < 0 ? target : target.substring(0, query);
--- a/net/src/main/java/lemondock/net/http/HttpServer.java
+++ b/net/src/main/java/lemondock/net/http/HttpServer.java
@@ -9,39 +9,42 @@
 import lemondock.net.Network;
 
 /**
- * An HTTP/1.1 server on a {@link Network}: keep-alive, pipelining (answered one after another),
- * 100-continue, whole or chunked responses. Time limits guard against clients that hold a
- * connection without using it.
+ * An HTTP/1.1 server on a {@link Network}: keep-alive, pipelining (requests are served one after
+ * another), 100-continue, complete or chunked responses. Timeouts protect it from clients that hold
+ * a connection without using it.
  *
- * <p>This class has the listener, the set of unused connections and the counts; {@link
+ * <p>This class owns the listener, the set of unused connections and the counters; {@link
  * ServerConnection} serves one client. Loop thread only, unless a method says otherwise.
  */
 public final class HttpServer {
-  /** Of the connections, those kept free for who comes next: closing one takes a moment. */
+  /**
+   * Maximum number of connections kept free for new clients, because closing a connection takes
+   * time.
+   */
   private static final int SPARE_CONNECTIONS = 8;
 
-  /** At most this part of all connections is kept free. */
+  /** At most one connection in this many is kept free. */
   private static final int SPARE_CONNECTIONS_DIVISOR = 16;
 
   private final Loop loop;
   private final HttpServerOptions options;
   private final HttpService service;
 
-  /** Any thread: what all connections together hold of request bodies. */
+  /** Bytes of request bodies that all connections together hold. Any thread. */
   private final ByteBudget bodyBudget;
 
-  // Loop thread only, each from here on:
-  /** Connections without a request in progress, the one unused for longest first. */
-  private final Set<ServerConnection> unused = new LinkedHashSet<>();
+  // All fields below: loop thread only.
+  /** Connections without a request in progress, the one that has been unused longest first. */
+  private final Set<ServerConnection> unusedConnections = new LinkedHashSet<>();
 
   private int openConnections;
   private int activeExchanges;
   private boolean draining;
 
-  /** Set once by {@link #start}, before any connection comes. */
+  /** Set once by {@link #start}, before any connection is accepted. */
   private Network.Listener listener;
 
-  /** Makes a server; it listens from {@link #start} on. */
+  /** Creates a server, which does not listen before {@link #start}. */
   public HttpServer(Loop loop, HttpServerOptions options, HttpService service) {
     this.loop = loop;
     this.options = options;
@@ -52,37 +55,37 @@
   /**
    * Binds the address and accepts connections.
    *
-   * @throws IOException if the address cannot be taken
+   * @throws IOException if the address cannot be bound
    */
   public void start(Network network, InetSocketAddress address) throws IOException {
     listener = network.listen(address, options.maxConnections(), () -> new ServerConnection(this));
   }
 
-  /** The address bound; tells the port where 0 was asked for. */
+  /** The bound address, with the actual port if port 0 was requested. */
   public InetSocketAddress address() {
     return listener.address();
   }
 
-  /** Accepts no new connections; open ones stay. */
+  /** Stops accepting new connections; open ones are kept. */
   public void stopListening() {
     listener.close();
   }
 
   /**
-   * Begins a graceful shutdown: closes connections between requests, now and whenever a response
-   * ends; responses say so.
+   * Begins a graceful shutdown: closes connections without a request in progress, now and after
+   * each response; responses carry {@code connection: close}.
    */
   public void drain() {
     draining = true;
-    List.copyOf(unused).forEach(connection -> connection.closeUnused(true));
+    List.copyOf(unusedConnections).forEach(connection -> connection.closeUnused(true));
   }
 
-  /** Requests whose response is awaited or in progress. */
+  /** Number of requests whose response is not complete. */
   public int activeExchanges() {
     return activeExchanges;
   }
 
-  /** Connections open. */
+  /** Number of open connections. */
   public int openConnections() {
     return openConnections;
   }
@@ -107,15 +110,18 @@
     return draining;
   }
 
-  /** Counts a new connection; where places run short the one unused for longest is closed. */
+  /**
+   * Counts a new connection; if few connections are left, closes the one that has been unused
+   * longest.
+   */
   void connectionOpened() {
     openConnections++;
     int spare = Math.min(SPARE_CONNECTIONS, options.maxConnections() / SPARE_CONNECTIONS_DIVISOR);
     if (options.firstRequestTimeoutMicros() > 0
         && openConnections >= options.maxConnections() - spare
-        && !unused.isEmpty()) {
-      // those that send nothing must not keep out those that ask
-      unused.iterator().next().closeUnused(false);
+        && !unusedConnections.isEmpty()) {
+      // clients that send nothing must not lock out clients that send requests
+      unusedConnections.iterator().next().closeUnused(false);
     }
   }
 
@@ -132,10 +138,10 @@
   }
 
   void markUnused(ServerConnection connection) {
-    unused.add(connection);
+    unusedConnections.add(connection);
   }
 
   void markUsed(ServerConnection connection) {
-    unused.remove(connection);
+    unusedConnections.remove(connection);
   }
 }
--- a/net/src/main/java/lemondock/net/http/HttpServerOptions.java
+++ b/net/src/main/java/lemondock/net/http/HttpServerOptions.java
@@ -5,27 +5,29 @@
 import java.util.concurrent.RejectedExecutionException;
 
 /**
- * What an {@link HttpServer} holds its clients to; times in microseconds. Made by a {@link
- * Builder}.
+ * Limits that an {@link HttpServer} imposes on its clients; times in microseconds. Created by a
+ * {@link Builder}.
  *
- * @param limits sizes of the messages that are accepted
- * @param maxConnections connections open at a time
- * @param maxBufferedBodyBytes bytes of request bodies held at a time, over all connections
+ * @param limits size limits of accepted messages
+ * @param maxConnections maximum number of open connections
+ * @param maxBufferedBodyBytes maximum bytes of request bodies held at a time, over all connections
  * @param idleTimeoutMicros time without a request after which a connection is closed
- * @param requestTimeoutMicros time from a request's first byte to its last
- * @param stallTimeoutMicros time without progress of a response after which its connection is
- *     aborted
- * @param heavyBodyBytes body size from which on a request is prepared by {@code workers} instead of
- *     its shard's I/O thread, where the streams of that shard would wait for it
- * @param workers executor for heavy requests; may throw {@link RejectedExecutionException} when it
- *     is saturated
- * @param firstRequestTimeoutMicros time from the accept until the first request must be complete, 0
- *     if only the other limits apply; where it is set, the connection unused for longest is closed
- *     to make room for another when all are taken
- * @param discardsExcessRequests whether requests beyond those that may be queued on a connection
- *     are read and discarded, to be sent again on another connection as the last response's {@code
- *     connection: close} says: for clients that send one request at a time and whose close must be
- *     seen whatever they sent before it. Otherwise they are not read until there is room
+ * @param requestTimeoutMicros time limit from the first byte of a request to its last
+ * @param stallTimeoutMicros time without progress in sending a response after which its connection
+ *     is aborted
+ * @param heavyBodyBytes minimum body size of a heavy request. Heavy requests are prepared by {@code
+ *     workers} instead of the I/O thread of their shard, where they would delay the streams of that
+ *     shard
+ * @param workers executor that prepares heavy requests; may throw {@link
+ *     RejectedExecutionException} if it is saturated
+ * @param firstRequestTimeoutMicros time after the accept within which the first request must be
+ *     complete; 0 if only the other limits apply. If it is set, the connection that has been unused
+ *     longest is closed to make room for a new one when few connections are left
+ * @param discardsExcessRequests whether requests beyond the queue limit of a connection are read
+ *     and discarded. The last response then carries {@code connection: close}, so the client has to
+ *     send the discarded requests again on another connection. Meant for clients that send one
+ *     request at a time and whose disconnect must be detected whatever they sent before it. If
+ *     false, excess requests are not read until there is room in the queue
  */
 public record HttpServerOptions(
     HttpLimits limits,
@@ -39,15 +41,14 @@
     long firstRequestTimeoutMicros,
     boolean discardsExcessRequests) {
 
-  /** Begins options whose sizes and timeouts are still to be set. */
+  /** Creates a builder whose limits and timeouts are still to be set. */
   public static Builder builder() {
     return new Builder();
   }
 
   /**
-   * Collects the options of a server. The limits, the connections, the buffered bodies and the
-   * timeouts have to be set, but for that of the first request; without a word of {@link
-   * #heavyBodies} no request is heavy.
+   * Builder of server options. All limits and timeouts are required except the timeout of the first
+   * request. If {@link #heavyBodies} is not called, no request is heavy.
    */
   public static final class Builder {
     private HttpLimits limits;
@@ -63,65 +64,67 @@
 
     private Builder() {}
 
-    /** Sizes of the messages that are accepted. */
+    /** Sets the size limits of accepted messages. */
     public Builder limits(HttpLimits value) {
       limits = value;
       return this;
     }
 
-    /** Connections open at a time. */
+    /** Sets the maximum number of open connections. */
     public Builder maxConnections(int value) {
       maxConnections = value;
       return this;
     }
 
-    /** Bytes of request bodies held at a time, over all connections. */
+    /** Sets the maximum bytes of request bodies held at a time, over all connections. */
     public Builder maxBufferedBodyBytes(long value) {
       maxBufferedBodyBytes = value;
       return this;
     }
 
-    /** Time without a request after which a connection is closed. */
+    /** Sets the time without a request after which a connection is closed. */
     public Builder idleTimeoutMicros(long value) {
       idleTimeoutMicros = value;
       return this;
     }
 
-    /** Time from a request's first byte to its last. */
+    /** Sets the time limit from the first byte of a request to its last. */
     public Builder requestTimeoutMicros(long value) {
       requestTimeoutMicros = value;
       return this;
     }
 
-    /** Time without progress of a response after which its connection is aborted. */
+    /**
+     * Sets the time without progress in sending a response after which its connection is aborted.
+     */
     public Builder stallTimeoutMicros(long value) {
       stallTimeoutMicros = value;
       return this;
     }
 
-    /** Body size from which on requests are prepared by that executor. */
-    public Builder heavyBodies(int fromBytes, Executor preparedBy) {
-      heavyBodyBytes = fromBytes;
-      workers = preparedBy;
+    /** Sets the minimum body size of heavy requests and the executor that prepares them. */
+    public Builder heavyBodies(int minBodyBytes, Executor executor) {
+      heavyBodyBytes = minBodyBytes;
+      workers = executor;
       return this;
     }
 
-    /** Time from the accept until the first request must be complete; 0 for no such limit. */
+    /** Sets the time limit from the accept to the end of the first request; 0 for no limit. */
     public Builder firstRequestTimeoutMicros(long value) {
       firstRequestTimeoutMicros = value;
       return this;
     }
 
-    /** Reads and discards requests beyond those that may be queued on a connection. */
+    /** Reads and discards requests beyond the queue limit of a connection. */
     public Builder discardExcessRequests() {
       discardsExcessRequests = true;
       return this;
     }
 
     /**
-     * The options.
+     * Creates the options.
      *
-     * @throws NullPointerException if one that has to be set is not; the message names it
+     * @throws NullPointerException if a required option is not set; the message names it
      */
     public HttpServerOptions build() {
       return new HttpServerOptions(
--- a/net/src/main/java/lemondock/net/http/HttpService.java
+++ b/net/src/main/java/lemondock/net/http/HttpService.java
@@ -5,38 +5,40 @@
 /** Serves the requests of an {@link HttpServer}. */
 public interface HttpService {
   /**
-   * Whether {@link #serve} reads the body of a request; otherwise the body is released once the
-   * request is prepared.
+   * Whether {@link #serve} reads the body of a request; if not, the body is released before {@code
+   * serve} is called.
    */
   default boolean needsBodyToServe() {
     return true;
   }
 
   /**
-   * Looks at the beginning of a heavy request on an I/O thread, before any work on it is done. Like
-   * {@link #prepare} it must not touch the loop's state. The request has {@link
-   * #earlyRejectionBytes} bytes of its body or more, but not all that is to come; once it is
-   * rejected the rest is read and discarded.
+   * Decides from the beginning of a heavy request whether to reject it, before any work on it is
+   * done. Runs on an I/O thread and like {@link #prepare} must not touch the state of the loop. The
+   * request has at least {@link #earlyRejectionBytes} bytes of its body if it has that many, but
+   * possibly not all of it. If the request is rejected, the rest is read and discarded.
    *
-   * @return the response that it gets instead of being served; empty to have it prepared
+   * @return the response that is sent instead of serving the request; empty to prepare it
    */
   default Optional<HttpRejection> rejectEarly(HttpRequest request) {
     return Optional.empty();
   }
 
-  /** Bytes of body that {@link #rejectEarly} needs to decide as it would with all of them. */
+  /** Bytes of a body from which {@link #rejectEarly} decides the same as from the whole body. */
   default int earlyRejectionBytes() {
     return Integer.MAX_VALUE;
   }
 
   /**
-   * Work that depends on the request alone, done on an I/O thread or a worker to spare the loop. It
-   * must not touch the loop's state; what it throws is a defect and breaks the connection.
+   * Does work that depends on the request alone, on an I/O thread or a worker to relieve the loop.
+   * It must not touch the state of the loop. An exception is a defect and aborts the connection.
+   *
+   * @return the result, available as {@link HttpExchange#prepared}; may be null
    */
   default Object prepare(HttpRequest request) {
     return null;
   }
 
-  /** Responds on the loop, now or later. */
+  /** Serves a request; called on the loop. The response may be sent later. */
   void serve(HttpExchange exchange);
 }
--- a/net/src/main/java/lemondock/net/http/MessageHead.java
+++ b/net/src/main/java/lemondock/net/http/MessageHead.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * Start line and header fields of a message, checked strictly as they come. For one thread at a
- * time.
+ * Start line and header fields of a message; each line is validated strictly when it is added. Not
+ * thread-safe.
  */
 final class MessageHead {
-  /** In place of a length: none is stated. */
+  /** Value of {@link #contentLength} if the message states none. */
   static final long NO_LENGTH = -1;
 
   private static final String TOKEN_SYMBOLS = "!#$%&'*+-.^_`|~";
@@ -23,8 +23,8 @@
   /**
    * Parses a start line.
    *
-   * @param request whether it is a request line, else a status line
-   * @throws ProtocolViolation if it is not well-formed
+   * @param request whether the line is a request line; else it is a status line
+   * @throws ProtocolViolation if the line is malformed
    */
   MessageHead(boolean request, HttpLimits limits, String startLine) {
     this.request = request;
@@ -54,14 +54,14 @@
     require(
         startLine.length >= 2 && isHttp1(startLine[0]) && startLine[1].matches("[1-9][0-9][0-9]"),
         502,
-        "no status line");
+        "malformed status line");
   }
 
   private static boolean isHttp1(String version) {
     return version.equals("HTTP/1.1") || version.equals("HTTP/1.0");
   }
 
-  /** Adds a header field's line, whose bytes were counted. */
+  /** Parses and adds a header field line, whose bytes {@link #countField} has counted. */
   void addField(String line) {
     require(line.charAt(0) != ' ' && line.charAt(0) != '\t', 400, "a folded header field");
     int colon = line.indexOf(':');
@@ -74,7 +74,7 @@
     headers.add(line.substring(0, colon), value);
   }
 
-  /** Counts a line of a header or trailer field of so many bytes against the limits. */
+  /** Counts the bytes of a header or trailer field line against the limits. */
   void countField(int bytes) {
     headerBytes += bytes;
     require(
@@ -113,9 +113,9 @@
   }
 
   /**
-   * Whether the content comes in chunks.
+   * Whether the content has chunked coding.
    *
-   * @throws ProtocolViolation if it has another coding
+   * @throws ProtocolViolation if it has another transfer coding
    */
   boolean isChunked() {
     List<String> codings = headers.allValues("transfer-encoding");
@@ -131,9 +131,9 @@
   }
 
   /**
-   * The stated length of the content, bytes; {@link #NO_LENGTH} if there is none.
+   * The stated content length in bytes; {@link #NO_LENGTH} if there is none.
    *
-   * @throws ProtocolViolation if it is not one number
+   * @throws ProtocolViolation if the field is repeated or not a number
    */
   long contentLength() {
     List<String> lengths = headers.allValues("content-length");
--- a/net/src/main/java/lemondock/net/http/ProtocolViolation.java
+++ b/net/src/main/java/lemondock/net/http/ProtocolViolation.java
@@ -1,8 +1,8 @@
 package lemondock.net.http;
 
 /**
- * A message does not follow the protocol or exceeds a limit. It has no stack trace, as any peer can
- * cause it.
+ * Thrown if a message violates the protocol or exceeds a limit. It has no stack trace, because any
+ * peer can cause it.
  */
 final class ProtocolViolation extends RuntimeException {
   private static final long serialVersionUID = 1L;
@@ -10,10 +10,10 @@
   private final int status;
 
   /**
-   * Makes a violation.
+   * Creates a violation.
    *
    * @param status the status that a server should respond with
-   * @param reason what is wrong, as sent to the client
+   * @param reason the violation, as sent to the client
    */
   ProtocolViolation(int status, String reason) {
     super(reason, null, false, false);
--- a/net/src/main/java/lemondock/net/http/QueuedRequest.java
+++ b/net/src/main/java/lemondock/net/http/QueuedRequest.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * A request between the decoder and the service; a heavy one is not prepared yet. Made on an I/O
+ * A decoded request that waits to be served; a heavy one is not prepared yet. Created on an I/O
  * thread, then loop thread only.
  */
 final class QueuedRequest {
@@ -15,7 +15,7 @@
   private boolean ready;
   private Optional<HttpRejection> rejection = Optional.empty();
 
-  /** Makes a request that is neither prepared nor rejected. */
+  /** Creates a request that is neither prepared nor rejected. */
   QueuedRequest(HttpRequest request, boolean keepAlive, boolean acceptsChunks, boolean heavy) {
     this.request = request;
     this.keepAlive = keepAlive;
@@ -39,12 +39,12 @@
     return acceptsChunks;
   }
 
-  /** Whether workers have to prepare it. */
+  /** Whether a worker has to prepare the request. */
   boolean needsWorker() {
     return heavy && rejection.isEmpty();
   }
 
-  /** Whether it can be served or rejected. */
+  /** Whether the request is prepared or rejected, so that it can be answered. */
   boolean isReady() {
     return ready;
   }
@@ -53,7 +53,7 @@
     return prepared;
   }
 
-  /** The response that it gets instead of being served. */
+  /** The response that is sent instead of serving the request, if it is rejected. */
   Optional<HttpRejection> rejection() {
     return rejection;
   }
--- a/net/src/main/java/lemondock/net/http/RequestAssembler.java
+++ b/net/src/main/java/lemondock/net/http/RequestAssembler.java
@@ -7,20 +7,21 @@
 import java.util.Optional;
 
 /**
- * Makes whole requests of a connection's bytes, within the budget that all connections share for
- * bodies; asks the service early whether a heavy one is rejected. I/O threads, one at a time;
- * {@link #releaseBody} on the loop once nothing is decoded any more.
+ * Assembles the bytes of a connection into complete requests, within the budget for bodies that all
+ * connections share; asks the service early whether to reject a heavy request. Runs on I/O threads,
+ * one at a time; {@link #releaseBody} runs on the loop after the last decoding.
  */
 final class RequestAssembler {
   /**
-   * A body of this length (bytes) is small; large ones together may not take what small ones need.
+   * Maximum bytes of a small body. A part of the budget is reserved for small bodies, so that large
+   * ones together cannot use it up.
    */
   private static final int SMALL_BODY_BYTES = 16 * 1024;
 
-  /** Part of the budget that large bodies may take. */
-  private static final double LARGE_BODIES_PART = 0.75;
+  /** Fraction of the budget that is available to large bodies. */
+  private static final double LARGE_BODIES_FRACTION = 0.75;
 
-  /** Asks for an interim response. */
+  /** The client waits for the interim response {@code 100 Continue}. */
   record ExpectContinue() {}
 
   private final HttpServerOptions options;
@@ -28,22 +29,22 @@
   private final ByteBudget bodyBudget;
   private final HttpDecoder decoder;
 
-  // I/O thread only, each from here on:
+  // All fields below: I/O thread only.
   private final List<HttpEvent> decoded = new ArrayList<>();
   private ByteArrayOutputStream body = new ByteArrayOutputStream(0);
 
-  /** Where events go while bytes are decoded, else null. */
+  /** Receives events while bytes are decoded; null otherwise. */
   private List<Object> output;
 
   private HttpEvent.RequestHead head;
 
-  /** When the batch at hand had arrived. */
+  /** Arrival time of the current batch, microseconds on the loop's clock. */
   private long arrivedMicros;
 
-  /** The early rejection of the request at hand. */
+  /** The early rejection of the current request. */
   private Optional<HttpRejection> rejection = Optional.empty();
 
-  private boolean askedForRejection;
+  private boolean rejectionRequested;
   private boolean budgetExceeded;
 
   RequestAssembler(HttpServerOptions options, HttpService service, ByteBudget bodyBudget) {
@@ -53,32 +54,32 @@
     this.decoder = HttpDecoder.forRequests(options.limits()).withContentSink(this::appendBody);
   }
 
-  /** The bytes that are decoded next had arrived by that moment of the loop's clock. */
+  /** Sets the time, on the loop's clock, by which the bytes decoded next had arrived. */
   void batchArrived(long micros) {
     arrivedMicros = micros;
   }
 
   /**
-   * Takes all bytes and adds what they complete: {@link QueuedRequest}, {@link ExpectContinue},
-   * {@link HttpEvent.Began} and {@link HttpEvent.Malformed}.
+   * Consumes all bytes and adds the events that they complete: {@link QueuedRequest}, {@link
+   * ExpectContinue}, {@link HttpEvent.Began} and {@link HttpEvent.Malformed}.
    */
   void decode(ByteBuffer bytes, List<Object> events) {
     output = events;
     decoder.decode(bytes, decoded);
     forwardDecoded(events);
-    output = null; // an idle connection holds nothing of what it carried
+    output = null; // so that an idle connection does not retain events
   }
 
-  /** Gives back what an incomplete request took of the budget; once the connection is closed. */
+  /** Releases the budget of an incomplete request; called after the connection is closed. */
   void releaseBody() {
     bodyBudget.release(body.size());
   }
 
-  /** A piece of a body where it lies. */
+  /** Copies a piece of a body from the decoder's buffer. */
   private void appendBody(ByteBuffer piece) {
-    forwardDecoded(output); // the head may have come with it
+    forwardDecoded(output); // the head may be in the same batch
     if (rejection.isPresent() || budgetExceeded) {
-      return; // read and discarded
+      return; // the content is read and discarded
     }
     int size = piece.remaining();
     if (!reserve(size)) {
@@ -87,20 +88,20 @@
       return;
     }
     body.write(piece.array(), piece.arrayOffset() + piece.position(), size);
-    if (!askedForRejection
+    if (!rejectionRequested
         && body.size() >= Math.max(options.heavyBodyBytes(), service.earlyRejectionBytes())) {
-      askForRejection();
+      requestRejection();
     }
   }
 
   private boolean reserve(int size) {
     return body.size() + size <= SMALL_BODY_BYTES
         ? bodyBudget.tryReserve(size)
-        : bodyBudget.tryReserveWithin(LARGE_BODIES_PART, size);
+        : bodyBudget.tryReserveWithin(LARGE_BODIES_FRACTION, size);
   }
 
-  private void askForRejection() {
-    askedForRejection = true;
+  private void requestRejection() {
+    rejectionRequested = true;
     rejection = service.rejectEarly(requestSoFar());
     if (rejection.isPresent()) {
       bodyBudget.release(body.size());
@@ -109,7 +110,7 @@
   }
 
   private void forwardDecoded(List<Object> events) {
-    // once the budget is exceeded, what was taken of it stays with the body until the close
+    // once the budget is exceeded, the body keeps its reservation until the close
     for (int i = 0; i < decoded.size() && !budgetExceeded; i++) {
       HttpEvent event = decoded.get(i);
       if (event instanceof HttpEvent.RequestHead requestHead) {
@@ -128,11 +129,11 @@
 
   private QueuedRequest completeRequest() {
     boolean heavy = body.size() >= options.heavyBodyBytes();
-    if (heavy && !askedForRejection) {
-      askForRejection();
+    if (heavy && !rejectionRequested) {
+      requestRejection();
     }
     HttpRequest request = requestSoFar();
-    // a reset would keep its memory for as long as the connection
+    // not reset(), which would keep the memory for the life of the connection
     body = new ByteArrayOutputStream(0);
     QueuedRequest queued =
         new QueuedRequest(request, head.keepAlive(), head.minorVersion() > 0, heavy);
@@ -142,7 +143,7 @@
       queued.setPrepared(service.prepare(request));
     }
     rejection = Optional.empty();
-    askedForRejection = false;
+    rejectionRequested = false;
     return queued;
   }
 
--- a/net/src/main/java/lemondock/net/http/RequestFailure.java
+++ b/net/src/main/java/lemondock/net/http/RequestFailure.java
@@ -1,19 +1,18 @@
 package lemondock.net.http;
 
-/** Why a request brought no complete response. */
+/** Why a request did not get a complete response. */
 public enum RequestFailure {
   /**
-   * The last byte of the request was not handed to the system: the server provably never had all of
-   * it.
+   * The last byte of the request was not passed to the operating system, so the server cannot have
+   * received the complete request.
    */
   NOT_SENT,
   /**
-   * Not sent either, and the cause lies on this side: the bound on connections, file handles or
-   * ports.
+   * The request was not sent because a local limit was reached: connections, file handles or ports.
    */
   LOCAL_LIMIT_REACHED,
-  /** The connection broke; the server may have seen the request. */
+  /** The connection was lost; the server may have received the request. */
   CONNECTION_LOST,
-  /** The response does not follow the protocol; its connection was aborted. */
+  /** The response violates the protocol; its connection was aborted. */
   MALFORMED
 }
--- a/net/src/main/java/lemondock/net/http/RequestQueue.java
+++ b/net/src/main/java/lemondock/net/http/RequestQueue.java
@@ -8,8 +8,8 @@
 import lemondock.net.Loop;
 
 /**
- * The requests of one connection that are not served yet, in their order. Has workers prepare those
- * that need it; what comes behind such a request waits. Loop thread only, but for the preparation.
+ * The requests of one connection that wait to be served, in order. Heavy requests are prepared by
+ * workers, and the requests behind them wait. Loop thread only, except the preparation.
  */
 final class RequestQueue {
   private static final int MAX_PIPELINED_REQUESTS = 16;
@@ -28,15 +28,15 @@
   private final Listener listener;
   private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
 
-  /** Requests were discarded: more came than may be queued. */
-  private boolean discarded;
+  /** Whether requests were discarded because the queue was full. */
+  private boolean hasDiscarded;
 
-  /** Hears of requests that workers prepare. Loop thread only. */
+  /** Notified of requests that workers prepare. Loop thread only. */
   interface Listener {
-    /** A request may be ready. */
+    /** A worker has prepared a request, so the next one may be ready. */
     void requestPrepared();
 
-    /** A request could not be prepared, which is a defect of the service. */
+    /** The preparation of a request threw an exception, which is a defect of the service. */
     void preparationFailed();
   }
 
@@ -49,10 +49,10 @@
     this.listener = listener;
   }
 
-  /** Adds a request, or discards it if there is no room for it or for one before it. */
+  /** Adds a request, or discards it if the queue is full or an earlier request was discarded. */
   void add(QueuedRequest request) {
-    if (discarded || discardsExcess && isFull()) {
-      discarded = true;
+    if (hasDiscarded || discardsExcess && isFull()) {
+      hasDiscarded = true;
       bodyBudget.release(request.bodyBytes());
       return;
     }
@@ -70,7 +70,7 @@
     }
   }
 
-  /** On a worker's thread. */
+  /** Runs on a worker thread. */
   private void prepare(QueuedRequest request) {
     Object prepared;
     try {
@@ -79,8 +79,14 @@
       loop.execute(
           () -> {
             listener.preparationFailed();
-            // a defect: the loop reports it
-            throw new IllegalStateException("a request could not be prepared", e);
+            // a defect, which the loop reports
+            throw new IllegalStateException(
+                "preparing request "
+                    + request.request().method()
+                    + " "
+                    + request.request().target()
+                    + " failed",
+                e);
           });
       return;
     }
@@ -95,8 +101,8 @@
     return queue.size() >= MAX_PIPELINED_REQUESTS;
   }
 
-  /** Whether more may be read: excess is discarded, or there is room. */
-  boolean takesMore() {
+  /** Whether to read more: there is room, or excess requests are discarded. */
+  boolean mayReadMore() {
     return discardsExcess || !isFull();
   }
 
@@ -104,18 +110,20 @@
     return queue.isEmpty();
   }
 
-  /** Whether requests behind the one taken last were discarded: no more will be served. */
+  /**
+   * Whether the last request taken was followed by discarded ones, so that none is served after it.
+   */
   boolean endedByDiscard() {
-    return discarded && queue.isEmpty();
+    return hasDiscarded && queue.isEmpty();
   }
 
-  /** Takes the next request if it can be served or rejected. */
+  /** Removes and returns the next request if it is ready. */
   Optional<QueuedRequest> pollReady() {
     boolean ready = !queue.isEmpty() && queue.peek().isReady();
     return ready ? Optional.of(queue.poll()) : Optional.empty();
   }
 
-  /** The connection is closed: drops all requests. */
+  /** Drops all requests and releases their budget; called when the connection is closed. */
   void clear() {
     queue.forEach(request -> bodyBudget.release(request.bodyBytes()));
     queue.clear();
--- a/net/src/main/java/lemondock/net/http/ResponseAssembler.java
+++ b/net/src/main/java/lemondock/net/http/ResponseAssembler.java
@@ -11,13 +11,13 @@
 import lemondock.net.sse.SseEventSink;
 
 /**
- * Makes heads, bodies and events of streams of a connection's bytes. I/O threads, one at a time,
- * but for {@link #setReceiver}.
+ * Assembles the bytes of a connection into response heads, bodies and server-sent events. Runs on
+ * I/O threads, one at a time, except {@link #setReceiver} and {@link #endOfInput}.
  */
 final class ResponseAssembler {
   private static final HttpEvent BEGAN = new HttpEvent.Began();
 
-  /** In place of a call's receiver, which must not be held by an idle connection. */
+  /** Replaces the receiver of a call, so that an idle connection does not retain it. */
   private static final ResponseReceiver NO_RECEIVER =
       new ResponseReceiver() {
         @Override
@@ -27,12 +27,12 @@
         public void onFailure(RequestFailure failure, String reason) {}
       };
 
-  /** The whole body of a response that is no event stream. */
+  /** The complete body of a response that is not an event stream. */
   record Body(byte[] bytes) {}
 
   /**
-   * Bytes came that answer no request, or before anything of the next one was written: surplus of a
-   * response, however late.
+   * Bytes were received without a request, or before any byte of the next request was written: they
+   * are surplus bytes of an earlier response.
    */
   enum Surplus {
     BYTES
@@ -42,20 +42,20 @@
   private final HttpDecoder decoder;
   private final SseEventSink eventSink = this::acceptEvent;
 
-  // I/O thread only, each from here on:
+  // All fields below: I/O thread only, except where stated.
   private final List<HttpEvent> decoded = new ArrayList<>();
   private final ByteArrayOutputStream body = new ByteArrayOutputStream(0);
 
-  /** Where events go while bytes are decoded, else null. */
+  /** Receives events while bytes are decoded; null otherwise. */
   private List<Object> output;
 
-  /** Null if the response is no event stream. */
+  /** Null if the response is not an event stream. */
   private SseDecoder sseDecoder;
 
-  /** Between a response's head and its end. */
+  /** Whether the head of a response was decoded, but not its end. */
   private boolean inResponse;
 
-  /** A response ended within the bytes at hand. */
+  /** Whether a response ended within the bytes being decoded. */
   private boolean responseEnded;
 
   /** Set on the loop, read on the I/O thread. */
@@ -66,7 +66,10 @@
     this.decoder = HttpDecoder.forResponses(options.limits()).withContentSink(this::appendContent);
   }
 
-  /** Whom events are offered to on the I/O thread; null if there is no call. Loop thread only. */
+  /**
+   * Sets the receiver to which events are offered on the I/O thread; null if there is no call. Loop
+   * thread only.
+   */
   void setReceiver(ResponseReceiver next) {
     receiver = next == null ? NO_RECEIVER : next;
   }
@@ -76,36 +79,38 @@
   }
 
   /**
-   * Takes all bytes and adds what they complete: {@link HttpEvent.ResponseHead}, {@link Body},
-   * mapped events, {@link HttpEvent.End}, {@link HttpEvent.Malformed} and {@link Surplus}.
+   * Consumes all bytes and adds the events that they complete: {@link HttpEvent.ResponseHead},
+   * {@link Body}, mapped events, {@link HttpEvent.End}, {@link HttpEvent.Malformed} and {@link
+   * Surplus}.
    */
   void decode(ByteBuffer bytes, List<Object> events) {
     responseEnded = false;
     output = events;
     decoder.decode(bytes, decoded);
-    boolean begunFurther = decoded.contains(BEGAN);
+    boolean beganAnother = decoded.contains(BEGAN);
     forwardDecoded(events);
-    if (begunFurther && responseEnded && !inResponse) {
-      // part of a further response in the bytes that ended this one
+    if (beganAnother && responseEnded && !inResponse) {
+      // part of another response follows the end of this one
       events.add(Surplus.BYTES);
     }
-    output = null; // an idle connection holds nothing of what it carried
+    output = null; // so that an idle connection does not retain events
   }
 
   /**
-   * The server has closed: what that completes, nothing if it cut a response short. On the loop;
-   * nothing is decoded any more.
+   * Handles the close by the server. Runs on the loop, after the last decoding.
+   *
+   * @return the events that the close completes; empty if it truncated a response
    */
   List<Object> endOfInput() {
     decoder.end(decoded);
-    boolean cutShort = decoded.stream().anyMatch(event -> event instanceof HttpEvent.Malformed);
+    boolean truncated = decoded.stream().anyMatch(event -> event instanceof HttpEvent.Malformed);
     List<Object> events = new ArrayList<>();
     forwardDecoded(events);
-    return cutShort ? List.of() : events;
+    return truncated ? List.of() : events;
   }
 
   private void appendContent(ByteBuffer piece) {
-    forwardDecoded(output); // the head may have come with it
+    forwardDecoded(output); // the head may be in the same batch
     if (sseDecoder == null) {
       body.write(piece.array(), piece.arrayOffset() + piece.position(), piece.remaining());
       return;
--- a/net/src/main/java/lemondock/net/http/ResponseReceiver.java
+++ b/net/src/main/java/lemondock/net/http/ResponseReceiver.java
@@ -3,44 +3,44 @@
 import lemondock.net.sse.SseEvent;
 
 /**
- * Hears what becomes of a request: a head, then events or one body, then completion; or a failure
- * at any point. On the loop, unless a method says otherwise.
+ * Receives the response to a request: its head, then events or one body, then completion; or a
+ * failure at any point. Called on the loop, unless a method says otherwise.
  */
 public interface ResponseReceiver {
   /**
-   * Turns an event of the stream into what {@link #onEvent} gets, on an I/O thread; must not touch
-   * the loop's state.
+   * Maps an event of the stream to the object that {@link #onEvent} receives. Called on an I/O
+   * thread; must not touch the state of the loop.
    */
   default Object mapEvent(SseEvent event) {
     return event;
   }
 
   /**
-   * Consumes an event's data (UTF-8) on the I/O thread where it lies, so that the loop never hears
-   * of it. It is offered events only while none before them waits for the loop.
+   * Consumes the data of an event (UTF-8) on the I/O thread without a copy, so that the event never
+   * reaches the loop. An event is offered only while no earlier one is on its way to the loop.
    *
-   * @param data the decoder's own array, valid until this returns
-   * @param length how many bytes of it count
-   * @return false if it cannot be consumed here; then the event goes through {@link #mapEvent}
+   * @param data array of the decoder, valid until this method returns
+   * @param length number of bytes of the array that belong to the event
+   * @return false if the event cannot be consumed here; it is then passed to {@link #mapEvent}
    */
   default boolean consumeInPlace(byte[] data, int length) {
     return false;
   }
 
-  /** The response's status and headers. */
+  /** Receives the status and headers of the response. */
   default void onHead(HttpEvent.ResponseHead head) {}
 
-  /** One event of an event stream, as {@link #mapEvent} made it. */
+  /** Receives one event of an event stream, as mapped by {@link #mapEvent}. */
   default void onEvent(Object mapped) {}
 
-  /** The whole body of a response that is no event stream. */
+  /** Receives the complete body of a response that is not an event stream. */
   default void onBody(byte[] bytes) {}
 
-  /** The response is complete. */
+  /** The response is complete; no further notification follows. */
   void onComplete();
 
   /**
-   * No complete response will come; nothing follows.
+   * The request failed without a complete response; no further notification follows.
    *
    * @param reason the address and the cause, for log lines
    */
--- a/net/src/main/java/lemondock/net/http/ServerConnection.java
+++ b/net/src/main/java/lemondock/net/http/ServerConnection.java
@@ -9,8 +9,9 @@
 import lemondock.net.Loop;
 
 /**
- * One client's connection to an {@link HttpServer}: has its requests served one after another and
- * enforces the time limits. Loop thread only, but for {@link #decode}.
+ * Connection of one client to an {@link HttpServer}: passes its requests to the service one after
+ * another and enforces the timeouts. Loop thread only, except {@link #decode} and {@link
+ * #batchArrived}.
  */
 final class ServerConnection implements Connection.Handler {
   private static final ByteBuffer CONTINUE_RESPONSE =
@@ -24,24 +25,26 @@
   /** I/O thread only. */
   private final RequestAssembler assembler;
 
-  // Loop thread only, each from here on:
+  // All fields below: loop thread only, except where stated.
   private final RequestQueue queue;
 
-  /** The socket's connection; null before it is up. */
+  /** The underlying connection; null until it is established. */
   private Connection transport;
 
-  /** The exchange in progress; null between requests. Read by other threads as its writers. */
+  /**
+   * The exchange in progress; null between requests. Also read by threads that write its response.
+   */
   private HttpExchange current;
 
-  /** Nothing that comes is served any more. */
+  /** Whether the connection is closing: no further request is served. */
   private boolean closing;
 
-  /** A close was asked for that happens only if no bytes are on their way here. */
-  private boolean closingIfIdle;
+  /** Whether a close was requested that only happens if no received bytes are pending. */
+  private boolean closeIfIdleRequested;
 
   private boolean watchingProgress;
 
-  /** Bytes of the body of the exchange in progress. */
+  /** Body bytes of the exchange in progress that are reserved in the budget. */
   private long currentBodyBytes;
 
   private Loop.Timer requestTimer = () -> {};
@@ -99,8 +102,8 @@
 
   @Override
   public void received(List<Object> events) {
-    final boolean wasClosingIfIdle = closingIfIdle;
-    closingIfIdle = false;
+    final boolean closeIfIdleWasRequested = closeIfIdleRequested;
+    closeIfIdleRequested = false;
     for (Object event : events) {
       if (closing) {
         return;
@@ -113,8 +116,8 @@
     }
     serveNext();
     readMore();
-    if (wasClosingIfIdle && events.isEmpty() && current == null && queue.isEmpty()) {
-      awaitRequest(); // what came was less than a beginning
+    if (closeIfIdleWasRequested && events.isEmpty() && current == null && queue.isEmpty()) {
+      awaitRequest(); // the bytes did not begin a request
     }
   }
 
@@ -146,9 +149,11 @@
     }
   }
 
-  /** Reads on if there is room for it: only a read tells that the client has gone. */
+  /**
+   * Continues reading if there is room, because only a read detects that the client disconnected.
+   */
   private void readMore() {
-    if (!closing && queue.takesMore()) {
+    if (!closing && queue.mayReadMore()) {
       transport.read();
     }
   }
@@ -172,7 +177,7 @@
       request = request.withoutBody();
     }
     server.exchangeStarted();
-    // the last response says close, and the client sends what was discarded again elsewhere
+    // the last response says close, so that the client resends discarded requests elsewhere
     boolean keepAlive = next.keepAlive() && !queue.endedByDiscard();
     current = new HttpExchange(this, request, next.prepared(), keepAlive, next.acceptsChunks());
     if (next.rejection().isPresent()) {
@@ -182,7 +187,7 @@
     }
   }
 
-  /** The cheapest response there is; the connection stays, as a new one would cost more. */
+  /** Sends the rejection; keeps the connection, because a new one would cost more. */
   private void respondRejected(HttpRejection rejection) {
     rejection.onSent().run();
     current.respond(
@@ -195,7 +200,7 @@
         rejection.body());
   }
 
-  /** The exchange's response is complete; goes on to the next request or closes. */
+  /** Called when the response of the exchange is complete; serves the next request or closes. */
   void exchangeFinished(HttpExchange exchange) {
     current = null;
     server.exchangeEnded();
@@ -217,7 +222,7 @@
     }
   }
 
-  /** Closes behind what was sent; aborts if the client has not taken it in time. */
+  /** Closes after the bytes sent so far; aborts if the client does not read them in time. */
   void closeAfterTruncation(long timeoutMicros) {
     server.exchangeEnded();
     closing = true;
@@ -241,12 +246,14 @@
   }
 
   /**
-   * Closes it between two requests, unless bytes of one were read and are on their way here: then
-   * it is served as if no close had been asked for. Without lingering where its place is wanted: a
-   * connection that waits for its client's close holds one.
+   * Closes the connection between two requests, unless bytes of a request were read but not handled
+   * yet: then that request is served as if no close had been requested.
+   *
+   * @param linger whether to wait for the client to close as well; false if the connection has to
+   *     make room for a new one, because a lingering connection still counts
    */
   void closeUnused(boolean linger) {
-    closingIfIdle = true;
+    closeIfIdleRequested = true;
     stopWaiting();
     transport.closeIfIdle(linger);
   }
@@ -258,8 +265,8 @@
   }
 
   /**
-   * The stream of requests makes no sense any more or took too long: says so if no response is in
-   * progress, and closes.
+   * Closes the connection because its input is malformed or a request took too long; first sends an
+   * error response, unless a response is in progress.
    */
   private void refuse(int status, String reason) {
     closing = true;
@@ -276,7 +283,9 @@
     transport.close();
   }
 
-  /** Aborts if the client takes nothing for too long while something is queued. */
+  /**
+   * Starts the timer that aborts the connection if the client reads no queued bytes for too long.
+   */
   void watchProgress() {
     if (watchingProgress || transport.pendingBytes() <= 0 && current == null) {
       return;
@@ -302,7 +311,7 @@
   public void inputEnded() {
     closing = true;
     if (current != null) {
-      transport.abort(); // half-closed clients are taken for gone, as most servers do
+      transport.abort(); // a half-closed client counts as disconnected, as in most servers
     } else {
       transport.close();
     }
--- a/net/src/main/java/lemondock/net/sse/EventTooLongException.java
+++ b/net/src/main/java/lemondock/net/sse/EventTooLongException.java
@@ -1,18 +1,18 @@
 package lemondock.net.sse;
 
-/** A line or an event's data that exceeds the bound of its {@link SseDecoder}. */
+/** Thrown if a line or the data of an event exceeds the limit of its {@link SseDecoder}. */
 public final class EventTooLongException extends IllegalArgumentException {
   private static final long serialVersionUID = 1L;
 
   private final int maxBytes;
 
-  /** Says which part of the stream is over that many bytes. */
+  /** Creates an exception for the part of the stream that exceeds the limit. */
   EventTooLongException(String part, int maxBytes) {
-    super(part + " is over " + maxBytes + " bytes");
+    super(part + " is longer than " + maxBytes + " bytes");
     this.maxBytes = maxBytes;
   }
 
-  /** The bound, in bytes. */
+  /** The limit, in bytes. */
   public int maxBytes() {
     return maxBytes;
   }
--- a/net/src/main/java/lemondock/net/sse/SseDecoder.java
+++ b/net/src/main/java/lemondock/net/sse/SseDecoder.java
@@ -5,11 +5,11 @@
 import java.util.Arrays;
 
 /**
- * Reads a stream of server-sent events from bytes split anywhere; no I/O. Lines may end in CR, LF
- * or both. For one thread at a time.
+ * Incremental decoder of server-sent events from bytes split anywhere; no I/O. Lines may end in CR,
+ * LF or CRLF. Not thread-safe.
  */
 public final class SseDecoder {
-  /** A buffer that a single large line or event made longer is not kept. */
+  /** A buffer that grew beyond this size for a line or an event is replaced afterwards. */
   private static final int MAX_KEPT_BYTES = 4_096;
 
   private static final int INITIAL_BYTES = 512;
@@ -28,18 +28,18 @@
   private String id;
 
   /**
-   * Makes a decoder.
+   * Creates a decoder.
    *
-   * @param maxBytes bounds the bytes of a line and of an event's data
+   * @param maxBytes maximum bytes of a line and of the data of an event
    */
   public SseDecoder(int maxBytes) {
     this.maxBytes = maxBytes;
   }
 
   /**
-   * Takes all bytes and hands on the events that they complete.
+   * Consumes all bytes and passes the events that they complete to the sink.
    *
-   * @throws EventTooLongException if a line or an event exceeds the bound
+   * @throws EventTooLongException if a line or an event exceeds the limit
    */
   public void decode(ByteBuffer in, SseEventSink sink) {
     while (in.hasRemaining()) {
@@ -49,26 +49,26 @@
         appendToLine(in, length);
       }
       if (in.hasRemaining()) {
-        lineEndRead(in.get(), sink);
+        handleLineEnd(in.get(), sink);
       }
     }
   }
 
   private static int lengthUntilLineEnd(ByteBuffer in) {
-    int at = in.position();
-    while (at < in.limit() && in.get(at) != '\n' && in.get(at) != '\r') {
-      at++;
+    int index = in.position();
+    while (index < in.limit() && in.get(index) != '\n' && in.get(index) != '\r') {
+      index++;
     }
-    return at - in.position();
+    return index - in.position();
   }
 
-  /** A line feed behind a carriage return belongs to the line that this one has ended. */
-  private void lineEndRead(byte lineEnd, SseEventSink sink) {
+  /** Ends the line, except at a line feed after a carriage return, which has already ended it. */
+  private void handleLineEnd(byte lineEnd, SseEventSink sink) {
     if (lineEnd == '\n' && afterCarriageReturn) {
       afterCarriageReturn = false;
     } else {
       afterCarriageReturn = lineEnd == '\r';
-      endLine(sink);
+      processLine(sink);
     }
   }
 
@@ -76,19 +76,20 @@
     if (lineLength + count > maxBytes) {
       throw new EventTooLongException("a line of an event stream", maxBytes);
     }
-    line = grown(line, lineLength + count);
+    line = ensureCapacity(line, lineLength + count);
     in.get(line, lineLength, count);
     lineLength += count;
   }
 
-  private byte[] grown(byte[] bytes, int needed) {
-    return needed <= bytes.length
+  private byte[] ensureCapacity(byte[] bytes, int minCapacity) {
+    return minCapacity <= bytes.length
         ? bytes
         : Arrays.copyOf(
-            bytes, Math.min(Math.max(maxBytes, needed), Math.max(needed, bytes.length * 2)));
+            bytes,
+            Math.min(Math.max(maxBytes, minCapacity), Math.max(minCapacity, bytes.length * 2)));
   }
 
-  private void endLine(SseEventSink sink) {
+  private void processLine(SseEventSink sink) {
     int from = firstLine && startsWith(0, BYTE_ORDER_MARK) ? BYTE_ORDER_MARK.length : 0;
     int end = lineLength;
     firstLine = false;
@@ -108,20 +109,20 @@
     if (colon - from == DATA_FIELD.length && startsWith(from, DATA_FIELD)) {
       appendData(value, end);
     } else {
-      otherField(
+      handleOtherField(
           new String(line, from, colon - from, StandardCharsets.UTF_8),
           new String(line, value, end - value, StandardCharsets.UTF_8));
     }
     line = line.length > MAX_KEPT_BYTES ? new byte[INITIAL_BYTES] : line;
   }
 
-  /** Adds a part of the line to the event's data. */
+  /** Appends a part of the line to the data of the event. */
   private void appendData(int from, int end) {
     int added = end - from + (hasData ? 1 : 0);
     if (dataLength + added > maxBytes) {
       throw new EventTooLongException("an event", maxBytes);
     }
-    data = grown(data, dataLength + added);
+    data = ensureCapacity(data, dataLength + added);
     if (hasData) {
       data[dataLength++] = '\n';
     }
@@ -135,12 +136,12 @@
         line, from, Math.min(line.length, from + prefix.length), prefix, 0, prefix.length);
   }
 
-  private void otherField(String field, String value) {
+  private void handleOtherField(String field, String value) {
     if (field.equals("event")) {
       type = value;
     } else if (field.equals("id") && value.indexOf('\0') < 0) {
       id = value;
-    } // comments, retry and what is not known
+    } // comments, the retry field and unknown fields are ignored
   }
 
   private void dispatch(SseEventSink sink) {
--- a/net/src/main/java/lemondock/net/sse/SseEvent.java
+++ b/net/src/main/java/lemondock/net/sse/SseEvent.java
@@ -3,14 +3,14 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One event of an event stream (WHATWG HTML, server-sent events).
+ * One server-sent event of an event stream (WHATWG HTML, section 9.2).
  *
- * @param id the last event id in force, null if none was given
- * @param type {@code message} unless named
+ * @param id the last event id received on the stream; null if there was none
+ * @param type the event type; {@code message} if none was given
  * @param data the data lines, joined by line feeds
  */
 public record SseEvent(String id, String type, String data) {
-  /** The bytes of an event on the stream; a null id or type is left out. */
+  /** Encodes an event; a null id or type is omitted. */
   public static byte[] encode(String id, String type, String data) {
     StringBuilder text = new StringBuilder(data.length() + 32);
     if (type != null) {
@@ -28,7 +28,7 @@
     return text.toString().getBytes(StandardCharsets.UTF_8);
   }
 
-  /** A comment, which readers drop; keeps a quiet stream alive. */
+  /** Encodes a comment, which clients ignore; serves to keep an idle stream alive. */
   public static byte[] comment(String text) {
     return (": " + text + "\n\n").getBytes(StandardCharsets.UTF_8);
   }
--- a/net/src/main/java/lemondock/net/sse/SseEventSink.java
+++ b/net/src/main/java/lemondock/net/sse/SseEventSink.java
@@ -1,14 +1,15 @@
 package lemondock.net.sse;
 
-/** Takes the events of an {@link SseDecoder} where they lie. */
+/** Receives the events of an {@link SseDecoder} without a copy of their data. */
 public interface SseEventSink {
   /**
-   * Takes one event. The array is the decoder's own and only valid until this returns.
+   * Accepts one event. The array belongs to the decoder and is only valid until this method
+   * returns.
    *
-   * @param id the last event id in force, null if none was given
-   * @param type {@code message} unless named
-   * @param data holds the data lines, joined by line feeds, in UTF-8
-   * @param length how many bytes of it count
+   * @param id the last event id received on the stream; null if there was none
+   * @param type the event type; {@code message} if none was given
+   * @param data array that begins with the data lines, joined by line feeds, in UTF-8
+   * @param length number of bytes of the array that belong to the event
    */
   void accept(String id, String type, byte[] data, int length);
 }
--- a/net/src/test/java/lemondock/net/http/ClientConnectionTest.java
+++ b/net/src/test/java/lemondock/net/http/ClientConnectionTest.java
@@ -25,10 +25,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** A client over real sockets, with plain sockets as unruly servers. */
+/** Tests the client over real sockets; plain sockets act as misbehaving servers. */
 class ClientConnectionTest {
-  /** Half of what a turn of the loop may take before it writes. */
-  private static final long MAX_HOLD_NANOS = 1_000_000;
+  /** Half of the time that a turn of the loop may take before it writes. */
+  private static final long MAX_BLOCKED_NANOS = 1_000_000;
 
   private static final int MAX_TRIES = 200;
 
@@ -68,7 +68,7 @@
         net.loop(), network, new HttpClientOptions(LIMITS, 1000, 2, 300_000, 5_000_000));
   }
 
-  /** Records what a receiver hears, as one text. */
+  /** Records the notifications of a receiver as one text. */
   private static final class Recorder implements ResponseReceiver {
     private final StringBuilder text = new StringBuilder();
     private final CompletableFuture<String> end = new CompletableFuture<>();
@@ -94,16 +94,16 @@
     }
 
     @Override
-    public void onFailure(RequestFailure failure, String what) {
+    public void onFailure(RequestFailure failure, String reason) {
       end.complete(text + " " + failure);
     }
   }
 
   private String send(HttpClient client, int port, String path) throws Exception {
-    return sendLater(client, port, path).get(10, TimeUnit.SECONDS);
+    return sendAsync(client, port, path).get(10, TimeUnit.SECONDS);
   }
 
-  private CompletableFuture<String> sendLater(HttpClient client, int port, String path) {
+  private CompletableFuture<String> sendAsync(HttpClient client, int port, String path) {
     Recorder recorder = new Recorder();
     net.loop()
         .execute(
@@ -115,38 +115,42 @@
     return recorder.end;
   }
 
-  /** A server that answers each connection with fixed bytes and closes it. */
-  private int answering(String text, int readFirst) throws IOException {
-    ServerSocket listening = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+  /**
+   * Starts a server that reads some bytes of one connection, writes fixed bytes and closes it.
+   *
+   * @return its port
+   */
+  private int startFixedResponseServer(String text, int requestBytes) throws IOException {
+    ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
     Thread thread =
         new Thread(
             () -> {
-              try (listening;
-                  Socket socket = listening.accept();
+              try (listener;
+                  Socket socket = listener.accept();
                   InputStream in = socket.getInputStream();
                   OutputStream out = socket.getOutputStream()) {
-                in.readNBytes(readFirst);
+                in.readNBytes(requestBytes);
                 out.write(text.getBytes(StandardCharsets.ISO_8859_1));
                 out.flush();
-                if (readFirst == 0) {
+                if (requestBytes == 0) {
                   socket.setSoLinger(true, 0);
                 }
               } catch (IOException e) {
-                // the client broke off
+                // the client closed the connection
               }
             });
     thread.setDaemon(true);
     thread.start();
-    return listening.getLocalPort();
+    return listener.getLocalPort();
   }
 
   /**
-   * Gives how a request of that size fails at a peer that reads nothing and then resets the
-   * connection.
+   * Sends a request with a body of the given size to a peer that reads nothing and then resets the
+   * connection; returns how it fails.
    */
-  private String failureAtReset(int size) throws Exception {
+  private String failureAfterReset(int bodyBytes) throws Exception {
     Recorder recorder = new Recorder();
-    try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+    try (ServerSocket silentServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       HttpClient client =
           new HttpClient(
               net.loop(),
@@ -156,25 +160,27 @@
           .execute(
               () ->
                   client.send(
-                      new InetSocketAddress(InetAddress.getLoopbackAddress(), deaf.getLocalPort()),
-                      HttpEncoder.request("POST", "/", Headers.of("host", "h"), new byte[size]),
+                      new InetSocketAddress(
+                          InetAddress.getLoopbackAddress(), silentServer.getLocalPort()),
+                      HttpEncoder.request(
+                          "POST", "/", Headers.of("host", "h"), new byte[bodyBytes]),
                       recorder));
-      try (Socket taken = deaf.accept()) {
+      try (Socket accepted = silentServer.accept()) {
         Thread.sleep(200);
-        taken.setSoLinger(true, 0);
+        accepted.setSoLinger(true, 0);
       }
       return recorder.end.get(5, TimeUnit.SECONDS);
     }
   }
 
   @Test
-  void onlyARequestThatWasSentCompletelyMayHaveRun() throws Exception {
-    assertEquals(" NOT_SENT", failureAtReset(64 << 20));
-    assertEquals(" CONNECTION_LOST", failureAtReset(1_000));
+  void onlyCompletelySentRequestsMayHaveRun() throws Exception {
+    assertEquals(" NOT_SENT", failureAfterReset(64 << 20));
+    assertEquals(" CONNECTION_LOST", failureAfterReset(1_000));
   }
 
   @Test
-  void oneConnectionServesRequestAfterRequest() throws Exception {
+  void oneConnectionCarriesSuccessiveRequests() throws Exception {
     HttpClient client = client();
     assertEquals("200 /x0 done", send(client, server.address().getPort(), "/x"));
     assertEquals("200 a b done", send(client, server.address().getPort(), "/events"));
@@ -183,32 +189,40 @@
   }
 
   @Test
-  void failuresSayWhetherAnythingWasSent() throws Exception {
-    int closed;
+  void failuresTellWhetherTheRequestWasSent() throws Exception {
+    int closedPort;
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      closed = socket.getLocalPort();
+      closedPort = socket.getLocalPort();
     }
     HttpClient client = client();
-    assertEquals(" NOT_SENT", send(client, closed, "/"));
-    assertEquals(" CONNECTION_LOST", send(client, answering("", 10), "/"));
+    assertEquals(" NOT_SENT", send(client, closedPort, "/"));
+    assertEquals(" CONNECTION_LOST", send(client, startFixedResponseServer("", 10), "/"));
     assertEquals(
         "200 CONNECTION_LOST",
-        send(client, answering("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 10), "/"));
+        send(
+            client,
+            startFixedResponseServer("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 10),
+            "/"));
     assertEquals(
         "200 CONNECTION_LOST",
         send(
             client,
-            answering("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", 10),
+            startFixedResponseServer(
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", 10),
             "/"));
-    assertEquals(" MALFORMED", send(client, answering("SOMETHING ELSE\r\n\r\n", 10), "/"));
+    assertEquals(
+        " MALFORMED", send(client, startFixedResponseServer("SOMETHING ELSE\r\n\r\n", 10), "/"));
     assertEquals(
         " MALFORMED",
-        send(client, answering("HTTP/1.1 200 OK\r\n" + "A: b\r\n".repeat(500), 10), "/"));
+        send(
+            client,
+            startFixedResponseServer("HTTP/1.1 200 OK\r\n" + "A: b\r\n".repeat(500), 10),
+            "/"));
     assertEquals(
         "200 MALFORMED",
         send(
             client,
-            answering(
+            startFixedResponseServer(
                 "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
                     + "data: "
                     + "x".repeat(2000),
@@ -217,26 +231,26 @@
   }
 
   @Test
-  void aPooledConnectionThatItsPeerClosesIsNotUsedAgain() throws Exception {
+  void pooledConnectionClosedByPeerIsNotReused() throws Exception {
     HttpClient client = client();
-    int port = answering("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 10);
+    int port = startFixedResponseServer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 10);
     assertEquals("200 ok done", send(client, port, "/"));
     await(() -> net.onLoop(client::openConnections) == 0);
-    // a new connection is tried, and nobody listens any more
+    // a new connection is attempted, and the port is closed
     assertEquals(" NOT_SENT", send(client, port, "/"));
   }
 
   @Test
-  void aConnectionWithPartOfAFurtherResponseIsNotUsedAgain() throws Exception {
+  void connectionWithPartOfAnotherResponseIsNotReused() throws Exception {
     HttpClient client = client();
     for (String surplus : List.of("HTTP/1.1 2", "H")) {
-      try (ServerSocket listening = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-        CompletableFuture<String> first = sendLater(client, listening.getLocalPort(), "/");
-        try (Socket peer = listening.accept()) {
+      try (ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+        CompletableFuture<String> first = sendAsync(client, listener.getLocalPort(), "/");
+        try (Socket peer = listener.accept()) {
           peer.getInputStream().readNBytes(10);
           write(peer, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok" + surplus);
           assertEquals("200 ok done", first.get(10, TimeUnit.SECONDS));
-          InetSocketAddress address = new InetSocketAddress("127.0.0.1", listening.getLocalPort());
+          InetSocketAddress address = new InetSocketAddress("127.0.0.1", listener.getLocalPort());
           assertEquals(false, net.onLoop(() -> client.hasIdleConnection(address)), surplus);
         }
       }
@@ -244,33 +258,33 @@
   }
 
   /**
-   * The loop is held between queueing the second request and writing it, while the surplus of the
-   * first response comes. A turn of the loop writes after 2 ms at the latest, whatever waits, and a
-   * request that was written counts as sent; so a try in which the hold took longer than {@link
-   * #MAX_HOLD_NANOS} shows nothing and is repeated.
+   * Blocks the loop between queueing the second request and writing it, while surplus bytes of the
+   * first response arrive. A turn of the loop writes after at most 2 ms, even with tasks waiting,
+   * and a request that was written counts as sent. A try in which the loop was blocked for longer
+   * than {@link #MAX_BLOCKED_NANOS} is therefore inconclusive and is repeated.
    */
   @Test
-  void surplusThatComesBeforeTheNextRequestIsWrittenIsNotItsResponse() throws Exception {
+  void surplusBytesBeforeARequestIsWrittenAreNotItsResponse() throws Exception {
     Optional<String> end = Optional.empty();
     for (int tries = 0; end.isEmpty() && tries < MAX_TRIES; tries++) {
       end = endOfRequestQueuedBeforeSurplus();
     }
-    assertTrue(end.isPresent(), "the loop was never held for so short a time");
+    assertTrue(end.isPresent(), "the loop was blocked for too long in all " + MAX_TRIES + " tries");
     assertTrue(end.get().matches("NOT_SENT .*before the request was written"), end.get());
   }
 
-  /** How the second request ended; empty if the loop was held for too long. */
+  /** Returns how the second request ended; empty if the loop was blocked for too long. */
   private Optional<String> endOfRequestQueuedBeforeSurplus() throws Exception {
     Semaphore surplusDecoded = new Semaphore(0);
-    Semaphore surplusHandedOver = new Semaphore(0);
+    Semaphore surplusPassedToLoop = new Semaphore(0);
     CompletableFuture<Void> queued = new CompletableFuture<>();
-    CompletableFuture<Long> heldNanos = new CompletableFuture<>();
+    CompletableFuture<Long> blockedNanos = new CompletableFuture<>();
     CompletableFuture<String> end = new CompletableFuture<>();
     try (AsyncNetwork oneThread = new AsyncNetwork(net.loop(), 1, 1);
-        ServerSocket listening = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+        ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         ServerSocket other = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
       HttpClient client = client(oneThread);
-      CompletableFuture<String> first = sendLater(client, listening.getLocalPort(), "/");
+      CompletableFuture<String> first = sendAsync(client, listener.getLocalPort(), "/");
       CompletableFuture<String> otherEnd = new CompletableFuture<>();
       net.loop()
           .execute(
@@ -278,8 +292,8 @@
                   client.send(
                       address(other),
                       HttpEncoder.request("GET", "/o", Headers.of("host", "a"), new byte[0]),
-                      onEventDecoded(surplusHandedOver::release, otherEnd)));
-      try (Socket peer = listening.accept();
+                      onEventDecoded(surplusPassedToLoop::release, otherEnd)));
+      try (Socket peer = listener.accept();
           Socket otherPeer = other.accept()) {
         otherPeer.getInputStream().readNBytes(10);
         peer.getInputStream().readNBytes(10);
@@ -289,31 +303,34 @@
             () -> {
               final long startNanos = System.nanoTime();
               client.send(
-                  address(listening),
+                  address(listener),
                   HttpEncoder.request("GET", "/2", Headers.of("host", "a"), new byte[0]),
                   onEventDecoded(surplusDecoded::release, end));
               queued.complete(null);
-              surplusHandedOver.acquireUninterruptibly();
-              heldNanos.complete(System.nanoTime() - startNanos);
+              surplusPassedToLoop.acquireUninterruptibly();
+              blockedNanos.complete(System.nanoTime() - startNanos);
             });
         queued.get(10, TimeUnit.SECONDS);
         write(peer, STALE_EVENT_STREAM);
         assertTrue(surplusDecoded.tryAcquire(10, TimeUnit.SECONDS), "no surplus was decoded");
-        // The thread that handed the surplus over comes to this event next.
+        // The I/O thread decodes this event after it has passed the surplus to the loop.
         write(otherPeer, STALE_EVENT_STREAM);
         String ended = end.get(10, TimeUnit.SECONDS);
-        return heldNanos.get(10, TimeUnit.SECONDS) < MAX_HOLD_NANOS
+        return blockedNanos.get(10, TimeUnit.SECONDS) < MAX_BLOCKED_NANOS
             ? Optional.of(ended)
             : Optional.empty();
       }
     }
   }
 
-  private static InetSocketAddress address(ServerSocket listening) {
-    return new InetSocketAddress("127.0.0.1", listening.getLocalPort());
+  private static InetSocketAddress address(ServerSocket listener) {
+    return new InetSocketAddress("127.0.0.1", listener.getLocalPort());
   }
 
-  /** Runs a task on the I/O thread that decodes an event, and completes with how the call ends. */
+  /**
+   * Creates a receiver that runs a task on the I/O thread when an event is decoded, and completes
+   * the future with the outcome of the call.
+   */
   private static ResponseReceiver onEventDecoded(Runnable task, CompletableFuture<String> end) {
     return new ResponseReceiver() {
       @Override
@@ -328,14 +345,14 @@
       }
 
       @Override
-      public void onFailure(RequestFailure failure, String what) {
-        end.complete(failure + " " + what);
+      public void onFailure(RequestFailure failure, String reason) {
+        end.complete(failure + " " + reason);
       }
     };
   }
 
   @Test
-  void connectionsToOneAddressAreBounded() throws Exception {
+  void connectionsPerAddressAreLimited() throws Exception {
     HttpClient client = client();
     Recorder first = new Recorder();
     Recorder second = new Recorder();
--- a/net/src/test/java/lemondock/net/http/HttpClientTest.java
+++ b/net/src/test/java/lemondock/net/http/HttpClientTest.java
@@ -13,13 +13,13 @@
 import lemondock.net.time.ManualLoop;
 import org.junit.jupiter.api.Test;
 
-/** The pool's bounds, on a clock and a network moved by hand. */
+/** Tests the limits of the connection pool on a manual clock and a scripted network. */
 class HttpClientTest {
-  private static final InetSocketAddress A = new InetSocketAddress("127.0.0.1", 1);
-  private static final InetSocketAddress B = new InetSocketAddress("127.0.0.1", 2);
+  private static final InetSocketAddress ADDRESS_A = new InetSocketAddress("127.0.0.1", 1);
+  private static final InetSocketAddress ADDRESS_B = new InetSocketAddress("127.0.0.1", 2);
 
   private final ManualLoop loop = new ManualLoop(0);
-  private final List<String> heard = new ArrayList<>();
+  private final List<String> notifications = new ArrayList<>();
   private final ScriptedNetwork<FakeConnection> network =
       new ScriptedNetwork<>(loop, FakeConnection::new);
   private final List<FakeConnection> connections = network.connections();
@@ -31,14 +31,14 @@
 
   private final class FakeConnection extends ScriptedConnection {
     private int requests;
-    private long taken;
-    private boolean takes = true;
+    private long flushedBytes;
+    private boolean flushesLastByte = true;
 
     FakeConnection(InetSocketAddress peer, Handler handler) {
       super(loop, peer, handler);
     }
 
-    void answer() {
+    void respond() {
       receive("HTTP/1.1 204 No Content\r\n\r\n");
       loop.runTasks();
     }
@@ -46,12 +46,12 @@
     @Override
     public void write(ByteBuffer bytes) {
       requests++;
-      taken += takes ? bytes.remaining() : bytes.remaining() - 1;
+      flushedBytes += flushesLastByte ? bytes.remaining() : bytes.remaining() - 1;
     }
 
     @Override
     public long flushedBytes() {
-      return taken;
+      return flushedBytes;
     }
   }
 
@@ -59,12 +59,12 @@
       new ResponseReceiver() {
         @Override
         public void onComplete() {
-          heard.add("done");
+          notifications.add("done");
         }
 
         @Override
-        public void onFailure(RequestFailure failure, String what) {
-          heard.add(failure.toString());
+        public void onFailure(RequestFailure failure, String reason) {
+          notifications.add(failure.toString());
         }
       };
 
@@ -74,28 +74,28 @@
   }
 
   @Test
-  void aConnectionIsQuietForAWhileBeforeItIsUsedAgain() throws IOException {
-    send(A);
-    connections.get(0).answer();
-    send(A);
+  void connectionIsReusedOnlyAfterTheReuseDelay() throws IOException {
+    send(ADDRESS_A);
+    connections.get(0).respond();
+    send(ADDRESS_A);
     assertEquals(2, connections.size());
     loop.advance(11_000);
-    connections.get(1).answer();
-    send(A);
+    connections.get(1).respond();
+    send(ADDRESS_A);
     assertEquals(2, connections.get(0).requests);
   }
 
   @Test
-  void theConnectionIdleForLongestMakesRoomForAnother() throws IOException {
-    send(A);
-    send(A);
-    send(B);
-    assertEquals(List.of("LOCAL_LIMIT_REACHED"), heard);
-    connections.get(1).answer();
+  void longestIdleConnectionIsClosedForANewOne() throws IOException {
+    send(ADDRESS_A);
+    send(ADDRESS_A);
+    send(ADDRESS_B);
+    assertEquals(List.of("LOCAL_LIMIT_REACHED"), notifications);
+    connections.get(1).respond();
     loop.advance(11_000);
-    connections.get(0).answer();
+    connections.get(0).respond();
     loop.advance(11_000);
-    send(B);
+    send(ADDRESS_B);
     assertEquals(3, connections.size());
     assertEquals(
         List.of(false, true),
@@ -104,55 +104,55 @@
   }
 
   @Test
-  void aRequestWhoseLastByteWasNotSentProvablyNeverRan() throws IOException {
-    send(A);
-    connections.get(0).answer();
+  void requestWithoutItsLastByteFlushedFailsAsNotSent() throws IOException {
+    send(ADDRESS_A);
+    connections.get(0).respond();
     loop.advance(11_000);
-    connections.get(0).takes = false;
-    send(A);
+    connections.get(0).flushesLastByte = false;
+    send(ADDRESS_A);
     connections.get(0).abort();
     loop.runTasks();
-    send(A);
+    send(ADDRESS_A);
     connections.get(1).abort();
     loop.runTasks();
-    assertEquals(List.of("done", "NOT_SENT", "CONNECTION_LOST"), heard);
+    assertEquals(List.of("done", "NOT_SENT", "CONNECTION_LOST"), notifications);
   }
 
   @Test
-  void anIdleConnectionThatReceivesBytesIsNotUsedAgain() throws IOException {
-    send(A);
-    connections.get(0).answer();
+  void idleConnectionThatReceivesBytesIsNotReused() throws IOException {
+    send(ADDRESS_A);
+    connections.get(0).respond();
     loop.advance(11_000);
-    connections.get(0).answer();
-    send(A);
+    connections.get(0).respond();
+    send(ADDRESS_A);
     assertEquals(2, connections.size());
-    assertEquals(List.of("done"), heard);
+    assertEquals(List.of("done"), notifications);
   }
 
   @Test
-  void aRequestIsMadeWhenItsConnectionIsUp() {
+  void requestIsBuiltWhenItsConnectionIsEstablished() {
     client.send(
-        A,
+        ADDRESS_A,
         () -> {
-          heard.add("made");
+          notifications.add("built");
           return Optional.of(HttpEncoder.request("GET", "/", new Headers(), new byte[0]));
         },
         receiver);
-    assertEquals(List.of(), heard);
+    assertEquals(List.of(), notifications);
     loop.runTasks();
-    assertEquals(List.of("made"), heard);
-    connections.get(0).answer();
+    assertEquals(List.of("built"), notifications);
+    connections.get(0).respond();
     loop.advance(11_000);
-    client.send(A, Optional::empty, receiver);
+    client.send(ADDRESS_A, Optional::empty, receiver);
     loop.runTasks();
-    assertEquals(List.of("made", "done", "NOT_SENT"), heard);
+    assertEquals(List.of("built", "done", "NOT_SENT"), notifications);
     assertEquals(1, connections.get(0).requests);
-    send(A);
-    connections.get(0).answer();
+    send(ADDRESS_A);
+    connections.get(0).respond();
     assertEquals(
-        List.of("made", "done", "NOT_SENT", "done"),
-        heard,
-        "the connection of a withdrawn request is used again");
+        List.of("built", "done", "NOT_SENT", "done"),
+        notifications,
+        "the connection of a withdrawn request is reused");
     assertEquals(1, connections.size());
   }
 }
--- a/net/src/test/java/lemondock/net/http/HttpDecoderTest.java
+++ b/net/src/test/java/lemondock/net/http/HttpDecoderTest.java
@@ -18,66 +18,72 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class HttpDecoderTest {
-  private static final HttpLimits SMALL = new HttpLimits(100, 300, 8, 50);
+  private static final HttpLimits SMALL_LIMITS = new HttpLimits(100, 300, 8, 50);
   private static final String HOST = "Host: a\r\n";
 
-  /** A piece of content, where it came among the events. */
-  private record Data(byte[] bytes) {}
+  /** A piece of content in its place among the events. */
+  private record Content(byte[] bytes) {}
 
   private static List<Object> requests(String text) {
     return decode(
-        HttpDecoder.forRequests(SMALL), text.getBytes(StandardCharsets.ISO_8859_1), text.length());
+        HttpDecoder.forRequests(SMALL_LIMITS),
+        text.getBytes(StandardCharsets.ISO_8859_1),
+        text.length());
   }
 
-  private static List<Object> responses(String text, boolean ends) {
-    HttpDecoder decoder = HttpDecoder.forResponses(SMALL);
+  private static List<Object> responses(String text, boolean endOfInput) {
+    HttpDecoder decoder = HttpDecoder.forResponses(SMALL_LIMITS);
     List<Object> events =
         decode(decoder, text.getBytes(StandardCharsets.ISO_8859_1), text.length());
-    if (ends) {
+    if (endOfInput) {
       decoder.end(events);
     }
     return events;
   }
 
-  private static List<Object> decode(HttpDecoder decoder, byte[] bytes, int step) {
+  private static List<Object> decode(HttpDecoder decoder, byte[] bytes, int pieceBytes) {
     List<Object> events = new ArrayList<>();
     decoder.withContentSink(
         piece -> {
           byte[] copy = new byte[piece.remaining()];
           piece.get(copy);
-          events.add(new Data(copy));
+          events.add(new Content(copy));
         });
-    for (int at = 0; at < bytes.length; at += step) {
-      decoder.decode(ByteBuffer.wrap(bytes, at, Math.min(step, bytes.length - at)), events);
+    for (int offset = 0; offset < bytes.length; offset += pieceBytes) {
+      decoder.decode(
+          ByteBuffer.wrap(bytes, offset, Math.min(pieceBytes, bytes.length - offset)), events);
     }
     return events;
   }
 
   /**
-   * What was found, with pieces of content joined, so that it does not depend on how bytes were
-   * split.
+   * Returns the events as text with pieces of content joined, so that the result does not depend on
+   * how the bytes were split.
    */
   private static String joined(List<Object> events) {
     StringBuilder text = new StringBuilder();
     ByteArrayOutputStream data = new ByteArrayOutputStream();
-    for (Object e : events) {
-      if (e instanceof Data d) {
-        data.writeBytes(d.bytes());
-      } else if (!(e instanceof HttpEvent.Began)) {
+    for (Object event : events) {
+      if (event instanceof Content content) {
+        data.writeBytes(content.bytes());
+      } else if (!(event instanceof HttpEvent.Began)) {
         text.append(data.toString(StandardCharsets.ISO_8859_1)).append('|');
         data.reset();
-        text.append(e instanceof HttpEvent.Malformed m ? "malformed " + m.status() : e.toString());
+        text.append(
+            event instanceof HttpEvent.Malformed malformed
+                ? "malformed " + malformed.status()
+                : event.toString());
       }
     }
     return text.append(data.toString(StandardCharsets.ISO_8859_1)).toString();
   }
 
-  private static HttpEvent.Malformed refused(List<Object> events) {
+  private static HttpEvent.Malformed rejection(List<Object> events) {
     return assertInstanceOf(HttpEvent.Malformed.class, events.get(events.size() - 1));
   }
 
   @Test
-  void pipelinedRequestsSplitAnywhereAreTheSame() {
+  void pipelinedRequestsDecodeTheSameHoweverSplit() {
     byte[] bytes =
         ("POST /a HTTP/1.1\r\n"
                 + HOST
@@ -95,10 +101,10 @@
                 + "0\r\n"
                 + "T: u\r\n\r\n")
             .getBytes(StandardCharsets.ISO_8859_1);
-    String whole = joined(decode(HttpDecoder.forRequests(SMALL), bytes, bytes.length));
+    String whole = joined(decode(HttpDecoder.forRequests(SMALL_LIMITS), bytes, bytes.length));
     assertTrue(whole.contains("hello|End") && whole.contains("abcde|End"), whole);
-    for (int step = 1; step < bytes.length; step++) {
-      assertEquals(whole, joined(decode(HttpDecoder.forRequests(SMALL), bytes, step)));
+    for (int pieceBytes = 1; pieceBytes < bytes.length; pieceBytes++) {
+      assertEquals(whole, joined(decode(HttpDecoder.forRequests(SMALL_LIMITS), bytes, pieceBytes)));
     }
   }
 
@@ -201,26 +207,26 @@
             + "\\n"
             + " ~ 400 ~ chunk size",
       })
-  void whatTwoImplementationsCouldReadDifferentlyIsRefused(String text, int status, String word) {
+  void malformedOrAmbiguousRequestIsRejected(String text, int status, String expectedWord) {
     String bytes = text.replace("\\r", "\r").replace("\\n", "\n").replace("\\u0001", "\u0001");
-    HttpEvent.Malformed refused = refused(requests(bytes));
-    assertEquals(status, refused.status(), refused.reason());
-    assertTrue(refused.reason().contains(word), refused.reason());
+    HttpEvent.Malformed rejection = rejection(requests(bytes));
+    assertEquals(status, rejection.status(), rejection.reason());
+    assertTrue(rejection.reason().contains(expectedWord), rejection.reason());
   }
 
   @Test
-  void sizesAreBounded() {
-    assertEquals(414, refused(requests("GET /" + "x".repeat(200))).status());
-    assertEquals(431, refused(requests("GET / HTTP/1.1\r\nA: " + "x".repeat(200))).status());
+  void messageSizesAreLimited() {
+    assertEquals(414, rejection(requests("GET /" + "x".repeat(200))).status());
+    assertEquals(431, rejection(requests("GET / HTTP/1.1\r\nA: " + "x".repeat(200))).status());
     assertEquals(
-        431, refused(requests("GET / HTTP/1.1\r\n" + "A: b\r\n".repeat(9) + "\r\n")).status());
+        431, rejection(requests("GET / HTTP/1.1\r\n" + "A: b\r\n".repeat(9) + "\r\n")).status());
     assertEquals(
         431,
-        refused(requests("GET / HTTP/1.1\r\n" + ("A: " + "y".repeat(90) + "\r\n").repeat(4)))
+        rejection(requests("GET / HTTP/1.1\r\n" + ("A: " + "y".repeat(90) + "\r\n").repeat(4)))
             .status());
     assertEquals(
         413,
-        refused(
+        rejection(
                 requests(
                     "POST / HTTP/1.1\r\n"
                         + HOST
@@ -229,7 +235,7 @@
             .status());
     assertEquals(
         413,
-        refused(
+        rejection(
                 requests(
                     "POST / HTTP/1.1\r\n"
                         + HOST
@@ -238,39 +244,40 @@
   }
 
   @Test
-  void nothingFollowsARefusal() {
+  void rejectionIsTheLastEvent() {
     List<Object> events = requests("BAD\r\n\r\nGET / HTTP/1.1\r\n" + HOST + "\r\n");
-    refused(events);
+    rejection(events);
   }
 
   @ParameterizedTest
   @ValueSource(
       strings = {"HTTP/1.1 200 OK\r\n\r\nuntil close", "HTTP/1.0 200 OK\r\n\r\nuntil close"})
-  void aResponseWithoutALengthLastsUntilTheClose(String text) {
+  void responseWithoutLengthEndsAtTheClose(String text) {
     assertTrue(joined(responses(text, true)).endsWith("until close|End[]"));
   }
 
   @Test
-  void responsesAreFramed() {
+  void responsesAreDelimitedByTheirFraming() {
     assertTrue(
         joined(responses("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No\r\n\r\n", false))
             .contains("status=204"));
     assertEquals(
-        400, refused(responses("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", true)).status());
+        400,
+        rejection(responses("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", true)).status());
     assertEquals(
         400,
-        refused(
+        rejection(
                 responses(
                     "HTTP/1.1 200 OK\r\n" + "Transfer-Encoding: chunked\r\n\r\n" + "5\r\n" + "ab",
                     true))
             .status());
-    assertEquals(502, refused(responses("HTP/1.1 200 OK\r\n", false)).status());
-    assertEquals(502, refused(responses("HTTP/1.1 999999 OK\r\n", false)).status());
+    assertEquals(502, rejection(responses("HTP/1.1 200 OK\r\n", false)).status());
+    assertEquals(502, rejection(responses("HTTP/1.1 999999 OK\r\n", false)).status());
   }
 
-  /** No bytes make the decoder throw, and a refusal is always the last thing it finds. */
+  /** The decoder throws for no input, and a rejection is always its last event. */
   @Property(tries = 2_000, seed = "20261201")
-  void anyBytesAreSurvived(@ForAll byte[] bytes, @ForAll long seed) {
+  void arbitraryBytesDoNotBreakTheDecoder(@ForAll byte[] bytes, @ForAll long seed) {
     Random random = new Random(seed);
     byte[] base =
         ("POST /a HTTP/1.1\r\n" + HOST + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
@@ -280,32 +287,33 @@
     mixed.writeBytes(bytes);
     mixed.write(base, 0, base.length);
     for (HttpDecoder decoder :
-        List.of(HttpDecoder.forRequests(SMALL), HttpDecoder.forResponses(SMALL))) {
+        List.of(HttpDecoder.forRequests(SMALL_LIMITS), HttpDecoder.forResponses(SMALL_LIMITS))) {
       List<Object> events = decode(decoder, mixed.toByteArray(), 1 + random.nextInt(20));
       decoder.end(events);
-      long refusals = events.stream().filter(e -> e instanceof HttpEvent.Malformed).count();
-      assertTrue(refusals <= 1);
-      assertTrue(refusals == 0 || events.get(events.size() - 1) instanceof HttpEvent.Malformed);
+      long rejections =
+          events.stream().filter(event -> event instanceof HttpEvent.Malformed).count();
+      assertTrue(rejections <= 1);
+      assertTrue(rejections == 0 || events.get(events.size() - 1) instanceof HttpEvent.Malformed);
     }
   }
 
-  /** What the encoder writes, the decoder reads back. */
+  /** The decoder restores what the encoder wrote. */
   @Property(tries = 500, seed = "20261201")
-  void writtenRequestsAreReadBack(@ForAll byte[] given, @ForAll long seed) {
-    byte[] body = given.length > 50 ? java.util.Arrays.copyOf(given, 50) : given;
-    ByteBuffer out = HttpEncoder.request("POST", "/x", Headers.of("Host", "h"), body);
-    byte[] bytes = new byte[out.remaining()];
-    out.get(bytes);
+  void encodedRequestsAreDecodedUnchanged(@ForAll byte[] arbitrary, @ForAll long seed) {
+    byte[] body = arbitrary.length > 50 ? java.util.Arrays.copyOf(arbitrary, 50) : arbitrary;
+    ByteBuffer encoded = HttpEncoder.request("POST", "/x", Headers.of("Host", "h"), body);
+    byte[] bytes = new byte[encoded.remaining()];
+    encoded.get(bytes);
     List<Object> events =
-        decode(HttpDecoder.forRequests(SMALL), bytes, 1 + new Random(seed).nextInt(30));
-    ByteArrayOutputStream got = new ByteArrayOutputStream();
+        decode(HttpDecoder.forRequests(SMALL_LIMITS), bytes, 1 + new Random(seed).nextInt(30));
+    ByteArrayOutputStream decodedBody = new ByteArrayOutputStream();
     events.forEach(
-        e -> {
-          if (e instanceof Data d) {
-            got.writeBytes(d.bytes());
+        event -> {
+          if (event instanceof Content content) {
+            decodedBody.writeBytes(content.bytes());
           }
         });
-    org.junit.jupiter.api.Assertions.assertArrayEquals(body, got.toByteArray());
+    org.junit.jupiter.api.Assertions.assertArrayEquals(body, decodedBody.toByteArray());
     assertInstanceOf(HttpEvent.End.class, events.get(events.size() - 1));
   }
 }
--- a/net/src/test/java/lemondock/net/http/HttpServerTest.java
+++ b/net/src/test/java/lemondock/net/http/HttpServerTest.java
@@ -24,21 +24,21 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** Requests that are turned away by the first bytes of their content. */
+/** Tests early rejection, the budget for bodies and the discarding of excess requests. */
 @Timeout(20)
 class HttpServerTest {
-  /** Bytes of a body that the service needs to decide on an early rejection. */
+  /** Body bytes that the service needs to decide on an early rejection. */
   private static final int EARLY_REJECTION_BYTES = 600;
 
   private static final int HEAVY_BODY_BYTES = 1_024;
 
-  /** Body bytes that the server holds; less than a body that is rejected. */
+  /** Body bytes that the server may hold; fewer than a rejected body has. */
   private static final int BUDGET_BYTES = 64 * 1024;
 
   @RegisterExtension private final NetworkExtension net = new NetworkExtension(1, 8);
 
-  /** Lengths of the bodies that the service was asked early about. */
-  private final List<Integer> askedAfterBytes = new CopyOnWriteArrayList<>();
+  /** Body bytes received when the service was asked for an early rejection. */
+  private final List<Integer> earlyRejectionBodyBytes = new CopyOnWriteArrayList<>();
 
   private HttpServer server;
 
@@ -63,7 +63,7 @@
 
               @Override
               public Optional<HttpRejection> rejectEarly(HttpRequest request) {
-                askedAfterBytes.add(request.body().length);
+                earlyRejectionBodyBytes.add(request.body().length);
                 return request.body()[0] != 'x'
                     ? Optional.empty()
                     : Optional.of(
@@ -82,39 +82,44 @@
             });
   }
 
-  private static byte[] content(char kind, int size) {
+  private static byte[] content(char fill, int size) {
     byte[] bytes = new byte[size];
-    Arrays.fill(bytes, (byte) kind);
+    Arrays.fill(bytes, (byte) fill);
     return bytes;
   }
 
-  /** Sends content by its length, or in chunks of that size; gives status and body. */
-  private static String ask(Socket socket, byte[] content, int chunk) throws IOException {
+  /**
+   * Sends content with its length, or in chunks of {@code chunkBytes} if that is not 0.
+   *
+   * @return status and body of the response
+   */
+  private static String post(Socket socket, byte[] content, int chunkBytes) throws IOException {
     StringBuilder head = new StringBuilder("POST / HTTP/1.1\r\nhost: x\r\n");
-    head.append(chunk == 0 ? "content-length: " + content.length : "transfer-encoding: chunked")
+    head.append(
+            chunkBytes == 0 ? "content-length: " + content.length : "transfer-encoding: chunked")
         .append("\r\n\r\n");
     socket.getOutputStream().write(head.toString().getBytes(StandardCharsets.US_ASCII));
-    if (chunk == 0) {
+    if (chunkBytes == 0) {
       socket.getOutputStream().write(content);
     }
-    for (int at = 0; chunk > 0 && at < content.length; at += chunk) {
-      int size = Math.min(chunk, content.length - at);
+    for (int offset = 0; chunkBytes > 0 && offset < content.length; offset += chunkBytes) {
+      int size = Math.min(chunkBytes, content.length - offset);
       socket
           .getOutputStream()
           .write((Integer.toHexString(size) + "\r\n").getBytes(StandardCharsets.US_ASCII));
-      socket.getOutputStream().write(content, at, size);
+      socket.getOutputStream().write(content, offset, size);
       socket.getOutputStream().write("\r\n".getBytes(StandardCharsets.US_ASCII));
     }
-    if (chunk > 0) {
+    if (chunkBytes > 0) {
       socket.getOutputStream().write("0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
     }
     InputStream in = socket.getInputStream();
     List<String> lines = new ArrayList<>();
     StringBuilder line = new StringBuilder();
     int length = 0;
-    for (int b = in.read(); b >= 0; b = in.read()) {
-      if (b != '\n') {
-        line.append(b == '\r' ? "" : (char) b);
+    for (int next = in.read(); next >= 0; next = in.read()) {
+      if (next != '\n') {
+        line.append(next == '\r' ? "" : (char) next);
         continue;
       }
       if (line.isEmpty()) {
@@ -132,72 +137,75 @@
   }
 
   @Test
-  void aBodyThatIsRejectedEarlyIsDiscardedAndTheConnectionStays() throws IOException {
+  void earlyRejectedBodyIsDiscardedAndConnectionKept() throws IOException {
     try (Socket socket = connect(server)) {
       for (int i = 0; i < 3; i++) {
-        assertEquals("503 no", ask(socket, content('x', 20 * BUDGET_BYTES), 0));
-        assertEquals("503 no", ask(socket, content('x', 20 * BUDGET_BYTES), 5_000));
-        assertEquals("200 5000", ask(socket, content('y', 5_000), 0));
-        assertEquals("200 5000", ask(socket, content('y', 5_000), 7));
+        assertEquals("503 no", post(socket, content('x', 20 * BUDGET_BYTES), 0));
+        assertEquals("503 no", post(socket, content('x', 20 * BUDGET_BYTES), 5_000));
+        assertEquals("200 5000", post(socket, content('y', 5_000), 0));
+        assertEquals("200 5000", post(socket, content('y', 5_000), 7));
       }
       assertTrue(
-          askedAfterBytes.stream().allMatch(g -> g >= HEAVY_BODY_BYTES && g < BUDGET_BYTES),
-          "looked at after " + askedAfterBytes);
-      assertEquals(12, askedAfterBytes.size(), "once a request");
+          earlyRejectionBodyBytes.stream()
+              .allMatch(bytes -> bytes >= HEAVY_BODY_BYTES && bytes < BUDGET_BYTES),
+          "asked for an early rejection after body bytes " + earlyRejectionBodyBytes);
+      assertEquals(12, earlyRejectionBodyBytes.size(), "asked exactly once per heavy request");
     }
   }
 
   @Test
-  void aRequestThatIsNotHeavyIsNotOfferedForEarlyRejection() throws IOException {
+  void lightRequestIsNotOfferedForEarlyRejection() throws IOException {
     try (Socket socket = connect(server)) {
-      assertEquals("200 1000", ask(socket, content('x', 1_000), 0));
-      assertEquals("200 0", ask(socket, new byte[0], 0));
-      assertEquals(List.of(), askedAfterBytes);
+      assertEquals("200 1000", post(socket, content('x', 1_000), 0));
+      assertEquals("200 0", post(socket, new byte[0], 0));
+      assertEquals(List.of(), earlyRejectionBodyBytes);
     }
   }
 
   @Test
-  void aBodyBeyondTheBudgetIsRefusedOnceAndClosesTheConnection() throws IOException {
+  void bodyBeyondTheBudgetGets503AndClosesTheConnection() throws IOException {
     try (Socket socket = connect(server)) {
-      String answer;
+      String response;
       try {
-        answer = ask(socket, content('y', 4 * BUDGET_BYTES), 0);
+        response = post(socket, content('y', 4 * BUDGET_BYTES), 0);
       } catch (IOException e) {
-        answer = "503 closed while it was sent";
+        response = "503 closed during the request";
       }
-      assertTrue(answer.startsWith("503"), answer);
+      assertTrue(response.startsWith("503"), response);
     }
     try (Socket socket = connect(server)) {
-      assertEquals("200 5000", ask(socket, content('y', 5_000), 0), "the room was given back");
+      assertEquals("200 5000", post(socket, content('y', 5_000), 0), "the budget was released");
     }
   }
 
-  /** The end of such a request may come with the very bytes that were too many. */
+  /** The end of a request may arrive in the same bytes that exceed the budget. */
   @Test
-  void whatABodyBeyondTheBudgetReservedIsReleased() throws IOException {
+  void reservationOfABodyBeyondTheBudgetIsReleased() throws IOException {
     for (int i = 0; i < 5; i++) {
-      for (int over : new int[] {1, 20, 400, 3_000}) {
+      for (int excessBytes : new int[] {1, 20, 400, 3_000}) {
         try (Socket socket = connect(server)) {
-          assertTrue(ask(socket, content('y', BUDGET_BYTES * 3 / 4 + over), 0).startsWith("503"));
+          assertTrue(
+              post(socket, content('y', BUDGET_BYTES * 3 / 4 + excessBytes), 0).startsWith("503"));
         }
       }
     }
-    String answer;
-    do { // the last connection's close may not have been heard yet; the test's time bounds this
+    String response;
+    do { // the server may not have noticed the last close yet; the test's timeout ends the loop
       try (Socket socket = connect(server)) {
-        answer = ask(socket, content('y', 40_000), 0);
+        response = post(socket, content('y', 40_000), 0);
       }
-    } while (answer.startsWith("503"));
-    assertEquals("200 40000", answer);
+    } while (response.startsWith("503"));
+    assertEquals("200 40000", response);
   }
 
-  private static final String SMALL = "POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 1\r\n\r\ny";
+  private static final String SMALL_REQUEST =
+      "POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 1\r\n\r\ny";
 
   @Test
-  void excessRequestsAreDiscardedAndTheLastResponseSaysClose() throws IOException {
-    HttpServer past =
+  void excessRequestsAreDiscardedAndLastResponseCloses() throws IOException {
+    HttpServer discarding =
         net.serve(
-            discardsExcessRequests(),
+            discardingOptions(),
             exchange ->
                 net.loop()
                     .schedule(
@@ -205,20 +213,23 @@
                         () ->
                             exchange.respond(
                                 200, new Headers(), "1".getBytes(StandardCharsets.US_ASCII))));
-    try (Socket socket = connect(past)) {
-      write(socket, SMALL.repeat(200));
-      String all = new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-      int answers = all.split("HTTP/1.1 200", -1).length - 1;
-      assertTrue(answers >= 16, all);
-      assertTrue(answers < 200, all);
-      assertTrue(all.lastIndexOf("connection: close") > all.lastIndexOf("HTTP/1.1 200"), all);
+    try (Socket socket = connect(discarding)) {
+      write(socket, SMALL_REQUEST.repeat(200));
+      String responseText =
+          new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+      int responses = responseText.split("HTTP/1.1 200", -1).length - 1;
+      assertTrue(responses >= 16, responseText);
+      assertTrue(responses < 200, responseText);
+      assertTrue(
+          responseText.lastIndexOf("connection: close") > responseText.lastIndexOf("HTTP/1.1 200"),
+          responseText);
     }
-    try (Socket socket = connect(past)) {
-      assertEquals("200 1", ask(socket, content('y', 45_000), 0), "the room was given back");
+    try (Socket socket = connect(discarding)) {
+      assertEquals("200 1", post(socket, content('y', 45_000), 0), "the budget was released");
     }
   }
 
-  private static HttpServerOptions discardsExcessRequests() {
+  private static HttpServerOptions discardingOptions() {
     return HttpServerOptions.builder()
         .limits(HttpLimits.DEFAULT)
         .maxConnections(10)
@@ -231,23 +242,23 @@
   }
 
   @Test
-  void aCloseIsNoticedBehindAnyNumberOfRequests() throws Exception {
+  void disconnectIsDetectedBehindManyQueuedRequests() throws Exception {
     CountDownLatch served = new CountDownLatch(1);
-    CountDownLatch gone = new CountDownLatch(1);
+    CountDownLatch disconnected = new CountDownLatch(1);
     HttpServer holding =
         net.serve(
-            discardsExcessRequests(),
+            discardingOptions(),
             exchange -> {
-              exchange.onDisconnect(gone::countDown);
+              exchange.onDisconnect(disconnected::countDown);
               served.countDown();
             });
     try (Socket socket = connect(holding)) {
-      write(socket, SMALL);
-      // so that those behind it fill all the places there are
+      write(socket, SMALL_REQUEST);
+      // so that the requests behind it fill the queue
       assertTrue(served.await(5, TimeUnit.SECONDS));
-      write(socket, SMALL.repeat(2_000));
-      assertFalse(gone.await(100, TimeUnit.MILLISECONDS));
+      write(socket, SMALL_REQUEST.repeat(2_000));
+      assertFalse(disconnected.await(100, TimeUnit.MILLISECONDS));
     }
-    assertTrue(gone.await(5, TimeUnit.SECONDS));
+    assertTrue(disconnected.await(5, TimeUnit.SECONDS));
   }
 }
--- a/net/src/test/java/lemondock/net/http/PathService.java
+++ b/net/src/test/java/lemondock/net/http/PathService.java
@@ -4,13 +4,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Responds as the path of a request asks: hold, flood, events, or the path and the body's length.
+ * Service whose response depends on the path: {@code /hold} gets none, {@code /flood} a long one,
+ * {@code /events} an event stream, any other the path and the body length.
  */
 final class PathService implements HttpService {
-  /** Exchanges whose client disconnected before their response was finished. */
+  /** Number of exchanges whose client disconnected before the response was finished. */
   final AtomicInteger disconnects = new AtomicInteger();
 
-  /** The last exchange that is not responded to. */
+  /** The last exchange that gets no response. */
   volatile HttpExchange held;
 
   @Override
--- a/net/src/test/java/lemondock/net/http/RequestArrivalTest.java
+++ b/net/src/test/java/lemondock/net/http/RequestArrivalTest.java
@@ -19,19 +19,22 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** Requests that came while the thread that reads them did something else count from then. */
+/**
+ * Tests that the arrival time of a request is correct even if it arrived while the I/O thread was
+ * blocked.
+ */
 @Timeout(20)
 class RequestArrivalTest {
   private static final String BLOCKING = "/blocking";
   private static final long BLOCKED_MILLIS = 600;
-  private static final long SETTLE_MILLIS = 250;
+  private static final long IDLE_MILLIS = 250;
 
-  /** Two intervals of the marks, and what lies between the clocks of this test. */
+  /** Two intervals of the arrival marks, plus the difference between the clocks of this test. */
   private static final long TOLERANCE_MICROS = TimeUnit.MILLISECONDS.toMicros(100);
 
   @RegisterExtension private final NetworkExtension net = new NetworkExtension(1, 1);
 
-  /** When each target's request is taken to have arrived. */
+  /** Arrival time that the server reports for each request target. */
   private final Map<String, Long> arrivedMicros = new ConcurrentHashMap<>();
 
   private final List<Socket> sockets = new ArrayList<>();
@@ -64,8 +67,8 @@
                 exchange.respond(200, new Headers(), new byte[0]);
               }
             });
-    serveOne("/first");
-    sleep(SETTLE_MILLIS);
+    sendAndAwaitArrival("/first");
+    sleep(IDLE_MILLIS);
   }
 
   @AfterEach
@@ -76,65 +79,69 @@
   }
 
   @Test
-  void aRequestOnAnOpenConnectionCountsFromItsArrival() throws Exception {
-    Socket open = serveOne("/opening");
-    sleep(SETTLE_MILLIS);
-    block();
+  void requestOnOpenConnectionHasItsArrivalTime() throws Exception {
+    Socket open = sendAndAwaitArrival("/opening");
+    sleep(IDLE_MILLIS);
+    blockIoThread();
     long sentMicros = send(open, "/late");
-    assertTrue(awaitArrival("/late") <= sentMicros + TOLERANCE_MICROS, lateBy("/late", sentMicros));
+    assertTrue(
+        awaitArrival("/late") <= sentMicros + TOLERANCE_MICROS, describeDelay("/late", sentMicros));
   }
 
-  /** New connections wait to be accepted one after another. */
+  /** The connections have to be accepted one after another. */
   @Test
-  void requestsOfACrowdOfNewConnectionsCountFromTheirArrival() throws Exception {
-    block();
+  void requestsOnManyNewConnectionsHaveTheirArrivalTimes() throws Exception {
+    blockIoThread();
     long[] sentMicros = new long[30];
     for (int i = 0; i < sentMicros.length; i++) {
-      sentMicros[i] = send(open(), "/crowd" + i);
+      sentMicros[i] = send(openConnection(), "/new" + i);
     }
     for (int i = 0; i < sentMicros.length; i++) {
-      String target = "/crowd" + i;
+      String target = "/new" + i;
       assertTrue(
-          awaitArrival(target) <= sentMicros[i] + TOLERANCE_MICROS, lateBy(target, sentMicros[i]));
+          awaitArrival(target) <= sentMicros[i] + TOLERANCE_MICROS,
+          describeDelay(target, sentMicros[i]));
     }
   }
 
   @Test
-  void aRequestInPiecesCountsFromItsLastPiece() throws Exception {
-    Socket open = serveOne("/opening");
+  void requestInPiecesHasArrivalTimeOfItsLastPiece() throws Exception {
+    Socket open = sendAndAwaitArrival("/opening");
     write(open, "GET /pieces HTTP/1.1\r\n");
-    sleep(SETTLE_MILLIS);
-    block();
+    sleep(IDLE_MILLIS);
+    blockIoThread();
     long sentMicros = net.loop().now();
     write(open, "host: a\r\n\r\n");
-    long arrived = awaitArrival("/pieces");
-    assertTrue(arrived <= sentMicros + TOLERANCE_MICROS, lateBy("/pieces", sentMicros));
-    assertTrue(arrived >= sentMicros - TOLERANCE_MICROS, "the first piece does not count");
+    long arrival = awaitArrival("/pieces");
+    assertTrue(arrival <= sentMicros + TOLERANCE_MICROS, describeDelay("/pieces", sentMicros));
+    assertTrue(
+        arrival >= sentMicros - TOLERANCE_MICROS, "the first piece must not set the arrival time");
   }
 
-  /** Most, for the machine may hold up single ones. */
+  /** Not all requests, because the machine may delay single ones. */
   @Test
-  void mostRequestsOfAQuietProcessCountFromTheMomentOfReading() throws Exception {
-    Socket open = serveOne("/opening");
-    int early = 0;
+  void mostRequestsOfAnIdleProcessHaveTheirReadTime() throws Exception {
+    Socket open = sendAndAwaitArrival("/opening");
+    int tooEarly = 0;
     for (int i = 0; i < 20; i++) {
       sleep(30);
       long sentMicros = send(open, "/quiet" + i);
       if (awaitArrival("/quiet" + i) < sentMicros) {
-        early++;
+        tooEarly++;
       }
     }
-    assertTrue(early <= 5, early + " of 20 requests counted from before they were sent");
+    assertTrue(
+        tooEarly <= 5, tooEarly + " of 20 requests have an arrival time before they were sent");
   }
 
-  private Socket open() throws IOException {
+  private Socket openConnection() throws IOException {
     Socket socket = connect(server);
     sockets.add(socket);
     return socket;
   }
 
-  private Socket serveOne(String target) throws Exception {
-    Socket socket = open();
+  private Socket sendAndAwaitArrival(String target) throws Exception {
+    Socket socket = openConnection();
     send(socket, target);
     awaitArrival(target);
     return socket;
@@ -146,9 +153,9 @@
     return sentMicros;
   }
 
-  /** From here on the thread that reads does nothing for a while. */
-  private void block() throws Exception {
-    send(open(), BLOCKING);
+  /** Blocks the I/O thread for {@link #BLOCKED_MILLIS}; returns once it is blocked. */
+  private void blockIoThread() throws Exception {
+    send(openConnection(), BLOCKING);
     awaitArrival(BLOCKING);
   }
 
@@ -157,8 +164,11 @@
     return arrivedMicros.get(target);
   }
 
-  private String lateBy(String target, long sentMicros) {
-    return target + " counts from " + (arrivedMicros.get(target) - sentMicros) + " us later";
+  private String describeDelay(String target, long sentMicros) {
+    return target
+        + ": arrival time is "
+        + (arrivedMicros.get(target) - sentMicros)
+        + " us after sending";
   }
 
   private static void sleep(long millis) {
--- a/net/src/test/java/lemondock/net/http/ServerConnectionTest.java
+++ b/net/src/test/java/lemondock/net/http/ServerConnectionTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** A server over real sockets, with plain sockets as unruly clients. */
+/** Tests the server over real sockets; plain sockets act as misbehaving clients. */
 class ServerConnectionTest {
   private static final HttpLimits LIMITS = new HttpLimits(1000, 2000, 20, 10_000);
 
@@ -49,7 +49,7 @@
   @Test
   void pipelinedRequestsAreAnsweredInOrder() throws IOException {
     try (Socket socket = connect(server)) {
-      String all =
+      String responses =
           ask(
               socket,
               "GET /1 HTTP/1.1\r\n"
@@ -61,13 +61,15 @@
                   + "Host: a\r\n"
                   + "Connection: close\r\n\r\n");
       assertTrue(
-          all.indexOf("/10") < all.indexOf("/23") && all.indexOf("/23") < all.indexOf("/30"), all);
-      assertTrue(all.contains("connection: close"), all);
+          responses.indexOf("/10") < responses.indexOf("/23")
+              && responses.indexOf("/23") < responses.indexOf("/30"),
+          responses);
+      assertTrue(responses.contains("connection: close"), responses);
     }
   }
 
   @Test
-  void aClientThatWaitsToContinueIsToldTo() throws IOException {
+  void clientThatExpectsContinueGetsIt() throws IOException {
     try (Socket socket = connect(server)) {
       write(
           socket,
@@ -83,14 +85,14 @@
   }
 
   @Test
-  void aMalformedRequestIsRefusedAndItsConnectionClosed() throws IOException {
+  void malformedRequestGets400AndClosesTheConnection() throws IOException {
     try (Socket socket = connect(server)) {
       assertTrue(ask(socket, "NONSENSE\r\n\r\n" + "x".repeat(3000)).startsWith("HTTP/1.1 400"));
     }
   }
 
   @Test
-  void aRequestThatIsNotCompleteInTimeIsRefused() throws IOException {
+  void requestThatIsIncompleteAtItsTimeoutGets408() throws IOException {
     try (Socket socket = connect(server)) {
       assertTrue(ask(socket, "GET / HT").startsWith("HTTP/1.1 408"));
     }
@@ -104,7 +106,7 @@
   }
 
   @Test
-  void aClientThatStopsReadingIsDisconnected() throws Exception {
+  void clientThatStopsReadingIsDisconnected() throws Exception {
     try (Socket socket = connect(server)) {
       write(socket, "GET /flood HTTP/1.1\r\nHost: a\r\n\r\n");
       await(() -> service.disconnects.get() == 1);
@@ -112,7 +114,7 @@
   }
 
   @Test
-  void theServiceHearsThatItsClientDisconnected() throws Exception {
+  void serviceIsNotifiedOfClientDisconnect() throws Exception {
     try (Socket socket = connect(server)) {
       write(socket, "GET /hold HTTP/1.1\r\nHost: a\r\n\r\n");
       await(() -> service.held != null);
@@ -121,9 +123,9 @@
   }
 
   @Test
-  void connectionsAndContentAreBounded() throws Exception {
+  void bufferedContentIsLimitedAndReleased() throws Exception {
     List<Socket> sockets = new ArrayList<>();
-    // two bodies of 8,000 of 10,000 bytes: the second exceeds the 15,000 of all
+    // 8,000 of 10,000 bytes of each of two bodies: the second exceeds the budget of 15,000 bytes
     for (int i = 0; i < 2; i++) {
       Socket socket = connect(server);
       sockets.add(socket);
@@ -134,9 +136,9 @@
     assertTrue(
         sockets.stream()
             .anyMatch(
-                s -> {
+                socket -> {
                   try {
-                    return readAll(s).startsWith("HTTP/1.1 503");
+                    return readAll(socket).startsWith("HTTP/1.1 503");
                   } catch (IOException e) {
                     return false;
                   }
@@ -146,7 +148,7 @@
     }
     await(
         () -> {
-          try (Socket socket = connect(server)) { // all that was taken is given back
+          try (Socket socket = connect(server)) { // the whole budget was released
             return ask(
                     socket,
                     "POST /b HTTP/1.1\r\n"
@@ -162,8 +164,8 @@
   }
 
   @Test
-  void largeBodiesLeaveAPartOfTheirBudgetToSmallOnes() throws Exception {
-    HttpServer roomy =
+  void largeBodiesLeavePartOfTheBudgetToSmallOnes() throws Exception {
+    HttpServer largeBudgetServer =
         net.serve(
             HttpServerOptions.builder()
                 .limits(new HttpLimits(1000, 2000, 20, 100_000))
@@ -175,17 +177,20 @@
                 .build(),
             exchange -> exchange.respond(200, new Headers(), new byte[0]));
     String large = "POST /l HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\n";
-    try (Socket first = connect(roomy);
-        Socket second = connect(roomy);
-        Socket small = connect(roomy)) {
+    try (Socket first = connect(largeBudgetServer);
+        Socket second = connect(largeBudgetServer);
+        Socket small = connect(largeBudgetServer)) {
       write(first, large + "x".repeat(60_000));
       write(second, large + "x".repeat(30_000));
-      CompletableFuture<String> one = CompletableFuture.supplyAsync(() -> readAllOrFailure(first));
-      CompletableFuture<String> two = CompletableFuture.supplyAsync(() -> readAllOrFailure(second));
-      String refused = (String) CompletableFuture.anyOf(one, two).get(10, TimeUnit.SECONDS);
+      CompletableFuture<String> firstResponse =
+          CompletableFuture.supplyAsync(() -> readAllOrFailure(first));
+      CompletableFuture<String> secondResponse =
+          CompletableFuture.supplyAsync(() -> readAllOrFailure(second));
+      String rejected =
+          (String) CompletableFuture.anyOf(firstResponse, secondResponse).get(10, TimeUnit.SECONDS);
       assertTrue(
-          refused.startsWith("HTTP/1.1 503"),
-          "90,000 of 100,000 are more than three quarters: " + refused);
+          rejected.startsWith("HTTP/1.1 503"),
+          "90,000 bytes exceed three quarters of the budget of 100,000: " + rejected);
       assertTrue(
           ask(
                   small,
@@ -199,9 +204,9 @@
   }
 
   @Test
-  void aHeavyRequestIsPreparedByAWorkerAndOnlyItsOwnConnectionWaits() throws Exception {
-    LinkedBlockingQueue<Runnable> work = new LinkedBlockingQueue<>(1);
-    HttpServer heavy =
+  void heavyRequestDelaysOnlyItsOwnConnection() throws Exception {
+    LinkedBlockingQueue<Runnable> workerTasks = new LinkedBlockingQueue<>(1);
+    HttpServer heavyBodyServer =
         net.serve(
             HttpServerOptions.builder()
                 .limits(LIMITS)
@@ -213,7 +218,7 @@
                 .heavyBodies(
                     500,
                     task -> {
-                      if (!work.offer(task)) {
+                      if (!workerTasks.offer(task)) {
                         throw new RejectedExecutionException();
                       }
                     })
@@ -234,25 +239,29 @@
             });
     String large = "POST /l HTTP/1.1\r\nHost: a\r\nContent-Length: 600\r\n\r\n" + "x".repeat(600);
     String last = "GET /s HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
-    try (Socket first = connect(heavy);
-        Socket second = connect(heavy)) {
+    try (Socket first = connect(heavyBodyServer);
+        Socket second = connect(heavyBodyServer)) {
       write(first, large + last);
-      await(() -> !work.isEmpty());
-      String both = ask(second, large + last);
-      assertTrue(both.startsWith("HTTP/1.1 503"), "there is no place left: " + both);
-      assertTrue(both.contains("prepared 0"), "its connection goes on: " + both);
-      for (int i = 0; i < 6; i++) { // whichever shard they come to
-        try (Socket other = connect(heavy)) {
+      await(() -> !workerTasks.isEmpty());
+      String secondResponses = ask(second, large + last);
+      assertTrue(
+          secondResponses.startsWith("HTTP/1.1 503"),
+          "the queue of the workers is full: " + secondResponses);
+      assertTrue(
+          secondResponses.contains("prepared 0"), "the connection is kept: " + secondResponses);
+      for (int i = 0; i < 6; i++) { // on any shard
+        try (Socket other = connect(heavyBodyServer)) {
           assertTrue(ask(other, last).contains("prepared 0"));
         }
       }
-      assertEquals(0, first.getInputStream().available(), "answered in order, so not yet");
-      work.take().run();
-      String all = readAll(first);
+      assertEquals(
+          0, first.getInputStream().available(), "no response before that of the heavy request");
+      workerTasks.take().run();
+      String responses = readAll(first);
       assertTrue(
-          all.indexOf("prepared 600") > 0
-              && all.indexOf("prepared 600") < all.indexOf("prepared 0"),
-          all);
+          responses.indexOf("prepared 600") > 0
+              && responses.indexOf("prepared 600") < responses.indexOf("prepared 0"),
+          responses);
     }
   }
 
--- a/net/src/test/java/lemondock/net/sse/SseTest.java
+++ b/net/src/test/java/lemondock/net/sse/SseTest.java
@@ -16,12 +16,12 @@
 class SseTest {
   private static final SseEventSink NO_SINK = (id, type, data, length) -> {};
 
-  private static List<SseEvent> decode(byte[] bytes, int step) {
+  private static List<SseEvent> decode(byte[] bytes, int pieceBytes) {
     SseDecoder decoder = new SseDecoder(10_000);
     List<SseEvent> events = new ArrayList<>();
-    for (int at = 0; at < bytes.length; at += step) {
+    for (int offset = 0; offset < bytes.length; offset += pieceBytes) {
       decoder.decode(
-          ByteBuffer.wrap(bytes, at, Math.min(step, bytes.length - at)),
+          ByteBuffer.wrap(bytes, offset, Math.min(pieceBytes, bytes.length - offset)),
           (id, type, data, length) ->
               events.add(
                   new SseEvent(id, type, new String(data, 0, length, StandardCharsets.UTF_8))));
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void theExamplesOfTheSpecificationAreDecoded() {
+  void specificationExamplesAreDecoded() {
     assertEquals(
         List.of(new SseEvent(null, "message", "YHOO\n+2\n10")),
         decode("data: YHOO\ndata: +2\ndata: 10\n\n"));
@@ -56,29 +56,33 @@
   }
 
   @Test
-  void anyLineEndIsTakenAndAByteOrderMarkIsSkipped() {
+  void allLineEndsAreAcceptedAndByteOrderMarkIsSkipped() {
     assertEquals(
         List.of(new SseEvent("7", "x", "a\nb"), new SseEvent("7", "message", "c")),
         decode("\uFEFFevent: x\rid: 7\r\ndata: a\ndata: b\r\r\ndata: c\r\n\r\n"));
   }
 
   @Test
-  void sizesAreBounded() {
-    SseDecoder decoder = new SseDecoder(20);
+  void lineAndEventSizesAreLimited() {
+    SseDecoder lineDecoder = new SseDecoder(20);
     assertThrows(
-        EventTooLongException.class, () -> decoder.decode(ByteBuffer.wrap(new byte[600]), NO_SINK));
-    SseDecoder other = new SseDecoder(20);
-    byte[] many =
+        EventTooLongException.class,
+        () -> lineDecoder.decode(ByteBuffer.wrap(new byte[600]), NO_SINK));
+    SseDecoder eventDecoder = new SseDecoder(20);
+    byte[] threeDataLines =
         "data: 0123456789\ndata: 0123456789\ndata: 0123456789\n\n".getBytes(StandardCharsets.UTF_8);
-    assertThrows(EventTooLongException.class, () -> other.decode(ByteBuffer.wrap(many), NO_SINK));
+    assertThrows(
+        EventTooLongException.class,
+        () -> eventDecoder.decode(ByteBuffer.wrap(threeDataLines), NO_SINK));
   }
 
   @Property(tries = 500, seed = "20261201")
-  void writtenEventsAreReadBack(@ForAll String text, @ForAll @IntRange(min = 1, max = 9) int step) {
+  void encodedEventsAreDecodedUnchanged(
+      @ForAll String text, @ForAll @IntRange(min = 1, max = 9) int pieceBytes) {
     String data =
         new String(text.replace("\r", "").getBytes(StandardCharsets.UTF_8), StandardCharsets.UTF_8);
-    List<SseEvent> events = decode(SseEvent.encode("3-4", "message", data), step);
+    List<SseEvent> events = decode(SseEvent.encode("3-4", "message", data), pieceBytes);
     assertEquals(List.of(new SseEvent("3-4", "message", data)), events);
-    assertTrue(decode(SseEvent.comment("x"), step).isEmpty());
+    assertTrue(decode(SseEvent.comment("x"), pieceBytes).isEmpty());
   }
 }
