--- a/gateway/src/main/java/lemondock/gateway/answer/Answer.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/Answer.java
@@ -6,18 +6,22 @@
 import lemondock.gateway.engine.CompletionChunk;
 
 /**
- * The states of one client's answer, which is made of requests to the engines (each a prefill and a
- * decode) with tool calls between them. It decides what an event leads to and does no I/O; {@link
- * AnswerActions} carries it out.
+ * The state machine of one client's answer. An answer consists of one or more requests to the
+ * engines (each a prefill and a decode) with tool calls between them. This class decides how to
+ * react to each event and does no I/O; {@link AnswerActions} carries out its decisions.
  *
- * <p>It keeps three promises. The answer ends once: every way out passes {@link #end}, which closes
- * all others. No tool call is relayed twice: tool calls are relayed when their request is complete;
- * a request that breaks before relays none, and one that is complete is never sent again. No token
- * comes twice or is missing: after a break the next request is given what was delivered and
- * continues behind it.
+ * <p>It guarantees three invariants:
  *
- * <p>Not thread safe: its caller holds a lock, so that {@link #onText} may come from an I/O thread
- * and everything else from the loop.
+ * <ul>
+ *   <li>The answer ends exactly once: {@link #end} and {@link #cancel} do nothing after the end.
+ *   <li>No tool call is relayed twice: tool calls are relayed only when their request is complete.
+ *       A request that is interrupted earlier relays none, and a complete request is never resent.
+ *   <li>No token is duplicated or lost: after an interruption, the next request is given the text
+ *       that was delivered and continues after it.
+ * </ul>
+ *
+ * <p>Not thread-safe: the caller holds a lock, so that {@link #onText} may be called on an I/O
+ * thread and all other methods on the loop thread.
  */
 public final class Answer {
   private static final String DEFAULT_FINISH_REASON = "stop";
@@ -31,46 +35,46 @@
   private ToolCallResults toolCalls = new ToolCallResults(List.of());
   private State state = State.GENERATING;
 
-  /** Why the engine ended the current request, empty while it has not. */
+  /** The engine's finish reason for the current request; empty until it is received. */
   private Optional<String> finishReason = Optional.empty();
 
   private int resumptions;
   private int relayedCallCount;
 
-  /** Where an answer stands. */
+  /** The state of an answer. */
   public enum State {
     /** A request is in flight. */
     GENERATING,
-    /** Tool calls were relayed and not all have their results. */
+    /** Tool calls were relayed and at least one result is outstanding. */
     AWAITING_TOOLS,
     /** The answer has ended. */
     ENDED
   }
 
-  /** Makes an answer; {@link #begin} starts it. */
+  /** Creates an answer; {@link #begin} sends its first request. */
   public Answer(AnswerActions actions, AnswerLimits limits) {
     this.actions = actions;
     this.limits = limits;
   }
 
-  /** Starts the first request. */
+  /** Starts the first request; called once. */
   public void begin() {
     actions.startRequest(List.of(), "", limits.maxTokens(), false);
   }
 
-  /** Where it stands. */
+  /** The current state. */
   public State state() {
     return state;
   }
 
-  /** Tool calls whose results are awaited. */
+  /** Relayed tool calls whose results are outstanding. */
   public List<ToolCall> pendingToolCalls() {
     return state == State.AWAITING_TOOLS ? toolCalls.pendingCalls() : List.of();
   }
 
-  // Events of the request in flight.
+  // Events of the request in flight. Ignored if none is in flight.
 
-  /** An event of the request's stream. */
+  /** Handles an event of the request's stream. */
   public void onChunk(CompletionChunk chunk) {
     if (state != State.GENERATING) {
       return;
@@ -101,10 +105,10 @@
   }
 
   /**
-   * A piece of text and nothing else, as most of a stream is.
+   * Handles an event that contains only text, as most events of a stream do.
    *
-   * @param completionTokens tokens of the request so far, -1 if the engine does not say
-   * @return whether it was delivered; false if no request is in flight
+   * @param completionTokens tokens of the request so far; -1 if the engine does not report them
+   * @return whether the text was delivered; false if no request is in flight
    */
   public boolean onText(CharSequence piece, int completionTokens) {
     if (state == State.GENERATING) {
@@ -121,7 +125,7 @@
     }
   }
 
-  /** The request is complete: the answer ends, or its tool calls are relayed. */
+  /** Handles the completion of the request: ends the answer or relays the tool calls. */
   public void onRequestCompleted() {
     if (state != State.GENERATING) {
       return;
@@ -147,7 +151,7 @@
     state = State.AWAITING_TOOLS;
     toolCalls = new ToolCallResults(calls);
     for (ToolCall call : calls) {
-      if (state == State.AWAITING_TOOLS) { // relaying one may end the answer
+      if (state == State.AWAITING_TOOLS) { // relaying a call may end the answer
         relayedCallCount++;
         actions.relay(call);
       }
@@ -155,9 +159,10 @@
   }
 
   /**
-   * The stream broke: what was delivered is kept, tool calls that were not complete are dropped.
+   * Handles an interruption of the stream: resumes the answer with a new request if the limits
+   * allow it. The delivered text is kept; tool calls of the interrupted request are dropped.
    */
-  public void onStreamBroken(String reason) {
+  public void onStreamInterrupted(String reason) {
     if (state != State.GENERATING) {
       return;
     }
@@ -174,22 +179,24 @@
   }
 
   /**
-   * The request was rejected. Only if it is the first is the call rejected: later ones follow
-   * tokens or tool calls.
+   * Handles a rejection of the request. The call is rejected only if this is its first request;
+   * otherwise it fails, because tokens or tool calls may have preceded.
+   *
+   * @param retryAfterMicros advised delay before a retry; 0 for no advice
    */
   public void onRejected(long retryAfterMicros) {
     if (state != State.GENERATING) {
       return;
     }
-    boolean first = turns.isEmpty() && text.tokens() == 0 && resumptions == 0;
-    if (first) {
+    boolean isFirstRequest = turns.isEmpty() && text.tokens() == 0 && resumptions == 0;
+    if (isFirstRequest) {
       end(AnswerOutcome.rejected(retryAfterMicros, "refused: no room at present"));
     } else {
       fail("the answer could not be gone on with: no room at present");
     }
   }
 
-  /** The request failed. */
+  /** Handles a failure of the request before its first event. */
   public void onFailed() {
     if (state == State.GENERATING) {
       fail("no server answered in time");
@@ -199,13 +206,13 @@
   // Results of tool calls.
 
   /**
-   * The result of a tool call has come.
+   * Handles the result of a tool call; the last outstanding result starts the next turn.
    *
-   * @return whether it was taken; false if none is awaited under that id (unknown, answered before,
-   *     or too late)
+   * @return whether the result was accepted; false if no result is awaited for this id (unknown,
+   *     already answered, or too late)
    */
   public boolean onToolResult(String callId, ToolResult result) {
-    if (awaitedCall(callId).isEmpty()) {
+    if (findPendingCall(callId).isEmpty()) {
       return false;
     }
     toolCalls.add(callId, result);
@@ -215,21 +222,21 @@
     return true;
   }
 
-  /** The time for a result is over: the model is told so in its place. */
+  /** Handles the timeout of a tool call: the model receives an error as its result. */
   public void onToolTimeout(String callId) {
-    Optional<ToolCall> call = awaitedCall(callId);
+    Optional<ToolCall> call = findPendingCall(callId);
     if (call.isPresent()) {
       actions.withdraw(call.get(), "no result in time");
       onToolResult(callId, new ToolResult("the tool gave no result in time", true));
     }
   }
 
-  private Optional<ToolCall> awaitedCall(String callId) {
-    return state == State.AWAITING_TOOLS ? toolCalls.pendingCall(callId) : Optional.empty();
+  private Optional<ToolCall> findPendingCall(String callId) {
+    return state == State.AWAITING_TOOLS ? toolCalls.findPendingCall(callId) : Optional.empty();
   }
 
   private void startNextTurn() {
-    turns.add(new AnswerTurn(text.turnText(), toolCalls.calls(), toolCalls.ordered()));
+    turns.add(new AnswerTurn(text.turnText(), toolCalls.calls(), toolCalls.inCallOrder()));
     toolCalls = new ToolCallResults(List.of());
     clearRequest();
     text.startTurn();
@@ -250,18 +257,18 @@
     return limits.maxTokens() - text.tokens();
   }
 
-  // The end.
+  // End of the answer.
 
-  /** The client does not want it any more. */
+  /** Cancels the answer: withdraws pending tool calls and cancels the request in flight. */
   public void cancel(String reason) {
     if (state == State.ENDED) {
       return;
     }
     List<ToolCall> pendingCalls = pendingToolCalls();
-    boolean generating = state == State.GENERATING;
+    boolean isGenerating = state == State.GENERATING;
     state = State.ENDED;
     pendingCalls.forEach(call -> actions.withdraw(call, reason));
-    if (generating) {
+    if (isGenerating) {
       actions.cancelRequest();
     }
     actions.ended(AnswerOutcome.cancelled(totals(), reason));
--- a/gateway/src/main/java/lemondock/gateway/answer/AnswerActions.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/AnswerActions.java
@@ -2,35 +2,35 @@
 
 import java.util.List;
 
-/** What an {@link Answer} asks for; called with its lock held. */
+/** Carries out the decisions of an {@link Answer}. Called with the answer's lock held. */
 public interface AnswerActions {
   /**
    * Starts a request to the engines.
    *
-   * @param turns the turns behind the client's prompt
-   * @param partial what was delivered of the current turn and is to be continued; may be empty
-   * @param maxTokens tokens that the request may still give
-   * @param resumed whether it takes the place of a request that broke
+   * @param turns the completed turns, which follow the client's prompt
+   * @param partial delivered text of the current turn that the engine must continue; may be empty
+   * @param maxTokens upper bound of the tokens that the request may generate
+   * @param isResumed whether the request replaces one that was interrupted
    */
-  void startRequest(List<AnswerTurn> turns, String partial, int maxTokens, boolean resumed);
+  void startRequest(List<AnswerTurn> turns, String partial, int maxTokens, boolean isResumed);
 
   /**
-   * Delivers a piece of text; called for each token, on the loop or on an I/O thread.
+   * Delivers a piece of text; called for each token, on the loop thread or on an I/O thread.
    *
-   * @param piece valid until this returns
-   * @param tokens tokens of the answer so far
+   * @param piece valid only until this method returns
+   * @param tokens tokens of the answer so far, including the piece
    */
   void deliver(CharSequence piece, int tokens);
 
   /** Relays a tool call to the client. */
   void relay(ToolCall toolCall);
 
-  /** Tells the client that the result of a relayed tool call is not needed any more. */
+  /** Tells the client that the result of a relayed tool call is no longer needed. */
   void withdraw(ToolCall toolCall, String reason);
 
   /** Cancels the request in flight, if there is one. */
   void cancelRequest();
 
-  /** The one end; nothing follows. */
+  /** Reports the end of the answer; called exactly once, as the last call. */
   void ended(AnswerOutcome outcome);
 }
--- a/gateway/src/main/java/lemondock/gateway/answer/AnswerLimits.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/AnswerLimits.java
@@ -1,15 +1,15 @@
 package lemondock.gateway.answer;
 
 /**
- * What an answer may take.
+ * Limits of one answer.
  *
- * @param maxTokens tokens over all requests
- * @param maxTurns requests that end in tool calls
- * @param maxToolCallsPerTurn tool calls of one turn
- * @param maxArgumentChars characters of all arguments of one turn
- * @param maxResumptions requests that are sent again after a break
- * @param mayResume whether a broken request may be sent again at all: its class is idempotent and
- *     streams resume
+ * @param maxTokens upper bound of the tokens over all requests
+ * @param maxTurns upper bound of the turns that end in tool calls
+ * @param maxToolCallsPerTurn upper bound of the tool calls in one turn
+ * @param maxArgumentChars upper bound of the characters of all tool arguments in one turn
+ * @param maxResumptions upper bound of the requests that replace an interrupted one
+ * @param mayResume whether an interrupted request may be resumed: its class is idempotent and the
+ *     settings allow streams to resume
  */
 public record AnswerLimits(
     int maxTokens,
--- a/gateway/src/main/java/lemondock/gateway/answer/AnswerOutcome.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/AnswerOutcome.java
@@ -1,61 +1,61 @@
 package lemondock.gateway.answer;
 
 /**
- * How an answer has ended.
+ * The outcome of an answer.
  *
- * @param totals what was delivered; all 0 if it was rejected
- * @param finishReason the engine's word for why it stopped, empty unless served
- * @param retryAfterMicros when the client may retry if it was rejected, 0 if that is not known
- * @param message what the client is told, empty if served
+ * @param totals what was delivered; empty text and all counts 0 if the answer was rejected
+ * @param finishReason the engine's finish reason; empty unless served
+ * @param retryAfterMicros advised delay before a retry if the answer was rejected; 0 for no advice
+ * @param message the message for the client; empty if served
  */
 public record AnswerOutcome(
     Kind kind, Totals totals, String finishReason, long retryAfterMicros, String message) {
   private static final Totals NOTHING = new Totals("", 0, 0, 0);
 
-  /** How an answer can end; the metrics have a field for each, in this order. */
+  /** The ways in which an answer can end; the metrics have a field for each, in this order. */
   public enum Kind {
-    /** It is complete. */
+    /** The answer is complete. */
     SERVED,
-    /** Nothing of it was begun: retrying is harmless. */
+    /** The answer was not begun; a retry is safe. */
     REJECTED,
-    /** It broke off; it may have had effects. */
+    /** The answer is incomplete and may have had effects. */
     FAILED,
-    /** Its client, or the gateway's shutdown, cancelled it. */
+    /** The answer was cancelled by its client or by the gateway, such as at shutdown. */
     CANCELLED
   }
 
   /**
-   * What was delivered of an answer.
+   * The delivered part of an answer.
    *
-   * @param text its text over all turns
+   * @param text the text over all turns
    * @param tokens tokens over all turns
    * @param turns turns that ended in tool calls
    * @param toolCalls tool calls that were relayed
    */
   public record Totals(String text, int tokens, int turns, int toolCalls) {}
 
-  /** A complete answer. */
+  /** Creates the outcome of a complete answer. */
   static AnswerOutcome served(Totals totals, String finishReason) {
     return new AnswerOutcome(Kind.SERVED, totals, finishReason, 0, "");
   }
 
-  /** An answer that was not begun. */
+  /** Creates the outcome of an answer that was not begun. */
   static AnswerOutcome rejected(long retryAfterMicros, String message) {
     return new AnswerOutcome(Kind.REJECTED, NOTHING, "", retryAfterMicros, message);
   }
 
-  /** An answer that broke off. */
+  /** Creates the outcome of an answer that failed. */
   static AnswerOutcome failed(Totals totals, String message) {
     return new AnswerOutcome(Kind.FAILED, totals, "", 0, message);
   }
 
-  /** An answer that is not wanted any more. */
+  /** Creates the outcome of a cancelled answer. */
   static AnswerOutcome cancelled(Totals totals, String reason) {
     return new AnswerOutcome(Kind.CANCELLED, totals, "", 0, reason);
   }
 
-  /** Whether nothing of it had an effect, so that a retry is harmless whatever the call does. */
-  public boolean retryable() {
+  /** Whether the answer had no effect, so that a retry is safe even for non-idempotent calls. */
+  public boolean isRetryable() {
     return kind == Kind.REJECTED;
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/answer/AnswerText.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/AnswerText.java
@@ -1,8 +1,8 @@
 package lemondock.gateway.answer;
 
 /**
- * The text of an answer and its tokens, over all requests. Guarded by the answer's lock. {@link
- * #append} is called for each token, so it allocates nothing but the buffers' growth.
+ * The text and the token count of an answer over all requests. Guarded by the answer's lock. {@link
+ * #append} is called for each token, so it allocates nothing except when its buffers grow.
  */
 final class AnswerText {
   private final StringBuilder text = new StringBuilder();
@@ -12,10 +12,10 @@
   private int tokensBeforeRequest;
 
   /**
-   * Takes a piece of the current request.
+   * Appends a piece of text of the current request.
    *
-   * @param completionTokens tokens of the request so far, -1 if the engine does not say: then the
-   *     piece counts as one
+   * @param completionTokens tokens of the request so far; -1 if the engine does not report them, in
+   *     which case the piece counts as one token
    */
   void append(CharSequence piece, int completionTokens) {
     requestTokens =
@@ -40,13 +40,13 @@
     return turnText.toString();
   }
 
-  /** A new turn begins, with a request of its own. */
+  /** Starts a new turn with a new request. */
   void startTurn() {
     turnText.setLength(0);
     startRequest();
   }
 
-  /** A new request begins that continues the current turn. */
+  /** Starts a new request that continues the current turn. */
   void startRequest() {
     requestTokens = 0;
     tokensBeforeRequest = tokens;
--- a/gateway/src/main/java/lemondock/gateway/answer/AnswerTurn.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/AnswerTurn.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * One earlier turn of an answer.
+ * A completed turn of an answer, which ended in tool calls.
  *
- * @param text what the model wrote before its tool calls
+ * @param text the text that the model generated before the tool calls
  * @param calls the tool calls
- * @param results their results, in the order of the calls
+ * @param results the results of the tool calls, in the order of {@code calls}
  */
 public record AnswerTurn(String text, List<ToolCall> calls, List<ToolResult> results) {}
--- a/gateway/src/main/java/lemondock/gateway/answer/Prompt.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/Prompt.java
@@ -5,14 +5,14 @@
 import java.util.Optional;
 
 /**
- * A client's call, read and counted.
+ * The validated arguments of a client's call, with its token counts.
  *
- * @param classId place of its class in the settings
+ * @param classId index of the request class in the settings
  * @param messages chat messages
- * @param tools definitions as the engine takes them, if the client offers any
- * @param maxTokens tokens of the answer at most
- * @param conversation the client's name for the conversation, if it gave one
- * @param size tokens of the messages and tools
+ * @param tools tool definitions in the engines' format; empty if the client offers none
+ * @param maxTokens upper bound of the answer's tokens
+ * @param conversation the client's name for the conversation; empty if it gave none
+ * @param size token counts of the messages and tools
  */
 public record Prompt(
     int classId,
@@ -23,8 +23,8 @@
     Size size) {
 
   /**
-   * Tokens of a prompt. Its prefix is what other conversations begin with too: the tools and the
-   * system messages at the start.
+   * Token counts of a prompt. The prefix is the part that other conversations may share: the tools
+   * and the leading system messages.
    *
    * @param tokens tokens of the whole prompt
    * @param prefixKey hash of the prefix, 0 if there is none
--- a/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
@@ -26,12 +26,12 @@
 import lemondock.gateway.settings.GatewaySettings;
 
 /**
- * Reads the arguments of a call, checks them against the tool's published schema and counts tokens
- * with a tokenizer library. What it counts informs the router; it decides nothing. Safe for any
- * thread.
+ * Reads the arguments of a call, validates them against the tool's published schema and counts
+ * their tokens with a tokenizer library. The router uses the counts as estimates; no call is
+ * accepted or rejected here because of them. Thread-safe.
  */
 public final class PromptReader {
-  /** Tokens that a chat template adds to a message, about. */
+  /** Approximate number of tokens that a chat template adds to each message. */
   private static final int MESSAGE_OVERHEAD_TOKENS = 4;
 
   private static final int MAX_REPORTED_PROBLEMS = 5;
@@ -39,14 +39,14 @@
   private final List<GatewaySettings.ClassSettings> classes;
   private final Map<String, Integer> classIds = new HashMap<>();
 
-  /** By class. */
+  /** Indexed by class id. */
   private final List<JsonSchema> schemas = new ArrayList<>();
 
   private final ArrayNode toolList = JsonNodeFactory.instance.arrayNode();
   private final Encoding encoding =
       Encodings.newDefaultEncodingRegistry().getEncoding(EncodingType.CL100K_BASE);
 
-  /** Arguments that cannot be used; the message names the place and what was expected. */
+  /** Thrown for invalid arguments; the message gives the JSON path and what was expected. */
   public static final class InvalidArgumentsException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Makes a reader for the classes of the settings. */
+  /** Creates a reader for the request classes of the settings. */
   public PromptReader(List<GatewaySettings.ClassSettings> classes) {
     this.classes = classes;
     SchemaValidatorsConfig config =
@@ -65,11 +65,11 @@
       ObjectNode schema = ToolSchema.of(requestClass);
       classIds.put(requestClass.name(), schemas.size());
       schemas.add(factory.getSchema(schema, config));
-      toolList.add(tool(requestClass, schema));
+      toolList.add(mcpTool(requestClass, schema));
     }
   }
 
-  private static ObjectNode tool(GatewaySettings.ClassSettings requestClass, ObjectNode schema) {
+  private static ObjectNode mcpTool(GatewaySettings.ClassSettings requestClass, ObjectNode schema) {
     ObjectNode tool = JsonNodeFactory.instance.objectNode().put("name", requestClass.name());
     if (!requestClass.description().isEmpty()) {
       tool.put("description", requestClass.description());
@@ -79,41 +79,43 @@
     return tool;
   }
 
-  /** The tools as {@code tools/list} gives them. */
+  /** The tools in the format of {@code tools/list}; a copy. */
   public ArrayNode toolList() {
     return toolList.deepCopy();
   }
 
-  /** The id of the class of that name, empty if there is none. */
+  /** The id of the request class with a name; empty if there is none. */
   public OptionalInt classId(String name) {
     Integer classId = classIds.get(name);
     return classId == null ? OptionalInt.empty() : OptionalInt.of(classId);
   }
 
-  /** Tokens of a text. */
   private int tokenCount(String text) {
     return text.isEmpty() ? 0 : encoding.countTokensOrdinary(text);
   }
 
   /**
-   * Reads the arguments of a call of a class.
+   * Reads the arguments of a call.
    *
+   * @param classId id of the call's request class
    * @param arguments null if the call has none
-   * @throws InvalidArgumentsException if they do not match the schema, or two tools have one name
+   * @throws InvalidArgumentsException if the arguments do not match the schema, or if two tools
+   *     have the same name
    */
   public Prompt read(int classId, JsonNode arguments) throws InvalidArgumentsException {
-    JsonNode given = arguments == null ? JsonNodeFactory.instance.objectNode() : arguments;
-    validate(classId, given);
-    ArrayNode messages = messages(given);
-    Optional<JsonNode> tools = tools(given);
+    JsonNode nonNullArguments =
+        arguments == null ? JsonNodeFactory.instance.objectNode() : arguments;
+    validate(classId, nonNullArguments);
+    ArrayNode messages = messages(nonNullArguments);
+    Optional<JsonNode> tools = tools(nonNullArguments);
     int classMaxTokens = classes.get(classId).maxTokens();
     return new Prompt(
         classId,
         messages,
         tools,
-        Math.min(classMaxTokens, given.path("max_tokens").asInt(classMaxTokens)),
-        Optional.ofNullable(given.path("conversation").textValue()),
-        size(messages, tools));
+        Math.min(classMaxTokens, nonNullArguments.path("max_tokens").asInt(classMaxTokens)),
+        Optional.ofNullable(nonNullArguments.path("conversation").textValue()),
+        countTokens(messages, tools));
   }
 
   private void validate(int classId, JsonNode arguments) throws InvalidArgumentsException {
@@ -144,7 +146,7 @@
     return messages;
   }
 
-  /** The tools that the client offers, as the engine takes them. */
+  /** Converts the tools that the client offers to the engines' format. */
   private static Optional<JsonNode> tools(JsonNode arguments) throws InvalidArgumentsException {
     JsonNode mcpTools = arguments.path("tools");
     if (mcpTools.isEmpty()) {
@@ -157,12 +159,12 @@
         throw new InvalidArgumentsException(
             "/arguments/tools/" + i + "/name: a name that another tool has");
       }
-      definitions.add(toolDefinition(mcpTools.get(i)));
+      definitions.add(engineToolDefinition(mcpTools.get(i)));
     }
     return Optional.of(definitions);
   }
 
-  private static ObjectNode toolDefinition(JsonNode mcpTool) {
+  private static ObjectNode engineToolDefinition(JsonNode mcpTool) {
     ObjectNode definition = JsonNodeFactory.instance.objectNode().put("type", "function");
     ObjectNode function = definition.putObject("function");
     function.put("name", mcpTool.path("name").textValue());
@@ -177,7 +179,7 @@
     return definition;
   }
 
-  private Prompt.Size size(ArrayNode messages, Optional<JsonNode> tools) {
+  private Prompt.Size countTokens(ArrayNode messages, Optional<JsonNode> tools) {
     StringBuilder prefix = new StringBuilder(tools.map(JsonNode::toString).orElse(""));
     int tokens = tokenCount(prefix.toString());
     int prefixTokens = 0;
--- a/gateway/src/main/java/lemondock/gateway/answer/ToolCall.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/ToolCall.java
@@ -1,10 +1,10 @@
 package lemondock.gateway.answer;
 
 /**
- * A complete tool call of a model.
+ * A complete tool call that a model has generated.
  *
- * @param id the engine's id for it, unique within the turn
+ * @param id unique within the turn; given by the engine, or by the gateway if the engine gave none
  * @param name name of the tool
- * @param arguments JSON text, as the model wrote it
+ * @param arguments JSON text as the model generated it; not validated
  */
 public record ToolCall(String id, String name, String arguments) {}
--- a/gateway/src/main/java/lemondock/gateway/answer/ToolCallAssembler.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/ToolCallAssembler.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import lemondock.gateway.engine.CompletionChunk;
 
-/** Puts together the tool calls of one request, whose parts come in any number of events. */
+/** Assembles the tool calls of one request from parts that arrive in any number of events. */
 final class ToolCallAssembler {
   private final Map<Integer, PartialToolCall> partialCalls = new TreeMap<>();
   private int argumentChars;
@@ -27,19 +27,24 @@
     }
   }
 
-  /** Takes a part of a call. */
+  /** Adds a part of a tool call. */
   void add(CompletionChunk.ToolCallDelta delta) {
     partialCalls.computeIfAbsent(delta.index(), index -> new PartialToolCall()).add(delta);
     argumentChars += delta.arguments().length();
   }
 
-  /** Whether the calls are too many or their arguments too long. */
+  /** Whether the number of calls or the total length of their arguments exceeds the limits. */
   boolean exceeds(AnswerLimits limits) {
     return partialCalls.size() > limits.maxToolCallsPerTurn()
         || argumentChars > limits.maxArgumentChars();
   }
 
-  /** The calls in the engine's order; those without an id get one that is unique in the answer. */
+  /**
+   * The assembled calls, ordered by the engine's index. Calls without an id get one that is unique
+   * within the answer.
+   *
+   * @param turn index of the current turn
+   */
   List<ToolCall> toolCalls(int turn) {
     List<ToolCall> calls = new ArrayList<>();
     partialCalls.forEach(
@@ -47,7 +52,7 @@
     return calls;
   }
 
-  /** Forgets all parts. */
+  /** Discards all parts. */
   void clear() {
     partialCalls.clear();
     argumentChars = 0;
--- a/gateway/src/main/java/lemondock/gateway/answer/ToolCallResults.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/ToolCallResults.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The relayed tool calls of one turn and the results that have come. */
+/** The relayed tool calls of one turn and the results received so far. */
 final class ToolCallResults {
   private final List<ToolCall> calls;
   private final Map<String, ToolResult> results = new HashMap<>();
 
-  /** For tool calls with distinct ids; none if no tool was called. */
+  /** Creates the results of tool calls with distinct ids; the list may be empty. */
   ToolCallResults(List<ToolCall> calls) {
     this.calls = List.copyOf(calls);
   }
@@ -19,17 +19,17 @@
     return calls;
   }
 
-  /** The calls whose results have not come. */
+  /** The calls whose results are outstanding. */
   List<ToolCall> pendingCalls() {
     return calls.stream().filter(call -> !results.containsKey(call.id())).toList();
   }
 
-  /** The call of that id, if its result has not come. */
-  Optional<ToolCall> pendingCall(String callId) {
+  /** Finds the call with an id; empty if there is none or its result was received. */
+  Optional<ToolCall> findPendingCall(String callId) {
     return pendingCalls().stream().filter(call -> call.id().equals(callId)).findFirst();
   }
 
-  /** Takes the result of a pending call. */
+  /** Adds the result of a pending call. */
   void add(String callId, ToolResult result) {
     results.put(callId, result);
   }
@@ -38,8 +38,8 @@
     return results.size() == calls.size();
   }
 
-  /** All results, in the order of the calls. */
-  List<ToolResult> ordered() {
+  /** All results, in the order of the calls; valid once {@link #isComplete}. */
+  List<ToolResult> inCallOrder() {
     return calls.stream().map(call -> results.get(call.id())).toList();
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/answer/ToolResult.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/ToolResult.java
@@ -1,9 +1,9 @@
 package lemondock.gateway.answer;
 
 /**
- * What a client's tool returned.
+ * The result of a tool call, from the client or created by the gateway in its place.
  *
- * @param text what the model gets to read
- * @param error whether the tool failed
+ * @param text the result text that is sent to the model
+ * @param isError whether the tool call failed
  */
-public record ToolResult(String text, boolean error) {}
+public record ToolResult(String text, boolean isError) {}
--- a/gateway/src/main/java/lemondock/gateway/answer/ToolSchema.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/ToolSchema.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import lemondock.gateway.settings.GatewaySettings;
 
-/** The JSON Schema of the arguments that the tool of a class takes, as clients see it. */
+/** The JSON Schema of the arguments of a request class's tool, as published to clients. */
 final class ToolSchema {
   private static final int MAX_TOOLS = 64;
   private static final int MAX_TOOL_NAME_LENGTH = 128;
@@ -21,9 +21,9 @@
     addMaxTokens(properties, requestClass.maxTokens());
     addConversation(properties);
     addTools(properties);
-    ArrayNode either = schema.putArray("oneOf");
-    either.addObject().putArray("required").add("messages");
-    either.addObject().putArray("required").add("prompt");
+    ArrayNode alternatives = schema.putArray("oneOf");
+    alternatives.addObject().putArray("required").add("messages");
+    alternatives.addObject().putArray("required").add("prompt");
     return schema.put("additionalProperties", false);
   }
 
@@ -37,9 +37,9 @@
             .putObject("items")
             .put("type", "object");
     message.putArray("required").add("role").add("content");
-    ObjectNode parts = message.putObject("properties");
-    parts.putObject("role").putArray("enum").add("system").add("user").add("assistant");
-    parts.putObject("content").put("type", "string");
+    ObjectNode fields = message.putObject("properties");
+    fields.putObject("role").putArray("enum").add("system").add("user").add("assistant");
+    fields.putObject("content").put("type", "string");
   }
 
   private static void addPrompt(ObjectNode properties) {
--- a/gateway/src/main/java/lemondock/gateway/core/AnswerRequestListener.java
+++ b/gateway/src/main/java/lemondock/gateway/core/AnswerRequestListener.java
@@ -7,11 +7,11 @@
 import lemondock.gateway.answer.Answer;
 import lemondock.gateway.engine.CompletionChunk;
 
-/** Hands the events of one request to the answer that it is a part of. */
+/** Passes the events of one request to the answer that it belongs to. */
 final class AnswerRequestListener implements RequestListener<CompletionChunk>, DirectOutput {
   /**
-   * Characters of a piece that is written without the loop: its event must fit what {@link
-   * CallSink#acceptsDirectOutput} leaves room for.
+   * Maximum number of characters of a piece that bypasses the loop: its event must fit into the
+   * space that {@link CallSink#acceptsDirectOutput} guarantees.
    */
   private static final int MAX_DIRECT_CHARS = 2_000;
 
@@ -38,8 +38,8 @@
   }
 
   /**
-   * On an I/O thread. The first token of a turn goes through the loop: the metrics and the router
-   * hear of it there.
+   * Called on an I/O thread. The first token of a turn is not accepted here: it must pass through
+   * the loop, where the metrics and the router are notified of it.
    */
   @Override
   public boolean offer(CharSequence text, int answerTokens) {
@@ -61,7 +61,7 @@
   @Override
   public void interrupted(String cause) {
     synchronized (sink.outputLock()) {
-      answer.onStreamBroken(cause);
+      answer.onStreamInterrupted(cause);
     }
   }
 
--- a/gateway/src/main/java/lemondock/gateway/core/CallContext.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CallContext.java
@@ -12,7 +12,9 @@
 import lemondock.overload.StallMonitor;
 
 /**
- * What all calls of a gateway share. {@code gradientLimit}: empty unless the settings ask for it.
+ * The components that all calls of a gateway share.
+ *
+ * @param gradientLimit empty unless enabled in the settings
  */
 record CallContext(
     Loop loop,
--- a/gateway/src/main/java/lemondock/gateway/core/CallRequest.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CallRequest.java
@@ -4,13 +4,13 @@
 import lemondock.gateway.answer.Prompt;
 
 /**
- * A call as a client makes it.
+ * A call as requested by a client.
  *
- * @param sessionKey hash of its conversation, see {@link CallService#sessionKey}
- * @param tenant for the metrics
- * @param clientRetry whether the client says that it repeats a call
- * @param idempotencyKey the client's own for this call and its repeats; {@link
- *     CallService#blockingStatus} was asked about it
+ * @param sessionKey hash of the conversation, see {@link CallService#sessionKey}
+ * @param tenant the tenant, used for metrics only
+ * @param clientRetry whether the client marked the call as a retry
+ * @param idempotencyKey the key that the client uses for this call and its retries; it has already
+ *     been checked with {@link CallService#blockingStatus}
  */
 public record CallRequest(
     Prompt prompt,
--- a/gateway/src/main/java/lemondock/gateway/core/CallService.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CallService.java
@@ -17,14 +17,18 @@
 import lemondock.overload.StallMonitor;
 
 /**
- * Clients' calls in progress. It knows no front end: a front end hands it a {@link CallRequest} and
- * a {@link CallSink}, and hears there what is to be sent to the client. Loop thread only.
+ * Accepts clients' calls and tracks those in progress. It does not depend on a front end: a front
+ * end passes a {@link CallRequest} and a {@link CallSink}, and the sink receives what must be sent
+ * to the client. Loop thread only.
  */
 public final class CallService {
   private static final int MIN_CONCURRENT_CALLS = 10;
   private static final int INITIAL_CONCURRENT_CALLS = 100;
 
-  /** Latency up to so many times the least seen does not lower the limit of concurrent calls. */
+  /**
+   * Multiple of the long-term average latency up to which the limit of concurrent calls is not
+   * lowered.
+   */
   private static final double TOLERATED_LATENCY_RATIO = 1.5;
 
   private final GatewaySettings settings;
@@ -33,10 +37,10 @@
   private final Optional<GradientLimit> gradientLimit;
   private final CallContext context;
 
-  /** Empty where no call is remembered. */
+  /** Empty if the gateway keeps no idempotency log. */
   private Optional<IdempotencyGuard> guard = Optional.empty();
 
-  /** Makes a service without calls. */
+  /** Creates a service without calls. */
   public CallService(
       Loop loop,
       RequestDispatcher<ObjectNode, JsonNode, CompletionChunk> dispatcher,
@@ -60,8 +64,8 @@
   }
 
   /**
-   * Whether another call may be accepted. Those that only wait for their clients' tools have a
-   * limit of their own.
+   * Whether another call may be accepted. Calls that only wait for their clients' tools are not
+   * counted here; they have a separate limit.
    */
   public boolean hasCapacity() {
     int limit = gradientLimit.map(GradientLimit::limit).orElse(settings.limits().maxCalls());
@@ -73,29 +77,30 @@
     return openCalls.size();
   }
 
-  /** Number of tool calls whose results have not come. */
+  /** Number of relayed tool calls whose results are outstanding. */
   public long pendingToolCalls() {
     return openCalls.pendingToolCalls();
   }
 
-  /** A call was rejected because the gateway is overloaded. */
-  public void shedLoad(int classId, Optional<String> tenant, boolean clientRetry) {
+  /** Counts a call that was rejected because the gateway is overloaded. */
+  public void recordLoadShed(int classId, Optional<String> tenant, boolean clientRetry) {
     metrics.countLoadShed();
     metrics.requests().requestRejected(classId, tenant, clientRetry);
   }
 
-  /** A call was rejected before it was accepted. */
-  public void rejected(Prompt prompt, Optional<String> tenant, boolean clientRetry) {
+  /** Counts a call that was rejected for another reason before it was accepted. */
+  public void recordRejected(Prompt prompt, Optional<String> tenant, boolean clientRetry) {
     metrics.requests().requestRejected(prompt.classId(), tenant, clientRetry);
   }
 
-  /** Has calls that must not run twice remembered; called before the first call. */
+  /** Enables deduplication of non-idempotent calls; must be called before the first call. */
   public void setIdempotencyGuard(IdempotencyGuard guard) {
     this.guard = Optional.of(guard);
   }
 
   /**
-   * What became of an earlier call under the client's key, if that keeps this call from running.
+   * The status of an earlier call with the same idempotency key if it prevents this call from
+   * running; otherwise empty.
    */
   public Optional<CallStatus> blockingStatus(Prompt prompt, Optional<String> key) {
     return durableCall(prompt, key)
@@ -103,9 +108,9 @@
         .filter(status -> !status.mayRun());
   }
 
-  /** The tool calls that were relayed for an earlier call under that key. */
+  /** The tool calls that were relayed for an earlier call with an idempotency key. */
   public List<RelayedToolCall> relayedToolCalls(String key) {
-    return guard.map(open -> open.relayedToolCalls(key)).orElse(List.of());
+    return guard.map(presentGuard -> presentGuard.relayedToolCalls(key)).orElse(List.of());
   }
 
   private Optional<DurableCall> durableCall(Prompt prompt, Optional<String> key) {
@@ -125,16 +130,16 @@
     return call;
   }
 
-  /** Ends every call as failed, as when the time for a graceful shutdown is over. */
+  /** Interrupts every call, for example when the time for a graceful shutdown is over. */
   public void interruptAll(String reason) {
-    openCalls.all().forEach(call -> call.interrupt(reason));
+    openCalls.snapshot().forEach(call -> call.interrupt(reason));
   }
 
   /**
-   * The session key of a conversation, the same at all gateways.
+   * The session key of a conversation; all gateways compute the same key.
    *
-   * @param conversation the client's name for it
-   * @param callName unique to the call; used where the client names no conversation
+   * @param conversation the client's name for the conversation; empty if it gave none
+   * @param callName a name that is unique to the call; used if the client names no conversation
    */
   public static long sessionKey(Optional<String> conversation, String callName) {
     return StableHash.of(
--- a/gateway/src/main/java/lemondock/gateway/core/CallSink.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CallSink.java
@@ -3,36 +3,46 @@
 import lemondock.gateway.answer.AnswerOutcome;
 import lemondock.gateway.answer.ToolCall;
 
-/** Where a call's answer goes: a front end implements it for each call of its clients. */
+/** Receives the answer of a call; implemented by a front end, with one instance per call. */
 public interface CallSink {
-  /** The call was accepted; comes before all else. */
+  /** Notifies that the call was accepted; the first method to be called. */
   void accepted(ClientCall call);
 
-  /** A piece of the answer, valid until this returns; {@code tokens} counts all so far. */
+  /**
+   * Delivers a piece of the answer.
+   *
+   * @param piece valid only until this method returns
+   * @param tokens tokens of the answer so far, including the piece
+   */
   void deliver(CharSequence piece, int tokens);
 
   /** The I/O shard of the client's connection. */
   int clientShard();
 
   /**
-   * The lock of the call's answer and of what the client is sent of it. Held by the loop for all
-   * that decides, and by an I/O thread for plain pieces of a running stream; never held while
-   * waiting for anything.
+   * The lock that guards the call's answer and its output to the client. The loop thread holds it
+   * for every decision, an I/O thread while it writes plain text of a running stream. It is never
+   * held during a blocking operation.
    */
   Object outputLock();
 
   /**
-   * Whether a plain piece may be written to the client from an I/O thread now; asked with the lock
+   * Whether an I/O thread may write plain text to the client now; called with {@link #outputLock}
    * held.
    */
   boolean acceptsDirectOutput();
 
-  /** Asks the client to run a tool; its result comes back by {@link ClientCall#toolResult}. */
+  /**
+   * Asks the client to run a tool; the result is passed to {@link ClientCall#receiveToolResult}.
+   */
   void relay(ToolCall toolCall);
 
-  /** The result of a relayed tool call is not needed any more. */
+  /** Notifies that the result of a relayed tool call is no longer needed. */
   void withdraw(ToolCall toolCall, String reason);
 
-  /** The one end; nothing follows. Not called for a call that its front end has cancelled. */
+  /**
+   * Reports the end of the answer; the last method to be called. Not called if the front end has
+   * cancelled the call.
+   */
   void ended(AnswerOutcome outcome);
 }
--- a/gateway/src/main/java/lemondock/gateway/core/ClientCall.java
+++ b/gateway/src/main/java/lemondock/gateway/core/ClientCall.java
@@ -17,8 +17,9 @@
 import lemondock.net.Loop;
 
 /**
- * A client's call in progress: carries out what its {@link Answer} asks for. The answer is made of
- * one request to the engines or of several, with tool calls between them. Loop thread only.
+ * A client's call in progress; carries out the decisions of its {@link Answer}. The answer consists
+ * of one or more requests to the engines, with tool calls between them. Loop thread only, except
+ * for {@link #deliver}, which an I/O thread may also call with the output lock held.
  */
 public final class ClientCall implements AnswerActions {
   private final CallContext context;
@@ -35,14 +36,14 @@
   private final Answer answer;
   private final long acceptedAtMicros;
 
-  /** The dispatcher's id of the request sent last. */
+  /** The dispatcher's id of the most recent request. */
   private long requestId;
 
   private int requestsSent;
-  private boolean outputPaused;
-  private boolean begun;
-  private boolean deliveryBegun;
-  private boolean cancelledByClient;
+  private boolean isOutputPaused;
+  private boolean hasBegun;
+  private boolean hasDeliveryBegun;
+  private boolean isCancelledByClient;
 
   ClientCall(
       CallContext context, CallRequest request, Optional<DurableCall> durable, CallSink sink) {
@@ -91,45 +92,49 @@
     return requestsSent;
   }
 
-  /** Begins the answer, if it must be durable first, then once it is. */
+  /** Begins the answer; a durable call begins only after its start has been committed. */
   void start() {
     if (durable.isEmpty()) {
       begin();
     } else {
-      durable.get().started(this::startCommitted);
+      durable.get().started(this::onStartCommitted);
     }
   }
 
-  private void startCommitted(boolean isDurable) {
+  private void onStartCommitted(boolean isDurable) {
     if (answer.state() == Answer.State.ENDED) {
-      return; // its client has cancelled it meanwhile
+      return; // the call was cancelled during the commit
     }
     if (isDurable) {
       begin();
     } else {
-      synchronized (sink.outputLock()) { // nothing was sent anywhere
+      synchronized (sink.outputLock()) { // no request was sent, so a retry is safe
         answer.onRejected(GatewaySettings.micros(context.settings().limits().retryAdviceMs()));
       }
     }
   }
 
   private void begin() {
-    begun = true;
+    hasBegun = true;
     synchronized (sink.outputLock()) {
       answer.begin();
     }
   }
 
-  /** A tool's result; false if none is awaited under that id. */
-  public boolean toolResult(String toolCallId, ToolResult result) {
-    toolCalls.answered(toolCallId);
-    ToolResult kept = withinLimit(result);
+  /**
+   * Passes the result of a tool call to the answer.
+   *
+   * @return whether the result was accepted; false if no result is awaited for this id
+   */
+  public boolean receiveToolResult(String toolCallId, ToolResult result) {
+    toolCalls.resultReceived(toolCallId);
+    ToolResult boundedResult = limitSize(result);
     synchronized (sink.outputLock()) {
-      return answer.onToolResult(toolCallId, kept);
+      return answer.onToolResult(toolCallId, boundedResult);
     }
   }
 
-  private ToolResult withinLimit(ToolResult result) {
+  private ToolResult limitSize(ToolResult result) {
     int maxChars = requestClass.maxToolResultBytes();
     return result.text().length() <= maxChars
         ? result
@@ -142,20 +147,20 @@
     }
   }
 
-  /** Whether the result of that tool call is awaited; asked with the output lock held. */
-  boolean awaits(ToolCall toolCall) {
+  /** Whether the result of a tool call is outstanding; called with the output lock held. */
+  boolean isAwaitingResult(ToolCall toolCall) {
     return answer.pendingToolCalls().contains(toolCall);
   }
 
-  /** The client disconnected or cancelled the call; the sink hears nothing more. */
+  /** Cancels the call because its client disconnected or cancelled it; the sink is not notified. */
   public void cancel(String reason) {
     synchronized (sink.outputLock()) {
-      cancelledByClient = true;
+      isCancelledByClient = true;
       answer.cancel(reason);
     }
   }
 
-  /** Ends the call for a reason of the gateway's own; the sink hears of it. */
+  /** Cancels the call on behalf of the gateway; the sink is notified of the end. */
   void interrupt(String reason) {
     synchronized (sink.outputLock()) {
       if (answer.state() != Answer.State.ENDED) {
@@ -164,22 +169,23 @@
     }
   }
 
-  /** Stops reading the answer until {@link #resumeOutput}. */
+  /** Pauses reading the answer from the engine until {@link #resumeOutput} is called. */
   public void pauseOutput() {
-    outputPaused = true;
+    isOutputPaused = true;
     context.dispatcher().pauseOutput(requestId);
   }
 
-  /** Reads the answer again. */
+  /** Resumes reading the answer from the engine. */
   public void resumeOutput() {
-    outputPaused = false;
+    isOutputPaused = false;
     context.dispatcher().resumeOutput(requestId);
   }
 
-  // What the answer asks for.
+  // Decisions of the answer.
 
   @Override
-  public void startRequest(List<AnswerTurn> turns, String partial, int maxTokens, boolean resumed) {
+  public void startRequest(
+      List<AnswerTurn> turns, String partial, int maxTokens, boolean isResumed) {
     toolCalls.setWaitingForTools(false);
     String model = context.settings().engines().model();
     ObjectNode body = CompletionRequestBody.of(model, prompt, turns, partial);
@@ -193,13 +199,13 @@
             .maxAnswerTokens(maxTokens)
             .firstTokenTimeoutMicros(requestClass.deadlineMicros(promptTokens))
             .clientRetry(clientRetry && requestsSent == 0)
-            .resumed(resumed)
+            .resumed(isResumed)
             .clientShard(sink.clientShard())
             .build();
     requestsSent++;
     requestId =
         context.dispatcher().submit(request, new AnswerRequestListener(answer, metrics, sink));
-    if (outputPaused) {
+    if (isOutputPaused) {
       context.dispatcher().pauseOutput(requestId);
     }
   }
@@ -212,8 +218,8 @@
   @Override
   public void deliver(CharSequence piece, int tokens) {
     metrics.onDelivered(loop.now());
-    if (!deliveryBegun) {
-      deliveryBegun = true;
+    if (!hasDeliveryBegun) {
+      hasDeliveryBegun = true;
       long latencyMicros = loop.now() - acceptedAtMicros;
       context
           .gradientLimit()
@@ -239,8 +245,8 @@
     toolCalls.cancelTimeouts();
     context.openCalls().remove(this);
     toolCalls.setWaitingForTools(false);
-    durable.ifPresent(guarded -> guarded.ended(outcome.kind(), begun));
-    if (!cancelledByClient) {
+    durable.ifPresent(durableCall -> durableCall.ended(outcome.kind(), hasBegun));
+    if (!isCancelledByClient) {
       sink.ended(outcome);
     }
   }
--- a/gateway/src/main/java/lemondock/gateway/core/CompletionRequestBody.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CompletionRequestBody.java
@@ -8,16 +8,19 @@
 import lemondock.gateway.answer.Prompt;
 import lemondock.gateway.answer.ToolCall;
 
-/** The body of a chat completion request as engines take it. */
+/** Builds the body of a chat completion request to an engine. */
 final class CompletionRequestBody {
-  /** Tokens of later turns are not counted by the tokenizer on the loop, but estimated. */
+  /**
+   * Characters per token for text after the client's prompt. Its tokens are estimated, because the
+   * tokenizer must not run on the loop.
+   */
   private static final int CHARS_PER_TOKEN = 4;
 
   private CompletionRequestBody() {}
 
   /**
-   * The messages of a prompt, the turns after it and, if it is not empty, a partial answer, which
-   * vLLM's published switches have the engine continue.
+   * Builds the body from the messages of a prompt, the turns after it and a partial answer. If the
+   * partial answer is not empty, documented options of vLLM make the engine continue it.
    */
   static ObjectNode of(String model, Prompt prompt, List<AnswerTurn> turns, String partial) {
     ObjectNode body = JsonNodeFactory.instance.objectNode();
@@ -54,16 +57,16 @@
     }
   }
 
-  /** Tokens of the whole prompt; what came after the client's own is estimated. */
+  /** Tokens of the whole prompt; the part after the client's own prompt is estimated. */
   static int estimatedTokens(Prompt prompt, List<AnswerTurn> turns, String partial) {
     int addedChars = partial.length();
     for (AnswerTurn turn : turns) {
-      addedChars += chars(turn);
+      addedChars += charCount(turn);
     }
     return prompt.size().tokens() + addedChars / CHARS_PER_TOKEN;
   }
 
-  private static int chars(AnswerTurn turn) {
+  private static int charCount(AnswerTurn turn) {
     return turn.text().length()
         + turn.calls().stream().mapToInt(call -> call.arguments().length()).sum()
         + turn.results().stream().mapToInt(result -> result.text().length()).sum();
--- a/gateway/src/main/java/lemondock/gateway/core/IdempotencyGuard.java
+++ b/gateway/src/main/java/lemondock/gateway/core/IdempotencyGuard.java
@@ -17,9 +17,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps calls that must not run twice from doing so, also over a crash of the gateway: what they do
- * is durable before they do it. {@link IdempotencyStore} decides; this writes its records to the
- * log and tells the calls what is durable. Loop thread only, but for {@link #open}.
+ * Prevents non-idempotent calls from running twice, also across a crash of the gateway: the start
+ * of a call and each relayed tool call are recorded durably before they take effect. {@link
+ * IdempotencyStore} makes the decisions; this class writes its records to the write-ahead log and
+ * notifies the calls of the results. Loop thread only, except for {@link #open}.
  */
 public final class IdempotencyGuard {
   private static final Logger LOG = LoggerFactory.getLogger(IdempotencyGuard.class);
@@ -29,7 +30,7 @@
   private final IdempotencyStore store;
   private final GroupCommit groupCommit;
   private final long commitTimeoutMicros;
-  private boolean logFailing;
+  private boolean isLogFailing;
 
   private IdempotencyGuard(
       Loop loop, IdempotencyStore store, GroupCommit groupCommit, long commitTimeoutMicros) {
@@ -40,9 +41,11 @@
   }
 
   /**
-   * Restores what earlier processes have recorded; blocks, so it is called off the loop.
+   * Opens the log and replays the records of earlier processes. Blocks, so it must not be called on
+   * the loop thread.
    *
-   * @throws IOException names the file and what is wrong with it
+   * @param disk executor that writes the log
+   * @throws IOException if the log cannot be opened; the message names the file and the problem
    */
   public static IdempotencyGuard open(
       FileSystemPort files, GatewaySettings.Durable settings, Loop loop, Executor disk)
@@ -71,98 +74,100 @@
   }
 
   /**
-   * The store's clock. Not the wall clock, which may step: a step forward would let a call run a
-   * second time.
+   * The store's clock. It is not the wall clock, which may jump: a jump forward would expire
+   * records early and let a call run a second time.
    */
   private static long nowMillis(Loop loop) {
     return loop.now() / MICROS_PER_MILLI;
   }
 
-  /** The status of the call under that key. */
+  /** The status of the call with an idempotency key. */
   public CallStatus status(String key) {
     return store.status(key, nowMillis(loop));
   }
 
-  /** The tool calls that were relayed for the call under that key. */
+  /** The tool calls that were relayed for the call with an idempotency key. */
   public List<RelayedToolCall> relayedToolCalls(String key) {
     return store.relayedToolCalls(key);
   }
 
   /**
-   * A call starts; the callback hears once whether that is durable, at the latest when the time for
-   * a commit is over.
+   * Records the start of a call. The callback is called exactly once with whether the record is
+   * durable, at the latest when the commit times out.
    */
-  void callStarted(String key, Consumer<Boolean> whenDurable) {
-    commitInTime(store.callStarted(key, nowMillis(loop)), whenDurable);
+  void callStarted(String key, Consumer<Boolean> onCommitResult) {
+    commitWithTimeout(store.callStarted(key, nowMillis(loop)), onCommitResult);
   }
 
-  /** A tool call is to be relayed; the callback hears the same. */
-  void toolCallRelayed(String key, String id, String tool, Consumer<Boolean> whenDurable) {
-    commitInTime(store.toolCallRelayed(key, id, tool), whenDurable);
+  /** Records a tool call before it is relayed; the callback as in {@link #callStarted}. */
+  void toolCallRelayed(String key, String id, String tool, Consumer<Boolean> onCommitResult) {
+    commitWithTimeout(store.toolCallRelayed(key, id, tool), onCommitResult);
   }
 
-  /** The result of a relayed tool call has come. */
+  /** Records that the result of a relayed tool call was received. */
   void toolCallAnswered(String key, String id) {
     commit(store.toolCallAnswered(key, id));
   }
 
-  /** The call has ended. */
+  /** Records the end of a call. */
   void callEnded(String key, CallStatus status) {
     commit(store.callEnded(key, status));
   }
 
-  private void commitInTime(byte[] record, Consumer<Boolean> whenDurable) {
-    PendingCommit pending = new PendingCommit(whenDurable);
+  private void commitWithTimeout(byte[] record, Consumer<Boolean> onCommitResult) {
+    PendingCommit pending = new PendingCommit(onCommitResult);
     pending.timeout = loop.schedule(commitTimeoutMicros, pending::timedOut);
     groupCommit.append(record, pending::committed);
   }
 
-  /** A commit that somebody waits for, who hears of it once. Loop thread only. */
+  /** A commit with a timeout, whose callback is called exactly once. Loop thread only. */
   private final class PendingCommit {
-    private final Consumer<Boolean> whenDurable;
+    private final Consumer<Boolean> onCommitResult;
     private Loop.Timer timeout;
-    private boolean answered;
+    private boolean isReported;
 
-    PendingCommit(Consumer<Boolean> whenDurable) {
-      this.whenDurable = whenDurable;
+    PendingCommit(Consumer<Boolean> onCommitResult) {
+      this.onCommitResult = onCommitResult;
     }
 
     void timedOut() {
-      if (!answered) {
-        answered = true;
+      if (!isReported) {
+        isReported = true;
         long timeoutMillis = commitTimeoutMicros / MICROS_PER_MILLI;
-        logChangeOf(
-            Optional.of(new IOException("the disk took longer than " + timeoutMillis + " ms")));
-        whenDurable.accept(false);
+        logFailureChange(Optional.of(new IOException("no commit within " + timeoutMillis + " ms")));
+        onCommitResult.accept(false);
       }
     }
 
     void committed(Optional<IOException> failure) {
       timeout.cancel();
-      logChangeOf(failure);
-      if (!answered) {
-        answered = true;
-        whenDurable.accept(failure.isEmpty());
+      logFailureChange(failure);
+      if (!isReported) {
+        isReported = true;
+        onCommitResult.accept(failure.isEmpty());
       }
     }
   }
 
-  /** For records whose loss is harmless: without them the store assumes that the call ran. */
+  /**
+   * Appends a record whose loss is harmless: without it, the store assumes that the call ran.
+   * Nothing waits for the commit.
+   */
   private void commit(byte[] record) {
-    groupCommit.append(record, this::logChangeOf);
+    groupCommit.append(record, this::logFailureChange);
   }
 
-  private void logChangeOf(Optional<IOException> failure) {
-    if (logFailing == failure.isPresent()) {
+  private void logFailureChange(Optional<IOException> failure) {
+    if (isLogFailing == failure.isPresent()) {
       return;
     }
-    logFailing = failure.isPresent();
+    isLogFailing = failure.isPresent();
     if (failure.isPresent()) {
       LOG.atWarn()
           .addKeyValue("why", failure.get().getMessage())
-          .log("the idempotency log cannot be written; calls with a key are rejected");
+          .log("writing the idempotency log failed; rejecting calls with an idempotency key");
     } else {
-      LOG.atInfo().log("the idempotency log is written again");
+      LOG.atInfo().log("writing the idempotency log succeeds again");
     }
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/core/OpenCalls.java
+++ b/gateway/src/main/java/lemondock/gateway/core/OpenCalls.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** The calls in progress, and how many of them wait for their clients' tools. Loop thread only. */
+/**
+ * The calls in progress, with counts of those that wait for tools and of pending tool calls. Loop
+ * thread only.
+ */
 final class OpenCalls {
   private final Set<ClientCall> calls = new HashSet<>();
   private int waitingForTools;
@@ -18,7 +21,8 @@
     calls.remove(call);
   }
 
-  List<ClientCall> all() {
+  /** A copy, so that calls may be removed while it is iterated. */
+  List<ClientCall> snapshot() {
     return List.copyOf(calls);
   }
 
@@ -26,21 +30,21 @@
     return calls.size();
   }
 
-  /** Calls that wait for nothing but results of their clients' tools. */
+  /** Number of calls that wait only for results of their clients' tools. */
   int waitingForTools() {
     return waitingForTools;
   }
 
-  void addWaitingForTools(int change) {
-    waitingForTools += change;
+  void addWaitingForTools(int delta) {
+    waitingForTools += delta;
   }
 
-  /** Tool calls whose results have not come. */
+  /** Number of relayed tool calls whose results are outstanding. */
   long pendingToolCalls() {
     return pendingToolCalls;
   }
 
-  void addPendingToolCalls(int change) {
-    pendingToolCalls += change;
+  void addPendingToolCalls(int delta) {
+    pendingToolCalls += delta;
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/core/ToolCallRelay.java
+++ b/gateway/src/main/java/lemondock/gateway/core/ToolCallRelay.java
@@ -12,7 +12,7 @@
 import lemondock.net.Loop;
 import lemondock.overload.StallMonitor;
 
-/** The tool calls of one call that its client is asked to run. Loop thread only. */
+/** Relays the tool calls of one call to its client and tracks their timeouts. Loop thread only. */
 final class ToolCallRelay {
   private final ClientCall call;
   private final CallSink sink;
@@ -24,13 +24,13 @@
   private final int maxWaitingCalls;
   private final long timeoutMicros;
 
-  /** By the tool calls' ids, for those whose results have not come. */
+  /** Timeouts of the tool calls whose results are outstanding, by tool call id. */
   private final Map<String, Loop.Timer> timeouts = new HashMap<>();
 
-  /** Ids of the tool calls that the client has been sent. */
+  /** Ids of the tool calls that were sent to the client. */
   private final Set<String> sentIds = new HashSet<>();
 
-  private boolean waitingForTools;
+  private boolean isWaitingForTools;
 
   ToolCallRelay(
       ClientCall call,
@@ -49,11 +49,14 @@
     this.timeoutMicros = GatewaySettings.micros(call.requestClass().toolTimeoutMs());
   }
 
-  /** Asks the client to run a tool, once it is durable that it was asked. */
+  /**
+   * Relays a tool call to the client. For a durable call, the tool call is committed to the
+   * idempotency log first.
+   */
   void relay(ToolCall toolCall) {
     setWaitingForTools(true);
     if (openCalls.waitingForTools() > maxWaitingCalls) {
-      // the newest is interrupted: the others may get their results any moment
+      // interrupts the newest call, because the others may receive their results any moment
       call.interrupt("too many answers wait for their tools");
       return;
     }
@@ -68,21 +71,21 @@
           .toolCallRelayed(
               storedId(toolCall.id()),
               toolCall.name(),
-              isDurable -> relayCommitted(toolCall, isDurable));
+              isDurable -> onRelayCommitted(toolCall, isDurable));
     }
   }
 
-  private void relayCommitted(ToolCall toolCall, boolean isDurable) {
+  private void onRelayCommitted(ToolCall toolCall, boolean isDurable) {
     synchronized (sink.outputLock()) {
-      if (!call.awaits(toolCall)) {
-        return; // the commit took so long that the result is not needed any more
+      if (!call.isAwaitingResult(toolCall)) {
+        return; // the result is no longer needed, because the commit took too long
       }
       if (isDurable) {
         send(toolCall);
         return;
       }
     }
-    call.toolResult(
+    call.receiveToolResult(
         toolCall.id(), new ToolResult("the call was not made: it could not be remembered", true));
   }
 
@@ -91,19 +94,19 @@
     sink.relay(toolCall);
   }
 
-  /** Models may use an id again in a later turn. */
+  /** Includes the request number, because a model may reuse an id in a later turn. */
   private String storedId(String toolCallId) {
     return call.requestsSent() + "/" + toolCallId;
   }
 
   private void startTimeout(ToolCall toolCall, long delayMicros) {
-    timeouts.put(toolCall.id(), loop.schedule(delayMicros, () -> timeoutDue(toolCall)));
+    timeouts.put(toolCall.id(), loop.schedule(delayMicros, () -> onTimeout(toolCall)));
   }
 
-  private void timeoutDue(ToolCall toolCall) {
+  private void onTimeout(ToolCall toolCall) {
     stallMonitor.detectStall(loop.now());
     long graceMicros = stallMonitor.remainingGraceMicros(loop.now());
-    if (graceMicros > 0) { // the result may have arrived and not been read
+    if (graceMicros > 0) { // the result may have arrived without having been read yet
       startTimeout(toolCall, graceMicros);
       return;
     }
@@ -113,36 +116,36 @@
     call.toolTimedOut(toolCall.id());
   }
 
-  /** A result has come, for whatever id the client gives. */
-  void answered(String toolCallId) {
+  /** Stops the timeout of a tool call; ignores an id for which no result is outstanding. */
+  void resultReceived(String toolCallId) {
     Loop.Timer timeout = timeouts.remove(toolCallId);
     if (timeout != null) {
       timeout.cancel();
       openCalls.addPendingToolCalls(-1);
       metrics.onToolCallAnswered();
-      durable.ifPresent(guarded -> guarded.toolCallAnswered(storedId(toolCallId)));
+      durable.ifPresent(durableCall -> durableCall.toolCallAnswered(storedId(toolCallId)));
     }
   }
 
-  /** The result is not needed any more; the client hears so if it was sent the tool call. */
+  /** Tells the client that a result is no longer needed, if the tool call was sent to it. */
   void withdraw(ToolCall toolCall, String reason) {
     if (sentIds.remove(toolCall.id())) {
       sink.withdraw(toolCall, reason);
     }
   }
 
-  /** No result is awaited any more. */
+  /** Cancels the timeouts of all outstanding results. */
   void cancelTimeouts() {
     openCalls.addPendingToolCalls(-timeouts.size());
     timeouts.values().forEach(Loop.Timer::cancel);
     timeouts.clear();
   }
 
-  /** Whether the call waits for nothing but results of tools. */
-  void setWaitingForTools(boolean waiting) {
-    if (waitingForTools != waiting) {
-      waitingForTools = waiting;
-      openCalls.addWaitingForTools(waiting ? 1 : -1);
+  /** Sets whether the call waits only for results of tools. */
+  void setWaitingForTools(boolean isWaiting) {
+    if (isWaitingForTools != isWaiting) {
+      isWaitingForTools = isWaiting;
+      openCalls.addWaitingForTools(isWaiting ? 1 : -1);
     }
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/core/ToolResultReader.java
+++ b/gateway/src/main/java/lemondock/gateway/core/ToolResultReader.java
@@ -3,11 +3,16 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import lemondock.gateway.answer.ToolResult;
 
-/** Reads what a client answers to a relayed {@code tools/call}. */
+/** Converts a client's response to a relayed {@code tools/call} into a tool result. */
 public final class ToolResultReader {
   private ToolResultReader() {}
 
-  /** The text of a result, or of an error of JSON-RPC; {@code error} is null for a result. */
+  /**
+   * Reads a JSON-RPC response.
+   *
+   * @param result the result; not read if {@code error} is present
+   * @param error the JSON-RPC error, null for a result
+   */
   public static ToolResult read(JsonNode result, JsonNode error) {
     if (error != null) {
       return new ToolResult(
--- a/gateway/src/main/java/lemondock/gateway/engine/CompletionChunkParser.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/CompletionChunkParser.java
@@ -12,20 +12,20 @@
 import java.util.Optional;
 
 /**
- * Reads any event of a stream of chat completions. The usual event, a piece of text, does not come
- * here but to {@link TextEventParser}. No I/O; safe for any thread.
+ * Parses any event of a chat completions stream. Most events contain only text; while direct output
+ * is possible, {@link TextEventParser} parses those instead. No I/O; thread-safe.
  */
 final class CompletionChunkParser {
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private static final String END_MARK = "[DONE]";
+  private static final String STREAM_TERMINATOR = "[DONE]";
   private static final String NOT_JSON = "an event of the stream is not JSON";
   private static final String NOT_AN_OBJECT = "an event of the stream is no object";
 
   private CompletionChunkParser() {}
 
-  /** Reads the data of one event; what cannot be read becomes an error. */
+  /** Parses the data of one event; malformed data results in an event with an error. */
   static CompletionChunk parse(String data) {
-    if (data.equals(END_MARK)) {
+    if (data.equals(STREAM_TERMINATOR)) {
       return CompletionChunk.END_OF_STREAM;
     }
     return data.contains("\"tool_calls\"") || data.contains("\"error\"")
@@ -79,7 +79,10 @@
     return toolCalls;
   }
 
-  /** Reads an event without tool calls and error: no tree, since one may come for each token. */
+  /**
+   * Parses an event without tool calls and errors. It builds no tree, because such an event may
+   * arrive for each token.
+   */
   private static CompletionChunk parseTokens(String data) {
     try (JsonParser parser = MAPPER.getFactory().createParser(data)) {
       return parser.nextToken() == JsonToken.START_OBJECT
@@ -106,7 +109,7 @@
       String name = parser.currentName();
       JsonToken value = nextToken(parser);
       if (value.isStructStart()) {
-        depth += entersStructure(parser, name) ? 1 : 0;
+        depth += enterOrSkipStructure(parser, name) ? 1 : 0;
       } else if (value == JsonToken.VALUE_STRING) {
         switch (name) {
           case "content" -> text = parser.getText();
@@ -135,13 +138,13 @@
   private static JsonToken nextToken(JsonParser parser) throws IOException {
     JsonToken token = parser.nextToken();
     if (token == null) {
-      throw new EOFException("an event ends within its object");
+      throw new EOFException("the event data ends before its JSON object is closed");
     }
     return token;
   }
 
-  /** Whether the fields of a structure are read; otherwise the parser has passed over it. */
-  private static boolean entersStructure(JsonParser parser, String name) throws IOException {
+  /** Returns whether the fields of a structure must be parsed; otherwise skips the structure. */
+  private static boolean enterOrSkipStructure(JsonParser parser, String name) throws IOException {
     switch (name) {
       case "choices", "delta", "usage", "prompt_tokens_details" -> {
         return true;
--- a/gateway/src/main/java/lemondock/gateway/engine/DecodeCall.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/DecodeCall.java
@@ -12,23 +12,23 @@
 import lemondock.policy.AttemptOutcome;
 
 /**
- * A decode in flight, whose reply is an event stream. A stream that was begun and then stays silent
- * is broken off. Loop thread only, but for {@link #consumeInPlace} and {@link #mapEvent}, which run
- * on the I/O thread of the engine's connection.
+ * A decode in flight, whose reply is an event stream. A stream that becomes silent after its first
+ * output is cancelled. Loop thread only, except for {@link #consumeInPlace} and {@link #mapEvent},
+ * which run on the I/O thread of the engine's connection.
  */
 final class DecodeCall extends EngineCall<JsonNode, CompletionChunk> {
   private static final long MICROS_PER_MILLI = 1_000;
 
   private final long maxSilenceMicros;
 
-  /** On the I/O thread of the engine's connection. */
+  /** Used only on the I/O thread of the engine's connection. */
   private final TextEventParser textParser = new TextEventParser();
 
-  /** Null while plain text goes through the loop; set on the loop, read on the I/O thread. */
+  /** Null while plain text passes through the loop; set on the loop, read on the I/O thread. */
   private volatile DirectOutput directOutput;
 
-  /** The answer is complete; only the end of the stream is to come. On the loop. */
-  private boolean finished;
+  /** Whether the answer is complete and only the end of the stream is outstanding; loop only. */
+  private boolean isAnswerComplete;
 
   DecodeCall(
       AttemptListener<JsonNode, CompletionChunk> listener,
@@ -49,7 +49,7 @@
     directOutput = null;
   }
 
-  /** Plain text goes to the output from here on; any other event still goes through the loop. */
+  /** From now on plain text is written to the output; other events still pass through the loop. */
   @Override
   public void setDirectOutput(DirectOutput output) {
     directOutput = output;
@@ -73,9 +73,9 @@
   }
 
   @Override
-  public void onEvent(Object mapped) {
-    CompletionChunk chunk = (CompletionChunk) mapped;
-    if (hasEnded() || finished && chunk.isEmpty()) {
+  public void onEvent(Object mappedEvent) {
+    CompletionChunk chunk = (CompletionChunk) mappedEvent;
+    if (hasEnded() || isAnswerComplete && chunk.isEmpty()) {
       return;
     }
     if (status() != 200) {
@@ -83,7 +83,7 @@
     } else if (chunk.error().isPresent()) {
       cancelAndEnd(AttemptOutcome.ERROR, chunk.error().get());
     } else {
-      finished |= chunk.finishReason().isPresent();
+      isAnswerComplete |= chunk.finishReason().isPresent();
       forward(chunk);
     }
   }
@@ -93,7 +93,7 @@
     if (status() != 200) {
       EngineProtocol.ErrorReply error = EngineProtocol.parseErrorReply(status(), body());
       end(error.outcome(), error.stateMissing(), error.message());
-    } else if (finished) {
+    } else if (isAnswerComplete) {
       end(AttemptOutcome.OK, false, "");
     } else {
       end(AttemptOutcome.RESET, false, "the stream ended without a finish_reason");
@@ -102,8 +102,8 @@
 
   @Override
   public void onFailure(RequestFailure failure, String message) {
-    if (finished) {
-      // all of the answer had come; only the closing mark was lost
+    if (isAnswerComplete) {
+      // the whole answer was received; only the stream terminator is missing
       end(AttemptOutcome.OK, false, "");
     } else {
       end(EnginePort.outcomeOf(failure), false, message);
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
@@ -20,8 +20,8 @@
 import lemondock.overload.StallMonitor;
 
 /**
- * The dispatcher's port to engines that speak the OpenAI API: carries prefills, decodes and aborts.
- * Every attempt ends exactly once, by an outcome or by a cancel. Loop thread only.
+ * The dispatcher's port to engines with an OpenAI-compatible API; sends prefills, decodes and
+ * aborts. Every attempt ends exactly once, with an outcome or by cancellation. Loop thread only.
  */
 public final class EngineClient implements EnginePort<ObjectNode, JsonNode, CompletionChunk> {
   private static final int MAX_ABORT_ATTEMPTS = 3;
@@ -34,7 +34,7 @@
   private final Optional<String> apiKey;
   private final long streamIdleMicros;
 
-  /** Makes a client; {@code userAgent} names this gateway to the engines. */
+  /** Creates a client; {@code userAgent} identifies this gateway to the engines. */
   public EngineClient(
       Loop loop,
       HttpClient client,
@@ -51,58 +51,58 @@
 
   @Override
   public AttemptHandle prefill(
-      Endpoint server,
+      Endpoint endpoint,
       String attemptId,
       DispatchedRequest<ObjectNode> request,
       AttemptListener<JsonNode, CompletionChunk> listener) {
-    InetSocketAddress address = server.address();
+    InetSocketAddress address = endpoint.address();
     byte[] body = EngineProtocol.prefillRequest(request.prompt(), attemptId);
-    ByteBuffer message = post(address, EngineProtocol.COMPLETIONS_PATH, attemptId, body);
-    return client.send(address, message, new PrefillCall(listener))::cancel;
+    ByteBuffer httpRequest = post(address, EngineProtocol.COMPLETIONS_PATH, attemptId, body);
+    return client.send(address, httpRequest, new PrefillCall(listener))::cancel;
   }
 
   @Override
   public AttemptHandle decode(
-      Endpoint server,
+      Endpoint endpoint,
       String attemptId,
       DispatchedRequest<ObjectNode> request,
-      JsonNode transfer,
+      JsonNode transferParams,
       AttemptListener<JsonNode, CompletionChunk> listener) {
-    return sendDecode(server, attemptId, request, Optional.of(transfer), listener);
+    return sendDecode(endpoint, attemptId, request, Optional.of(transferParams), listener);
   }
 
   @Override
   public AttemptHandle prefillAndDecode(
-      Endpoint server,
+      Endpoint endpoint,
       String attemptId,
       DispatchedRequest<ObjectNode> request,
       AttemptListener<JsonNode, CompletionChunk> listener) {
-    return sendDecode(server, attemptId, request, Optional.empty(), listener);
+    return sendDecode(endpoint, attemptId, request, Optional.empty(), listener);
   }
 
   private DecodeCall sendDecode(
-      Endpoint server,
+      Endpoint endpoint,
       String attemptId,
       DispatchedRequest<ObjectNode> request,
-      Optional<JsonNode> transfer,
+      Optional<JsonNode> transferParams,
       AttemptListener<JsonNode, CompletionChunk> listener) {
-    InetSocketAddress address = server.address();
+    InetSocketAddress address = endpoint.address();
     byte[] body =
         EngineProtocol.decodeRequest(
-            request.prompt(), attemptId, transfer, request.maxAnswerTokens());
-    ByteBuffer message = post(address, EngineProtocol.COMPLETIONS_PATH, attemptId, body);
+            request.prompt(), attemptId, transferParams, request.maxAnswerTokens());
+    ByteBuffer httpRequest = post(address, EngineProtocol.COMPLETIONS_PATH, attemptId, body);
     DecodeCall call = new DecodeCall(listener, loop, stallMonitor, streamIdleMicros);
-    call.setHttpCall(client.send(address, message, request.clientShard(), call));
+    call.setHttpCall(client.send(address, httpRequest, request.clientShard(), call));
     return call;
   }
 
-  /** Releases a request and what is kept for it; retried if it cannot be sent at once. */
+  /** Aborts an attempt and releases its reserved state; retried a few times if sending fails. */
   @Override
   public void release(Endpoint endpoint, String attemptId, ObjectNode prompt) {
     abort(endpoint.address(), attemptId, MAX_ABORT_ATTEMPTS);
   }
 
-  /** Each attempt has an id of its own here, so that what it may have left is released at once. */
+  /** Releases immediately: each attempt has its own id, so that no other attempt is affected. */
   @Override
   public void releaseUncertain(Endpoint endpoint, String attemptId, ObjectNode prompt) {
     release(endpoint, attemptId, prompt);
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineProtocol.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineProtocol.java
@@ -9,32 +9,32 @@
 import lemondock.policy.AttemptOutcome;
 
 /**
- * Requests and replies of the OpenAI-compatible chat completions API, as vLLM serves it with its
- * prefill and decode disaggregated. A prefill is a completion of one token that asks for a remote
- * decode; what it returns as {@code kv_transfer_params} goes into the decode. No I/O; safe for any
- * thread.
+ * Encodes requests and parses replies of the OpenAI-compatible chat completions API, as vLLM serves
+ * it with disaggregated prefill and decode. A prefill is a completion of one token that asks for a
+ * remote decode; the {@code kv_transfer_params} of its reply are sent with the decode. No I/O;
+ * thread-safe.
  */
 public final class EngineProtocol {
-  /** The path of chat completions. */
+  /** Path of the chat completions endpoint. */
   public static final String COMPLETIONS_PATH = "/v1/chat/completions";
 
-  /** The path that releases a request and the state reserved for it (SGLang's published API). */
+  /** Path that aborts a request and releases its reserved state (SGLang's documented API). */
   public static final String ABORT_PATH = "/abort_request";
 
-  /** The error code of a decode engine that found no state to fetch. */
+  /** Error code of a decode engine that did not find the reserved state. */
   public static final String STATE_MISSING = "kv_state_missing";
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private static final String TRANSFER_FIELD = "kv_transfer_params";
+  private static final String TRANSFER_PARAMS_FIELD = "kv_transfer_params";
   private static final int MAX_ERROR_CHARS = 200;
 
   private EngineProtocol() {}
 
-  /** The body of a prefill. */
+  /** Encodes the body of a prefill. */
   public static byte[] prefillRequest(ObjectNode prompt, String requestId) {
     ObjectNode body = prompt.deepCopy();
     body.put("max_tokens", 1).put("stream", false).put("request_id", requestId);
-    body.putObject(TRANSFER_FIELD)
+    body.putObject(TRANSFER_PARAMS_FIELD)
         .put("do_remote_decode", true)
         .put("do_remote_prefill", false)
         .putNull("remote_engine_id")
@@ -45,20 +45,21 @@
   }
 
   /**
-   * The body of a decode.
+   * Encodes the body of a decode.
    *
-   * @param transfer names the state to start from; without one the engine reads the prompt itself
+   * @param transferParams identifies the reserved state to start from; if empty, the engine does
+   *     the prefill itself
    */
   public static byte[] decodeRequest(
-      ObjectNode prompt, String requestId, Optional<JsonNode> transfer, int maxTokens) {
+      ObjectNode prompt, String requestId, Optional<JsonNode> transferParams, int maxTokens) {
     ObjectNode body = prompt.deepCopy();
     body.put("max_tokens", maxTokens).put("stream", true).put("request_id", requestId);
     body.putObject("stream_options").put("include_usage", true).put("continuous_usage_stats", true);
-    transfer.ifPresent(state -> body.set(TRANSFER_FIELD, state));
+    transferParams.ifPresent(params -> body.set(TRANSFER_PARAMS_FIELD, params));
     return toBytes(body);
   }
 
-  /** The body of an abort. */
+  /** Encodes the body of an abort. */
   public static byte[] abortRequest(String requestId) {
     return toBytes(MAPPER.createObjectNode().put("rid", requestId).put("abort_all", false));
   }
@@ -67,38 +68,39 @@
     try {
       return MAPPER.writeValueAsBytes(node);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a tree can always be written", e);
+      throw new IllegalStateException("JSON tree could not be serialized", e);
     }
   }
 
-  /** Reads the reply to a prefill. */
+  /** Parses the reply to a prefill. */
   public static PrefillReply parsePrefillReply(byte[] body) {
     JsonNode root;
     try {
       root = MAPPER.readTree(body);
     } catch (IOException e) {
-      return new PrefillReply.Malformed("the read's reply is not JSON");
+      return new PrefillReply.Malformed("prefill reply is not JSON");
     }
-    JsonNode transfer = root.path(TRANSFER_FIELD);
-    if (!transfer.isObject()) {
-      return new PrefillReply.Malformed("the read's reply has no kv_transfer_params");
+    JsonNode transferParams = root.path(TRANSFER_PARAMS_FIELD);
+    if (!transferParams.isObject()) {
+      return new PrefillReply.Malformed("prefill reply has no kv_transfer_params object");
     }
     JsonNode details = root.path("usage").path("prompt_tokens_details");
-    return new PrefillReply.Completed(transfer, details.path("cached_tokens").asInt(0));
+    return new PrefillReply.Completed(transferParams, details.path("cached_tokens").asInt(0));
   }
 
   /**
-   * A response that is no success.
+   * A response with an error status.
    *
-   * @param outcome what the router hears
-   * @param stateMissing whether a decode engine found no state to fetch
-   * @param message for the log
+   * @param outcome the attempt outcome that is reported to the router
+   * @param stateMissing whether a decode engine did not find the reserved state
+   * @param message text for logs
    */
   public record ErrorReply(AttemptOutcome outcome, boolean stateMissing, String message) {}
 
   /**
-   * Reads a response with a status other than 200. With 429 and 503 an engine says that it did not
-   * begin; any other status may come after work, so it proves nothing.
+   * Parses a response with a status other than 200. Statuses 429 and 503 mean that the engine did
+   * not begin the request. With any other status the engine may have processed it, so the attempt
+   * counts as failed and not as rejected.
    */
   public static ErrorReply parseErrorReply(int status, byte[] body) {
     Optional<JsonNode> root = parseJson(body);
@@ -118,7 +120,7 @@
     }
   }
 
-  /** The message of an engine's error, bounded. */
+  /** The message of an engine's error, truncated to {@link #MAX_ERROR_CHARS} characters. */
   static String errorMessage(JsonNode root) {
     JsonNode error = root.path("error");
     String text =
--- a/gateway/src/main/java/lemondock/gateway/engine/JsonScanner.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/JsonScanner.java
@@ -1,23 +1,25 @@
 package lemondock.gateway.engine;
 
 /**
- * Passes over JSON in a byte array without memory of its own. It takes only what is usual: strings
- * without escapes, and structures of a bounded depth. Each method says whether what comes next was
- * as expected; if not, the position means nothing any more.
+ * Scans JSON in a byte array without allocating memory. It supports only a subset: strings without
+ * escapes, and structures of a bounded depth. Each accept and skip method returns whether the next
+ * element was as expected; if not, the position is undefined afterwards.
  *
- * <p>A base class rather than a part, so that {@link TextEventParser} reads each byte of each token
- * without a detour. One thread at a time.
+ * <p>It is a base class rather than a field, so that {@link TextEventParser} accesses each byte of
+ * each token without an indirection. Not thread-safe.
  */
 abstract class JsonScanner {
   static final int MAX_DEPTH = 16;
 
-  /** UTF-8; null between two inputs. */
+  /** UTF-8 encoded; null while no input is being parsed. */
   byte[] input;
 
   int position;
+
+  /** Index after the last byte of the input. */
   int end;
 
-  /** Begins at the first byte; only {@code length} bytes belong to the text. */
+  /** Starts at the first byte of a new input, which consists of the first {@code length} bytes. */
   final void reset(byte[] data, int length) {
     input = data;
     position = 0;
@@ -39,7 +41,7 @@
     }
   }
 
-  /** Passes over a character that must come next, behind any white space. */
+  /** Skips white space and then one character, if it is the expected one. */
   final boolean accept(char expected) {
     skipWhitespace();
     if (position < end && input[position] == expected) {
@@ -49,7 +51,7 @@
     return false;
   }
 
-  /** Passes over a string without escapes; its bytes are not checked to be UTF-8. */
+  /** Skips a string without escapes; its bytes are not checked to be valid UTF-8. */
   final boolean skipString() {
     if (position >= end || input[position] != '"') {
       return false;
@@ -67,7 +69,7 @@
     return false;
   }
 
-  /** Passes over a string, number or literal; there is at least one byte. */
+  /** Skips a string, number or literal; at least one byte must be left. */
   final boolean skipScalar() {
     if (input[position] == '"') {
       return skipString();
@@ -77,6 +79,7 @@
         : acceptLiteral("null") || acceptLiteral("true") || acceptLiteral("false");
   }
 
+  /** Whether a number starts here; at least one byte must be left. */
   final boolean atNumber() {
     return input[position] >= '0' && input[position] <= '9' || input[position] == '-';
   }
@@ -132,7 +135,7 @@
     return next - start;
   }
 
-  /** Passes over the object or array that begins here. */
+  /** Skips the object or array that starts at the current position. */
   final boolean skipStructure() {
     return skipStructure(0);
   }
--- a/gateway/src/main/java/lemondock/gateway/engine/PrefillCall.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/PrefillCall.java
@@ -24,7 +24,7 @@
     }
     PrefillReply reply = EngineProtocol.parsePrefillReply(body());
     if (reply instanceof PrefillReply.Completed completed) {
-      listener.prefillCompleted(completed.transfer(), completed.cachedTokens());
+      listener.prefillCompleted(completed.transferParams(), completed.cachedTokens());
     } else if (reply instanceof PrefillReply.Malformed malformed) {
       listener.attemptEnded(AttemptOutcome.ERROR, false, malformed.problem());
     }
--- a/gateway/src/main/java/lemondock/gateway/engine/TextEventParser.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/TextEventParser.java
@@ -3,10 +3,11 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads the event that nearly all of an answer's stream is made of, a piece of text with or without
- * token counts, where it lies: no tree, no string, no memory of its own per event. Any other event,
- * or one that is not quite as usual, is not taken, and {@link CompletionChunkParser} reads it; what
- * is taken means the same there. One parser serves one stream, on its I/O thread.
+ * Parses the most frequent event of an answer's stream, a piece of text with or without token
+ * counts, in place: it builds neither a tree nor a string and allocates no memory per event. Any
+ * other event or unusual encoding is rejected and left to {@link CompletionChunkParser}, which
+ * would give the same result for every event that is accepted here. One parser serves one stream,
+ * on its I/O thread.
  */
 final class TextEventParser extends JsonScanner {
   private static final int MAX_DIGITS = 9;
@@ -16,14 +17,14 @@
   private static final byte[] FINISH_REASON_FIELD = ascii("finish_reason");
   private static final byte[] COMPLETION_TOKENS_FIELD = ascii("completion_tokens");
 
-  /** An event that has one of these says more than a piece of text. */
+  /** Fields of events that contain more than a piece of text; such events are rejected. */
   private static final byte[][] UNSUPPORTED_FIELDS =
       asciiAll("tool_calls", "error", "cached_tokens");
 
   private final StringBuilder text = new StringBuilder();
   private int completionTokens;
 
-  // The structures around the position that are traversed:
+  // The traversed structures that enclose the current position.
   private final boolean[] isObjectAtDepth = new boolean[MAX_DEPTH];
   private int depth;
   private boolean hasPreviousMember;
@@ -33,24 +34,33 @@
   }
 
   private static byte[][] asciiAll(String... texts) {
-    byte[][] all = new byte[texts.length][];
+    byte[][] encodedTexts = new byte[texts.length][];
     for (int i = 0; i < texts.length; i++) {
-      all[i] = ascii(texts[i]);
+      encodedTexts[i] = ascii(texts[i]);
     }
-    return all;
+    return encodedTexts;
   }
 
-  /** The text of the event taken last; valid until the next. */
+  /** The text of the last accepted event; valid until the next call of {@link #parse}. */
   CharSequence text() {
     return text;
   }
 
-  /** Tokens so far by the event taken last, or {@link CompletionChunk#NOT_REPORTED}. */
+  /**
+   * The number of completion tokens in the last accepted event, or {@link
+   * CompletionChunk#NOT_REPORTED}.
+   */
   int completionTokens() {
     return completionTokens;
   }
 
-  /** Whether the event, UTF-8 in the first bytes of an array, is a piece of text and was taken. */
+  /**
+   * Parses an event.
+   *
+   * @param data contains the event in its first bytes, encoded in UTF-8
+   * @param length number of bytes of the event
+   * @return whether the event is a piece of text in the supported form and was accepted
+   */
   boolean parse(byte[] data, int length) {
     reset(data, length);
     completionTokens = CompletionChunk.NOT_REPORTED;
@@ -60,7 +70,7 @@
     return parsed;
   }
 
-  /** What is behind the opening brace of the event, up to its end. */
+  /** Parses the event from after its opening brace through its closing brace. */
   private boolean parseMembers() {
     depth = 0;
     isObjectAtDepth[0] = true;
@@ -99,7 +109,7 @@
     return true;
   }
 
-  /** A member of an object or an element of an array, with the comma before it. */
+  /** Parses a member of an object or an element of an array, including a preceding comma. */
   private boolean parseMember() {
     if (hasPreviousMember) {
       if (!accept(',')) {
@@ -168,7 +178,7 @@
     return skipScalar();
   }
 
-  /** The whole number from there up to the position. */
+  /** Parses the integer from a start index up to the current position. */
   private boolean parseTokenCount(int start) {
     if (position - start > MAX_DIGITS) {
       return false;
@@ -184,23 +194,23 @@
     return true;
   }
 
-  // The text, with all its escapes.
+  // Parsing of the content string, including escapes.
 
   private boolean parseContent() {
     text.setLength(0);
     for (position++; position < end; ) {
-      int c = input[position++];
-      if (c == '"') {
+      int nextByte = input[position++];
+      if (nextByte == '"') {
         return true;
       }
-      if (c == '\\') {
+      if (nextByte == '\\') {
         if (!parseEscape()) {
           return false;
         }
-      } else if (c >= ' ') {
-        text.append((char) c);
-      } else if (c >= 0 || !parseMultiByteCharacter(c & 0xff)) {
-        return false; // a control character, or no UTF-8
+      } else if (nextByte >= ' ') {
+        text.append((char) nextByte);
+      } else if (nextByte >= 0 || !parseMultiByteCharacter(nextByte & 0xff)) {
+        return false; // a control character or invalid UTF-8
       }
     }
     return false;
@@ -210,9 +220,9 @@
     if (position == end) {
       return false;
     }
-    int c = input[position++];
-    switch (c) {
-      case '"', '\\', '/' -> text.append((char) c);
+    int escapedChar = input[position++];
+    switch (escapedChar) {
+      case '"', '\\', '/' -> text.append((char) escapedChar);
       case 'n' -> text.append('\n');
       case 't' -> text.append('\t');
       case 'r' -> text.append('\r');
@@ -244,7 +254,10 @@
     return true;
   }
 
-  /** A character of several bytes; the shortest form only, and no half of a pair (RFC 3629). */
+  /**
+   * Parses a multi-byte character. Overlong encodings and surrogates are rejected, as RFC 3629
+   * demands.
+   */
   private boolean parseMultiByteCharacter(int leadByte) {
     int continuationBytes = leadByte >= 0xf0 ? 3 : leadByte >= 0xe0 ? 2 : 1;
     if (leadByte < 0xc2 || leadByte > 0xf4 || end - position < continuationBytes) {
@@ -257,14 +270,15 @@
       }
       codePoint = codePoint << 6 | input[position++] & 0x3f;
     }
-    if (!isShortestForm(codePoint, continuationBytes)) {
+    if (!isValidCodePoint(codePoint, continuationBytes)) {
       return false;
     }
     text.appendCodePoint(codePoint);
     return true;
   }
 
-  private static boolean isShortestForm(int codePoint, int continuationBytes) {
+  /** Whether the encoding is the shortest one and the code point is not a surrogate. */
+  private static boolean isValidCodePoint(int codePoint, int continuationBytes) {
     return switch (continuationBytes) {
       case 3 -> codePoint >= 0x10000 && codePoint <= Character.MAX_CODE_POINT;
       case 2 -> codePoint >= 0x800 && (codePoint < 0xd800 || codePoint >= 0xe000);
--- a/gateway/src/main/java/lemondock/gateway/engine/package-info.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The client of engines that speak the OpenAI-compatible API. {@link
+ * The client for engines with an OpenAI-compatible API. {@link
  * lemondock.gateway.engine.EngineClient} sends prefills, decodes and aborts; {@link
- * lemondock.gateway.engine.EngineProtocol} reads and writes their bodies.
+ * lemondock.gateway.engine.EngineProtocol} encodes and parses their bodies.
  *
- * <p>The events of a stream come once for each token: the usual ones are read where they lie on an
- * I/O thread, all others become a {@link lemondock.gateway.engine.CompletionChunk} for the loop.
+ * <p>A stream event arrives for each token. Plain text events are parsed in place on an I/O thread;
+ * all others are passed to the loop as a {@link lemondock.gateway.engine.CompletionChunk}.
  */
 package lemondock.gateway.engine;
--- a/gateway/src/main/java/lemondock/gateway/mcp/CallAdmission.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/CallAdmission.java
@@ -93,7 +93,7 @@
   private ObjectNode reject(JsonRpcMessage.Request request, Prompt prompt, Problem problem) {
     if (problem.isRetryable()) {
       CallMetadata metadata = CallMetadata.of(request.params());
-      context.calls().rejected(prompt, metadata.tenant(), metadata.clientRetry());
+      context.calls().recordRejected(prompt, metadata.tenant(), metadata.clientRetry());
     }
     ObjectNode data = JsonNodeFactory.instance.objectNode().put("retryable", problem.isRetryable());
     return JsonRpc.error(request.id(), problem.code(), problem.message(), data);
--- a/gateway/src/main/java/lemondock/gateway/mcp/ClientMessageHandler.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ClientMessageHandler.java
@@ -58,7 +58,7 @@
       McpSession.RelayedToolCall relayed, JsonRpcMessage.Response response) {
     return relayed
         .call()
-        .toolResult(
+        .receiveToolResult(
             relayed.toolCallId(), ToolResultReader.read(response.result(), response.error()));
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/mcp/PostResponder.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/PostResponder.java
@@ -108,7 +108,7 @@
   private ObjectNode shedLoad(JsonRpcMessage.Request request, RequestPreparer.Rejected rejected) {
     CallMetadata metadata = CallMetadata.of(request.params());
     context.preparer().recordArrival(rejected.classId(), metadata.clientRetry());
-    context.calls().shedLoad(rejected.classId(), metadata.tenant(), metadata.clientRetry());
+    context.calls().recordLoadShed(rejected.classId(), metadata.tenant(), metadata.clientRetry());
     return RequestPreparer.rejection(request.id(), rejected.retryAfterMicros());
   }
 
--- a/gateway/src/main/java/lemondock/gateway/mcp/RequestPreparer.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/RequestPreparer.java
@@ -130,7 +130,7 @@
         bytes(rejection(NullNode.instance, retryAfterMicros)),
         () -> {
           recordArrival(classId, false);
-          calls.shedLoad(classId, Optional.empty(), false);
+          calls.recordLoadShed(classId, Optional.empty(), false);
         });
   }
 
--- a/gateway/src/test/java/lemondock/gateway/answer/AnswerTest.java
+++ b/gateway/src/test/java/lemondock/gateway/answer/AnswerTest.java
@@ -14,36 +14,36 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The states of an answer. */
+/** Tests the state machine of an answer. */
 class AnswerTest {
   private static final AnswerLimits LIMITS = new AnswerLimits(30, 3, 4, 200, 2, true);
 
-  /** Writes down every step. */
-  private static final class Log implements AnswerActions {
+  /** Records every decision of an answer. */
+  private static final class RecordingActions implements AnswerActions {
     private final List<String> steps = new ArrayList<>();
     private final List<AnswerOutcome> outcomes = new ArrayList<>();
     private final StringBuilder delivered = new StringBuilder();
     private final List<String> relayed = new ArrayList<>();
     private int requests;
     private int openRequests;
-    private String partial = "";
+    private String lastPartial = "";
     private int lastTokens;
 
     @Override
     public void startRequest(
-        List<AnswerTurn> turns, String givenPartial, int maxTokens, boolean resumed) {
-      assertEquals(0, openRequests++, "two requests at a time");
+        List<AnswerTurn> turns, String partial, int maxTokens, boolean isResumed) {
+      assertEquals(0, openRequests++, "more than one request in flight");
       assertTrue(maxTokens > 0);
       requests++;
-      partial = givenPartial;
+      lastPartial = partial;
       steps.add(
           "request "
               + turns.size()
               + " '"
-              + givenPartial
+              + partial
               + "' "
               + maxTokens
-              + (resumed ? " resumed" : ""));
+              + (isResumed ? " resumed" : ""));
     }
 
     @Override
@@ -76,8 +76,8 @@
     }
   }
 
-  private final Log log = new Log();
-  private Answer answer = new Answer(log, LIMITS);
+  private final RecordingActions actions = new RecordingActions();
+  private Answer answer = new Answer(actions, LIMITS);
 
   private static CompletionChunk text(String piece) {
     return CompletionChunk.ofText(piece);
@@ -93,17 +93,17 @@
   }
 
   private void completeRequest() {
-    log.openRequests--;
+    actions.openRequests--;
     answer.onRequestCompleted();
   }
 
-  private void breakStream() {
-    log.openRequests--;
-    answer.onStreamBroken("cut");
+  private void interruptStream() {
+    actions.openRequests--;
+    answer.onStreamInterrupted("cut");
   }
 
   @Test
-  void textIsServedOnce() {
+  void servesTextAndEndsOnce() {
     answer.begin();
     answer.onChunk(text("a"));
     answer.onChunk(text("b"));
@@ -113,16 +113,16 @@
         List.of(
             new AnswerOutcome(
                 AnswerOutcome.Kind.SERVED, new AnswerOutcome.Totals("ab", 2, 0, 0), "stop", 0, "")),
-        log.outcomes);
-    assertFalse(log.outcomes.get(0).retryable());
+        actions.outcomes);
+    assertFalse(actions.outcomes.get(0).isRetryable());
     answer.onChunk(text("c"));
     answer.onRequestCompleted();
     answer.cancel("late");
-    assertEquals(1, log.outcomes.size());
+    assertEquals(1, actions.outcomes.size());
   }
 
   @Test
-  void partsBecomeToolCallsAndTheirResultsTheNextTurn() {
+  void assemblesToolCallsAndStartsNextTurnWithTheirResults() {
     answer.begin();
     answer.onChunk(text("x"));
     answer.onChunk(call(0, "c1", "stock", "{\"a\""));
@@ -130,154 +130,163 @@
     answer.onChunk(call(0, "", "", ":1}"));
     answer.onChunk(finish("tool_calls"));
     completeRequest();
-    assertEquals(List.of("request 0 '' 30", "relay stock{\"a\":1}", "relay price"), log.steps);
+    assertEquals(List.of("request 0 '' 30", "relay stock{\"a\":1}", "relay price"), actions.steps);
     assertTrue(answer.onToolResult("c2", new ToolResult("two", false)));
     assertFalse(answer.onToolResult("c2", new ToolResult("again", false)));
     assertFalse(answer.onToolResult("c9", new ToolResult("unknown", false)));
     assertTrue(answer.onToolResult("c1", new ToolResult("one", false)));
-    assertEquals("request 1 '' 29", log.steps.get(3));
+    assertEquals("request 1 '' 29", actions.steps.get(3));
     assertFalse(answer.onToolResult("c1", new ToolResult("late", false)));
   }
 
   @Test
-  void aResumedRequestContinuesBehindWhatWasDelivered() {
+  void resumedRequestContinuesAfterDeliveredText() {
     answer.begin();
     answer.onChunk(text("a"));
     answer.onChunk(text("b"));
     answer.onChunk(call(0, "c1", "stock", "{"));
-    breakStream();
-    assertEquals("request 0 'ab' 28 resumed", log.steps.get(1));
+    interruptStream();
+    assertEquals("request 0 'ab' 28 resumed", actions.steps.get(1));
     answer.onChunk(text("c"));
     answer.onChunk(call(0, "c1", "stock", "{}"));
     completeRequest();
-    assertEquals(List.of("c1/2"), log.relayed);
-    assertEquals("abc", log.delivered.toString());
+    assertEquals(List.of("c1/2"), actions.relayed);
+    assertEquals("abc", actions.delivered.toString());
   }
 
   @Test
-  void aBrokenStreamIsResumedUpToTheLimit() {
+  void resumesInterruptedStreamsUpToTheLimit() {
     answer.begin();
     for (int i = 0; i < 3; i++) {
       answer.onChunk(text("a"));
-      breakStream();
+      interruptStream();
     }
-    assertEquals(AnswerOutcome.Kind.FAILED, log.outcomes.get(0).kind());
-    assertEquals(3, log.requests);
+    assertEquals(AnswerOutcome.Kind.FAILED, actions.outcomes.get(0).kind());
+    assertEquals(3, actions.requests);
   }
 
   @Test
-  void aNonIdempotentAnswerIsNotResumed() {
-    answer = new Answer(log, new AnswerLimits(30, 3, 4, 200, 2, false));
+  void doesNotResumeNonIdempotentAnswer() {
+    answer = new Answer(actions, new AnswerLimits(30, 3, 4, 200, 2, false));
     answer.begin();
     answer.onChunk(text("a"));
-    breakStream();
-    assertEquals(AnswerOutcome.Kind.FAILED, log.outcomes.get(0).kind());
-    assertFalse(log.outcomes.get(0).retryable());
+    interruptStream();
+    assertEquals(AnswerOutcome.Kind.FAILED, actions.outcomes.get(0).kind());
+    assertFalse(actions.outcomes.get(0).isRetryable());
   }
 
   @Test
-  void onlyTheFirstRequestsRejectionRejectsTheCall() {
+  void rejectsTheCallOnlyIfTheFirstRequestIsRejected() {
     answer.begin();
     answer.onRejected(5);
-    assertEquals(AnswerOutcome.Kind.REJECTED, log.outcomes.get(0).kind());
-    assertTrue(log.outcomes.get(0).retryable());
-    Log second = new Log();
-    Answer later = new Answer(second, LIMITS);
-    later.begin();
-    later.onChunk(call(0, "c", "t", "{}"));
-    second.openRequests--;
-    later.onRequestCompleted();
-    later.onToolResult("c", new ToolResult("", false));
-    later.onRejected(5);
-    assertEquals(AnswerOutcome.Kind.FAILED, second.outcomes.get(0).kind());
-    assertFalse(second.outcomes.get(0).retryable());
+    assertEquals(AnswerOutcome.Kind.REJECTED, actions.outcomes.get(0).kind());
+    assertTrue(actions.outcomes.get(0).isRetryable());
+    RecordingActions laterActions = new RecordingActions();
+    Answer laterAnswer = new Answer(laterActions, LIMITS);
+    laterAnswer.begin();
+    laterAnswer.onChunk(call(0, "c", "t", "{}"));
+    laterActions.openRequests--;
+    laterAnswer.onRequestCompleted();
+    laterAnswer.onToolResult("c", new ToolResult("", false));
+    laterAnswer.onRejected(5);
+    assertEquals(AnswerOutcome.Kind.FAILED, laterActions.outcomes.get(0).kind());
+    assertFalse(laterActions.outcomes.get(0).isRetryable());
   }
 
   @Test
-  void theModelHearsOfAToolThatTimedOut() {
+  void startsNextTurnWhenAToolTimesOut() {
     answer.begin();
     answer.onChunk(call(0, "c", "t", "{}"));
     completeRequest();
     answer.onToolTimeout("c");
-    assertEquals(List.of("withdraw c", "request 1 '' 30"), log.steps.subList(2, 4));
+    assertEquals(List.of("withdraw c", "request 1 '' 30"), actions.steps.subList(2, 4));
     assertFalse(answer.onToolResult("c", new ToolResult("late", false)));
   }
 
   @Test
-  void tooManyToolCallsFailAnAnswer() {
+  void failsOnTooManyToolCalls() {
     answer.begin();
     for (int i = 0; i < 5; i++) {
       answer.onChunk(call(i, "c" + i, "t", "{}"));
     }
-    assertEquals(AnswerOutcome.Kind.FAILED, log.outcomes.get(0).kind());
-    assertTrue(log.steps.contains("cancel"));
+    assertEquals(AnswerOutcome.Kind.FAILED, actions.outcomes.get(0).kind());
+    assertTrue(actions.steps.contains("cancel"));
   }
 
-  /** Any order of events, sensible or not, keeps the three promises. */
+  /**
+   * Arbitrary sequences of events, valid or not, preserve the three invariants of {@link Answer}.
+   */
   @Property(tries = 20_000, seed = "20261201")
-  void anySequenceKeepsThePromises(@ForAll long seed) {
+  void preservesInvariantsUnderArbitraryEvents(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    Log seen = new Log();
-    Answer any = new Answer(seen, LIMITS);
-    any.begin();
+    RecordingActions recorded = new RecordingActions();
+    Answer randomAnswer = new Answer(recorded, LIMITS);
+    randomAnswer.begin();
     int callNumber = 0;
-    int word = 0;
-    StringBuilder wanted = new StringBuilder();
-    Set<String> taken = new HashSet<>();
+    int pieceNumber = 0;
+    StringBuilder expectedText = new StringBuilder();
+    Set<String> acceptedResults = new HashSet<>();
     for (int step = 0; step < 60; step++) {
-      boolean requestOpen = seen.openRequests > 0;
+      boolean requestOpen = recorded.openRequests > 0;
       switch (random.nextInt(12)) {
         case 0, 1, 2, 3 -> {
           if (requestOpen) {
-            String piece = "w" + word++ + " ";
-            wanted.append(piece);
-            any.onChunk(text(piece));
+            String piece = "w" + pieceNumber++ + " ";
+            expectedText.append(piece);
+            randomAnswer.onChunk(text(piece));
           }
         }
         case 4, 5 -> {
           if (requestOpen) {
-            any.onChunk(call(random.nextInt(3), "c" + callNumber++, "t", "{}"));
+            randomAnswer.onChunk(call(random.nextInt(3), "c" + callNumber++, "t", "{}"));
           }
         }
         case 6, 7 -> {
           if (requestOpen) {
-            seen.openRequests--;
-            any.onRequestCompleted();
+            recorded.openRequests--;
+            randomAnswer.onRequestCompleted();
           }
         }
         case 8 -> {
           if (requestOpen) {
-            seen.openRequests--;
-            any.onStreamBroken("cut");
+            recorded.openRequests--;
+            randomAnswer.onStreamInterrupted("cut");
           }
         }
         case 9 -> {
           String id = "c" + random.nextInt(callNumber + 1);
-          if (any.onToolResult(id, new ToolResult("r", false))) {
-            assertTrue(taken.add(id + "/" + seen.relayed.size()), "a result taken twice");
+          if (randomAnswer.onToolResult(id, new ToolResult("r", false))) {
+            assertTrue(
+                acceptedResults.add(id + "/" + recorded.relayed.size()),
+                "a result was accepted twice");
           }
         }
-        case 10 -> any.onToolTimeout("c" + random.nextInt(callNumber + 1));
+        case 10 -> randomAnswer.onToolTimeout("c" + random.nextInt(callNumber + 1));
         default -> {
           if (random.nextInt(20) == 0) {
-            any.cancel("gone");
+            randomAnswer.cancel("gone");
           } else if (requestOpen && random.nextInt(10) == 0) {
-            seen.openRequests--;
-            any.onFailed();
+            recorded.openRequests--;
+            randomAnswer.onFailed();
           }
         }
       }
-      assertTrue(seen.outcomes.size() <= 1, "two outcomes");
-      assertEquals(any.state() == Answer.State.ENDED, seen.outcomes.size() == 1);
+      assertTrue(recorded.outcomes.size() <= 1, "more than one outcome");
+      assertEquals(randomAnswer.state() == Answer.State.ENDED, recorded.outcomes.size() == 1);
       assertEquals(
-          any.state() == Answer.State.GENERATING,
-          seen.openRequests == 1,
-          "a request is open exactly while one is awaited");
-      assertEquals(any.state() == Answer.State.AWAITING_TOOLS, !any.pendingToolCalls().isEmpty());
-      assertEquals(new HashSet<>(seen.relayed).size(), seen.relayed.size(), "a call relayed twice");
-      assertEquals(wanted.toString(), seen.delivered.toString());
-      if (seen.outcomes.size() == 1) {
-        assertEquals(wanted.toString(), seen.outcomes.get(0).totals().text());
+          randomAnswer.state() == Answer.State.GENERATING,
+          recorded.openRequests == 1,
+          "a request must be open exactly while the state is GENERATING");
+      assertEquals(
+          randomAnswer.state() == Answer.State.AWAITING_TOOLS,
+          !randomAnswer.pendingToolCalls().isEmpty());
+      assertEquals(
+          new HashSet<>(recorded.relayed).size(),
+          recorded.relayed.size(),
+          "a tool call was relayed twice");
+      assertEquals(expectedText.toString(), recorded.delivered.toString());
+      if (recorded.outcomes.size() == 1) {
+        assertEquals(expectedText.toString(), recorded.outcomes.get(0).totals().text());
         return;
       }
     }
--- a/gateway/src/test/java/lemondock/gateway/engine/EngineProtocolTest.java
+++ b/gateway/src/test/java/lemondock/gateway/engine/EngineProtocolTest.java
@@ -25,23 +25,25 @@
   }
 
   @Test
-  void aReadAsksForARemoteDecodeOfOneToken() throws IOException {
+  void prefillRequestsOneTokenAndARemoteDecode() throws IOException {
     ObjectNode prompt = MAPPER.createObjectNode().put("model", "m");
-    ObjectNode body = (ObjectNode) MAPPER.readTree(EngineProtocol.prefillRequest(prompt, "r1"));
-    assertEquals(1, body.get("max_tokens").asInt());
-    assertTrue(body.at("/kv_transfer_params/do_remote_decode").asBoolean());
+    ObjectNode prefillBody =
+        (ObjectNode) MAPPER.readTree(EngineProtocol.prefillRequest(prompt, "r1"));
+    assertEquals(1, prefillBody.get("max_tokens").asInt());
+    assertTrue(prefillBody.at("/kv_transfer_params/do_remote_decode").asBoolean());
     assertFalse(prompt.has("kv_transfer_params"));
-    ObjectNode write =
+    ObjectNode decodeBody =
         (ObjectNode)
             MAPPER.readTree(
                 EngineProtocol.decodeRequest(
-                    prompt, "w1", Optional.of(body.get("kv_transfer_params")), 9));
+                    prompt, "w1", Optional.of(prefillBody.get("kv_transfer_params")), 9));
     assertTrue(
-        write.get("stream").asBoolean() && write.at("/stream_options/include_usage").asBoolean());
+        decodeBody.get("stream").asBoolean()
+            && decodeBody.at("/stream_options/include_usage").asBoolean());
   }
 
   @Test
-  void repliesAreRead() {
+  void parsesPrefillReplies() {
     PrefillReply reply =
         EngineProtocol.parsePrefillReply(
             bytes(
@@ -61,7 +63,7 @@
   }
 
   @Test
-  void chunksAreRead() {
+  void parsesChunks() {
     CompletionChunk chunk =
         CompletionChunkParser.parse(
             "{\"choices\":[{\"delta\":{\"content\":\"hi\",\"tool_calls\":[{\"index\":1,"
@@ -77,7 +79,7 @@
   }
 
   @Test
-  void onlyARefusalBeforeWorkProvesThatNothingRan() {
+  void onlyStatuses429And503CountAsRejected() {
     assertEquals(AttemptOutcome.REJECTED, EngineProtocol.parseErrorReply(429, bytes("")).outcome());
     assertEquals(
         AttemptOutcome.REJECTED, EngineProtocol.parseErrorReply(503, bytes("x")).outcome());
@@ -94,7 +96,7 @@
   }
 
   @Property(tries = 2_000, seed = "20261201")
-  void anyDataIsSurvived(@ForAll String data, @ForAll byte[] body) {
+  void parsersDoNotThrowOnArbitraryInput(@ForAll String data, @ForAll byte[] body) {
     assertNotNull(CompletionChunkParser.parse(data));
     assertNotNull(EngineProtocol.parsePrefillReply(body));
     assertNotNull(EngineProtocol.parseErrorReply(500, body));
--- a/gateway/src/test/java/lemondock/gateway/engine/TextEventParserTest.java
+++ b/gateway/src/test/java/lemondock/gateway/engine/TextEventParserTest.java
@@ -16,41 +16,45 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the parser takes means the same to the general parser; it leaves the rest alone. */
-@SuppressWarnings("checkstyle:AvoidEscapedUnicodeCharacters") // The escapes are what is parsed.
+/** Tests that the parser accepts only events that the general parser parses to the same result. */
+@SuppressWarnings("checkstyle:AvoidEscapedUnicodeCharacters") // The escapes are the test data.
 class TextEventParserTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private final TextEventParser parser = new TextEventParser();
 
-  /** Whether it was taken; if so it agrees with the general parser. */
-  private boolean takes(byte[] data) {
-    byte[] longer =
-        java.util.Arrays.copyOf(data, data.length + 7); // what is behind the length must not matter
-    boolean taken = parser.parse(longer, data.length);
-    if (taken) {
-      CompletionChunk whole = CompletionChunkParser.parse(new String(data, StandardCharsets.UTF_8));
+  /**
+   * Returns whether the event was accepted. If so, asserts that the general parser gives the same
+   * result.
+   */
+  private boolean accepts(byte[] data) {
+    // bytes after the given length must not affect the result
+    byte[] paddedData = java.util.Arrays.copyOf(data, data.length + 7);
+    boolean isAccepted = parser.parse(paddedData, data.length);
+    if (isAccepted) {
+      CompletionChunk expected =
+          CompletionChunkParser.parse(new String(data, StandardCharsets.UTF_8));
       assertEquals(
           new CompletionChunk(
               parser.text().toString(),
               List.of(),
               Optional.empty(),
-              whole.promptTokens(),
+              expected.promptTokens(),
               -1,
               parser.completionTokens(),
               Optional.empty()),
-          whole);
+          expected);
     }
-    return taken;
+    return isAccepted;
   }
 
-  private boolean takes(String data) {
-    return takes(data.getBytes(StandardCharsets.UTF_8));
+  private boolean accepts(String data) {
+    return accepts(data.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
-  void theUsualEventOfVllmIsParsed() {
+  void acceptsPlainTextEventsOfVllm() {
     assertTrue(
-        takes(
+        accepts(
             "{\"id\":\"chatcmpl-1\",\"object\":\"chat.completion.chunk\",\"created\":1764547200,\"model\":\"m\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\""
                 + " a\\u00e9\\n"
                 + "\\\"\\ud83d\\ude00"
@@ -58,7 +62,7 @@
                 + "\"finish_reason\":null,\"stop_reason\":null}],\"usage\":{\"prompt_tokens\":5,\"total_tokens\":7,\"completion_tokens\":2}}"));
     assertEquals(" a\u00e9\n\"\uD83D\uDE00 \u00fc\u20ac\uD83D\uDE00", parser.text().toString());
     assertEquals(2, parser.completionTokens());
-    assertTrue(takes(" { \"choices\" : [ { \"delta\" : { \"content\" : \"x\" } } ] } "));
+    assertTrue(accepts(" { \"choices\" : [ { \"delta\" : { \"content\" : \"x\" } } ] } "));
     assertEquals(-1, parser.completionTokens());
   }
 
@@ -97,12 +101,12 @@
         "{\"content\":\"x\",\"\\u0065rror\":1}",
         "[{\"content\":\"x\"}]"
       })
-  void unusualAndBrokenEventsAreLeftToTheGeneralParser(String data) {
-    assertFalse(takes(data), data);
+  void rejectsUnsupportedAndMalformedEvents(String data) {
+    assertFalse(accepts(data), data);
   }
 
   @Test
-  void invalidUtf8AndDeepNestingAreNotTaken() {
+  void rejectsInvalidUtf8AndDeepNesting() {
     for (int[] bytes :
         new int[][] {
           {0xc0, 0xaf},
@@ -117,16 +121,17 @@
       for (int i = 0; i < bytes.length; i++) {
         data[12 + i] = (byte) bytes[i];
       }
-      assertFalse(takes(data), java.util.Arrays.toString(bytes));
+      assertFalse(accepts(data), java.util.Arrays.toString(bytes));
     }
-    assertFalse(takes("{\"content\":\"x\",\"choices\":" + "[".repeat(200) + "]".repeat(200) + "}"));
-    assertFalse(takes("{\"content\":\"x\",\"other\":" + "[".repeat(200) + "]".repeat(200) + "}"));
+    assertFalse(
+        accepts("{\"content\":\"x\",\"choices\":" + "[".repeat(200) + "]".repeat(200) + "}"));
+    assertFalse(accepts("{\"content\":\"x\",\"other\":" + "[".repeat(200) + "]".repeat(200) + "}"));
   }
 
   @Property(tries = 2_000, seed = "20261201")
-  void anyTextIsParsed(@ForAll String text, @ForAll @IntRange(min = 0, max = 100_000) int tokens)
-      throws Exception {
-    String whole = new String(text.getBytes(StandardCharsets.UTF_8), StandardCharsets.UTF_8);
+  void parsesArbitraryText(
+      @ForAll String text, @ForAll @IntRange(min = 0, max = 100_000) int tokens) throws Exception {
+    String validText = new String(text.getBytes(StandardCharsets.UTF_8), StandardCharsets.UTF_8);
     ObjectNode event = MAPPER.createObjectNode().put("id", "x");
     event
         .putArray("choices")
@@ -134,39 +139,45 @@
         .put("index", 0)
         .putNull("finish_reason")
         .putObject("delta")
-        .put("content", whole);
+        .put("content", validText);
     event.putObject("usage").put("completion_tokens", tokens);
     byte[] data = MAPPER.writeValueAsBytes(event);
-    assertEquals(!whole.isEmpty(), takes(data));
-    assertEquals(whole, parser.text().toString());
+    assertEquals(!validText.isEmpty(), accepts(data));
+    assertEquals(validText, parser.text().toString());
   }
 
   /**
-   * Any byte of a usual event changed, left out or put twice: taken only where the general parser
-   * says the same.
+   * Replaces, removes or inserts a byte of a valid event; {@link #accepts} asserts that the event
+   * is accepted only if the general parser gives the same result.
    */
   @Property(tries = 5_000, seed = "20261201")
-  void aBrokenEventIsNeverTakenForAnother(
-      @ForAll @IntRange(min = 0, max = 200) int at,
+  void neverMisreadsACorruptedEvent(
+      @ForAll @IntRange(min = 0, max = 200) int positionSeed,
       @ForAll byte value,
-      @ForAll @IntRange(min = 0, max = 2) int how) {
-    byte[] usual =
+      @ForAll @IntRange(min = 0, max = 2) int mutation) {
+    byte[] original =
         ("{\"id\":\"c\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\" a\\n"
                 + "\u00e9\"},\"logprobs\":{\"x\":[1,2.5]},\"finish_reason\":null}],"
                 + "\"usage\":{\"prompt_tokens\":5,\"completion_tokens\":2}}")
             .getBytes(StandardCharsets.UTF_8);
-    int where = at % usual.length;
-    byte[] broken = how == 0 ? usual : new byte[usual.length + (how == 1 ? -1 : 1)];
-    if (how == 0) {
-      broken[where] = value;
+    int position = positionSeed % original.length;
+    byte[] corrupted =
+        mutation == 0 ? original : new byte[original.length + (mutation == 1 ? -1 : 1)];
+    if (mutation == 0) {
+      corrupted[position] = value;
     } else {
-      System.arraycopy(usual, 0, broken, 0, where);
-      int from = how == 1 ? where + 1 : where;
-      System.arraycopy(usual, from, broken, how == 1 ? where : where + 1, usual.length - from);
-      if (how == 2) {
-        broken[where] = value;
+      System.arraycopy(original, 0, corrupted, 0, position);
+      int sourceStart = mutation == 1 ? position + 1 : position;
+      System.arraycopy(
+          original,
+          sourceStart,
+          corrupted,
+          mutation == 1 ? position : position + 1,
+          original.length - sourceStart);
+      if (mutation == 2) {
+        corrupted[position] = value;
       }
     }
-    takes(broken);
+    accepts(corrupted);
   }
 }
