--- a/gateway/src/main/java/lemondock/gateway/mcp/CallAdmission.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/CallAdmission.java
@@ -15,8 +15,9 @@
 import lemondock.rpc.Mcp;
 
 /**
- * Decides whether a well-formed {@code tools/call} may start: by its session, by what became of an
- * earlier call under its idempotency key, and by the gateway's limits. Loop thread only.
+ * Decides whether a well-formed {@code tools/call} may start. This depends on its session, on the
+ * status of an earlier call with the same idempotency key, and on the gateway's limits. Loop thread
+ * only.
  */
 final class CallAdmission {
   private final McpContext context;
@@ -25,82 +26,82 @@
     this.context = context;
   }
 
-  /** Why a call is not started; the code is one of {@link JsonRpc} or {@link Mcp}. */
-  private record Problem(int code, String message) {
-    /** Whether the gateway rejects the call for now; otherwise the request itself is wrong. */
+  /** Why a call may not start; the code is one of {@link JsonRpc} or {@link Mcp}. */
+  private record RejectionReason(int code, String message) {
+    /** Whether the rejection is temporary; otherwise the request is invalid or was cancelled. */
     boolean isRetryable() {
       return code == Mcp.LIMIT || code == Mcp.STOPPING;
     }
   }
 
   /**
-   * The error that a call gets instead of being started; empty if it may start.
+   * Returns the error response of a call that is rejected; empty if the call may start.
    *
    * @param mayStream whether the client accepts an event stream
    */
   Optional<ObjectNode> rejection(
       McpSession session, JsonRpcMessage.Request request, Prompt prompt, boolean mayStream) {
-    Optional<Problem> idProblem = idProblem(session, request.id().toString());
-    if (idProblem.isPresent()) {
-      return Optional.of(reject(request, prompt, idProblem.get()));
+    Optional<RejectionReason> callIdRejection = checkCallId(session, request.id().toString());
+    if (callIdRejection.isPresent()) {
+      return Optional.of(reject(request, prompt, callIdRejection.get()));
     }
-    Optional<ObjectNode> duplicate = duplicateRejection(request, prompt);
+    Optional<ObjectNode> duplicate = checkDuplicate(request, prompt);
     if (duplicate.isPresent()) {
       return duplicate;
     }
-    return limitProblem(session, prompt, mayStream)
-        .map(problem -> reject(request, prompt, problem));
+    return checkLimits(session, prompt, mayStream).map(reason -> reject(request, prompt, reason));
   }
 
-  private Optional<Problem> idProblem(McpSession session, String key) {
-    if (session.call(key).isPresent()) {
+  private Optional<RejectionReason> checkCallId(McpSession session, String key) {
+    if (session.findCall(key).isPresent()) {
       return Optional.of(
-          new Problem(
+          new RejectionReason(
               JsonRpc.INVALID_REQUEST,
               "Invalid Request: a call with id " + clip(key) + " is under way"));
     }
-    if (session.takeEarlyCancellation(key, context.loop().now())) {
-      return Optional.of(new Problem(Mcp.FAILED, "cancelled by the client"));
+    if (session.removeEarlyCancellation(key, context.loop().now())) {
+      return Optional.of(new RejectionReason(Mcp.FAILED, "cancelled by the client"));
     }
     return Optional.empty();
   }
 
-  private Optional<Problem> limitProblem(McpSession session, Prompt prompt, boolean mayStream) {
+  private Optional<RejectionReason> checkLimits(
+      McpSession session, Prompt prompt, boolean mayStream) {
     GatewaySettings settings = context.settings();
     if (prompt.tools().isPresent() && !mayStream) {
       return Optional.of(
-          new Problem(
+          new RejectionReason(
               JsonRpc.INVALID_PARAMS,
               "/arguments/tools: tools need a client that accepts text/event-stream"));
     }
-    if (context.stopping().getAsBoolean()) {
-      return Optional.of(new Problem(Mcp.STOPPING, "the gateway is stopping"));
+    if (context.isStopping().getAsBoolean()) {
+      return Optional.of(new RejectionReason(Mcp.STOPPING, "the gateway is stopping"));
     }
     int maxCallsPerSession = settings.front().maxCallsPerSession();
     if (session.callCount() >= maxCallsPerSession) {
       return Optional.of(
-          new Problem(
+          new RejectionReason(
               Mcp.LIMIT, "no more than " + maxCallsPerSession + " calls of a session at once"));
     }
     if (!context.calls().hasCapacity()) {
       return Optional.of(
-          new Problem(
+          new RejectionReason(
               Mcp.LIMIT, "no more than " + settings.limits().maxCalls() + " calls at once"));
     }
     return Optional.empty();
   }
 
-  private ObjectNode reject(JsonRpcMessage.Request request, Prompt prompt, Problem problem) {
-    if (problem.isRetryable()) {
+  private ObjectNode reject(JsonRpcMessage.Request request, Prompt prompt, RejectionReason reason) {
+    if (reason.isRetryable()) {
       CallMetadata metadata = CallMetadata.of(request.params());
       context.calls().rejected(prompt, metadata.tenant(), metadata.clientRetry());
     }
-    ObjectNode data = JsonNodeFactory.instance.objectNode().put("retryable", problem.isRetryable());
-    return JsonRpc.error(request.id(), problem.code(), problem.message(), data);
+    ObjectNode data = JsonNodeFactory.instance.objectNode().put("retryable", reason.isRetryable());
+    return JsonRpc.error(request.id(), reason.code(), reason.message(), data);
   }
 
-  /** The error if an earlier call under the client's key keeps this one from running. */
-  private Optional<ObjectNode> duplicateRejection(JsonRpcMessage.Request request, Prompt prompt) {
+  /** Returns the error if an earlier call with the same idempotency key blocks this one. */
+  private Optional<ObjectNode> checkDuplicate(JsonRpcMessage.Request request, Prompt prompt) {
     Optional<String> key = CallMetadata.of(request.params()).idempotencyKey();
     return context
         .calls()
--- a/gateway/src/main/java/lemondock/gateway/mcp/CallMetadata.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/CallMetadata.java
@@ -4,14 +4,13 @@
 import java.util.Optional;
 
 /**
- * What a client says of a {@code tools/call} in its {@code _meta} object.
+ * Metadata that a client sends with a {@code tools/call} in its {@code _meta} object.
  *
- * @param idempotencyKey the client's name for the call and all its repeats
- * @param tenant whom the client says it calls for; it only names a row of the reports until tenants
- *     prove who they are
- * @param clientRetry whether the client says that it repeats a call
- * @param progressToken what the notifications of progress are to be marked with; without one there
- *     are none
+ * @param idempotencyKey the client's name for the call and all its retries
+ * @param tenant the tenant that the client claims to call for; only used to label a row of the
+ *     reports, since tenants are not authenticated yet
+ * @param clientRetry whether the client declares the call a retry
+ * @param progressToken token of the progress notifications; none are sent without one
  */
 record CallMetadata(
     Optional<String> idempotencyKey,
@@ -24,7 +23,7 @@
   private static final String PROGRESS_TOKEN_FIELD = "progressToken";
   private static final int MAX_KEY_LENGTH = 200;
 
-  /** Reads the metadata of a call's parameters, see {@link #problem}. */
+  /** Reads the metadata of a call's parameters, which {@link #problem} validates. */
   static CallMetadata of(JsonNode params) {
     JsonNode metadata = params.path("_meta");
     return new CallMetadata(
@@ -34,7 +33,7 @@
         Optional.ofNullable(metadata.get(PROGRESS_TOKEN_FIELD)));
   }
 
-  /** What is wrong with the metadata of a call's parameters, if anything is. */
+  /** Validates the metadata of a call's parameters; returns the problem, empty if valid. */
   static Optional<String> problem(JsonNode params) {
     JsonNode metadata = params.path("_meta");
     JsonNode key = metadata.get(KEY_FIELD);
--- a/gateway/src/main/java/lemondock/gateway/mcp/ClientMessageHandler.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ClientMessageHandler.java
@@ -11,9 +11,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Messages of a client that get no response: notifications, and results of relayed tool calls. */
+/**
+ * Handles the messages of a client that get no response: notifications, and the results of relayed
+ * tool calls. Loop thread only.
+ */
 final class ClientMessageHandler {
-  /** The log lines of the front end are under its own name. */
+  /** All log lines of the front end use the logger of {@link McpHttpHandler}. */
   private static final Logger LOG = LoggerFactory.getLogger(McpHttpHandler.class);
 
   private final Loop loop;
@@ -22,7 +25,7 @@
     this.loop = loop;
   }
 
-  /** Cancels a call; other notifications are ignored. */
+  /** Cancels the call that a cancellation names; ignores other notifications. */
   void handleNotification(McpSession session, JsonRpcMessage.Notification notification) {
     if (!notification.method().equals(Mcp.CANCELLED) || notification.params() == null) {
       return;
@@ -31,26 +34,26 @@
     if (id == null) {
       return;
     }
-    Optional<McpCall> call = session.call(id.toString());
+    Optional<McpCall> call = session.findCall(id.toString());
     if (call.isPresent()) {
       call.get().call().cancel("the client cancelled");
-      call.get().cancelled();
+      call.get().reportCancelled();
     } else {
-      session.cancelledEarly(id.toString(), loop.now());
+      session.recordEarlyCancellation(id.toString(), loop.now());
     }
   }
 
-  /** Hands a result to the call that waits for it; what nobody waits for is logged and dropped. */
+  /** Passes a result to the call that waits for it; logs and drops it if there is none. */
   void handleResponse(McpSession session, JsonRpcMessage.Response response) {
     Optional<McpSession.RelayedToolCall> relayed =
         response.id().isTextual()
-            ? session.takeRelayedToolCall(response.id().textValue())
+            ? session.removeRelayedToolCall(response.id().textValue())
             : Optional.empty();
-    boolean taken = relayed.isPresent() && deliver(relayed.get(), response);
-    if (!taken) {
+    boolean delivered = relayed.isPresent() && deliver(relayed.get(), response);
+    if (!delivered) {
       LOG.atInfo()
           .addKeyValue("request", clip(response.id().toString()))
-          .log("a response that nobody waits for (unknown, late or a repeat) was dropped");
+          .log("dropped a response that no tool call waits for (unknown id, late or duplicate)");
     }
   }
 
--- a/gateway/src/main/java/lemondock/gateway/mcp/ContentNegotiation.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ContentNegotiation.java
@@ -3,14 +3,14 @@
 import java.util.Locale;
 import lemondock.net.http.Headers;
 
-/** Media types of requests and of what their clients accept (RFC 9110, section 12.5.1). */
+/** Media types of requests and of the responses clients accept (RFC 9110, section 12.5.1). */
 final class ContentNegotiation {
   static final String JSON = "application/json";
   static final String EVENT_STREAM = "text/event-stream";
 
   private ContentNegotiation() {}
 
-  /** Whether a request's content is JSON. */
+  /** Returns whether the content type of a request is JSON. */
   static boolean isJson(Headers headers) {
     return headers
         .firstValue("content-type")
@@ -18,13 +18,13 @@
         .isPresent();
   }
 
-  /** Whether a client accepts responses of a type; weights are not looked at. */
+  /** Returns whether a client accepts responses of a type; quality values are ignored. */
   static boolean accepts(Headers headers, String type) {
-    String wholeFamily = type.split("/")[0] + "/*";
+    String typeWildcard = type.split("/")[0] + "/*";
     for (String value : headers.allValues("accept")) {
-      for (String part : value.split(",")) {
-        String range = withoutParameters(part).toLowerCase(Locale.ROOT);
-        if (range.equals(type) || range.equals("*/*") || range.equals(wholeFamily)) {
+      for (String element : value.split(",")) {
+        String range = withoutParameters(element).toLowerCase(Locale.ROOT);
+        if (range.equals(type) || range.equals("*/*") || range.equals(typeWildcard)) {
           return true;
         }
       }
--- a/gateway/src/main/java/lemondock/gateway/mcp/DnsRebindingGuard.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/DnsRebindingGuard.java
@@ -9,18 +9,19 @@
 import lemondock.net.http.HttpRequest;
 
 /**
- * Checks the Host and Origin header fields of requests, against DNS rebinding: a page of another
- * site can make a browser send requests here, but only under that site's names. Any thread.
+ * Protects against DNS rebinding by checking the Host and Origin header fields of requests. A page
+ * of another site can make a browser send requests here, but they carry the host and origin of that
+ * site. Any thread.
  */
 final class DnsRebindingGuard {
-  /** In the settings: every host or origin is allowed. */
+  /** Entry in the settings that allows every host or origin. */
   private static final String ANY = "*";
 
   private static final Pattern LOOPBACK =
       Pattern.compile("(localhost|127\\.[0-9.]+|\\[::1]):[0-9]+");
 
   /**
-   * A page that this machine itself serves, on whatever port; other machines' pages have other
+   * Origin of a page that this machine serves, on any port. Pages of other machines have other
    * origins.
    */
   private static final Pattern LOOPBACK_ORIGIN =
@@ -34,7 +35,7 @@
     this.listensOnLoopback = LOOPBACK.matcher(settings.listen()).matches();
   }
 
-  /** Why the request is not allowed here; empty if it is. */
+  /** Returns why the request is not allowed; empty if it is allowed. */
   Optional<String> rejectionReason(HttpRequest request) {
     Optional<String> forbiddenHost =
         request.headers().firstValue("host").filter(host -> !isAllowedHost(host));
--- a/gateway/src/main/java/lemondock/gateway/mcp/EventReplayBuffer.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/EventReplayBuffer.java
@@ -3,11 +3,12 @@
 import java.util.Arrays;
 
 /**
- * The last events of one stream, for a client whose connection breaks and who reconnects with the
- * last event id it saw. Bounded by bytes: the oldest events are dropped first, but never one that
- * no connection has taken; such events say when to stop producing. Events lie one behind the other
- * in a ring, so that a further one costs no memory of its own. No I/O. Not thread safe: its
- * stream's lock guards it.
+ * Keeps the last events of one stream, for a client that loses its connection and reconnects with
+ * the last event id it received. Bounded in bytes: the oldest events are evicted first, but never
+ * an event that was not yet handed to a connection; once such events fill the buffer, {@link
+ * #isFull} tells the stream to pause its producer. Events are stored contiguously in a ring, so
+ * that adding one allocates no memory of its own. Does no I/O. Not thread-safe: guarded by the lock
+ * of its stream.
  */
 final class EventReplayBuffer {
   private static final int INITIAL_BYTES = 256;
@@ -16,15 +17,15 @@
   private final int capacityBytes;
   private byte[] ring = new byte[INITIAL_BYTES];
 
-  /** Where the oldest event begins in the ring. */
+  /** Offset of the oldest event in the ring. */
   private int headOffset;
 
   private int sizeBytes;
 
-  /** Bytes of each event, in a ring of its own. */
+  /** Length in bytes of each event; a ring too. */
   private int[] eventLengths = new int[INITIAL_EVENTS];
 
-  /** The oldest event's place in the ring of lengths. */
+  /** Index of the oldest event in {@link #eventLengths}. */
   private int headEvent;
 
   private int eventCount;
@@ -33,21 +34,21 @@
 
   /** Receives events that are replayed. */
   interface EventConsumer {
-    /** One event's bytes; the array is the consumer's own. */
-    void event(byte[] event);
+    /** Receives the bytes of one event; the consumer owns the array. */
+    void accept(byte[] event);
   }
 
-  /** Makes an empty buffer. */
+  /** Creates an empty buffer. Events that were not sent yet may exceed {@code capacityBytes}. */
   EventReplayBuffer(int capacityBytes) {
     this.capacityBytes = capacityBytes;
   }
 
-  /** The number that the next event will have. */
+  /** Returns the number of the next event; the first is 1. */
   long nextNumber() {
     return nextNumber;
   }
 
-  /** Keeps an event; its number is {@link #nextNumber} as it was before. */
+  /** Adds an event, which gets the number {@link #nextNumber} returned before the call. */
   void append(byte[] source, int offset, int length) {
     while (eventCount > 0
         && sizeBytes + length > capacityBytes
@@ -55,10 +56,10 @@
       dropOldest();
     }
     ensureCapacity(length);
-    int to = (headOffset + sizeBytes) % ring.length;
-    int first = Math.min(length, ring.length - to);
-    System.arraycopy(source, offset, ring, to, first);
-    System.arraycopy(source, offset + first, ring, 0, length - first);
+    int tailOffset = (headOffset + sizeBytes) % ring.length;
+    int firstLength = Math.min(length, ring.length - tailOffset);
+    System.arraycopy(source, offset, ring, tailOffset, firstLength);
+    System.arraycopy(source, offset + firstLength, ring, 0, length - firstLength);
     sizeBytes += length;
     eventLengths[(headEvent + eventCount) % eventLengths.length] = length;
     eventCount++;
@@ -95,42 +96,48 @@
     }
   }
 
-  private void copy(int from, byte[] to, int length) {
-    int first = Math.min(length, ring.length - from);
-    System.arraycopy(ring, from, to, 0, first);
-    System.arraycopy(ring, 0, to, first, length - first);
+  private void copy(int offset, byte[] target, int length) {
+    int firstLength = Math.min(length, ring.length - offset);
+    System.arraycopy(ring, offset, target, 0, firstLength);
+    System.arraycopy(ring, 0, target, firstLength, length - firstLength);
   }
 
-  /** All events up to now were handed to a connection. */
+  /** Records that all events so far were handed to a connection. */
   void markSent() {
     lastSentNumber = nextNumber - 1;
   }
 
-  /** Whether events that no connection has taken fill it: no more should be produced. */
+  /**
+   * Returns whether events that were not yet handed to a connection exceed the capacity, so that
+   * the producer should pause.
+   */
   boolean isFull() {
     return sizeBytes > capacityBytes && eventCount > 0 && oldestNumber() > lastSentNumber;
   }
 
-  /** Whether all events after a number are still kept. */
+  /** Returns whether all events after the one with that number are still in the buffer. */
   boolean contains(long number) {
     return number >= oldestNumber() - 1 && number < nextNumber;
   }
 
-  /** Copies the events after a number that it {@link #contains}, oldest first. */
+  /**
+   * Passes copies of the events after the one with that number to the consumer, oldest first. The
+   * buffer must {@linkplain #contains contain} them.
+   */
   void replayAfter(long number, EventConsumer consumer) {
-    int from = headOffset;
+    int offset = headOffset;
     for (int i = 0; i < eventCount; i++) {
       int length = eventLengths[(headEvent + i) % eventLengths.length];
       if (oldestNumber() + i > number) {
         byte[] event = new byte[length];
-        copy(from, event, length);
-        consumer.event(event);
+        copy(offset, event, length);
+        consumer.accept(event);
       }
-      from = (from + length) % ring.length;
+      offset = (offset + length) % ring.length;
     }
   }
 
-  /** Bytes of the events that are kept. */
+  /** Returns the total size of the events in the buffer. */
   int sizeBytes() {
     return sizeBytes;
   }
--- a/gateway/src/main/java/lemondock/gateway/mcp/GetHandler.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/GetHandler.java
@@ -1,7 +1,7 @@
 package lemondock.gateway.mcp;
 
 import static lemondock.gateway.mcp.HttpReplies.clip;
-import static lemondock.gateway.mcp.HttpReplies.text;
+import static lemondock.gateway.mcp.HttpReplies.sendText;
 
 import java.util.Optional;
 import java.util.regex.Matcher;
@@ -12,14 +12,14 @@
 import lemondock.rpc.Mcp;
 
 /**
- * The GET method: a client opens the stream for messages outside of any call, or resumes a stream
- * whose connection broke. Loop thread only.
+ * Handles GET requests: a client opens the stream for messages that belong to no call, or resumes a
+ * stream whose connection was lost. Loop thread only.
  */
 final class GetHandler {
-  /** The number of the stream, then that of the event. */
+  /** The stream number, then the event number. */
   private static final Pattern EVENT_ID = Pattern.compile("([0-9]{1,18})-([0-9]{1,18})");
 
-  /** The stream that belongs to no call; those of calls are numbered from 1. */
+  /** Number of the stream that belongs to no call; streams of calls are numbered from 1. */
   private static final long SERVER_STREAM_NUMBER = 0;
 
   private final Loop loop;
@@ -34,11 +34,11 @@
             settings.replayBytes(), 0, GatewaySettings.micros(settings.keepAliveMs()));
   }
 
-  /** Responds with an event stream, or says why there is none. */
+  /** Responds with an event stream, or with the reason why there is none. */
   void handle(HttpExchange exchange) {
     if (!ContentNegotiation.accepts(
         exchange.request().headers(), ContentNegotiation.EVENT_STREAM)) {
-      text(exchange, 406, "expected accept: text/event-stream");
+      sendText(exchange, 406, "expected accept: text/event-stream");
       return;
     }
     sessionResolver.resolve(exchange).ifPresent(session -> handle(exchange, session));
@@ -49,7 +49,7 @@
     if (lastEventId.isEmpty()) {
       openServerStream(exchange, session);
     } else if (!resume(exchange, session, lastEventId.get())) {
-      text(
+      sendText(
           exchange,
           404,
           "the stream of event "
@@ -72,12 +72,13 @@
       return false;
     }
     long lastSeenNumber = Long.parseLong(id.group(2));
-    return session.stream(Long.parseLong(id.group(1)))
+    return session
+        .findStream(Long.parseLong(id.group(1)))
         .filter(stream -> stream.resume(exchange, session.id(), lastSeenNumber))
         .isPresent();
   }
 
-  /** Nothing produces messages for this stream, so nothing is to be paused. */
+  /** Pauses nothing, since nothing produces messages for this stream. */
   private record ServerStreamListener(McpSession session) implements ResumableEventStream.Listener {
     @Override
     public void pauseProducer() {}
@@ -87,7 +88,7 @@
 
     @Override
     public void streamClosed(ResumableEventStream stream, boolean delivered) {
-      session.serverStreamClosed(stream);
+      session.removeServerStream(stream);
     }
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/mcp/HttpReplies.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/HttpReplies.java
@@ -6,17 +6,17 @@
 import lemondock.net.http.HttpExchange;
 import lemondock.rpc.JsonRpc;
 
-/** Short HTTP responses. */
+/** Sends short HTTP responses. */
 final class HttpReplies {
   static final byte[] EMPTY_BODY = new byte[0];
 
-  /** Characters of a text from outside that are quoted. */
+  /** Maximum number of characters quoted from external text. */
   private static final int MAX_QUOTED_CHARS = 80;
 
   private HttpReplies() {}
 
-  /** Responds with a line of text. */
-  static void text(HttpExchange exchange, int status, String line) {
+  /** Responds with one line of plain text. */
+  static void sendText(HttpExchange exchange, int status, String line) {
     exchange.respond(
         status,
         Headers.of("content-type", "text/plain; charset=utf-8"),
@@ -24,19 +24,19 @@
   }
 
   /** Responds with a JSON-RPC error. */
-  static void error(HttpExchange exchange, int status, JsonNode id, int code, String message) {
+  static void sendError(HttpExchange exchange, int status, JsonNode id, int code, String message) {
     exchange.respond(
         status,
         Headers.of("content-type", ContentNegotiation.JSON),
-        bytes(JsonRpc.error(id, code, message, null)));
+        toBytes(JsonRpc.error(id, code, message, null)));
   }
 
-  /** A message as it is sent. */
-  static byte[] bytes(JsonNode node) {
+  /** Encodes a message for sending. */
+  static byte[] toBytes(JsonNode node) {
     return node.toString().getBytes(StandardCharsets.UTF_8);
   }
 
-  /** A text that came from outside, bounded for responses and log lines. */
+  /** Truncates external text for use in responses and log lines. */
   static String clip(String text) {
     return text.length() > MAX_QUOTED_CHARS ? text.substring(0, MAX_QUOTED_CHARS) + "..." : text;
   }
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpCall.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpCall.java
@@ -16,8 +16,8 @@
 import lemondock.rpc.Mcp;
 
 /**
- * One {@code tools/call} of a client: turns what becomes of it into messages of the protocol. Loop
- * thread only, but for what {@link CallSink} calls from I/O threads.
+ * One {@code tools/call} of a client. Turns the events of the call into protocol messages. Loop
+ * thread only, except for the methods that {@link CallSink} lets I/O threads call.
  */
 final class McpCall implements CallSink {
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -28,44 +28,47 @@
   private final Reply reply;
   private final Options options;
 
-  /** Null if the client wants no notifications; read for each piece of the answer. */
+  /** Null if the client asked for no progress notifications; read for each piece of the answer. */
   private final ProgressNotification progress;
 
-  /** The ids under which tool calls were sent to the client, by the engine's ids. */
-  private final Map<String, String> relayIds = new HashMap<>();
+  /** Ids under which tool calls were relayed to the client, by the engine's tool call ids. */
+  private final Map<String, String> relayIdsByToolCallId = new HashMap<>();
 
-  /** Set once, before anything of the answer. */
+  /** Set once, before the first piece of the answer. */
   private ClientCall call;
 
-  /** Where a call's messages go. */
+  /** Receives the messages of a call for the client. */
   interface Reply {
-    /** Sends a message that is no response; dropped where the client takes responses only. */
+    /** Sends a message other than a response; dropped if the client accepts responses only. */
     void sendMessage(String json);
 
-    /** Sends a piece of the answer; dropped like {@link #sendMessage}. Under the output lock. */
+    /**
+     * Sends a piece of the answer; dropped as by {@link #sendMessage}. The caller holds the output
+     * lock.
+     */
     void sendProgress(ProgressNotification progress, int tokens, CharSequence piece);
 
     /** Sends the response to the call. */
     void sendResponse(McpCall call, ObjectNode response);
 
-    /** The call was cancelled by the client and gets no response. */
+    /** Reports that the client has cancelled the call, which then gets no result. */
     void callCancelled(McpCall call);
 
-    /** The I/O shard of the client's connection. */
+    /** Returns the I/O shard of the client's connection. */
     int clientShard();
 
-    /** See {@link CallSink#outputLock}; any thread. */
+    /** See {@link CallSink#outputLock}. Any thread. */
     Object outputLock();
 
-    /** See {@link CallSink#acceptsDirectOutput}; under the output lock. */
+    /** See {@link CallSink#acceptsDirectOutput}. The caller holds the output lock. */
     boolean acceptsDirectOutput();
   }
 
   /**
-   * What the client and the settings say of a call.
+   * Options of a call, from the client and from the settings.
    *
-   * @param progressToken marks the notifications of progress; without one there are none
-   * @param idempotent whether the client may repeat the call after any failure
+   * @param progressToken token of the progress notifications; none are sent without one
+   * @param idempotent whether the client may retry the call after any failure
    * @param conversation the client's name for the conversation
    */
   record Options(
@@ -83,7 +86,7 @@
     return id;
   }
 
-  /** The JSON text of the id, which tells 1 from "1". */
+  /** Returns the id as JSON text, so that 1 and "1" differ. */
   String key() {
     return id.toString();
   }
@@ -92,8 +95,8 @@
     return call;
   }
 
-  /** The client has cancelled it, after {@link ClientCall#cancel} was called. */
-  void cancelled() {
+  /** Reports the client's cancellation; {@link ClientCall#cancel} must be called first. */
+  void reportCancelled() {
     reply.callCancelled(this);
   }
 
@@ -128,17 +131,17 @@
   public void relay(ToolCall toolCall) {
     String relayId =
         session.addRelayedToolCall(new McpSession.RelayedToolCall(call, toolCall.id()));
-    relayIds.put(toolCall.id(), relayId);
+    relayIdsByToolCallId.put(toolCall.id(), relayId);
     ObjectNode params = JsonNodeFactory.instance.objectNode().put("name", toolCall.name());
-    params.set("arguments", arguments(toolCall.arguments()));
+    params.set("arguments", parseArguments(toolCall.arguments()));
     params.putObject("_meta").set("lemondock/call", id);
     reply.sendMessage(
         JsonRpc.request(JsonNodeFactory.instance.textNode(relayId), Mcp.TOOLS_CALL, params)
             .toString());
   }
 
-  /** The arguments as JSON; what is no JSON object is given to the client as text. */
-  private static JsonNode arguments(String text) {
+  /** Parses arguments; the client gets those that are not a JSON object as text. */
+  private static JsonNode parseArguments(String text) {
     if (text.isBlank()) {
       return JsonNodeFactory.instance.objectNode();
     }
@@ -148,15 +151,15 @@
         return parsed;
       }
     } catch (JsonProcessingException e) {
-      // a model may write anything: given as text below
+      // a model may generate invalid JSON: passed on as text below
     }
     return JsonNodeFactory.instance.objectNode().put("text", text);
   }
 
   @Override
   public void withdraw(ToolCall toolCall, String reason) {
-    String relayId = relayIds.get(toolCall.id());
-    session.takeRelayedToolCall(relayId);
+    String relayId = relayIdsByToolCallId.get(toolCall.id());
+    session.removeRelayedToolCall(relayId);
     reply.sendMessage(
         JsonRpc.notification(
                 Mcp.CANCELLED,
@@ -169,22 +172,22 @@
 
   @Override
   public void ended(AnswerOutcome outcome) {
-    reply.sendResponse(this, response(outcome));
+    reply.sendResponse(this, toResponse(outcome));
   }
 
-  private ObjectNode response(AnswerOutcome outcome) {
+  private ObjectNode toResponse(AnswerOutcome outcome) {
     return switch (outcome.kind()) {
-      case SERVED -> JsonRpc.result(id, result(outcome));
-      case REJECTED -> error(Mcp.REJECTED, outcome, true);
-      default -> error(Mcp.FAILED, outcome, options.idempotent());
+      case SERVED -> JsonRpc.result(id, toResult(outcome));
+      case REJECTED -> toError(Mcp.REJECTED, outcome, true);
+      default -> toError(Mcp.FAILED, outcome, options.idempotent());
     };
   }
 
-  private ObjectNode error(int code, AnswerOutcome outcome, boolean retryable) {
-    return JsonRpc.error(id, code, outcome.message(), data(outcome, retryable));
+  private ObjectNode toError(int code, AnswerOutcome outcome, boolean retryable) {
+    return JsonRpc.error(id, code, outcome.message(), errorData(outcome, retryable));
   }
 
-  private ObjectNode result(AnswerOutcome outcome) {
+  private ObjectNode toResult(AnswerOutcome outcome) {
     AnswerOutcome.Totals totals = outcome.totals();
     ObjectNode result = JsonNodeFactory.instance.objectNode();
     result.putArray("content").addObject().put("type", "text").put("text", totals.text());
@@ -199,7 +202,7 @@
     return result.put("isError", false);
   }
 
-  private static ObjectNode data(AnswerOutcome outcome, boolean retryable) {
+  private static ObjectNode errorData(AnswerOutcome outcome, boolean retryable) {
     ObjectNode data =
         JsonNodeFactory.instance
             .objectNode()
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpContext.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpContext.java
@@ -7,9 +7,9 @@
 import lemondock.net.Loop;
 
 /**
- * What all requests of one front end work with.
+ * Dependencies shared by all requests of one front end.
  *
- * @param stopping whether new sessions and calls are rejected because the gateway stops
+ * @param isStopping whether new sessions and calls are rejected because the gateway is stopping
  */
 record McpContext(
     Loop loop,
@@ -17,4 +17,4 @@
     CallService calls,
     PromptReader prompts,
     RequestPreparer preparer,
-    BooleanSupplier stopping) {}
+    BooleanSupplier isStopping) {}
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpHttpHandler.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpHttpHandler.java
@@ -1,6 +1,6 @@
 package lemondock.gateway.mcp;
 
-import static lemondock.gateway.mcp.HttpReplies.text;
+import static lemondock.gateway.mcp.HttpReplies.sendText;
 
 import java.util.Optional;
 import java.util.function.Supplier;
@@ -16,9 +16,9 @@
 import lemondock.overload.Admission;
 
 /**
- * The front end for clients: the Model Context Protocol over Streamable HTTP. It speaks the
- * protocol and keeps sessions; what becomes of a call is decided behind {@link CallService}. Loop
- * thread only, but for the methods that prepare and reject requests, which run on any thread.
+ * The front end for clients: the Model Context Protocol over Streamable HTTP. It implements the
+ * protocol and the sessions; {@link CallService} runs the calls. Loop thread only, except for the
+ * methods that prepare and reject requests, which any thread may call.
  */
 public final class McpHttpHandler implements HttpService {
   private static final String PATH = "/mcp";
@@ -34,34 +34,34 @@
   private final Supplier<Optional<String>> readinessProblem;
   private Phase phase = Phase.SERVING;
 
-  /** How far a graceful shutdown has come; phases follow each other in this order. */
+  /** Phases of a graceful shutdown, in order. */
   private enum Phase {
     SERVING,
-    /** Everything is served, but load balancers are told to send no more. */
+    /** All requests are still served, but the readiness check fails. */
     DRAINING,
-    /** New sessions and calls are rejected; calls in flight go on. */
+    /** New sessions and calls are rejected; calls in flight continue. */
     STOPPING
   }
 
   /**
-   * What a front end works with.
+   * Dependencies of the front end.
    *
-   * @param sessionIds gives ids that cannot be guessed
-   * @param readinessProblem says why nothing can be served now, empty if it can
-   * @param admission what is admitted at the gateway's own limit
-   * @param version the gateway's version, as clients see it
+   * @param sessionIdGenerator generates session ids that cannot be guessed
+   * @param readinessProblem returns why nothing can be served now, empty if the gateway is ready
+   * @param admission decides which requests to admit while the gateway itself is overloaded
+   * @param version the gateway's version that clients are told
    */
   public record Dependencies(
       Loop loop,
       GatewaySettings settings,
       CallService calls,
       PromptReader prompts,
-      Supplier<String> sessionIds,
+      Supplier<String> sessionIdGenerator,
       Supplier<Optional<String>> readinessProblem,
       Admission admission,
       String version) {}
 
-  /** Makes a front end without sessions. */
+  /** Creates a front end without sessions. */
   public McpHttpHandler(Dependencies dependencies) {
     final Loop loop = dependencies.loop();
     final GatewaySettings settings = dependencies.settings();
@@ -70,7 +70,7 @@
         new RequestPreparer(
             settings, dependencies.calls(), dependencies.prompts(), dependencies.admission());
     this.rebindingGuard = new DnsRebindingGuard(settings.front());
-    this.sessions = new SessionTable(loop, settings.front(), dependencies.sessionIds());
+    this.sessions = new SessionTable(loop, settings.front(), dependencies.sessionIdGenerator());
     this.sessionResolver = new SessionResolver(sessions);
     McpContext context =
         new McpContext(
@@ -88,39 +88,39 @@
     this.getHandler = new GetHandler(loop, settings.front(), sessionResolver);
   }
 
-  /** Begins to end idle sessions. */
+  /** Starts the periodic expiry of idle sessions. */
   public void start() {
     sessions.startExpiry();
   }
 
-  /** Says to load balancers that it is about to stop; everything is served on. */
+  /** Fails the readiness check, so that load balancers stop sending; requests are still served. */
   public void beginDraining() {
     if (phase == Phase.SERVING) {
       phase = Phase.DRAINING;
     }
   }
 
-  /** Takes no new sessions and calls from here on; those in flight go on. */
+  /** Rejects new sessions and calls from now on; calls in flight continue. */
   public void stopAccepting() {
     phase = Phase.STOPPING;
   }
 
-  /** Closes what is still open, at the end of a graceful shutdown. */
+  /** Ends all sessions, at the end of a graceful shutdown. */
   public void close() {
     sessions.endAll("the gateway stops");
   }
 
-  /** Number of open sessions. */
+  /** Returns the number of open sessions. */
   public int sessionCount() {
     return sessions.size();
   }
 
-  /** Open event streams of calls, those that wait for their client to reconnect among them. */
+  /** Returns the number of open event streams of calls, disconnected ones included. */
   public int streamCount() {
     return sessions.streamCount();
   }
 
-  // On I/O threads and workers.
+  // Called on I/O threads and workers.
 
   @Override
   public boolean needsBodyToServe() {
@@ -142,21 +142,21 @@
     return preparer.rejectBeforeParsing(request);
   }
 
-  // On the loop.
+  // Called on the loop thread.
 
   @Override
   public void serve(HttpExchange exchange) {
     HttpRequest request = exchange.request();
     Optional<String> forbidden = rebindingGuard.rejectionReason(request);
     if (forbidden.isPresent()) {
-      text(exchange, 403, forbidden.get());
+      sendText(exchange, 403, forbidden.get());
       return;
     }
     switch (request.path()) {
       case LIVENESS_PATH -> respondToHealthCheck(exchange, Optional.empty());
       case READINESS_PATH -> respondToHealthCheck(exchange, notReadyReason());
       case PATH -> serveMcp(exchange);
-      default -> text(exchange, 404, "there is nothing here; the service is at " + PATH);
+      default -> sendText(exchange, 404, "there is nothing here; the service is at " + PATH);
     }
   }
 
@@ -164,7 +164,8 @@
     switch (exchange.request().method()) {
       case "POST" -> postHandler.handle(exchange);
       case "GET" -> getHandler.handle(exchange);
-      case "DELETE" -> sessionResolver.resolve(exchange).ifPresent(s -> delete(exchange, s));
+      case "DELETE" ->
+          sessionResolver.resolve(exchange).ifPresent(session -> delete(exchange, session));
       default -> methodNotAllowed(exchange, "POST, GET, DELETE");
     }
   }
@@ -178,11 +179,11 @@
     return phase == Phase.SERVING ? readinessProblem.get() : Optional.of("the gateway stops");
   }
 
-  /** What a load balancer polls: 200, or 503 and why not. */
+  /** Responds to the polls of load balancers: 200, or 503 with the reason. */
   private static void respondToHealthCheck(HttpExchange exchange, Optional<String> problem) {
     String method = exchange.request().method();
     if (method.equals("GET") || method.equals("HEAD")) {
-      text(exchange, problem.isEmpty() ? 200 : 503, problem.orElse("ok"));
+      sendText(exchange, problem.isEmpty() ? 200 : 503, problem.orElse("ok"));
     } else {
       methodNotAllowed(exchange, "GET, HEAD");
     }
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpSession.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpSession.java
@@ -8,8 +8,8 @@
 import lemondock.gateway.core.ClientCall;
 
 /**
- * One client's session: its version, its calls and streams, and the tool calls that it was sent.
- * Loop thread only.
+ * The session of one client: its protocol version, its calls and event streams, and the tool calls
+ * relayed to it. Loop thread only.
  */
 final class McpSession {
   private static final int MAX_EARLY_CANCELLATIONS = 64;
@@ -21,19 +21,19 @@
   /** Calls in flight by the JSON text of their ids, so that 1 and "1" differ. */
   private final Map<String, McpCall> calls = new HashMap<>();
 
-  /** Relayed tool calls that wait for the client's response, by the id they were sent under. */
+  /** Relayed tool calls that wait for the client's response, by relay id. */
   private final Map<String, RelayedToolCall> relayedToolCalls = new HashMap<>();
 
-  /** Event streams of calls by their number. */
+  /** Event streams of calls, by stream number. */
   private final Map<Long, ResumableEventStream> streams = new HashMap<>();
 
   /**
-   * Ids cancelled while no call of theirs was in flight, and when: a call may still wait to be
-   * read.
+   * Times, in microseconds, of cancellations for which no call was in flight, by call id. The
+   * request of such a call may not have been parsed yet.
    */
   private final LinkedHashMap<String, Long> earlyCancellations = new LinkedHashMap<>();
 
-  /** The stream for messages outside of any call, if the client has opened one. */
+  /** The stream for messages that belong to no call, if the client has opened one. */
   private Optional<ResumableEventStream> serverStream = Optional.empty();
 
   private long lastUsedMicros;
@@ -42,7 +42,7 @@
   private long nextCallNumber = 1;
   private boolean ended;
 
-  /** A tool call that was sent to the client, and the call whose answer needs its result. */
+  /** A tool call that was sent to the client, and the client call that waits for its result. */
   record RelayedToolCall(ClientCall call, String toolCallId) {}
 
   McpSession(String id, String version, long nowMicros) {
@@ -55,7 +55,7 @@
     return id;
   }
 
-  /** The version of the protocol that was negotiated. */
+  /** Returns the negotiated version of the protocol. */
   String version() {
     return version;
   }
@@ -68,12 +68,15 @@
     lastUsedMicros = nowMicros;
   }
 
-  /** Whether nothing is open and the last request came more than so many microseconds ago. */
-  boolean isIdleLongerThan(long micros, long nowMicros) {
+  /**
+   * Returns whether no call or stream is open and the last request arrived more than {@code
+   * maxIdleMicros} ago.
+   */
+  boolean isIdleLongerThan(long maxIdleMicros, long nowMicros) {
     return calls.isEmpty()
         && streams.isEmpty()
         && serverStream.isEmpty()
-        && nowMicros - lastUsedMicros > micros;
+        && nowMicros - lastUsedMicros > maxIdleMicros;
   }
 
   /** Cancels all calls and closes all streams. */
@@ -90,8 +93,8 @@
 
   // Calls.
 
-  /** The call in flight under that key, see {@link McpCall#key}. */
-  Optional<McpCall> call(String key) {
+  /** Returns the call in flight with that {@link McpCall#key}. */
+  Optional<McpCall> findCall(String key) {
     return Optional.ofNullable(calls.get(key));
   }
 
@@ -107,51 +110,54 @@
     calls.remove(call.key(), call);
   }
 
-  /** A name for one more call, unique over all sessions. */
+  /** Returns a name for the next call, unique across all sessions. */
   String nextCallName() {
     return id + "/" + nextCallNumber++;
   }
 
   /**
-   * The client cancelled a call that is not in flight: it has ended, never was, or its request
-   * waits to be read.
+   * Records that the client cancelled a call that is not in flight: the call has ended, never
+   * existed, or its request has not been parsed yet.
    */
-  void cancelledEarly(String key, long nowMicros) {
+  void recordEarlyCancellation(String key, long nowMicros) {
     earlyCancellations.put(key, nowMicros);
     if (earlyCancellations.size() > MAX_EARLY_CANCELLATIONS) {
       earlyCancellations.remove(earlyCancellations.keySet().iterator().next());
     }
   }
 
-  /** Whether a call that begins was cancelled a moment ago; the cancellation is forgotten. */
-  boolean takeEarlyCancellation(String key, long nowMicros) {
+  /**
+   * Returns whether a call that is about to start was cancelled recently, and removes the
+   * cancellation.
+   */
+  boolean removeEarlyCancellation(String key, long nowMicros) {
     Long cancelledAtMicros = earlyCancellations.remove(key);
     return cancelledAtMicros != null
         && nowMicros - cancelledAtMicros < EARLY_CANCELLATION_TTL_MICROS;
   }
 
-  // Tool calls that the client runs.
+  // Relayed tool calls, which the client runs.
 
-  /** Keeps a tool call until its result comes; gives the id to send it under. */
+  /** Stores a tool call until its result arrives; returns the id to send it under. */
   String addRelayedToolCall(RelayedToolCall toolCall) {
     String relayId = "relay-" + nextRelayNumber++;
     relayedToolCalls.put(relayId, toolCall);
     return relayId;
   }
 
-  /** Removes the tool call that was sent under that id, if it still waits for its result. */
-  Optional<RelayedToolCall> takeRelayedToolCall(String relayId) {
+  /** Removes and returns the tool call with that relay id, if it still waits for its result. */
+  Optional<RelayedToolCall> removeRelayedToolCall(String relayId) {
     return Optional.ofNullable(relayedToolCalls.remove(relayId));
   }
 
   // Event streams.
 
-  /** The number of the next stream of calls; they start at 1. */
+  /** Returns the number of the next stream of calls; the first is 1. */
   long nextStreamNumber() {
     return nextStreamNumber++;
   }
 
-  Optional<ResumableEventStream> stream(long number) {
+  Optional<ResumableEventStream> findStream(long number) {
     return Optional.ofNullable(streams.get(number));
   }
 
@@ -167,14 +173,14 @@
     streams.remove(stream.number(), stream);
   }
 
-  /** Makes a stream the one for messages outside of any call; closes the one before. */
+  /** Sets the stream for messages that belong to no call; closes the previous one. */
   void replaceServerStream(ResumableEventStream stream) {
     serverStream.ifPresent(ResumableEventStream::close);
     serverStream = Optional.of(stream);
   }
 
-  /** The stream is over; does nothing if another has taken its place. */
-  void serverStreamClosed(ResumableEventStream stream) {
+  /** Removes the stream once it is closed; does nothing if another has replaced it. */
+  void removeServerStream(ResumableEventStream stream) {
     if (serverStream.isPresent() && serverStream.get() == stream) {
       serverStream = Optional.empty();
     }
--- a/gateway/src/main/java/lemondock/gateway/mcp/PostHandler.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/PostHandler.java
@@ -1,8 +1,8 @@
 package lemondock.gateway.mcp;
 
 import static lemondock.gateway.mcp.HttpReplies.clip;
-import static lemondock.gateway.mcp.HttpReplies.error;
-import static lemondock.gateway.mcp.HttpReplies.text;
+import static lemondock.gateway.mcp.HttpReplies.sendError;
+import static lemondock.gateway.mcp.HttpReplies.sendText;
 
 import com.fasterxml.jackson.databind.node.NullNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -15,19 +15,19 @@
 import lemondock.rpc.JsonRpcMessage;
 import lemondock.rpc.Mcp;
 
-/** The POST method: messages of a client, one or a batch. Loop thread only. */
+/** Handles POST requests: a single message of a client or a batch. Loop thread only. */
 final class PostHandler {
   private final McpContext context;
   private final SessionResolver sessionResolver;
   private final SessionInitializer sessionInitializer;
-  private final ClientMessageHandler clientMessages;
+  private final ClientMessageHandler clientMessageHandler;
 
   PostHandler(
       McpContext context, SessionResolver sessionResolver, SessionInitializer sessionInitializer) {
     this.context = context;
     this.sessionResolver = sessionResolver;
     this.sessionInitializer = sessionInitializer;
-    this.clientMessages = new ClientMessageHandler(context.loop());
+    this.clientMessageHandler = new ClientMessageHandler(context.loop());
   }
 
   /** Responds to a request that {@link RequestPreparer} has prepared. */
@@ -35,13 +35,13 @@
     Headers headers = exchange.request().headers();
     if (!ContentNegotiation.isJson(headers)) {
       String type = headers.firstValue("content-type").orElse("null");
-      text(exchange, 415, "expected content-type application/json, found " + clip(type));
+      sendText(exchange, 415, "expected content-type application/json, found " + clip(type));
       return;
     }
     boolean acceptsJson = ContentNegotiation.accepts(headers, ContentNegotiation.JSON);
     boolean acceptsStream = ContentNegotiation.accepts(headers, ContentNegotiation.EVENT_STREAM);
     if (!acceptsJson && !acceptsStream) {
-      text(exchange, 406, "expected accept: application/json, text/event-stream");
+      sendText(exchange, 406, "expected accept: application/json, text/event-stream");
       return;
     }
     RequestPreparer.Prepared prepared = (RequestPreparer.Prepared) exchange.prepared();
@@ -52,14 +52,19 @@
     }
   }
 
-  /** Responds to a single message that belongs to no session; false if it is another. */
+  /**
+   * Responds to a single message that is invalid or is {@code initialize}, neither of which needs a
+   * session.
+   *
+   * @return whether the request was answered
+   */
   private boolean respondOutsideSession(HttpExchange exchange, JsonRpc.Parsed parsed) {
     if (parsed.batch()) {
       return false;
     }
     JsonRpcMessage message = parsed.messages().get(0);
     if (message instanceof JsonRpcMessage.Invalid invalid) {
-      error(exchange, 400, invalid.id(), invalid.code(), invalid.reason());
+      sendError(exchange, 400, invalid.id(), invalid.code(), invalid.reason());
       return true;
     }
     if (message instanceof JsonRpcMessage.Request request
@@ -77,7 +82,7 @@
       boolean acceptsStream) {
     boolean batch = prepared.parsed().batch();
     if (batch && !session.version().equals(Mcp.BATCH_VERSION)) {
-      error(
+      sendError(
           exchange,
           400,
           NullNode.instance,
@@ -91,7 +96,7 @@
       if (message instanceof JsonRpcMessage.Request request) {
         requests.add(request);
       } else {
-        handleWithoutResponse(session, message).ifPresent(readyResponses::add);
+        handleNonRequest(session, message).ifPresent(readyResponses::add);
       }
     }
     if (requests.isEmpty() && readyResponses.isEmpty()) {
@@ -105,12 +110,12 @@
     responder.flush();
   }
 
-  /** Handles a message that is no request; gives the error if it is not valid. */
-  private Optional<ObjectNode> handleWithoutResponse(McpSession session, JsonRpcMessage message) {
+  /** Handles a message other than a request; returns the error response if it is invalid. */
+  private Optional<ObjectNode> handleNonRequest(McpSession session, JsonRpcMessage message) {
     if (message instanceof JsonRpcMessage.Notification notification) {
-      clientMessages.handleNotification(session, notification);
+      clientMessageHandler.handleNotification(session, notification);
     } else if (message instanceof JsonRpcMessage.Response response) {
-      clientMessages.handleResponse(session, response);
+      clientMessageHandler.handleResponse(session, response);
     } else if (message instanceof JsonRpcMessage.Invalid invalid) {
       return Optional.of(JsonRpc.error(invalid.id(), invalid.code(), invalid.reason(), null));
     }
--- a/gateway/src/main/java/lemondock/gateway/mcp/PostResponder.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/PostResponder.java
@@ -1,7 +1,7 @@
 package lemondock.gateway.mcp;
 
-import static lemondock.gateway.mcp.HttpReplies.bytes;
 import static lemondock.gateway.mcp.HttpReplies.clip;
+import static lemondock.gateway.mcp.HttpReplies.toBytes;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -20,9 +20,9 @@
 import lemondock.rpc.Mcp;
 
 /**
- * The response to one POST: a JSON text, or an event stream as soon as a call is among its
- * requests. Loop thread only, but for {@link #sendProgress}, {@link #outputLock} and {@link
- * #acceptsDirectOutput}.
+ * The response to one POST. It is an event stream if a call is started and the client accepts
+ * streams, else a JSON text. Loop thread only, except for {@link #sendProgress}, {@link
+ * #outputLock} and {@link #acceptsDirectOutput}.
  */
 final class PostResponder implements McpCall.Reply, ResumableEventStream.Listener {
   private final McpContext context;
@@ -32,24 +32,24 @@
   private final CallAdmission admission;
   private final List<ObjectNode> readyResponses;
   private final List<McpCall> openCalls = new ArrayList<>();
-  private int pendingResponses;
+  private int pendingResponseCount;
 
   /**
-   * Null for a JSON text. Set on the loop before the first call starts and not changed after that;
-   * I/O threads read it for calls in flight.
+   * Null if the response is a JSON text. Set on the loop thread before the first call starts and
+   * not changed after that; I/O threads read it for calls in flight.
    */
   private ResumableEventStream stream;
 
   /**
    * The form of a response.
    *
-   * @param batch whether the request was a batch, and so the response
+   * @param batch whether the request was a batch, so that the response is one too
    * @param mayStream whether the client accepts an event stream
-   * @param requestCount requests that get a response
+   * @param requestCount number of requests that get a response
    */
   record ResponseMode(boolean batch, boolean mayStream, int requestCount) {}
 
-  /** Makes the response to one POST; {@code readyResponses} are those known already. */
+  /** Creates the response to one POST; {@code readyResponses} are those already known. */
   PostResponder(
       McpContext context,
       HttpExchange exchange,
@@ -61,14 +61,14 @@
     this.session = session;
     this.mode = mode;
     this.admission = new CallAdmission(context);
-    this.pendingResponses = mode.requestCount();
+    this.pendingResponseCount = mode.requestCount();
     this.readyResponses = readyResponses;
   }
 
   /**
-   * Responds to a request at once or starts its call.
+   * Responds to a request immediately or starts its call.
    *
-   * @param preparedCall what was made of a call, empty for other methods
+   * @param preparedCall the prepared call; empty for methods other than {@code tools/call}
    */
   void accept(JsonRpcMessage.Request request, Optional<RequestPreparer.PreparedCall> preparedCall) {
     if (preparedCall.isEmpty()) {
@@ -169,7 +169,7 @@
     context.calls().start(callRequest, call);
   }
 
-  // What calls send.
+  // Output of calls.
 
   @Override
   public void sendMessage(String json) {
@@ -197,7 +197,7 @@
     if (stream == null) {
       addResponse(JsonRpc.error(call.id(), Mcp.FAILED, "cancelled by the client", null));
     } else {
-      pendingResponses--;
+      pendingResponseCount--;
     }
     flush();
   }
@@ -220,22 +220,22 @@
   // Responses.
 
   private void addResponse(ObjectNode response) {
-    pendingResponses--;
+    pendingResponseCount--;
     readyResponses.add(response);
-    if (stream != null || pendingResponses == 0) {
+    if (stream != null || pendingResponseCount == 0) {
       flush();
     }
   }
 
-  /** Sends the responses that are ready; ends the HTTP response after the last of them. */
+  /** Sends the responses that are ready; ends the HTTP response after the last one. */
   void flush() {
     if (stream != null) {
       readyResponses.forEach(response -> stream.send(response.toString()));
       readyResponses.clear();
-      if (pendingResponses == 0) {
+      if (pendingResponseCount == 0) {
         stream.finish();
       }
-    } else if (pendingResponses == 0 && !readyResponses.isEmpty()) {
+    } else if (pendingResponseCount == 0 && !readyResponses.isEmpty()) {
       respondWithJson();
     }
   }
@@ -249,10 +249,10 @@
     exchange.respond(
         200,
         Headers.of("content-type", ContentNegotiation.JSON, Mcp.SESSION_HEADER, session.id()),
-        bytes(body));
+        toBytes(body));
   }
 
-  // What the event stream reports.
+  // Notifications of the event stream.
 
   @Override
   public void pauseProducer() {
--- a/gateway/src/main/java/lemondock/gateway/mcp/ProgressNotification.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ProgressNotification.java
@@ -6,15 +6,15 @@
 import lemondock.rpc.Mcp;
 
 /**
- * The notification that carries a piece of an answer: all that is the same for each piece of one
- * answer is made once. Immutable, any thread.
+ * Writes the notifications that carry the pieces of one answer. The part that is the same for every
+ * piece is built once. Immutable, so any thread may use it.
  */
 final class ProgressNotification {
   private static final byte[] MESSAGE_FIELD = ",\"message\":\"".getBytes(StandardCharsets.US_ASCII);
   private static final byte[] SUFFIX = "\"}}".getBytes(StandardCharsets.US_ASCII);
   private static final byte[] HEX = "0123456789ABCDEF".getBytes(StandardCharsets.US_ASCII);
 
-  /** The letter behind the backslash for characters that have a short form. */
+  /** The letter after the backslash for characters with a short escape; 0 for the others. */
   private static final byte[] SHORT_ESCAPES = new byte[128];
 
   private final byte[] prefix;
@@ -29,7 +29,7 @@
     SHORT_ESCAPES['\t'] = 't';
   }
 
-  /** Makes the notification of the call that gave that token. */
+  /** Creates the writer for the call with that progress token. */
   ProgressNotification(JsonNode token) {
     prefix =
         ("{\"jsonrpc\":\"2.0\",\"method\":\""
@@ -41,9 +41,9 @@
   }
 
   /**
-   * Appends the message of one piece, which has no line end.
+   * Appends the notification of one piece, as JSON without line breaks.
    *
-   * @param tokens tokens of the answer so far, this piece included
+   * @param tokens number of tokens of the answer so far, including this piece
    */
   void write(int tokens, CharSequence piece, OutBuffer out) {
     out.add(prefix).addDecimal(tokens).add(MESSAGE_FIELD);
--- a/gateway/src/main/java/lemondock/gateway/mcp/RequestPreparer.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/RequestPreparer.java
@@ -1,7 +1,7 @@
 package lemondock.gateway.mcp;
 
-import static lemondock.gateway.mcp.HttpReplies.bytes;
 import static lemondock.gateway.mcp.HttpReplies.clip;
+import static lemondock.gateway.mcp.HttpReplies.toBytes;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -25,9 +25,9 @@
 import lemondock.rpc.Mcp;
 
 /**
- * Reads requests before they reach the loop: parses their messages, has the admission decide on
- * calls and new sessions, and makes the prompts of the calls that are admitted. Any thread, but for
- * {@link #recordArrival}.
+ * Prepares requests before they reach the loop: parses their messages, applies admission control to
+ * calls and new sessions, and reads the prompts of admitted calls. Any thread, except for {@link
+ * #recordArrival}.
  */
 final class RequestPreparer {
   private static final long MICROS_PER_MILLI = 1_000;
@@ -43,30 +43,30 @@
   private final AtomicLong randomState = new AtomicLong();
 
   /**
-   * A request that was read.
+   * A parsed request.
    *
-   * @param preparedCalls what was made of each {@code tools/call} among its messages
+   * @param preparedCalls the prepared call of each {@code tools/call} among the messages
    */
   record Prepared(JsonRpc.Parsed parsed, Map<JsonRpcMessage, PreparedCall> preparedCalls) {
-    /** What was made of a call; empty for requests of other methods. */
+    /** Returns the prepared call of a request; empty for methods other than {@code tools/call}. */
     Optional<PreparedCall> call(JsonRpcMessage.Request request) {
       return Optional.ofNullable(preparedCalls.get(request));
     }
   }
 
-  /** What was made of a {@code tools/call}. */
+  /** The result of preparing a {@code tools/call}. */
   sealed interface PreparedCall permits Accepted, Malformed, Rejected {}
 
-  /** A call that is admitted, with its prompt. */
+  /** A call that was admitted, with its prompt. */
   record Accepted(Prompt prompt) implements PreparedCall {}
 
-  /** A call that makes no sense; its client gets the problem as an error. */
+  /** A call with invalid parameters; the client gets the problem as an error. */
   record Malformed(String problem) implements PreparedCall {}
 
   /**
-   * A call that is rejected because the gateway is at its limit.
+   * A call that is rejected because the gateway is overloaded.
    *
-   * @param retryAfterMicros when its client may retry, from now
+   * @param retryAfterMicros time from now after which the client may retry
    */
   record Rejected(int classId, long retryAfterMicros) implements PreparedCall {}
 
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Rejects a large call before it is even parsed, where its tool can be seen at a glance. Once one
-   * was admitted here {@link #prepare} does not ask again.
+   * Rejects a large call before it is parsed, if {@link ToolNameScanner} finds the name of its
+   * tool. {@link #prepare} does not apply admission control again to a call that was admitted here.
    */
   Optional<HttpRejection> rejectBeforeParsing(HttpRequest request) {
     Admission.Gate gate = admission.gate();
@@ -127,14 +127,14 @@
     return new HttpRejection(
         toRetryAfterSeconds(retryAfterMicros),
         ContentNegotiation.JSON,
-        bytes(rejection(NullNode.instance, retryAfterMicros)),
+        toBytes(rejection(NullNode.instance, retryAfterMicros)),
         () -> {
           recordArrival(classId, false);
           calls.shedLoad(classId, Optional.empty(), false);
         });
   }
 
-  /** The error that rejects a call for now. */
+  /** Builds the error response of a call that is rejected but may be retried. */
   static ObjectNode rejection(JsonNode id, long retryAfterMicros) {
     return JsonRpc.error(
         id,
@@ -155,7 +155,7 @@
     if (classId.isEmpty()) {
       return new Malformed("Unknown tool: " + clip(tool));
     }
-    // before the prompt is tokenized, which is most of the work on a call
+    // checked before the prompt is tokenized, which is most of the work on a call
     OptionalLong retryAfterMicros =
         callRetryAfterMicros(classId.getAsInt(), params, alreadyAdmitted);
     if (retryAfterMicros.isPresent()) {
@@ -172,7 +172,7 @@
     }
   }
 
-  /** When the client of a call may retry, empty if the call is admitted. */
+  /** Returns the delay before the client may retry the call; empty if the call is admitted. */
   private OptionalLong callRetryAfterMicros(int classId, JsonNode params, boolean alreadyAdmitted) {
     if (!settings.overload().refuse()) {
       return OptionalLong.empty();
@@ -189,7 +189,7 @@
     return Admission.priority(requestClass.worth(), GatewaySettings.micros(requestClass.aimMs()));
   }
 
-  /** A number from 0 up to 1, each time another; any thread. */
+  /** Returns the next pseudo-random number, from 0 inclusive to 1 exclusive. Any thread. */
   private double nextRandom() {
     long mixed = randomState.addAndGet(0x9E3779B97F4A7C15L);
     mixed = (mixed ^ mixed >>> 30) * 0xBF58476D1CE4E5B9L;
@@ -197,12 +197,14 @@
     return ((mixed ^ mixed >>> 31) >>> 11) * 0x1.0p-53;
   }
 
-  /** Tells the admission of a call that arrived, whether admitted or not. Loop thread only. */
+  /**
+   * Records with admission control that a call arrived, whether admitted or not. Loop thread only.
+   */
   void recordArrival(int classId, boolean retry) {
     admission.recordArrival(priority(classId), retry);
   }
 
-  /** When a client that asks for a new session may retry, empty if it gets one now. */
+  /** Returns the delay before a client may retry to open a session; empty if it may open one. */
   OptionalLong newSessionRetryAfterMicros() {
     Admission.Gate gate = admission.gate();
     return !settings.overload().refuse() || gate.admitsNewSession(nextRandom())
@@ -210,7 +212,7 @@
         : OptionalLong.of(gate.retryAfterMicros(nextRandom()));
   }
 
-  /** Retry-After as in a header field, in whole seconds. */
+  /** Converts to whole seconds for the Retry-After header field; at least 1. */
   static long toRetryAfterSeconds(long micros) {
     return 1 + micros / MICROS_PER_SECOND;
   }
--- a/gateway/src/main/java/lemondock/gateway/mcp/ResumableEventStream.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ResumableEventStream.java
@@ -10,23 +10,26 @@
 
 /**
  * One event stream of a session. It outlives the connection that carries it: a client may reconnect
- * within the resume window with the last event id it saw, and gets what followed.
+ * within the resume window with the last event id it received, and gets the events after that one.
  *
- * <p>The stream is its own lock, which guards all fields that change. Loop thread only, but for
- * {@link #hasCapacity} and {@link #send(ProgressNotification, int, CharSequence)}, which an I/O
- * thread may call.
+ * <p>The monitor of the stream guards all mutable fields. Loop thread only, except for {@link
+ * #hasCapacity} and {@link #send(ProgressNotification, int, CharSequence)}, which an I/O thread may
+ * call.
  */
 final class ResumableEventStream {
   private static final long HIGH_WATER_MARK_BYTES = 64 * 1024;
 
-  /** More than an event takes that an I/O thread sends: an engine's event is smaller. */
+  /**
+   * Upper bound on the size of an event that an I/O thread sends; the events of an engine, which it
+   * passes on, are smaller.
+   */
   private static final long DIRECT_EVENT_RESERVE_BYTES = 16 * 1024;
 
   private static final byte[] EVENT_LINE = "event: message\n".getBytes(StandardCharsets.US_ASCII);
   private static final byte[] ID_FIELD = "id: ".getBytes(StandardCharsets.US_ASCII);
   private static final byte[] DATA_FIELD = "\ndata: ".getBytes(StandardCharsets.US_ASCII);
 
-  /** Bytes of an event with a piece of an answer. */
+  /** Typical size of an event that carries a piece of an answer. */
   private static final int TYPICAL_EVENT_BYTES = 240;
 
   private final Loop loop;
@@ -34,37 +37,37 @@
   private final Options options;
   private final Listener listener;
 
-  /** The event that is being written; reused, so that an event costs no memory of its own. */
+  /** The event that is being written; reused, so that an event allocates no memory of its own. */
   private final OutBuffer out = new OutBuffer(TYPICAL_EVENT_BYTES);
 
   private final EventReplayBuffer replayBuffer;
 
-  /** The connection that carries the stream; null while there is none. */
+  /** The connection that carries the stream; null while disconnected. */
   private HttpExchange exchange;
 
   private Loop.Timer expiryTimer = () -> {};
   private Loop.Timer keepAliveTimer = () -> {};
 
-  /** No event follows; what was sent may still be replayed. */
+  /** No further event will be sent; earlier events may still be replayed. */
   private boolean finished;
 
-  /** The listener was told that the stream is over. */
+  /** The listener was notified that the stream is closed. */
   private boolean closed;
 
   private boolean producerPaused;
 
-  /** What a stream tells the one that fills it; on the loop, with the stream's lock held. */
+  /** Receives notifications of a stream, on the loop thread with the stream's lock held. */
   interface Listener {
-    /** Produce no more until {@link #resumeProducer}. */
+    /** Stops producing events until {@link #resumeProducer}. */
     void pauseProducer();
 
-    /** Produce again. */
+    /** Resumes producing events. */
     void resumeProducer();
 
     /**
-     * The stream is over.
+     * The stream was closed.
      *
-     * @param delivered false if its connection broke and the client did not reconnect in time
+     * @param delivered false if the connection was lost and the client did not reconnect in time
      */
     void streamClosed(ResumableEventStream stream, boolean delivered);
   }
@@ -72,9 +75,9 @@
   /**
    * The limits of a stream.
    *
-   * @param replayBytes size of the events that are kept to be replayed
-   * @param resumeWindowMicros time within which a client may reconnect; 0 for not at all
-   * @param keepAliveMicros time between two comments that keep the connection open
+   * @param replayBytes maximum size of the sent events that are kept for replay
+   * @param resumeWindowMicros time within which a client may reconnect; 0 to disallow it
+   * @param keepAliveMicros interval between the comments that keep the connection open
    */
   record Options(int replayBytes, long resumeWindowMicros, long keepAliveMicros) {}
 
@@ -86,15 +89,15 @@
     this.replayBuffer = new EventReplayBuffer(options.replayBytes());
   }
 
-  /** The first part of the ids of its events; unique within the session. */
+  /** Returns the first part of the event ids; unique within the session. */
   long number() {
     return number;
   }
 
   /**
-   * Begins the stream on the connection of its request.
+   * Starts the stream on the connection of its request.
    *
-   * @param hasPrimingEvent whether an empty event gives the client an id before any other
+   * @param hasPrimingEvent whether an empty event is sent first, to give the client an event id
    */
   synchronized void open(HttpExchange connection, String sessionId, boolean hasPrimingEvent) {
     attach(connection, sessionId);
@@ -104,7 +107,9 @@
   }
 
   /**
-   * Goes on over another connection behind the event of that number; false if that cannot be done.
+   * Resumes the stream on another connection after the event with that number.
+   *
+   * @return false if the stream is closed or does not have all events after that one
    */
   synchronized boolean resume(HttpExchange connection, String sessionId, long lastSeenNumber) {
     if (!replayBuffer.contains(lastSeenNumber) || closed) {
@@ -113,7 +118,7 @@
     if (exchange != null) {
       HttpExchange previous = exchange;
       exchange = null;
-      previous.abort(); // one connection at a time: the newer one wins
+      previous.abort(); // one connection at a time: the newer one replaces it
     }
     attach(connection, sessionId);
     replayBuffer.replayAfter(lastSeenNumber, connection::send);
@@ -138,7 +143,7 @@
             "x-accel-buffering",
             "no");
     headers.add(Mcp.SESSION_HEADER, sessionId);
-    connection.onDisconnect(() -> connectionLost(connection));
+    connection.onDisconnect(() -> onConnectionLost(connection));
     connection.onWriteQueueDrained(this::resumeProducer);
     connection.begin(200, headers);
     scheduleKeepAlive();
@@ -157,8 +162,8 @@
   }
 
   /**
-   * Whether a further event can be sent without pausing the producer: asked on an I/O thread before
-   * it sends, since pausing is for the loop.
+   * Returns whether another event can be sent without pausing the producer. An I/O thread checks
+   * this before it sends, since only the loop thread may pause the producer.
    */
   synchronized boolean hasCapacity() {
     return exchange != null
@@ -174,7 +179,7 @@
     }
   }
 
-  /** Sends a message: JSON without line ends outside of strings. */
+  /** Sends a message, which is JSON without line breaks. */
   synchronized void send(String json) {
     if (!finished) {
       beginEvent(true);
@@ -183,7 +188,7 @@
     }
   }
 
-  /** Sends a piece of an answer; called for each token, so it allocates nothing. */
+  /** Sends a piece of an answer; called for each token, so it allocates no memory. */
   synchronized void send(ProgressNotification progress, int tokens, CharSequence piece) {
     if (!finished) {
       beginEvent(true);
@@ -192,9 +197,9 @@
     }
   }
 
-  private void beginEvent(boolean message) {
+  private void beginEvent(boolean isMessage) {
     out.reset();
-    if (message) {
+    if (isMessage) {
       out.add(EVENT_LINE);
     }
     out.add(ID_FIELD)
@@ -219,8 +224,8 @@
   }
 
   /**
-   * No event follows; the connection's response ends, and the events are kept for a client that
-   * missed the last ones.
+   * Ends the stream and the response on its connection. The events are kept for the resume window,
+   * for a client that missed the last ones.
    */
   synchronized void finish() {
     if (!finished) {
@@ -233,26 +238,26 @@
 
   private void complete() {
     keepAliveTimer.cancel();
-    HttpExchange last = exchange;
+    HttpExchange connection = exchange;
     exchange = null;
-    last.finish();
+    connection.finish();
     expiryTimer = loop.schedule(options.resumeWindowMicros(), () -> closeAndNotify(true));
   }
 
-  /** Ends the stream at once, wherever it stands. */
+  /** Ends the stream immediately, without a resume window. */
   synchronized void close() {
     if (!closed) {
-      HttpExchange last = exchange;
+      HttpExchange connection = exchange;
       exchange = null;
       finished = true;
-      if (last != null) {
-        last.finish();
+      if (connection != null) {
+        connection.finish();
       }
       closeAndNotify(true);
     }
   }
 
-  private synchronized void connectionLost(HttpExchange connection) {
+  private synchronized void onConnectionLost(HttpExchange connection) {
     if (exchange == connection) {
       exchange = null;
       keepAliveTimer.cancel();
--- a/gateway/src/main/java/lemondock/gateway/mcp/SessionInitializer.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/SessionInitializer.java
@@ -1,7 +1,7 @@
 package lemondock.gateway.mcp;
 
-import static lemondock.gateway.mcp.HttpReplies.bytes;
-import static lemondock.gateway.mcp.HttpReplies.error;
+import static lemondock.gateway.mcp.HttpReplies.sendError;
+import static lemondock.gateway.mcp.HttpReplies.toBytes;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -13,7 +13,7 @@
 import lemondock.rpc.JsonRpcMessage;
 import lemondock.rpc.Mcp;
 
-/** Opens sessions: the {@code initialize} request. Loop thread only. */
+/** Handles {@code initialize} requests, which open sessions. Loop thread only. */
 final class SessionInitializer {
   private final McpContext context;
   private final SessionTable sessions;
@@ -25,12 +25,12 @@
     this.serverVersion = serverVersion;
   }
 
-  /** Opens a session and responds with its id, or says why none is opened. */
+  /** Opens a session and responds with its id, or with the reason why none is opened. */
   void initialize(HttpExchange exchange, JsonRpcMessage.Request request) {
     JsonNode requestedVersion =
         request.params() == null ? null : request.params().get("protocolVersion");
     if (requestedVersion == null || !requestedVersion.isTextual()) {
-      error(
+      sendError(
           exchange,
           400,
           request.id(),
@@ -38,8 +38,8 @@
           "/protocolVersion: expected a text, found " + requestedVersion);
       return;
     }
-    if (context.stopping().getAsBoolean()) {
-      error(exchange, 503, request.id(), Mcp.STOPPING, "the gateway is stopping");
+    if (context.isStopping().getAsBoolean()) {
+      sendError(exchange, 503, request.id(), Mcp.STOPPING, "the gateway is stopping");
       return;
     }
     OptionalLong retryAfterMicros = context.preparer().newSessionRetryAfterMicros();
@@ -49,7 +49,7 @@
     }
     if (sessions.isFull()) {
       int maxSessions = context.settings().front().maxSessions();
-      error(
+      sendError(
           exchange,
           503,
           request.id(),
@@ -70,7 +70,7 @@
             ContentNegotiation.JSON,
             "retry-after",
             Long.toString(retryAfterSeconds)),
-        bytes(JsonRpc.error(id, Mcp.LIMIT, "the gateway is at its limit", data)));
+        toBytes(JsonRpc.error(id, Mcp.LIMIT, "the gateway is at its limit", data)));
   }
 
   private void respond(HttpExchange exchange, JsonNode id, McpSession session) {
@@ -81,6 +81,6 @@
     exchange.respond(
         200,
         Headers.of("content-type", ContentNegotiation.JSON, Mcp.SESSION_HEADER, session.id()),
-        bytes(JsonRpc.result(id, result)));
+        toBytes(JsonRpc.result(id, result)));
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/mcp/SessionResolver.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/SessionResolver.java
@@ -1,7 +1,7 @@
 package lemondock.gateway.mcp;
 
 import static lemondock.gateway.mcp.HttpReplies.clip;
-import static lemondock.gateway.mcp.HttpReplies.error;
+import static lemondock.gateway.mcp.HttpReplies.sendError;
 
 import com.fasterxml.jackson.databind.node.NullNode;
 import java.util.Optional;
@@ -18,7 +18,7 @@
     this.sessions = sessions;
   }
 
-  /** The session of a request; if it is empty, the request was answered with an error. */
+  /** Returns the session of a request; if empty, the request has been answered with an error. */
   Optional<McpSession> resolve(HttpExchange exchange) {
     Headers headers = exchange.request().headers();
     Optional<String> unsupportedVersion =
@@ -40,7 +40,7 @@
       respondWithError(exchange, 400, "Bad Request: expected header " + Mcp.SESSION_HEADER);
       return Optional.empty();
     }
-    Optional<McpSession> session = sessions.use(id.get());
+    Optional<McpSession> session = sessions.findAndMarkUsed(id.get());
     if (session.isEmpty()) {
       respondWithError(exchange, 404, "Session not found");
     }
@@ -48,6 +48,6 @@
   }
 
   private static void respondWithError(HttpExchange exchange, int status, String message) {
-    error(exchange, status, NullNode.instance, JsonRpc.INVALID_REQUEST, message);
+    sendError(exchange, status, NullNode.instance, JsonRpc.INVALID_REQUEST, message);
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/mcp/SessionTable.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/SessionTable.java
@@ -9,31 +9,31 @@
 import lemondock.net.Loop;
 
 /**
- * The open sessions. Their number is bounded by {@code front.maxSessions}; a session that is idle
- * for longer than {@code front.sessionIdleMs} is ended. Loop thread only.
+ * The open sessions. Their number is at most {@code front.maxSessions}; a session that is idle for
+ * longer than {@code front.sessionIdleMs} is ended. Loop thread only.
  */
 final class SessionTable {
   private static final long IDLE_SWEEP_INTERVAL_MICROS = 1_000_000;
 
   private final Loop loop;
-  private final Supplier<String> sessionIds;
+  private final Supplier<String> sessionIdGenerator;
   private final int maxSessions;
   private final long maxIdleMicros;
   private final Map<String, McpSession> sessions = new HashMap<>();
 
   /**
-   * Makes an empty table.
+   * Creates an empty table.
    *
-   * @param sessionIds gives ids that cannot be guessed, each once
+   * @param sessionIdGenerator generates unique ids that cannot be guessed
    */
-  SessionTable(Loop loop, GatewaySettings.Front settings, Supplier<String> sessionIds) {
+  SessionTable(Loop loop, GatewaySettings.Front settings, Supplier<String> sessionIdGenerator) {
     this.loop = loop;
-    this.sessionIds = sessionIds;
+    this.sessionIdGenerator = sessionIdGenerator;
     this.maxSessions = settings.maxSessions();
     this.maxIdleMicros = GatewaySettings.micros(settings.sessionIdleMs());
   }
 
-  /** Begins to end idle sessions, once a second. */
+  /** Starts the check for idle sessions, which runs once a second. */
   void startExpiry() {
     loop.schedule(
         IDLE_SWEEP_INTERVAL_MICROS,
@@ -52,20 +52,20 @@
     }
   }
 
-  /** Whether no further session may be opened. */
+  /** Returns whether the maximum number of sessions is open. */
   boolean isFull() {
     return sessions.size() >= maxSessions;
   }
 
-  /** Opens a session that speaks a version of the protocol. */
+  /** Opens a session with the given protocol version. */
   McpSession open(String version) {
-    McpSession session = new McpSession(sessionIds.get(), version, loop.now());
+    McpSession session = new McpSession(sessionIdGenerator.get(), version, loop.now());
     sessions.put(session.id(), session);
     return session;
   }
 
-  /** The session of that id, which counts as used now. */
-  Optional<McpSession> use(String id) {
+  /** Returns the session with that id and restarts its idle time. */
+  Optional<McpSession> findAndMarkUsed(String id) {
     Optional<McpSession> session = Optional.ofNullable(sessions.get(id));
     session.ifPresent(found -> found.markUsed(loop.now()));
     return session;
@@ -82,12 +82,12 @@
     List.copyOf(sessions.values()).forEach(session -> end(session, reason));
   }
 
-  /** Number of open sessions. */
+  /** Returns the number of open sessions. */
   int size() {
     return sessions.size();
   }
 
-  /** Event streams of calls, those that wait for their client to reconnect among them. */
+  /** Returns the number of open event streams of calls, disconnected ones included. */
   int streamCount() {
     return sessions.values().stream().mapToInt(McpSession::streamCount).sum();
   }
--- a/gateway/src/main/java/lemondock/gateway/mcp/ToolNameScanner.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ToolNameScanner.java
@@ -5,12 +5,12 @@
 import lemondock.rpc.Mcp;
 
 /**
- * A glance at the beginning of a request's content: which tool it calls, if that is plain to see,
- * for a hundredth of the cost of parsing it. What it does not see is left to the parser, and what
- * it sees decides only whether the call is rejected. Any thread.
+ * Finds the name of the called tool in the first bytes of a request body, at a hundredth of the
+ * cost of parsing it. Handles only simple cases and leaves the others to the parser. The result is
+ * used only to decide whether to reject the call. Any thread.
  */
 final class ToolNameScanner {
-  /** Bytes of the content that are looked at; more of it changes nothing. */
+  /** Number of leading bytes that are scanned; later bytes do not change the result. */
   static final int SCAN_LIMIT_BYTES = 600;
 
   private static final int MAX_NAME_LENGTH = 128;
@@ -20,7 +20,10 @@
 
   private ToolNameScanner() {}
 
-  /** The tool that a single {@code tools/call} names; empty if it does not begin like one. */
+  /**
+   * Returns the tool that a single {@code tools/call} names; empty if the body does not begin like
+   * such a call.
+   */
   static Optional<String> toolName(byte[] body) {
     int limit = Math.min(SCAN_LIMIT_BYTES, body.length);
     if (limit == 0 || body[0] != '{' || indexOf(body, METHOD_LITERAL, limit) < 0) {
@@ -38,10 +41,10 @@
     if (quote >= limit || body[quote] != '"') {
       return Optional.empty();
     }
-    return stringWithoutEscapes(body, quote + 1, limit);
+    return readUnescapedString(body, quote + 1, limit);
   }
 
-  private static Optional<String> stringWithoutEscapes(byte[] body, int start, int limit) {
+  private static Optional<String> readUnescapedString(byte[] body, int start, int limit) {
     int end = start;
     while (end < limit && end - start < MAX_NAME_LENGTH && body[end] != '"' && body[end] != '\\') {
       end++;
--- a/gateway/src/main/java/lemondock/gateway/mcp/package-info.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/package-info.java
@@ -1,10 +1,11 @@
 /**
  * The front end for clients: the Model Context Protocol over Streamable HTTP. {@link
  * lemondock.gateway.mcp.McpHttpHandler} routes requests by path and method and keeps the session
- * table; POST brings messages and gets a JSON text or an event stream, GET opens or resumes a
+ * table. POST carries messages and is answered with JSON or an event stream, GET opens or resumes a
  * stream, DELETE ends a session.
  *
- * <p>Requests are parsed and may be rejected on I/O threads and workers; all else is on the loop,
- * but for plain pieces of a running answer, which an I/O thread writes under its stream's lock.
+ * <p>I/O threads and workers parse requests and may reject them. Everything else runs on the loop
+ * thread, except that an I/O thread writes plain pieces of a running answer while it holds the lock
+ * of the stream.
  */
 package lemondock.gateway.mcp;
--- a/gateway/src/test/java/lemondock/gateway/mcp/EventReplayBufferTest.java
+++ b/gateway/src/test/java/lemondock/gateway/mcp/EventReplayBufferTest.java
@@ -18,8 +18,8 @@
 class EventReplayBufferTest {
   private EventReplayBuffer buffer = new EventReplayBuffer(100);
 
-  /** The numbers of the events after one, empty if they are not all kept. */
-  private Optional<List<Long>> after(long number) {
+  /** Returns the numbers of the events after the given one; empty if some were evicted. */
+  private Optional<List<Long>> eventNumbersAfter(long number) {
     if (!buffer.contains(number)) {
       return Optional.empty();
     }
@@ -28,7 +28,7 @@
     return Optional.of(numbers);
   }
 
-  /** Each byte of an event is its number. */
+  /** Appends an event whose bytes are all its number. */
   private void append(int length) {
     byte[] event = new byte[length + 1];
     Arrays.fill(event, (byte) buffer.nextNumber());
@@ -36,63 +36,63 @@
   }
 
   @Test
-  void eventsAfterANumberAreReplayed() {
+  void replaysEventsAfterGivenNumber() {
     for (int i = 0; i < 5; i++) {
       append(10);
     }
-    assertEquals(Optional.of(List.of(3L, 4L, 5L)), after(2));
-    assertEquals(Optional.of(List.of()), after(5));
-    assertEquals(Optional.of(List.of(1L, 2L, 3L, 4L, 5L)), after(0));
-    assertEquals(Optional.empty(), after(6));
+    assertEquals(Optional.of(List.of(3L, 4L, 5L)), eventNumbersAfter(2));
+    assertEquals(Optional.of(List.of()), eventNumbersAfter(5));
+    assertEquals(Optional.of(List.of(1L, 2L, 3L, 4L, 5L)), eventNumbersAfter(0));
+    assertEquals(Optional.empty(), eventNumbersAfter(6));
   }
 
   @Test
-  void theOldestSentEventsAreDroppedFirst() {
+  void evictsOldestSentEventsFirst() {
     for (int i = 0; i < 20; i++) {
       append(10);
       buffer.markSent();
     }
     assertTrue(buffer.sizeBytes() <= 100);
-    assertEquals(Optional.empty(), after(3));
-    assertEquals(Optional.of(List.of(20L)), after(19));
+    assertEquals(Optional.empty(), eventNumbersAfter(3));
+    assertEquals(Optional.of(List.of(20L)), eventNumbersAfter(19));
   }
 
   @Test
-  void unsentEventsAreKeptAndFillTheBuffer() {
+  void unsentEventsAreKeptAndFillBuffer() {
     append(60);
     assertFalse(buffer.isFull());
     append(60);
     assertTrue(buffer.isFull());
-    assertEquals(Optional.of(List.of(1L, 2L)), after(0));
+    assertEquals(Optional.of(List.of(1L, 2L)), eventNumbersAfter(0));
     buffer.markSent();
     assertFalse(buffer.isFull());
   }
 
-  /** Against a list, over any lengths and any moments of sending. */
+  /** Compares the buffer with a list, for arbitrary event lengths and times of sending. */
   @Property(tries = 1_000, seed = "20261201")
-  void keptEventsAreWhatWasAppended(
-      @ForAll @Size(max = 60) List<@IntRange(min = 1, max = 140) Integer> steps) {
-    buffer = new EventReplayBuffer(100); // each try its own
-    List<byte[]> all = new ArrayList<>();
-    for (int step : steps) {
-      append(step);
-      byte[] event = new byte[step];
-      Arrays.fill(event, (byte) (all.size() + 1));
-      all.add(event);
-      if (step % 3 != 0) {
+  void bufferedEventsEqualAppendedEvents(
+      @ForAll @Size(max = 60) List<@IntRange(min = 1, max = 140) Integer> eventLengths) {
+    buffer = new EventReplayBuffer(100); // a new buffer for each try
+    List<byte[]> appended = new ArrayList<>();
+    for (int eventLength : eventLengths) {
+      append(eventLength);
+      byte[] event = new byte[eventLength];
+      Arrays.fill(event, (byte) (appended.size() + 1));
+      appended.add(event);
+      if (eventLength % 3 != 0) {
         buffer.markSent();
       }
-      long from = 0;
-      while (!buffer.contains(from)) {
-        from++;
+      long lastSeenNumber = 0;
+      while (!buffer.contains(lastSeenNumber)) {
+        lastSeenNumber++;
       }
-      List<byte[]> kept = new ArrayList<>();
-      buffer.replayAfter(from, kept::add);
-      assertEquals(all.size() - from, kept.size());
-      for (int i = 0; i < kept.size(); i++) {
-        assertArrayEquals(all.get((int) from + i), kept.get(i));
+      List<byte[]> buffered = new ArrayList<>();
+      buffer.replayAfter(lastSeenNumber, buffered::add);
+      assertEquals(appended.size() - lastSeenNumber, buffered.size());
+      for (int i = 0; i < buffered.size(); i++) {
+        assertArrayEquals(appended.get((int) lastSeenNumber + i), buffered.get(i));
       }
-      assertEquals(kept.stream().mapToInt(e -> e.length).sum(), buffer.sizeBytes());
+      assertEquals(buffered.stream().mapToInt(bytes -> bytes.length).sum(), buffer.sizeBytes());
     }
   }
 }
--- a/gateway/src/test/java/lemondock/gateway/mcp/SessionTableTest.java
+++ b/gateway/src/test/java/lemondock/gateway/mcp/SessionTableTest.java
@@ -17,9 +17,9 @@
   private static final long SECOND_MICROS = 1_000_000;
 
   private final ManualLoop loop = new ManualLoop(0);
-  private int idsGiven;
+  private int generatedIdCount;
   private final SessionTable sessions =
-      new SessionTable(loop, settings(), () -> "session-" + ++idsGiven);
+      new SessionTable(loop, settings(), () -> "session-" + ++generatedIdCount);
 
   private static GatewaySettings.Front settings() {
     return new GatewaySettings.Front(
@@ -43,17 +43,17 @@
   }
 
   @Test
-  void aSessionIsFoundByItsIdUntilItEnds() {
+  void sessionIsFoundByIdUntilItEnds() {
     McpSession session = sessions.open("2025-06-18");
-    assertSame(session, sessions.use("session-1").orElseThrow());
-    assertEquals(Optional.empty(), sessions.use("session-2"));
+    assertSame(session, sessions.findAndMarkUsed("session-1").orElseThrow());
+    assertEquals(Optional.empty(), sessions.findAndMarkUsed("session-2"));
     sessions.end(session, "test");
-    assertEquals(Optional.empty(), sessions.use("session-1"));
+    assertEquals(Optional.empty(), sessions.findAndMarkUsed("session-1"));
     assertTrue(session.hasEnded());
   }
 
   @Test
-  void theNumberOfSessionsIsBounded() {
+  void tableIsFullAtMaxSessions() {
     sessions.open("2025-06-18");
     assertFalse(sessions.isFull());
     McpSession second = sessions.open("2025-06-18");
@@ -63,12 +63,12 @@
   }
 
   @Test
-  void anIdleSessionExpiresAndOneInUseDoesNot() {
+  void idleSessionExpiresAndUsedSessionDoesNot() {
     final McpSession idle = sessions.open("2025-06-18");
     McpSession used = sessions.open("2025-06-18");
     sessions.startExpiry();
     loop.advance(6 * SECOND_MICROS);
-    sessions.use(used.id());
+    sessions.findAndMarkUsed(used.id());
     loop.advance(6 * SECOND_MICROS);
     assertTrue(idle.hasEnded());
     assertFalse(used.hasEnded());
@@ -89,12 +89,12 @@
   }
 
   @Test
-  void anEarlyCancellationIsTakenOnceAndExpires() {
+  void earlyCancellationIsRemovedOnceAndExpires() {
     McpSession session = sessions.open("2025-06-18");
-    session.cancelledEarly("1", loop.now());
-    assertTrue(session.takeEarlyCancellation("1", loop.now()));
-    assertFalse(session.takeEarlyCancellation("1", loop.now()));
-    session.cancelledEarly("2", loop.now());
-    assertFalse(session.takeEarlyCancellation("2", loop.now() + 3 * SECOND_MICROS));
+    session.recordEarlyCancellation("1", loop.now());
+    assertTrue(session.removeEarlyCancellation("1", loop.now()));
+    assertFalse(session.removeEarlyCancellation("1", loop.now()));
+    session.recordEarlyCancellation("2", loop.now());
+    assertFalse(session.removeEarlyCancellation("2", loop.now() + 3 * SECOND_MICROS));
   }
 }
--- a/gateway/src/test/java/lemondock/gateway/mcp/ToolNameScannerTest.java
+++ b/gateway/src/test/java/lemondock/gateway/mcp/ToolNameScannerTest.java
@@ -10,19 +10,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class ToolNameScannerTest {
-  private static Optional<String> tool(String body) {
+  private static Optional<String> toolName(String body) {
     return ToolNameScanner.toolName(body.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
-  void theToolOfACallIsSeen() {
+  void findsToolNameOfCall() {
     assertEquals(
         Optional.of("sale-lookup"),
-        tool(
+        toolName(
             "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\",\"a\":1}}"));
     assertEquals(
         Optional.of("x"),
-        tool("{ \"params\" : { \"name\" :\n\t\"x\" } , \"method\" : \"tools/call\" }"));
+        toolName("{ \"params\" : { \"name\" :\n\t\"x\" } , \"method\" : \"tools/call\" }"));
   }
 
   @ParameterizedTest
@@ -38,29 +38,30 @@
         "{\"method\":\"tools/call\",\"name\":\"x",
         "{\"method\":\"tools/call\",\"name\":\"a\\u0062\"}"
       })
-  void whatIsNotPlainIsLeftToTheParser(String body) {
-    assertEquals(Optional.empty(), tool(body));
+  void leavesOtherBodiesToTheParser(String body) {
+    assertEquals(Optional.empty(), toolName(body));
   }
 
   @Test
-  void aNameFarBehindOrTooLongIsNotLookedFor() {
+  void ignoresNameBeyondScanLimitOrTooLong() {
     assertEquals(
         Optional.empty(),
-        tool("{\"method\":\"tools/call\",\"x\":\"" + "y".repeat(600) + "\",\"name\":\"x\"}"));
+        toolName("{\"method\":\"tools/call\",\"x\":\"" + "y".repeat(600) + "\",\"name\":\"x\"}"));
     assertEquals(
-        Optional.empty(), tool("{\"method\":\"tools/call\",\"name\":\"" + "y".repeat(200) + "\"}"));
+        Optional.empty(),
+        toolName("{\"method\":\"tools/call\",\"name\":\"" + "y".repeat(200) + "\"}"));
   }
 
   /**
-   * The server asks with the first bytes only, and again with all when it prepares the request:
-   * both must see the same.
+   * The HTTP server scans the first bytes of a body, and the whole body when it prepares the
+   * request. Both scans must give the same result.
    */
   @Test
-  void theFirstBytesSayTheSameAsAllOfIt() {
-    for (int before = 0; before < 700; before++) {
+  void firstBytesGiveSameResultAsWholeBody() {
+    for (int paddingLength = 0; paddingLength < 700; paddingLength++) {
       byte[] body =
           ("{\"method\":\"tools/call\",\"x\":\""
-                  + "y".repeat(before)
+                  + "y".repeat(paddingLength)
                   + "\",\"params\":{\"name\" : \"day-close\",\"arguments\":{}}}"
                   + "z".repeat(300))
               .getBytes(StandardCharsets.UTF_8);
@@ -68,7 +69,7 @@
           ToolNameScanner.toolName(body),
           ToolNameScanner.toolName(
               Arrays.copyOf(body, Math.min(body.length, ToolNameScanner.SCAN_LIMIT_BYTES))),
-          "after " + before);
+          "after " + paddingLength);
     }
   }
 }
