--- a/simulator/src/main/java/lemondock/simulator/EndpointEntry.java
+++ b/simulator/src/main/java/lemondock/simulator/EndpointEntry.java
@@ -4,7 +4,7 @@
 import lemondock.policy.ServerEntry;
 import lemondock.policy.ServerLifecycle;
 
-/** The layout of one server in an endpoint list. */
+/** Decodes one server of an endpoint list; the constants are offsets from its start. */
 final class EndpointEntry {
   static final int BYTES = 23;
 
@@ -24,7 +24,7 @@
 
   static ServerEntry read(EventFrame frame, ByteBuffer body, int offset) {
     return ServerEntry.builder()
-        .id(EventFrame.unsigned(body, offset + SERVER_ID))
+        .id(EventFrame.unsignedInt(body, offset + SERVER_ID))
         .zone(EventFrame.unsignedShort(body, offset + ZONE))
         .kind(EventFrame.unsignedShort(body, offset + KIND))
         .cell(EventFrame.unsignedShort(body, offset + CELL))
@@ -39,7 +39,7 @@
       case CONDITION_READY -> ServerLifecycle.READY;
       case CONDITION_DRAINING -> ServerLifecycle.DRAINING;
       case CONDITION_GONE -> ServerLifecycle.GONE;
-      default -> throw frame.malformed("unknown server condition " + condition);
+      default -> throw frame.malformed("unknown server condition code " + condition);
     };
   }
 }
--- a/simulator/src/main/java/lemondock/simulator/EventFrame.java
+++ b/simulator/src/main/java/lemondock/simulator/EventFrame.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import lemondock.policy.ServerEntry;
 
-/** One batch of events: a header, records of a fixed size, and a tail for texts and lists. */
+/** One batch of events: a header, records of a fixed size, and a tail with texts and lists. */
 final class EventFrame {
   static final double MICROS_PER_MILLI = 1000.0;
 
@@ -31,9 +31,9 @@
   /**
    * Reads the next frame; empty at the end of the input.
    *
-   * @param number of the frame, from 1, for error messages
-   * @throws MalformedInputException if the input ends within the frame or the header contradicts
-   *     itself
+   * @param number the number of the frame, from 1, for error messages
+   * @throws MalformedInputException if the input ends within the frame or the header is
+   *     inconsistent
    */
   static Optional<EventFrame> read(InputStream in, long number) throws IOException {
     byte[] header = in.readNBytes(HEADER_BYTES);
@@ -41,17 +41,23 @@
       return Optional.empty();
     }
     if (header.length < HEADER_BYTES) {
-      throw malformed(number, "input ends within the header");
+      throw malformed(
+          number,
+          "input ends within the header, after "
+              + header.length
+              + " of "
+              + HEADER_BYTES
+              + " bytes");
     }
     ByteBuffer fields = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
     final long length = fields.getInt() & 0xffffffffL;
     final long count = fields.getInt() & 0xffffffffL;
     double clockMillis = fields.getDouble();
     if (!Double.isFinite(clockMillis)) {
-      throw malformed(number, "the clock is not a number");
+      throw malformed(number, "expected a finite clock, found " + clockMillis);
     }
     if (count * EventRecord.BYTES > length || length > Integer.MAX_VALUE - HEADER_BYTES) {
-      throw malformed(number, count + " records do not fit into " + length + " bytes");
+      throw malformed(number, count + " records do not fit into the body of " + length + " bytes");
     }
     byte[] body = in.readNBytes((int) length);
     if (body.length < length) {
@@ -69,7 +75,7 @@
     return recordCount;
   }
 
-  /** The time of all events of the frame. */
+  /** Returns the time of all events of the frame. */
   long nowMicros() {
     return nowMicros;
   }
@@ -78,20 +84,30 @@
     return new EventRecord(this, body, index * EventRecord.BYTES);
   }
 
-  /** A text of the tail, in UTF-8. */
+  /** Returns a UTF-8 text from the tail. */
   String text(long tailOffset, long length) {
     long start = tailStart() + tailOffset;
     if (start + length > body.limit()) {
-      throw malformed("a text reaches past the end of the frame");
+      throw malformed(
+          "text of "
+              + length
+              + " bytes at tail offset "
+              + tailOffset
+              + " reaches past the end of the frame");
     }
     return new String(body.array(), (int) start, (int) length, StandardCharsets.UTF_8);
   }
 
-  /** An endpoint list of the tail. */
+  /** Returns an endpoint list from the tail. */
   List<ServerEntry> endpoints(long tailOffset, long count) {
     long start = tailStart() + tailOffset;
     if (start + count * EndpointEntry.BYTES > body.limit()) {
-      throw malformed("a list reaches past the end of the frame");
+      throw malformed(
+          "list of "
+              + count
+              + " servers at tail offset "
+              + tailOffset
+              + " reaches past the end of the frame");
     }
     List<ServerEntry> entries = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -104,7 +120,7 @@
     return recordCount * EventRecord.BYTES;
   }
 
-  /** The error to throw for something wrong in this frame. */
+  /** Creates the exception for a problem in this frame. */
   MalformedInputException malformed(String problem) {
     return malformed(number, problem);
   }
@@ -113,7 +129,7 @@
     return new MalformedInputException("frame " + number + ": " + problem);
   }
 
-  static long unsigned(ByteBuffer body, int offset) {
+  static long unsignedInt(ByteBuffer body, int offset) {
     return body.getInt(offset) & 0xffffffffL;
   }
 
--- a/simulator/src/main/java/lemondock/simulator/EventRecord.java
+++ b/simulator/src/main/java/lemondock/simulator/EventRecord.java
@@ -10,13 +10,13 @@
 import lemondock.policy.ServerEntry;
 
 /**
- * One record of a frame. Each method reads the fields of the kinds of event that have them; the
- * constants are offsets from the start of the record, whose first byte is the event's code.
+ * One record of a frame. Each method reads fields that only certain kinds of event have. The
+ * constants are offsets from the start of the record; its first byte is the code of the event.
  */
 final class EventRecord {
   static final int BYTES = 64;
 
-  /** The field that most events begin with: an instance, a request or a timer. */
+  /** The first field of most events: the id of an instance, a request or a timer. */
   private static final int ID = 1;
 
   private static final int FIRST_TOKEN_ATTEMPT = 9;
@@ -57,7 +57,7 @@
 
   private static final int OUTCOME_PROMPT_READ = 102;
 
-  /** In the order of their codes. */
+  /** Outcomes, indexed by their codes on the wire. */
   private static final List<AttemptOutcome> OUTCOMES =
       List.of(
           AttemptOutcome.OK,
@@ -69,10 +69,10 @@
           AttemptOutcome.CANCELLED,
           AttemptOutcome.ABANDONED_BEFORE_SEND);
 
-  /** The detail of a rejection for want of the request's state. */
+  /** Detail of a rejection because the server does not hold the request's state. */
   private static final int DETAIL_STATE_MISSING = 1;
 
-  /** In the order of their codes. */
+  /** Kinds of endpoint list, indexed by their codes on the wire. */
   private static final List<EndpointListKind> LIST_KINDS =
       List.of(
           EndpointListKind.CHANGES,
@@ -90,7 +90,7 @@
     this.offset = offset;
   }
 
-  /** The code as it is on the wire. */
+  /** Returns the code on the wire. */
   int wireCode() {
     return unsignedByte(0);
   }
@@ -100,10 +100,10 @@
   }
 
   long instance() {
-    return unsigned(ID);
+    return unsignedInt(ID);
   }
 
-  /** The request, or the timer, that the event is about. */
+  /** Returns the id of the event's request or timer. */
   long id() {
     return body.getLong(offset + ID);
   }
@@ -113,7 +113,7 @@
   }
 
   long firstTokenServer() {
-    return unsigned(FIRST_TOKEN_SERVER);
+    return unsignedInt(FIRST_TOKEN_SERVER);
   }
 
   long timeToFirstTokenMicros() {
@@ -123,23 +123,23 @@
   EndpointListKind listKind() {
     int code = unsignedByte(LIST_KIND);
     if (code >= LIST_KINDS.size()) {
-      throw frame.malformed("unknown kind of list " + code);
+      throw frame.malformed("unknown endpoint list kind code " + code);
     }
     return LIST_KINDS.get(code);
   }
 
-  /** The number of the endpoint list that an instance gets. */
+  /** Returns the content number of the endpoint list that an instance gets. */
   int listNumber() {
     return body.getInt(offset + LIST_NUMBER);
   }
 
-  /** The number under which this record gives the content of an endpoint list. */
+  /** Returns the content number of the endpoint list that this record defines. */
   int listContentNumber() {
     return body.getInt(offset + LIST_CONTENT_NUMBER);
   }
 
   List<ServerEntry> listContent() {
-    return frame.endpoints(unsigned(LIST_CONTENT_START), unsigned(LIST_CONTENT_COUNT));
+    return frame.endpoints(unsignedInt(LIST_CONTENT_START), unsignedInt(LIST_CONTENT_COUNT));
   }
 
   long seed() {
@@ -147,7 +147,7 @@
   }
 
   String settings() {
-    return frame.text(unsigned(START_SETTINGS), unsigned(START_SETTINGS_LENGTH));
+    return frame.text(unsignedInt(START_SETTINGS), unsignedInt(START_SETTINGS_LENGTH));
   }
 
   RoutingRequest request() {
@@ -176,7 +176,7 @@
     return AttemptResult.builder()
         .requestId(id())
         .attempt(unsignedShort(RESULT_ATTEMPT))
-        .serverId(unsigned(RESULT_SERVER))
+        .serverId(unsignedInt(RESULT_SERVER))
         .outcome(outcome)
         .elapsedMicros(micros(RESULT_TIME_MILLIS))
         .requestEnded(unsignedByte(RESULT_ENDS_REQUEST) != 0)
@@ -191,7 +191,7 @@
       return AttemptOutcome.PROMPT_READ;
     }
     if (code >= OUTCOMES.size()) {
-      throw frame.malformed("unknown outcome " + code);
+      throw frame.malformed("unknown attempt outcome code " + code);
     }
     return OUTCOMES.get(code);
   }
@@ -204,8 +204,8 @@
     return EventFrame.unsignedShort(body, offset + field);
   }
 
-  private long unsigned(int field) {
-    return EventFrame.unsigned(body, offset + field);
+  private long unsignedInt(int field) {
+    return EventFrame.unsignedInt(body, offset + field);
   }
 
   private int tokens(int field) {
--- a/simulator/src/main/java/lemondock/simulator/MalformedInputException.java
+++ b/simulator/src/main/java/lemondock/simulator/MalformedInputException.java
@@ -1,6 +1,6 @@
 package lemondock.simulator;
 
-/** Input that does not follow the wire; the message says what and where. */
+/** Thrown for input that violates the wire protocol; the message has the problem and its place. */
 final class MalformedInputException extends IllegalArgumentException {
   private static final long serialVersionUID = 1L;
 
--- a/simulator/src/main/java/lemondock/simulator/ReplyFrame.java
+++ b/simulator/src/main/java/lemondock/simulator/ReplyFrame.java
@@ -6,12 +6,12 @@
 import java.nio.charset.StandardCharsets;
 import lemondock.policy.RouterHost;
 
-/** Collects the actions of one batch and lays them out as a reply frame. */
+/** Collects the actions of one batch and encodes them as a reply frame. */
 final class ReplyFrame {
   private static final int ACTION_BYTES = 24;
   private static final int HEADER_BYTES = 8;
 
-  // Codes of the actions; behind each the wire's own word.
+  // Codes of the actions; the comment after each is its name on the wire.
   private static final int SEND = 10; // forward
 
   private static final int REJECT = 20; // not_now
@@ -26,53 +26,53 @@
 
   private final ByteArrayOutputStream records = new ByteArrayOutputStream();
   private final ByteArrayOutputStream tail = new ByteArrayOutputStream();
-  private int count;
+  private int recordCount;
   private long currentInstance = -1;
 
-  /** The actions of one instance, written into this reply. */
+  /** Returns the host of an instance; its actions are added to this reply. */
   RouterHost hostFor(long instance) {
     return new InstanceHost(instance);
   }
 
-  /** Says that the router of an instance threw an exception. */
+  /** Adds the report that the router of an instance threw an exception. */
   void reportFailure(long instance, String text) {
     addText(instance, REPORT_FAILURE, text);
   }
 
-  /** The bytes of the frame; the next frame is begun. */
+  /** Returns the bytes of the frame and starts the next frame. */
   byte[] takeBytes() {
     ByteBuffer frame =
         ByteBuffer.allocate(HEADER_BYTES + records.size() + tail.size())
             .order(ByteOrder.LITTLE_ENDIAN);
-    frame.putInt(records.size() + tail.size()).putInt(count).put(records.toByteArray());
+    frame.putInt(records.size() + tail.size()).putInt(recordCount).put(records.toByteArray());
     final byte[] bytes = frame.put(tail.toByteArray()).array();
     records.reset();
     tail.reset();
-    count = 0;
+    recordCount = 0;
     currentInstance = -1;
     return bytes;
   }
 
-  private ByteBuffer action(long instance, int code) {
+  private ByteBuffer newAction(long instance, int code) {
     if (currentInstance != instance) {
       currentInstance = instance;
-      addRecord(record(SELECT_INSTANCE).putInt((int) instance));
+      addRecord(newRecord(SELECT_INSTANCE).putInt((int) instance));
     }
-    return record(code);
+    return newRecord(code);
   }
 
-  private static ByteBuffer record(int code) {
+  private static ByteBuffer newRecord(int code) {
     return ByteBuffer.allocate(ACTION_BYTES).order(ByteOrder.LITTLE_ENDIAN).put((byte) code);
   }
 
   private void addRecord(ByteBuffer record) {
     records.writeBytes(record.array());
-    count++;
+    recordCount++;
   }
 
   private void addText(long instance, int code, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    addRecord(action(instance, code).putInt(tail.size()).putInt(bytes.length));
+    addRecord(newAction(instance, code).putInt(tail.size()).putInt(bytes.length));
     tail.writeBytes(bytes);
   }
 
@@ -90,7 +90,7 @@
     @Override
     public void send(long requestId, long serverId, long timeoutMicros) {
       addRecord(
-          action(instance, SEND)
+          newAction(instance, SEND)
               .putLong(requestId)
               .putInt((int) serverId)
               .putDouble(millis(timeoutMicros)));
@@ -98,32 +98,32 @@
 
     @Override
     public void reject(long requestId, long retryAfterMicros) {
-      addRecord(action(instance, REJECT).putLong(requestId).putDouble(millis(retryAfterMicros)));
+      addRecord(newAction(instance, REJECT).putLong(requestId).putDouble(millis(retryAfterMicros)));
     }
 
     @Override
     public void fail(long requestId) {
-      addRecord(action(instance, FAIL).putLong(requestId));
+      addRecord(newAction(instance, FAIL).putLong(requestId));
     }
 
     @Override
     public void cancel(long requestId, int attempt) {
-      addRecord(action(instance, CANCEL).putLong(requestId).putShort((short) attempt));
+      addRecord(newAction(instance, CANCEL).putLong(requestId).putShort((short) attempt));
     }
 
     @Override
     public void releaseState(long requestId) {
-      addRecord(action(instance, RELEASE_STATE).putLong(requestId));
+      addRecord(newAction(instance, RELEASE_STATE).putLong(requestId));
     }
 
     @Override
     public void setTimer(long token, long delayMicros) {
-      addRecord(action(instance, SET_TIMER).putLong(token).putDouble(millis(delayMicros)));
+      addRecord(newAction(instance, SET_TIMER).putLong(token).putDouble(millis(delayMicros)));
     }
 
     @Override
     public void watchEndpoints() {
-      addRecord(action(instance, WATCH_ENDPOINTS).put((byte) 1));
+      addRecord(newAction(instance, WATCH_ENDPOINTS).put((byte) 1));
     }
 
     @Override
--- a/simulator/src/main/java/lemondock/simulator/SettingsText.java
+++ b/simulator/src/main/java/lemondock/simulator/SettingsText.java
@@ -15,8 +15,8 @@
 import lemondock.policy.Tenant;
 
 /**
- * Turns settings by path, or the start-up text (one {@code path=value} a line), into {@link
- * RouterSettings}.
+ * Parses {@link RouterSettings} from values by path, or from the start-up text, which has one
+ * {@code path=value} per line.
  */
 public final class SettingsText {
   private final Map<String, String> values;
@@ -33,38 +33,45 @@
       }
       int equals = line.indexOf('=');
       if (equals < 1) {
-        throw new MalformedInputException("setting without a name or value: " + line.strip());
+        throw new MalformedInputException(
+            "setting: expected path=value, found '" + line.strip() + "'");
       }
       values.put(line.substring(0, equals).strip(), line.substring(equals + 1).strip());
     }
   }
 
-  /** Settings from the start-up text; an IllegalArgumentException names what is wrong. */
+  /**
+   * Parses the start-up text.
+   *
+   * @throws IllegalArgumentException if a setting is invalid; the message names the setting
+   */
   public static RouterSettings parse(String text) {
-    return new SettingsText(text).settings();
+    return new SettingsText(text).toRouterSettings();
   }
 
   /**
-   * Settings from values by path, as a gateway of its own has them; an IllegalArgumentException
-   * names what is wrong.
+   * Parses values by path, as a standalone gateway has them.
+   *
+   * @throws IllegalArgumentException if a setting is invalid; the message names the setting
    */
   public static RouterSettings parse(Map<String, String> values) {
-    return new SettingsText(values).settings();
+    return new SettingsText(values).toRouterSettings();
   }
 
-  private static double parse(String value, String name) {
+  private static double parseNumber(String value, String name) {
     try {
       double number = Double.parseDouble(value);
       if (Double.isFinite(number)) {
         return number;
       }
     } catch (NumberFormatException exception) {
-      // reported below, together with what is not finite
+      // reported below, together with numbers that are not finite
     }
-    throw new MalformedInputException("setting " + name + ": not a number: " + value);
+    throw new MalformedInputException(
+        "setting " + name + ": expected a finite number, found '" + value + "'");
   }
 
-  private RouterSettings settings() {
+  private RouterSettings toRouterSettings() {
     return RouterSettings.builder()
         .gatewayIndex((int) number("me"))
         .gatewayCount((int) number("siblings"))
@@ -72,7 +79,7 @@
         .timerResolutionMicros(micros("resolution-ms"))
         .classes(classes())
         .tenants(tenants())
-        .serverKinds(kinds())
+        .serverKinds(serverKinds())
         .limits(limits())
         .rules(rules())
         .streamsResume(flag("specifics.resume"))
@@ -81,8 +88,9 @@
   }
 
   private List<RequestClass> classes() {
-    List<String> objectiveStretch = listOf("specifics.aim-us-per-1000-prompt-tokens");
-    List<String> tokenIntervals = listOf("specifics.token-aim-ms");
+    List<String> objectiveMicrosPerThousandTokens =
+        items("specifics.aim-us-per-1000-prompt-tokens");
+    List<String> tokenIntervalMillis = items("specifics.token-aim-ms");
     List<RequestClass> classes = new ArrayList<>();
     for (int i = 0; i < count("classes.count"); i++) {
       String prefix = "classes." + i + ".";
@@ -90,7 +98,11 @@
           RequestClass.builder()
               .latencyObjectiveMicros(micros(prefix + "goal-time-ms"))
               .objectiveMicrosPerThousandTokens(
-                  Math.round(item(objectiveStretch, i, "specifics.aim-us-per-1000-prompt-tokens")))
+                  Math.round(
+                      numberAt(
+                          objectiveMicrosPerThousandTokens,
+                          i,
+                          "specifics.aim-us-per-1000-prompt-tokens")))
               .deadlineMicros(micros(prefix + "deadline-ms"))
               .priorityWeight(number(prefix + "credit"))
               .latePriorityWeight(number(prefix + "late-worth"))
@@ -99,7 +111,7 @@
               .deduplicationWindowMicros(micros(prefix + "repeat-window-ms"))
               .tokenIntervalObjectiveMicros(
                   Math.round(
-                      item(tokenIntervals, i, "specifics.token-aim-ms")
+                      numberAt(tokenIntervalMillis, i, "specifics.token-aim-ms")
                           * EventFrame.MICROS_PER_MILLI))
               .build());
     }
@@ -114,9 +126,9 @@
     return List.copyOf(tenants);
   }
 
-  private List<ServerKind> kinds() {
-    List<String> roles = listOf("specifics.duty-by-kind");
-    List<String> memory = listOf("specifics.memory-tokens");
+  private List<ServerKind> serverKinds() {
+    List<String> roles = items("specifics.duty-by-kind");
+    List<String> memoryTokens = items("specifics.memory-tokens");
     List<ServerKind> kinds = new ArrayList<>();
     for (int i = 0; i < roles.size(); i++) {
       ServerRole role =
@@ -126,9 +138,12 @@
             case "both" -> ServerRole.MIXED;
             default ->
                 throw new MalformedInputException(
-                    "setting specifics.duty-by-kind: unknown role " + roles.get(i));
+                    "setting specifics.duty-by-kind: expected read, write or both, found '"
+                        + roles.get(i)
+                        + "'");
           };
-      kinds.add(new ServerKind(role, Math.round(item(memory, i, "specifics.memory-tokens"))));
+      kinds.add(
+          new ServerKind(role, Math.round(numberAt(memoryTokens, i, "specifics.memory-tokens"))));
     }
     return List.copyOf(kinds);
   }
@@ -166,7 +181,8 @@
       case "by_key" -> Idempotency.IDEMPOTENCY_KEY;
       case "once" -> Idempotency.NON_IDEMPOTENT;
       default ->
-          throw new MalformedInputException("setting " + name + ": unknown effect '" + value + "'");
+          throw new MalformedInputException(
+              "setting " + name + ": expected repeatable, by_key or once, found '" + value + "'");
     };
   }
 
@@ -177,7 +193,8 @@
       case "zone" -> DeduplicationScope.ZONE;
       case "cell" -> DeduplicationScope.CELL;
       default ->
-          throw new MalformedInputException("setting " + name + ": unknown group '" + value + "'");
+          throw new MalformedInputException(
+              "setting " + name + ": expected all, zone or cell, found '" + value + "'");
     };
   }
 
@@ -188,7 +205,7 @@
       case "false", "0", "" -> false;
       default ->
           throw new MalformedInputException(
-              "setting " + name + ": neither true nor false: " + value);
+              "setting " + name + ": expected true, false, 1 or 0, found '" + value + "'");
     };
   }
 
@@ -199,21 +216,28 @@
   private int count(String name) {
     double count = number(name);
     if (count < 0 || count != Math.rint(count) || count > Short.MAX_VALUE) {
-      throw new MalformedInputException("setting " + name + ": not a count: " + values.get(name));
+      throw new MalformedInputException(
+          "setting "
+              + name
+              + ": expected a whole number from 0 to "
+              + Short.MAX_VALUE
+              + ", found '"
+              + values.get(name)
+              + "'");
     }
     return (int) count;
   }
 
   private double number(String name) {
     String value = values.getOrDefault(name, "");
-    return value.isEmpty() ? 0 : parse(value, name);
+    return value.isEmpty() ? 0 : parseNumber(value, name);
   }
 
-  private static double item(List<String> items, int index, String name) {
-    return index < items.size() ? parse(items.get(index), name) : 0;
+  private static double numberAt(List<String> items, int index, String name) {
+    return index < items.size() ? parseNumber(items.get(index), name) : 0;
   }
 
-  private List<String> listOf(String name) {
+  private List<String> items(String name) {
     String value = values.getOrDefault(name, "");
     return value.isEmpty() ? List.of() : List.of(value.split(","));
   }
--- a/simulator/src/main/java/lemondock/simulator/SimulatorAdapter.java
+++ b/simulator/src/main/java/lemondock/simulator/SimulatorAdapter.java
@@ -16,12 +16,13 @@
 import lemondock.policy.ServerEntry;
 
 /**
- * Runs the routing decisions of many gateways on a simulator's wire: reads batches of events, hands
- * each to the {@link Control} of its instance, and writes the actions back. Single-threaded.
+ * Runs the routing decisions of many gateways under the wire protocol of a simulator: reads batches
+ * of events, passes each event to the {@link Control} of its instance, and writes the actions back.
+ * Single-threaded.
  */
 public final class SimulatorAdapter {
   private static final String COMMAND = "simulator-adapter";
-  private static final String EARLIER_COMMAND = "wirehost";
+  private static final String LEGACY_COMMAND = "wirehost";
   private static final int INPUT_BUFFER_BYTES = 1 << 16;
   private static final long NO_INSTANCE = -1;
 
@@ -31,7 +32,7 @@
 
   /** Runs the adapter on standard input and output; exits with 2 on malformed input. */
   public static void main(String[] args) throws IOException {
-    if (args.length != 1 || !(args[0].equals(COMMAND) || args[0].equals(EARLIER_COMMAND))) {
+    if (args.length != 1 || !(args[0].equals(COMMAND) || args[0].equals(LEGACY_COMMAND))) {
       System.err.println("usage: java -jar lemondock.jar " + COMMAND);
       System.exit(2);
     }
@@ -44,16 +45,16 @@
     }
   }
 
-  /** Answers every frame of the input until its end. */
+  /** Replies to every frame until the end of the input. */
   void run(InputStream in, OutputStream out) throws IOException {
-    long number = 1;
-    Optional<EventFrame> frame = EventFrame.read(in, number);
+    long frameNumber = 1;
+    Optional<EventFrame> frame = EventFrame.read(in, frameNumber);
     while (frame.isPresent()) {
       process(frame.get());
       out.write(reply.takeBytes());
       out.flush();
-      number++;
-      frame = EventFrame.read(in, number);
+      frameNumber++;
+      frame = EventFrame.read(in, frameNumber);
     }
   }
 
@@ -67,7 +68,7 @@
       } else if (code == EventCode.ENDPOINT_LIST) {
         endpointLists.put(record.listContentNumber(), record.listContent());
       } else if (instance == NO_INSTANCE) {
-        throw frame.malformed("record " + i + " comes before any 'to'");
+        throw frame.malformed("record " + i + " comes before any 'to' record");
       } else if (code == EventCode.INSTANCE_STOPPED) {
         instances.remove(instance);
       } else if (code == EventCode.INSTANCE_STARTED) {
@@ -95,9 +96,13 @@
     Control control = instances.get(instance);
     if (control == null) {
       throw frame.malformed(
-          "event " + record.wireCode() + " for instance " + instance + ", not started");
+          "event code "
+              + record.wireCode()
+              + " is for instance "
+              + instance
+              + ", which is not started");
     }
-    Runnable event = event(control, frame, record);
+    Runnable event = decode(control, frame, record);
     try {
       event.run();
     } catch (RuntimeException exception) {
@@ -105,8 +110,11 @@
     }
   }
 
-  /** Decodes an event; running it calls the router. Only what the router throws is reported. */
-  private Runnable event(Control control, EventFrame frame, EventRecord record) {
+  /**
+   * Decodes an event and returns the call of the router for it. Exceptions of the call are reported
+   * to the simulator; those of decoding end the program.
+   */
+  private Runnable decode(Control control, EventFrame frame, EventRecord record) {
     final long nowMicros = frame.nowMicros();
     EventCode code =
         record.code().orElseThrow(() -> frame.malformed("unknown event code " + record.wireCode()));
@@ -135,14 +143,15 @@
       case TIMER_FIRED:
         return () -> control.timerFired(nowMicros, record.id());
       default:
-        return () -> {}; // answers to places, health checks and gossip, which nobody asked for
+        // replies about held places, health checks and gossip, which the router never requests
+        return () -> {};
     }
   }
 
   private List<ServerEntry> endpointList(EventFrame frame, int number) {
     List<ServerEntry> entries = endpointLists.get(number);
     if (entries == null) {
-      throw frame.malformed("list " + number + " was never given");
+      throw frame.malformed("endpoint list " + number + " was never defined");
     }
     return entries;
   }
--- a/simulator/src/main/java/lemondock/simulator/package-info.java
+++ b/simulator/src/main/java/lemondock/simulator/package-info.java
@@ -1,11 +1,11 @@
 /**
- * The adapter that runs the routing decisions on a simulator's wire: {@code SimulatorAdapter} reads
- * frames of events from standard input and hands each event to its instance of {@link
- * lemondock.policy.Control}, {@code Reply} lays the actions out as the frame that answers. Frames
- * are little-endian; their times are milliseconds, those of the routing decisions microseconds.
+ * Runs the routing decisions under the wire protocol of a simulator. {@code SimulatorAdapter} reads
+ * frames of events from standard input and passes each event to its instance of {@link
+ * lemondock.policy.Control}; {@code ReplyFrame} encodes the actions as the reply to a frame. Frames
+ * are little-endian. Times are milliseconds in frames and microseconds in the routing decisions.
  *
- * <p>All of it runs on one thread. Input that does not follow the wire ends the program with a
- * {@code MalformedInputException}, which names the place and the value found; an exception of the
- * routing decisions is reported to the simulator as an action of its instance.
+ * <p>Everything runs on one thread. Input that violates the wire protocol ends the program with a
+ * {@code MalformedInputException}, whose message has the position and the value found. An exception
+ * thrown by the routing decisions is reported to the simulator as an action of its instance.
  */
 package lemondock.simulator;
--- a/simulator/src/test/java/lemondock/simulator/SimulatorAdapterTest.java
+++ b/simulator/src/test/java/lemondock/simulator/SimulatorAdapterTest.java
@@ -18,7 +18,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** Frames in, frames out: the adapter on hand-made bytes. */
+/** Runs the adapter on frames that are built by hand and checks the reply frames. */
 class SimulatorAdapterTest {
   private static final String SETTINGS =
       """
@@ -41,11 +41,11 @@
   private static final int ACTION_BYTES = 24;
   private static final int REPLY_HEADER_BYTES = 8;
 
-  // Codes of the wire, written out here: the test is not to share the adapter's mistakes.
+  // Wire codes, repeated here so that a wrong code in the adapter makes the tests fail.
   private static final int SELECT_INSTANCE = 30;
   private static final int ENDPOINTS_CHANGED = 50;
   private static final int INSTANCE_STOPPED = 70;
-  private static final int UNKNOWN = 77;
+  private static final int UNKNOWN_EVENT = 77;
   private static final int ENDPOINT_LIST = 80;
   private static final int TIMER_FIRED = 90;
   private static final int INSTANCE_STARTED = 120;
@@ -64,10 +64,10 @@
     return this;
   }
 
-  private byte[] frame(double clock) {
+  private byte[] takeFrame(double clockMillis) {
     int size = records.size() * EVENT_BYTES + tail.size();
     ByteBuffer frame = ByteBuffer.allocate(16 + size).order(ByteOrder.LITTLE_ENDIAN);
-    frame.putInt(size).putInt(records.size()).putDouble(clock);
+    frame.putInt(size).putInt(records.size()).putDouble(clockMillis);
     records.forEach(frame::put);
     frame.put(tail.toByteArray());
     records.clear();
@@ -75,16 +75,16 @@
     return frame.array();
   }
 
-  private SimulatorAdapterTest init(String settings) {
+  private SimulatorAdapterTest startInstance(String settings) {
     byte[] text = settings.getBytes(StandardCharsets.UTF_8);
-    record(SELECT_INSTANCE, b -> b.putInt(3));
-    record(INSTANCE_STARTED, b -> b.putLong(99).putInt(tail.size()).putInt(text.length));
+    record(SELECT_INSTANCE, fields -> fields.putInt(3));
+    record(INSTANCE_STARTED, fields -> fields.putLong(99).putInt(tail.size()).putInt(text.length));
     tail.writeBytes(text);
     return this;
   }
 
-  private SimulatorAdapterTest servers(int... kinds) {
-    record(ENDPOINT_LIST, b -> b.putInt(0).putInt(tail.size()).putInt(kinds.length));
+  private SimulatorAdapterTest endpoints(int... kinds) {
+    record(ENDPOINT_LIST, fields -> fields.putInt(0).putInt(tail.size()).putInt(kinds.length));
     for (int i = 0; i < kinds.length; i++) {
       tail.writeBytes(
           ByteBuffer.allocate(23)
@@ -98,14 +98,15 @@
               .putDouble(0)
               .array());
     }
-    return record(ENDPOINTS_CHANGED, b -> b.put((byte) 2).putInt(1).putInt(0));
+    return record(ENDPOINTS_CHANGED, fields -> fields.put((byte) 2).putInt(1).putInt(0));
   }
 
   private SimulatorAdapterTest request(long id) {
     return record(
         REQUEST_ARRIVED,
-        b ->
-            b.putLong(id)
+        fields ->
+            fields
+                .putLong(id)
                 .putShort((short) 0)
                 .putInt(0)
                 .putLong(5)
@@ -118,7 +119,7 @@
                 .put((byte) 0));
   }
 
-  private static byte[] play(byte[]... frames) throws IOException {
+  private static byte[] runAdapter(byte[]... frames) throws IOException {
     ByteArrayOutputStream in = new ByteArrayOutputStream();
     Arrays.stream(frames).forEach(in::writeBytes);
     ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -126,20 +127,20 @@
     return out.toByteArray();
   }
 
-  private static String errorOf(byte[]... frames) {
-    return assertThrows(MalformedInputException.class, () -> play(frames)).getMessage();
+  private static String malformedInputMessage(byte[]... frames) {
+    return assertThrows(MalformedInputException.class, () -> runAdapter(frames)).getMessage();
   }
 
   @Test
-  void anEmptyBatchGetsAnEmptyReply() throws IOException {
+  void emptyBatchGetsEmptyReply() throws IOException {
     assertArrayEquals(
         new byte[REPLY_HEADER_BYTES],
-        play(HexFormat.of().parseHex("00000000" + "00000000" + "00000000206ec040")));
+        runAdapter(HexFormat.of().parseHex("00000000" + "00000000" + "00000000206ec040")));
   }
 
   @Test
-  void aRequestIsSentToTheReader() throws IOException {
-    byte[] out = play(init(SETTINGS).servers(0, 1).request(77).frame(1000));
+  void requestIsSentToReader() throws IOException {
+    byte[] out = runAdapter(startInstance(SETTINGS).endpoints(0, 1).request(77).takeFrame(1000));
     ByteBuffer reply = ByteBuffer.wrap(out).order(ByteOrder.LITTLE_ENDIAN);
     assertEquals(out.length - REPLY_HEADER_BYTES, reply.getInt());
     int count = reply.getInt();
@@ -157,51 +158,68 @@
   }
 
   @Test
-  void anInstanceCanBeStoppedAndStartedAgain() throws IOException {
-    byte[] first = init(SETTINGS).servers(0, 1).frame(1000);
+  void stoppedInstanceCanBeStartedAgain() throws IOException {
+    byte[] first = startInstance(SETTINGS).endpoints(0, 1).takeFrame(1000);
     byte[] second =
-        record(SELECT_INSTANCE, b -> b.putInt(3))
-            .record(INSTANCE_STOPPED, b -> {})
-            .init(SETTINGS)
-            .servers(0, 1)
-            .frame(1002);
-    assertTrue(play(first, second).length > 16);
+        record(SELECT_INSTANCE, fields -> fields.putInt(3))
+            .record(INSTANCE_STOPPED, fields -> {})
+            .startInstance(SETTINGS)
+            .endpoints(0, 1)
+            .takeFrame(1002);
+    assertTrue(runAdapter(first, second).length > 16);
   }
 
   @Test
-  void theErrorOfAMalformedFrameNamesTheProblem() {
-    assertTrue(errorOf(new byte[7]).contains("within the header"));
-    assertTrue(errorOf(Arrays.copyOf(init(SETTINGS).frame(1), 40)).contains("input ends after"));
-    byte[] wrong = init(SETTINGS).frame(1);
-    wrong[4] = 99;
-    assertTrue(errorOf(wrong).contains("do not fit"));
+  void malformedFrameErrorNamesProblem() {
+    assertTrue(malformedInputMessage(new byte[7]).contains("within the header"));
     assertTrue(
-        errorOf(init(SETTINGS).record(UNKNOWN, b -> {}).frame(1))
+        malformedInputMessage(Arrays.copyOf(startInstance(SETTINGS).takeFrame(1), 40))
+            .contains("input ends after"));
+    byte[] wrongCount = startInstance(SETTINGS).takeFrame(1);
+    wrongCount[4] = 99;
+    assertTrue(malformedInputMessage(wrongCount).contains("do not fit"));
+    assertTrue(
+        malformedInputMessage(
+                startInstance(SETTINGS).record(UNKNOWN_EVENT, fields -> {}).takeFrame(1))
             .contains("unknown event code 77"));
-    assertTrue(errorOf(record(TIMER_FIRED, b -> {}).frame(1)).contains("before any 'to'"));
     assertTrue(
-        errorOf(record(SELECT_INSTANCE, b -> b.putInt(1)).record(TIMER_FIRED, b -> {}).frame(1))
+        malformedInputMessage(record(TIMER_FIRED, fields -> {}).takeFrame(1))
+            .contains("before any 'to'"));
+    assertTrue(
+        malformedInputMessage(
+                record(SELECT_INSTANCE, fields -> fields.putInt(1))
+                    .record(TIMER_FIRED, fields -> {})
+                    .takeFrame(1))
             .contains("not started"));
     assertTrue(
-        errorOf(record(ENDPOINT_LIST, b -> b.putInt(0).putInt(0).putInt(5)).frame(1))
+        malformedInputMessage(
+                record(ENDPOINT_LIST, fields -> fields.putInt(0).putInt(0).putInt(5)).takeFrame(1))
             .contains("past the end"));
   }
 
   @Test
-  void theErrorOfMalformedSettingsNamesTheSetting() {
-    assertTrue(errorOf(init(SETTINGS.replace("1200.0", "soon")).frame(1)).contains("goal-time-ms"));
-    assertTrue(errorOf(init(SETTINGS.replace("repeatable", "maybe")).frame(1)).contains("maybe"));
+  void malformedSettingsErrorNamesSettingOrValue() {
+    assertTrue(
+        malformedInputMessage(startInstance(SETTINGS.replace("1200.0", "soon")).takeFrame(1))
+            .contains("goal-time-ms"));
+    assertTrue(
+        malformedInputMessage(startInstance(SETTINGS.replace("repeatable", "maybe")).takeFrame(1))
+            .contains("maybe"));
+    assertTrue(
+        malformedInputMessage(
+                startInstance(SETTINGS.replace("read,write", "read,think")).takeFrame(1))
+            .contains("think"));
     assertTrue(
-        errorOf(init(SETTINGS.replace("read,write", "read,think")).frame(1)).contains("think"));
-    assertTrue(errorOf(init("nonsense\n").frame(1)).contains("nonsense"));
+        malformedInputMessage(startInstance("nonsense\n").takeFrame(1)).contains("nonsense"));
     assertTrue(
-        errorOf(init(SETTINGS.replace("max-attempts=4", "max-attempts=0")).frame(1))
+        malformedInputMessage(
+                startInstance(SETTINGS.replace("max-attempts=4", "max-attempts=0")).takeFrame(1))
             .contains("attempt"));
   }
 
   @Test
-  void anExceptionOfTheRouterIsReportedAsFailure() throws IOException {
-    byte[] out = play(init(SETTINGS).servers(0, 9).frame(1000));
+  void routerExceptionIsReportedAsFailure() throws IOException {
+    byte[] out = runAdapter(startInstance(SETTINGS).endpoints(0, 9).takeFrame(1000));
     assertTrue(new String(out, StandardCharsets.ISO_8859_1).contains("unknown kind"));
   }
 }
