--- a/gateway/src/main/java/lemondock/gateway/DiskTasks.java
+++ b/gateway/src/main/java/lemondock/gateway/DiskTasks.java
@@ -5,7 +5,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Runs tasks that may block on files, off the loop. Any thread. */
+/** Runs tasks that may block on file I/O, off the loop. Safe for any thread. */
 final class DiskTasks {
   private static final Logger LOG = LoggerFactory.getLogger(DiskTasks.class);
 
@@ -17,12 +17,17 @@
     this.gatewayName = gatewayName;
   }
 
-  /** Runs a task that comes again by itself: it is dropped while too many wait for the disk. */
+  /**
+   * Runs a task that the caller repeats periodically; drops it with a warning if the queue of disk
+   * tasks is full.
+   */
   void runOrDrop(Runnable task) {
     try {
       executor.execute(task);
     } catch (RejectedExecutionException e) {
-      LOG.atWarn().addKeyValue("gateway", gatewayName).log("the queue for the file system is full");
+      LOG.atWarn()
+          .addKeyValue("gateway", gatewayName)
+          .log("dropped a disk task: the queue of the file system is full");
     }
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/EndpointListCache.java
+++ b/gateway/src/main/java/lemondock/gateway/EndpointListCache.java
@@ -12,25 +12,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The endpoint list cached on disk, so that a gateway which restarts while its catalogue is down
- * knows the servers of the last list. Both methods block on files: call them off the loop.
+ * The endpoint list cached on disk, so that a gateway that restarts while its catalogue is
+ * unavailable knows the servers of the last list. {@link #read} and {@link #write} block on files:
+ * call them off the loop.
  */
 final class EndpointListCache {
   private static final Logger LOG = LoggerFactory.getLogger(EndpointListCache.class);
 
   private final String file;
 
-  /** Makes a cache in a file; with null nothing is cached. */
+  /** Creates a cache in the given file; null disables it. */
   EndpointListCache(String file) {
     this.file = file;
   }
 
-  /** Whether the settings name a file. */
+  /** Whether the settings name a cache file. */
   boolean enabled() {
     return file != null;
   }
 
-  /** The cached endpoints; none if there is no file or it cannot be read, as after a cut-off. */
+  /**
+   * The cached endpoints; empty if the file does not exist or cannot be read, for example because
+   * it is truncated.
+   */
   List<Endpoint> read() {
     if (file == null || !Files.exists(Path.of(file))) {
       return List.of();
@@ -43,7 +47,10 @@
     }
   }
 
-  /** Replaces the file atomically; a failure is logged, for the gateway serves on without it. */
+  /**
+   * Replaces the file atomically. A failure is only logged, because the gateway can serve without
+   * the cache.
+   */
   void write(byte[] content) {
     try {
       AtomicFile.replace(Path.of(file), content);
--- a/gateway/src/main/java/lemondock/gateway/EndpointListFollower.java
+++ b/gateway/src/main/java/lemondock/gateway/EndpointListFollower.java
@@ -17,11 +17,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the endpoint registry and the router up to date with discovery, and the cached list with
- * both. Loop thread only, but for {@link #readCache}.
+ * Applies the endpoint lists of discovery to the endpoint registry and the router, and writes each
+ * list to the cache. Loop thread only, except for {@link #readCache}.
  */
 final class EndpointListFollower {
-  /** The log lines of the gateway's components are under its name. */
+  /** Uses the logger of {@link Gateway}, so that these lines appear under its name. */
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
 
   private final Loop loop;
@@ -43,22 +43,22 @@
     this.cache = new EndpointListCache(settings.discovery().cache());
   }
 
-  /** The endpoints known, in their registry. */
+  /** The registry of known endpoints. */
   EndpointRegistry endpoints() {
     return endpoints;
   }
 
-  /** Asks discovery for the whole list again. */
+  /** Asks discovery for the complete list again. */
   void refresh() {
     source.refresh();
   }
 
-  /** The endpoints that the last process knew; blocks on a file, so call it off the loop. */
+  /** The endpoints that an earlier process cached; blocks on a file, so call it off the loop. */
   List<Endpoint> readCache() {
     return cache.read();
   }
 
-  /** Tells the dispatcher of the cached endpoints, then of each list that discovery gives. */
+  /** Passes the cached endpoints to the dispatcher, then each list from discovery. */
   void start(
       List<Endpoint> cached, RequestDispatcher<ObjectNode, JsonNode, CompletionChunk> dispatcher) {
     apply(cached, true, dispatcher);
@@ -87,7 +87,9 @@
 
     @Override
     public void onFailure(String reason) {
-      LOG.atWarn().addKeyValue("why", reason).log("the endpoint list cannot be fetched");
+      LOG.atWarn()
+          .addKeyValue("why", reason)
+          .log("cannot fetch the endpoint list; keeping the previous one");
       endpoints.requireFullUpdate();
       dispatcher.updateEndpoints(EndpointListKind.FAILED, List.of());
     }
@@ -99,14 +101,14 @@
       RequestDispatcher<ObjectNode, JsonNode, CompletionChunk> dispatcher) {
     EndpointUpdate update = endpoints.update(listed, fromCache, loop.now(), loop.wallMillis());
     for (String reason : update.skipped()) {
-      LOG.atWarn().addKeyValue("why", reason).log("an entry of the endpoint list was skipped");
+      LOG.atWarn().addKeyValue("why", reason).log("skipped an entry of the endpoint list");
     }
     if (update.kind() != EndpointListKind.CHANGES || !update.servers().isEmpty()) {
       LOG.atInfo()
           .addKeyValue("changed", update.servers().size())
           .addKeyValue("listed", endpoints.size())
           .addKeyValue("kind", update.kind())
-          .log("endpoint list");
+          .log("endpoint list updated");
       dispatcher.updateEndpoints(update.kind(), update.servers());
     }
   }
--- a/gateway/src/main/java/lemondock/gateway/ExecutorQueueProbe.java
+++ b/gateway/src/main/java/lemondock/gateway/ExecutorQueueProbe.java
@@ -6,7 +6,7 @@
 import lemondock.net.DelayProbe;
 import lemondock.net.Loop;
 
-/** Measures how long a task waits in the workers' queue. Loop thread only. */
+/** Measures how long a task waits in the workers' queue before it runs. Loop thread only. */
 final class ExecutorQueueProbe implements DelayProbe {
   private final Loop loop;
   private final Executor executor;
@@ -31,7 +31,7 @@
       executor.execute(probe(postedAtMicros, onDelayMicros));
       return 0;
     } catch (RejectedExecutionException e) {
-      // the queue is full: all that is known is that nothing has passed since the last probe
+      // the queue is full: all that is known is the time since the last probe ran
       probeQueued = false;
       return Math.max(1, loop.now() - lastRunAtMicros);
     }
--- a/gateway/src/main/java/lemondock/gateway/Gateway.java
+++ b/gateway/src/main/java/lemondock/gateway/Gateway.java
@@ -33,15 +33,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A gateway: makes its components, connects them and starts and stops them. The way of a request:
- * {@link McpHttpHandler} reads a call, {@link CallService} makes requests to engines of it, {@link
- * RequestDispatcher} asks the router and carries out its decisions through {@link EngineClient}.
+ * A gateway: creates its components, connects them, and starts and stops them. The path of a
+ * request: {@link McpHttpHandler} parses a call, {@link CallService} turns it into requests to
+ * engines, and {@link RequestDispatcher} asks the router and carries out its decisions through
+ * {@link EngineClient}.
  */
 public final class Gateway {
-  /** The program's version. */
+  /** The program's version, reported to MCP clients and sent in the User-Agent header. */
   public static final String VERSION = "0.2.0";
 
-  /** Makes the project's own router. */
+  /** Creates the project's own router. */
   public static final RouterFactory DEFAULT_ROUTER_FACTORY = Control::new;
 
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
@@ -67,9 +68,9 @@
   private boolean stopped;
 
   /**
-   * Makes a gateway.
+   * Creates a gateway.
    *
-   * @param routerFactory makes the router; {@link #DEFAULT_ROUTER_FACTORY} but for tests of the
+   * @param routerFactory creates the router; {@link #DEFAULT_ROUTER_FACTORY} except in tests of the
    *     invariant checker
    */
   public Gateway(
@@ -141,13 +142,13 @@
   // Start.
 
   /**
-   * Takes its port and begins to serve; call it off the loop.
+   * Binds its port and begins to serve; call it off the loop.
    *
-   * @throws IOException if the idempotency log cannot be read or the port cannot be taken
+   * @throws IOException if the idempotency log cannot be read or the port cannot be bound
    */
   public void start() throws IOException {
     if (settings.durable() != null) {
-      // first: a log that cannot be read must not be served over
+      // first, because the gateway must not serve while its idempotency log cannot be read
       calls.setIdempotencyGuard(
           IdempotencyGuard.open(
               environment.idempotencyFiles(), settings.durable(), loop, environment.disk()));
@@ -191,7 +192,7 @@
             (loop.now() - startedAtMicros) / MICROS_PER_SECOND));
   }
 
-  // What tests and commands read.
+  // Read by tests and commands.
 
   /** The metrics; a snapshot may be taken on any thread. */
   public GatewayMetrics metrics() {
@@ -203,7 +204,7 @@
     return server.address();
   }
 
-  /** What the dispatcher has counted; loop thread only. */
+  /** The dispatcher's counters; loop thread only. */
   public DispatchCounts counts() {
     return dispatcher.counts();
   }
@@ -213,12 +214,12 @@
     return calls.size();
   }
 
-  /** Requests that the dispatcher still keeps; loop thread only. */
+  /** Requests that the dispatcher still tracks; loop thread only. */
   public int requestsInFlight() {
     return dispatcher.requestsInFlight();
   }
 
-  /** Endpoints listed; loop thread only. */
+  /** Endpoints in the registry; loop thread only. */
   public int endpointCount() {
     return endpointList.endpoints().size();
   }
@@ -231,9 +232,9 @@
   // Graceful shutdown.
 
   /**
-   * Shuts down gracefully: fails readiness checks for the settings' notice time while all is
-   * served; then admits no new calls, lets those in flight end within the limit, and cancels what
-   * is left. Any thread; the future completes on the loop.
+   * Shuts down gracefully: fails readiness checks for the settings' notice time while requests are
+   * still served; then admits no new calls, waits for those in flight up to the time limit, and
+   * cancels the rest. Any thread; the future completes on the loop.
    */
   public CompletableFuture<Void> stop() {
     CompletableFuture<Void> done = new CompletableFuture<>();
--- a/gateway/src/main/java/lemondock/gateway/GatewayEnvironment.java
+++ b/gateway/src/main/java/lemondock/gateway/GatewayEnvironment.java
@@ -7,17 +7,17 @@
 import lemondock.net.Network;
 
 /**
- * All that a gateway uses of its process and machine. In production it comes from the JDK; a
+ * Everything that a gateway uses of its process and machine. In production it comes from the JDK; a
  * simulation provides its own.
  *
- * @param loop its decision context, clock and timers
+ * @param loop the thread that makes all decisions, with its clock and timers
  * @param network its sockets
- * @param disk runs what may block on files, off the loop
- * @param workers prepare large requests, off the I/O threads; bounded, they reject tasks with
- *     {@link RejectedExecutionException}
+ * @param disk runs tasks that may block on files, off the loop
+ * @param workers prepare large requests, off the I/O threads; the queue is bounded and rejects
+ *     tasks with {@link RejectedExecutionException}
  * @param resources resources of the process that are in use
- * @param idempotencyFiles the folder that the settings' {@code durable} speaks of; null if they do
- *     not
+ * @param idempotencyFiles the directory that the setting {@code durable} names; null if it is not
+ *     set
  */
 public record GatewayEnvironment(
     Loop loop,
--- a/gateway/src/main/java/lemondock/gateway/HttpComponents.java
+++ b/gateway/src/main/java/lemondock/gateway/HttpComponents.java
@@ -14,7 +14,7 @@
 import lemondock.net.http.HttpLimits;
 import lemondock.net.http.HttpServerOptions;
 
-/** Makes the HTTP clients and the options of the HTTP server from the settings. */
+/** Creates the HTTP clients and the options of the HTTP server from the settings. */
 final class HttpComponents {
   private static final int MAX_LINE_BYTES = 8 * 1024;
   private static final int MAX_HEADER_BYTES = 32 * 1024;
@@ -24,7 +24,10 @@
   private static final int MAX_CATALOGUE_EVENT_BYTES = 1024;
   private static final int MAX_CATALOGUE_CONNECTIONS = 4;
 
-  /** Clients may not take the file handles that answers need towards engines. */
+  /**
+   * Upper bound of the share of file handles for client connections; the rest is left for
+   * connections to engines, without which no answer can be given.
+   */
   private static final double CLIENT_HANDLES_FRACTION = 0.5;
 
   private HttpComponents() {}
--- a/gateway/src/main/java/lemondock/gateway/JvmProcessResources.java
+++ b/gateway/src/main/java/lemondock/gateway/JvmProcessResources.java
@@ -11,10 +11,11 @@
 import java.util.Optional;
 
 /**
- * This process by the JDK's own management beans; safe for any thread. Memory is what the largest
- * pool of the heap, where objects grow old, held after its last collection: what is used between
- * collections says little (the documentation of {@link MemoryPoolMXBean} advises this figure for
- * shedding load). Before the first such collection memory was never short.
+ * Resources of this process from the JDK's management beans; safe for any thread. Memory in use is
+ * what the largest heap pool, which holds long-lived objects, held after its last collection. The
+ * usage between collections says little about memory pressure, and the documentation of {@link
+ * MemoryPoolMXBean} advises the usage after a collection for shedding load. Until the first such
+ * collection memory has never been scarce, so the used fraction is 0.
  */
 public final class JvmProcessResources implements ProcessResources {
   private static final long MICROS_PER_MILLI = 1_000;
@@ -28,8 +29,11 @@
                       && pool.getUsage().getMax() > 0)
           .max(Comparator.comparingLong(pool -> pool.getUsage().getMax()));
 
-  /** Those that stop the program; ZGC's and Shenandoah's cycles run beside it. */
-  private final List<GarbageCollectorMXBean> collectors =
+  /**
+   * The collectors that stop the program; those of ZGC and Shenandoah whose names end in "Cycles"
+   * are left out, because they run concurrently with it.
+   */
+  private final List<GarbageCollectorMXBean> pausingCollectors =
       ManagementFactory.getGarbageCollectorMXBeans().stream()
           .filter(collector -> !collector.getName().endsWith("Cycles"))
           .toList();
@@ -48,7 +52,7 @@
   @Override
   public long pausedMicros() {
     long millis = 0;
-    for (GarbageCollectorMXBean collector : collectors) {
+    for (GarbageCollectorMXBean collector : pausingCollectors) {
       millis += Math.max(0, collector.getCollectionTime());
     }
     return millis * MICROS_PER_MILLI;
@@ -68,7 +72,7 @@
         .orElse(Long.MAX_VALUE);
   }
 
-  /** Empty where the system does not tell of file descriptors. */
+  /** Empty if the operating system does not report file descriptors. */
   private static Optional<UnixOperatingSystemMXBean> unixSystem() {
     return ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean unix
             && unix.getMaxFileDescriptorCount() > 0
--- a/gateway/src/main/java/lemondock/gateway/OverloadProtection.java
+++ b/gateway/src/main/java/lemondock/gateway/OverloadProtection.java
@@ -9,8 +9,8 @@
 import lemondock.overload.StallMonitor;
 
 /**
- * The gateway's protection of itself: the admission of requests by the delay of its queues and by
- * its process's resources, and the detection of stalls. Loop thread only.
+ * Protects the gateway from overload: admits requests by the delay of the gateway's queues and by
+ * the resources of its process, and detects stalls. Loop thread only.
  */
 final class OverloadProtection {
   private final GatewayEnvironment environment;
@@ -55,7 +55,7 @@
     return admission;
   }
 
-  /** Begins to measure the delay of queues; {@code probes} are those of the I/O threads. */
+  /** Starts measuring the delay of queues; {@code probes} are those of the I/O threads. */
   void start(List<DelayProbe> probes) {
     queueDelays.start(environment.workers(), probes);
   }
@@ -65,7 +65,7 @@
         admission.admittedShare(), stallMonitor.stallCount(), stallMonitor.totalStallMicros());
   }
 
-  /** Begins to read the resources in use. */
+  /** Starts reading the resources in use. */
   void sampleResources() {
     resourcePressure.sample();
   }
--- a/gateway/src/main/java/lemondock/gateway/ProcessResources.java
+++ b/gateway/src/main/java/lemondock/gateway/ProcessResources.java
@@ -1,11 +1,11 @@
 package lemondock.gateway;
 
 /**
- * Resources of the process that are in use. Any thread; reading them may take some time, so it is
- * done off the loop where a method does not say otherwise.
+ * Resources of the process that are in use. Safe for any thread; a read may take some time, so
+ * methods are called off the loop unless they say otherwise.
  */
 public interface ProcessResources {
-  /** Knows nothing, so that no resource ever looks scarce. */
+  /** Reports no usage and no limits, so that no resource ever appears scarce. */
   ProcessResources UNKNOWN =
       new ProcessResources() {
         @Override
@@ -24,23 +24,25 @@
         }
       };
 
-  /** Part of the memory that is in use for good, 0 to 1; 0 if it is not known. */
+  /**
+   * Fraction of memory that stays in use after garbage collection, 0 to 1; 0 if it is not known.
+   */
   double memoryUsedFraction();
 
-  /** Brings the figure of the memory up to date; may take long. */
+  /** Updates the measurement of memory in use; may take long. */
   default void refreshMemory() {}
 
   /**
-   * Microseconds for which the runtime has stopped the whole process so far, as to collect garbage;
-   * quick, so that the loop may call it.
+   * Total time (microseconds) for which the runtime has stopped the whole process so far, for
+   * example to collect garbage. Fast enough to be called on the loop.
    */
   default long pausedMicros() {
     return 0;
   }
 
-  /** Part of the file handles that is in use, 0 to 1; 0 if it is not known. */
+  /** Fraction of the allowed file handles that is in use, 0 to 1; 0 if it is not known. */
   double fileHandlesUsedFraction();
 
-  /** File handles that the process may have open. */
+  /** Number of file handles that the process may have open. */
   long maxFileHandles();
 }
--- a/gateway/src/main/java/lemondock/gateway/QueueDelayMonitor.java
+++ b/gateway/src/main/java/lemondock/gateway/QueueDelayMonitor.java
@@ -9,16 +9,16 @@
 import lemondock.overload.StallMonitor;
 
 /**
- * Measures how long tasks wait for their turn in each of the gateway's queues (the loop, the
- * workers and the I/O threads), which is the sign of overload, and tells {@link Admission}. It also
- * drives the {@link StallMonitor}. Loop thread only.
+ * Measures how long tasks wait in each of the gateway's queues (the loop, the workers and the I/O
+ * threads), which indicates overload, and reports it to {@link Admission}. It also drives the
+ * {@link StallMonitor}. Loop thread only.
  */
 final class QueueDelayMonitor {
-  /** How often the stall monitor is ticked. */
+  /** Interval between ticks of the stall monitor. */
   static final long STALL_TICK_MICROS = 100_000;
 
   private static final long BUSY_INTERVAL_MICROS = 10_000;
-  private static final long CALM_INTERVAL_MICROS = 40_000;
+  private static final long RELAXED_INTERVAL_MICROS = 40_000;
   private static final int LOOP_QUEUE = 0;
   private static final int WORKERS_QUEUE = 1;
   private static final int FIRST_IO_QUEUE = 2;
@@ -29,7 +29,10 @@
   private final StallMonitor stallMonitor;
   private final GatewayMetrics metrics;
 
-  /** For each queue, the pauses of the process at the last probe that found it moving. */
+  /**
+   * For each queue, the total pause time of the process at the last probe that found the queue
+   * moving.
+   */
   private final long[] pausedMicrosAtProbe;
 
   QueueDelayMonitor(
@@ -46,12 +49,12 @@
     this.pausedMicrosAtProbe = new long[queueCount(ioThreads)];
   }
 
-  /** Queues that are watched: the loop's, the workers' and one for each I/O thread. */
+  /** Number of measured queues: the loop's, the workers' and one for each I/O thread. */
   static int queueCount(int ioThreads) {
     return FIRST_IO_QUEUE + ioThreads;
   }
 
-  /** Begins to sample; {@code probes} are those of the I/O threads. */
+  /** Starts sampling; {@code probes} are those of the I/O threads. */
   void start(Executor workers, List<DelayProbe> probes) {
     sampleLoopLag(stallMonitor.onTick(loop.now()));
     sampleLoopQueue();
@@ -62,7 +65,7 @@
     }
   }
 
-  /** Ten times a second, how late the loop runs a timer that is due. */
+  /** Records ten times a second how late the loop runs a due timer. */
   private void sampleLoopLag(long dueMicros) {
     loop.schedule(
         dueMicros - loop.now(),
@@ -72,7 +75,10 @@
         });
   }
 
-  /** Up to a hundred times a second, how long a task posted to the loop waits for its turn. */
+  /**
+   * Measures up to a hundred times a second how long a task posted to the loop waits before it
+   * runs.
+   */
   private void sampleLoopQueue() {
     long postedAtMicros = loop.now();
     long pausedMicrosBefore = resources.pausedMicros();
@@ -87,7 +93,7 @@
         });
   }
 
-  /** Up to a hundred times a second, how long what comes to a queue waits in it. */
+  /** Measures up to a hundred times a second how long a task waits in a queue. */
   private void sampleQueue(DelayProbe probe, int queue) {
     long pausedMicrosBefore = resources.pausedMicros();
     long waitingMicros = probe.measure(delayMicros -> recordDelay(queue, delayMicros));
@@ -106,16 +112,20 @@
   }
 
   /**
-   * The part of a delay in which nothing of the process ran. A garbage collection of 150 ms makes
-   * all that waits during it wait so long, and is over when it is over: it is no queue that grows.
-   * What piles up behind it still counts, where it has to wait.
+   * The part of a delay in which the whole process was paused. A garbage collection of 150 ms
+   * delays every waiting task by that time, but no queue grows, and the delay ends with the
+   * collection, so it does not count as queue delay. Tasks that accumulate behind the pause still
+   * count for the time they wait after it.
    */
   private long pausedMicrosSince(long pausedMicrosBefore, long delayMicros) {
     return Math.min(delayMicros, resources.pausedMicros() - pausedMicrosBefore);
   }
 
-  /** Samples cost little, but an idle gateway should cost nothing: seldom while all is calm. */
+  /**
+   * Interval between samples. A sample is cheap, but an idle gateway should cost nothing, so the
+   * interval is longer while admission is relaxed.
+   */
   private long intervalMicros() {
-    return admission.isRelaxed() ? CALM_INTERVAL_MICROS : BUSY_INTERVAL_MICROS;
+    return admission.isRelaxed() ? RELAXED_INTERVAL_MICROS : BUSY_INTERVAL_MICROS;
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/ReadinessCheck.java
+++ b/gateway/src/main/java/lemondock/gateway/ReadinessCheck.java
@@ -8,7 +8,9 @@
 import lemondock.policy.ServerLifecycle;
 import lemondock.policy.ServerRole;
 
-/** Tells a load balancer whether the gateway can serve requests. Loop thread only. */
+/**
+ * Readiness check for a load balancer: whether the gateway can serve requests. Loop thread only.
+ */
 final class ReadinessCheck {
   private final EndpointRegistry endpoints;
   private final List<GatewaySettings.Kind> kinds;
@@ -18,10 +20,13 @@
     this.kinds = kinds;
   }
 
-  /** Why nothing can be served now; empty if a prompt can be read and an answer written. */
+  /**
+   * Why no request can be served now; empty if at least one server that reads and one that writes
+   * are ready.
+   */
   Optional<String> problem() {
     if (endpoints.size() == 0) {
-      return Optional.of("no list of servers is known, or it is empty");
+      return Optional.of("the endpoint list is not known or is empty");
     }
     if (!hasReadyServerOtherThan(ServerRole.WRITER)) {
       return Optional.of("no server that reads is ready");
--- a/gateway/src/main/java/lemondock/gateway/ResourcePressureMonitor.java
+++ b/gateway/src/main/java/lemondock/gateway/ResourcePressureMonitor.java
@@ -7,8 +7,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads memory and file handles in use off the loop and bounds by them what {@link Admission}
- * admits. Loop thread only.
+ * Reads memory and file handles in use off the loop, and limits what {@link Admission} admits
+ * accordingly. Loop thread only.
  */
 final class ResourcePressureMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(ResourcePressureMonitor.class);
@@ -35,10 +35,10 @@
     this.gatewayName = gatewayName;
   }
 
-  /** Takes one sample; it takes effect on the loop once it is read. */
+  /** Takes one sample off the loop and applies it on the loop. */
   void sample() {
     disk.runOrDrop(
-        () -> { // counting handles reads a directory
+        () -> { // off the loop, because counting handles reads a directory
           double memoryUsed = resources.memoryUsedFraction();
           double handlesUsed = resources.fileHandlesUsedFraction();
           loop.execute(() -> apply(memoryUsed, handlesUsed));
@@ -46,13 +46,13 @@
   }
 
   private void apply(double memoryUsed, double handlesUsed) {
-    final ResourcePressure.Resource before = pressure.scarcest();
+    final ResourcePressure.Resource scarcestBefore = pressure.scarcest();
     pressure.update(loop.now(), memoryUsed, handlesUsed);
     admission.limitByResources(loop.now(), pressure.admittedShare());
     if (pressure.tryStartMemoryRefresh(loop.now(), MEMORY_REFRESH_INTERVAL_MICROS)) {
       disk.runOrDrop(resources::refreshMemory);
     }
-    if (pressure.scarcest() != before) {
+    if (pressure.scarcest() != scarcestBefore) {
       LOG.atWarn()
           .addKeyValue("gateway", gatewayName)
           .addKeyValue("short", pressure.scarcest())
--- a/gateway/src/main/java/lemondock/gateway/accounting/BoundedLabels.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/BoundedLabels.java
@@ -4,25 +4,31 @@
 import lemondock.metrics.Recorder;
 import lemondock.metrics.Series;
 
-/** Bounded label values of one dimension, whose surplus is counted. Loop thread only. */
+/**
+ * Label values of one dimension, limited in number; uses of names beyond the limit are counted.
+ * Loop thread only.
+ */
 final class BoundedLabels {
-  private final LabelCardinalityLimit names;
-  private final Series surplus;
+  private final LabelCardinalityLimit cardinalityLimit;
+  private final Series overflows;
   private final Recorder recorder;
 
-  /** Makes labels; each use of a name beyond the bound is counted in {@code surplus}. */
-  BoundedLabels(LabelCardinalityLimit names, Series surplus, Recorder recorder) {
-    this.names = names;
-    this.surplus = surplus;
+  /** Creates labels; each use of a name beyond the limit is counted in {@code overflows}. */
+  BoundedLabels(LabelCardinalityLimit cardinalityLimit, Series overflows, Recorder recorder) {
+    this.cardinalityLimit = cardinalityLimit;
+    this.overflows = overflows;
     this.recorder = recorder;
   }
 
-  /** The label for a name, which others choose; not within a group of the recorder. */
-  String label(String name) {
-    long before = names.overflowCount();
-    String label = names.labelFor(name);
-    if (names.overflowCount() != before) {
-      recorder.increment(surplus.firstSlot());
+  /**
+   * The label for a name that comes from outside the gateway. May record an overflow, so it must
+   * not be called within an update of the recorder.
+   */
+  String labelFor(String name) {
+    long overflowsBefore = cardinalityLimit.overflowCount();
+    String label = cardinalityLimit.labelFor(name);
+    if (cardinalityLimit.overflowCount() != overflowsBefore) {
+      recorder.increment(overflows.firstSlot());
     }
     return label;
   }
--- a/gateway/src/main/java/lemondock/gateway/accounting/CallMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/CallMetrics.java
@@ -4,13 +4,16 @@
 import lemondock.metrics.Recorder;
 
 /**
- * What is counted of one client's call, from its arrival to its end. It judges whether the call got
- * what its class promises: the first token within the latency objective, the rest at the wanted
- * pace. Each call is counted once under one outcome, whatever order its events come in. Loop thread
- * only, but for {@link #inTurn}; time is passed in.
+ * The metrics of one client's call, from its arrival to its end. It decides whether the call met
+ * the objectives of its class: the first token within the latency objective, the rest at the
+ * objective's pace. Each call is counted once under one outcome, in whatever order its events
+ * arrive. Loop thread only, except for {@link #inTurn}; time is passed in.
  */
 public final class CallMetrics {
-  /** An answer up to so many times slower than its objective still earns the late weight. */
+  /**
+   * An answer up to this many times slower per token than its objective still earns the late
+   * weight.
+   */
   private static final double LATE_PACE_FACTOR = 2;
 
   private final Recorder recorder;
@@ -23,12 +26,12 @@
   private long firstTokenAtMicros;
 
   /**
-   * When the first token of the current turn was delivered, 0 before. Changed on the loop with the
-   * call's output lock held, so that an I/O thread that holds it may read it.
+   * Time at which the first token of the current turn was delivered, 0 before. Written on the loop
+   * with the call's output lock held, so that an I/O thread that holds the lock may read it.
    */
   private long turnStartedAtMicros;
 
-  /** Time from the first token of each turn to its end, turns that have ended. */
+  /** Total time from the first token of each ended turn to the end of that turn. */
   private long generatingMicros;
 
   private long toolCallsRelayed;
@@ -36,13 +39,13 @@
   private boolean countedBad;
   private boolean ended;
 
-  /** How a call that has ended was served. */
-  private enum Service {
+  /** How well a call that has ended was served. */
+  private enum ServiceLevel {
     /** The first token and the pace met their objectives. */
     IN_TIME,
-    /** The answer is complete, but late. */
+    /** The answer is complete, but missed an objective. */
     LATE,
-    /** No answer, or one too slow to be of use. */
+    /** There is no complete answer, or it was too slow to be useful. */
     MISSED
   }
 
@@ -59,19 +62,25 @@
     this.latencyObjectiveMicros = latencyObjectiveMicros;
   }
 
-  /** Microseconds after its arrival at which the first token is due. */
+  /** Time (microseconds) after the arrival of the call at which the first token is due. */
   public long latencyObjectiveMicros() {
     return latencyObjectiveMicros;
   }
 
-  /** The time of the objective is over; a call without a token is late from here on. */
+  /**
+   * Called when the latency objective has passed; a call without a token counts as late from now
+   * on.
+   */
   public void onObjectivePassed() {
     if (firstTokenAtMicros == 0 && !ended) {
       countBad();
     }
   }
 
-  /** A piece of the answer was delivered; cheap, as it comes with each token. */
+  /**
+   * Called when a part of the answer was delivered. Must be cheap, because it is called for each
+   * token.
+   */
   public void onDelivered(long nowMicros) {
     if (turnStartedAtMicros == 0) {
       turnStartedAtMicros = nowMicros;
@@ -83,7 +92,8 @@
   }
 
   /**
-   * Whether a piece of the current turn was delivered; further ones change nothing that is counted.
+   * Whether a part of the current turn was delivered; delivering further parts does not change the
+   * metrics.
    */
   public boolean inTurn() {
     return turnStartedAtMicros != 0;
@@ -92,9 +102,9 @@
   private void recordFirstToken(long nowMicros) {
     long elapsedMicros = nowMicros - arrivedAtMicros;
     long ticket = recorder.beginUpdate();
-    recorder.observe(classSeries.firstToken, elapsedMicros);
+    recorder.observe(classSeries.timeToFirstToken, elapsedMicros);
     if (elapsedMicros <= latencyObjectiveMicros) {
-      recorder.add(classSeries.verdicts.slot(ClassSeries.GOOD), 1);
+      recorder.add(classSeries.serviceLevelCounts.slot(ClassSeries.GOOD), 1);
     }
     recorder.endUpdate(ticket);
     if (elapsedMicros > latencyObjectiveMicros) {
@@ -105,30 +115,33 @@
   private void countBad() {
     if (!countedBad) {
       countedBad = true;
-      recorder.increment(classSeries.verdicts.slot(ClassSeries.BAD));
+      recorder.increment(classSeries.serviceLevelCounts.slot(ClassSeries.BAD));
     }
   }
 
-  /** A tool call was sent to the client; the time until the next token is not the engine's. */
+  /**
+   * Called when a tool call was sent to the client; the time until the next token is not counted as
+   * the engine's.
+   */
   public void onToolCallRelayed(long nowMicros) {
     endTurn(nowMicros);
     toolCallsRelayed++;
     recorder.increment(classSeries.toolCalls.slot(ClassSeries.TOOL_CALLS_RELAYED));
   }
 
-  /** A tool's result came back. */
+  /** Called when the result of a tool call arrived. */
   public void onToolCallAnswered() {
     toolCallsSettled++;
     recorder.increment(classSeries.toolCalls.slot(ClassSeries.TOOL_CALLS_ANSWERED));
   }
 
-  /** A tool call was withdrawn, or its result came too late to be of use. */
+  /** Called when a tool call was withdrawn, or its result arrived too late to be used. */
   public void onToolCallLost() {
     toolCallsSettled++;
     recorder.increment(classSeries.toolCalls.slot(ClassSeries.TOOL_CALLS_LOST));
   }
 
-  /** Tool calls that wait for their result. */
+  /** Number of tool calls that wait for their result. */
   public long pendingToolCalls() {
     return toolCallsRelayed - toolCallsSettled;
   }
@@ -140,63 +153,63 @@
     }
   }
 
-  /** The call has ended; only the first call of this counts. */
+  /** Called when the call has ended; only the first invocation counts. */
   public void onEnded(long nowMicros, AnswerOutcome outcome) {
     if (ended) {
       return;
     }
     ended = true;
     endTurn(nowMicros);
-    final Service service = service(nowMicros, outcome);
+    final ServiceLevel serviceLevel = serviceLevel(nowMicros, outcome);
     final long ticket = recorder.beginUpdate();
     recorder.add(tenantSeries.outcomeSlot(outcome.kind()), 1);
-    recordTimes(nowMicros, outcome.totals().tokens());
-    recordService(service);
-    loseToolCalls();
+    recordDurations(nowMicros, outcome.totals().tokens());
+    recordServiceLevel(serviceLevel);
+    countPendingToolCallsAsLost();
     recorder.endUpdate(ticket);
-    if (service != Service.IN_TIME && outcome.kind() != AnswerOutcome.Kind.CANCELLED) {
+    if (serviceLevel != ServiceLevel.IN_TIME && outcome.kind() != AnswerOutcome.Kind.CANCELLED) {
       countBad();
     }
   }
 
-  private Service service(long nowMicros, AnswerOutcome outcome) {
+  private ServiceLevel serviceLevel(long nowMicros, AnswerOutcome outcome) {
     if (outcome.kind() != AnswerOutcome.Kind.SERVED) {
-      return Service.MISSED;
+      return ServiceLevel.MISSED;
     }
     double microsPerToken = microsPerToken(outcome.totals().tokens());
     long firstAtMicros = firstTokenAtMicros != 0 ? firstTokenAtMicros : nowMicros;
     if (firstAtMicros - arrivedAtMicros <= latencyObjectiveMicros
         && microsPerToken <= classSeries.tokenObjectiveMicros) {
-      return Service.IN_TIME;
+      return ServiceLevel.IN_TIME;
     }
     return microsPerToken <= LATE_PACE_FACTOR * classSeries.tokenObjectiveMicros
-        ? Service.LATE
-        : Service.MISSED;
+        ? ServiceLevel.LATE
+        : ServiceLevel.MISSED;
   }
 
   private double microsPerToken(int tokens) {
     return tokens > 1 ? (double) generatingMicros / (tokens - 1) : 0;
   }
 
-  private void recordTimes(long nowMicros, int tokens) {
-    recorder.observe(classSeries.wholeTime, nowMicros - arrivedAtMicros);
+  private void recordDurations(long nowMicros, int tokens) {
+    recorder.observe(classSeries.requestDuration, nowMicros - arrivedAtMicros);
     if (tokens > 1) {
-      recorder.observe(classSeries.tokenPace, (long) microsPerToken(tokens));
+      recorder.observe(classSeries.timePerOutputToken, (long) microsPerToken(tokens));
     }
   }
 
-  private void recordService(Service service) {
-    if (service == Service.IN_TIME) {
+  private void recordServiceLevel(ServiceLevel serviceLevel) {
+    if (serviceLevel == ServiceLevel.IN_TIME) {
       recorder.add(tenantSeries.weightInTimeSlot(), classSeries.priorityWeight);
       if (firstTokenAtMicros == 0) { // an answer without a token of text
-        recorder.add(classSeries.verdicts.slot(ClassSeries.GOOD), 1);
+        recorder.add(classSeries.serviceLevelCounts.slot(ClassSeries.GOOD), 1);
       }
-    } else if (service == Service.LATE) {
+    } else if (serviceLevel == ServiceLevel.LATE) {
       recorder.add(tenantSeries.weightLateSlot(), classSeries.latePriorityWeight);
     }
   }
 
-  private void loseToolCalls() {
+  private void countPendingToolCallsAsLost() {
     if (pendingToolCalls() > 0) {
       recorder.add(classSeries.toolCalls.slot(ClassSeries.TOOL_CALLS_LOST), pendingToolCalls());
       toolCallsSettled = toolCallsRelayed;
--- a/gateway/src/main/java/lemondock/gateway/accounting/ClassSeries.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/ClassSeries.java
@@ -7,7 +7,7 @@
 import lemondock.metrics.MetricRegistry;
 import lemondock.metrics.Series;
 
-/** The series of one request class, which all its requests share. Loop thread only. */
+/** The metric series of one request class, shared by all its requests. Loop thread only. */
 final class ClassSeries {
   // Fields of MetricFamilies.SERVICE_LEVEL.
   static final int GOOD = 0;
@@ -20,18 +20,18 @@
 
   final String className;
 
-  /** In parts of {@link MetricFamilies#PRIORITY_WEIGHT_SCALE}. */
+  /** Priority weight of a request, multiplied by {@link MetricFamilies#PRIORITY_WEIGHT_SCALE}. */
   final long priorityWeight;
 
-  /** Earned by an answer after its objective, in the same unit. */
+  /** Priority weight of an answer that missed its objective, in the same unit. */
   final long latePriorityWeight;
 
   final double tokenObjectiveMicros;
-  final Series verdicts;
+  final Series serviceLevelCounts;
   final Series toolCalls;
-  final Series firstToken;
-  final Series tokenPace;
-  final Series wholeTime;
+  final Series timeToFirstToken;
+  final Series timePerOutputToken;
+  final Series requestDuration;
   final Map<String, TenantSeries> byTenant = new HashMap<>();
 
   ClassSeries(MetricRegistry registry, GatewaySettings.ClassSettings settings, String zone) {
@@ -40,10 +40,10 @@
     latePriorityWeight =
         Math.round(settings.worth() * settings.lateWorth() * MetricFamilies.PRIORITY_WEIGHT_SCALE);
     tokenObjectiveMicros = GatewaySettings.micros(settings.tokenAimMs());
-    verdicts = registry.series(MetricFamilies.SERVICE_LEVEL, className, zone);
+    serviceLevelCounts = registry.series(MetricFamilies.SERVICE_LEVEL, className, zone);
     toolCalls = registry.series(MetricFamilies.TOOL_CALLS, className);
-    firstToken = registry.series(MetricFamilies.TIME_TO_FIRST_TOKEN, className);
-    tokenPace = registry.series(MetricFamilies.TIME_PER_OUTPUT_TOKEN, className);
-    wholeTime = registry.series(MetricFamilies.REQUEST_DURATION, className);
+    timeToFirstToken = registry.series(MetricFamilies.TIME_TO_FIRST_TOKEN, className);
+    timePerOutputToken = registry.series(MetricFamilies.TIME_PER_OUTPUT_TOKEN, className);
+    requestDuration = registry.series(MetricFamilies.REQUEST_DURATION, className);
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
@@ -11,8 +11,9 @@
 import lemondock.metrics.Series;
 
 /**
- * What a gateway counts on its decision loop. Series are looked up once and kept; the names of
- * tenants and zones, which others choose, are bounded. Loop thread only, but for {@link #registry}.
+ * The metrics that a gateway records on its decision loop. Series are looked up once and kept; the
+ * number of label values for tenants and zones, whose names come from outside, is limited. Loop
+ * thread only, except for {@link #registry}.
  */
 public final class GatewayMetrics {
   private static final int MAX_ZONES = 64;
@@ -32,18 +33,19 @@
   private final RequestMetrics requests;
   private final ServerMetrics servers;
 
-  /** Makes metrics of their own, for the thread that the gateway decides on. */
+  /** Creates metrics with their own registry, for the thread that the gateway decides on. */
   public GatewayMetrics(GatewaySettings settings) {
     GatewaySettings.Reporting reporting = settings.reporting();
     this.registry = new MetricRegistry(reporting.maxValues());
     this.recorder = registry.newRecorder();
-    // the order of the series is that of their rows in reports
+    // series are created in the order of their rows in reports
     this.gateway = registry.series(MetricFamilies.GATEWAY);
     final Series routerTotals = registry.series(MetricFamilies.ROUTER);
     this.loopLag = registry.series(MetricFamilies.LOOP_LAG);
     this.overload = registry.series(MetricFamilies.OVERLOAD);
-    BoundedLabels tenants = labels("tenant", knownTenants(reporting), reporting.maxTenants());
-    BoundedLabels zones = labels("zone", List.of(settings.zone()), MAX_ZONES);
+    BoundedLabels tenants =
+        boundedLabels("tenant", knownTenants(reporting), reporting.maxTenants());
+    BoundedLabels zones = boundedLabels("zone", List.of(settings.zone()), MAX_ZONES);
     this.requests = new RequestMetrics(settings, registry, recorder, tenants);
     this.servers = new ServerMetrics(registry, recorder, zones, routerTotals);
   }
@@ -54,28 +56,28 @@
     return tenants;
   }
 
-  private BoundedLabels labels(String dimension, List<String> known, int maxOthers) {
-    Series surplus = registry.series(MetricFamilies.LABEL_OVERFLOWS, dimension);
-    return new BoundedLabels(new LabelCardinalityLimit(known, maxOthers), surplus, recorder);
+  private BoundedLabels boundedLabels(String dimension, List<String> known, int maxOthers) {
+    Series overflows = registry.series(MetricFamilies.LABEL_OVERFLOWS, dimension);
+    return new BoundedLabels(new LabelCardinalityLimit(known, maxOthers), overflows, recorder);
   }
 
-  /** What was counted; its snapshot may be taken on any thread. */
+  /** The registry of the metrics; a snapshot may be taken on any thread. */
   public MetricRegistry registry() {
     return registry;
   }
 
-  /** Counts clients' requests. */
+  /** The metrics of clients' requests. */
   public RequestMetrics requests() {
     return requests;
   }
 
-  /** Counts attempts and reserved states. */
+  /** The metrics of attempts and reserved states. */
   public AttemptMetrics attempts() {
     return servers;
   }
 
   /**
-   * What is in flight in a gateway at one moment.
+   * Work in flight in a gateway at one moment.
    *
    * @param toolCalls tool calls that wait for the client's result
    */
@@ -88,13 +90,13 @@
       long endpoints,
       long uptimeSeconds) {
 
-    /** In the order of the fields of {@link MetricFamilies#GATEWAY}. */
+    /** The values in the order of the fields of {@link MetricFamilies#GATEWAY}. */
     private long[] values() {
       return new long[] {calls, requests, sessions, streams, toolCalls, endpoints, uptimeSeconds};
     }
   }
 
-  /** Sets the gauges of what is in flight. */
+  /** Sets the gauges of the work in flight. */
   public void setInFlight(InFlight inFlight) {
     long[] values = inFlight.values();
     long ticket = recorder.beginUpdate();
@@ -104,17 +106,17 @@
     recorder.endUpdate(ticket);
   }
 
-  /** The decision loop ran a timer so many microseconds late. */
+  /** Records how late the decision loop ran a timer, in microseconds. */
   public void recordLoopLag(long micros) {
     recorder.recordDuration(loopLag, micros);
   }
 
   /**
-   * Sets the gauges of the gateway's own limit.
+   * Sets the gauges of the gateway's overload protection.
    *
-   * @param admittedShare part of the requests that is admitted, 0 to 1
-   * @param stalls times for which the process stood still
-   * @param stallMicros their sum
+   * @param admittedShare fraction of requests that is admitted, 0 to 1
+   * @param stalls number of stalls of the process
+   * @param stallMicros total duration of the stalls
    */
   public void setOverload(double admittedShare, long stalls, long stallMicros) {
     long ticket = recorder.beginUpdate();
@@ -124,7 +126,9 @@
     recorder.endUpdate(ticket);
   }
 
-  /** A request was rejected because of overload; it is counted as a rejected request too. */
+  /**
+   * Counts a request rejected because of overload, in addition to its count as a rejected request.
+   */
   public void countLoadShed() {
     recorder.increment(overload.slot(REJECTED));
   }
--- a/gateway/src/main/java/lemondock/gateway/accounting/RequestMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/RequestMetrics.java
@@ -9,9 +9,9 @@
 import lemondock.metrics.MetricRegistry;
 import lemondock.metrics.Recorder;
 
-/** What is counted of clients' requests, by class and tenant. Loop thread only. */
+/** The metrics of clients' requests, by class and tenant. Loop thread only. */
 public final class RequestMetrics {
-  /** The tenant of a request that names none. */
+  /** The tenant label of a request that names no tenant. */
   static final String NO_TENANT = "none";
 
   private final GatewaySettings settings;
@@ -33,10 +33,10 @@
   }
 
   /**
-   * A request was accepted.
+   * Counts an accepted request.
    *
-   * @param tenant whom the client says it calls for
-   * @param retry whether the client says that it repeats a request
+   * @param tenant the tenant that the client names, if any
+   * @param retry whether the client marks the request as a retry
    * @param nowMicros time of its arrival
    */
   public CallMetrics requestAccepted(
@@ -53,14 +53,17 @@
     return new CallMetrics(recorder, series, tenantSeries, nowMicros, latencyObjectiveMicros);
   }
 
-  /** A request was rejected before it was accepted: for a limit, or because the gateway stops. */
+  /**
+   * Counts a request rejected before it was accepted, because of a limit or because the gateway
+   * stops.
+   */
   public void requestRejected(int classId, Optional<String> tenant, boolean retry) {
     ClassSeries series = classes.get(classId);
     TenantSeries tenantSeries = tenantSeries(series, tenant);
     final long ticket = recorder.beginUpdate();
     countArrival(series, tenantSeries, retry);
     recorder.add(tenantSeries.outcomeSlot(AnswerOutcome.Kind.REJECTED), 1);
-    recorder.add(series.verdicts.slot(ClassSeries.BAD), 1);
+    recorder.add(series.serviceLevelCounts.slot(ClassSeries.BAD), 1);
     recorder.endUpdate(ticket);
   }
 
@@ -71,7 +74,7 @@
   }
 
   private TenantSeries tenantSeries(ClassSeries series, Optional<String> tenant) {
-    String label = tenants.label(tenant.orElse(NO_TENANT));
+    String label = tenants.labelFor(tenant.orElse(NO_TENANT));
     return series.byTenant.computeIfAbsent(
         label,
         newLabel ->
--- a/gateway/src/main/java/lemondock/gateway/accounting/ServerMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/ServerMetrics.java
@@ -16,8 +16,8 @@
 import lemondock.policy.ServerRole;
 
 /**
- * What is counted of attempts, reserved states and servers, by zone, and the totals of the router.
- * Loop thread only.
+ * The metrics of attempts, reserved states and servers, by zone, and the totals of the router. Loop
+ * thread only.
  */
 final class ServerMetrics implements AttemptMetrics {
   // Fields of MetricFamilies.ATTEMPTS.
@@ -61,7 +61,7 @@
   private final ServerSeries servers;
   private final Map<String, StateSeries> reservedStates = new HashMap<>();
 
-  /** The series of reserved states in one zone: their number, and how long they were reserved. */
+  /** The series of reserved states in one zone: their counts and how long they were reserved. */
   private record StateSeries(Series counts, Series times) {}
 
   ServerMetrics(
@@ -76,13 +76,13 @@
 
   @Override
   public void attemptSent(ServerRole role, String zone) {
-    recorder.increment(attempts.of(role, zone).slot(SENT));
+    recorder.increment(attempts.seriesFor(role, zone).slot(SENT));
   }
 
   @Override
   public void attemptEnded(ServerRole role, String zone, AttemptOutcome outcome) {
     int field = FIRST_OUTCOME + OUTCOME_FIELD_ORDER.indexOf(outcome);
-    recorder.increment(attempts.of(role, zone).slot(field));
+    recorder.increment(attempts.seriesFor(role, zone).slot(field));
   }
 
   @Override
@@ -116,12 +116,12 @@
   }
 
   private StateSeries stateSeries(String zone) {
-    StateSeries known = reservedStates.get(zone);
-    if (known != null) {
-      return known;
+    StateSeries existing = reservedStates.get(zone);
+    if (existing != null) {
+      return existing;
     }
     return reservedStates.computeIfAbsent(
-        zones.label(zone),
+        zones.labelFor(zone),
         label ->
             new StateSeries(
                 registry.series(MetricFamilies.RESERVED_STATES, label),
@@ -133,14 +133,14 @@
     return new StateRecorder(zoneOf);
   }
 
-  /** Sums the servers by role and zone, and records the sums at the end. */
+  /** Sums the servers by role and zone, and records the sums once all servers have been visited. */
   private final class StateRecorder implements RouterStateVisitor {
     private final LongFunction<Optional<String>> zoneOf;
     private final Map<Series, long[]> sums = new HashMap<>();
 
     StateRecorder(LongFunction<Optional<String>> zoneOf) {
       this.zoneOf = zoneOf;
-      servers.all().forEach(series -> sums.put(series, new long[SERVER_FIELDS]));
+      servers.allSeries().forEach(series -> sums.put(series, new long[SERVER_FIELDS]));
     }
 
     @Override
@@ -151,7 +151,8 @@
         return;
       }
       long[] sum =
-          sums.computeIfAbsent(servers.of(role, zone.get()), series -> new long[SERVER_FIELDS]);
+          sums.computeIfAbsent(
+              servers.seriesFor(role, zone.get()), series -> new long[SERVER_FIELDS]);
       boolean ready = lifecycle == ServerLifecycle.READY;
       sum[ready ? READY : NOT_READY]++;
       sum[WARMING_UP] += ready && warmingUp ? 1 : 0;
@@ -164,11 +165,11 @@
       recorder.set(routerTotals.slot(QUEUED), queued);
       recorder.set(routerTotals.slot(TOKENS_IN_FLIGHT), tokensInFlight);
       recorder.set(routerTotals.slot(CAPACITY_TOKENS), capacityTokens);
-      sums.forEach(this::set);
+      sums.forEach(this::recordSums);
       recorder.endUpdate(ticket);
     }
 
-    private void set(Series series, long[] sum) {
+    private void recordSums(Series series, long[] sum) {
       for (int field = 0; field < sum.length; field++) {
         recorder.set(series.slot(field), sum[field]);
       }
--- a/gateway/src/main/java/lemondock/gateway/accounting/ServerSeries.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/ServerSeries.java
@@ -11,7 +11,7 @@
 import lemondock.metrics.Series;
 import lemondock.policy.ServerRole;
 
-/** The series of one family by role and zone of servers. Loop thread only. */
+/** The series of one metric family by role and zone of servers. Loop thread only. */
 final class ServerSeries {
   private final MetricFamily family;
   private final MetricRegistry registry;
@@ -25,22 +25,25 @@
     this.zones = zones;
   }
 
-  /** The series of servers of a role and zone; not within a group of the recorder. */
-  Series of(ServerRole role, String zone) {
+  /**
+   * The series of servers of a role and zone. May record a label overflow, so it must not be called
+   * within an update of the recorder.
+   */
+  Series seriesFor(ServerRole role, String zone) {
     Map<String, Series> byZone = byRoleAndZone.computeIfAbsent(role, newRole -> new HashMap<>());
-    Series known = byZone.get(zone);
-    if (known != null) {
-      return known;
+    Series existing = byZone.get(zone);
+    if (existing != null) {
+      return existing;
     }
     return byZone.computeIfAbsent(
-        zones.label(zone),
+        zones.labelFor(zone),
         label -> registry.series(family, role.name().toLowerCase(Locale.ROOT), label));
   }
 
-  /** All series that there are. */
-  List<Series> all() {
-    List<Series> all = new ArrayList<>();
-    byRoleAndZone.values().forEach(byZone -> all.addAll(byZone.values()));
-    return all;
+  /** All series created so far. */
+  List<Series> allSeries() {
+    List<Series> allSeries = new ArrayList<>();
+    byRoleAndZone.values().forEach(byZone -> allSeries.addAll(byZone.values()));
+    return allSeries;
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/accounting/TenantSeries.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/TenantSeries.java
@@ -4,13 +4,13 @@
 import lemondock.metrics.Series;
 
 /**
- * The series of one request class and tenant.
+ * The metric series of one request class and tenant.
  *
  * @param priorityWeight weight requested and earned, of {@code MetricFamilies.PRIORITY_WEIGHT}
- * @param requests requests by how they ended, of {@code MetricFamilies.REQUESTS}
+ * @param requests requests by their outcome, of {@code MetricFamilies.REQUESTS}
  */
 record TenantSeries(Series priorityWeight, Series requests) {
-  /** Weight of first requests; that of a client's retries is in the field behind it. */
+  /** Weight of first requests; the next field holds that of a client's retries. */
   private static final int WEIGHT_REQUESTED = 0;
 
   private static final int WEIGHT_RETRIED = 1;
@@ -19,7 +19,9 @@
   private static final int ACCEPTED = 0;
   private static final int RETRIES = 1;
 
-  /** The field of the first kind of outcome; the others follow in the order of their enum. */
+  /**
+   * The field of the first outcome kind; the others follow in the order of their enum constants.
+   */
   private static final int FIRST_OUTCOME = 2;
 
   int weightRequestedSlot(boolean retry) {
--- a/gateway/src/main/java/lemondock/gateway/accounting/package-info.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the gateway counts, and the verdict whether a call got what its class promises. Values are
- * recorded on the loop thread; snapshots may be taken on any thread.
+ * The metrics of the gateway, and the decision whether a call met the objectives of its class.
+ * Values are recorded on the loop thread; snapshots may be taken on any thread.
  */
 package lemondock.gateway.accounting;
--- a/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
@@ -14,16 +14,16 @@
 import lemondock.net.http.RequestFailure;
 
 /**
- * Follows a service in a catalogue by Consul's health API with blocking queries: each query names
- * the index seen last and is answered when that is passed or the wait is over. An index that goes
- * backwards starts at 0 again, as Consul's documentation asks. After a failure it is queried again
- * with a growing backoff. Loop thread only.
+ * Follows a service in Consul's catalogue with blocking queries of the health API: each query names
+ * the last index seen and is answered once the index has passed it or the wait is over. If the
+ * index goes backwards, the next query starts at 0 again, as Consul's documentation requires. After
+ * a failure the query is retried with exponential backoff. Loop thread only.
  */
 public final class ConsulEndpointList implements EndpointListSource {
-  /** Consul adds up to a sixteenth to the wait. */
+  /** Consul adds a random time of up to a sixteenth to the wait. */
   private static final double WAIT_JITTER_FACTOR = 17.0 / 16;
 
-  /** Time for the request and the response to travel. */
+  /** Allowance for the network latency of the request and the response. */
   private static final long NETWORK_ALLOWANCE_MICROS = 2_000_000;
 
   private final Loop loop;
@@ -32,22 +32,22 @@
   private final GatewaySettings.Discovery settings;
   private final String userAgent;
 
-  /** Set once, at the start. */
+  /** Set once, by {@link #start}. */
   private Listener listener;
 
-  /** The index of the list seen last, 0 for none. */
+  /** The index of the last list seen; 0 if there is none. */
   private long lastIndex;
 
   private long backoffMicros;
   private boolean stopped;
 
-  /** The last query; null before the first. */
+  /** The latest query; null before the first. */
   private HttpCall call;
 
-  /** The time-out of the query in flight, or what starts the next. */
+  /** The timeout of the query in flight, or the timer that starts the next query. */
   private Loop.Timer timer = () -> {};
 
-  /** Makes a follower; {@code userAgent} is what the catalogue sees as User-Agent. */
+  /** Creates a follower; {@code userAgent} is the User-Agent header sent to the catalogue. */
   public ConsulEndpointList(
       Loop loop,
       HttpClient client,
@@ -69,7 +69,7 @@
 
   @Override
   public void refresh() {
-    // a query is always in flight or about to be repeated
+    // nothing to do: a query is always in flight or scheduled
   }
 
   @Override
@@ -89,7 +89,7 @@
     long timeoutMicros =
         (long) (GatewaySettings.micros(settings.waitMs()) * WAIT_JITTER_FACTOR)
             + NETWORK_ALLOWANCE_MICROS;
-    timer = loop.schedule(timeoutMicros, this::queryTimedOut);
+    timer = loop.schedule(timeoutMicros, this::onQueryTimeout);
   }
 
   private ByteBuffer queryRequest() {
@@ -112,9 +112,9 @@
     return HttpEncoder.request("GET", target, headers, new byte[0]);
   }
 
-  private void queryTimedOut() {
+  private void onQueryTimeout() {
     call.cancel();
-    retryAfterFailure("no answer from the catalogue in time");
+    retryAfterFailure("the catalogue did not answer the query in time");
   }
 
   private void retryAfterFailure(String problem) {
@@ -128,8 +128,8 @@
     timer = loop.schedule(backoffMicros, this::query);
   }
 
-  /** A list has come, whose index says whether it is another than the one before. */
-  private void listReceived(List<Endpoint> listed, long index) {
+  /** Handles a received list; its index tells whether it differs from the previous one. */
+  private void onListReceived(List<Endpoint> listed, long index) {
     backoffMicros = 0;
     long previousIndex = lastIndex;
     lastIndex = index < lastIndex ? 0 : Math.max(1, index);
@@ -148,7 +148,7 @@
     public void onComplete() {
       timer.cancel();
       if (status() != 200) {
-        retryAfterFailure("the catalogue answered " + status());
+        retryAfterFailure("expected status 200 from the catalogue, found " + status());
         return;
       }
       List<Endpoint> listed;
@@ -157,10 +157,10 @@
         listed = EndpointListCodec.parseConsul(body());
         index = Long.parseLong(header("x-consul-index").orElse("null"));
       } catch (EndpointListCodec.MalformedListException | NumberFormatException e) {
-        retryAfterFailure("the catalogue's answer cannot be read: " + e.getMessage());
+        retryAfterFailure("cannot parse the answer of the catalogue: " + e.getMessage());
         return;
       }
-      listReceived(listed, index);
+      onListReceived(listed, index);
     }
 
     @Override
--- a/gateway/src/main/java/lemondock/gateway/discovery/EndpointListCodec.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/EndpointListCodec.java
@@ -16,8 +16,8 @@
 import lemondock.policy.ServerLifecycle;
 
 /**
- * The two forms in which endpoint lists are written: the project's file and Consul's health API.
- * Host names are resolved while a list is read, which may block. Safe for any thread.
+ * Parses and formats endpoint lists in the project's file format, and parses responses of Consul's
+ * health API. Host names are resolved while a list is parsed, which may block. Safe for any thread.
  */
 public final class EndpointListCodec {
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -26,7 +26,10 @@
 
   private EndpointListCodec() {}
 
-  /** A list that cannot be read; the message says what and where. */
+  /**
+   * Thrown if a list cannot be parsed; the message names the place, what was expected and what was
+   * found.
+   */
   public static final class MalformedListException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -36,9 +39,9 @@
   }
 
   /**
-   * Reads the project's file, {@code {"servers": [...]}}.
+   * Parses the project's file format, {@code {"servers": [...]}}.
    *
-   * @throws MalformedListException if the text is no list, or one of its entries is wrong
+   * @throws MalformedListException if the text is not an endpoint list, or an entry is invalid
    */
   public static List<Endpoint> parseFile(byte[] text) throws MalformedListException {
     JsonNode servers = parseJson(text).get("servers");
@@ -65,7 +68,7 @@
         server.path("startedAt").asLong(0));
   }
 
-  /** Writes what {@link #parseFile} reads; used for the cache. */
+  /** Formats endpoints as {@link #parseFile} parses them; used for the cache. */
   public static byte[] formatFile(List<Endpoint> endpoints) {
     ObjectNode root = JsonNodeFactory.instance.objectNode();
     ArrayNode servers = root.putArray("servers");
@@ -85,11 +88,12 @@
   }
 
   /**
-   * Reads the answer of Consul's {@code /v1/health/service/NAME}. Kind, zone, rack and start come
-   * from the service's Meta. A check in maintenance, or Meta {@code draining=true}, means draining;
-   * another critical check means gone.
+   * Parses the response of Consul's {@code /v1/health/service/NAME}. Kind, zone, rack and start
+   * time come from the service's Meta. A critical maintenance check, or Meta {@code draining=true},
+   * means draining; any other critical check means gone.
    *
-   * @throws MalformedListException if the text is no such answer, or one of its services is wrong
+   * @throws MalformedListException if the text is not such a response, or a service in it is
+   *     invalid
    */
   public static List<Endpoint> parseConsul(byte[] text) throws MalformedListException {
     JsonNode root = parseJson(text);
@@ -163,7 +167,8 @@
       throws MalformedListException {
     JsonNode value = node.get(name);
     if (value == null || !value.isTextual() || value.textValue().isEmpty()) {
-      throw new MalformedListException(pointer + "/" + name + ": expected a text, found " + value);
+      throw new MalformedListException(
+          pointer + "/" + name + ": expected a non-empty string, found " + value);
     }
     return value.textValue();
   }
@@ -184,7 +189,7 @@
         return address;
       }
     } catch (RuntimeException e) {
-      // reported below
+      // the exception below reports it
     }
     throw new MalformedListException(pointer + ": expected HOST:PORT, found " + text);
   }
--- a/gateway/src/main/java/lemondock/gateway/discovery/EndpointListSource.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/EndpointListSource.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import lemondock.dispatch.Endpoint;
 
-/** Where endpoint lists come from. Loop thread only; the listener is called there too. */
+/** A source of endpoint lists. Loop thread only; the listener is called on the loop too. */
 public interface EndpointListSource {
-  /** Begins to follow the list; called once. */
+  /** Starts following the list; called once. */
   void start(Listener listener);
 
-  /** Asks for the whole list again, because the router wants it. */
+  /** Requests the complete list again, because the router needs it. */
   void refresh();
 
   /** Stops following. */
@@ -16,10 +16,10 @@
 
   /** Receives endpoint lists. */
   interface Listener {
-    /** The whole list as it is now. */
+    /** Receives the complete current list. */
     void onList(List<Endpoint> endpoints);
 
-    /** The list could not be had; the one before stays in force. */
+    /** Called when the list could not be fetched; the previous one stays in force. */
     void onFailure(String reason);
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/discovery/FileEndpointList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/FileEndpointList.java
@@ -13,8 +13,8 @@
 import lemondock.net.Loop;
 
 /**
- * Follows a file by polling it on a thread of its own; a file that cannot be read leaves the list
- * as it is. A problem is reported once, until the file can be read or has another problem.
+ * Follows a file by polling it on its own thread. While the file cannot be read, the list stays as
+ * it is. A problem is reported once, until the file can be read again or has a different problem.
  */
 public final class FileEndpointList implements EndpointListSource {
   private static final long MAX_FILE_BYTES = 8 * 1024 * 1024;
@@ -26,13 +26,13 @@
   /** Null before the start; loop thread only. */
   private ScheduledExecutorService poller;
 
-  /** The content reported last, null before the first; the poller's thread only. */
+  /** The last content reported, null before the first; poller thread only. */
   private byte[] lastContent;
 
-  /** The problem reported last, empty if there was none since; the poller's thread only. */
+  /** The last problem reported, empty if the file was read since; poller thread only. */
   private String lastProblem = "";
 
-  /** Makes a follower of the file that the settings name. */
+  /** Creates a follower of the file that the settings name. */
   public FileEndpointList(Loop loop, GatewaySettings.Discovery settings) {
     this.loop = loop;
     this.path = Path.of(settings.path());
@@ -54,7 +54,7 @@
 
   @Override
   public void refresh() {
-    // the file is polled anyway
+    // nothing to do: the file is polled periodically
   }
 
   @Override
@@ -71,14 +71,14 @@
     } catch (EndpointListCodec.MalformedListException e) {
       report(listener, path + ": " + e.getMessage());
     } catch (IOException | RuntimeException e) {
-      report(listener, path + ": cannot be read: " + e.getMessage());
+      report(listener, path + ": cannot read the file: " + e.getMessage());
     }
   }
 
   private void readFile(Listener listener)
       throws IOException, EndpointListCodec.MalformedListException {
     if (Files.size(path) > MAX_FILE_BYTES) {
-      throw new IOException("over " + MAX_FILE_BYTES + " bytes");
+      throw new IOException("expected at most " + MAX_FILE_BYTES + " bytes");
     }
     byte[] content = Files.readAllBytes(path);
     if (!Arrays.equals(content, lastContent)) {
--- a/gateway/src/main/java/lemondock/gateway/discovery/package-info.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Service discovery: where the endpoint list comes from. An {@link
+ * Service discovery: sources of the endpoint list. An {@link
  * lemondock.gateway.discovery.EndpointListSource} follows a file or Consul's catalogue and reports
  * each list on the loop.
  */
--- a/gateway/src/main/java/lemondock/gateway/files/AtomicFile.java
+++ b/gateway/src/main/java/lemondock/gateway/files/AtomicFile.java
@@ -5,16 +5,20 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 
-/** Replaces files so that a reader sees the old content or the new one, never a part. */
+/**
+ * Replaces files so that a reader sees either the old content or the new one, never a part of it.
+ */
 public final class AtomicFile {
   private static final String TEMPORARY_SUFFIX = ".next";
 
   private AtomicFile() {}
 
   /**
-   * Writes beside the file and moves the result in its place; blocks, so call it off the loops.
+   * Writes the content to a temporary file next to the file, then renames it; blocks, so call it
+   * off the loops.
    *
-   * @throws IOException if the content cannot be written or moved; the file is as it was
+   * @throws IOException if the content cannot be written or the file renamed; the file is unchanged
+   *     then
    */
   public static void replace(Path file, byte[] content) throws IOException {
     Path temporary = Path.of(file + TEMPORARY_SUFFIX);
--- a/gateway/src/main/java/lemondock/gateway/files/package-info.java
+++ b/gateway/src/main/java/lemondock/gateway/files/package-info.java
@@ -1,2 +1,5 @@
-/** Files that the gateway writes for itself. Blocks, so it is called off the loops. */
+/**
+ * Atomic replacement of files that the gateway writes. Blocks on file I/O, so call it off the
+ * loops.
+ */
 package lemondock.gateway.files;
--- a/gateway/src/main/java/lemondock/gateway/reporting/DestinationFactory.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/DestinationFactory.java
@@ -30,7 +30,7 @@
 import lemondock.gateway.settings.SettingsException;
 import lemondock.gateway.settings.SettingsFile;
 
-/** Makes a collector's destination from its settings. Used once, at the start, off the loops. */
+/** Creates a collector's destination from its settings. Used once at startup, off the loops. */
 final class DestinationFactory {
   private static final String DEFAULT_PREFIX = "lemondock";
   private static final int DEFAULT_PACKET_BYTES = 1_452;
@@ -40,7 +40,10 @@
   private final PeriodicExporter exporter;
   private final String instance;
 
-  /** For destinations of one exporter; {@code instance} is the name it reports under. */
+  /**
+   * Creates a factory for the destinations of one exporter; {@code instance} is the name that it
+   * reports under.
+   */
   DestinationFactory(
       GatewaySettings.Reporting reporting,
       ExporterEnvironment environment,
@@ -55,22 +58,22 @@
   /**
    * Adds a destination to the exporter.
    *
-   * @param pointer the place of its settings, for problems
-   * @return what starts it, to be run on the exporter's loop
-   * @throws SettingsException if the file of users cannot be used
+   * @param pointer JSON pointer of its settings, for problem messages
+   * @return an action that starts the destination, to be run on the exporter's loop
+   * @throws SettingsException if the authentication file cannot be used
    */
   Runnable add(GatewaySettings.Destination settings, String pointer) throws SettingsException {
     if (settings.kind() == DestinationKind.COLLECTD) {
-      exporter.addDestination(datagrams(settings, pointer));
+      exporter.addDestination(datagramDestination(settings, pointer));
       return () -> {};
     }
-    StreamDestination stream = stream(settings);
-    exporter.addDestination(stream);
-    return stream::start;
+    StreamDestination destination = streamDestination(settings);
+    exporter.addDestination(destination);
+    return destination::start;
   }
 
-  private DatagramDestination datagrams(GatewaySettings.Destination settings, String pointer)
-      throws SettingsException {
+  private DatagramDestination datagramDestination(
+      GatewaySettings.Destination settings, String pointer) throws SettingsException {
     NetworkPacketEncoder encoder =
         new NetworkPacketEncoder(
             identifiers(),
@@ -94,7 +97,7 @@
             GatewaySettings.micros(settings.maxBackoffMs())));
   }
 
-  private StreamDestination stream(GatewaySettings.Destination settings) {
+  private StreamDestination streamDestination(GatewaySettings.Destination settings) {
     return new StreamDestination(
         environment.loop(),
         connector(settings),
--- a/gateway/src/main/java/lemondock/gateway/reporting/DetectorInput.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/DetectorInput.java
@@ -8,7 +8,7 @@
 import lemondock.metrics.MetricsSnapshot;
 import lemondock.metrics.Series;
 
-/** Takes from a snapshot what the detector of degradations watches. */
+/** Extracts from a metrics snapshot the event counts that the degradation detector observes. */
 final class DetectorInput {
   // Fields of MetricFamilies.SERVICE_LEVEL.
   private static final int GOOD = 0;
@@ -16,7 +16,7 @@
 
   private DetectorInput() {}
 
-  /** Requests by class and zone: those in time against those that were not. */
+  /** Requests by class and zone; good are those answered in time, bad all others. */
   static List<EventCounts> requests(MetricsSnapshot snapshot) {
     List<EventCounts> counts = new ArrayList<>();
     for (Series series : snapshot.series()) {
@@ -31,13 +31,14 @@
     return counts;
   }
 
-  /** The scope of a series whose labels are a class or role, and a zone. */
+  /** The scope of a series whose labels are a class or role, followed by a zone. */
   private static ServiceScope scope(Series series) {
     return new ServiceScope(series.labelValues().get(0), series.labelValues().get(1));
   }
 
   /**
-   * Attempts by role and zone: answered ones against those that failed, were rejected or cancelled.
+   * Attempts by role and zone; good are those answered, bad those that failed, were rejected or
+   * were cancelled.
    */
   static List<EventCounts> attempts(MetricsSnapshot snapshot) {
     int okField = MetricFamilies.ATTEMPTS.fieldIndex("ok");
--- a/gateway/src/main/java/lemondock/gateway/reporting/ReportedGauges.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/ReportedGauges.java
@@ -14,8 +14,8 @@
 import lemondock.metrics.Series;
 
 /**
- * Sets the gauges that are read once a tick: those of the process and those of the detector.
- * Reports' loop only.
+ * Sets the gauges that are read once per tick: those of the process and those of the degradation
+ * detector. Reporting loop only.
  */
 final class ReportedGauges {
   private static final int MAX_PROCESS_METERS = 200;
@@ -32,7 +32,7 @@
   private final Map<String, Series> processSeries = new LinkedHashMap<>();
   private final Map<ServiceScope, Series> degradations = new LinkedHashMap<>();
 
-  /** Readings that are no number, or too large for one. */
+  /** Counts readings that are not finite or too large for a metric value. */
   private final Series notFinite;
 
   private long notFiniteCount;
@@ -45,7 +45,7 @@
     this.notFinite = registry.series(MetricFamilies.LABEL_OVERFLOWS, "not_finite");
   }
 
-  /** Sets all of them; within an update of the recorder. */
+  /** Sets all gauges; call it within an update of the recorder. */
   void record(Recorder recorder) {
     MicrometerGauges.forEach(processMeters, (name, value) -> recordProcess(recorder, name, value));
     recorder.set(notFinite.firstSlot(), notFiniteCount);
--- a/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
@@ -31,9 +31,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A gateway's reports, on a loop, sockets and threads that no request uses: exporters to
- * collectors, the detector of degradations, the port that {@code lemondock status} asks, and the
- * final metrics. The gateway knows nothing of it but its {@link GatewayMetrics}.
+ * A gateway's metrics reporting, on a loop, sockets and threads that no request uses: exporters to
+ * collectors, the degradation detector, the port that {@code lemondock status} queries, and the
+ * final metrics. The gateway shares only its {@link GatewayMetrics} with it.
  */
 public final class Reporting {
   private static final Logger LOG = LoggerFactory.getLogger(Reporting.class);
@@ -54,7 +54,7 @@
   private HttpServer statusServer;
   private String instance;
 
-  /** Makes reports of a gateway; {@code processMeters} holds gauges of the process. */
+  /** Creates the reporting of a gateway; {@code processMeters} holds gauges of the process. */
   public Reporting(
       GatewaySettings settings,
       GatewayMetrics gatewayMetrics,
@@ -80,12 +80,12 @@
   }
 
   /**
-   * Begins to report; call it off the loops.
+   * Starts reporting; call it off the loops.
    *
-   * @param gateway the address that the gateway's clients connect to; its port tells two gateways
-   *     of one name apart
-   * @throws SettingsException if a file of users cannot be used
-   * @throws IOException if the port for {@code lemondock status} cannot be taken
+   * @param gateway the address that the gateway's clients connect to; its port distinguishes two
+   *     gateways of the same name
+   * @throws SettingsException if an authentication file cannot be used
+   * @throws IOException if the port for {@code lemondock status} cannot be bound
    */
   public void start(InetSocketAddress gateway) throws SettingsException, IOException {
     instance =
@@ -95,9 +95,10 @@
     statusPage = new StatusPage(settings, instance, exporter, detector);
     DestinationFactory destinations =
         new DestinationFactory(reporting, environment, exporter, instance);
-    List<Runnable> starts = new ArrayList<>();
+    List<Runnable> startActions = new ArrayList<>();
     for (int i = 0; i < reporting.destinations().size(); i++) {
-      starts.add(destinations.add(reporting.destinations().get(i), "/reporting/destinations/" + i));
+      startActions.add(
+          destinations.add(reporting.destinations().get(i), "/reporting/destinations/" + i));
     }
     exporter.addGaugeSource(gauges::record);
     exporter.addSnapshotListener(this::onTick);
@@ -106,7 +107,7 @@
     }
     loop.execute(
         () -> {
-          starts.forEach(Runnable::run);
+          startActions.forEach(Runnable::run);
           exporter.start();
         });
   }
@@ -127,22 +128,25 @@
     statusServer.start(environment.network(), SettingsFile.resolveAddress(reporting.listen()));
   }
 
-  /** Adds a listener for each tick, before the start. It is called on the reports' loop. */
+  /**
+   * Adds a listener for each tick; call it before the start. The listener is called on the
+   * reporting loop.
+   */
   public void addTickListener(PeriodicExporter.SnapshotListener listener) {
     exporter.addSnapshotListener(listener);
   }
 
-  /** The name under which it reports; known once started. */
+  /** The instance name that the gateway reports under; null until started. */
   public String instance() {
     return instance;
   }
 
-  /** The address that answers {@code lemondock status}, if the settings name one; any thread. */
+  /** The address that serves {@code lemondock status}, if the settings name one; any thread. */
   public Optional<InetSocketAddress> statusAddress() {
     return Optional.ofNullable(statusServer).map(HttpServer::address);
   }
 
-  /** The metrics as Micrometer's meters, for an embedding program's own registries. */
+  /** The metrics as Micrometer meters, for an embedding program's own registries. */
   public MicrometerMeterBinder meters() {
     return meters;
   }
@@ -160,23 +164,27 @@
   }
 
   /**
-   * Takes the final snapshot, sends what is queued and closes; the future gives the metrics as
-   * JSON.
+   * Takes the final snapshot, sends queued snapshots within the time limit and closes; the future
+   * completes with the final metrics as JSON.
    */
   public CompletableFuture<ObjectNode> finish() {
-    CompletableFuture<ObjectNode> done = new CompletableFuture<>();
+    CompletableFuture<ObjectNode> finalMetricsFuture = new CompletableFuture<>();
     long limitMicros = Math.max(MIN_FINISH_MICROS, GatewaySettings.micros(reporting.finishMs()));
-    loop.execute(() -> exporter.shutDown(limitMicros, snapshot -> finished(snapshot, done)));
-    return done;
+    loop.execute(
+        () ->
+            exporter.shutDown(
+                limitMicros, snapshot -> completeFinish(snapshot, finalMetricsFuture)));
+    return finalMetricsFuture;
   }
 
-  private void finished(MetricsSnapshot snapshot, CompletableFuture<ObjectNode> done) {
+  private void completeFinish(
+      MetricsSnapshot snapshot, CompletableFuture<ObjectNode> finalMetricsFuture) {
     if (statusServer != null) {
       statusServer.stopListening();
     }
     ObjectNode finalMetrics = statusPage.metrics(snapshot, true);
     if (reporting.tallyFile() == null) {
-      done.complete(finalMetrics);
+      finalMetricsFuture.complete(finalMetrics);
       return;
     }
     environment
@@ -184,7 +192,7 @@
         .execute(
             () -> {
               writeFinalMetrics(Path.of(reporting.tallyFile()), finalMetrics);
-              done.complete(finalMetrics);
+              finalMetricsFuture.complete(finalMetrics);
             });
   }
 
@@ -193,7 +201,7 @@
       String text = finalMetrics.toPrettyString() + "\n";
       AtomicFile.replace(file, text.getBytes(StandardCharsets.UTF_8));
     } catch (IOException e) {
-      LOG.warn("the final metrics cannot be written to {}: {}", file, e.getMessage());
+      LOG.warn("cannot write the final metrics to {}: {}", file, e.getMessage());
     }
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/reporting/ServiceWindow.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/ServiceWindow.java
@@ -9,8 +9,8 @@
 import lemondock.metrics.Series;
 
 /**
- * Priority weight requested and answered in time over the last seconds, by class; from snapshots,
- * with time passed in. Reports' loop only.
+ * Priority weight requested and answered in time over the last seconds, by class. It is computed
+ * from snapshots, with the time passed in. Reporting loop only.
  */
 final class ServiceWindow {
   // Fields of MetricFamilies.PRIORITY_WEIGHT.
@@ -21,10 +21,10 @@
   private final long spanMicros;
   private final ArrayDeque<Sample> samples = new ArrayDeque<>();
 
-  /** Sums since the start. */
+  /** Sums since the start of the process, at one time. */
   private record Sample(long atMicros, Map<String, Weights> byClass) {}
 
-  /** Priority weights in the unit of the metrics. */
+  /** Priority weights in the scaled unit of the metrics. */
   private record Weights(long requested, long inTime) {
     static final Weights NONE = new Weights(0, 0);
 
@@ -32,8 +32,8 @@
       return new Weights(requested + other.requested, inTime + other.inTime);
     }
 
-    Service since(Weights before) {
-      return new Service(
+    ServiceLevel since(Weights before) {
+      return new ServiceLevel(
           (requested - before.requested) / MetricFamilies.PRIORITY_WEIGHT_SCALE,
           (inTime - before.inTime) / MetricFamilies.PRIORITY_WEIGHT_SCALE);
     }
@@ -43,7 +43,7 @@
     this.spanMicros = spanMicros;
   }
 
-  /** Takes a snapshot in, and drops those from before the window. */
+  /** Adds a snapshot and drops samples from before the window. */
   void add(long nowMicros, MetricsSnapshot snapshot) {
     Map<String, Weights> sums = new LinkedHashMap<>();
     for (Series series : snapshot.series()) {
@@ -65,17 +65,17 @@
   }
 
   private Sample secondSample() {
-    Iterator<Sample> all = samples.iterator();
-    all.next();
-    return all.next();
+    Iterator<Sample> iterator = samples.iterator();
+    iterator.next();
+    return iterator.next();
   }
 
-  /** Priority weight of a class's requests, and the part of it answered in time. */
-  record Service(double requested, double inTime) {}
+  /** Priority weight of a class's requests, and the part of it that was answered in time. */
+  record ServiceLevel(double requested, double inTime) {}
 
-  /** For each class, what was requested and what was answered in time within the window. */
-  Map<String, Service> serviceByClass() {
-    Map<String, Service> services = new LinkedHashMap<>();
+  /** The service level of each class within the window. */
+  Map<String, ServiceLevel> serviceLevelByClass() {
+    Map<String, ServiceLevel> serviceLevels = new LinkedHashMap<>();
     if (!samples.isEmpty()) {
       Map<String, Weights> before = samples.getFirst().byClass();
       samples
@@ -83,8 +83,8 @@
           .byClass()
           .forEach(
               (name, sums) ->
-                  services.put(name, sums.since(before.getOrDefault(name, Weights.NONE))));
+                  serviceLevels.put(name, sums.since(before.getOrDefault(name, Weights.NONE))));
     }
-    return services;
+    return serviceLevels;
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/reporting/SnapshotJson.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/SnapshotJson.java
@@ -10,13 +10,13 @@
 import lemondock.metrics.Series;
 
 /**
- * Metrics as JSON: for each family its series, each with its labels and values. Values are exact
- * decimals. Safe for any thread.
+ * Converts metrics to JSON: an array for each family, with one object per series that holds its
+ * labels and values. Values are exact decimals. Safe for any thread.
  */
 public final class SnapshotJson {
   private SnapshotJson() {}
 
-  /** All families; a gauge without a value is left out of its row. */
+  /** Converts all families; a gauge without a value is omitted from its object. */
   public static ObjectNode of(MetricsSnapshot snapshot) {
     ObjectNode root = JsonNodeFactory.instance.objectNode();
     for (Series series : snapshot.series()) {
--- a/gateway/src/main/java/lemondock/gateway/reporting/StatusPage.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/StatusPage.java
@@ -16,8 +16,8 @@
 import lemondock.net.http.HttpExchange;
 
 /**
- * What {@code lemondock status} and {@code lemondock metrics} read over HTTP: service of the last
- * seconds, degradations, and the metrics as JSON. Reports' loop only.
+ * Serves the HTTP resources that {@code lemondock status} and {@code lemondock metrics} read: the
+ * service level of the last seconds, degradations, and the metrics as JSON. Reporting loop only.
  */
 final class StatusPage {
   private static final long SHORT_WINDOW_MICROS = 10_000_000;
@@ -33,7 +33,7 @@
   private final ServiceWindow longWindow = new ServiceWindow(LONG_WINDOW_MICROS);
   private long stampMillis;
 
-  /** A page about the gateway that reports under {@code instance}. */
+  /** Creates a page for the gateway that reports as {@code instance}. */
   StatusPage(
       GatewaySettings settings,
       String instance,
@@ -45,14 +45,14 @@
     this.detector = detector;
   }
 
-  /** Takes a snapshot in. */
+  /** Adds a snapshot to the windows. */
   void onTick(long stampMillis, long nowMicros, MetricsSnapshot snapshot) {
     this.stampMillis = stampMillis;
     shortWindow.add(nowMicros, snapshot);
     longWindow.add(nowMicros, snapshot);
   }
 
-  /** Answers a request. */
+  /** Responds to a request for {@code /status} or {@code /tally}. */
   void serve(HttpExchange exchange) {
     Optional<ObjectNode> page =
         switch (exchange.request().path()) {
@@ -73,16 +73,16 @@
         page.get().toString().getBytes(StandardCharsets.UTF_8));
   }
 
-  /** All metrics of a snapshot; {@code last} marks the final one of a process. */
-  ObjectNode metrics(MetricsSnapshot snapshot, boolean last) {
-    ObjectNode root = header().put("final", last);
+  /** All metrics of a snapshot; {@code isFinal} marks the last snapshot of a process. */
+  ObjectNode metrics(MetricsSnapshot snapshot, boolean isFinal) {
+    ObjectNode root = header().put("final", isFinal);
     root.set("tally", SnapshotJson.of(snapshot));
     return root;
   }
 
   private ObjectNode status() {
     ObjectNode root = header();
-    addService(root.putArray("classes"));
+    addServiceLevels(root.putArray("classes"));
     addDegradations(root.putArray("falls"));
     ObjectNode families = SnapshotJson.of(exporter.latestSnapshot());
     for (String family : STATUS_FAMILIES) {
@@ -102,20 +102,21 @@
         .put("stampMs", stampMillis);
   }
 
-  private void addService(ArrayNode classes) {
-    Map<String, ServiceWindow.Service> longer = longWindow.serviceByClass();
+  private void addServiceLevels(ArrayNode classes) {
+    Map<String, ServiceWindow.ServiceLevel> longWindowLevels = longWindow.serviceLevelByClass();
     shortWindow
-        .serviceByClass()
+        .serviceLevelByClass()
         .forEach(
-            (name, service) -> {
-              ServiceWindow.Service ofLongWindow = longer.getOrDefault(name, service);
+            (name, shortWindowLevel) -> {
+              ServiceWindow.ServiceLevel longWindowLevel =
+                  longWindowLevels.getOrDefault(name, shortWindowLevel);
               classes
                   .addObject()
                   .put("class", name)
-                  .put("asked10s", service.requested())
-                  .put("inTime10s", service.inTime())
-                  .put("asked60s", ofLongWindow.requested())
-                  .put("inTime60s", ofLongWindow.inTime());
+                  .put("asked10s", shortWindowLevel.requested())
+                  .put("inTime10s", shortWindowLevel.inTime())
+                  .put("asked60s", longWindowLevel.requested())
+                  .put("inTime60s", longWindowLevel.inTime());
             });
   }
 
--- a/gateway/src/main/java/lemondock/gateway/reporting/package-info.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reports about a gateway on a loop of their own: exporters, the detector of degradations, the
- * status page and the final metrics.
+ * Metrics reporting of a gateway on its own loop: exporters, the degradation detector, the status
+ * page and the final metrics.
  */
 package lemondock.gateway.reporting;
--- a/gateway/src/main/java/lemondock/gateway/settings/CollectdCounterType.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/CollectdCounterType.java
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** The data source type under which counters are sent to collectd. */
+/** The collectd data source type that counters are sent as. */
 public enum CollectdCounterType {
-  /** A signed counter that may also fall. */
+  /** A signed counter that may also decrease. */
   DERIVE("derive"),
-  /** An unsigned counter whose fall is taken for an overflow. */
+  /** An unsigned counter; collectd treats a decrease as an overflow. */
   COUNTER("counter");
 
   private final String settingName;
--- a/gateway/src/main/java/lemondock/gateway/settings/CollectdSecurityLevel.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/CollectdSecurityLevel.java
@@ -4,7 +4,7 @@
 
 /** How packets of collectd's binary protocol are protected. */
 public enum CollectdSecurityLevel {
-  /** Not at all. */
+  /** Neither signed nor encrypted. */
   NONE("none"),
   /** Signed with the user's password. */
   SIGN("sign"),
--- a/gateway/src/main/java/lemondock/gateway/settings/DestinationKind.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/DestinationKind.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** The protocol that a collector of metrics speaks. */
+/** The protocol of a metrics collector. */
 public enum DestinationKind {
   /** Graphite's plaintext protocol over TCP. */
   GRAPHITE("graphite"),
@@ -25,7 +25,7 @@
     return settingName;
   }
 
-  /** Whether metrics have Graphite's names, with a prefix and tags. */
+  /** Whether metrics are named as Graphite names them, with a prefix and tags. */
   public boolean isGraphite() {
     return this == GRAPHITE || this == GRAPHITE_PICKLE;
   }
--- a/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
@@ -15,8 +15,8 @@
 import lemondock.policy.ServiceRules;
 
 /**
- * The settings of a gateway as the file states them; {@code gateway.schema.json} says what each
- * means and may be. Times are milliseconds, as their names tell.
+ * The settings of a gateway as its file contains them; {@code gateway.schema.json} defines the
+ * type, range and default of each. Components whose names end in {@code Ms} are milliseconds.
  */
 public record GatewaySettings(
     String name,
@@ -43,7 +43,7 @@
   /** The router ends a request this long before its deadline (microseconds). */
   private static final long DEADLINE_RESOLUTION_MICROS = 2_000;
 
-  /** The clients' side. */
+  /** The HTTP front end that clients connect to, with its limits and timeouts. */
   public record Front(
       String listen,
       List<String> allowedOrigins,
@@ -63,7 +63,7 @@
       double idleTimeoutMs,
       double stallTimeoutMs) {}
 
-  /** The model servers' side. */
+  /** The connections to engines (model servers), with their limits and timeouts. */
   public record Engines(
       String model,
       double connectTimeoutMs,
@@ -74,7 +74,7 @@
       int maxEventBytes,
       String apiKey) {}
 
-  /** Where the endpoint list comes from. */
+  /** The source of the endpoint list, and how often it is polled or queried. */
   public record Discovery(
       DiscoveryKind kind,
       String path,
@@ -87,10 +87,11 @@
       String cache) {}
 
   /**
-   * One class of requests; a tool for the client.
+   * One request class, which clients see as a tool.
    *
    * @param repeat whether its requests may be sent again
-   * @param group the servers that drop repeats with a known idempotency key
+   * @param group the set of servers within which a retry with a known idempotency key is
+   *     deduplicated
    */
   public record ClassSettings(
       String name,
@@ -112,14 +113,14 @@
       int maxToolArgumentBytes) {
 
     /**
-     * The time (microseconds) that a client gives a prompt of so many tokens; it grows twice as
-     * fast as the latency objective.
+     * The time (microseconds) within which a client expects the first token of the answer to a
+     * prompt of this many tokens. Its share per token is twice that of the latency objective.
      */
     public long deadlineMicros(int promptTokens) {
       return micros(deadlineMs + 2 * aimMsPerThousandTokens * promptTokens / 1000);
     }
 
-    /** Whether a request of the class may be sent again in any case. */
+    /** Whether requests of the class may always be sent again. */
     public boolean isIdempotent() {
       return repeat == Idempotency.IDEMPOTENT;
     }
@@ -138,10 +139,14 @@
     }
   }
 
-  /** One kind of server. */
+  /**
+   * One kind of server.
+   *
+   * @param memoryTokens tokens that one server can hold at a time; 0 if unknown
+   */
   public record Kind(String name, ServerRole role, long memoryTokens) {}
 
-  /** Bounds of the whole gateway. */
+  /** Limits of the whole gateway. */
   public record Limits(
       int maxCalls,
       int maxWaitingAnswers,
@@ -151,7 +156,7 @@
       double stopNoticeMs,
       double stopWithinMs) {}
 
-  /** The figures of the five rules. */
+  /** Parameters of the router's five service rules. */
   public record Rules(
       double answerSlackMs,
       double drainGraceMs,
@@ -174,8 +179,8 @@
   }
 
   /**
-   * What to admit at the gateway's own limit, and what counts as a stall of the process; see {@code
-   * lemondock.overload}.
+   * How the gateway sheds load when it is overloaded itself, and what counts as a stall of the
+   * process; see {@code lemondock.overload}.
    */
   public record Overload(
       boolean refuse,
@@ -199,7 +204,7 @@
       int heavyThreads,
       int heavyQueue) {
 
-    /** The same for the deciding module. */
+    /** Converts to the settings of {@link Admission}, times in microseconds. */
     public Admission.Settings toAdmissionSettings() {
       return new Admission.Settings(
           micros(targetMs),
@@ -212,27 +217,27 @@
           new RetryBudget.Settings(repeatPart, repeatsPerSecond, micros(repeatHalfLifeMs)));
     }
 
-    /** How memory and file handles in use bound what is admitted. */
+    /** Converts to the settings that limit admission by the memory and file handles in use. */
     public ResourcePressure.Settings toResourcePressureSettings() {
       return new ResourcePressure.Settings(softPart, hardPart, risePerSecond);
     }
   }
 
   /**
-   * Where calls that must not run twice are remembered over the gateway's death; see {@code
-   * lemondock.idempotency}. Null for nowhere.
+   * The idempotency log, which remembers calls that must not run twice across a crash of the
+   * gateway; see {@code lemondock.idempotency}. Null if there is none.
    */
   public record Durable(
       String path, double keepMs, int mostCalls, long mostBytes, int mostWaiting, double waitMs) {}
 
   /**
-   * What is reported, and to whom.
+   * Metrics reports and their destinations.
    *
    * @param instance distinguishes this gateway's metrics from others'; null: its name and the port
-   *     it listens on, which no two gateways of a machine share
-   * @param host collectd's host; null: the machine's name
-   * @param listen the address that {@code lemondock status} and {@code metrics} ask; null: none
-   * @param tallyFile gets the final metrics as JSON at the end; null: none
+   *     it listens on, which is unique on one machine
+   * @param host the host name sent to collectd; null: the machine's name
+   * @param listen the address that {@code lemondock status} and {@code metrics} query; null: none
+   * @param tallyFile the file that the final metrics are written to as JSON at shutdown; null: none
    */
   public record Reporting(
       String instance,
@@ -251,7 +256,7 @@
       Detector detector,
       List<Destination> destinations) {}
 
-  /** The detector of degradations; see {@code CusumDetector.Options}. */
+  /** The settings of the degradation detector; see {@code CusumDetector.Options}. */
   public record Detector(
       double leastUsual,
       double mostUsual,
@@ -263,7 +268,7 @@
       double quietMs,
       double memory) {
 
-    /** The same for the detector, times in microseconds. */
+    /** Converts to the detector's options, times in microseconds. */
     public CusumDetector.Options toCusumOptions() {
       return new CusumDetector.Options(
           leastUsual,
@@ -279,10 +284,10 @@
   }
 
   /**
-   * One collector.
+   * One metrics collector.
    *
-   * @param security null for none
-   * @param counters null for {@link CollectdCounterType#DERIVE}
+   * @param security null means none
+   * @param counters null means {@link CollectdCounterType#DERIVE}
    */
   public record Destination(
       String name,
@@ -303,15 +308,18 @@
       double backoffMs,
       double maxBackoffMs) {}
 
-  /** The log's form. */
+  /** Format and level of the log. */
   public record Log(String format, String level) {}
 
-  /** Microseconds of a time in milliseconds. */
+  /** Converts milliseconds to microseconds, rounded to the nearest. */
   public static long micros(double millis) {
     return Math.round(millis * MICROS_PER_MILLI);
   }
 
-  /** The router's settings, which have numbers where these have names. */
+  /**
+   * Converts to the router's settings, which identify request classes and server kinds by number
+   * instead of by name.
+   */
   public RouterSettings toRouterSettings() {
     return new RouterSettings(
         number,
--- a/gateway/src/main/java/lemondock/gateway/settings/GatewaySettingsValidator.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/GatewaySettingsValidator.java
@@ -6,7 +6,7 @@
 import lemondock.policy.Idempotency;
 import lemondock.policy.ServerRole;
 
-/** Checks of a gateway's settings that a JSON Schema cannot express. */
+/** Checks a gateway's settings for errors that a JSON Schema cannot express. */
 final class GatewaySettingsValidator {
   private final GatewaySettings settings;
   private final SettingsProblems problems;
@@ -16,7 +16,7 @@
     this.problems = problems;
   }
 
-  /** Adds what is wrong to the problems. */
+  /** Adds each error found to the problems. */
   void validate() {
     if (settings.number() >= settings.gateways()) {
       problems.add(
@@ -40,8 +40,7 @@
       String pointer = "/classes/" + i;
       if (!names.add(requestClass.name())) {
         problems.add(
-            pointer + "/name",
-            "expected a name used once, found " + requestClass.name() + " again");
+            pointer + "/name", "expected a unique name, found " + requestClass.name() + " again");
       }
       problems.checkAtLeast(
           pointer + "/deadlineMs", requestClass.deadlineMs(), "aimMs", requestClass.aimMs());
@@ -60,8 +59,7 @@
     for (int i = 0; i < kinds.size(); i++) {
       String name = kinds.get(i).name();
       if (!names.add(name)) {
-        problems.add(
-            "/kinds/" + i + "/name", "expected a name used once, found " + name + " again");
+        problems.add("/kinds/" + i + "/name", "expected a unique name, found " + name + " again");
       }
     }
     boolean hasReader = kinds.stream().anyMatch(kind -> kind.role() != ServerRole.WRITER);
--- a/gateway/src/main/java/lemondock/gateway/settings/PolicyEnumNames.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/PolicyEnumNames.java
@@ -7,13 +7,13 @@
 import lemondock.policy.ServerRole;
 
 /**
- * The values in settings files of enums that belong to the decision module, which knows nothing of
- * JSON: a mix-in for each of them, with constants of the same names.
+ * Maps enums of the policy module, which does not depend on a JSON library, to their values in
+ * settings files. Each enum has a Jackson mix-in with constants of the same names.
  */
 final class PolicyEnumNames {
   private PolicyEnumNames() {}
 
-  /** Has a mapper read the enums by these values. */
+  /** Registers the mix-ins with a mapper. */
   static JsonMapper.Builder register(JsonMapper.Builder mapper) {
     return mapper
         .addMixIn(Idempotency.class, IdempotencyNames.class)
--- a/gateway/src/main/java/lemondock/gateway/settings/ReportingSettingsValidator.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/ReportingSettingsValidator.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Checks of the settings of reports that a JSON Schema cannot express. */
+/** Checks the reporting settings for errors that a JSON Schema cannot express. */
 final class ReportingSettingsValidator {
   private final GatewaySettings.Reporting reporting;
   private final SettingsProblems problems;
@@ -14,7 +14,7 @@
     this.problems = problems;
   }
 
-  /** Adds what is wrong to the problems. */
+  /** Adds each error found to the problems. */
   void validate() {
     if (reporting.intervalMs() < reporting.tickMs()
         || reporting.intervalMs() / reporting.tickMs() % 1 != 0) {
@@ -41,7 +41,7 @@
       String pointer = "/reporting/destinations/" + i;
       if (!names.add(destination.name())) {
         problems.add(
-            pointer + "/name", "expected a name used once, found " + destination.name() + " again");
+            pointer + "/name", "expected a unique name, found " + destination.name() + " again");
       }
       validateDestination(destination, pointer);
     }
@@ -60,23 +60,25 @@
         destination.backoffMs());
   }
 
-  /** Settings that only some kinds have. */
+  /** Checks that settings which only some kinds of destination support are unset for the others. */
   private void validateKind(GatewaySettings.Destination destination, String pointer) {
     DestinationKind kind = destination.kind();
-    KindCheck check = new KindCheck(kind, pointer);
-    check.allow("/address", destination.address(), kind != DestinationKind.COLLECTD_UNIXSOCK);
-    check.allow("/path", destination.path(), kind == DestinationKind.COLLECTD_UNIXSOCK);
-    check.allow("/prefix", destination.prefix(), kind.isGraphite());
-    check.allow("/tags", destination.tags(), kind.isGraphite());
+    KindValidator kindValidator = new KindValidator(kind, pointer);
+    kindValidator.requireUnsetUnless(
+        "/address", destination.address(), kind != DestinationKind.COLLECTD_UNIXSOCK);
+    kindValidator.requireUnsetUnless(
+        "/path", destination.path(), kind == DestinationKind.COLLECTD_UNIXSOCK);
+    kindValidator.requireUnsetUnless("/prefix", destination.prefix(), kind.isGraphite());
+    kindValidator.requireUnsetUnless("/tags", destination.tags(), kind.isGraphite());
     boolean isCollectd = kind == DestinationKind.COLLECTD;
-    check.allow(
+    kindValidator.requireUnsetUnless(
         "/security",
         Optional.ofNullable(destination.security())
             .map(CollectdSecurityLevel::settingName)
             .orElse(null),
         isCollectd);
-    check.allow("/packetBytes", destination.packetBytes(), isCollectd);
-    check.allow(
+    kindValidator.requireUnsetUnless("/packetBytes", destination.packetBytes(), isCollectd);
+    kindValidator.requireUnsetUnless(
         "/counters",
         Optional.ofNullable(destination.counters())
             .map(CollectdCounterType::settingName)
@@ -84,25 +86,32 @@
         isCollectd);
   }
 
-  private final class KindCheck {
+  private final class KindValidator {
     private final DestinationKind kind;
     private final String pointer;
 
-    KindCheck(DestinationKind kind, String pointer) {
+    KindValidator(DestinationKind kind, String pointer) {
       this.kind = kind;
       this.pointer = pointer;
     }
 
-    /** Adds a problem if the value, null for none, is set though the kind does not have it. */
-    void allow(String name, Object value, boolean allowed) {
-      if (value != null && !allowed) {
+    /**
+     * Adds a problem if the value is set (not null) although the kind of destination does not
+     * support it.
+     */
+    void requireUnsetUnless(String name, Object value, boolean supported) {
+      if (value != null && !supported) {
         problems.add(
-            pointer + name, "expected none for kind '" + kind.settingName() + "', found " + value);
+            pointer + name,
+            "expected no value for kind '" + kind.settingName() + "', found " + value);
       }
     }
   }
 
-  /** A user and a password belong to protected packets, and only to them. */
+  /**
+   * Checks that a user name and an authentication file are given if packets are signed or
+   * encrypted, and only then.
+   */
   private void validateCredentials(GatewaySettings.Destination destination, String pointer) {
     CollectdSecurityLevel security = destination.security();
     boolean hasUsername = destination.username() != null;
@@ -111,7 +120,7 @@
       if (hasUsername || hasAuthFile) {
         problems.add(
             pointer + (hasUsername ? "/username" : "/authFile"),
-            "expected none without security 'sign' or 'encrypt', found one");
+            "expected no value without security 'sign' or 'encrypt', found one");
       }
     } else if (!hasUsername || !hasAuthFile) {
       problems.add(
--- a/gateway/src/main/java/lemondock/gateway/settings/SettingsFile.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/SettingsFile.java
@@ -22,7 +22,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads and checks files of settings against a JSON Schema, which also holds the defaults. */
+/** Reads settings files and validates them against a JSON Schema, which also holds the defaults. */
 public final class SettingsFile {
   private static final long MAX_FILE_BYTES = 1024 * 1024;
   private static final int MAX_FOUND_CHARS = 60;
@@ -46,9 +46,9 @@
   }
 
   /**
-   * Checks settings at hand.
+   * Validates settings that are already parsed.
    *
-   * @param file what problems are reported under
+   * @param file the file name used in problem messages
    * @throws SettingsException if the settings cannot be used
    */
   public static GatewaySettings readGateway(String file, JsonNode root) throws SettingsException {
@@ -60,13 +60,13 @@
     return settings;
   }
 
-  /** The address of a text HOST:PORT; a host is resolved here, so call it off the loop. */
+  /** Parses HOST:PORT and resolves the host; this may block, so call it off the loop. */
   public static InetSocketAddress resolveAddress(String text) {
-    InetSocketAddress named = parseAddress(text);
-    return new InetSocketAddress(named.getHostString(), named.getPort());
+    InetSocketAddress unresolved = parseAddress(text);
+    return new InetSocketAddress(unresolved.getHostString(), unresolved.getPort());
   }
 
-  /** The host and port of such a text, not looked up. */
+  /** Parses HOST:PORT without resolving the host. */
   public static InetSocketAddress parseAddress(String text) {
     int colon = text.lastIndexOf(':');
     String host = text.substring(0, colon);
@@ -79,42 +79,43 @@
   /**
    * Reads a JSON object from a file; comments are allowed.
    *
-   * @throws SettingsException if there is no such file, or it holds something else
+   * @throws SettingsException if the file does not exist or does not hold a JSON object
    */
   public static JsonNode readJson(Path file) throws SettingsException {
     try {
       return readObject(file);
     } catch (JsonProcessingException e) {
-      String place = e.getLocation().getLineNr() + ":" + e.getLocation().getColumnNr();
-      throw problem(file + ":" + place + ": expected JSON, found: " + e.getOriginalMessage());
+      String position = e.getLocation().getLineNr() + ":" + e.getLocation().getColumnNr();
+      throw exceptionFor(
+          file + ":" + position + ": expected JSON, found: " + e.getOriginalMessage());
     } catch (NoSuchFileException e) {
-      throw problem(file + ": expected a file, found none");
+      throw exceptionFor(file + ": expected a file, found none");
     } catch (IOException e) {
-      throw problem(file + ": cannot be read: " + e.getMessage());
+      throw exceptionFor(file + ": cannot read the file: " + e.getMessage());
     }
   }
 
   private static JsonNode readObject(Path file) throws IOException, SettingsException {
     long size = Files.size(file);
     if (size > MAX_FILE_BYTES) {
-      throw problem(file + ": expected at most " + MAX_FILE_BYTES + " bytes, found " + size);
+      throw exceptionFor(file + ": expected at most " + MAX_FILE_BYTES + " bytes, found " + size);
     }
     JsonNode root = MAPPER.readTree(Files.readAllBytes(file));
     if (root == null || !root.isObject()) {
-      throw problem(file + ": expected a JSON object");
+      throw exceptionFor(file + ": expected a JSON object");
     }
     return root;
   }
 
-  private static SettingsException problem(String text) {
+  private static SettingsException exceptionFor(String text) {
     return new SettingsException(List.of(text));
   }
 
   /**
-   * Validates against a schema, fills in its defaults and makes the record.
+   * Validates settings against a schema, fills in its defaults and binds them to a record.
    *
-   * @param file what problems are reported under
-   * @param schemaName a resource in the folder of {@code owner}'s module
+   * @param file the file name used in problem messages
+   * @param schemaName name of a resource in the folder of the module of {@code owner}
    * @throws SettingsException if the settings do not match the schema
    */
   public static <T> T bind(
@@ -129,11 +130,14 @@
     try {
       return MAPPER.treeToValue(root, type);
     } catch (JsonProcessingException e) {
-      throw problem(file + ": " + e.getOriginalMessage());
+      throw exceptionFor(file + ": " + e.getOriginalMessage());
     }
   }
 
-  /** A schema lies in the folder named after its module, the second part of the package name. */
+  /**
+   * Loads a schema from the resource folder named after its module, which is the second part of the
+   * package name of {@code owner}.
+   */
   private static JsonSchema schema(String schemaName, Class<?> owner) {
     SchemaValidatorsConfig config =
         SchemaValidatorsConfig.builder()
@@ -144,7 +148,8 @@
     try (InputStream in = owner.getResourceAsStream("/lemondock/" + module + "/" + schemaName)) {
       return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(in, config);
     } catch (IOException e) {
-      throw new IllegalStateException("the schema " + schemaName + " is not in the jar", e);
+      throw new IllegalStateException(
+          "cannot read the schema " + schemaName + " of module " + module, e);
     }
   }
 
--- a/gateway/src/main/java/lemondock/gateway/settings/SettingsProblems.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/SettingsProblems.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Collects the problems of one settings file, so that all are reported at once. */
+/** Collects all problems of one settings file, so that they are reported together. */
 final class SettingsProblems {
   private final String file;
   private final List<String> problems = new ArrayList<>();
@@ -12,12 +12,12 @@
     this.file = file;
   }
 
-  /** Adds a problem at the place that a JSON pointer names. */
+  /** Adds a problem at the setting that a JSON pointer names. */
   void add(String pointer, String expectedAndFound) {
     problems.add(file + ": " + pointer + ": " + expectedAndFound);
   }
 
-  /** Adds a problem if an address is no HOST:PORT. */
+  /** Adds a problem if an address is not HOST:PORT. */
   void checkAddress(String pointer, String address) {
     try {
       SettingsFile.resolveAddress(address);
@@ -26,17 +26,17 @@
     }
   }
 
-  /** Adds a problem if a value is less than another setting. */
-  void checkAtLeast(String pointer, double value, String otherName, double other) {
-    if (value < other) {
-      add(pointer, "expected at least " + otherName + " (" + other + "), found " + value);
+  /** Adds a problem if a value is less than that of another setting. */
+  void checkAtLeast(String pointer, double value, String minimumName, double minimum) {
+    if (value < minimum) {
+      add(pointer, "expected at least " + minimumName + " (" + minimum + "), found " + value);
     }
   }
 
   /**
-   * Throws if there are problems.
+   * Throws if there are any problems.
    *
-   * @throws SettingsException of all of them
+   * @throws SettingsException with all of them
    */
   void throwIfAny() throws SettingsException {
     if (!problems.isEmpty()) {
--- a/gateway/src/test/java/lemondock/gateway/EndpointListCacheTest.java
+++ b/gateway/src/test/java/lemondock/gateway/EndpointListCacheTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class EndpointListCacheTest {
-  /** What commit 6ec0bf3 wrote; see the README beside it. */
+  /** A cache file written by commit 6ec0bf3; see the README next to it. */
   private static final String WRITTEN_BY_6EC0BF3 = "/lemondock/gateway/endpoint-list-6ec0bf3.json";
 
   private static final List<Endpoint> ENDPOINTS =
@@ -59,15 +59,15 @@
     }
   }
 
-  private EndpointListCache cacheOf(byte[] content) throws IOException {
+  private EndpointListCache cacheWith(byte[] content) throws IOException {
     Path file = folder.resolve("endpoints.json");
     Files.write(file, content);
     return new EndpointListCache(file.toString());
   }
 
   @Test
-  void restoresFromAListWrittenByCommit6ec0bf3() throws IOException {
-    assertEquals(ENDPOINTS, cacheOf(writtenBy6ec0bf3()).read());
+  void readsAListWrittenByCommit6ec0bf3() throws IOException {
+    assertEquals(ENDPOINTS, cacheWith(writtenBy6ec0bf3()).read());
   }
 
   @Test
@@ -75,17 +75,18 @@
     assertArrayEquals(writtenBy6ec0bf3(), EndpointListCodec.formatFile(ENDPOINTS));
   }
 
-  /** Commit 6ec0bf3 takes a list that was cut off, wherever it was, for none. */
+  /** A list truncated at any length is treated as missing, as commit 6ec0bf3 does. */
   @Test
-  void restoresNothingFromAListThatWasCutOff() throws IOException {
-    byte[] whole = writtenBy6ec0bf3();
-    for (int length = 0; length < whole.length; length++) {
-      assertEquals(List.of(), cacheOf(Arrays.copyOf(whole, length)).read(), "cut off at " + length);
+  void readsNothingFromATruncatedList() throws IOException {
+    byte[] complete = writtenBy6ec0bf3();
+    for (int length = 0; length < complete.length; length++) {
+      assertEquals(
+          List.of(), cacheWith(Arrays.copyOf(complete, length)).read(), "truncated at " + length);
     }
   }
 
   @Test
-  void readsBackWhatItWroteAndLeavesNoTemporaryFile() throws IOException {
+  void readsBackItsOutputAndLeavesNoTemporaryFile() throws IOException {
     Path file = folder.resolve("endpoints.json");
     EndpointListCache cache = new EndpointListCache(file.toString());
     cache.write(EndpointListCodec.formatFile(ENDPOINTS));
@@ -94,7 +95,7 @@
   }
 
   @Test
-  void restoresNothingWithoutAFile() {
+  void readsNothingWithoutAFile() {
     assertEquals(List.of(), new EndpointListCache(folder.resolve("none.json").toString()).read());
     assertFalse(new EndpointListCache(null).enabled());
     assertEquals(List.of(), new EndpointListCache(null).read());
--- a/gateway/src/test/java/lemondock/gateway/discovery/EndpointListCodecTest.java
+++ b/gateway/src/test/java/lemondock/gateway/discovery/EndpointListCodecTest.java
@@ -22,16 +22,16 @@
             + "\"Checks\":[{\"CheckID\":\"_service_maintenance:w1\",\"Status\":\"critical\"}]},"
             + "{\"Service\":{\"ID\":\"w2\",\"Address\":\"127.0.0.2\",\"Port\":81,\"Meta\":{\"kind\":\"writer\"}},"
             + "\"Checks\":[{\"CheckID\":\"tcp\",\"Status\":\"critical\"}]}]";
-    List<Endpoint> entries = EndpointListCodec.parseConsul(text.getBytes(StandardCharsets.UTF_8));
-    assertEquals(ServerLifecycle.DRAINING, entries.get(0).lifecycle());
-    assertEquals(3, entries.get(0).weight());
-    assertEquals(12, entries.get(0).startedAtMillis());
-    assertEquals(ServerLifecycle.GONE, entries.get(1).lifecycle());
+    List<Endpoint> endpoints = EndpointListCodec.parseConsul(text.getBytes(StandardCharsets.UTF_8));
+    assertEquals(ServerLifecycle.DRAINING, endpoints.get(0).lifecycle());
+    assertEquals(3, endpoints.get(0).weight());
+    assertEquals(12, endpoints.get(0).startedAtMillis());
+    assertEquals(ServerLifecycle.GONE, endpoints.get(1).lifecycle());
   }
 
   @Test
-  void parsesWhatItFormatted() throws EndpointListCodec.MalformedListException {
-    List<Endpoint> entries =
+  void parsesItsOwnOutput() throws EndpointListCodec.MalformedListException {
+    List<Endpoint> endpoints =
         List.of(
             new Endpoint(
                 "a",
@@ -42,7 +42,7 @@
                 ServerLifecycle.DRAINING,
                 1,
                 77));
-    assertEquals(entries, EndpointListCodec.parseFile(EndpointListCodec.formatFile(entries)));
+    assertEquals(endpoints, EndpointListCodec.parseFile(EndpointListCodec.formatFile(endpoints)));
   }
 
   @ParameterizedTest
@@ -51,7 +51,7 @@
       value = {
         "nonsense ~ expected JSON",
         "{\"servers\":1} ~ /servers: expected an array",
-        "{\"servers\":[{\"name\":\"\"}]} ~ /servers/0/name: expected a text",
+        "{\"servers\":[{\"name\":\"\"}]} ~ /servers/0/name: expected a non-empty string",
         "{\"servers\":[{\"name\":\"a\",\"address\":\"x\",\"kind\":\"k\"}]} ~"
             + " /servers/0/address: expected HOST:PORT",
         "{\"servers\":[{\"name\":\"a\",\"address\":\"127.0.0.1:1\",\"kind\":\"k\",\"weight\":-1}]}"
@@ -59,7 +59,7 @@
         "{\"servers\":[{\"name\":\"a\",\"address\":\"127.0.0.1:1\",\"kind\":\"k\",\"standing\":\"x\"}]}"
             + " ~ /servers/0/standing",
       })
-  void aMalformedListIsRejectedWithPointerAndExpectation(String text, String problem) {
+  void reportsPointerAndExpectationOfAMalformedList(String text, String problem) {
     String message =
         assertThrows(
                 EndpointListCodec.MalformedListException.class,
--- a/gateway/src/test/java/lemondock/gateway/settings/SettingsFileTest.java
+++ b/gateway/src/test/java/lemondock/gateway/settings/SettingsFileTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class SettingsFileTest {
-  private static final String GOOD =
+  private static final String VALID =
       "{\"name\":\"g\",\"front\":{\"listen\":\"127.0.0.1:8080\"},"
           + "\"discovery\":{\"kind\":\"file\",\"path\":\"list.json\"},"
           + "\"classes\":[{\"name\":\"c\",\"aimMs\":1000,\"deadlineMs\":5000,\"repeat\":\"keyed\",\"repeatWindowMs\":500,"
@@ -30,15 +30,15 @@
   }
 
   @Test
-  void whatIsLeftOutHasItsDefault() throws IOException, SettingsException {
-    GatewaySettings settings = read("// a comment\n" + GOOD);
+  void fillsInDefaultsOfUnsetSettings() throws IOException, SettingsException {
+    GatewaySettings settings = read("// a comment\n" + VALID);
     assertEquals(5, settings.limits().maxAttempts());
     assertEquals(250, settings.engines().connectTimeoutMs());
     assertEquals(DiscoveryKind.FILE, settings.discovery().kind());
-    RouterSettings module = settings.toRouterSettings();
-    assertEquals(DeduplicationScope.CELL, module.classes().get(0).deduplicationScope());
-    assertEquals(500_000, module.classes().get(0).deduplicationWindowMicros());
-    assertEquals(300_000, module.rules().releaseWithinMicros());
+    RouterSettings routerSettings = settings.toRouterSettings();
+    assertEquals(DeduplicationScope.CELL, routerSettings.classes().get(0).deduplicationScope());
+    assertEquals(500_000, routerSettings.classes().get(0).deduplicationWindowMicros());
+    assertEquals(300_000, routerSettings.rules().releaseWithinMicros());
     assertEquals(5_080_000, settings.classes().get(0).deadlineMicros(1000));
   }
 
@@ -69,9 +69,10 @@
             + " /overload/hardPart: expected more than softPart (0.9), found 0.85",
         "}]} ~ }]} x ~ g.json:1:",
       })
-  void aProblemNamesFilePointerExpectedAndFound(String part, String by, String problem) {
+  void reportsFilePointerExpectedAndFound(String original, String replacement, String problem) {
     String message =
-        assertThrows(SettingsException.class, () -> read(GOOD.replace(part, by))).getMessage();
+        assertThrows(SettingsException.class, () -> read(VALID.replace(original, replacement)))
+            .getMessage();
     assertTrue(message.contains(problem) && message.contains("g.json"), message);
   }
 
@@ -92,33 +93,34 @@
         "D{\"name\":\"a\",\"kind\":\"graphite\",\"address\":\"h:99999\"} ~"
             + " /reporting/destinations/0/address: expected HOST:PORT",
         "D{\"name\":\"a\",\"kind\":\"graphite\",\"address\":\"h:1\",\"security\":\"sign\"}"
-            + " ~ /reporting/destinations/0/security: expected none for kind 'graphite',"
+            + " ~ /reporting/destinations/0/security: expected no value for kind 'graphite',"
             + " found sign",
         "D{\"name\":\"a\",\"kind\":\"collectd\",\"address\":\"h:1\",\"tags\":true} ~"
-            + " /reporting/destinations/0/tags: expected none for kind 'collectd', found"
+            + " /reporting/destinations/0/tags: expected no value for kind 'collectd', found"
             + " true",
         "D{\"name\":\"a\",\"kind\":\"collectd\",\"address\":\"h:1\",\"security\":\"sign\",\"username\":\"u\"}"
             + " ~ expected username and authFile with security 'sign', found no authFile",
         "D{\"name\":\"a\",\"kind\":\"collectd\",\"address\":\"h:1\",\"username\":\"u\"} "
-            + "~ /reporting/destinations/0/username: expected none without security",
+            + "~ /reporting/destinations/0/username: expected no value without security",
         "D{\"name\":\"a\",\"kind\":\"graphite\",\"address\":\"h:1\"},{\"name\":\"a\",\"kind\":\"graphite\",\"address\":\"h:1\"}"
-            + " ~ /reporting/destinations/1/name: expected a name used once, found a again",
+            + " ~ /reporting/destinations/1/name: expected a unique name, found a again",
         "D{\"name\":\"a\",\"kind\":\"graphite\",\"address\":\"h:1\",\"backoffMs\":50000} ~"
             + " maxBackoffMs: expected at least backoffMs",
       })
-  void contradictionsOfReportsAreRefused(String part, String problem) {
-    String reporting = part.startsWith("D") ? "\"destinations\":[" + part.substring(1) + "]" : part;
+  void rejectsInvalidReportingSettings(String setting, String problem) {
+    String reporting =
+        setting.startsWith("D") ? "\"destinations\":[" + setting.substring(1) + "]" : setting;
     String message =
         assertThrows(
                 SettingsException.class,
                 () ->
-                    read(GOOD.replace("\"front\"", "\"reporting\":{" + reporting + "},\"front\"")))
+                    read(VALID.replace("\"front\"", "\"reporting\":{" + reporting + "},\"front\"")))
             .getMessage();
     assertTrue(message.contains(problem) && message.contains("g.json"), message);
   }
 
   @Test
-  void aFileThatIsNotThereIsNamed() {
+  void namesAMissingFile() {
     assertTrue(
         assertThrows(
                 SettingsException.class,
