--- a/net/src/main/java/lemondock/net/Connection.java
+++ b/net/src/main/java/lemondock/net/Connection.java
@@ -7,64 +7,66 @@
 import java.util.List;
 
 /**
- * One byte stream to a peer. Input is read one batch at a time and only on request: that is the
- * whole of backpressure, and it bounds what a connection can hand to the loop to one batch. Loop
- * thread only, unless a method says otherwise.
+ * A byte stream to one peer. Input is read one batch at a time and only on request. This is the
+ * only backpressure mechanism, and it limits what a connection can hand to the loop to one batch.
+ * Loop thread only, unless a method says otherwise.
  */
 public interface Connection {
   /**
-   * Requests one more batch of bytes; at most one such request is open, a further one changes
-   * nothing.
+   * Requests one more batch of bytes. At most one request is pending; a further call has no effect.
    */
   void read();
 
   /**
-   * Queues bytes; the buffer belongs to the connection from here on. After a close it is dropped.
+   * Queues bytes for writing. The connection takes ownership of the buffer, and discards it if it
+   * is already closed.
    */
   void write(ByteBuffer bytes);
 
   /**
-   * The same from any thread. On an I/O thread the bytes go out when the batch at hand is decoded,
-   * with all others of that batch. The caller is responsible for the order of its own writes.
+   * Like {@link #write}, but callable from any thread. On an I/O thread the bytes are sent once the
+   * current batch is decoded, together with all others written during that batch. The caller is
+   * responsible for the order of its own writes.
    */
   default void writeFromAnyThread(ByteBuffer bytes) {
     write(bytes);
   }
 
-  /** The same for bytes that stay the caller's: they are copied before this returns. Any thread. */
+  /** Copies the bytes before it returns, so the caller keeps its array. Any thread. */
   default void writeFromAnyThread(byte[] bytes, int from, int length) {
     writeFromAnyThread(ByteBuffer.wrap(Arrays.copyOfRange(bytes, from, from + length)));
   }
 
-  /** Bytes queued that the operating system has not taken yet. */
+  /** Queued bytes that the operating system has not accepted yet. */
   long pendingBytes();
 
   /**
-   * Bytes that the operating system has taken so far; tells a stalled peer from a slow one. Once
-   * {@link Handler#closed} is called it is final: what lies beyond it never left.
+   * Bytes that the operating system has accepted so far; distinguishes a stalled peer from a slow
+   * one. The count is final once {@link Handler#closed} is called: bytes beyond it were never sent.
    */
   long flushedBytes();
 
   /**
-   * Bytes that a system call was begun for, taken by it or not. What lies beyond has certainly not
-   * left. Connections that cannot tell return {@link Long#MAX_VALUE}: all may have left. Any
-   * thread.
+   * Bytes for which a system call was started, whether or not it accepted them. Bytes beyond this
+   * count were certainly not sent. Connections that do not know return {@link Long#MAX_VALUE}: all
+   * bytes may have been sent. Any thread.
    */
   default long offeredBytes() {
     return Long.MAX_VALUE;
   }
 
-  /** Closes once all queued bytes are written; nothing is read from here on. */
+  /** Closes once all queued bytes are written. Input that arrives after this call is discarded. */
   void close();
 
   /**
-   * Closes, if its owner has seen all bytes that were read: the thread that reads decides, so that
-   * no byte is read between the decision and the end of sending. For an owner that has nothing to
-   * answer and nothing queued; until it hears of the close or of further bytes it must not write.
-   * If bytes were on their way to it, nothing happens but that they come as always.
+   * Closes if the owner has received all bytes that were read. The thread that reads decides, so no
+   * byte can be read between the decision and the end of output. Meant for an owner that has no
+   * response to send and nothing queued; it must not write until it is notified of the close or
+   * receives further bytes. If bytes were on their way to the owner, the connection stays open and
+   * they are delivered as usual.
    *
-   * @param linger whether to take and drop what the peer still sends until it closes too, as {@link
-   *     #close} does; otherwise the close is immediate
+   * @param linger whether to read and discard what the peer still sends until it closes too, as
+   *     {@link #close} does; otherwise the close is immediate
    */
   default void closeIfIdle(boolean linger) {
     if (linger) {
@@ -74,66 +76,67 @@
     }
   }
 
-  /** Closes immediately and drops what is queued. */
+  /** Closes immediately and discards all queued bytes. */
   void abort();
 
   /**
-   * Number of the I/O thread that serves it; connections of one shard reach each other without a
-   * change of threads.
+   * Index of the shard, and so of the I/O thread, that serves this connection. Connections of one
+   * shard can hand work to each other without switching threads.
    */
   default int shard() {
     return 0;
   }
 
-  /** The peer's address; null if it is not known any more. */
+  /** The peer's address; null if it is unknown. */
   InetSocketAddress remoteAddress();
 
   /**
-   * What a connection calls its owner for. On the loop, except for {@link #decode} and {@link
-   * #continueReading}.
+   * Callbacks from a connection to its owner. All run on the loop, except {@link #decode}, {@link
+   * #batchArrived} and {@link #continueReading}, which run on an I/O thread.
    */
   interface Handler {
-    /** The connection is up; nothing is read until {@link Connection#read}. */
+    /** The connection is established; nothing is read until {@link Connection#read} is called. */
     void connected(Connection connection);
 
     /**
-     * Turns bytes into events, on an I/O thread. Never called twice at a time for one connection,
-     * and always after the events of the batch before have been handled, so it may keep state
-     * without locks. It must take all bytes and must not touch the loop's state.
+     * Decodes bytes into events, on an I/O thread. Calls for one connection never overlap, and each
+     * comes after the events of the previous batch have been handled, so the decoder may keep state
+     * without locks. It must consume all bytes and must not access the loop's state.
      */
     void decode(ByteBuffer bytes, List<Object> events);
 
-    /** Whether {@link #batchArrived} is to be called; the answer never changes. */
+    /** Whether {@link #batchArrived} should be called. The result must not change. */
     default boolean wantsArrivalTimes() {
       return false;
     }
 
     /**
-     * The batch that is decoded next had all arrived by that moment of the loop's clock; told late
-     * by some hundredths of a second at most, and early where this process was held up. On an I/O
-     * thread, like {@link #decode}.
+     * Reports an estimate of when the whole batch that is decoded next had arrived, on the loop's
+     * clock. The estimate is at most some hundredths of a second too late, and it is too early if
+     * this process was delayed. On an I/O thread, like {@link #decode}.
      */
     default void batchArrived(long arrivedMicros) {}
 
     /**
-     * Whether to continue reading at once after a batch that gave no events for the loop; on an I/O
-     * thread, like {@link #decode}. Otherwise the loop hears of the empty batch and decides.
+     * Whether to read on immediately after a batch that produced no events for the loop; on an I/O
+     * thread, like {@link #decode}. If false, the loop receives the empty batch and decides.
      */
     default boolean continueReading() {
       return false;
     }
 
-    /** The events of one batch, possibly none. */
+    /** Receives the events of one batch, possibly none. */
     void received(List<Object> events);
 
-    /** The peer will send no more; writing may still be possible. */
+    /** The peer will send no more bytes; writing may still be possible. */
     void inputEnded();
 
-    /** The queue has fallen to its low mark after having been above its high mark. */
+    /** The write queue has fallen to its low-water mark after being above its high-water mark. */
     void writeQueueDrained();
 
     /**
-     * The connection is closed, or never came up; called exactly once, last.
+     * The connection is closed or could not be established. Called exactly once, as the last
+     * callback.
      *
      * @param cause null after an orderly close
      */
--- a/net/src/main/java/lemondock/net/DatagramSender.java
+++ b/net/src/main/java/lemondock/net/DatagramSender.java
@@ -5,27 +5,27 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 
-/** Sends datagrams to one peer and hears nothing from it but that nobody listens. */
+/** Sends datagrams to one peer and receives none; it only learns that the port is unreachable. */
 public interface DatagramSender extends Closeable {
   /**
-   * Sends one packet, whole or not at all, without waiting.
+   * Sends one packet, whole or not at all, without blocking.
    *
-   * @return false if the system has no room for it now
-   * @throws IOException if the peer's machine said that nobody listens, or there is no way to it;
-   *     the packet, or one sent before it, is lost
+   * @return false if the system's send buffer has no room for it at present
+   * @throws IOException if the peer's host reported the port as unreachable, or there is no route
+   *     to it; this packet or an earlier one is lost
    */
   boolean send(ByteBuffer packet) throws IOException;
 
   @Override
   void close();
 
-  /** Makes senders. */
+  /** Opens senders. */
   interface Opener {
     /**
-     * Makes a sender to an address.
+     * Opens a sender to an address.
      *
-     * @throws IOException if there is no way to it
+     * @throws IOException if there is no route to it
      */
-    DatagramSender open(InetSocketAddress to) throws IOException;
+    DatagramSender open(InetSocketAddress address) throws IOException;
   }
 }
--- a/net/src/main/java/lemondock/net/DelayProbe.java
+++ b/net/src/main/java/lemondock/net/DelayProbe.java
@@ -2,13 +2,13 @@
 
 import java.util.function.LongConsumer;
 
-/** Measures how long work that is handed to a thread waits until the thread comes to it. */
+/** Measures how long work submitted to a thread waits until the thread processes it. */
 public interface DelayProbe {
   /**
-   * Hands the thread something new, unless the last such thing still waits. Loop thread only.
+   * Submits a new sample to the thread, unless the previous one is still waiting. Loop thread only.
    *
-   * @param onDelayMicros hears, on the loop, how many microseconds it waited
-   * @return for how many microseconds the last one has been waiting, 0 if it does not any more
+   * @param onDelayMicros receives, on the loop, how many microseconds the new sample waited
+   * @return how many microseconds the previous sample has been waiting, 0 if none is waiting
    */
   long measure(LongConsumer onDelayMicros);
 }
--- a/net/src/main/java/lemondock/net/Network.java
+++ b/net/src/main/java/lemondock/net/Network.java
@@ -5,50 +5,47 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** Makes connections and accepts them. Loop thread only, unless a method says otherwise. */
+/** Opens connections and accepts them. Loop thread only, unless a method says otherwise. */
 public interface Network {
   /**
-   * Listens on an address and accepts connections, each with a handler of its own. Any thread.
+   * Listens on an address and accepts connections, each with its own handler. Any thread.
    *
-   * @param maxConnections connections open at a time over this listener; further ones are closed as
-   *     they come
-   * @throws IOException if the address cannot be taken
+   * @param maxConnections maximum of open connections accepted by this listener; further ones are
+   *     closed on arrival
+   * @throws IOException if the address cannot be bound
    */
   Listener listen(
       InetSocketAddress address, int maxConnections, Supplier<Connection.Handler> handlers)
       throws IOException;
 
   /**
-   * Connects, then calls the handler; a failure or timeout is its {@code closed} without a {@code
-   * connected}.
+   * Connects, then calls the handler. A failure or timeout is reported by {@code closed} without a
+   * preceding {@code connected}.
    *
    * @param timeoutMicros microseconds after which the attempt fails
    */
   void connect(InetSocketAddress address, long timeoutMicros, Connection.Handler handler);
 
-  /**
-   * The same, in the shard of that number where the network has shards; see {@link
-   * Connection#shard}.
-   */
+  /** Connects in the given shard, if the network has shards; see {@link Connection#shard}. */
   default void connect(
       InetSocketAddress address, long timeoutMicros, int shard, Connection.Handler handler) {
     connect(address, timeoutMicros, handler);
   }
 
   /**
-   * Probes of how long input waits for its I/O thread, one for each thread; empty where nothing
-   * waits. Opens sockets, so call it once, off the loop.
+   * Creates probes that measure how long input waits for its I/O thread, one for each thread; empty
+   * if input never waits. Opens sockets, so call it once and not on the loop.
    */
   default List<DelayProbe> delayProbes() throws IOException {
     return List.of();
   }
 
-  /** A port that is listened on. */
+  /** A listening port. */
   interface Listener {
-    /** The address bound; tells the port where 0 was asked for. */
+    /** The bound address; has the actual port if port 0 was requested. */
     InetSocketAddress address();
 
-    /** Stops accepting; open connections stay. Any thread. */
+    /** Stops accepting; open connections stay open. Any thread. */
     void close();
   }
 }
--- a/net/src/main/java/lemondock/net/OutBuffer.java
+++ b/net/src/main/java/lemondock/net/OutBuffer.java
@@ -3,35 +3,35 @@
 import java.util.Arrays;
 
 /**
- * A reusable buffer for outgoing bytes, with room in front where a frame's head can be set once the
- * length is known. One owner uses it again and again, so that a message costs no memory of its own.
- * For one thread at a time.
+ * A reusable buffer for outgoing bytes, with room in front for a frame header that is written once
+ * the length is known. Its owner reuses it, so a message allocates no memory of its own. For use by
+ * one thread at a time.
  */
 public final class OutBuffer {
-  /** Bytes kept in front: enough for the head of a chunk of any length. */
+  /** Bytes reserved in front: enough for the header of a chunk of any length. */
   public static final int FRAME_HEAD_BYTES = 16;
 
-  /** A buffer that a single large message made longer is not kept. */
-  private static final int MAX_KEPT_BYTES = 1_024;
+  /** {@link #reset} releases an array that a single large message made longer than this. */
+  private static final int MAX_RETAINED_BYTES = 1_024;
 
   private static final int MAX_DIGITS = 20;
 
-  private final int usualBytes;
+  private final int initialBytes;
   private byte[] bytes;
   private int offset = FRAME_HEAD_BYTES;
   private int end = FRAME_HEAD_BYTES;
 
-  /** Makes an empty buffer for messages of so many bytes; a longer one makes it grow. */
-  public OutBuffer(int usualBytes) {
-    this.usualBytes = usualBytes;
-    this.bytes = new byte[FRAME_HEAD_BYTES + usualBytes];
+  /** Creates an empty buffer with room for that many bytes; it grows for longer messages. */
+  public OutBuffer(int initialBytes) {
+    this.initialBytes = initialBytes;
+    this.bytes = new byte[FRAME_HEAD_BYTES + initialBytes];
   }
 
-  /** Empties it; memory that a single large message took is released. */
+  /** Empties the buffer; memory allocated for a single large message is released. */
   public OutBuffer reset() {
-    if (bytes.length > MAX_KEPT_BYTES + FRAME_HEAD_BYTES
-        && bytes.length > usualBytes + FRAME_HEAD_BYTES) {
-      bytes = new byte[FRAME_HEAD_BYTES + usualBytes];
+    if (bytes.length > MAX_RETAINED_BYTES + FRAME_HEAD_BYTES
+        && bytes.length > initialBytes + FRAME_HEAD_BYTES) {
+      bytes = new byte[FRAME_HEAD_BYTES + initialBytes];
     }
     offset = FRAME_HEAD_BYTES;
     end = FRAME_HEAD_BYTES;
@@ -39,8 +39,8 @@
   }
 
   /**
-   * The array; what counts is from {@link #offset} on for {@link #length} bytes, until the next
-   * change.
+   * The backing array. The content starts at {@link #offset} and has {@link #length} bytes, until
+   * the next change.
    */
   public byte[] array() {
     return bytes;
@@ -51,87 +51,87 @@
     return offset;
   }
 
-  /** How many bytes it holds. */
+  /** Content length in bytes. */
   public int length() {
     return end - offset;
   }
 
-  /** Adds one byte. */
+  /** Appends one byte. */
   public OutBuffer add(int value) {
     reserve(1);
     bytes[end++] = (byte) value;
     return this;
   }
 
-  /** Adds bytes. */
-  public OutBuffer add(byte[] more) {
-    return add(more, 0, more.length);
+  /** Appends a whole array. */
+  public OutBuffer add(byte[] source) {
+    return add(source, 0, source.length);
   }
 
-  /** Adds a part of an array. */
-  public OutBuffer add(byte[] more, int from, int length) {
+  /** Appends a part of an array. */
+  public OutBuffer add(byte[] source, int from, int length) {
     reserve(length);
-    System.arraycopy(more, from, bytes, end, length);
+    System.arraycopy(source, from, bytes, end, length);
     end += length;
     return this;
   }
 
-  /** Adds a number that is not negative, in decimal. */
+  /** Appends a non-negative number in decimal. */
   public OutBuffer addDecimal(long value) {
     reserve(MAX_DIGITS);
     int digits = 1;
-    for (long rest = value / 10; rest > 0; rest /= 10) {
+    for (long remaining = value / 10; remaining > 0; remaining /= 10) {
       digits++;
     }
-    long rest = value;
+    long remaining = value;
     for (int i = end + digits - 1; i >= end; i--) {
-      bytes[i] = (byte) ('0' + rest % 10);
-      rest /= 10;
+      bytes[i] = (byte) ('0' + remaining % 10);
+      remaining /= 10;
     }
     end += digits;
     return this;
   }
 
   /**
-   * Adds the character at an index of a text in UTF-8, both halves of a pair at once; gives the
-   * index of the next one.
+   * Appends the character at an index of a text in UTF-8, both halves of a surrogate pair at once.
+   * Returns the index of the next character.
    */
-  public int addCharacterAt(CharSequence text, int at) {
-    char c = text.charAt(at);
+  public int addCharacterAt(CharSequence text, int index) {
+    char character = text.charAt(index);
     reserve(4);
-    if (c < 0x80) {
-      bytes[end++] = (byte) c;
-    } else if (c < 0x800) {
-      bytes[end++] = (byte) (0xc0 | c >> 6);
-      bytes[end++] = (byte) (0x80 | c & 0x3f);
-    } else if (!Character.isSurrogate(c)) {
-      bytes[end++] = (byte) (0xe0 | c >> 12);
-      bytes[end++] = (byte) (0x80 | c >> 6 & 0x3f);
-      bytes[end++] = (byte) (0x80 | c & 0x3f);
-    } else if (Character.isHighSurrogate(c)
-        && at + 1 < text.length()
-        && Character.isLowSurrogate(text.charAt(at + 1))) {
-      int point = Character.toCodePoint(c, text.charAt(at + 1));
-      bytes[end++] = (byte) (0xf0 | point >> 18);
-      bytes[end++] = (byte) (0x80 | point >> 12 & 0x3f);
-      bytes[end++] = (byte) (0x80 | point >> 6 & 0x3f);
-      bytes[end++] = (byte) (0x80 | point & 0x3f);
-      return at + 2;
+    if (character < 0x80) {
+      bytes[end++] = (byte) character;
+    } else if (character < 0x800) {
+      bytes[end++] = (byte) (0xc0 | character >> 6);
+      bytes[end++] = (byte) (0x80 | character & 0x3f);
+    } else if (!Character.isSurrogate(character)) {
+      bytes[end++] = (byte) (0xe0 | character >> 12);
+      bytes[end++] = (byte) (0x80 | character >> 6 & 0x3f);
+      bytes[end++] = (byte) (0x80 | character & 0x3f);
+    } else if (Character.isHighSurrogate(character)
+        && index + 1 < text.length()
+        && Character.isLowSurrogate(text.charAt(index + 1))) {
+      int codePoint = Character.toCodePoint(character, text.charAt(index + 1));
+      bytes[end++] = (byte) (0xf0 | codePoint >> 18);
+      bytes[end++] = (byte) (0x80 | codePoint >> 12 & 0x3f);
+      bytes[end++] = (byte) (0x80 | codePoint >> 6 & 0x3f);
+      bytes[end++] = (byte) (0x80 | codePoint & 0x3f);
+      return index + 2;
     } else {
-      bytes[end++] = '?'; // half a pair is no character; String.getBytes says the same
+      bytes[end++] = '?'; // an unpaired surrogate; String.getBytes encodes it the same way
     }
-    return at + 1;
+    return index + 1;
   }
 
-  /** Adds a text in UTF-8. */
+  /** Appends a text in UTF-8. */
   public OutBuffer addUtf8(CharSequence text) {
-    for (int at = 0; at < text.length(); ) {
-      at = addCharacterAt(text, at);
+    for (int index = 0; index < text.length(); ) {
+      index = addCharacterAt(text, index);
     }
     return this;
   }
 
-  /** Frames the content as one chunk of HTTP/1.1. */
+  /** Frames the content as one HTTP/1.1 chunk. */
   public OutBuffer frameAsChunk() {
     int remaining = length();
     bytes[--offset] = '\n';
@@ -144,9 +144,9 @@
     return add('\r').add('\n');
   }
 
-  private void reserve(int more) {
-    if (end + more > bytes.length) {
-      bytes = Arrays.copyOf(bytes, Math.max(end + more, 2 * bytes.length));
+  private void reserve(int additionalBytes) {
+    if (end + additionalBytes > bytes.length) {
+      bytes = Arrays.copyOf(bytes, Math.max(end + additionalBytes, 2 * bytes.length));
     }
   }
 }
--- a/net/src/main/java/lemondock/net/nio/ArrivalClock.java
+++ b/net/src/main/java/lemondock/net/nio/ArrivalClock.java
@@ -10,106 +10,115 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Bounds from below when the bytes that an I/O thread reads now arrived in the kernel. A busy, cold
- * or frozen process, or one without a processor, comes to them late, and cannot see how late.
+ * Computes a lower bound of the time at which bytes that an I/O thread reads now arrived in the
+ * kernel. A process that is busy, not yet warmed up, suspended or without a processor reads them
+ * late and cannot tell how late.
  *
- * <p>A thread of its own posts a mark to the I/O thread's queue at regular intervals, the next one
- * after the last was run. The I/O thread asks the kernel for ready sockets only after it has
- * handled all that it was told of before. So what was ready before one mark was posted is handled
- * before the next mark is run: anything handled later arrived after the posting of the last mark
- * but one. While all goes well that was not long ago, and {@link #TOLERANCE_MICROS} hides it.
+ * <p>A dedicated thread posts a marker to the I/O thread's queue at regular intervals, the next one
+ * only after the previous one was run. The I/O thread asks the kernel for ready sockets only after
+ * it has handled everything reported before. So whatever was ready before one marker was posted is
+ * handled before the next marker is run: anything handled later arrived after the second-last
+ * marker was posted. Without delays that was recently, and {@link #TOLERANCE_MICROS} covers the
+ * difference.
  */
 final class ArrivalClock implements CompletionHandler<Void, Long>, AutoCloseable {
-  /** Stands for the start of an operation that may not have been begun yet. */
+  /** Start time of an operation that may not have been started yet. */
   static final long NOT_STARTED = Long.MAX_VALUE;
 
-  /** Time between two marks. */
-  private static final long INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
+  /** Time between two markers. */
+  private static final long MARKER_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
 
-  /** Age of the last mark but one where nothing delays the I/O thread. */
-  private static final long TOLERANCE_MICROS = TimeUnit.NANOSECONDS.toMicros(2 * INTERVAL_NANOS);
+  /** Age of the second-last marker when nothing delays the I/O thread. */
+  private static final long TOLERANCE_MICROS =
+      TimeUnit.NANOSECONDS.toMicros(2 * MARKER_INTERVAL_NANOS);
 
-  /** Never connected to. */
-  private static final InetSocketAddress NOWHERE = InetSocketAddress.createUnresolved("nowhere", 0);
+  /** Address for the connect call that always fails; never connected to. */
+  private static final InetSocketAddress UNUSED_ADDRESS =
+      InetSocketAddress.createUnresolved("nowhere", 0);
 
   private final ThreadLoop loop;
 
   /**
-   * A closed channel of the I/O thread's group: whatever it is asked for fails on that thread, in
-   * the order of all that the thread handles, and needs no descriptor.
+   * A closed channel in the I/O thread's group. Every operation on it fails on that thread, in
+   * order with everything else that the thread handles, and it needs no file descriptor.
    */
   private final AsynchronousSocketChannel closedChannel;
 
-  private final Thread poster = new Thread(this::postMarks, "lemondock-arrival-clock");
+  private final Thread markerThread = new Thread(this::postMarkers, "lemondock-arrival-clock");
 
-  /** A mark was posted and not run yet. Any thread. */
-  private volatile boolean posted;
+  /** Whether a marker was posted and has not been run yet. Any thread. */
+  private volatile boolean markerPending;
 
   /** Any thread. */
   private volatile boolean stopped;
 
   // I/O thread only, each from here on:
   private long lastPostedMicros;
-  private long lastButOnePostedMicros;
+  private long secondLastPostedMicros;
 
-  /** Starts a clock for the one thread of a group. */
+  /** Starts a clock for the single thread of a channel group. */
   ArrivalClock(ThreadLoop loop, AsynchronousChannelGroup group) throws IOException {
     this.loop = loop;
     this.lastPostedMicros = loop.now();
-    this.lastButOnePostedMicros = lastPostedMicros;
+    this.secondLastPostedMicros = lastPostedMicros;
     this.closedChannel = AsynchronousSocketChannel.open(group);
     closedChannel.close();
-    poster.setDaemon(true);
-    poster.start();
+    markerThread.setDaemon(true);
+    markerThread.start();
   }
 
-  private void postMarks() {
+  private void postMarkers() {
     while (!stopped) {
-      LockSupport.parkNanos(INTERVAL_NANOS);
-      if (!posted && !stopped) {
-        post();
+      LockSupport.parkNanos(MARKER_INTERVAL_NANOS);
+      if (!markerPending && !stopped) {
+        postMarker();
       }
     }
   }
 
-  private void post() {
-    posted = true;
+  private void postMarker() {
+    markerPending = true;
     try {
-      closedChannel.connect(NOWHERE, loop.now(), this);
+      closedChannel.connect(UNUSED_ADDRESS, loop.now(), this);
     } catch (ShutdownChannelGroupException e) {
       stopped = true;
     }
   }
 
   @Override
-  public void completed(Void nothing, Long postedMicros) {
-    failed(new IllegalStateException("a closed channel was connected"), postedMicros);
+  public void completed(Void result, Long postedMicros) {
+    failed(new IllegalStateException("connect on a closed channel succeeded"), postedMicros);
   }
 
-  /** A mark is run, on the I/O thread. */
+  /** Runs a marker, on the I/O thread. */
   @Override
   public void failed(Throwable closed, Long postedMicros) {
-    lastButOnePostedMicros = lastPostedMicros;
+    secondLastPostedMicros = lastPostedMicros;
     lastPostedMicros = postedMicros;
-    posted = false;
+    markerPending = false;
   }
 
   /**
-   * The earliest moment at which what an operation of a socket has just brought may have arrived.
-   * I/O thread only.
+   * The earliest time at which the result of a socket operation that has just completed may have
+   * arrived. I/O thread only.
    *
-   * @param startedMicros a moment at which the operation had been begun, or {@link #NOT_STARTED}
-   * @param emptyMicros when nothing had arrived yet, for an operation that may not have had to wait
+   * @param startedMicros a time at which the operation had already been started, or {@link
+   *     #NOT_STARTED}
+   * @param queueEmptyMicros a time at which nothing had arrived yet; used for an operation that may
+   *     have completed without waiting
    */
-  long earliestArrivalMicros(long startedMicros, long emptyMicros) {
-    if (startedMicros <= lastButOnePostedMicros) {
-      return lastButOnePostedMicros;
+  long earliestArrivalMicros(long startedMicros, long queueEmptyMicros) {
+    if (startedMicros <= secondLastPostedMicros) {
+      return secondLastPostedMicros;
     }
-    // an operation that found something would have ended before a mark that was posted after it
-    return startedMicros < lastPostedMicros ? startedMicros : emptyMicros;
+    // an operation that found input at once would have completed before a marker posted after it
+    return startedMicros < lastPostedMicros ? startedMicros : queueEmptyMicros;
   }
 
-  /** When to take something for arrived that may have arrived so early. Any thread. */
+  /**
+   * Estimates the arrival time from the earliest possible one: later by the tolerance, but not in
+   * the future. Any thread.
+   */
   long arrivalMicros(long earliestMicros) {
     return Math.min(loop.now(), earliestMicros + TOLERANCE_MICROS);
   }
@@ -117,6 +126,6 @@
   @Override
   public void close() {
     stopped = true;
-    LockSupport.unpark(poster);
+    LockSupport.unpark(markerThread);
   }
 }
--- a/net/src/main/java/lemondock/net/nio/AsyncConnection.java
+++ b/net/src/main/java/lemondock/net/nio/AsyncConnection.java
@@ -10,8 +10,8 @@
 import lemondock.net.Connection;
 
 /**
- * One socket's connection: its life from coming up to the close, on top of its {@link SocketReader}
- * and {@link SocketWriter}. Loop thread only, unless a method says otherwise.
+ * A connection over one socket. It manages the lifecycle from connect to close on top of its {@link
+ * SocketReader} and {@link SocketWriter}. Loop thread only, unless a method says otherwise.
  */
 final class AsyncConnection implements Connection {
   private static final long LINGER_MICROS = 500_000;
@@ -32,35 +32,35 @@
   private boolean connected;
   private boolean inputEnded;
 
-  /** All is sent; what the peer still sends is taken and dropped until it closes. */
+  /** Whether all output is sent and input is read and discarded until the peer closes. */
   private boolean lingering;
 
   private IOException closeCause;
 
-  /** Of the close that {@link #closesIfIdle} asks for. */
+  /** Whether the close that {@link #closeIfIdleAfterFlush} requests should linger. */
   private boolean idleCloseLingers;
 
   /**
-   * A close was asked for that happens once all is written; set on the loop or the I/O thread, read
-   * on any thread.
+   * Whether to close once all queued bytes are written. Set on the loop or the I/O thread, read on
+   * any thread.
    */
-  private volatile boolean closesWhenFlushed;
+  private volatile boolean closeAfterFlush;
 
   /**
-   * A close was asked for that happens if nothing comes until all is written; set on the loop, read
+   * Whether to close if no input arrives until all queued bytes are written. Set on the loop, read
    * on any thread.
    */
-  private volatile boolean closesIfIdle;
+  private volatile boolean closeIfIdleAfterFlush;
 
   /** Set on the loop, read on any thread. */
   private volatile boolean closed;
 
   /**
-   * Makes a connection that is not up yet.
+   * Creates a connection that is not established yet.
    *
-   * @param arrivalClock of the thread that reads it
-   * @param openedMicros the earliest moment at which its peer may have sent something
-   * @param onClosed run on the loop in the moment of the close, before the owner hears of it
+   * @param arrivalClock clock of the I/O thread that reads this socket
+   * @param earliestOpenMicros the earliest time at which the peer may have sent something
+   * @param onClosed run on the loop at the time of the close, before the owner is notified
    */
   AsyncConnection(
       ThreadLoop loop,
@@ -68,20 +68,20 @@
       int shard,
       Handler handler,
       ArrivalClock arrivalClock,
-      long openedMicros,
+      long earliestOpenMicros,
       Consumer<AsyncConnection> onClosed) {
     this.loop = loop;
     this.channel = channel;
     this.shard = shard;
     this.handler = handler;
     this.onClosed = onClosed;
-    this.reader = new SocketReader(this, loop, channel, handler, arrivalClock, openedMicros);
+    this.reader = new SocketReader(this, loop, channel, handler, arrivalClock, earliestOpenMicros);
     this.writer = new SocketWriter(this, loop, channel);
     this.writeQueue = writer.queue();
   }
 
-  /** The channel is connected: tells the owner. */
-  void up() {
+  /** Called when the channel is connected; notifies the owner. */
+  void channelConnected() {
     if (closed) {
       return;
     }
@@ -120,29 +120,29 @@
     reader.read();
   }
 
-  /** Whether what is read is dropped. Any thread. */
+  /** Whether input is discarded. Any thread. */
   boolean discardsInput() {
-    return closesWhenFlushed;
+    return closeAfterFlush;
   }
 
-  /** A batch was read; the reader awaits none. */
+  /** Handles a batch that was read; no read is in progress. */
   void batchReceived(List<Object> batch) {
-    closesIfIdle = false;
+    closeIfIdleAfterFlush = false;
     if (lingering) {
       read();
-    } else if (!closed && !closesWhenFlushed) {
+    } else if (!closed && !closeAfterFlush) {
       handler.received(batch);
     }
   }
 
-  /** A batch was read and dropped; the reader awaits none. */
+  /** Called when a batch was read and discarded; no read is in progress. */
   void inputDiscarded() {
     if (lingering) {
       read();
     }
   }
 
-  /** The peer will send no more. */
+  /** Called when the peer will send no more bytes. */
   void inputEnded() {
     inputEnded = true;
     if (lingering) {
@@ -154,7 +154,7 @@
 
   @Override
   public void write(ByteBuffer bytes) {
-    if (takesWrites() && bytes.hasRemaining()) {
+    if (acceptsWrites() && bytes.hasRemaining()) {
       writeQueue.add(bytes);
       writer.flushLater();
     }
@@ -162,7 +162,7 @@
 
   @Override
   public void writeFromAnyThread(ByteBuffer bytes) {
-    if (takesWrites() && bytes.hasRemaining()) {
+    if (acceptsWrites() && bytes.hasRemaining()) {
       writeQueue.add(bytes);
       writer.flushSoon();
     }
@@ -170,31 +170,34 @@
 
   @Override
   public void writeFromAnyThread(byte[] bytes, int from, int length) {
-    if (takesWrites() && length != 0) {
+    if (acceptsWrites() && length != 0) {
       writeQueue.addCopy(bytes, from, length);
       writer.flushSoon();
     }
   }
 
-  /** Any thread; a close seen late on another thread is as if the bytes had been on their way. */
-  private boolean takesWrites() {
-    return !closed && !closesWhenFlushed;
+  /**
+   * Whether new bytes are accepted for writing. Any thread; if another thread sees a close late,
+   * the effect is the same as for bytes that were already being sent.
+   */
+  private boolean acceptsWrites() {
+    return !closed && !closeAfterFlush;
   }
 
-  /** Whether a close waits for all to be written. Any thread. */
-  boolean closesOnceFlushed() {
-    return closesWhenFlushed || closesIfIdle;
+  /** Whether a close waits until all queued bytes are written. Any thread. */
+  boolean isCloseAwaitingFlush() {
+    return closeAfterFlush || closeIfIdleAfterFlush;
   }
 
-  /** A write has ended that the owner or a close has waited for. */
-  void writeProgressed(boolean fellToLowMark) {
-    if (fellToLowMark && !closed) {
+  /** Called when a write has ended that the owner or a pending close was waiting for. */
+  void writeProgressed(boolean fellToLowWaterMark) {
+    if (fellToLowWaterMark && !closed) {
       handler.writeQueueDrained();
     }
-    if (closesWhenFlushed && pendingBytes() == 0) {
+    if (closeAfterFlush && pendingBytes() == 0) {
       linger();
-    } else if (closesIfIdle && pendingBytes() == 0 && !closed) {
-      closeUnlessReading();
+    } else if (closeIfIdleAfterFlush && pendingBytes() == 0 && !closed) {
+      closeUnlessInputArrived();
     }
   }
 
@@ -220,7 +223,7 @@
     if (closed) {
       return;
     }
-    closesWhenFlushed = true;
+    closeAfterFlush = true;
     if (pendingBytes() == 0) {
       linger();
     }
@@ -228,59 +231,61 @@
 
   @Override
   public void closeIfIdle(boolean linger) {
-    if (closed || closesWhenFlushed) {
+    if (closed || closeAfterFlush) {
       return;
     }
-    closesIfIdle = true;
+    closeIfIdleAfterFlush = true;
     idleCloseLingers = linger;
     if (pendingBytes() == 0) {
-      closeUnlessReading();
+      closeUnlessInputArrived();
     }
   }
 
   /**
-   * An empty write is completed on the thread that does all reads of this socket, whatever thread
-   * asks for it: what that thread has read before is counted by then, and it reads nothing while it
-   * decides.
+   * Closes unless input has arrived that the owner has not received. To decide this on the I/O
+   * thread, it starts an empty write: whichever thread starts it, its completion runs on the thread
+   * that does all reads of this socket. All earlier reads are counted by then, and no read can
+   * happen during the decision.
    */
-  private void closeUnlessReading() {
-    closesIfIdle = false;
+  private void closeUnlessInputArrived() {
+    closeIfIdleAfterFlush = false;
     int batchesSeen = reader.batchesSeen();
     boolean linger = idleCloseLingers;
-    CompletionHandler<Integer, Void> onReadingThread =
+    CompletionHandler<Integer, Void> onIoThread =
         new CompletionHandler<>() {
           @Override
-          public void completed(Integer nothing, Void attachment) {
-            closeUnlessReadBeyond(batchesSeen, linger);
+          public void completed(Integer count, Void attachment) {
+            closeUnlessUnseenBatches(batchesSeen, linger);
           }
 
           @Override
           public void failed(Throwable cause, Void attachment) {
-            loop.executeHere(() -> fail(ChannelSupport.toIoException(cause)));
+            loop.executeInline(() -> fail(ChannelSupport.toIoException(cause)));
           }
         };
-    loop.outside(
+    loop.runAfterTurn(
         () -> {
           try {
-            channel.write(ByteBuffer.allocate(0), null, onReadingThread);
+            channel.write(ByteBuffer.allocate(0), null, onIoThread);
           } catch (RuntimeException e) {
-            onReadingThread.failed(e, null);
+            onIoThread.failed(e, null);
           }
         });
   }
 
   /** I/O thread only. */
-  private void closeUnlessReadBeyond(int batchesSeen, boolean linger) {
-    if (reader.hasReadBeyond(batchesSeen) || closed) {
+  private void closeUnlessUnseenBatches(int batchesSeen, boolean linger) {
+    if (reader.hasUnseenBatches(batchesSeen) || closed) {
       return;
     }
-    closesWhenFlushed = true; // what is read from here on is dropped
+    closeAfterFlush = true; // input is discarded from here on
     try {
       channel.shutdownOutput();
     } catch (IOException e) {
-      ChannelSupport.closeQuietly(channel); // broken already; the loop finds it so
+      ChannelSupport.closeQuietly(
+          channel); // the connection is already broken; the loop closes it below
     }
-    loop.executeHere(
+    loop.executeInline(
         () -> {
           if (linger) {
             linger();
@@ -291,9 +296,9 @@
   }
 
   /**
-   * Says that no more comes, then takes and drops what the peer still sends until it closes too or
-   * time is up. Closing with bytes unread would send a reset, and that can destroy a response on
-   * its way.
+   * Shuts down output, then reads and discards what the peer still sends until it closes too or the
+   * linger time is over. Closing with unread bytes would send a reset, which can destroy a response
+   * that is still in transit.
    */
   private void linger() {
     if (closed || lingering) {
@@ -321,7 +326,7 @@
     finish(null);
   }
 
-  /** Closes at once for a failure, which the owner hears of. */
+  /** Closes immediately because of a failure, which is reported to the owner. */
   void fail(IOException cause) {
     finish(cause);
   }
@@ -340,7 +345,10 @@
     }
   }
 
-  /** No write is in progress any more, and what the last one brought is known. */
+  /**
+   * Notifies the owner of the close. Called once no write is in progress and the result of the last
+   * one is known.
+   */
   void reportClosed() {
     handler.closed(closeCause);
   }
--- a/net/src/main/java/lemondock/net/nio/AsyncNetwork.java
+++ b/net/src/main/java/lemondock/net/nio/AsyncNetwork.java
@@ -22,18 +22,18 @@
 import lemondock.net.Network;
 
 /**
- * Connections on the JDK's asynchronous socket channels. Each I/O thread has a channel group of its
- * own (a shard): with several threads in one group the JDK hands each event from the thread that
- * polls to another one, a wake-up a token. A thread that brings bytes decodes them, has them
- * handled in the loop's context if that is free, and writes what comes of it.
+ * Connections on the JDK's asynchronous socket channels. Each I/O thread has its own channel group
+ * (a shard): with several threads in one group, the JDK passes each event from the polling thread
+ * to another one, which costs a wake-up per token. The thread that reads bytes decodes them, runs
+ * their handlers in the loop's context if it is free, and writes the results.
  *
- * <p>A socket's queue of writes is under its own lock, all other state is the loop's. System calls
- * are made outside the loop's context.
+ * <p>Each socket's write queue is guarded by its own lock; other state belongs to the loop unless
+ * its comment says otherwise. System calls are made outside the loop's context.
  */
 public final class AsyncNetwork implements Network, AutoCloseable {
   /**
-   * Listening sockets a shard: the JDK takes one connection from each a round through all that is
-   * ready, and with many ready a round is long.
+   * Listening sockets per shard. The JDK accepts one connection from each in every pass over the
+   * ready sockets, and a pass takes long when many are ready.
    */
   private static final int ACCEPTORS_PER_SHARD = 8;
 
@@ -51,19 +51,19 @@
   private final List<ShardDelayProbe> probes = new CopyOnWriteArrayList<>();
 
   /**
-   * Makes a network whose callbacks come on the given loop.
+   * Creates a network whose callbacks run on the given loop.
    *
-   * @param threads I/O threads, each a shard
-   * @throws IOException if the system has no room for their selectors
+   * @param threads number of I/O threads, each serving one shard
+   * @throws IOException if the system lacks the resources for their selectors
    */
   public AsyncNetwork(ThreadLoop loop, int threads) throws IOException {
     this(loop, threads, ACCEPTORS_PER_SHARD);
   }
 
   /**
-   * The same with so many listening sockets a port and I/O thread. One thread with one needs no
-   * shared port: some hosts allow only one socket at an address, and a gateway that few connections
-   * come to gains nothing by more.
+   * Creates a network with the given number of listening sockets per port and I/O thread. One
+   * thread with one listening socket does not need to share the port. Some hosts allow only one
+   * socket per address, and a gateway with few connections does not benefit from more.
    */
   public AsyncNetwork(ThreadLoop loop, int threads, int acceptorsPerShard) throws IOException {
     this.loop = loop;
@@ -79,21 +79,21 @@
   }
 
   /**
-   * Listens in all shards on one port; the system spreads the connections. Ports shared so may be
-   * shared by other processes of the same user too, so the port is first taken alone: that fails if
-   * anybody has it. Any thread.
+   * Listens in all shards on one port; the system distributes the connections. A port shared this
+   * way could also be shared by other processes of the same user, so the port is first bound
+   * exclusively, which fails if any process already has it. Any thread.
    */
   @Override
   public Listener listen(
       InetSocketAddress address, int maxConnections, Supplier<Connection.Handler> handlers)
       throws IOException {
     int acceptors = shards.length * acceptorsPerShard;
-    InetSocketAddress shared = acceptors > 1 ? takeAlone(address) : null;
+    InetSocketAddress sharedAddress = acceptors > 1 ? bindExclusively(address) : null;
     ListeningPort port = new ListeningPort(this, loop, maxConnections, handlers);
-    if (shared == null) {
+    if (sharedAddress == null) {
       port.bind(address, shards, 1, false);
     } else {
-      port.bind(shared, shards, acceptors, true);
+      port.bind(sharedAddress, shards, acceptors, true);
     }
     loop.execute(
         () -> {
@@ -103,18 +103,21 @@
     return port;
   }
 
-  /** The address, taken alone for a moment; null where ports cannot be shared. */
-  private InetSocketAddress takeAlone(InetSocketAddress address) throws IOException {
-    try (AsynchronousServerSocketChannel alone = AsynchronousServerSocketChannel.open(shards[0])) {
-      alone.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-      alone.bind(address, ListeningPort.BACKLOG);
-      return alone.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)
-          ? (InetSocketAddress) alone.getLocalAddress()
+  /** Binds the address exclusively for a moment and returns it; null if ports cannot be shared. */
+  private InetSocketAddress bindExclusively(InetSocketAddress address) throws IOException {
+    try (AsynchronousServerSocketChannel exclusiveSocket =
+        AsynchronousServerSocketChannel.open(shards[0])) {
+      exclusiveSocket.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+      exclusiveSocket.bind(address, ListeningPort.BACKLOG);
+      return exclusiveSocket.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)
+          ? (InetSocketAddress) exclusiveSocket.getLocalAddress()
           : null;
     }
   }
 
-  /** Connects in the calling I/O thread's shard, from elsewhere in each in turn. */
+  /**
+   * Connects in the shard of the calling I/O thread; on any other thread, uses the shards in turn.
+   */
   @Override
   public void connect(InetSocketAddress address, long timeoutMicros, Connection.Handler handler) {
     IoThread thread = IoThread.current();
@@ -128,26 +131,30 @@
   @Override
   public void connect(
       InetSocketAddress address, long timeoutMicros, int shard, Connection.Handler handler) {
-    int number = Math.floorMod(shard, shards.length);
+    int shardIndex = Math.floorMod(shard, shards.length);
     AsynchronousSocketChannel channel;
     try {
-      channel = AsynchronousSocketChannel.open(shards[number]);
+      channel = AsynchronousSocketChannel.open(shards[shardIndex]);
       channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
     } catch (IOException | ShutdownChannelGroupException e) {
       IOException cause =
-          new LocalResourcesExhaustedException("no socket can be opened: " + e.getMessage(), e);
+          new LocalResourcesExhaustedException(
+              "cannot open a socket to connect to " + address + ": " + e.getMessage(), e);
       loop.execute(() -> handler.closed(cause));
       return;
     }
     AsyncConnection connection =
-        register(channel, number, handler, loop.now(), openConnections::remove);
+        register(channel, shardIndex, handler, loop.now(), openConnections::remove);
     Loop.Timer timeout =
         loop.schedule(
             timeoutMicros,
-            () -> connection.fail(new IOException("no connection to " + address + " in time")));
-    CompletionHandler<Void, Void> onConnected = whenConnected(connection, timeout);
-    loop.outside(
-        () -> { // on loopback the handshake is done within this call
+            () ->
+                connection.fail(
+                    new IOException(
+                        "connect to " + address + " timed out after " + timeoutMicros + " us")));
+    CompletionHandler<Void, Void> onConnected = connectCompletionHandler(connection, timeout);
+    loop.runAfterTurn(
+        () -> { // on loopback the handshake completes within this call
           try {
             channel.connect(address, null, onConnected);
           } catch (RuntimeException e) {
@@ -156,21 +163,21 @@
         });
   }
 
-  private CompletionHandler<Void, Void> whenConnected(
+  private CompletionHandler<Void, Void> connectCompletionHandler(
       AsyncConnection connection, Loop.Timer timeout) {
     return new CompletionHandler<>() {
       @Override
-      public void completed(Void nothing, Void attachment) {
-        loop.executeHere(
+      public void completed(Void result, Void attachment) {
+        loop.executeInline(
             () -> {
               timeout.cancel();
-              connection.up();
+              connection.channelConnected();
             });
       }
 
       @Override
       public void failed(Throwable cause, Void attachment) {
-        loop.executeHere(
+        loop.executeInline(
             () -> {
               timeout.cancel();
               connection.fail(ChannelSupport.toIoException(cause));
@@ -183,11 +190,11 @@
       AsynchronousSocketChannel channel,
       int shard,
       Connection.Handler handler,
-      long openedMicros,
+      long earliestOpenMicros,
       Consumer<AsyncConnection> onClosed) {
     AsyncConnection connection =
         new AsyncConnection(
-            loop, channel, shard, handler, arrivalClocks[shard], openedMicros, onClosed);
+            loop, channel, shard, handler, arrivalClocks[shard], earliestOpenMicros, onClosed);
     openConnections.add(connection);
     return connection;
   }
@@ -197,55 +204,52 @@
   }
 
   /**
-   * Takes over a connection that a port accepted. Loop thread only.
+   * Adds a connection that a port accepted. Loop thread only.
    *
-   * @param openedMicros the earliest moment at which the client may have opened it
+   * @param earliestOpenMicros the earliest time at which the client may have opened it
    */
-  void accepted(
+  void addAccepted(
       AsynchronousSocketChannel channel,
       int shard,
       Connection.Handler handler,
-      long openedMicros,
+      long earliestOpenMicros,
       Runnable onClosed) {
     AsyncConnection connection =
         register(
             channel,
             shard,
             handler,
-            openedMicros,
+            earliestOpenMicros,
             closed -> {
               openConnections.remove(closed);
               onClosed.run();
             });
-    connection.up();
+    connection.channelConnected();
   }
 
-  /** A port listens no more. Any thread. */
-  void forget(ListeningPort port) {
+  /** Removes a port that no longer listens. Any thread. */
+  void removePort(ListeningPort port) {
     loop.execute(() -> ports.remove(port));
   }
 
   @Override
   public List<DelayProbe> delayProbes() throws IOException {
-    List<DelayProbe> all = new ArrayList<>();
+    List<DelayProbe> created = new ArrayList<>();
     for (AsynchronousChannelGroup shard : shards) {
       ShardDelayProbe probe = new ShardDelayProbe(loop, shard);
       probes.add(probe);
-      all.add(probe);
+      created.add(probe);
     }
-    return all;
+    return created;
   }
 
-  /**
-   * Breaks every connection and stops listening, as the death of the process would. Loop thread
-   * only.
-   */
+  /** Aborts every connection and stops listening, as if the process had died. Loop thread only. */
   public void abortAll() {
     List.copyOf(ports).forEach(ListeningPort::close);
     List.copyOf(openConnections).forEach(AsyncConnection::abort);
   }
 
-  /** Ends the threads; connections still open break. */
+  /** Stops the I/O threads; connections still open are broken. */
   @Override
   public void close() throws IOException {
     probes.forEach(ShardDelayProbe::close);
--- a/net/src/main/java/lemondock/net/nio/ChannelSupport.java
+++ b/net/src/main/java/lemondock/net/nio/ChannelSupport.java
@@ -5,27 +5,27 @@
 import java.nio.channels.Channel;
 import lemondock.net.LocalResourcesExhaustedException;
 
-/** Helpers for channels of the JDK. Any thread. */
+/** Helpers for JDK channels. Any thread. */
 final class ChannelSupport {
   private ChannelSupport() {}
 
-  /** Closes a channel that is given up in any case; a failure to do so loses nothing. */
+  /** Closes a channel that is no longer used and ignores a failure to close it. */
   static void closeQuietly(Channel channel) {
     try {
       channel.close();
     } catch (IOException e) {
-      // given up in any case
+      // nothing depends on the channel any more
     }
   }
 
   /**
-   * A cause as the connection's owner hears it: a lack of something on this side says nothing about
-   * the peer.
+   * Converts a failure to the exception that the connection's owner receives. A failure to bind
+   * becomes a {@link LocalResourcesExhaustedException}, because it says nothing about the peer.
    */
   static IOException toIoException(Throwable cause) {
     return cause instanceof BindException
         ? new LocalResourcesExhaustedException(
-            "no local address or port: " + cause.getMessage(), cause)
+            "no local address or port available: " + cause.getMessage(), cause)
         : cause instanceof IOException io ? io : new IOException(cause);
   }
 }
--- a/net/src/main/java/lemondock/net/nio/FlatCombiner.java
+++ b/net/src/main/java/lemondock/net/nio/FlatCombiner.java
@@ -4,66 +4,69 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * One execution context without a thread of its own: tasks are handed in by any thread and run by
- * whoever has the context (flat combining: Hendler, Incze, Shavit and Tzafrir, 2010). Two
- * guarantees rest on the order of steps here, and a Lincheck test goes through the interleavings:
- * never do two threads have the context at a time, and no task is left behind. A thread that hands
- * one in either gets the context, or somebody has it who looks at the inbox again after giving it
- * up. Any thread, unless a method says otherwise.
+ * An execution context without a thread of its own: any thread submits tasks, and whichever thread
+ * holds the context runs them (flat combining: Hendler, Incze, Shavit and Tzafrir, 2010). Two
+ * guarantees depend on the order of steps here, and a Lincheck test checks the interleavings: at
+ * most one thread holds the context at a time, and no task is lost. A thread that submits a task
+ * either acquires the context, or another thread holds it and checks the inbox again after
+ * releasing it. Any thread, unless a method says otherwise.
  */
 final class FlatCombiner {
   private final ConcurrentLinkedQueue<Runnable> inbox = new ConcurrentLinkedQueue<>();
   private final AtomicReference<Thread> owner = new AtomicReference<>();
 
-  /** Hands in a task. */
+  /** Submits a task. */
   void add(Runnable task) {
     inbox.add(task);
   }
 
-  /** Whether somebody has the context, who will look at the inbox again. */
-  boolean isTaken() {
+  /** Whether some thread holds the context; it will check the inbox again after releasing it. */
+  boolean isHeld() {
     return owner.get() != null;
   }
 
-  /** Whether the caller has it. */
-  boolean isMine() {
+  /** Whether the calling thread holds the context. */
+  boolean isHeldByCurrentThread() {
     return owner.get() == Thread.currentThread();
   }
 
-  /** Takes it if it is free. */
-  boolean enter() {
+  /** Acquires the context if no thread holds it. */
+  boolean tryAcquire() {
     return owner.compareAndSet(null, Thread.currentThread());
   }
 
-  /** Gives it up; the caller looks at {@link #isEmpty} afterwards, or has somebody else do it. */
-  void leave() {
+  /**
+   * Releases the context. The caller must check {@link #isEmpty} afterwards, or have another thread
+   * do so.
+   */
+  void release() {
     owner.set(null);
   }
 
-  /** Whether no task waits. */
+  /** Whether no task is waiting. */
   boolean isEmpty() {
     return inbox.isEmpty();
   }
 
-  /** The next task, null if there is none; only with the context. */
+  /** Removes the next task, null if there is none. Only for the holder of the context. */
   Runnable poll() {
     return inbox.poll();
   }
 
   /**
-   * Runs turns while there is work and the context is free.
+   * Runs turns while tasks are waiting and the context can be acquired.
    *
-   * @param maxTurns how many at most
-   * @param turn has the context when it is called, and leaves it
-   * @return false if so many turns were run and there is work left: another thread must be woken
-   *     for it
+   * @param maxTurns maximum number of turns
+   * @param turn called with the context held, and must release it
+   * @return false if {@code maxTurns} turns were run and tasks are still waiting; the caller must
+   *     then wake another thread for them
    */
   boolean combine(int maxTurns, Runnable turn) {
-    for (int done = 0; !inbox.isEmpty(); done++) {
-      if (done == maxTurns) {
+    for (int turnsRun = 0; !inbox.isEmpty(); turnsRun++) {
+      if (turnsRun == maxTurns) {
         return false;
       }
-      if (!enter()) {
+      if (!tryAcquire()) {
         return true;
       }
       turn.run();
--- a/net/src/main/java/lemondock/net/nio/IoThread.java
+++ b/net/src/main/java/lemondock/net/nio/IoThread.java
@@ -2,19 +2,19 @@
 
 import java.util.ArrayList;
 
-/** The I/O thread of one shard. All state is this thread's alone. */
+/** The I/O thread of one shard. Only this thread accesses its state. */
 final class IoThread extends Thread {
-  /** Places in the list of a batch's events; most batches give none. */
-  static final int EVENTS = 4;
+  /** Initial capacity of the list of a batch's events; most batches produce no event. */
+  static final int INITIAL_EVENT_CAPACITY = 4;
 
   private final int shard;
 
   // I/O thread only, each from here on:
-  /** Sockets written to while the batch at hand is decoded. */
-  private final ArrayList<SocketWriter> written = new ArrayList<>();
+  /** Writers of the sockets written to while the current batch is decoded. */
+  private final ArrayList<SocketWriter> writersToFlush = new ArrayList<>();
 
-  /** Events of the batch at hand; empty before it is decoded. */
-  private ArrayList<Object> batchEvents = new ArrayList<>(EVENTS);
+  /** Events of the current batch; empty before it is decoded. */
+  private ArrayList<Object> batchEvents = new ArrayList<>(INITIAL_EVENT_CAPACITY);
 
   IoThread(Runnable task, int shard) {
     super(task, "lemondock-io-" + shard);
@@ -26,29 +26,30 @@
     return shard;
   }
 
-  /** The calling thread if it is one of these, else null. */
+  /** The calling thread if it is an I/O thread, else null. */
   static IoThread current() {
     return Thread.currentThread() instanceof IoThread thread ? thread : null;
   }
 
-  /** An empty list for the events of a batch; a new one comes only where it was used. */
+  /** An empty list for the events of a batch; it is replaced only after it has been filled. */
   ArrayList<Object> batchEvents() {
     return batchEvents;
   }
 
-  /** Has the socket written to when the batch at hand is decoded. */
+  /** Schedules a flush of the socket for when the current batch is decoded. */
   void flushAfterBatch(SocketWriter writer) {
-    written.add(writer);
+    writersToFlush.add(writer);
   }
 
-  /** The batch at hand is decoded: writes what it led to. */
+  /** Called when the current batch is decoded: flushes the sockets written to meanwhile. */
   void batchDecoded() {
     if (!batchEvents.isEmpty()) {
-      batchEvents = new ArrayList<>(EVENTS); // the loop has the last one
+      batchEvents =
+          new ArrayList<>(INITIAL_EVENT_CAPACITY); // the previous list now belongs to the loop
     }
-    for (int i = 0; i < written.size(); i++) {
-      written.get(i).batchDecoded();
+    for (int i = 0; i < writersToFlush.size(); i++) {
+      writersToFlush.get(i).batchDecoded();
     }
-    written.clear();
+    writersToFlush.clear();
   }
 }
--- a/net/src/main/java/lemondock/net/nio/ListeningPort.java
+++ b/net/src/main/java/lemondock/net/nio/ListeningPort.java
@@ -17,39 +17,39 @@
 import lemondock.net.Network;
 
 /**
- * A port that an {@link AsyncNetwork} listens on, with one or more listening sockets. It goes on
- * accepting after a failure such as a lack of file handles.
+ * A port that an {@link AsyncNetwork} listens on, with one or more listening sockets. It continues
+ * to accept after a failure such as a lack of file descriptors.
  */
 final class ListeningPort implements Network.Listener {
   static final int BACKLOG = 1024;
 
   /**
-   * Pause after a failure to accept. What waits to be accepted has its deadline already, so it is
-   * short.
+   * Delay after a failure to accept. It is short because the deadlines of the clients that wait to
+   * be accepted are already running.
    */
-  private static final long RETRY_PAUSE_MICROS = 10_000;
+  private static final long ACCEPT_RETRY_DELAY_MICROS = 10_000;
 
   private final AsyncNetwork network;
   private final ThreadLoop loop;
   private final int maxConnections;
   private final Supplier<Connection.Handler> handlers;
 
-  /** Filled by {@link #bind}, then not changed; any thread. */
+  /** Filled by {@link #bind} and not changed afterwards; any thread. */
   private final List<AsynchronousServerSocketChannel> acceptors = new ArrayList<>();
 
-  /** Set by {@link #bind}, then not changed; any thread. */
+  /** Set by {@link #bind} and not changed afterwards; any thread. */
   private InetSocketAddress address;
 
-  private int shards;
+  private int shardCount;
 
   /**
-   * For each socket a moment at which all clients that had come were accepted. Each place belongs
-   * to the I/O thread of its socket's shard.
+   * For each socket, a time at which all clients that had connected were accepted. Each element is
+   * accessed only by the I/O thread of its socket's shard.
    */
-  private long[] emptyMicros;
+  private long[] backlogEmptyMicros;
 
   /** Loop thread only. */
-  private int connections;
+  private int connectionCount;
 
   ListeningPort(
       AsyncNetwork network,
@@ -65,25 +65,29 @@
   /**
    * Opens the listening sockets, spread over the shards.
    *
-   * @param count how many
-   * @param shared whether the port may be taken by several sockets
-   * @throws IOException if the address cannot be taken; then no socket stays open
+   * @param count number of listening sockets
+   * @param reusePort whether several sockets may bind the port (SO_REUSEPORT)
+   * @throws IOException if the address cannot be bound; no socket stays open then
    */
-  void bind(InetSocketAddress wanted, AsynchronousChannelGroup[] groups, int count, boolean shared)
+  void bind(
+      InetSocketAddress requestedAddress,
+      AsynchronousChannelGroup[] groups,
+      int count,
+      boolean reusePort)
       throws IOException {
-    shards = groups.length;
-    emptyMicros = new long[count];
-    Arrays.fill(emptyMicros, loop.now());
+    shardCount = groups.length;
+    backlogEmptyMicros = new long[count];
+    Arrays.fill(backlogEmptyMicros, loop.now());
     try {
       for (int i = 0; i < count; i++) {
         AsynchronousServerSocketChannel acceptor =
-            AsynchronousServerSocketChannel.open(groups[i % shards]);
+            AsynchronousServerSocketChannel.open(groups[i % shardCount]);
         acceptors.add(acceptor);
         acceptor.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        if (shared) {
+        if (reusePort) {
           acceptor.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         }
-        acceptor.bind(wanted, BACKLOG);
+        acceptor.bind(requestedAddress, BACKLOG);
         address = (InetSocketAddress) acceptor.getLocalAddress();
       }
     } catch (IOException e) {
@@ -100,10 +104,10 @@
   @Override
   public void close() {
     acceptors.forEach(ChannelSupport::closeQuietly);
-    network.forget(this);
+    network.removePort(this);
   }
 
-  /** Begins to accept on all sockets. Loop thread only. */
+  /** Starts to accept on all sockets. Loop thread only. */
   void acceptAll() {
     for (int i = 0; i < acceptors.size(); i++) {
       accept(i);
@@ -116,59 +120,61 @@
       return;
     }
     AtomicLong startedMicros = new AtomicLong(ArrivalClock.NOT_STARTED);
-    CompletionHandler<AsynchronousSocketChannel, Void> onAccepted =
+    CompletionHandler<AsynchronousSocketChannel, Void> acceptHandler =
         new CompletionHandler<>() {
           @Override
           public void completed(AsynchronousSocketChannel accepted, Void attachment) {
-            // clients are accepted in the order in which they came
-            emptyMicros[index] =
+            // clients are accepted in the order in which they connected
+            backlogEmptyMicros[index] =
                 network
-                    .arrivalClock(index % shards)
-                    .earliestArrivalMicros(startedMicros.get(), emptyMicros[index]);
-            long openedMicros = emptyMicros[index];
-            loop.executeHere(() -> accepted(accepted, acceptor, index, openedMicros));
+                    .arrivalClock(index % shardCount)
+                    .earliestArrivalMicros(startedMicros.get(), backlogEmptyMicros[index]);
+            long earliestOpenMicros = backlogEmptyMicros[index];
+            loop.executeInline(() -> onAccepted(accepted, acceptor, index, earliestOpenMicros));
           }
 
           @Override
           public void failed(Throwable cause, Void attachment) {
-            loop.executeHere(() -> acceptLater(acceptor, index));
+            loop.executeInline(() -> retryAcceptLater(acceptor, index));
           }
         };
     try {
-      acceptor.accept(null, onAccepted);
-      startedMicros.set(loop.now()); // a moment at which the kernel was asked already
+      acceptor.accept(null, acceptHandler);
+      startedMicros.set(loop.now()); // by now the accept has been started in the kernel
     } catch (ShutdownChannelGroupException e) {
       ChannelSupport.closeQuietly(acceptor); // the network is being closed
     }
   }
 
-  private void accepted(
+  private void onAccepted(
       AsynchronousSocketChannel accepted,
       AsynchronousServerSocketChannel acceptor,
       int index,
-      long openedMicros) {
-    if (connections >= maxConnections || !acceptor.isOpen()) {
+      long earliestOpenMicros) {
+    if (connectionCount >= maxConnections || !acceptor.isOpen()) {
       ChannelSupport.closeQuietly(accepted);
     } else {
-      take(accepted, index % shards, openedMicros);
+      addConnection(accepted, index % shardCount, earliestOpenMicros);
     }
     accept(index);
   }
 
-  private void acceptLater(AsynchronousServerSocketChannel acceptor, int index) {
+  private void retryAcceptLater(AsynchronousServerSocketChannel acceptor, int index) {
     if (acceptor.isOpen()) {
-      loop.schedule(RETRY_PAUSE_MICROS, () -> accept(index));
+      loop.schedule(ACCEPT_RETRY_DELAY_MICROS, () -> accept(index));
     }
   }
 
-  private void take(AsynchronousSocketChannel accepted, int shard, long openedMicros) {
+  private void addConnection(
+      AsynchronousSocketChannel accepted, int shard, long earliestOpenMicros) {
     try {
       accepted.setOption(StandardSocketOptions.TCP_NODELAY, true);
     } catch (IOException e) {
       ChannelSupport.closeQuietly(accepted);
       return;
     }
-    connections++;
-    network.accepted(accepted, shard, handlers.get(), openedMicros, () -> connections--);
+    connectionCount++;
+    network.addAccepted(
+        accepted, shard, handlers.get(), earliestOpenMicros, () -> connectionCount--);
   }
 }
--- a/net/src/main/java/lemondock/net/nio/LoopbackPort.java
+++ b/net/src/main/java/lemondock/net/nio/LoopbackPort.java
@@ -7,64 +7,65 @@
 import java.net.Socket;
 
 /**
- * A port of the loopback interface, reserved for a program that gets its port in its configuration.
+ * A reserved port of the loopback interface, for a program that is given its port in its
+ * configuration.
  *
- * <p>A port that is found free and closed again can be given to any other socket of the machine
- * before it is used. This class keeps a socket bound to the port until it is closed. The socket
- * never listens and allows its address to be reused. On Linux a listener that allows reuse too, as
- * Java's listeners do, can bind to the port at any time, in any process, also again after a
- * restart; but the system gives the port to nobody who asks for any free port, neither for
- * listening nor for an outgoing connection.
+ * <p>If a free port is found by binding and then closing a socket, the system may assign it to any
+ * other socket on the machine before it is used. This class therefore keeps a socket bound to the
+ * port until {@link #close}. The socket never listens and allows its address to be reused. On Linux
+ * a listener that also allows reuse, as Java's listeners do, can bind to the port at any time, in
+ * any process, and again after a restart. The system does not assign the port to sockets that
+ * request any free port, neither for listening nor for an outgoing connection.
  *
- * <p>Instances may be used by several threads.
+ * <p>Instances are safe for use by several threads.
  */
 public final class LoopbackPort implements AutoCloseable {
   private static final String LOOPBACK = "127.0.0.1";
 
-  private final Socket holder;
+  private final Socket reservation;
 
-  private LoopbackPort(Socket holder) {
-    this.holder = holder;
+  private LoopbackPort(Socket reservation) {
+    this.reservation = reservation;
   }
 
   /**
-   * Reserves a port that nobody uses.
+   * Reserves an unused port.
    *
-   * @throws UncheckedIOException if there is none
+   * @throws UncheckedIOException if no port can be reserved
    */
   public static LoopbackPort reserve() {
-    Socket holder = new Socket();
+    Socket reservation = new Socket();
     try {
-      holder.setReuseAddress(true);
-      holder.bind(new InetSocketAddress(InetAddress.getByName(LOOPBACK), 0));
-      return new LoopbackPort(holder);
+      reservation.setReuseAddress(true);
+      reservation.bind(new InetSocketAddress(InetAddress.getByName(LOOPBACK), 0));
+      return new LoopbackPort(reservation);
     } catch (IOException e) {
-      close(holder);
-      throw new UncheckedIOException("no loopback port can be reserved", e);
+      close(reservation);
+      throw new UncheckedIOException("cannot reserve a loopback port on " + LOOPBACK, e);
     }
   }
 
-  /** The number of the port. */
+  /** The port number. */
   public int number() {
-    return holder.getLocalPort();
+    return reservation.getLocalPort();
   }
 
-  /** The address to listen at, and to connect to. */
+  /** The address to listen on and to connect to. */
   public InetSocketAddress address() {
     return new InetSocketAddress(LOOPBACK, number());
   }
 
-  /** Gives the port back; whoever listens at it goes on. */
+  /** Releases the port; a listener already bound to it is not affected. */
   @Override
   public void close() {
-    close(holder);
+    close(reservation);
   }
 
   private static void close(Socket socket) {
     try {
       socket.close();
     } catch (IOException e) {
-      throw new UncheckedIOException("a reserved loopback port cannot be given back", e);
+      throw new UncheckedIOException("cannot release the reserved loopback port", e);
     }
   }
 }
--- a/net/src/main/java/lemondock/net/nio/PolledConnection.java
+++ b/net/src/main/java/lemondock/net/nio/PolledConnection.java
@@ -10,12 +10,12 @@
 import lemondock.net.Connection;
 import lemondock.net.Loop;
 
-/** A connection over a channel that does not block, polled by a timer. Loop thread only. */
+/** A connection over a non-blocking channel that is polled by a timer. Loop thread only. */
 final class PolledConnection implements Connection {
   private static final long POLL_INTERVAL_MICROS = 5_000;
   private static final long LINGER_MICROS = 500_000;
-  private static final long HIGH_MARK_BYTES = 64 * 1024;
-  private static final long LOW_MARK_BYTES = 16 * 1024;
+  private static final long HIGH_WATER_MARK_BYTES = 64 * 1024;
+  private static final long LOW_WATER_MARK_BYTES = 16 * 1024;
   private static final int READ_BYTES = 4 * 1024;
 
   private final Loop loop;
@@ -28,11 +28,11 @@
   private boolean wantsRead;
   private boolean closing;
 
-  /** All is sent; what the peer still sends is taken and dropped until it closes too. */
+  /** Whether all output is sent and input is read and discarded until the peer closes too. */
   private boolean lingering;
 
   private boolean closed;
-  private boolean aboveHighMark;
+  private boolean aboveHighWaterMark;
   private long pendingBytes;
   private long flushedBytes;
 
@@ -53,7 +53,7 @@
     if (!closed && !closing && bytes.hasRemaining()) {
       queue.add(bytes);
       pendingBytes += bytes.remaining();
-      aboveHighMark |= pendingBytes > HIGH_MARK_BYTES;
+      aboveHighWaterMark |= pendingBytes > HIGH_WATER_MARK_BYTES;
       pollLater();
     }
   }
@@ -88,9 +88,9 @@
   }
 
   /**
-   * Says that no more comes, then takes and drops what the peer still sends until it closes too or
-   * time is up. A peer that answers what it reads would fail at the first answer after a close, and
-   * may read no further.
+   * Shuts down output, then reads and discards what the peer still sends until it closes too or the
+   * linger time is over. After an immediate close, a peer that responds to what it reads would fail
+   * at its next response and might not read the rest.
    */
   private void linger() throws IOException {
     if (!lingering) {
@@ -98,10 +98,10 @@
       channel.shutdownOutput();
       loop.schedule(LINGER_MICROS, () -> finish(null));
     }
-    ByteBuffer dropped = ByteBuffer.allocate(READ_BYTES);
-    int count = channel.read(dropped);
+    ByteBuffer discarded = ByteBuffer.allocate(READ_BYTES);
+    int count = channel.read(discarded);
     while (count > 0) {
-      count = channel.read(dropped.clear());
+      count = channel.read(discarded.clear());
     }
     if (count < 0) {
       finish(null);
@@ -118,8 +118,8 @@
       }
       queue.poll();
     }
-    if (aboveHighMark && pendingBytes <= LOW_MARK_BYTES) {
-      aboveHighMark = false;
+    if (aboveHighWaterMark && pendingBytes <= LOW_WATER_MARK_BYTES) {
+      aboveHighWaterMark = false;
       handler.writeQueueDrained();
     }
   }
@@ -170,7 +170,7 @@
     }
   }
 
-  /** Null: a Unix domain socket has no internet address. */
+  /** Always null: a Unix domain socket has no internet address. */
   @Override
   public InetSocketAddress remoteAddress() {
     return null;
--- a/net/src/main/java/lemondock/net/nio/ShardDelayProbe.java
+++ b/net/src/main/java/lemondock/net/nio/ShardDelayProbe.java
@@ -18,12 +18,12 @@
 import lemondock.net.DelayProbe;
 
 /**
- * Measures the delay of a shard's I/O thread by a loopback connection to itself: a byte written at
- * one end waits at the other like what clients send, for the kernel's list of ready sockets is in
- * order of coming.
+ * Measures the delay of a shard's I/O thread with a loopback connection to itself. A byte written
+ * at one end waits at the other end as long as client input does, because the kernel lists ready
+ * sockets in order of arrival.
  */
 final class ShardDelayProbe implements DelayProbe, CompletionHandler<Integer, Void> {
-  private static final long CONNECT_SECONDS = 10;
+  private static final long CONNECT_TIMEOUT_SECONDS = 10;
 
   private final ThreadLoop loop;
   private final AsynchronousSocketChannel shardEnd;
@@ -35,52 +35,52 @@
   private volatile long sentAtMicros;
 
   // Loop thread only, each from here on:
-  /** A byte was sent and the shard's thread has not come to it. */
-  private boolean waiting;
+  /** Whether a byte was sent that the shard's thread has not processed yet. */
+  private boolean byteInFlight;
 
-  /** Hears of the byte in progress. */
-  private LongConsumer onDelay;
+  /** Receives the delay of the byte in flight. */
+  private LongConsumer onDelayMeasured;
 
   ShardDelayProbe(ThreadLoop loop, AsynchronousChannelGroup group) throws IOException {
     this.loop = loop;
     shardEnd = AsynchronousSocketChannel.open(group);
-    try (ServerSocketChannel port = ServerSocketChannel.open()) {
-      port.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1);
-      Future<Void> connected = shardEnd.connect(port.getLocalAddress());
-      loopEnd = port.accept();
-      connected.get(CONNECT_SECONDS, TimeUnit.SECONDS);
+    try (ServerSocketChannel listener = ServerSocketChannel.open()) {
+      listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1);
+      Future<Void> connected = shardEnd.connect(listener.getLocalAddress());
+      loopEnd = listener.accept();
+      connected.get(CONNECT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
       loopEnd.configureBlocking(false);
       loopEnd.setOption(StandardSocketOptions.TCP_NODELAY, true);
       if (!loopEnd.getRemoteAddress().equals(shardEnd.getLocalAddress())) {
-        throw new IOException("somebody else came to the port of a probe");
+        throw new IOException("delay probe accepted a connection that is not its own");
       }
     } catch (ExecutionException | TimeoutException e) {
-      throw new IOException("a probe cannot connect to itself", e);
+      throw new IOException("delay probe cannot connect to its own loopback port", e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IOException(e);
+      throw new IOException("interrupted while connecting a delay probe", e);
     }
     shardEnd.read(inBuffer, null, this);
   }
 
   @Override
   public long measure(LongConsumer onDelayMicros) {
-    if (waiting) {
+    if (byteInFlight) {
       return Math.max(1, loop.now() - sentAtMicros);
     }
-    waiting = true;
-    onDelay = onDelayMicros;
+    byteInFlight = true;
+    onDelayMeasured = onDelayMicros;
     sentAtMicros = loop.now();
     outBuffer.clear();
     try {
       loopEnd.write(outBuffer);
     } catch (IOException e) {
-      close(); // it tells nothing any more
+      close(); // the probe is broken and can measure nothing more
     }
     return 0;
   }
 
-  /** On the shard's thread. */
+  /** A byte has arrived; on the shard's I/O thread. */
   @Override
   public void completed(Integer count, Void attachment) {
     final long delayMicros = loop.now() - sentAtMicros;
@@ -89,10 +89,10 @@
     }
     inBuffer.clear();
     shardEnd.read(inBuffer, null, this);
-    loop.executeHere(
+    loop.executeInline(
         () -> {
-          waiting = false;
-          onDelay.accept(delayMicros);
+          byteInFlight = false;
+          onDelayMeasured.accept(delayMicros);
         });
   }
 
--- a/net/src/main/java/lemondock/net/nio/SocketReader.java
+++ b/net/src/main/java/lemondock/net/nio/SocketReader.java
@@ -10,15 +10,16 @@
 import lemondock.net.Connection;
 
 /**
- * The read path of one socket: reads a batch at a time, has it decoded on the I/O thread and its
- * events handled on the loop.
+ * The read path of one socket: reads one batch at a time, decodes it on the I/O thread and delivers
+ * its events on the loop.
  */
 final class SocketReader implements CompletionHandler<Integer, Void> {
   private static final int MIN_READ_BYTES = 4 * 1024;
   private static final int MAX_READ_BYTES = 32 * 1024;
 
   /**
-   * What a read gives at the end; the JDK's channels give less where a system call was interrupted.
+   * Result of a read at the end of the stream; the JDK's channels return a smaller value if a
+   * system call was interrupted.
    */
   private static final int END_OF_STREAM = -1;
 
@@ -28,15 +29,16 @@
   private final Connection.Handler handler;
   private final Runnable startRead = this::startRead;
   private final ArrivalClock arrivalClock;
-  private final boolean tellsArrival;
+  private final boolean reportsArrivalTimes;
 
   // Loop thread only, each from here on:
   private boolean reading;
 
-  /** Of {@link #batchesRead}, those that the owner has seen. */
+  /** Number of {@link #batchesRead} that the owner has received. */
   private int batchesSeen;
 
-  // I/O thread only, or the thread that starts the one read in progress, each from here on:
+  // I/O thread only, or the thread that starts the next read (only one is in progress), each from
+  // here on:
   private ByteBuffer buffer;
   private int readBytes = MIN_READ_BYTES;
 
@@ -44,10 +46,12 @@
 
   private volatile long readStartedMicros;
 
-  /** A moment at which all that had arrived was read; only where arrival times are told. */
-  private long emptyMicros;
+  /**
+   * A time at which all input that had arrived was read; only kept if arrival times are reported.
+   */
+  private long inputEmptyMicros;
 
-  /** Batches that were read for the loop. I/O thread only. */
+  /** Number of batches read and delivered to the loop. I/O thread only. */
   private int batchesRead;
 
   SocketReader(
@@ -56,34 +60,37 @@
       AsynchronousSocketChannel channel,
       Connection.Handler handler,
       ArrivalClock arrivalClock,
-      long openedMicros) {
+      long earliestOpenMicros) {
     this.connection = connection;
     this.loop = loop;
     this.channel = channel;
     this.handler = handler;
     this.arrivalClock = arrivalClock;
-    this.tellsArrival = handler.wantsArrivalTimes();
-    this.emptyMicros = openedMicros;
+    this.reportsArrivalTimes = handler.wantsArrivalTimes();
+    this.inputEmptyMicros = earliestOpenMicros;
   }
 
-  /** Whether a batch is awaited. Loop thread only. */
+  /** Whether a read is in progress. Loop thread only. */
   boolean isReading() {
     return reading;
   }
 
-  /** Reads one batch once the turn has ended; only while none is awaited. Loop thread only. */
+  /** Reads one batch after the current turn. No read may be in progress. Loop thread only. */
   void read() {
     reading = true;
-    loop.outside(startRead);
+    loop.runAfterTurn(startRead);
   }
 
-  /** Batches that the owner has seen. Loop thread only. */
+  /** Number of batches that the owner has received. Loop thread only. */
   int batchesSeen() {
     return batchesSeen;
   }
 
-  /** Whether the owner has not seen all that was read, as it had seen so many. I/O thread only. */
-  boolean hasReadBeyond(int seen) {
+  /**
+   * Whether more batches were read than the given number that the owner has received. I/O thread
+   * only.
+   */
+  boolean hasUnseenBatches(int seen) {
     return batchesRead != seen;
   }
 
@@ -93,11 +100,11 @@
     }
     buffer.clear();
     readStartedMicros = ArrivalClock.NOT_STARTED;
-    int read = ++readsStarted;
+    int readNumber = ++readsStarted;
     try {
       channel.read(buffer, null, this);
-      if (tellsArrival && read == readsStarted) {
-        readStartedMicros = loop.now(); // a moment at which the kernel was asked already
+      if (reportsArrivalTimes && readNumber == readsStarted) {
+        readStartedMicros = loop.now(); // by now the read has been started in the kernel
       }
     } catch (ShutdownChannelGroupException e) {
       failed(e, null); // the network is being closed
@@ -108,15 +115,15 @@
   @Override
   public void completed(Integer count, Void attachment) {
     if (count < END_OF_STREAM) {
-      startRead(); // interrupted: nothing was read, and nothing has ended
+      startRead(); // interrupted: nothing was read and the stream has not ended
     } else if (count == END_OF_STREAM) {
-      loop.executeHere(
+      loop.executeInline(
           () -> {
             reading = false;
             connection.inputEnded();
           });
     } else if (connection.discardsInput()) {
-      loop.executeHere(
+      loop.executeInline(
           () -> {
             reading = false;
             connection.inputDiscarded();
@@ -128,27 +135,30 @@
 
   @Override
   public void failed(Throwable cause, Void attachment) {
-    loop.executeHere(() -> connection.fail(ChannelSupport.toIoException(cause)));
+    loop.executeInline(() -> connection.fail(ChannelSupport.toIoException(cause)));
   }
 
-  /** On an I/O thread: the only place where bytes become events. */
+  /** Decodes a batch into events, on an I/O thread; the only place where this happens. */
   private void decode(int count) {
-    if (tellsArrival) {
-      tellArrival(count);
+    if (reportsArrivalTimes) {
+      reportArrival(count);
     }
     adaptReadSize(count);
     batchesRead++;
     IoThread thread = IoThread.current();
     ArrayList<Object> events =
-        thread == null ? new ArrayList<>(IoThread.EVENTS) : thread.batchEvents();
+        thread == null ? new ArrayList<>(IoThread.INITIAL_EVENT_CAPACITY) : thread.batchEvents();
     boolean continueReading;
     try {
       handler.decode(buffer.flip(), events);
       continueReading = events.isEmpty() && handler.continueReading();
     } catch (RuntimeException | Error e) {
-      // what escapes would end the shard's thread and leave its sockets unheard
+      // an uncaught exception would end the shard's thread, and nothing would serve its sockets
       loop.reportFailure(e);
-      loop.executeHere(() -> connection.fail(new IOException("decoder failed: " + e, e)));
+      loop.executeInline(
+          () ->
+              connection.fail(
+                  new IOException("decoding a batch of " + count + " bytes failed: " + e, e)));
       return;
     } finally {
       if (thread != null) {
@@ -163,23 +173,23 @@
     }
   }
 
-  private void tellArrival(int count) {
-    long earliestMicros = arrivalClock.earliestArrivalMicros(readStartedMicros, emptyMicros);
+  private void reportArrival(int count) {
+    long earliestMicros = arrivalClock.earliestArrivalMicros(readStartedMicros, inputEmptyMicros);
     boolean readAll = count < buffer.capacity();
-    emptyMicros = readAll ? loop.now() : earliestMicros;
+    inputEmptyMicros = readAll ? loop.now() : earliestMicros;
     handler.batchArrived(arrivalClock.arrivalMicros(earliestMicros));
   }
 
   /**
-   * A peer that sends much is read in larger pieces while it does; one that is waited for holds
-   * little memory.
+   * Doubles the read size while a peer fills the buffer, and resets it otherwise, so that a waiting
+   * connection holds little memory.
    */
   private void adaptReadSize(int count) {
     readBytes = count == readBytes ? Math.min(MAX_READ_BYTES, 2 * readBytes) : MIN_READ_BYTES;
   }
 
   private void deliver(List<Object> batch) {
-    loop.executeHere(
+    loop.executeInline(
         () -> {
           reading = false;
           batchesSeen++;
--- a/net/src/main/java/lemondock/net/nio/SocketWriter.java
+++ b/net/src/main/java/lemondock/net/nio/SocketWriter.java
@@ -6,8 +6,8 @@
 import java.nio.channels.ShutdownChannelGroupException;
 
 /**
- * The write path of one socket: decides when queued bytes go out. Any thread, unless a method says
- * otherwise.
+ * The write path of one socket: decides when queued bytes are written. Any thread, unless a method
+ * says otherwise.
  */
 final class SocketWriter implements CompletionHandler<Integer, Void> {
   private final AsyncConnection connection;
@@ -22,7 +22,10 @@
   /** Loop thread only. */
   private boolean flushScheduled;
 
-  /** Any thread: set by the one that writes, cleared by the I/O thread that flushes. */
+  /**
+   * Whether a flush is scheduled for the end of the current batch. Any thread: set by the thread
+   * that queues bytes, cleared by the I/O thread that flushes.
+   */
   private volatile boolean flushesAfterBatch;
 
   SocketWriter(AsyncConnection connection, ThreadLoop loop, AsynchronousSocketChannel channel) {
@@ -35,20 +38,23 @@
     return queue;
   }
 
-  /** Has what is queued go out with the rest of the turn. Loop thread only. */
+  /** Schedules a flush for the end of the current turn. Loop thread only. */
   void flushLater() {
     if (!flushScheduled && connection.isConnected()) {
       flushScheduled = true;
-      loop.atTurnEnd(flushAtTurnEnd);
+      loop.runAtTurnEnd(flushAtTurnEnd);
     }
   }
 
   private void flushOutsideLoop() {
     flushScheduled = false;
-    loop.outside(flush);
+    loop.runAfterTurn(flush);
   }
 
-  /** With the rest of the turn or of the batch at hand, or at once where there is neither. */
+  /**
+   * Flushes at the end of the current turn or batch, or immediately if the caller runs in neither.
+   * Any thread.
+   */
   void flushSoon() {
     if (loop.inLoop()) {
       flushLater();
@@ -63,16 +69,17 @@
     }
   }
 
-  /** The batch is decoded that led to writes. I/O thread only. */
+  /** Called when the batch that led to writes is decoded. I/O thread only. */
   void batchDecoded() {
     flushesAfterBatch = false;
     flush();
   }
 
   /**
-   * Writes what is queued unless a write is in progress. On a thread of the socket's shard the
-   * write is tried at once and its handler called here; elsewhere the shard's thread does it when
-   * the socket can take it. Either way nothing is done for a peer that takes nothing until it does.
+   * Writes queued bytes unless a write is in progress. On the I/O thread of the socket's shard the
+   * write is tried immediately and its completion handler may run within this call; otherwise the
+   * shard's thread completes it once the socket is writable. Either way, a peer that reads nothing
+   * costs no work until it does.
    */
   private void flush() {
     ByteBuffer bytes = queue.beginWrite();
@@ -87,7 +94,7 @@
 
   @Override
   public void completed(Integer count, Void attachment) {
-    // less than nothing was written where the system call was interrupted
+    // the count is negative if the system call was interrupted
     WriteQueue.State state = queue.endWrite(Math.max(0, count));
     if (state == WriteQueue.State.CLOSED) {
       loop.execute(connection::reportClosed);
@@ -96,9 +103,9 @@
     if (!state.isEmpty()) {
       flush();
     }
-    boolean fellToLowMark = state.fellToLowMark();
-    if (fellToLowMark || state.isEmpty() && connection.closesOnceFlushed()) {
-      loop.executeHere(() -> connection.writeProgressed(fellToLowMark));
+    boolean fellToLowWaterMark = state.fellToLowWaterMark();
+    if (fellToLowWaterMark || state.isEmpty() && connection.isCloseAwaitingFlush()) {
+      loop.executeInline(() -> connection.writeProgressed(fellToLowWaterMark));
     }
   }
 
@@ -107,7 +114,7 @@
     if (queue.failWrite()) {
       loop.execute(connection::reportClosed);
     } else {
-      loop.executeHere(() -> connection.fail(ChannelSupport.toIoException(cause)));
+      loop.executeInline(() -> connection.fail(ChannelSupport.toIoException(cause)));
     }
   }
 }
--- a/net/src/main/java/lemondock/net/nio/ThreadLoop.java
+++ b/net/src/main/java/lemondock/net/nio/ThreadLoop.java
@@ -9,15 +9,15 @@
 import lemondock.net.time.TimerWheel;
 
 /**
- * A loop on the machine's clock: one context, but no thread of its own for most of its work.
- * Whoever brings a task from an I/O thread runs it there and then if the context is free, and
- * whoever has the context runs what others bring meanwhile ({@link FlatCombiner}). So a token that
- * comes in is decoded, handled and written by one thread, with no wake-up. A thread of the loop's
- * own runs timers and what other threads hand over, and takes over from an I/O thread that has run
- * tasks for too long.
+ * A loop on the system clock. It is a single execution context, and most of its tasks run on I/O
+ * threads: an I/O thread that submits a task runs it immediately if the context is free, and the
+ * thread that holds the context also runs the tasks that others submit meanwhile ({@link
+ * FlatCombiner}). So one thread decodes, handles and writes an incoming token, with no wake-up. A
+ * dedicated thread runs timers and the tasks submitted by other threads, and takes over from an I/O
+ * thread that has run tasks for too long.
  *
- * <p>Its inbox needs no bound of its own: a connection hands over one batch and waits until that is
- * handled, so it holds at most a few tasks a connection.
+ * <p>The inbox needs no limit of its own: a connection submits one batch and waits until it is
+ * handled, so the inbox holds at most a few tasks per connection.
  */
 public final class ThreadLoop implements Loop, AutoCloseable {
   /** Resolution of timers. */
@@ -26,13 +26,19 @@
   private static final int MAX_TASKS_PER_TURN = 256;
   private static final int MAX_TASKS_PER_INLINE_TURN = 64;
 
-  /** Turns that an I/O thread runs in a row, which has sockets of its own to look after. */
-  private static final int MAX_INLINE_TURNS = 4;
+  /** Turns that an I/O thread runs in a row; more would delay the sockets it serves. */
+  private static final int MAX_CONSECUTIVE_INLINE_TURNS = 4;
 
-  /** How long the loop's own thread waits for an I/O thread that has the context. */
-  private static final long CONTEXT_RETRY_NANOS = 20_000;
+  /**
+   * How long the dedicated thread waits before it tries again while an I/O thread holds the
+   * context.
+   */
+  private static final long CONTEXT_RETRY_DELAY_NANOS = 20_000;
 
-  /** Writes and timers wait for the end of a turn, however much there is to do. */
+  /**
+   * Maximum length of a turn, whatever the number of waiting tasks: writes and timers wait for its
+   * end.
+   */
   private static final long MAX_TURN_NANOS = 2_000_000;
 
   private static final long NEVER = Long.MAX_VALUE;
@@ -40,9 +46,9 @@
   /** Any thread. */
   private final FlatCombiner context = new FlatCombiner();
 
-  // Loop thread only (whoever has the context), each from here on:
+  // Loop thread only (the thread that holds the context), each from here on:
   private final ArrayDeque<Runnable> turnEndTasks = new ArrayDeque<>();
-  private final ArrayList<Runnable> outsideTasks = new ArrayList<>();
+  private final ArrayList<Runnable> afterTurnTasks = new ArrayList<>();
   private final Consumer<Throwable> onFailure;
   private final Thread thread;
   private final TimerWheel wheel;
@@ -50,19 +56,21 @@
   private final Runnable inlineTurn = () -> runTurn(MAX_TASKS_PER_INLINE_TURN);
 
   /**
-   * When the loop's own thread will wake by itself; it is woken for what is due before. Set by that
-   * thread, read by any.
+   * When the dedicated thread will wake up by itself; it is woken for timers due earlier. Set by
+   * that thread, read by any thread.
    */
-  private volatile long wakeTimeMicros;
+  private volatile long nextWakeMicros;
 
   /** Any thread. */
   private volatile boolean stopped;
 
-  /** Starts the loop; what a task throws goes to {@code onFailure}, and the loop goes on. */
+  /**
+   * Starts the loop. Whatever a task throws is passed to {@code onFailure}, and the loop continues.
+   */
   public ThreadLoop(String name, Consumer<Throwable> onFailure) {
     this.onFailure = onFailure;
     this.wheel = new TimerWheel(now(), TICK_MICROS);
-    this.thread = new Thread(this::runOwnThread, name);
+    this.thread = new Thread(this::runDedicatedThread, name);
     thread.setDaemon(true);
     thread.start();
   }
@@ -79,26 +87,26 @@
 
   @Override
   public boolean inLoop() {
-    return context.isMine();
+    return context.isHeldByCurrentThread();
   }
 
   @Override
   public void execute(Runnable task) {
     context.add(task);
-    if (!context.isTaken()) {
-      // else whoever has the context looks at the inbox again after giving it up
+    if (!context.isHeld()) {
+      // otherwise the thread that holds the context checks the inbox again after releasing it
       LockSupport.unpark(thread);
     }
   }
 
   /**
-   * Hands over a task from an I/O thread, which runs it, and what else has come, if the context is
-   * free.
+   * Submits a task from an I/O thread, which runs it and all other waiting tasks itself if the
+   * context is free.
    */
-  void executeHere(Runnable task) {
+  void executeInline(Runnable task) {
     context.add(task);
-    if (!stopped && !context.combine(MAX_INLINE_TURNS, inlineTurn)) {
-      LockSupport.unpark(thread); // this thread has sockets of its own to look after
+    if (!stopped && !context.combine(MAX_CONSECUTIVE_INLINE_TURNS, inlineTurn)) {
+      LockSupport.unpark(thread); // this I/O thread must return to the sockets it serves
     }
   }
 
@@ -108,40 +116,42 @@
     return () -> wheel.cancel(entry);
   }
 
-  /** Timers that are set: each holds what its task holds. Loop thread only. */
+  /**
+   * Number of pending timers; each keeps the objects that its task refers to alive. Loop thread
+   * only.
+   */
   public int pendingTimers() {
     return wheel.size();
   }
 
   /**
-   * Runs a task when the tasks at hand are done: writes of one turn go out together. Loop thread
-   * only.
+   * Runs a task at the end of the current turn, so that the writes of one turn are sent together.
+   * Loop thread only.
    */
-  void atTurnEnd(Runnable task) {
+  void runAtTurnEnd(Runnable task) {
     turnEndTasks.add(task);
   }
 
   /**
-   * Runs a task after the turn on the same thread, when the context is free for others. Loop thread
-   * only.
+   * Runs a task on the same thread after the turn, once the context is released. Loop thread only.
    */
-  void outside(Runnable task) {
-    outsideTasks.add(task);
+  void runAfterTurn(Runnable task) {
+    afterTurnTasks.add(task);
   }
 
-  /** Reports what a task threw elsewhere on this loop's behalf. */
+  /** Reports a failure of work done outside the loop on its behalf. Any thread. */
   void reportFailure(Throwable cause) {
     onFailure.accept(cause);
   }
 
-  /** Stops after the task at hand; tasks and timers left are dropped. */
+  /** Stops after the current task; remaining tasks and timers are discarded. */
   @Override
   public void close() {
     stopped = true;
     LockSupport.unpark(thread);
   }
 
-  /** Waits for the thread to end; for tests and the end of a process. */
+  /** Waits for the dedicated thread to end; for tests and process shutdown. */
   public void join(long millis) throws InterruptedException {
     thread.join(millis);
   }
@@ -151,62 +161,62 @@
   }
 
   /**
-   * One turn by whoever has the context; gives it up at the end, then does what need not be done
-   * within it.
+   * Runs one turn on the thread that holds the context, releases the context, then runs the tasks
+   * that were deferred until after the turn.
    */
   private void runTurn(int maxTasks) {
-    List<Runnable> afterwards;
+    List<Runnable> tasksAfterTurn;
     try {
-      runGuarded(advanceTimers);
+      runReportingFailure(advanceTimers);
       Runnable task = context.poll();
       long endNanos = System.nanoTime() + MAX_TURN_NANOS;
-      for (int done = 0; task != null && !stopped; ) {
-        runGuarded(task);
-        task = ++done < maxTasks && System.nanoTime() < endNanos ? context.poll() : null;
+      for (int tasksRun = 0; task != null && !stopped; ) {
+        runReportingFailure(task);
+        task = ++tasksRun < maxTasks && System.nanoTime() < endNanos ? context.poll() : null;
       }
       while (!turnEndTasks.isEmpty()) {
-        runGuarded(turnEndTasks.poll());
+        runReportingFailure(turnEndTasks.poll());
       }
     } finally {
-      afterwards = outsideTasks.isEmpty() ? List.of() : List.copyOf(outsideTasks);
-      outsideTasks.clear();
-      boolean dueSooner =
-          Thread.currentThread() != thread && wheel.nextDueMicros() < wakeTimeMicros;
-      context.leave();
-      // what came in during the turn relied on this thread to look again, which it does after
-      // the tasks below: one of them may take long
-      if (dueSooner || !afterwards.isEmpty() && !context.isEmpty()) {
+      tasksAfterTurn = afterTurnTasks.isEmpty() ? List.of() : List.copyOf(afterTurnTasks);
+      afterTurnTasks.clear();
+      boolean timerDueBeforeWake =
+          Thread.currentThread() != thread && wheel.nextDueMicros() < nextWakeMicros;
+      context.release();
+      // tasks submitted during the turn rely on this thread to check the inbox again, which it does
+      // only after the tasks below, and one of them may take long
+      if (timerDueBeforeWake || !tasksAfterTurn.isEmpty() && !context.isEmpty()) {
         LockSupport.unpark(thread);
       }
     }
-    for (Runnable task : afterwards) {
-      runGuarded(task);
+    for (Runnable task : tasksAfterTurn) {
+      runReportingFailure(task);
     }
   }
 
-  /** The loop's own thread. */
-  private void runOwnThread() {
+  /** Body of the dedicated thread. */
+  private void runDedicatedThread() {
     while (!stopped) {
-      if (!context.enter()) {
-        // an I/O thread has the context and will not have it for long
-        LockSupport.parkNanos(this, CONTEXT_RETRY_NANOS);
+      if (!context.tryAcquire()) {
+        // an I/O thread holds the context and will release it soon
+        LockSupport.parkNanos(this, CONTEXT_RETRY_DELAY_NANOS);
         continue;
       }
       runTurn(MAX_TASKS_PER_TURN);
-      if (context.isEmpty() && context.enter()) {
+      if (context.isEmpty() && context.tryAcquire()) {
         long dueMicros = wheel.nextDueMicros();
-        wakeTimeMicros = dueMicros;
-        context.leave();
+        nextWakeMicros = dueMicros;
+        context.release();
         long waitNanos = dueMicros == NEVER ? NEVER : (dueMicros - now()) * 1_000;
         if (context.isEmpty() && waitNanos > 0 && !stopped) {
           LockSupport.parkNanos(this, waitNanos);
         }
-        wakeTimeMicros = 0; // awake: it looks at the timers before it sleeps again
+        nextWakeMicros = 0; // awake: this thread checks the timers before it sleeps again
       }
     }
   }
 
-  private void runGuarded(Runnable task) {
+  private void runReportingFailure(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException | Error e) {
--- a/net/src/main/java/lemondock/net/nio/UdpDatagramSender.java
+++ b/net/src/main/java/lemondock/net/nio/UdpDatagramSender.java
@@ -7,7 +7,8 @@
 import lemondock.net.DatagramSender;
 
 /**
- * Sends datagrams over UDP; the channel is connected, so that a peer's "port unreachable" is heard.
+ * Sends datagrams over UDP. The channel is connected, so that an ICMP "port unreachable" from the
+ * peer is reported.
  */
 public final class UdpDatagramSender implements DatagramSender {
   private final DatagramChannel channel;
@@ -19,13 +20,13 @@
   /**
    * Opens a sender to an address.
    *
-   * @throws IOException if there is no way to it, or the system has no socket left
+   * @throws IOException if there is no route to it, or no socket can be opened
    */
-  public static UdpDatagramSender open(InetSocketAddress to) throws IOException {
+  public static UdpDatagramSender open(InetSocketAddress address) throws IOException {
     DatagramChannel channel = DatagramChannel.open();
     try {
       channel.configureBlocking(false);
-      channel.connect(to);
+      channel.connect(address);
     } catch (IOException | RuntimeException e) {
       channel.close();
       throw e instanceof IOException io ? io : new IOException(e);
--- a/net/src/main/java/lemondock/net/nio/UnixDomainConnector.java
+++ b/net/src/main/java/lemondock/net/nio/UnixDomainConnector.java
@@ -9,21 +9,21 @@
 import lemondock.net.Loop;
 
 /**
- * Connects to Unix domain sockets, for control traffic of small volume. Java has no asynchronous
- * channels for them, so a timer of the loop polls each connection, and only while there is
- * something to do.
+ * Connects to Unix domain sockets, for low-volume control traffic. Java has no asynchronous
+ * channels for them, so a timer on the loop polls each connection, and only while it has something
+ * to do.
  */
 public final class UnixDomainConnector {
   private final Loop loop;
 
-  /** Makes a connector whose handlers are called on the loop. */
+  /** Creates a connector whose handlers are called on the loop. */
   public UnixDomainConnector(Loop loop) {
     this.loop = loop;
   }
 
   /**
-   * Connects, then calls the handler; a failure is its {@code closed} without a {@code connected}.
-   * Loop thread only.
+   * Connects, then calls the handler. A failure is reported by {@code closed} without a preceding
+   * {@code connected}. Loop thread only.
    */
   public void connect(Path path, Connection.Handler handler) {
     SocketChannel channel;
@@ -41,10 +41,11 @@
     SocketChannel channel = SocketChannel.open(StandardProtocolFamily.UNIX);
     try {
       channel.configureBlocking(false);
-      // done or refused at once, there is no network
+      // completes or fails immediately, because no network is involved
       channel.connect(UnixDomainSocketAddress.of(path));
       if (!channel.finishConnect()) {
-        throw new IOException("no connection to " + path + " at once");
+        throw new IOException(
+            "connect to Unix domain socket " + path + " did not complete immediately");
       }
       return channel;
     } catch (IOException | RuntimeException e) {
--- a/net/src/main/java/lemondock/net/nio/WorkerPool.java
+++ b/net/src/main/java/lemondock/net/nio/WorkerPool.java
@@ -5,19 +5,19 @@
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 
-/** Makes thread pools for work that takes long, with bounded queues. */
+/** Creates thread pools with bounded queues for long-running work. */
 public final class WorkerPool {
   private static final long KEEP_ALIVE_SECONDS = 1;
 
   private WorkerPool() {}
 
   /**
-   * Makes a pool of daemon threads. A task beyond its capacity is rejected at once with {@link
-   * java.util.concurrent.RejectedExecutionException}.
+   * Creates a pool of daemon threads. A task beyond its capacity is rejected immediately with
+   * {@link java.util.concurrent.RejectedExecutionException}.
    *
-   * @param threads how many, started as they are needed
+   * @param threads number of threads, started as they are needed
    * @param queueCapacity tasks that may wait for a thread
-   * @param threadName name of each thread
+   * @param threadName name given to every thread of the pool
    */
   public static ExecutorService create(int threads, int queueCapacity, String threadName) {
     return new ThreadPoolExecutor(
--- a/net/src/main/java/lemondock/net/nio/WriteQueue.java
+++ b/net/src/main/java/lemondock/net/nio/WriteQueue.java
@@ -4,43 +4,46 @@
 import java.util.ArrayDeque;
 
 /**
- * Bytes of one socket that wait to be written, and how far they have come. Any thread; all fields
- * are guarded by the queue's own lock.
+ * Outgoing bytes of one socket: those waiting to be written, and counts of those already written.
+ * Any thread; all fields are guarded by the queue's own lock.
  */
 final class WriteQueue {
   private static final int TAIL_BYTES = 512;
   private static final int MAX_GATHERED_BUFFERS = 64;
   private static final int MAX_GATHERED_BYTES = 16 * 1024;
-  private static final long HIGH_MARK_BYTES = 64 * 1024;
-  private static final long LOW_MARK_BYTES = 16 * 1024;
+  private static final long HIGH_WATER_MARK_BYTES = 64 * 1024;
+  private static final long LOW_WATER_MARK_BYTES = 16 * 1024;
 
-  /** How the queue stands after a write. */
+  /** State of the queue after a write. */
   enum State {
     /** The queue was closed while the write was in progress. */
     CLOSED(false, false),
-    /** More is queued. */
+    /** More bytes are queued. */
     NOT_EMPTY(false, false),
-    /** More is queued, and the queue has fallen to its low mark after being above its high mark. */
-    NOT_EMPTY_AT_LOW_MARK(false, true),
-    /** All is written. */
+    /**
+     * More bytes are queued, and the queue has fallen to its low-water mark after being above its
+     * high-water mark.
+     */
+    NOT_EMPTY_AT_LOW_WATER_MARK(false, true),
+    /** All bytes are written. */
     EMPTY(true, false),
-    /** All is written, and before that the queue was above its high mark. */
-    EMPTY_AT_LOW_MARK(true, true);
+    /** All bytes are written, and the queue had been above its high-water mark. */
+    EMPTY_AT_LOW_WATER_MARK(true, true);
 
     private final boolean empty;
-    private final boolean fellToLowMark;
+    private final boolean fellToLowWaterMark;
 
-    State(boolean empty, boolean fellToLowMark) {
+    State(boolean empty, boolean fellToLowWaterMark) {
       this.empty = empty;
-      this.fellToLowMark = fellToLowMark;
+      this.fellToLowWaterMark = fellToLowWaterMark;
     }
 
     boolean isEmpty() {
       return empty;
     }
 
-    boolean fellToLowMark() {
-      return fellToLowMark;
+    boolean fellToLowWaterMark() {
+      return fellToLowWaterMark;
     }
   }
 
@@ -48,25 +51,25 @@
   private final ArrayDeque<ByteBuffer> buffers = new ArrayDeque<>();
 
   /**
-   * The last of the queue if it is this socket's own and takes more; when all is written it waits
-   * for the next bytes.
+   * A reusable buffer for copied bytes. While queued it is the target of further copies if it is
+   * the last buffer; once written it is kept for the next bytes.
    */
   private ByteBuffer tail;
 
-  private boolean tailQueued;
+  private boolean tailIsQueued;
 
-  /** A write of the first buffer is in progress. */
+  /** Whether a write of the first buffer is in progress. */
   private boolean writing;
 
-  /** Closed while a write was in progress. */
+  /** Whether the queue was closed while a write was in progress. */
   private boolean closedWhileWriting;
 
-  private boolean aboveHighMark;
+  private boolean aboveHighWaterMark;
   private long pendingBytes;
   private long flushedBytes;
   private long offeredBytes;
 
-  /** Adds a buffer, which belongs to the queue from here on. */
+  /** Adds a buffer; the queue takes ownership of it. */
   synchronized void add(ByteBuffer bytes) {
     buffers.add(bytes);
     countAdded(bytes.remaining());
@@ -75,28 +78,31 @@
   /** Copies bytes into the queue. */
   synchronized void addCopy(byte[] bytes, int from, int length) {
     ByteBuffer last = tail;
-    boolean takesMore =
+    boolean tailAcceptsMore =
         last != null && buffers.peekLast() == last && !(writing && buffers.size() == 1);
-    if (takesMore && last.capacity() - last.limit() >= length) {
+    if (tailAcceptsMore && last.capacity() - last.limit() >= length) {
       System.arraycopy(bytes, from, last.array(), last.limit(), length);
       last.limit(last.limit() + length);
     } else {
-      boolean reusable = last != null && !tailQueued && last.capacity() >= length;
+      boolean reusable = last != null && !tailIsQueued && last.capacity() >= length;
       last = reusable ? last.clear() : ByteBuffer.allocate(Math.max(TAIL_BYTES, length));
       System.arraycopy(bytes, from, last.array(), 0, length);
       buffers.add(last.limit(length));
       tail = last.capacity() == TAIL_BYTES ? last : null;
-      tailQueued = true;
+      tailIsQueued = true;
     }
     countAdded(length);
   }
 
   private void countAdded(int bytes) {
     pendingBytes += bytes;
-    aboveHighMark |= pendingBytes > HIGH_MARK_BYTES;
+    aboveHighWaterMark |= pendingBytes > HIGH_WATER_MARK_BYTES;
   }
 
-  /** What to write next; null if nothing is queued or a write is in progress. */
+  /**
+   * Starts a write and returns the bytes to write; null if nothing is queued or a write is in
+   * progress.
+   */
   synchronized ByteBuffer beginWrite() {
     if (writing || buffers.isEmpty()) {
       return null;
@@ -110,7 +116,7 @@
     return bytes;
   }
 
-  /** Puts what is queued, up to a bound, into one buffer at the head of the queue. */
+  /** Merges the first queued buffers, up to a limit, into one buffer at the head of the queue. */
   private ByteBuffer gather() {
     int count = 0;
     int size = 0;
@@ -132,11 +138,11 @@
 
   private ByteBuffer removeFirst() {
     ByteBuffer first = buffers.poll();
-    tailQueued &= first != tail;
+    tailIsQueued &= first != tail;
     return first;
   }
 
-  /** The write in progress has written so many bytes. */
+  /** Ends the write in progress, which wrote the given number of bytes. */
   synchronized State endWrite(long written) {
     writing = false;
     flushedBytes += written;
@@ -144,21 +150,21 @@
     while (!buffers.isEmpty() && !buffers.peek().hasRemaining()) {
       removeFirst();
     }
-    boolean fellToLowMark = aboveHighMark && pendingBytes <= LOW_MARK_BYTES;
-    aboveHighMark &= !fellToLowMark;
+    boolean fellToLowWaterMark = aboveHighWaterMark && pendingBytes <= LOW_WATER_MARK_BYTES;
+    aboveHighWaterMark &= !fellToLowWaterMark;
     if (closedWhileWriting) {
       return State.CLOSED;
     }
     if (buffers.isEmpty()) {
-      return fellToLowMark ? State.EMPTY_AT_LOW_MARK : State.EMPTY;
+      return fellToLowWaterMark ? State.EMPTY_AT_LOW_WATER_MARK : State.EMPTY;
     }
-    return fellToLowMark ? State.NOT_EMPTY_AT_LOW_MARK : State.NOT_EMPTY;
+    return fellToLowWaterMark ? State.NOT_EMPTY_AT_LOW_WATER_MARK : State.NOT_EMPTY;
   }
 
   /**
-   * The write in progress has failed.
+   * Ends the write in progress, which failed.
    *
-   * @return whether the queue was closed meanwhile
+   * @return whether the queue was closed during the write
    */
   synchronized boolean failWrite() {
     writing = false;
@@ -166,7 +172,7 @@
   }
 
   /**
-   * Drops what is queued.
+   * Closes the queue and discards its bytes.
    *
    * @return whether a write is still in progress
    */
@@ -178,17 +184,17 @@
     return writing;
   }
 
-  /** Bytes queued that the operating system has not taken. */
+  /** Queued bytes that the operating system has not accepted. */
   synchronized long pendingBytes() {
     return pendingBytes;
   }
 
-  /** Bytes that the operating system has taken. */
+  /** Bytes that the operating system has accepted. */
   synchronized long flushedBytes() {
     return flushedBytes;
   }
 
-  /** Bytes that a system call was begun for, taken by it or not. */
+  /** Bytes for which a system call was started, whether or not it accepted them. */
   synchronized long offeredBytes() {
     return offeredBytes;
   }
--- a/net/src/main/java/lemondock/net/time/ManualLoop.java
+++ b/net/src/main/java/lemondock/net/time/ManualLoop.java
@@ -4,8 +4,8 @@
 import lemondock.net.Loop;
 
 /**
- * A loop whose clock stands still until it is advanced: what runs on it does the same each time.
- * For one thread.
+ * A loop whose clock moves only when it is advanced, so runs are reproducible. For use by one
+ * thread.
  */
 public final class ManualLoop implements Loop {
   private static final long TICK_MICROS = 1_000;
@@ -15,7 +15,7 @@
   private long nowMicros;
   private long wallOffsetMillis;
 
-  /** Makes a loop whose clock starts at that many microseconds. */
+  /** Creates a loop whose clock starts at the given microseconds. */
   public ManualLoop(long startMicros) {
     nowMicros = startMicros;
     wheel = new TimerWheel(startMicros, TICK_MICROS);
@@ -31,7 +31,7 @@
     return nowMicros / 1_000 + wallOffsetMillis;
   }
 
-  /** Steps the wall clock forward or back, as an operator or a time server may. */
+  /** Moves the wall clock forward or back, as an operator or a time server may. */
   public void stepWallClock(long millis) {
     wallOffsetMillis += millis;
   }
@@ -52,12 +52,12 @@
     return true;
   }
 
-  /** Drops the oldest task that has not run. */
+  /** Discards the oldest task that has not run. */
   public void dropNextTask() {
     tasks.removeFirst();
   }
 
-  /** Runs all tasks that were handed over, and those that they hand over. */
+  /** Runs all submitted tasks, and those that they submit. */
   public void runTasks() {
     for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
       task.run();
@@ -65,8 +65,8 @@
   }
 
   /**
-   * Lets time pass during which nothing runs, as when the process is stopped; what fell due runs
-   * late, all at once.
+   * Advances the clock while nothing runs, as when the process is suspended. Timers that became due
+   * run late, all at the end.
    */
   public void pauseFor(long durationMicros) {
     nowMicros += durationMicros;
@@ -74,7 +74,9 @@
     runTasks();
   }
 
-  /** Advances the clock, stopping at each tick with a timer due to run it and the tasks. */
+  /**
+   * Advances the clock, stopping at each tick with a due timer to run it and all submitted tasks.
+   */
   public void advance(long durationMicros) {
     long untilMicros = nowMicros + durationMicros;
     while (wheel.nextDueMicros() <= untilMicros && wheel.nextDueMicros() != Long.MAX_VALUE) {
--- a/net/src/main/java/lemondock/net/time/TimerWheel.java
+++ b/net/src/main/java/lemondock/net/time/TimerWheel.java
@@ -2,9 +2,9 @@
 
 /**
  * A hierarchical timer wheel (Varghese and Lauck, 1987): scheduling and cancelling take constant
- * time whatever the number of timers, where a heap takes the logarithm. Six levels of 64 slots; a
- * slot of one level spans all of the level below. Timers of one tick fire in the order in which
- * they were set. For one thread.
+ * time whatever the number of timers, where a heap takes logarithmic time. It has six levels of 64
+ * slots; a slot of one level spans the whole level below. Timers due at one tick fire in the order
+ * in which they were scheduled. For use by one thread.
  */
 public final class TimerWheel {
   private static final int SLOT_BITS = 6;
@@ -14,20 +14,20 @@
 
   private final long tickMicros;
   private final Entry[][] slots = new Entry[LEVELS][SLOTS_PER_LEVEL];
-  private final long[] usedSlots = new long[LEVELS];
+  private final long[] occupiedSlots = new long[LEVELS];
   private long currentTick;
   private long nextOrder;
   private int size;
 
   /**
-   * Makes a wheel that starts at a given moment.
+   * Creates a wheel that starts at a given time.
    *
-   * @param nowMicros the moment, microseconds
+   * @param nowMicros start time, microseconds
    * @param tickMicros resolution: length of a tick, microseconds
    */
   public TimerWheel(long nowMicros, long tickMicros) {
     if (tickMicros <= 0) {
-      throw new IllegalArgumentException("a tick must be longer than nothing: " + tickMicros);
+      throw new IllegalArgumentException("tickMicros must be positive: " + tickMicros);
     }
     this.tickMicros = tickMicros;
     this.currentTick = Math.floorDiv(nowMicros, tickMicros);
@@ -41,7 +41,7 @@
     }
   }
 
-  /** One timer; lies in a ring with the others of its slot. */
+  /** One timer; linked in a ring with the other timers of its slot. */
   public static final class Entry {
     private final Runnable task;
     private final long dueTick;
@@ -59,8 +59,8 @@
   }
 
   /**
-   * Sets a timer for the first tick that is not before the given moment (microseconds), nor the
-   * present one.
+   * Schedules a task for the first tick that is after the current one and not before the given time
+   * (microseconds).
    */
   public Entry schedule(long atMicros, Runnable task) {
     long dueTick = Math.max(currentTick + 1, Math.floorDiv(atMicros + tickMicros - 1, tickMicros));
@@ -70,7 +70,7 @@
     return entry;
   }
 
-  /** Drops a timer; false if it has fired or was dropped before. */
+  /** Cancels a timer; false if it has already fired or was cancelled before. */
   public boolean cancel(Entry entry) {
     if (entry.next == null) {
       return false;
@@ -80,31 +80,31 @@
     return true;
   }
 
-  /** Timers set and neither fired nor dropped. */
+  /** Number of timers that have neither fired nor been cancelled. */
   public int size() {
     return size;
   }
 
   /**
-   * Fires all that is due at the given moment (microseconds), in order of time; what they set fires
-   * later.
+   * Fires all timers due at the given time (microseconds), in order of due time. Timers that they
+   * schedule fire at a later tick.
    */
   public void advance(long nowMicros) {
     long targetTick = Math.floorDiv(nowMicros, tickMicros);
     while (currentTick < targetTick) {
       long next = nextTick();
       if (next > targetTick) {
-        moveTo(targetTick);
+        setCurrentTick(targetTick);
         return;
       }
-      moveTo(next);
-      fire();
+      setCurrentTick(next);
+      fireCurrentTick();
     }
   }
 
   /**
-   * The moment (microseconds) at which something may be due next; Long.MAX_VALUE if no timer is
-   * set.
+   * The earliest time (microseconds) at which a timer may be due; Long.MAX_VALUE if none is
+   * scheduled.
    */
   public long nextDueMicros() {
     long next = nextTick();
@@ -115,11 +115,11 @@
   private long nextTick() {
     long next = Long.MAX_VALUE;
     for (int level = 0; level < LEVELS; level++) {
-      if (usedSlots[level] != 0) {
+      if (occupiedSlots[level] != 0) {
         int shift = SLOT_BITS * level;
-        int here = (int) (currentTick >>> shift) & (SLOTS_PER_LEVEL - 1);
-        long ahead = Long.rotateRight(usedSlots[level], here + 1);
-        long steps = Long.numberOfTrailingZeros(ahead) + 1L;
+        int currentSlot = (int) (currentTick >>> shift) & (SLOTS_PER_LEVEL - 1);
+        long rotatedSlots = Long.rotateRight(occupiedSlots[level], currentSlot + 1);
+        long steps = Long.numberOfTrailingZeros(rotatedSlots) + 1L;
         next = Math.min(next, ((currentTick >>> shift) + steps) << shift);
       }
     }
@@ -127,21 +127,21 @@
   }
 
   /**
-   * Moves to a tick between which and the present one no slot is due, and hands down what its slots
-   * hold.
+   * Moves to a tick, with no slot due between it and the current one, and cascades the timers of
+   * the higher-level slots that begin there.
    */
-  private void moveTo(long targetTick) {
+  private void setCurrentTick(long targetTick) {
     long previousTick = currentTick;
     currentTick = targetTick;
     for (int level = LEVELS - 1; level > 0; level--) {
       int shift = SLOT_BITS * level;
       if (currentTick >>> shift != previousTick >>> shift) {
-        handDown(slots[level][(int) (currentTick >>> shift) & (SLOTS_PER_LEVEL - 1)]);
+        cascade(slots[level][(int) (currentTick >>> shift) & (SLOTS_PER_LEVEL - 1)]);
       }
     }
   }
 
-  private void handDown(Entry head) {
+  private void cascade(Entry head) {
     while (head.next != head) {
       Entry entry = head.next;
       unlink(entry);
@@ -149,7 +149,7 @@
     }
   }
 
-  private void fire() {
+  private void fireCurrentTick() {
     Entry head = slots[0][(int) currentTick & (SLOTS_PER_LEVEL - 1)];
     while (head.next != head && head.next.dueTick <= currentTick) {
       Entry entry = head.next;
@@ -160,24 +160,26 @@
   }
 
   private void place(Entry entry) {
-    long ahead = entry.dueTick - currentTick;
+    long ticksAhead = entry.dueTick - currentTick;
     int level = 0;
-    while (level < LEVELS - 1 && ahead >= 1L << (SLOT_BITS * (level + 1))) {
+    while (level < LEVELS - 1 && ticksAhead >= 1L << (SLOT_BITS * (level + 1))) {
       level++;
     }
     entry.level = level;
     entry.slot = (int) (entry.dueTick >>> (SLOT_BITS * level)) & (SLOTS_PER_LEVEL - 1);
     Entry head = slots[level][entry.slot];
-    // timers that were handed down may be older than ones set since: keep the order of setting
-    Entry after = head.previous;
-    while (after != head && after.dueTick == entry.dueTick && after.order > entry.order) {
-      after = after.previous;
+    // a cascaded timer may have been scheduled before timers already in the slot: keep that order
+    Entry predecessor = head.previous;
+    while (predecessor != head
+        && predecessor.dueTick == entry.dueTick
+        && predecessor.order > entry.order) {
+      predecessor = predecessor.previous;
     }
-    entry.previous = after;
-    entry.next = after.next;
-    after.next.previous = entry;
-    after.next = entry;
-    usedSlots[level] |= 1L << entry.slot;
+    entry.previous = predecessor;
+    entry.next = predecessor.next;
+    predecessor.next.previous = entry;
+    predecessor.next = entry;
+    occupiedSlots[level] |= 1L << entry.slot;
   }
 
   private void unlink(Entry entry) {
@@ -187,7 +189,7 @@
     entry.previous = null;
     Entry head = slots[entry.level][entry.slot];
     if (head.next == head) {
-      usedSlots[entry.level] &= ~(1L << entry.slot);
+      occupiedSlots[entry.level] &= ~(1L << entry.slot);
     }
   }
 }
--- a/net/src/main/java/lemondock/net/time/package-info.java
+++ b/net/src/main/java/lemondock/net/time/package-info.java
@@ -1,2 +1,2 @@
-/** Timers of an event loop, and an event loop on a clock that its owner advances. */
+/** The timer wheel of an event loop, and an event loop whose clock its owner advances. */
 package lemondock.net.time;
--- a/net/src/test/java/lemondock/net/nio/AsyncNetworkTest.java
+++ b/net/src/test/java/lemondock/net/nio/AsyncNetworkTest.java
@@ -26,13 +26,13 @@
 /** The I/O threads of a network, over real sockets. */
 class AsyncNetworkTest {
   private static final long CONNECT_TIMEOUT_MICROS = 5_000_000;
-  private static final long THREADS_END_MILLIS = 200;
+  private static final long THREAD_SHUTDOWN_MILLIS = 200;
 
   @RegisterExtension private final NetworkExtension net = new NetworkExtension(2, 8);
 
   @Test
-  void aProbeMeasuresHowLongInputWaitsForItsThread() throws Exception {
-    CompletableFuture<Void> hold = new CompletableFuture<>();
+  void delayProbeReportsHowLongInputWaitsForItsThread() throws Exception {
+    CompletableFuture<Void> releaseDecoder = new CompletableFuture<>();
     Network.Listener port =
         net.network()
             .listen(
@@ -42,7 +42,7 @@
                     new Echo() {
                       @Override
                       public void decode(ByteBuffer bytes, List<Object> events) {
-                        hold.join(); // its thread does nothing else meanwhile
+                        releaseDecoder.join(); // blocks the I/O thread meanwhile
                         super.decode(bytes, events);
                       }
                     });
@@ -53,15 +53,15 @@
     }
     try (Socket socket = connect(port)) {
       socket.getOutputStream().write('x');
-      // told while it still waits
+      // reported while the byte is still waiting
       await(() -> probes.stream().anyMatch(p -> pendingDelay(p) >= 50_000));
-      hold.complete(null);
+      releaseDecoder.complete(null);
       assertEquals('x', socket.getInputStream().read());
       await(() -> probes.stream().allMatch(p -> pendingDelay(p) == 0));
     }
   }
 
-  /** For how long the probe's last byte has been waiting, microseconds. */
+  /** Time that the probe's last byte has been waiting, in microseconds. */
   private long pendingDelay(DelayProbe probe) {
     return net.onLoop(() -> probe.measure(delay -> {}));
   }
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void aThreadWhoseDecoderThrowsAnErrorServesItsOtherConnections() throws Exception {
+  void decoderErrorBreaksOnlyItsOwnConnection() throws Exception {
     Network.Listener port =
         net.network().listen(new InetSocketAddress("127.0.0.1", 0), 100, () -> new Echo());
     List<Socket> sockets = new ArrayList<>();
@@ -82,8 +82,11 @@
     }
     for (int i = 0; i < 20; i += 2) {
       sockets.get(i).getOutputStream().write('!');
-      assertEquals(-1, sockets.get(i).getInputStream().read(), "its connection breaks");
-      assertTrue(net.failures().poll(10, TimeUnit.SECONDS).contains("no more stack"));
+      assertEquals(
+          -1,
+          sockets.get(i).getInputStream().read(),
+          "the connection whose decoder failed is closed");
+      assertTrue(net.failures().poll(10, TimeUnit.SECONDS).contains("simulated stack overflow"));
     }
     for (int i = 1; i < 20; i += 2) {
       sockets.get(i).getOutputStream().write('x');
@@ -92,23 +95,26 @@
     }
   }
 
-  /** Closing a network while its loop goes on: the reads and writes of that turn come too late. */
+  /**
+   * A network is closed while its loop still runs: the reads and writes of that turn are started
+   * only after the shutdown.
+   */
   @Test
-  void readsAndWritesOfAClosedNetworkEndTheirConnections() throws Exception {
+  void readsAndWritesAfterNetworkCloseEndTheConnection() throws Exception {
     CompletableFuture<Connection> opened = new CompletableFuture<>();
     CompletableFuture<IOException> end = new CompletableFuture<>();
-    try (ServerSocket peer = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+    try (ServerSocket peerServer = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         AsyncNetwork closing = new AsyncNetwork(net.loop(), 1, 1)) {
       net.loop()
           .execute(
               () ->
                   closing.connect(
-                      (InetSocketAddress) peer.getLocalSocketAddress(),
+                      (InetSocketAddress) peerServer.getLocalSocketAddress(),
                       CONNECT_TIMEOUT_MICROS,
                       new Echo() {
                         @Override
-                        public void connected(Connection made) {
-                          opened.complete(made);
+                        public void connected(Connection newConnection) {
+                          opened.complete(newConnection);
                         }
 
                         @Override
@@ -132,27 +138,27 @@
   private static void close(AsyncNetwork network) {
     try {
       network.close();
-      Thread.sleep(THREADS_END_MILLIS);
+      Thread.sleep(THREAD_SHUTDOWN_MILLIS);
     } catch (IOException | InterruptedException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  /** Gives back what comes, and fails at an exclamation mark. */
+  /** Echoes the first byte of each batch; its decoder throws an error on an exclamation mark. */
   private static class Echo implements Connection.Handler {
     private Connection connection;
 
     @Override
-    public void connected(Connection made) {
-      connection = made;
-      made.read();
+    public void connected(Connection newConnection) {
+      connection = newConnection;
+      newConnection.read();
     }
 
     @Override
     public void decode(ByteBuffer bytes, List<Object> events) {
       byte first = bytes.get();
       if (first == '!') {
-        throw new StackOverflowError("no more stack");
+        throw new StackOverflowError("simulated stack overflow");
       }
       events.add(first);
     }
--- a/net/src/test/java/lemondock/net/nio/IdleCloseTest.java
+++ b/net/src/test/java/lemondock/net/nio/IdleCloseTest.java
@@ -26,9 +26,9 @@
 import org.junit.jupiter.api.extension.RegisterExtension;
 
 /**
- * A server closes an unused connection while a request is on its way: read by the I/O thread, not
- * yet handed to the loop. The loop is held still by a task that waits, so that the crossing is
- * certain.
+ * A server closes an idle connection while a request is being processed: the I/O thread has read it
+ * but not yet delivered it to the loop. A task that waits blocks the loop, so that this race
+ * happens in every run.
  */
 @Timeout(20)
 class IdleCloseTest {
@@ -38,8 +38,8 @@
 
   @RegisterExtension private final NetworkExtension net = new NetworkExtension(1, 1);
 
-  private final Semaphore decoded = new Semaphore(0);
-  private final CountDownLatch release = new CountDownLatch(1);
+  private final Semaphore decodedRequests = new Semaphore(0);
+  private final CountDownLatch releaseLoop = new CountDownLatch(1);
   private HttpServer server;
 
   @BeforeEach
@@ -59,7 +59,7 @@
             new HttpService() {
               @Override
               public Object prepare(HttpRequest request) {
-                decoded.release();
+                decodedRequests.release();
                 return null;
               }
 
@@ -71,124 +71,124 @@
   }
 
   @AfterEach
-  void releaseLoop() {
-    release.countDown();
+  void unblockLoop() {
+    releaseLoop.countDown();
   }
 
-  private Socket served() throws Exception {
+  private Socket connectAndSendRequest() throws Exception {
     Socket socket = connect(server);
     send(socket);
-    assertAnswered(socket);
+    assertOkResponse(socket);
     return socket;
   }
 
   private void send(Socket socket) throws Exception {
     write(socket, REQUEST);
-    assertTrue(decoded.tryAcquire(5, TimeUnit.SECONDS));
+    assertTrue(decodedRequests.tryAcquire(5, TimeUnit.SECONDS));
   }
 
-  private static void assertAnswered(Socket socket) throws IOException {
-    StringBuilder got = new StringBuilder();
-    while (got.indexOf("\r\n\r\nok") < 0) {
+  private static void assertOkResponse(Socket socket) throws IOException {
+    StringBuilder received = new StringBuilder();
+    while (received.indexOf("\r\n\r\nok") < 0) {
       int next = socket.getInputStream().read();
-      assertTrue(next >= 0, "closed after " + got);
-      got.append((char) next);
+      assertTrue(next >= 0, "closed after " + received);
+      received.append((char) next);
     }
-    assertTrue(got.toString().startsWith("HTTP/1.1 200"), got.toString());
+    assertTrue(received.toString().startsWith("HTTP/1.1 200"), received.toString());
   }
 
   /**
-   * Holds the loop still; what is run first when it goes on comes before anything that arrives
+   * Blocks the loop until it is released. It then runs the given task before anything that arrived
    * meanwhile.
    */
-  private void holdLoopThen(Runnable first) throws InterruptedException {
-    CountDownLatch held = new CountDownLatch(1);
-    net.executeOnLoopThread(() -> hold(held, first));
-    assertTrue(held.await(5, TimeUnit.SECONDS));
+  private void blockLoopThenRun(Runnable firstTask) throws InterruptedException {
+    CountDownLatch blocked = new CountDownLatch(1);
+    net.executeOnLoopThread(() -> blockUntilReleased(blocked, firstTask));
+    assertTrue(blocked.await(5, TimeUnit.SECONDS));
   }
 
-  private void hold(CountDownLatch held, Runnable first) {
-    held.countDown();
+  private void blockUntilReleased(CountDownLatch blocked, Runnable firstTask) {
+    blocked.countDown();
     try {
-      release.await();
+      releaseLoop.await();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    first.run();
+    firstTask.run();
   }
 
   @Test
-  void aRequestReadBeforeTheIdleTimeEndsIsServed() throws Exception {
-    try (Socket socket = served()) {
-      holdLoopThen(() -> {});
+  void requestReadBeforeIdleTimeoutIsServed() throws Exception {
+    try (Socket socket = connectAndSendRequest()) {
+      blockLoopThenRun(() -> {});
       send(socket);
-      // the idle timer is due by then, and runs before what was read is handed over
+      // the idle timer is due by then and runs before the input is delivered
       Thread.sleep(2 * IDLE_TIMEOUT_MICROS / 1_000);
-      release.countDown();
-      assertAnswered(socket);
+      releaseLoop.countDown();
+      assertOkResponse(socket);
       assertEquals(
-          -1, socket.getInputStream().read(), "an unused connection is closed all the same");
+          -1, socket.getInputStream().read(), "an idle connection is still closed afterwards");
     }
   }
 
   @Test
-  void aRequestReadBeforeTheServerDrainsIsServed() throws Exception {
-    try (Socket socket = served()) {
-      holdLoopThen(server::drain);
+  void requestReadBeforeServerDrainsIsServed() throws Exception {
+    try (Socket socket = connectAndSendRequest()) {
+      blockLoopThenRun(server::drain);
       send(socket);
-      release.countDown();
-      assertAnswered(socket);
+      releaseLoop.countDown();
+      assertOkResponse(socket);
       assertEquals(-1, socket.getInputStream().read());
     }
   }
 
   @Test
-  void aRequestReadBeforeItsConnectionMakesRoomIsServed() throws Exception {
-    try (Socket oldest = served();
-        Socket second = served();
-        Socket third = served();
+  void requestReadBeforeEvictionOfItsConnectionIsServed() throws Exception {
+    try (Socket oldest = connectAndSendRequest();
+        Socket second = connectAndSendRequest();
+        Socket third = connectAndSendRequest();
         Socket fourth = new Socket()) {
-      holdLoopThen(() -> {});
-      // its acceptance is handed to the loop before the request is
+      blockLoopThenRun(() -> {});
+      // the accepted connection is submitted to the loop before the request is
       fourth.connect(server.address());
       send(oldest);
-      release.countDown();
-      assertAnswered(oldest);
+      releaseLoop.countDown();
+      assertOkResponse(oldest);
       send(second);
-      assertAnswered(second);
+      assertOkResponse(second);
       send(third);
-      assertAnswered(third);
+      assertOkResponse(third);
     }
   }
 
   /**
-   * Bytes that come after the decision are dropped, but the close is one that lets the client read
-   * what it was sent.
+   * Bytes that arrive after the decision to close are discarded, but the close does not reset the
+   * connection, so the client can still read the response.
    */
   @Test
-  void aRequestAfterTheCloseIsNeitherServedNorReset() throws Exception {
-    try (Socket socket = served()) {
+  void requestAfterCloseIsDroppedWithoutReset() throws Exception {
+    try (Socket socket = connectAndSendRequest()) {
       assertEquals(-1, socket.getInputStream().read());
       write(socket, REQUEST);
       assertEquals(-1, socket.getInputStream().read());
     }
-    assertEquals(0, decoded.availablePermits());
+    assertEquals(0, decodedRequests.availablePermits());
   }
 
   @Test
-  void anEmptyLineLeavesTheConnectionUnused() throws Exception {
-    try (Socket socket = served();
-        Socket later = served()) {
-      holdLoopThen(() -> {});
+  void emptyLineKeepsIdleConnectionOpen() throws Exception {
+    try (Socket socket = connectAndSendRequest();
+        Socket later = connectAndSendRequest()) {
+      blockLoopThenRun(() -> {});
       write(socket, "\r\n");
-      // decoded by the same I/O thread, so the two bytes that came before it are read by then
+      // decoded by the same I/O thread, so the two earlier bytes have been read by then
       send(later);
-      // the idle timer is due by then, and runs before what was read is handed over
+      // the idle timer is due by then and runs before the input is delivered
       Thread.sleep(2 * IDLE_TIMEOUT_MICROS / 1_000);
-      release.countDown();
-      assertAnswered(later);
+      releaseLoop.countDown();
+      assertOkResponse(later);
       send(socket);
-      assertAnswered(socket);
+      assertOkResponse(socket);
     }
   }
 }
--- a/net/src/test/java/lemondock/net/nio/LoopbackPortTest.java
+++ b/net/src/test/java/lemondock/net/nio/LoopbackPortTest.java
@@ -22,12 +22,13 @@
   private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
   @Test
-  void listenersOfTheNetworkBindAgainAndAgain() throws Exception {
+  void networkListenersCanRebindReservedPort() throws Exception {
     try (LoopbackPort port = LoopbackPort.reserve();
         ThreadLoop loop = new ThreadLoop("test", Throwable::printStackTrace);
         AsyncNetwork network = new AsyncNetwork(loop, 2, 2)) {
-      for (int start = 0; start < 3; start++) {
-        Network.Listener listener = network.listen(port.address(), 8, LoopbackPortTest::unused);
+      for (int round = 0; round < 3; round++) {
+        Network.Listener listener =
+            network.listen(port.address(), 8, LoopbackPortTest::unexpectedHandler);
         try (Socket client = new Socket(LOOPBACK, port.number())) {
           assertTrue(client.isConnected());
         }
@@ -37,7 +38,7 @@
   }
 
   @Test
-  void onlyOneListenerHasThePort() throws IOException {
+  void secondListenerOnReservedPortIsRefused() throws IOException {
     try (LoopbackPort port = LoopbackPort.reserve();
         ServerSocket listener = new ServerSocket(port.number(), 1, LOOPBACK)) {
       assertEquals(port.number(), listener.getLocalPort());
@@ -46,14 +47,14 @@
   }
 
   @Test
-  void connectionsAreRefusedWhileNobodyListens() {
+  void connectionToReservedPortWithoutListenerIsRefused() {
     try (LoopbackPort port = LoopbackPort.reserve()) {
       assertThrows(ConnectException.class, () -> new Socket(LOOPBACK, port.number()).close());
     }
   }
 
   @Test
-  void noOtherSocketIsGivenThePort() throws IOException {
+  void systemNeverAssignsReservedPortToOtherSockets() throws IOException {
     List<AutoCloseable> sockets = new ArrayList<>();
     try (LoopbackPort port = LoopbackPort.reserve();
         ServerSocket target = new ServerSocket(0, 1, LOOPBACK)) {
@@ -81,7 +82,7 @@
     }
   }
 
-  private static Connection.Handler unused() {
-    throw new AssertionError("nothing is sent in this test");
+  private static Connection.Handler unexpectedHandler() {
+    throw new AssertionError("no connection is served in this test");
   }
 }
--- a/net/src/test/java/lemondock/net/nio/PolledConnectionTest.java
+++ b/net/src/test/java/lemondock/net/nio/PolledConnectionTest.java
@@ -25,40 +25,40 @@
 import org.junit.jupiter.api.extension.RegisterExtension;
 import org.junit.jupiter.api.io.TempDir;
 
-/** How a connection over a Unix domain socket is closed. */
+/** Tests the close of a connection over a Unix domain socket. */
 @Timeout(20)
 class PolledConnectionTest {
-  private static final long PEER_LATE_MILLIS = 150;
+  private static final long PEER_DELAY_MILLIS = 150;
   private static final String LINE = "PUTVAL a/b/c interval=10 1:2\n";
-  private static final int LINES = 20;
+  private static final int LINE_COUNT = 20;
 
   @RegisterExtension private final NetworkExtension net = new NetworkExtension(1, 1);
 
   @TempDir Path folder;
 
-  /** A collector that answers each line, and comes to them only after the close. */
+  /** The peer responds to each line, and starts to read only after the close. */
   @Test
-  void aPeerThatIsLateCanAnswerAllThatWasSentBeforeTheClose() throws Exception {
+  void slowPeerCanAnswerEveryLineSentBeforeClose() throws Exception {
     try (ServerSocketChannel server = listen()) {
       CompletableFuture<IOException> closed = writeAndClose();
       try (SocketChannel peer = server.accept();
           BufferedReader lines =
               new BufferedReader(Channels.newReader(peer, StandardCharsets.US_ASCII))) {
-        Thread.sleep(PEER_LATE_MILLIS);
+        Thread.sleep(PEER_DELAY_MILLIS);
         List<String> received = new ArrayList<>();
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
           received.add(line);
           peer.write(ByteBuffer.wrap(new byte[] {'0', '\n'}));
         }
-        assertEquals(LINES, received.size());
-        assertFalse(closed.isDone(), "it waits for the peer's close");
+        assertEquals(LINE_COUNT, received.size());
+        assertFalse(closed.isDone(), "the connection waits until the peer closes");
       }
       assertEquals(null, closed.get(10, TimeUnit.SECONDS));
     }
   }
 
   @Test
-  void aPeerThatNeverClosesIsNotWaitedForForEver() throws Exception {
+  void closeEndsWhenPeerNeverCloses() throws Exception {
     try (ServerSocketChannel server = listen()) {
       CompletableFuture<IOException> closed = writeAndClose();
       try (SocketChannel peer = server.accept()) {
@@ -74,7 +74,7 @@
     return server;
   }
 
-  /** Connects, writes the lines and closes; completes with what the close was reported as. */
+  /** Connects, writes the lines and closes; completes with the cause reported by the close. */
   private CompletableFuture<IOException> writeAndClose() {
     CompletableFuture<IOException> closed = new CompletableFuture<>();
     UnixDomainConnector connector = new UnixDomainConnector(net.loop());
@@ -88,7 +88,7 @@
                       public void connected(Connection connection) {
                         connection.write(
                             ByteBuffer.wrap(
-                                LINE.repeat(LINES).getBytes(StandardCharsets.US_ASCII)));
+                                LINE.repeat(LINE_COUNT).getBytes(StandardCharsets.US_ASCII)));
                         connection.close();
                       }
 
--- a/net/src/test/java/lemondock/net/nio/SharedStateTest.java
+++ b/net/src/test/java/lemondock/net/nio/SharedStateTest.java
@@ -7,81 +7,82 @@
 import org.jetbrains.kotlinx.lincheck.strategy.managed.modelchecking.ModelCheckingOptions;
 import org.junit.jupiter.api.Test;
 
-/** What threads share, through the interleavings of their steps. */
+/** Model checks state shared between threads over the interleavings of their steps. */
 class SharedStateTest {
-  /** Tasks from I/O threads, as {@link ThreadLoop#executeHere} hands them in. */
-  public static class Tasks {
+  /** Tasks submitted by I/O threads as {@link ThreadLoop#executeInline} does. */
+  public static class TaskSubmission {
     private final FlatCombiner context = new FlatCombiner();
-    private int inside;
-    private int most;
-    private int run;
+    private int activeTurns;
+    private int maxActiveTurns;
+    private int tasksRun;
     private volatile int brought;
-    private volatile boolean woken;
+    private volatile boolean anotherThreadWoken;
 
     private void turn() {
-      inside++;
-      most = Math.max(most, inside);
+      activeTurns++;
+      maxActiveTurns = Math.max(maxActiveTurns, activeTurns);
       Runnable task = context.poll();
       if (task != null) {
         task.run();
       }
-      inside--;
-      context.leave();
+      activeTurns--;
+      context.release();
     }
 
     @Operation
-    public void bring() {
-      context.add(() -> run++);
+    public void submitTask() {
+      context.add(() -> tasksRun++);
       if (!context.combine(2, this::turn)) {
-        woken = true;
+        anotherThreadWoken = true;
       }
     }
 
     @Validate
-    public void noneIsLeftBehindAndNoTwoWereInside() {
-      if (most > 1) {
-        throw new IllegalStateException(most + " threads had the context at a time");
+    public void noTaskIsLostAndTurnsNeverOverlap() {
+      if (maxActiveTurns > 1) {
+        throw new IllegalStateException(
+            maxActiveTurns + " threads held the context at the same time");
       }
-      if (!woken && !context.isEmpty()) {
-        throw new IllegalStateException("a task was left behind and nobody woken for it");
+      if (!anotherThreadWoken && !context.isEmpty()) {
+        throw new IllegalStateException("a task is waiting and no thread was woken for it");
       }
     }
   }
 
-  /** Bytes of requests, taken on I/O threads and given back by the loop. */
-  public static class Bytes {
+  /** Request bytes reserved on I/O threads and released by the loop. */
+  public static class BudgetReservation {
     private final ByteBudget budget = new ByteBudget(10);
-    private volatile boolean over;
+    private volatile boolean exceeded;
 
     @Operation
-    public void takeAndGive() {
+    public void reserveAndRelease() {
       if (budget.tryReserve(6)) {
-        over |=
+        exceeded |=
             budget.reservedBytes()
-                > 10 + 6 + 6; // others may have asked in vain and not taken it back
-        // yet
+                > 10 + 6 + 6; // failed reservations of others may not be reverted yet
         budget.release(6);
       }
     }
 
     @Operation
-    public void takeWithinAndGive() {
+    public void reserveWithinAndRelease() {
       if (budget.tryReserveWithin(0.5, 4)) {
         budget.release(4);
       }
     }
 
     @Validate
-    public void allIsGivenBack() {
-      if (budget.reservedBytes() != 0 || over) {
-        throw new IllegalStateException("used " + budget.reservedBytes());
+    public void allReservedBytesAreReleased() {
+      if (budget.reservedBytes() != 0 || exceeded) {
+        throw new IllegalStateException(
+            "reserved bytes: " + budget.reservedBytes() + ", limit exceeded: " + exceeded);
       }
     }
   }
 
-  private static void check(Class<?> test) {
+  private static void modelCheck(Class<?> scenario) {
     LinChecker.check(
-        test,
+        scenario,
         new ModelCheckingOptions()
             .iterations(10)
             .threads(3)
@@ -92,12 +93,12 @@
   }
 
   @Test
-  void tasksAreNotLeftBehind() {
-    check(Tasks.class);
+  void noTaskIsLostAndTurnsNeverOverlap() {
+    modelCheck(TaskSubmission.class);
   }
 
   @Test
-  void budgetsAreGivenBack() {
-    check(Bytes.class);
+  void byteBudgetIsFullyReleased() {
+    modelCheck(BudgetReservation.class);
   }
 }
--- a/net/src/test/java/lemondock/net/testing/NetworkExtension.java
+++ b/net/src/test/java/lemondock/net/testing/NetworkExtension.java
@@ -23,11 +23,12 @@
 import org.junit.jupiter.api.extension.ExtensionContext;
 
 /**
- * A loop and a network on real sockets for each test, with plain sockets as the unruly other side.
- * A test fails if a task of its loop threw and the test did not take the failure.
+ * Provides a loop and a network on real sockets for each test, and plain sockets for misbehaving
+ * peers. A test fails if a task of its loop threw and the test did not remove the failure from
+ * {@link #failures}.
  */
 public final class NetworkExtension implements BeforeEachCallback, AfterEachCallback {
-  private static final long WAIT_SECONDS = 10;
+  private static final long WAIT_TIMEOUT_SECONDS = 10;
   private static final int SOCKET_TIMEOUT_MILLIS = 10_000;
   private static final String LOOP_THREAD_NAME = "test-loop";
 
@@ -37,7 +38,10 @@
   private ThreadLoop loop;
   private AsyncNetwork network;
 
-  /** Makes a network with so many I/O threads and listening sockets for each. */
+  /**
+   * Creates an extension whose networks have the given number of I/O threads and of listening
+   * sockets per port and thread.
+   */
   public NetworkExtension(int shards, int acceptorsPerShard) {
     this.shards = shards;
     this.acceptorsPerShard = acceptorsPerShard;
@@ -46,8 +50,8 @@
   @Override
   public void beforeEach(ExtensionContext context) throws IOException {
     failures = new LinkedBlockingQueue<>();
-    LinkedBlockingQueue<String> thrown = failures;
-    loop = new ThreadLoop(LOOP_THREAD_NAME, e -> thrown.add(e.toString()));
+    LinkedBlockingQueue<String> reportedFailures = failures;
+    loop = new ThreadLoop(LOOP_THREAD_NAME, failure -> reportedFailures.add(failure.toString()));
     network = new AsyncNetwork(loop, shards, acceptorsPerShard);
   }
 
@@ -62,22 +66,22 @@
     }
   }
 
-  /** The loop. */
+  /** The loop of the current test. */
   public ThreadLoop loop() {
     return loop;
   }
 
-  /** The network. */
+  /** The network of the current test. */
   public AsyncNetwork network() {
     return network;
   }
 
-  /** What tasks of the loop threw; a test that expects it takes it from here. */
+  /** Failures thrown by tasks of the loop; a test that expects one removes it from here. */
   public LinkedBlockingQueue<String> failures() {
     return failures;
   }
 
-  /** Starts a server on a free port. */
+  /** Starts a server on a free loopback port. */
   public HttpServer serve(HttpServerOptions options, HttpService service) throws IOException {
     HttpServer server = new HttpServer(loop, options, service);
     server.start(network, new InetSocketAddress("127.0.0.1", 0));
@@ -85,8 +89,8 @@
   }
 
   /**
-   * Runs a task that holds the loop still, on the loop's own thread: an I/O thread that has the
-   * loop's context just now would stand still with it, and read nothing.
+   * Runs a task that blocks the loop, on the loop's dedicated thread. On an I/O thread that happens
+   * to hold the loop's context, the task would block that thread too, and it would read nothing.
    */
   public void executeOnLoopThread(Runnable task) {
     loop.execute(
@@ -99,11 +103,11 @@
         });
   }
 
-  /** What a supplier gives on the loop, within 10 s. */
+  /** Calls a supplier on the loop and returns its result; fails after 10 s. */
   public <T> T onLoop(Supplier<T> supplier) {
     CompletableFuture<T> result = new CompletableFuture<>();
     loop.execute(() -> result.complete(supplier.get()));
-    return result.orTimeout(WAIT_SECONDS, TimeUnit.SECONDS).join();
+    return result.orTimeout(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS).join();
   }
 
   /** Connects a plain socket to a server. */
@@ -111,7 +115,7 @@
     return connect(server.address());
   }
 
-  /** Connects a plain socket to a port. */
+  /** Connects a plain socket to a listening port. */
   public static Socket connect(Network.Listener port) throws IOException {
     return connect(port.address());
   }
@@ -127,12 +131,12 @@
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** All that comes until the other side closes. */
+  /** Reads until the other side closes; each byte becomes a character. */
   public static String readAll(Socket socket) throws IOException {
     return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
   }
 
-  /** Writes a text and gives all that comes until the other side closes. */
+  /** Writes a text and reads until the other side closes. */
   public static String ask(Socket socket, String text) throws IOException {
     write(socket, text);
     return readAll(socket);
@@ -140,9 +144,11 @@
 
   /** Waits until a condition holds, and fails if it does not within 10 s. */
   public static void await(BooleanSupplier condition) throws InterruptedException {
-    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_SECONDS);
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < deadline, "in vain");
+      assertTrue(
+          System.nanoTime() < deadlineNanos,
+          "condition not met within " + WAIT_TIMEOUT_SECONDS + " s");
       Thread.sleep(2);
     }
   }
--- a/net/src/test/java/lemondock/net/testing/ScriptedConnection.java
+++ b/net/src/test/java/lemondock/net/testing/ScriptedConnection.java
@@ -10,8 +10,8 @@
 import lemondock.net.time.ManualLoop;
 
 /**
- * A connection that a test moves: no socket, no thread. A subclass says what becomes of the bytes
- * written to it.
+ * A connection that a test controls, without socket or thread. A subclass decides what happens to
+ * the bytes written to it.
  */
 public abstract class ScriptedConnection implements Connection {
   private final ManualLoop loop;
@@ -19,14 +19,14 @@
   private final Handler handler;
   private boolean closed;
 
-  /** Makes a connection to that peer which tells its owner, the handler, of all that comes. */
+  /** Creates a connection to a peer that reports its input and its close to the handler. */
   protected ScriptedConnection(ManualLoop loop, InetSocketAddress remoteAddress, Handler handler) {
     this.loop = loop;
     this.remoteAddress = remoteAddress;
     this.handler = handler;
   }
 
-  /** Has bytes come from the peer, decoded and handed over as one batch. */
+  /** Simulates input from the peer, decoded and delivered as one batch. */
   public final void receive(String text) {
     List<Object> events = new ArrayList<>();
     handler.decode(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)), events);
@@ -34,8 +34,9 @@
   }
 
   /**
-   * Ends the connection; its owner hears of it on the loop, with that cause, null after an orderly
-   * close.
+   * Ends the connection and notifies its handler on the loop.
+   *
+   * @param cause null for an orderly close
    */
   public final void end(IOException cause) {
     if (!closed) {
@@ -44,7 +45,7 @@
     }
   }
 
-  /** Whether it has been closed by either side. */
+  /** Whether either side has closed the connection. */
   public final boolean isClosed() {
     return closed;
   }
--- a/net/src/test/java/lemondock/net/testing/ScriptedNetwork.java
+++ b/net/src/test/java/lemondock/net/testing/ScriptedNetwork.java
@@ -9,29 +9,29 @@
 import lemondock.net.time.ManualLoop;
 
 /**
- * A network whose connections a test moves. Each attempt to connect comes up at once, unless a test
- * overrides {@link #connect}; nobody listens.
+ * A network whose connections a test controls. Each connect succeeds immediately unless a test
+ * overrides {@link #connect}. Listening is not supported.
  *
- * @param <C> the test's kind of connection
+ * @param <C> the test's connection type
  */
 public class ScriptedNetwork<C extends ScriptedConnection> implements Network {
   private final ManualLoop loop;
   private final ConnectionFactory<C> factory;
   private final List<C> connections = new ArrayList<>();
 
-  /** Makes a test's connection. */
+  /** Creates the connections of a test. */
   public interface ConnectionFactory<C extends ScriptedConnection> {
-    /** A connection to that peer whose owner is the handler. */
+    /** Creates a connection to a peer, owned by the handler. */
     C create(InetSocketAddress peer, Connection.Handler handler);
   }
 
-  /** Makes a network without connections. */
+  /** Creates a network without connections. */
   public ScriptedNetwork(ManualLoop loop, ConnectionFactory<C> factory) {
     this.loop = loop;
     this.factory = factory;
   }
 
-  /** All connections that came up so far, closed ones among them, oldest first. */
+  /** All connections opened so far, including closed ones, oldest first. */
   public final List<C> connections() {
     return connections;
   }
--- a/net/src/test/java/lemondock/net/testing/package-info.java
+++ b/net/src/test/java/lemondock/net/testing/package-info.java
@@ -1,2 +1,2 @@
-/** Helpers for tests on the interfaces of {@link lemondock.net}, also used by other modules. */
+/** Test helpers for the interfaces of {@link lemondock.net}, also used by other modules. */
 package lemondock.net.testing;
--- a/net/src/test/java/lemondock/net/time/TimerWheelTest.java
+++ b/net/src/test/java/lemondock/net/time/TimerWheelTest.java
@@ -13,46 +13,50 @@
 import org.junit.jupiter.api.Test;
 
 class TimerWheelTest {
-  private record Due(long tick, int order) {}
+  private record DueTimer(long tick, int order) {}
 
   /**
-   * Against a plain heap: the same timers in the same order, whatever is set, dropped and jumped
-   * over.
+   * Compares the wheel with a plain heap: the same timers must fire in the same order, whatever is
+   * scheduled and cancelled and however far the clock jumps.
    */
   @Property(tries = 300, seed = "20261201")
-  void firesLikeAHeap(@ForAll long seed) {
+  void firesInSameOrderAsHeap(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    long now = random.nextLong(1L << 40);
-    TimerWheel wheel = new TimerWheel(now, 1000);
+    long nowMicros = random.nextLong(1L << 40);
+    TimerWheel wheel = new TimerWheel(nowMicros, 1000);
     List<Integer> fired = new ArrayList<>();
-    List<Integer> wanted = new ArrayList<>();
-    PriorityQueue<Due> heap =
+    List<Integer> expected = new ArrayList<>();
+    PriorityQueue<DueTimer> heap =
         new PriorityQueue<>(
-            (a, b) ->
-                a.tick() != b.tick()
-                    ? Long.compare(a.tick(), b.tick())
-                    : Integer.compare(a.order(), b.order()));
+            (left, right) ->
+                left.tick() != right.tick()
+                    ? Long.compare(left.tick(), right.tick())
+                    : Integer.compare(left.order(), right.order()));
     List<TimerWheel.Entry> entries = new ArrayList<>();
-    List<Due> dues = new ArrayList<>();
+    List<DueTimer> dueTimers = new ArrayList<>();
     for (int step = 0; step < 200; step++) {
       int order = entries.size();
-      long at =
-          now + random.nextLong(random.nextBoolean() ? 5_000 : 1L << (10 + random.nextInt(24)));
-      entries.add(wheel.schedule(at, () -> fired.add(order)));
-      Due due = new Due(Math.max(Math.floorDiv(now, 1000) + 1, (at + 999) / 1000), order);
-      dues.add(due);
-      heap.add(due);
+      long dueMicros =
+          nowMicros
+              + random.nextLong(random.nextBoolean() ? 5_000 : 1L << (10 + random.nextInt(24)));
+      entries.add(wheel.schedule(dueMicros, () -> fired.add(order)));
+      DueTimer dueTimer =
+          new DueTimer(
+              Math.max(Math.floorDiv(nowMicros, 1000) + 1, (dueMicros + 999) / 1000), order);
+      dueTimers.add(dueTimer);
+      heap.add(dueTimer);
       if (random.nextInt(4) == 0) {
-        int victim = random.nextInt(entries.size());
-        assertEquals(heap.remove(dues.get(victim)), wheel.cancel(entries.get(victim)));
+        int cancelledIndex = random.nextInt(entries.size());
+        assertEquals(
+            heap.remove(dueTimers.get(cancelledIndex)), wheel.cancel(entries.get(cancelledIndex)));
       }
       if (random.nextInt(3) == 0) {
-        now += random.nextLong(1L << (8 + random.nextInt(22)));
-        wheel.advance(now);
-        while (!heap.isEmpty() && heap.peek().tick() <= now / 1000) {
-          wanted.add(heap.poll().order());
+        nowMicros += random.nextLong(1L << (8 + random.nextInt(22)));
+        wheel.advance(nowMicros);
+        while (!heap.isEmpty() && heap.peek().tick() <= nowMicros / 1000) {
+          expected.add(heap.poll().order());
         }
-        assertEquals(wanted, fired);
+        assertEquals(expected, fired);
         assertEquals(heap.size(), wheel.size());
         assertTrue(heap.isEmpty() || wheel.nextDueMicros() <= heap.peek().tick() * 1000);
       }
@@ -60,7 +64,7 @@
   }
 
   @Test
-  void aTimerSetByATimerFiresLater() {
+  void timerScheduledByTimerFiresOnLaterTick() {
     TimerWheel wheel = new TimerWheel(0, 1000);
     List<String> fired = new ArrayList<>();
     wheel.schedule(
@@ -77,7 +81,7 @@
   }
 
   @Test
-  void aFiredTimerCannotBeDropped() {
+  void firedTimerCannotBeCancelled() {
     TimerWheel wheel = new TimerWheel(0, 1000);
     TimerWheel.Entry entry = wheel.schedule(1, () -> {});
     wheel.advance(10_000);
--- a/rpc/src/main/java/lemondock/rpc/JsonRpc.java
+++ b/rpc/src/main/java/lemondock/rpc/JsonRpc.java
@@ -15,7 +15,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads and writes JSON-RPC 2.0 messages; no I/O. Safe for any thread. */
+/** Parses and builds JSON-RPC 2.0 messages. Does no I/O and is thread-safe. */
 public final class JsonRpc {
   /** Error code: the text is not JSON. */
   public static final int PARSE_ERROR = -32700;
@@ -23,46 +23,47 @@
   /** Error code: the JSON is not a JSON-RPC message. */
   public static final int INVALID_REQUEST = -32600;
 
-  /** Error code: the method is not known. */
+  /** Error code: the method is unknown. */
   public static final int METHOD_NOT_FOUND = -32601;
 
-  /** Error code: the method's parameters are wrong. */
+  /** Error code: the method's parameters are invalid. */
   public static final int INVALID_PARAMS = -32602;
 
-  /** Error code: the server failed. */
+  /** Error code: an internal error of the server. */
   public static final int INTERNAL_ERROR = -32603;
 
   private static final int MAX_METHOD_LENGTH = 128;
   private static final int MAX_ID_LENGTH = 256;
 
-  /** Characters of a parser's message that are passed on. */
+  /** Maximum length, in characters, of a parser's message that is included in an error message. */
   private static final int MAX_REASON_LENGTH = 200;
 
   private final JsonMapper mapper;
   private final int maxBatch;
 
   /**
-   * What one text may hold.
+   * Limits on the content of one text.
    *
-   * @param maxDepth levels of nested objects and arrays
-   * @param maxBatch messages of a batch
-   * @param maxStringLength characters of a string
-   * @param maxNumberLength characters of a number
+   * @param maxDepth maximum nesting depth of objects and arrays
+   * @param maxBatch maximum number of messages in a batch
+   * @param maxStringLength maximum length of a string, characters
+   * @param maxNumberLength maximum length of a number, characters
    */
   public record Limits(int maxDepth, int maxBatch, int maxStringLength, int maxNumberLength) {
-    /** Limits for unknown peers. */
+    /** Default limits, meant for unknown peers. */
     public static final Limits DEFAULT = new Limits(64, 50, 2 * 1024 * 1024, 100);
   }
 
   /**
-   * One text: a single message or a batch.
+   * The result of parsing one text: a single message or a batch.
    *
-   * @param batch whether the text is an array
-   * @param messages what it holds; an unreadable text is one {@link JsonRpcMessage.Invalid}
+   * @param batch whether the text is an array of an allowed number of messages
+   * @param messages the messages of the text; a text that cannot be parsed yields one {@link
+   *     JsonRpcMessage.Invalid}
    */
   public record Parsed(boolean batch, List<JsonRpcMessage> messages) {}
 
-  /** Makes a codec that reads within limits. */
+  /** Creates a codec that parses within the given limits. */
   public JsonRpc(Limits limits) {
     this.maxBatch = limits.maxBatch();
     JsonFactory factory =
@@ -79,13 +80,13 @@
         JsonMapper.builder(factory).enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
   }
 
-  /** Reads one text (UTF-8). */
+  /** Parses one text in UTF-8; never throws for an invalid text. */
   public Parsed parse(byte[] text) {
     JsonNode root;
     try {
       root = mapper.readTree(text);
     } catch (JsonProcessingException e) {
-      return parseError(describe(e));
+      return parseError(describeParseError(e));
     } catch (IOException e) {
       return parseError(": not UTF-8");
     }
@@ -93,7 +94,7 @@
       return parseError(": the text is empty");
     }
     if (!root.isArray()) {
-      return single(message(root));
+      return single(parseMessage(root));
     }
     if (root.isEmpty() || root.size() > maxBatch) {
       return single(
@@ -102,7 +103,7 @@
               "a batch holds 1 to " + maxBatch + " messages, not " + root.size()));
     }
     List<JsonRpcMessage> messages = new ArrayList<>();
-    root.forEach(node -> messages.add(message(node)));
+    root.forEach(node -> messages.add(parseMessage(node)));
     return new Parsed(true, messages);
   }
 
@@ -115,14 +116,14 @@
     return new Parsed(false, List.of(message));
   }
 
-  /** Where and why a text is not JSON. */
-  private static String describe(JsonProcessingException e) {
-    JsonLocation location = e.getLocation();
+  /** Describes where and why a text is not valid JSON. */
+  private static String describeParseError(JsonProcessingException exception) {
+    JsonLocation location = exception.getLocation();
     String place =
         location == null
             ? ""
             : " at line " + location.getLineNr() + ", column " + location.getColumnNr();
-    String reason = e.getOriginalMessage();
+    String reason = exception.getOriginalMessage();
     return place
         + ": "
         + (reason.length() > MAX_REASON_LENGTH
@@ -130,7 +131,7 @@
             : reason);
   }
 
-  private static JsonRpcMessage message(JsonNode node) {
+  private static JsonRpcMessage parseMessage(JsonNode node) {
     if (!node.isObject()) {
       return invalid(NullNode.instance, "a message is an object");
     }
@@ -140,7 +141,7 @@
     if (version == null || !version.isTextual() || !version.textValue().equals("2.0")) {
       return invalid(responseId, "member 'jsonrpc' is not \"2.0\"");
     }
-    return node.has("method") ? call(node, id, responseId) : response(node, id);
+    return node.has("method") ? parseCall(node, id, responseId) : parseResponse(node, id);
   }
 
   private static boolean isUsableId(JsonNode id) {
@@ -148,7 +149,7 @@
         && (id.isIntegralNumber() || id.isTextual() && id.textValue().length() <= MAX_ID_LENGTH);
   }
 
-  private static JsonRpcMessage call(JsonNode node, JsonNode id, JsonNode responseId) {
+  private static JsonRpcMessage parseCall(JsonNode node, JsonNode id, JsonNode responseId) {
     JsonNode method = node.get("method");
     if (!method.isTextual()
         || method.textValue().isEmpty()
@@ -181,12 +182,12 @@
     return JsonNodeFactory.instance.objectNode().put("jsonrpc", "2.0");
   }
 
-  private static JsonRpcMessage response(JsonNode node, JsonNode id) {
+  private static JsonRpcMessage parseResponse(JsonNode node, JsonNode id) {
     JsonNode result = node.get("result");
     JsonNode error = node.get("error");
-    boolean usable = isUsableId(id);
+    boolean usableId = isUsableId(id);
     if (result == null && error == null) {
-      return invalid(usable ? id : NullNode.instance, "no member 'method', 'result' or 'error'");
+      return invalid(usableId ? id : NullNode.instance, "no member 'method', 'result' or 'error'");
     }
     if (result != null && error != null) {
       return invalid(NullNode.instance, "both a result and an error");
@@ -197,7 +198,7 @@
             && error.path("message").isTextual())) {
       return invalid(NullNode.instance, "an error without a code and a message");
     }
-    if (!usable && !(error != null && (id == null || id.isNull()))) {
+    if (!usableId && !(error != null && (id == null || id.isNull()))) {
       return invalid(NullNode.instance, "a response without the id of its call");
     }
     return new JsonRpcMessage.Response(id == null ? NullNode.instance : id, result, error);
@@ -207,7 +208,7 @@
     return new JsonRpcMessage.Invalid(id, INVALID_REQUEST, "Invalid Request: " + reason);
   }
 
-  /** Makes a response with a result. */
+  /** Builds a response with a result. */
   public static ObjectNode result(JsonNode id, JsonNode result) {
     ObjectNode node = emptyMessage();
     node.set("id", id);
@@ -215,7 +216,7 @@
     return node;
   }
 
-  /** Makes a response with an error; data may be null. */
+  /** Builds a response with an error; data may be null. */
   public static ObjectNode error(JsonNode id, int code, String message, JsonNode data) {
     ObjectNode node = emptyMessage();
     node.set("id", id);
@@ -227,14 +228,14 @@
     return node;
   }
 
-  /** Makes a call that wants a response; params may be null. */
+  /** Builds a request, which expects a response; params may be null. */
   public static ObjectNode request(JsonNode id, String method, JsonNode params) {
     ObjectNode node = emptyMessage();
     node.set("id", id);
     return withMethod(node, method, params);
   }
 
-  /** Makes a call that wants no response; params may be null. */
+  /** Builds a notification, which expects no response; params may be null. */
   public static ObjectNode notification(String method, JsonNode params) {
     return withMethod(emptyMessage(), method, params);
   }
--- a/rpc/src/main/java/lemondock/rpc/JsonRpcMessage.java
+++ b/rpc/src/main/java/lemondock/rpc/JsonRpcMessage.java
@@ -2,21 +2,21 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** One JSON-RPC 2.0 message, or why a text is none. */
+/** One JSON-RPC 2.0 message, or the reason why a text is not a message. */
 public sealed interface JsonRpcMessage {
-  /** A call that wants a response; the id is a string or a number. */
+  /** A call that expects a response; the id is a string or an integer, params may be null. */
   record Request(JsonNode id, String method, JsonNode params) implements JsonRpcMessage {}
 
-  /** A call that wants no response; params may be null. */
+  /** A call that expects no response; params may be null. */
   record Notification(String method, JsonNode params) implements JsonRpcMessage {}
 
-  /** The answer to a call: a result or an error, the other being null. */
+  /** The response to a request: either a result or an error; the other one is null. */
   record Response(JsonNode id, JsonNode result, JsonNode error) implements JsonRpcMessage {}
 
   /**
-   * A text that is no message.
+   * A text that is not a valid message.
    *
-   * @param id the id to respond with, JSON null if none could be read
+   * @param id the id to respond with, JSON null if no usable id could be read
    * @param code the error code to respond with
    * @param reason the error message to respond with
    */
--- a/rpc/src/main/java/lemondock/rpc/Mcp.java
+++ b/rpc/src/main/java/lemondock/rpc/Mcp.java
@@ -4,10 +4,13 @@
 
 /** Names and versions of the Model Context Protocol and of its Streamable HTTP transport. */
 public final class Mcp {
-  /** Protocol versions that are supported, the newest first. */
+  /** Supported protocol versions, newest first. */
   public static final List<String> VERSIONS = List.of("2025-11-25", "2025-06-18", "2025-03-26");
 
-  /** The version of a request without a version header, by the transport's specification. */
+  /**
+   * The version assumed for a request without a version header, as the transport's specification
+   * says.
+   */
   public static final String DEFAULT_VERSION = "2025-03-26";
 
   /** The only version with batches. */
@@ -22,7 +25,7 @@
   /** Header field: the protocol version of a request. */
   public static final String VERSION_HEADER = "mcp-protocol-version";
 
-  /** Header field: the last event that a client has seen of a stream that it resumes. */
+  /** Header field: the last event that a client received on a stream that it resumes. */
   public static final String LAST_EVENT_HEADER = "last-event-id";
 
   public static final String INITIALIZE = "initialize";
@@ -33,13 +36,13 @@
   public static final String TOOLS_LIST = "tools/list";
   public static final String TOOLS_CALL = "tools/call";
 
-  /** Error code: the router rejected the call; a retry is harmless. */
+  /** Error code: the router rejected the call; it is safe to retry. */
   public static final int REJECTED = -32010;
 
-  /** Error code: the call failed; it may have had its effect. */
+  /** Error code: the call failed; it may have been executed. */
   public static final int FAILED = -32011;
 
-  /** Error code: the session is at one of its limits. */
+  /** Error code: a limit of the session or of the gateway is reached. */
   public static final int LIMIT = -32012;
 
   /** Error code: the gateway is shutting down. */
@@ -48,8 +51,8 @@
   private Mcp() {}
 
   /**
-   * The version to speak with a client that requests one: the same if it is supported, else the
-   * newest.
+   * Returns the version to use with a client that requests one: the requested version if it is
+   * supported, otherwise the newest.
    */
   public static String negotiate(String requested) {
     return VERSIONS.contains(requested) ? requested : VERSIONS.get(0);
--- a/rpc/src/main/java/lemondock/rpc/package-info.java
+++ b/rpc/src/main/java/lemondock/rpc/package-info.java
@@ -1,5 +1,5 @@
 /**
- * JSON-RPC 2.0 messages, read strictly and written, and the names of the Model Context Protocol
- * that is spoken in them; no I/O.
+ * Strict parsing and building of JSON-RPC 2.0 messages, and the names of the Model Context
+ * Protocol, which uses them. Does no I/O.
  */
 package lemondock.rpc;
--- a/rpc/src/test/java/lemondock/rpc/JsonRpcTest.java
+++ b/rpc/src/test/java/lemondock/rpc/JsonRpcTest.java
@@ -21,25 +21,26 @@
     return rpc.parse(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  private JsonRpcMessage one(String text) {
+  private JsonRpcMessage parseSingle(String text) {
     return parse(text).messages().get(0);
   }
 
   @Test
-  void theKindsOfMessages() {
+  void parsesEachKindOfMessage() {
     assertEquals(
         "sum",
         assertInstanceOf(
                 JsonRpcMessage.Request.class,
-                one("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"sum\",\"params\":[1]}"))
+                parseSingle("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"sum\",\"params\":[1]}"))
             .method());
     assertInstanceOf(
-        JsonRpcMessage.Notification.class, one("{\"jsonrpc\":\"2.0\",\"method\":\"n\"}"));
+        JsonRpcMessage.Notification.class, parseSingle("{\"jsonrpc\":\"2.0\",\"method\":\"n\"}"));
     assertInstanceOf(
-        JsonRpcMessage.Response.class, one("{\"jsonrpc\":\"2.0\",\"id\":\"a\",\"result\":null}"));
+        JsonRpcMessage.Response.class,
+        parseSingle("{\"jsonrpc\":\"2.0\",\"id\":\"a\",\"result\":null}"));
     assertInstanceOf(
         JsonRpcMessage.Response.class,
-        one("{\"jsonrpc\":\"2.0\",\"id\":null,\"error\":{\"code\":1,\"message\":\"x\"}}"));
+        parseSingle("{\"jsonrpc\":\"2.0\",\"id\":null,\"error\":{\"code\":1,\"message\":\"x\"}}"));
   }
 
   @ParameterizedTest
@@ -69,15 +70,15 @@
         "{\"jsonrpc\":\"2.0\",\"id\":7,\"error\":{\"code\":\"x\"}} ~ -32600 ~ null",
         "{\"jsonrpc\":\"2.0\",\"result\":7} ~ -32600 ~ null",
       })
-  void whatIsNoMessageGetsTheSpecifiedCode(String text, int code, String id) {
+  void invalidTextGetsSpecifiedErrorCode(String text, int code, String id) {
     JsonRpcMessage.Invalid invalid =
-        assertInstanceOf(JsonRpcMessage.Invalid.class, one(text == null ? "" : text));
+        assertInstanceOf(JsonRpcMessage.Invalid.class, parseSingle(text == null ? "" : text));
     assertEquals(code, invalid.code(), invalid.reason());
     assertEquals(id, invalid.id().toString());
   }
 
   @Test
-  void aBatchIsReadMessageByMessage() {
+  void batchIsParsedMessageByMessage() {
     JsonRpc.Parsed parsed =
         parse(
             "[{\"jsonrpc\":\"2.0\",\"method\":\"n\"},1,{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"m\"}]");
@@ -92,13 +93,13 @@
   }
 
   @Test
-  void versionsAreNegotiated() {
+  void negotiatesRequestedVersionOrNewest() {
     assertEquals("2025-06-18", Mcp.negotiate("2025-06-18"));
     assertEquals(Mcp.VERSIONS.get(0), Mcp.negotiate("1999-01-01"));
   }
 
   @Property(tries = 1_000, seed = "20261201")
-  void anyTextIsSurvived(@ForAll String text, @ForAll byte[] bytes) {
+  void arbitraryInputParsesWithoutException(@ForAll String text, @ForAll byte[] bytes) {
     assertFalse(parse(text).messages().isEmpty());
     assertFalse(rpc.parse(bytes).messages().isEmpty());
     assertFalse(
@@ -113,18 +114,18 @@
   }
 
   @Test
-  void whatIsWrittenIsReadBack() {
-    JsonNodeFactory f = JsonNodeFactory.instance;
+  void encodedMessagesParseBackToTheirKind() {
+    JsonNodeFactory nodes = JsonNodeFactory.instance;
     assertInstanceOf(
         JsonRpcMessage.Request.class,
-        one(JsonRpc.request(f.numberNode(1), "m", f.objectNode()).toString()));
+        parseSingle(JsonRpc.request(nodes.numberNode(1), "m", nodes.objectNode()).toString()));
     assertInstanceOf(
-        JsonRpcMessage.Notification.class, one(JsonRpc.notification("m", null).toString()));
+        JsonRpcMessage.Notification.class, parseSingle(JsonRpc.notification("m", null).toString()));
     assertInstanceOf(
         JsonRpcMessage.Response.class,
-        one(JsonRpc.result(f.textNode("a"), f.objectNode()).toString()));
+        parseSingle(JsonRpc.result(nodes.textNode("a"), nodes.objectNode()).toString()));
     assertInstanceOf(
         JsonRpcMessage.Response.class,
-        one(JsonRpc.error(f.nullNode(), 1, "x", f.objectNode()).toString()));
+        parseSingle(JsonRpc.error(nodes.nullNode(), 1, "x", nodes.objectNode()).toString()));
   }
 }
