--- a/exporter/src/main/java/lemondock/exporter/Connector.java
+++ b/exporter/src/main/java/lemondock/exporter/Connector.java
@@ -2,11 +2,11 @@
 
 import lemondock.net.Connection;
 
-/** Makes connections to one collector. Loop thread only. */
+/** Opens connections to one collector. Loop thread only. */
 public interface Connector {
   /**
-   * Connects. The handler is called with {@code connected} or, if there is no connection in time,
-   * with {@code closed}.
+   * Opens a connection. Calls {@code connected} of the handler, or {@code closed} if no connection
+   * is established within the connector's timeout.
    */
   void connect(Connection.Handler handler);
 }
--- a/exporter/src/main/java/lemondock/exporter/Destination.java
+++ b/exporter/src/main/java/lemondock/exporter/Destination.java
@@ -2,27 +2,29 @@
 
 /** A collector that snapshots are exported to. Loop thread only. */
 public interface Destination {
-  /** The name in the settings. */
+  /** The destination's name in the settings. */
   String name();
 
-  /** Sends what is pending, as far as the collector takes it; called for each new snapshot. */
+  /** Sends pending data as far as the collector accepts it; called for each new snapshot. */
   void sendPending();
 
   /**
-   * Reports a change of service to collectors that take notifications; others ignore it.
+   * Notifies the collector of a change in service health; does nothing if the protocol has no
+   * notifications.
    *
    * @param timestampMillis milliseconds since the epoch
    */
   default void notifyServiceHealth(long timestampMillis, ServiceHealth health, String message) {}
 
   /**
-   * Sends what is pending and closes gracefully, then calls back once; also if that cannot be done.
+   * Sends pending data and closes gracefully. Calls {@code onClosed} once, also if the data cannot
+   * be sent.
    */
   void shutDown(Runnable onClosed);
 
-  /** Closes immediately and drops what is pending. */
+  /** Closes immediately and drops pending data. */
   void abort();
 
-  /** Counts so far. */
+  /** The destination's counts since the start, updated by this call. */
   DestinationStatistics statistics();
 }
--- a/exporter/src/main/java/lemondock/exporter/DestinationCounter.java
+++ b/exporter/src/main/java/lemondock/exporter/DestinationCounter.java
@@ -1,13 +1,13 @@
 package lemondock.exporter;
 
 /**
- * What a destination counts, in the order of the fields of {@link
+ * The counts of a destination, in the order of the fields of {@link
  * lemondock.metrics.MetricFamilies#EXPORTS}.
  */
 public enum DestinationCounter {
   /** Snapshots sent completely. */
   SNAPSHOTS_SENT,
-  /** Snapshots dropped, oldest first, for want of buffer space. */
+  /** Snapshots dropped, oldest first, because buffer space ran out. */
   SNAPSHOTS_DROPPED,
   /** Snapshots sent again after a connection broke. */
   SNAPSHOTS_RESENT,
@@ -15,14 +15,14 @@
   BYTES_SENT,
   /** Datagrams handed to the operating system. */
   PACKETS_SENT,
-  /** Datagrams that the operating system did not take. */
+  /** Attempts to send a datagram that the operating system refused. */
   PACKETS_LOST,
-  /** Connections made. */
+  /** Connections or datagram sockets opened. */
   CONNECTIONS_OPENED,
-  /** Connections that failed or broke. */
+  /** Failed attempts to open a connection or socket, and failures of open ones. */
   CONNECTION_FAILURES,
-  /** Bytes that the collector sent, which are ignored. */
+  /** Bytes received from the collector, which are ignored. */
   BYTES_IGNORED,
-  /** Snapshots waiting to be sent at the moment; the only gauge. */
+  /** Snapshots currently waiting to be sent; the only gauge. */
   SNAPSHOTS_PENDING
 }
--- a/exporter/src/main/java/lemondock/exporter/DestinationQueue.java
+++ b/exporter/src/main/java/lemondock/exporter/DestinationQueue.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 
 /**
- * The snapshots that one destination still has to send: the one being sent, which may be sent a
- * part at a time, and those pending in the buffer. Loop thread only.
+ * The snapshots that one destination still has to send: the current one, which may be sent in
+ * parts, and those pending in the buffer. Loop thread only.
  */
 public final class DestinationQueue {
   private final SnapshotBuffer.Cursor cursor;
@@ -13,16 +13,16 @@
   private int nextSeries;
 
   /**
-   * Makes a queue of the snapshots that will be appended to the buffer from now on.
+   * Creates a queue of the snapshots that are appended to the buffer from now on.
    *
-   * @param maxPending limit on the snapshots that may wait; beyond it the oldest are dropped
+   * @param maxPending maximum number of pending snapshots; beyond it the oldest are dropped
    */
   public DestinationQueue(SnapshotBuffer buffer, int maxPending) {
     this.cursor = buffer.newCursor();
     this.maxPending = maxPending;
   }
 
-  /** The snapshot being sent, or else the next pending one, which is then being sent. */
+  /** The snapshot being sent; if there is none, starts the next pending snapshot. */
   public Optional<BufferedSnapshot> currentOrNext() {
     if (current == null) {
       cursor.dropOldestBeyond(maxPending);
@@ -32,20 +32,21 @@
     return Optional.ofNullable(current);
   }
 
-  /** Position of the first series of the current snapshot that is not encoded yet. */
+  /** Position of the first series of the current snapshot that has not been encoded. */
   public int nextSeries() {
     return nextSeries;
   }
 
-  /** Moves on in the current snapshot to the first series that is not encoded yet. */
+  /** Sets the position of the first series of the current snapshot that has not been encoded. */
   public void advanceTo(int series) {
     nextSeries = series;
   }
 
   /**
-   * Ends the current snapshot if all of its series are encoded; to be called once these are sent.
+   * Completes the current snapshot if all of its series have been encoded. Call it after the
+   * encoded series have been sent.
    *
-   * @return whether a snapshot was ended
+   * @return whether a snapshot was completed
    */
   public boolean completeIfAllSent() {
     if (current == null || nextSeries < current.series().size()) {
@@ -61,25 +62,28 @@
   }
 
   /**
-   * Puts the current snapshot and some of those sent before it back into the queue.
+   * Returns the current snapshot and the given number of snapshots sent before it to the queue.
    *
-   * @param sentSnapshots number of snapshots to send again, as far as they are kept
-   * @return how many of those that had been sent completely will be sent again
+   * @param sentCount number of completely sent snapshots to send again, as far as the buffer still
+   *     keeps them
+   * @return how many completely sent snapshots will be sent again
    */
-  public int rewind(int sentSnapshots) {
-    int partlySent = current == null ? 0 : 1;
+  public int rewind(int sentCount) {
+    int partlySentCount = current == null ? 0 : 1;
     current = null;
-    return Math.max(0, cursor.rewind(sentSnapshots + partlySent) - partlySent);
+    return Math.max(0, cursor.rewind(sentCount + partlySentCount) - partlySentCount);
   }
 
   /**
-   * Updates the counts of dropped and pending snapshots; what exceeds the limit counts as dropped.
+   * Updates the counts of dropped and pending snapshots; pending snapshots above the limit count as
+   * dropped.
    */
   public void updateStatistics(DestinationStatistics statistics) {
-    int excess = Math.max(0, cursor.pendingCount() - maxPending);
-    int inProgress = current == null ? 0 : 1;
-    statistics.set(DestinationCounter.SNAPSHOTS_DROPPED, cursor.droppedCount() + excess);
+    int excessCount = Math.max(0, cursor.pendingCount() - maxPending);
+    int inProgressCount = current == null ? 0 : 1;
+    statistics.set(DestinationCounter.SNAPSHOTS_DROPPED, cursor.droppedCount() + excessCount);
     statistics.set(
-        DestinationCounter.SNAPSHOTS_PENDING, cursor.pendingCount() - excess + inProgress);
+        DestinationCounter.SNAPSHOTS_PENDING,
+        cursor.pendingCount() - excessCount + inProgressCount);
   }
 }
--- a/exporter/src/main/java/lemondock/exporter/ExponentialBackoff.java
+++ b/exporter/src/main/java/lemondock/exporter/ExponentialBackoff.java
@@ -2,7 +2,7 @@
 
 import java.util.function.DoubleSupplier;
 
-/** Delays between retries: doubled each time up to a maximum, with jitter. Not thread-safe. */
+/** Exponential backoff between retries, with a maximum and jitter. Not thread-safe. */
 public final class ExponentialBackoff {
   private final Policy policy;
   private long nextMaxDelayMicros;
@@ -10,12 +10,12 @@
   /**
    * Bounds of the delays.
    *
-   * @param minMicros upper bound of the first delay
-   * @param maxMicros upper bound of all delays
-   * @param random numbers from 0 to below 1, for the jitter
+   * @param minMicros upper bound of the first delay, in microseconds
+   * @param maxMicros upper bound of all delays, in microseconds
+   * @param random source of numbers in [0, 1) for the jitter
    */
   public record Policy(long minMicros, long maxMicros, DoubleSupplier random) {
-    /** Raises the maximum to the minimum where it lies below. */
+    /** Raises the maximum to the minimum if it is lower. */
     public Policy {
       maxMicros = Math.max(minMicros, maxMicros);
     }
@@ -26,12 +26,15 @@
     reset();
   }
 
-  /** Starts anew from the shortest delay; for use after a success. */
+  /** Restarts from the shortest delay; to be called after a success. */
   void reset() {
     nextMaxDelayMicros = policy.minMicros();
   }
 
-  /** The delay before the next retry: between half and all of the bound reached so far. */
+  /**
+   * The delay before the next retry: between half the current upper bound and all of it. Doubles
+   * the bound up to the maximum.
+   */
   long nextDelayMicros() {
     long delay = (long) (nextMaxDelayMicros * (0.5 + policy.random().getAsDouble() / 2));
     nextMaxDelayMicros = Math.min(policy.maxMicros(), nextMaxDelayMicros * 2);
--- a/exporter/src/main/java/lemondock/exporter/ExporterEnvironment.java
+++ b/exporter/src/main/java/lemondock/exporter/ExporterEnvironment.java
@@ -10,15 +10,15 @@
 import lemondock.net.Network;
 
 /**
- * What exporters need of the machine. None of it is shared with requests.
+ * The machine's resources that exporters use, separate from those that requests use.
  *
  * @param loop the exporters' loop
- * @param network whose callbacks come on that loop
- * @param datagramOpener opens sockets for datagrams
+ * @param network network whose callbacks run on that loop
+ * @param datagramOpener opens datagram sockets
  * @param unixDomainConnector connects to a Unix domain socket; calls the handler on that loop
- * @param resolver resolves names away from that loop and calls back on it
- * @param diskExecutor runs what may block on files
- * @param random numbers from 0 to below 1
+ * @param resolver resolves host names off that loop and calls back on it
+ * @param diskExecutor runs file operations that may block
+ * @param random source of numbers in [0, 1)
  * @param hostName the name of this machine
  */
 public record ExporterEnvironment(
--- a/exporter/src/main/java/lemondock/exporter/FailureLog.java
+++ b/exporter/src/main/java/lemondock/exporter/FailureLog.java
@@ -2,13 +2,13 @@
 
 import org.slf4j.Logger;
 
-/** Logs only the first of a row of failures of one destination. Loop thread only. */
+/** Logs only the first of consecutive failures of one destination. Loop thread only. */
 public final class FailureLog {
   private final Logger logger;
   private final String destination;
   private boolean hasLogged;
 
-  /** Makes a log that has logged nothing; {@code destination} is the name in the settings. */
+  /** Creates a log; {@code destination} is the destination's name in the settings. */
   public FailureLog(Logger logger, String destination) {
     this.logger = logger;
     this.destination = destination;
@@ -17,7 +17,7 @@
   /**
    * Logs a failure unless one was logged since the last {@link #reset}.
    *
-   * @return whether it was logged
+   * @return whether the failure was logged
    */
   public boolean logFirst(String reason) {
     if (hasLogged) {
@@ -28,7 +28,7 @@
         .atWarn()
         .addKeyValue("destination", destination)
         .addKeyValue("why", reason)
-        .log("reports cannot be sent; tried again until it works");
+        .log("sending snapshots to the destination failed; retrying until it succeeds");
     return true;
   }
 
--- a/exporter/src/main/java/lemondock/exporter/HostResolver.java
+++ b/exporter/src/main/java/lemondock/exporter/HostResolver.java
@@ -4,11 +4,9 @@
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
 
-/** Resolves host names away from the loop. */
+/** Resolves host names off the loop. */
 public interface HostResolver {
-  /**
-   * Resolves a host. At most one of the callbacks runs, once, on the loop; possibly none ever does.
-   */
+  /** Resolves a host. Calls at most one of the callbacks, once, on the loop; it may call none. */
   void resolve(
       String host,
       int port,
--- a/exporter/src/main/java/lemondock/exporter/LabelEscaping.java
+++ b/exporter/src/main/java/lemondock/exporter/LabelEscaping.java
@@ -3,20 +3,21 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Percent-encodes label values for collectors. What a protocol may give a meaning is written as
- * {@code %XX}, the percent sign included, so that different values stay different.
+ * Percent-encodes label values for collectors. Characters that may have a meaning in a protocol are
+ * written as {@code %XX}. This includes the percent sign, so that distinct values have distinct
+ * encodings.
  */
 public final class LabelEscaping {
   private static final char[] HEX_DIGITS = "0123456789ABCDEF".toCharArray();
 
-  /** Stands for the empty value; no other value is escaped to it. */
+  /** Encoding of the empty value; no other value is encoded as this. */
   private static final String EMPTY_VALUE = "%";
 
   private LabelEscaping() {}
 
   /**
-   * Escapes a value: ASCII letters, digits, {@code _} and {@code -} stay, all other characters are
-   * escaped byte by byte of their UTF-8 form. The result is never empty.
+   * Escapes a value: keeps ASCII letters, digits, {@code _} and {@code -} and escapes each UTF-8
+   * byte of all other characters. The result is never empty.
    */
   public static String escape(String value) {
     if (value.isEmpty()) {
--- a/exporter/src/main/java/lemondock/exporter/LineEncoder.java
+++ b/exporter/src/main/java/lemondock/exporter/LineEncoder.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import lemondock.metrics.Series;
 
-/** Encodes snapshots for a protocol of ASCII lines. */
+/** Encodes snapshots for a protocol that consists of lines of ASCII text. */
 public abstract class LineEncoder implements SnapshotEncoder {
   @Override
   public final int encode(
@@ -21,7 +21,7 @@
     return next;
   }
 
-  /** Appends the lines of one series, each with its line feed. */
+  /** Appends the lines of one series, each terminated by a line feed. */
   protected abstract void appendLines(
       BufferedSnapshot snapshot, Series series, StringBuilder lines);
 }
--- a/exporter/src/main/java/lemondock/exporter/MonotonicTimestamps.java
+++ b/exporter/src/main/java/lemondock/exporter/MonotonicTimestamps.java
@@ -1,14 +1,18 @@
 package lemondock.exporter;
 
 /**
- * Timestamps that never go back and never repeat. Collectors overwrite or reject what is older than
- * what they have; so after the wall clock was set back, timestamps advance from the last one at
- * half the speed of real time until the wall clock has caught up. If that would take too long,
- * because the clock had been far ahead before, they follow the wall clock back, once. Reads no
- * clock itself. Not thread-safe.
+ * Generates timestamps that neither go back nor repeat, with one exception. Collectors overwrite or
+ * reject values that are older than those they have. After the wall clock was set back, timestamps
+ * therefore advance from the last one at half the speed of real time until the wall clock has
+ * caught up. The exception: if the lead over the wall clock exceeds a limit, because the clock had
+ * been far ahead before, catching up would take too long, and the next timestamp jumps back to the
+ * wall clock. Reads no clock itself. Not thread-safe.
  */
 public final class MonotonicTimestamps {
-  /** Microseconds of real time for each millisecond by which a timestamp ahead advances. */
+  /**
+   * Microseconds of real time per millisecond by which timestamps advance while they are ahead of
+   * the wall clock.
+   */
   private static final long SLEW_MICROS_PER_MILLI = 2_000;
 
   private final long maxLeadMillis;
@@ -19,20 +23,21 @@
   private long clockSetBackCount;
 
   /**
-   * Makes a source of timestamps.
+   * Creates a source of timestamps.
    *
-   * @param maxLeadMillis beyond this lead over the wall clock timestamps follow it back
+   * @param maxLeadMillis maximum lead over the wall clock; beyond it the next timestamp jumps back
+   *     to the wall clock
    */
   public MonotonicTimestamps(long maxLeadMillis) {
     this.maxLeadMillis = maxLeadMillis;
   }
 
   /**
-   * The next timestamp.
+   * Generates the next timestamp.
    *
-   * @param monotonicMicros microseconds of a clock that never goes back
-   * @param wallMillis the wall clock in milliseconds since the epoch
-   * @return milliseconds since the epoch
+   * @param monotonicMicros time of a monotonic clock in microseconds
+   * @param wallMillis time of the wall clock in milliseconds since the epoch
+   * @return the timestamp in milliseconds since the epoch
    */
   public long next(long monotonicMicros, long wallMillis) {
     if (!hasLast) {
@@ -41,21 +46,21 @@
     } else {
       clockSetBackCount += wallMillis < lastWallMillis ? 1 : 0;
       long elapsedMicros = monotonicMicros - lastMonotonicMicros;
-      long slewed = lastTimestampMillis + Math.max(1, elapsedMicros / SLEW_MICROS_PER_MILLI);
-      boolean isTooFarAhead = slewed - wallMillis > maxLeadMillis;
-      lastTimestampMillis = isTooFarAhead ? wallMillis : Math.max(wallMillis, slewed);
+      long slewedMillis = lastTimestampMillis + Math.max(1, elapsedMicros / SLEW_MICROS_PER_MILLI);
+      boolean isTooFarAhead = slewedMillis - wallMillis > maxLeadMillis;
+      lastTimestampMillis = isTooFarAhead ? wallMillis : Math.max(wallMillis, slewedMillis);
     }
     lastMonotonicMicros = monotonicMicros;
     lastWallMillis = wallMillis;
     return lastTimestampMillis;
   }
 
-  /** By how many milliseconds the last timestamp was ahead of the wall clock. */
+  /** The lead of the last timestamp over the wall clock, in milliseconds; at least 0. */
   public long leadMillis() {
     return Math.max(0, lastTimestampMillis - lastWallMillis);
   }
 
-  /** How often the wall clock was seen to go back. */
+  /** Number of times that the wall clock was found to have been set back. */
   public long clockSetBackCount() {
     return clockSetBackCount;
   }
--- a/exporter/src/main/java/lemondock/exporter/PeriodicExporter.java
+++ b/exporter/src/main/java/lemondock/exporter/PeriodicExporter.java
@@ -11,9 +11,10 @@
 import lemondock.net.Loop;
 
 /**
- * Takes a snapshot of a registry at each tick, hands it to listeners, and at every n-th tick
- * exports it to the destinations. It runs on a loop of its own, so that no request waits for it;
- * all of its methods are for that loop, those that add something also before {@link #start}.
+ * Takes a snapshot of a registry at each tick, passes it to listeners, and at every n-th tick
+ * exports it to the destinations. It runs on a loop of its own, so that no request waits for it.
+ * All methods must be called on that loop; those that add something may also be called on another
+ * thread before {@link #start}.
  */
 public final class PeriodicExporter {
   private static final long MICROS_PER_MILLI = 1_000;
@@ -37,13 +38,15 @@
   private boolean isShuttingDown;
 
   /**
-   * Period and limits.
+   * Period and limits of an exporter.
    *
-   * @param tickMicros time between two snapshots
-   * @param ticksPerExport every so many snapshots one is exported
-   * @param maxBufferedBytes limit on the snapshots that destinations have not taken
-   * @param maxBufferedSnapshots limit on the same
-   * @param maxClockLeadMicros see {@link MonotonicTimestamps}
+   * @param tickMicros time between two snapshots, in microseconds
+   * @param ticksPerExport number of ticks between two exported snapshots
+   * @param maxBufferedBytes limit on the encoded size of the snapshots buffered for the
+   *     destinations
+   * @param maxBufferedSnapshots limit on the number of these snapshots
+   * @param maxClockLeadMicros maximum lead of timestamps over the wall clock, in microseconds; see
+   *     {@link MonotonicTimestamps}
    */
   public record Options(
       long tickMicros,
@@ -52,10 +55,10 @@
       int maxBufferedSnapshots,
       long maxClockLeadMicros) {}
 
-  /** Is called with each snapshot. */
+  /** Receives each snapshot. */
   public interface SnapshotListener {
     /**
-     * A snapshot was taken.
+     * Called after a snapshot was taken.
      *
      * @param timestampMillis milliseconds since the epoch
      */
@@ -72,7 +75,7 @@
     }
   }
 
-  /** Makes an exporter without destinations. Its recorder belongs to the loop. */
+  /** Creates an exporter without destinations. Its recorder is used on the loop only. */
   public PeriodicExporter(Loop loop, MetricRegistry registry, Options options) {
     this.loop = loop;
     this.registry = registry;
@@ -83,28 +86,28 @@
     this.clockSeries = registry.series(MetricFamilies.EXPORT_CLOCK);
   }
 
-  /** The snapshots to export, for destinations to read. */
+  /** The buffer of the snapshots to export, from which destinations read. */
   public SnapshotBuffer buffer() {
     return buffer;
   }
 
-  /** Adds a destination. */
+  /** Adds a destination and a series for its statistics. */
   public void addDestination(Destination destination) {
     Series series = registry.series(MetricFamilies.EXPORTS, destination.name());
     targets.add(new ExportTarget(destination, series));
   }
 
-  /** Adds a source that sets gauges before each snapshot, within an update of the recorder. */
+  /** Adds a source that sets gauges before each snapshot, within one update of the recorder. */
   public void addGaugeSource(Consumer<Recorder> source) {
     gaugeSources.add(source);
   }
 
-  /** Adds a listener. */
+  /** Adds a listener that is called for each snapshot, exported or not. */
   public void addSnapshotListener(SnapshotListener listener) {
     listeners.add(listener);
   }
 
-  /** Begins to tick. */
+  /** Schedules the first tick. */
   public void start() {
     scheduleTick();
   }
@@ -114,7 +117,7 @@
   }
 
   private void onTick() {
-    scheduleTick(); // first, so that an exception below does not end the ticks
+    scheduleTick(); // first, so that an exception below does not stop the ticks
     tickCount++;
     takeSnapshot(tickCount % options.ticksPerExport() == 0);
   }
@@ -147,18 +150,18 @@
     return latestSnapshot;
   }
 
-  /** Notifies the destinations of a change of service, as of the latest snapshot. */
+  /** Notifies the destinations of a change in service health at the latest snapshot. */
   public void notifyServiceHealth(ServiceHealth health, String message) {
     targets.forEach(
         target -> target.destination().notifyServiceHealth(latestTimestampMillis, health, message));
   }
 
   /**
-   * Takes and exports the final snapshot and closes the destinations; those that do not take it in
-   * time are aborted. Calls after the first do nothing.
+   * Takes and exports the final snapshot and closes the destinations; those that are not closed
+   * within the timeout are aborted. Calls after the first do nothing.
    *
-   * @param timeoutMicros limit for the destinations
-   * @param onFinished is called with the final snapshot once all destinations are closed
+   * @param timeoutMicros time that the destinations have to close, in microseconds
+   * @param onFinished called with the final snapshot once all destinations are closed
    */
   public void shutDown(long timeoutMicros, Consumer<MetricsSnapshot> onFinished) {
     if (isShuttingDown) {
@@ -167,15 +170,16 @@
     isShuttingDown = true;
     tickTimer.cancel();
     takeSnapshot(true);
-    int[] remaining = {targets.size() + 1}; // one more, so that it ends after the loop below
-    Runnable onOneClosed =
+    // plus one for the call at the end of this method, so that onFinished does not run before it
+    int[] remainingCount = {targets.size() + 1};
+    Runnable onDestinationClosed =
         () -> {
-          if (--remaining[0] == 0) {
+          if (--remainingCount[0] == 0) {
             onFinished.accept(latestSnapshot);
           }
         };
     loop.schedule(timeoutMicros, () -> targets.forEach(target -> target.destination().abort()));
-    targets.forEach(target -> target.destination().shutDown(onOneClosed));
-    onOneClosed.run();
+    targets.forEach(target -> target.destination().shutDown(onDestinationClosed));
+    onDestinationClosed.run();
   }
 }
--- a/exporter/src/main/java/lemondock/exporter/ResendWindow.java
+++ b/exporter/src/main/java/lemondock/exporter/ResendWindow.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 
 /**
- * Remembers when snapshots were sent, to tell how many to send again after a connection broke. Loop
- * thread only.
+ * Records when snapshots were sent, to determine how many to send again after a connection broke.
+ * Loop thread only.
  */
 final class ResendWindow {
   private final long windowMicros;
@@ -14,21 +14,21 @@
     this.windowMicros = windowMicros;
   }
 
-  /** A snapshot was sent. */
+  /** Records that a snapshot was sent completely. */
   void onSent(long nowMicros) {
     sentTimesMicros.add(nowMicros);
-    forgetBefore(nowMicros - windowMicros);
+    removeBefore(nowMicros - windowMicros);
   }
 
-  /** Number of snapshots sent within the window, which are forgotten by this. */
-  int takeSentCount(long nowMicros) {
-    forgetBefore(nowMicros - windowMicros);
+  /** Clears the window and returns the number of snapshots sent within it. */
+  int drainSentCount(long nowMicros) {
+    removeBefore(nowMicros - windowMicros);
     int count = sentTimesMicros.size();
     sentTimesMicros.clear();
     return count;
   }
 
-  private void forgetBefore(long timeMicros) {
+  private void removeBefore(long timeMicros) {
     while (!sentTimesMicros.isEmpty() && sentTimesMicros.peek() < timeMicros) {
       sentTimesMicros.poll();
     }
--- a/exporter/src/main/java/lemondock/exporter/ServiceHealth.java
+++ b/exporter/src/main/java/lemondock/exporter/ServiceHealth.java
@@ -1,9 +1,9 @@
 package lemondock.exporter;
 
-/** A change of the service that clients get, as collectors are notified of it. */
+/** A change in the service that clients get, for notifications to collectors. */
 public enum ServiceHealth {
-  /** Service has become worse than usual. */
+  /** The service has become worse than usual. */
   DEGRADED,
-  /** Service is as usual again. */
+  /** The service is as usual again. */
   RECOVERED
 }
--- a/exporter/src/main/java/lemondock/exporter/SnapshotBuffer.java
+++ b/exporter/src/main/java/lemondock/exporter/SnapshotBuffer.java
@@ -8,11 +8,11 @@
 import lemondock.metrics.Series;
 
 /**
- * A ring buffer of the snapshots that some destination may still need. Beyond a limit of bytes or
- * of snapshots the oldest are dropped. Each snapshot is kept as its difference to the one before,
- * since most values do not change; the state before the oldest is kept in full. Each destination
- * reads with a {@link Cursor} of its own, so that all share one copy and a slow one does not hold
- * back the others. Loop thread only.
+ * A ring buffer of the latest snapshots, from which all destinations read. Beyond a limit of bytes
+ * or of snapshots the oldest are dropped. Each snapshot is stored as its difference from the one
+ * before, since most values do not change; the state before the oldest is stored in full. Each
+ * destination reads with a {@link Cursor} of its own, so that all share one copy and a slow
+ * destination does not delay the others. Loop thread only.
  */
 public final class SnapshotBuffer {
   private final long maxBytes;
@@ -32,7 +32,7 @@
   }
 
   /**
-   * Makes an empty buffer; the newest snapshot is kept whatever its size.
+   * Creates an empty buffer. The newest snapshot is always kept, whatever its size.
    *
    * @param maxBytes limit on the encoded differences
    * @param maxSnapshots limit on the number of snapshots
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Adds the newest snapshot. Its series have to be those of the one before, with new ones at the
-   * end only.
+   * Appends the newest snapshot. Its series must begin with those of the snapshot before, in the
+   * same order; new series may only follow at the end.
    *
    * @param timestampMillis milliseconds since the epoch
    */
@@ -78,7 +78,7 @@
     return entries.size();
   }
 
-  /** A cursor whose first snapshot is the next one to be appended. */
+  /** Creates a cursor whose first snapshot is the next one to be appended. */
   public Cursor newCursor() {
     return new Cursor();
   }
@@ -87,7 +87,7 @@
     return oldestSequenceNumber + entries.size();
   }
 
-  /** The position of one reader. */
+  /** The read position of one destination. */
   public final class Cursor {
     private long[] values = newestValues.clone();
     private long nextSequenceNumber = endSequenceNumber();
@@ -119,12 +119,12 @@
 
     private Entry entryAt(long position) {
       if (position == entries.size() - 1) {
-        return entries.peekLast(); // by far the most frequent case
+        return entries.peekLast(); // avoids the search below in by far the most frequent case
       }
       return entries.stream().skip(position).findFirst().orElseThrow();
     }
 
-    /** Number of snapshots that were not read yet and are still kept. */
+    /** Number of snapshots in the buffer that this cursor has not read yet. */
     public int pendingCount() {
       return (int) (endSequenceNumber() - Math.max(nextSequenceNumber, oldestSequenceNumber));
     }
@@ -134,7 +134,7 @@
       return droppedCount + Math.max(0, oldestSequenceNumber - nextSequenceNumber);
     }
 
-    /** Drops the oldest unread snapshots beyond a limit of this reader's own. */
+    /** Drops the oldest unread snapshots until at most {@code maxPending} are left. */
     public void dropOldestBeyond(int maxPending) {
       while (pendingCount() > maxPending) {
         next();
@@ -143,9 +143,9 @@
     }
 
     /**
-     * Goes back by a number of snapshots, or as far as they are kept.
+     * Moves back by a number of snapshots, or to the oldest one in the buffer.
      *
-     * @return by how many it went back
+     * @return the number of snapshots by which the cursor moved back
      */
     public int rewind(int count) {
       long target = Math.max(oldestSequenceNumber, nextSequenceNumber - count);
--- a/exporter/src/main/java/lemondock/exporter/SnapshotDeltaCodec.java
+++ b/exporter/src/main/java/lemondock/exporter/SnapshotDeltaCodec.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /**
- * Encodes the values of a snapshot as differences to the snapshot before: for each changed value,
+ * Encodes the values of a snapshot as differences from the snapshot before: for each changed value,
  * the number of unchanged values before it and the difference, both as varints, the difference
  * zigzag-encoded. Differences wrap around as the values do. Not thread-safe.
  */
@@ -16,7 +16,7 @@
 
   private byte[] buffer = new byte[INITIAL_BYTES];
 
-  /** Encodes the change from one state to the next; {@code previous} has to be as long. */
+  /** Encodes the change from one state to the next; both must have the same length. */
   byte[] encode(long[] previous, long[] values) {
     int length = 0;
     int unchangedCount = 0;
@@ -40,14 +40,14 @@
   }
 
   private int putVarint(int position, long value) {
-    long rest = value;
-    int next = position;
-    while ((rest & ~PAYLOAD_MASK) != 0) {
-      buffer[next++] = (byte) (rest | CONTINUATION_BIT);
-      rest >>>= PAYLOAD_BITS;
+    long remainingBits = value;
+    int nextPosition = position;
+    while ((remainingBits & ~PAYLOAD_MASK) != 0) {
+      buffer[nextPosition++] = (byte) (remainingBits | CONTINUATION_BIT);
+      remainingBits >>>= PAYLOAD_BITS;
     }
-    buffer[next++] = (byte) rest;
-    return next;
+    buffer[nextPosition++] = (byte) remainingBits;
+    return nextPosition;
   }
 
   /** Applies an encoded change to a state, in place if the number of slots stays the same. */
@@ -57,11 +57,11 @@
     long varint = 0;
     int shift = 0;
     boolean isSkipCount = true;
-    for (byte next : delta) {
-      varint |= (long) (next & PAYLOAD_MASK) << shift;
+    for (byte encodedByte : delta) {
+      varint |= (long) (encodedByte & PAYLOAD_MASK) << shift;
       shift += PAYLOAD_BITS;
-      if (next < 0) {
-        continue; // the continuation bit is the sign
+      if (encodedByte < 0) {
+        continue; // the continuation bit is the sign bit
       }
       if (isSkipCount) {
         slot += (int) varint;
--- a/exporter/src/main/java/lemondock/exporter/StallDetector.java
+++ b/exporter/src/main/java/lemondock/exporter/StallDetector.java
@@ -2,26 +2,29 @@
 
 import lemondock.net.Connection;
 
-/** Tells whether a connection still takes what is queued on it. Loop thread only. */
+/** Detects that a connection no longer accepts the bytes queued on it. Loop thread only. */
 final class StallDetector {
   private final long stallMicros;
   private long flushedBytes;
   private long lastProgressMicros;
   private boolean hasMadeProgress;
 
-  /** Makes a detector; {@code stallMicros} without progress are a stall. */
+  /** Creates a detector; a connection is stalled after {@code stallMicros} without progress. */
   StallDetector(long stallMicros) {
     this.stallMicros = stallMicros;
   }
 
-  /** Begins anew with another connection. */
+  /** Starts to observe another connection. */
   void reset(long nowMicros) {
     flushedBytes = 0;
     lastProgressMicros = nowMicros;
     hasMadeProgress = false;
   }
 
-  /** Looks at the connection; whether it has been stalled for too long. */
+  /**
+   * Observes the connection and returns whether it has stalled: bytes are queued, but none was
+   * flushed for longer than the limit.
+   */
   boolean isStalled(Connection connection, long nowMicros) {
     long flushedBytesNow = connection.flushedBytes();
     if (flushedBytesNow != flushedBytes || connection.pendingBytes() == 0) {
@@ -33,7 +36,7 @@
     return nowMicros - lastProgressMicros > stallMicros;
   }
 
-  /** Whether the connection was seen to have taken anything. */
+  /** Whether the connection was observed to have flushed any bytes. */
   boolean hasMadeProgress() {
     return hasMadeProgress;
   }
--- a/exporter/src/main/java/lemondock/exporter/StreamDestination.java
+++ b/exporter/src/main/java/lemondock/exporter/StreamDestination.java
@@ -11,19 +11,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Exports snapshots over a connection. A snapshot is encoded a part at a time as the connection
- * takes it, so that a slow collector costs one part of memory whatever the size of a snapshot. When
- * a connection breaks, the snapshots sent within the last {@link Options#resendMicros} are sent
- * again over the next one: the operating system had taken them, which does not mean that the
- * collector has read them. Duplicates do no harm, since each value has its timestamp and counters
- * are cumulative. Loop thread only.
+ * Exports snapshots over a connection. A snapshot is encoded in parts, as fast as the connection
+ * accepts them, so that the memory used for a slow collector does not depend on the size of a
+ * snapshot. When a connection breaks, the snapshots sent within the last {@link
+ * Options#resendMicros} are sent again over the next one: the operating system had accepted them,
+ * but the collector may not have read them. Duplicates are harmless, since each value has its
+ * timestamp and counters are cumulative. Loop thread only.
  */
 public final class StreamDestination implements Destination {
   private static final Logger LOG = LoggerFactory.getLogger(StreamDestination.class);
   private static final int ENCODE_BYTES = 16 * 1024;
   private static final long MAX_UNSENT_BYTES = 64 * 1024;
 
-  /** Bounds how fast a collector that sends something is read. */
+  /** Pause between two reads from a collector, which bounds the rate at which input is read. */
   private static final long READ_PAUSE_MICROS = 10_000;
 
   private final Loop loop;
@@ -37,19 +37,21 @@
   private final FailureLog failureLog;
   private final DestinationStatistics statistics = new DestinationStatistics();
   private final ByteArrayOutputStream encoded = new ByteArrayOutputStream();
-  private Connection connection; // null: not connected
+  private Connection connection; // null if not connected
   private boolean isConnecting;
   private boolean isStopped;
   private Loop.Timer reconnectTimer = () -> {};
-  private Runnable shutDownCallback; // null: not shutting down
+  private Runnable shutDownCallback; // null if not shutting down
 
   /**
    * Name and limits of a destination.
    *
-   * @param name the name in the settings
-   * @param maxPendingSnapshots snapshots that may wait; beyond it the oldest are dropped
-   * @param resendMicros what was sent within this time before a break is sent again
-   * @param stallMicros a connection that takes nothing for so long is aborted
+   * @param name the destination's name in the settings
+   * @param maxPendingSnapshots maximum number of pending snapshots; beyond it the oldest are
+   *     dropped
+   * @param resendMicros snapshots sent within this time before a connection breaks are sent again;
+   *     in microseconds
+   * @param stallMicros time without progress after which a connection is aborted, in microseconds
    * @param backoff delays between attempts to connect
    */
   public record Options(
@@ -59,7 +61,7 @@
       long stallMicros,
       ExponentialBackoff.Policy backoff) {}
 
-  /** Makes a destination for the snapshots that come into the buffer from now on. */
+  /** Creates a destination for the snapshots that are appended to the buffer from now on. */
   public StreamDestination(
       Loop loop,
       Connector connector,
@@ -77,7 +79,7 @@
     this.failureLog = new FailureLog(LOG, options.name());
   }
 
-  /** Begins to connect. */
+  /** Starts the first attempt to connect. */
   public void start() {
     connect();
   }
@@ -119,7 +121,7 @@
       sendPart(snapshot.get());
     }
     if (shutDownCallback != null && connection != null && queue.isEmpty()) {
-      connection.close(); // flushes and leaves the collector a moment to read it all
+      connection.close(); // flushes, then leaves the collector time to read the rest
     }
   }
 
@@ -140,7 +142,7 @@
     shutDownCallback = onClosed;
     reconnectTimer.cancel();
     if (connection == null && !isConnecting) {
-      connect(); // one last attempt
+      connect(); // one final attempt
     } else {
       sendPending();
     }
@@ -175,13 +177,13 @@
       return;
     }
     statistics.add(DestinationCounter.CONNECTION_FAILURES, 1);
-    int resent = queue.rewind(resendWindow.takeSentCount(loop.now()));
+    int resent = queue.rewind(resendWindow.drainSentCount(loop.now()));
     statistics.add(DestinationCounter.SNAPSHOTS_RESENT, resent);
     if (shutDownCallback != null) {
       completeShutDown();
       return;
     }
-    scheduleReconnect(cause == null ? "the connection ended" : cause.getMessage());
+    scheduleReconnect(cause == null ? "the connection was closed" : cause.getMessage());
   }
 
   private void scheduleReconnect(String reason) {
@@ -196,7 +198,7 @@
     reconnectTimer = loop.schedule(backoff.nextDelayMicros(), this::connect);
   }
 
-  /** Receives the events of a connection. Loop thread only, but for {@link #decode}. */
+  /** Handles the events of a connection. Loop thread only, except for {@link #decode}. */
   private final class ConnectionHandler implements Connection.Handler {
     @Override
     public void connected(Connection established) {
@@ -212,7 +214,7 @@
       sendPending();
     }
 
-    /** Replaces what a collector sends by its length; on an I/O thread. */
+    /** Replaces input from the collector with its length. Runs on an I/O thread. */
     @Override
     public void decode(ByteBuffer bytes, List<Object> events) {
       events.add(bytes.remaining());
@@ -237,7 +239,7 @@
     @Override
     public void inputEnded() {
       if (connection != null) {
-        connection.abort(); // a collector that has closed its end reads no more
+        connection.abort(); // a collector that has closed its side no longer reads
       }
     }
 
--- a/exporter/src/main/java/lemondock/exporter/TcpConnector.java
+++ b/exporter/src/main/java/lemondock/exporter/TcpConnector.java
@@ -7,8 +7,8 @@
 import lemondock.net.Network;
 
 /**
- * Connects to a collector over TCP. The host is resolved for each connection, since a collector may
- * have moved. Loop thread only.
+ * Connects to a collector over TCP. The host is resolved for each connection, since the collector's
+ * address may have changed. Loop thread only.
  */
 public final class TcpConnector implements Connector {
   private final Loop loop;
@@ -18,10 +18,11 @@
   private final long timeoutMicros;
 
   /**
-   * Makes a connector.
+   * Creates a connector.
    *
-   * @param address host and port; it need not be resolved
-   * @param timeoutMicros limit on the resolution of the host, and then on the connection
+   * @param address host and port, may be unresolved
+   * @param timeoutMicros limit on the resolution of the host, and again on the connection attempt,
+   *     in microseconds
    */
   public TcpConnector(
       Loop loop,
@@ -41,7 +42,7 @@
     new Attempt(handler).start();
   }
 
-  /** One resolution and connection; a resolution after the timeout is ignored. */
+  /** One resolution and connection attempt; a result after the resolution timeout is ignored. */
   private final class Attempt {
     private final Connection.Handler handler;
     private Loop.Timer resolutionTimeout = () -> {};
@@ -72,16 +73,21 @@
     private void onResolutionTimeout() {
       if (endResolution()) {
         handler.closed(
-            new IOException("the name " + address.getHostString() + " was not found in time"));
+            new IOException(
+                "host "
+                    + address.getHostString()
+                    + " was not resolved within "
+                    + timeoutMicros
+                    + " us"));
       }
     }
 
-    /** Whether this was the first of answer and timeout. */
+    /** Ends the resolution; returns false if it had already ended. */
     private boolean endResolution() {
       resolutionTimeout.cancel();
-      boolean isFirst = !isResolutionOver;
+      boolean wasInProgress = !isResolutionOver;
       isResolutionOver = true;
-      return isFirst;
+      return wasInProgress;
     }
   }
 }
--- a/exporter/src/main/java/lemondock/exporter/collectd/AuthFile.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/AuthFile.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * collectd's file of users and passwords: lines {@code name: password}. Empty lines and lines that
- * begin with {@code #} are skipped.
+ * Parses collectd's file of users and passwords: lines {@code name: password}. Empty lines and
+ * lines that begin with {@code #} are skipped.
  */
 public final class AuthFile {
   private static final String COMMENT_PREFIX = "#";
@@ -13,7 +13,7 @@
 
   private AuthFile() {}
 
-  /** The password of a user; empty if the lines do not name the user. */
+  /** The password of a user; empty if no line is for that user. */
   public static Optional<String> password(List<String> lines, String username) {
     for (String line : lines) {
       int separator = line.indexOf(SEPARATOR);
--- a/exporter/src/main/java/lemondock/exporter/collectd/CollectdIdentifiers.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/CollectdIdentifiers.java
@@ -11,10 +11,10 @@
 import lemondock.metrics.Series;
 
 /**
- * collectd's identifiers of values: host, plugin {@code lemondock}, its instance, type {@code
- * lemondock_FAMILY}, and the labels as the instance of the type. collectd limits each part to 63
- * bytes; a longer one is cut and ends in a hash of the whole, so that different values stay
- * different. Not thread-safe.
+ * The collectd identifiers of one gateway's values: host, plugin {@code lemondock}, plugin
+ * instance, type {@code lemondock_FAMILY}, and the label values as type instance. collectd limits
+ * each part to 63 bytes; a longer part is truncated and ends in a hash of the whole, so that
+ * different values keep different identifiers. Not thread-safe.
  */
 public final class CollectdIdentifiers {
   static final String PLUGIN = "lemondock";
@@ -29,7 +29,7 @@
   private final SeriesCache<String> typeInstances =
       new SeriesCache<>(CollectdIdentifiers::computeTypeInstance);
 
-  /** Identifiers of one gateway's values. */
+  /** Creates identifiers; characters that collectd reserves are replaced by {@code _}. */
   public CollectdIdentifiers(String host, String pluginInstance) {
     this.host = boundedPart(host.replaceAll(RESERVED_CHARACTERS, "_"));
     this.pluginInstance = boundedPart(pluginInstance.replaceAll(RESERVED_CHARACTERS, "_"));
@@ -76,7 +76,8 @@
           MessageDigest.getInstance("SHA-256").digest(ascii.getBytes(StandardCharsets.US_ASCII));
       return HexFormat.of().formatHex(hash);
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java has SHA-256", e);
+      throw new IllegalStateException(
+          "SHA-256 is missing, which every Java platform must support", e);
     }
   }
 }
--- a/exporter/src/main/java/lemondock/exporter/collectd/CounterType.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/CounterType.java
@@ -2,9 +2,9 @@
 
 /** The collectd data source type that counters are sent as. */
 public enum CounterType {
-  /** A counter that goes down has been reset by a restart. */
+  /** A decrease is interpreted as a reset of the counter by a restart. */
   DERIVE(2),
-  /** A counter that goes down has wrapped, so that a restart shows as a spike. */
+  /** A decrease is interpreted as an overflow, so that a restart shows as a spike. */
   COUNTER(0);
 
   private final int code;
--- a/exporter/src/main/java/lemondock/exporter/collectd/DatagramConnector.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/DatagramConnector.java
@@ -7,8 +7,8 @@
 import lemondock.net.DatagramSender;
 
 /**
- * Opens datagram sockets to one collector. The host is resolved each time, since a collector may
- * have moved. Loop thread only.
+ * Opens datagram sockets to one collector. The host is resolved each time, since the collector's
+ * address may have changed. Loop thread only.
  */
 public final class DatagramConnector {
   private final HostResolver resolver;
@@ -16,9 +16,9 @@
   private final InetSocketAddress address;
 
   /**
-   * Makes a connector.
+   * Creates a connector.
    *
-   * @param address host and port; it need not be resolved
+   * @param address host and port, may be unresolved
    */
   public DatagramConnector(
       HostResolver resolver, DatagramSender.Opener opener, InetSocketAddress address) {
@@ -27,7 +27,7 @@
     this.address = address;
   }
 
-  /** Opens a socket. At most one of the callbacks runs, once, on the loop. */
+  /** Opens a socket. Calls at most one of the callbacks, once, on the loop. */
   void open(Consumer<DatagramSender> onOpened, Consumer<IOException> onFailed) {
     resolver.resolve(
         address.getHostString(),
--- a/exporter/src/main/java/lemondock/exporter/collectd/DatagramDestination.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/DatagramDestination.java
@@ -19,9 +19,10 @@
 
 /**
  * Exports snapshots as datagrams. Packets are encoded one at a time and sent in small bursts, so
- * that a large snapshot does not overrun the operating system's buffer. Nobody reports what the
- * network loses; counters are cumulative, so that the next packet makes up for it. If the peer's
- * machine answers that nobody listens, the last snapshots are sent again later. Loop thread only.
+ * that a large snapshot does not overflow the operating system's buffer. Packets that the network
+ * loses are not detected; counters are cumulative, so that the next packet compensates for a lost
+ * one. If the peer's host answers that the port is unreachable, the last snapshots are sent again
+ * later. Loop thread only.
  */
 public final class DatagramDestination implements Destination {
   private static final Logger LOG = LoggerFactory.getLogger(DatagramDestination.class);
@@ -29,8 +30,11 @@
   private static final int MAX_PENDING_NOTIFICATIONS = 16;
   private static final long BURST_PAUSE_MICROS = 2_000;
 
-  /** Snapshots to send again after a failure, which may concern packets sent before. */
-  private static final int RESENT_SNAPSHOTS = 2;
+  /**
+   * Number of snapshots to send again after a failure, because the failure may concern packets sent
+   * earlier.
+   */
+  private static final int MAX_RESENT_SNAPSHOTS = 2;
 
   private final Loop loop;
   private final DatagramConnector connector;
@@ -40,23 +44,24 @@
   private final FailureLog failureLog;
   private final DestinationStatistics statistics = new DestinationStatistics();
   private final ArrayDeque<ByteBuffer> notifications = new ArrayDeque<>();
-  private DatagramSender sender; // null: not open
+  private DatagramSender sender; // null if not open
   private boolean isOpening;
-  private boolean isPausing;
+  private boolean isPaused;
   private boolean isStopped;
-  private ByteBuffer unsentPacket; // null: none; the operating system had no space for it
-  private Runnable shutDownCallback; // null: not shutting down
+  private ByteBuffer unsentPacket; // null if none; the operating system had no space for it
+  private Runnable shutDownCallback; // null if not shutting down
 
   /**
    * Name and limits of a destination.
    *
-   * @param name the name in the settings
-   * @param maxPendingSnapshots snapshots that may wait; beyond it the oldest are dropped
-   * @param retryMicros time from a failure to the next attempt
+   * @param name the destination's name in the settings
+   * @param maxPendingSnapshots maximum number of pending snapshots; beyond it the oldest are
+   *     dropped
+   * @param retryMicros time from a failure to the next attempt, in microseconds
    */
   public record Options(String name, int maxPendingSnapshots, long retryMicros) {}
 
-  /** Makes a destination for the snapshots that come into the buffer from now on. */
+  /** Creates a destination for the snapshots that are appended to the buffer from now on. */
   public DatagramDestination(
       Loop loop,
       DatagramConnector connector,
@@ -92,7 +97,7 @@
 
   @Override
   public void sendPending() {
-    if (isStopped || isPausing || isOpening) {
+    if (isStopped || isPaused || isOpening) {
       return;
     }
     if (sender == null) {
@@ -115,7 +120,7 @@
     sendPending();
   }
 
-  /** Sends one packet; false if there is none, or if it has to wait. */
+  /** Sends one packet; returns false if there is none or it could not be sent. */
   private boolean sendNextPacket() {
     Optional<ByteBuffer> next = nextPacket();
     if (next.isEmpty()) {
@@ -173,8 +178,8 @@
     statistics.add(DestinationCounter.CONNECTION_FAILURES, 1);
     failureLog.logFirst(cause.getMessage());
     unsentPacket = null;
-    statistics.add(DestinationCounter.SNAPSHOTS_RESENT, queue.rewind(RESENT_SNAPSHOTS));
-    closeSender(); // the host is resolved anew
+    statistics.add(DestinationCounter.SNAPSHOTS_RESENT, queue.rewind(MAX_RESENT_SNAPSHOTS));
+    closeSender(); // the next attempt resolves the host again
     if (shutDownCallback != null) {
       completeShutDown();
     } else {
@@ -183,12 +188,12 @@
   }
 
   private void pause(long micros) {
-    isPausing = true;
-    loop.schedule(micros, this::onPauseOver);
+    isPaused = true;
+    loop.schedule(micros, this::onPauseEnded);
   }
 
-  private void onPauseOver() {
-    isPausing = false;
+  private void onPauseEnded() {
+    isPaused = false;
     sendPending();
   }
 
--- a/exporter/src/main/java/lemondock/exporter/collectd/NetworkPacketEncoder.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/NetworkPacketEncoder.java
@@ -8,9 +8,9 @@
 
 /**
  * Encodes packets of collectd's binary network protocol
- * (https://collectd.org/wiki/index.php/Binary_protocol). A part that stays the same within a packet
- * is sent once. Counters go as whole numbers, gauges as doubles, not-a-number where there is no
- * value. No I/O. Not thread-safe.
+ * (https://collectd.org/wiki/index.php/Binary_protocol). A part that is unchanged within a packet
+ * is written once. Counters are sent as integers and gauges as doubles, which are NaN if the gauge
+ * has no value. No I/O. Not thread-safe.
  */
 public final class NetworkPacketEncoder {
   private static final String NOTIFICATION_TYPE = "lemondock_fall";
@@ -28,7 +28,7 @@
   private final PartWriter packet = new PartWriter();
   private final PartWriter seriesParts = new PartWriter();
 
-  /** Type and type instance as the packet's parts so far have set them. */
+  /** Type and type instance that the packet's parts have set so far. */
   private String type = "";
 
   private String typeInstance = "";
@@ -36,18 +36,19 @@
   /**
    * One packet of a snapshot.
    *
-   * @param bytes the packet as it is sent
-   * @param nextSeries position of the first series that is not in it; the number of series once all
-   *     are sent
+   * @param bytes the packet to send
+   * @param nextSeries position of the first series that is not encoded yet; the number of series
+   *     once all are
    */
   public record Packet(ByteBuffer bytes, int nextSeries) {}
 
   /**
-   * Makes an encoder.
+   * Creates an encoder.
    *
-   * @param maxPacketBytes limit on a packet with its signature; collectd's default is 1,452
-   * @param intervalMillis time between two values of a series
-   * @param counterType what counters are sent as
+   * @param maxPacketBytes limit on a packet including signature or encryption; collectd's default
+   *     is 1,452
+   * @param intervalMillis time between two values of a series, in milliseconds
+   * @param counterType the data source type that counters are sent as
    */
   public NetworkPacketEncoder(
       CollectdIdentifiers identifiers,
@@ -62,7 +63,7 @@
     this.counterType = counterType;
   }
 
-  /** Time in units of 2^-30 seconds. */
+  /** Converts milliseconds to collectd's high-resolution time, in units of 2^-30 seconds. */
   static long highResolutionTime(long millis) {
     long wholeSeconds = millis / MILLIS_PER_SECOND << HIGH_RESOLUTION_BITS;
     long fraction = (millis % MILLIS_PER_SECOND << HIGH_RESOLUTION_BITS) / MILLIS_PER_SECOND;
@@ -70,8 +71,8 @@
   }
 
   /**
-   * Encodes as many series of a snapshot as fit into a packet. A series that is larger than a
-   * packet is skipped.
+   * Encodes as many series of a snapshot as fit into one packet. A series that does not fit into an
+   * empty packet is skipped.
    *
    * @param firstSeries position of the first series to encode
    */
@@ -119,10 +120,10 @@
   }
 
   /**
-   * Encodes a notification, which collectd's plugins can forward to people.
+   * Encodes a notification, which collectd's plugins can forward to operators.
    *
    * @param timestampMillis milliseconds since the epoch
-   * @param message is cut after 255 characters
+   * @param message text, truncated to 255 characters
    */
   public ByteBuffer encodeNotification(long timestampMillis, ServiceHealth health, String message) {
     packet.reset();
--- a/exporter/src/main/java/lemondock/exporter/collectd/PacketSecurity.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/PacketSecurity.java
@@ -12,10 +12,10 @@
 
 /**
  * Signs or encrypts packets of collectd's network protocol. A signed packet begins with a part of
- * type 0x0200, which holds the HMAC-SHA-256 over user name and parts, keyed with the password, and
- * the user name. An encrypted packet is one part of type 0x0210: the user name, an initialisation
- * vector, and, in AES-256 (OFB, keyed with the SHA-256 of the password), the SHA-1 of the parts and
- * the parts.
+ * type 0x0200, which holds the HMAC-SHA-256 over user name and parts, keyed with the password,
+ * followed by the user name. An encrypted packet is one part of type 0x0210: the user name, an
+ * initialisation vector, and, in AES-256 (OFB, keyed with the SHA-256 of the password), the SHA-1
+ * of the parts and the parts.
  */
 public final class PacketSecurity {
   private static final int SIGNATURE_PART = 0x0200;
@@ -31,14 +31,14 @@
   private final byte[] password;
   private final SecureRandom random = new SecureRandom();
 
-  /** Makes it; user name and password are not used with {@link SecurityLevel#NONE}. */
+  /** Creates the protection; {@link SecurityLevel#NONE} ignores user name and password. */
   public PacketSecurity(SecurityLevel level, String username, String password) {
     this.level = level;
     this.username = username.getBytes(StandardCharsets.UTF_8);
     this.password = password.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Number of bytes by which a protected packet is longer than its parts. */
+  /** Number of bytes that protection adds to the parts of a packet. */
   public int overheadBytes() {
     return switch (level) {
       case NONE -> 0;
@@ -47,7 +47,7 @@
     };
   }
 
-  /** The packet to send for the given parts. */
+  /** Signs or encrypts the given parts; returns the packet to send. */
   public ByteBuffer protect(byte[] parts) {
     ByteBuffer packet = ByteBuffer.allocate(overheadBytes() + parts.length);
     try {
@@ -58,7 +58,8 @@
         default -> throw new IllegalStateException("unknown security level " + level);
       }
     } catch (GeneralSecurityException e) {
-      throw new IllegalStateException("every Java has these algorithms", e);
+      throw new IllegalStateException(
+          "an algorithm for security level " + level + " is missing", e);
     }
     return packet.flip();
   }
--- a/exporter/src/main/java/lemondock/exporter/collectd/PartWriter.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/PartWriter.java
@@ -9,11 +9,11 @@
 import lemondock.metrics.Series;
 
 /**
- * Writes the parts that packets of collectd's network protocol consist of: two bytes of type, two
- * bytes of length including these four, and the content. Not thread-safe.
+ * Writes the parts of packets of collectd's network protocol. A part consists of a type (two
+ * bytes), a length (two bytes), which includes these four bytes, and the content. Not thread-safe.
  */
 final class PartWriter {
-  /** Types of parts. */
+  /** Types of parts, with their codes in the protocol. */
   enum PartType {
     HOST(0x0000),
     PLUGIN(0x0002),
@@ -40,7 +40,7 @@
 
   private final ByteArrayOutputStream output = new ByteArrayOutputStream();
 
-  /** Forgets what was written. */
+  /** Discards all parts written so far. */
   void reset() {
     output.reset();
   }
@@ -53,7 +53,7 @@
     return output.toByteArray();
   }
 
-  /** Appends parts written elsewhere. */
+  /** Appends the parts of another writer. */
   void append(PartWriter other) {
     output.writeBytes(other.toByteArray());
   }
@@ -68,7 +68,7 @@
     write(newPart(type, Long.BYTES).putLong(value));
   }
 
-  /** Writes the types of the values of a series, then the values. */
+  /** Writes a part with the types of a series' values, then the values. */
   void writeValues(Series series, long[] values, CounterType counterType) {
     List<MetricField> fields = series.family().fields();
     ByteBuffer part =
@@ -84,7 +84,7 @@
     write(part);
   }
 
-  /** Counters are whole numbers in network order, gauges doubles in x86 order. */
+  /** Puts a counter as a big-endian integer, or a gauge as a little-endian double. */
   private static void putValue(MetricField field, long value, ByteBuffer part) {
     if (field.kind() == MetricField.Kind.COUNTER) {
       part.putLong(value);
--- a/exporter/src/main/java/lemondock/exporter/collectd/PutvalEncoder.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/PutvalEncoder.java
@@ -7,8 +7,8 @@
 import lemondock.metrics.Series;
 
 /**
- * collectd's plain text protocol, as its exec and unixsock plugins take it: a {@code PUTVAL} line
- * for each series. Not thread-safe.
+ * Encodes snapshots for collectd's plain text protocol, which its exec and unixsock plugins accept:
+ * a {@code PUTVAL} line for each series. Not thread-safe.
  */
 public final class PutvalEncoder extends LineEncoder {
   private static final String UNDEFINED_GAUGE = "U";
@@ -17,9 +17,9 @@
   private final String intervalOption;
 
   /**
-   * Makes an encoder.
+   * Creates an encoder.
    *
-   * @param intervalMillis time between two values of a series
+   * @param intervalMillis time between two values of a series, in milliseconds
    */
   public PutvalEncoder(CollectdIdentifiers identifiers, long intervalMillis) {
     this.identifiers = identifiers;
@@ -58,7 +58,7 @@
 
   private static void appendValue(MetricField field, long value, StringBuilder line) {
     if (field.kind() == MetricField.Kind.COUNTER) {
-      line.append(value); // in whole smallest units
+      line.append(value); // an integer, in the smallest unit of the field
     } else if (!field.hasValue(value)) {
       line.append(UNDEFINED_GAUGE);
     } else {
--- a/exporter/src/main/java/lemondock/exporter/collectd/TypesDb.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/TypesDb.java
@@ -4,7 +4,7 @@
 import lemondock.metrics.MetricFamily;
 import lemondock.metrics.MetricField;
 
-/** Writes collectd's data set definitions for all metric families (types.db(5)). */
+/** Generates collectd's data set definitions for all metric families; see types.db(5). */
 public final class TypesDb {
   private static final String HEADER =
       "# Data sets of lemondock for collectd's TypesDB; written by "
@@ -13,7 +13,7 @@
   private TypesDb() {}
 
   /**
-   * A line {@code NAME FIELD:TYPE:MIN:MAX, ...} for each family.
+   * Generates a line {@code NAME FIELD:TYPE:MIN:MAX, ...} for each family, after a header comment.
    *
    * @param counterType the data source type that the gateways' destinations send counters as
    */
--- a/exporter/src/main/java/lemondock/exporter/graphite/MetricPaths.java
+++ b/exporter/src/main/java/lemondock/exporter/graphite/MetricPaths.java
@@ -7,8 +7,8 @@
 import lemondock.metrics.Series;
 
 /**
- * Graphite's names of values, computed once for each series: paths of labels in order, or names
- * with tags (Graphite 1.1). Not thread-safe.
+ * Computes the Graphite names of values, once for each series: paths with the label values as
+ * nodes, or names with tags (Graphite 1.1). Not thread-safe.
  */
 final class MetricPaths {
   private final String prefix;
@@ -18,10 +18,10 @@
   private final SeriesCache<List<String>> pathsBySeries = new SeriesCache<>(this::computePaths);
 
   /**
-   * Makes paths.
+   * Creates an empty cache of paths.
    *
-   * @param prefix first nodes of each path; may contain dots, which separate nodes
-   * @param instance the reporting gateway, one node
+   * @param prefix first nodes of each path, separated by dots
+   * @param instance name of the gateway that exports the values; escaped to one node or tag value
    * @param isTagged whether instance and labels are tags rather than nodes
    */
   MetricPaths(String prefix, String instance, boolean isTagged) {
@@ -30,7 +30,7 @@
     this.isTagged = isTagged;
   }
 
-  /** A path for each field of a series, in the order of the fields. */
+  /** The paths of a series' fields, in the order of the fields. */
   List<String> pathsOf(Series series) {
     return pathsBySeries.get(series);
   }
--- a/exporter/src/main/java/lemondock/exporter/graphite/PickleEncoder.java
+++ b/exporter/src/main/java/lemondock/exporter/graphite/PickleEncoder.java
@@ -10,12 +10,13 @@
 import lemondock.metrics.Series;
 
 /**
- * Graphite's pickle protocol: frames of four bytes of length (big-endian) and a pickle (protocol 2)
- * of a list of {@code (path, (seconds, value))}. Whole numbers go as integers, since a double is
- * exact only up to 2^53. Gauges without a value are left out. Not thread-safe.
+ * Encodes snapshots for Graphite's pickle protocol: each frame is a length of four bytes
+ * (big-endian) and a pickle (protocol 2) of a list of {@code (path, (seconds, value))}. Whole
+ * numbers are sent as integers, since a double is exact only up to 2^53. Gauges without a value are
+ * omitted. Not thread-safe.
  */
 public final class PickleEncoder implements SnapshotEncoder {
-  /** Far below the megabyte that carbon accepts. */
+  /** Size at which a frame is ended; far below the 1 MB that carbon accepts. */
   private static final int MAX_FRAME_BYTES = 32 * 1024;
 
   private static final int MILLIS_PER_SECOND = 1_000;
@@ -36,10 +37,10 @@
   private final ByteArrayOutputStream frame = new ByteArrayOutputStream();
 
   /**
-   * Makes an encoder.
+   * Creates an encoder.
    *
-   * @param prefix first nodes of each path; may contain dots, which separate nodes
-   * @param instance the reporting gateway
+   * @param prefix first nodes of each path, separated by dots
+   * @param instance name of the gateway that exports the values
    * @param isTagged whether instance and labels are tags rather than nodes of the path
    */
   public PickleEncoder(String prefix, String instance, boolean isTagged) {
@@ -84,8 +85,8 @@
         writeString(fieldPaths.get(i));
         writeInteger(snapshot.timestampMillis() / MILLIS_PER_SECOND);
         writeValue(field, value);
-        frame.write(TUPLE2); // of seconds and value
-        frame.write(TUPLE2); // of path and the tuple before
+        frame.write(TUPLE2); // (seconds, value)
+        frame.write(TUPLE2); // (path, (seconds, value))
       }
     }
   }
@@ -106,7 +107,7 @@
     frame.writeBytes(bytes);
   }
 
-  /** A number of bytes, then two's complement. */
+  /** Writes the number of bytes, then the value in two's complement, little-endian. */
   private void writeInteger(long value) {
     frame.write(LONG1);
     frame.write(Long.BYTES);
--- a/exporter/src/main/java/lemondock/exporter/graphite/PlaintextEncoder.java
+++ b/exporter/src/main/java/lemondock/exporter/graphite/PlaintextEncoder.java
@@ -7,8 +7,8 @@
 import lemondock.metrics.Series;
 
 /**
- * Graphite's plaintext protocol: a line {@code PATH VALUE SECONDS} for each value, as an exact
- * decimal. Gauges without a value are left out. Not thread-safe.
+ * Encodes snapshots for Graphite's plaintext protocol: a line {@code PATH VALUE SECONDS} for each
+ * value, written as an exact decimal. Gauges without a value are omitted. Not thread-safe.
  */
 public final class PlaintextEncoder extends LineEncoder {
   private static final int MILLIS_PER_SECOND = 1_000;
@@ -16,10 +16,10 @@
   private final MetricPaths paths;
 
   /**
-   * Makes an encoder.
+   * Creates an encoder.
    *
-   * @param prefix first nodes of each path; may contain dots, which separate nodes
-   * @param instance the reporting gateway
+   * @param prefix first nodes of each path, separated by dots
+   * @param instance name of the gateway that exports the values
    * @param isTagged whether instance and labels are tags rather than nodes of the path
    */
   public PlaintextEncoder(String prefix, String instance, boolean isTagged) {
--- a/exporter/src/main/java/lemondock/exporter/host/ExporterRuntime.java
+++ b/exporter/src/main/java/lemondock/exporter/host/ExporterRuntime.java
@@ -20,8 +20,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The threads of the exporters: a loop, an I/O thread, and up to two threads for what may block,
- * which are names to resolve and files to write. Any thread.
+ * The threads of the exporters: a loop, an I/O thread, and up to two threads for operations that
+ * may block, such as resolving host names and writing files. Thread-safe.
  */
 public final class ExporterRuntime implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(ExporterRuntime.class);
@@ -38,11 +38,11 @@
   /**
    * Starts the threads.
    *
-   * @param name prefix of the threads' names
+   * @param name name of the loop's thread and prefix of the names of the blocking threads
    * @throws IOException if the network cannot be opened
    */
   public ExporterRuntime(String name) throws IOException {
-    loop = new ThreadLoop(name, e -> LOG.error("a task of the reports failed", e));
+    loop = new ThreadLoop(name, e -> LOG.error("a task on the exporters' loop failed", e));
     network = new AsyncNetwork(loop, IO_THREADS);
     blockingExecutor =
         new ThreadPoolExecutor(
@@ -60,7 +60,7 @@
     return thread;
   }
 
-  /** The environment for exporters on these threads. */
+  /** Creates an environment for exporters that run on these threads. */
   public ExporterEnvironment environment() {
     UnixDomainConnector unixDomainConnector = new UnixDomainConnector(loop);
     return new ExporterEnvironment(
@@ -79,7 +79,7 @@
     return loop;
   }
 
-  /** Resolves a host on a blocking thread; fails at once if too many tasks are queued there. */
+  /** Resolves a host on a blocking thread; fails immediately if the queue of tasks is full. */
   private void resolve(
       String host,
       int port,
@@ -88,7 +88,15 @@
     try {
       blockingExecutor.execute(() -> resolveBlocking(host, port, onResolved, onFailed));
     } catch (RejectedExecutionException e) {
-      loop.execute(() -> onFailed.accept(new IOException("too many names are being looked up")));
+      loop.execute(
+          () ->
+              onFailed.accept(
+                  new IOException(
+                      "host "
+                          + host
+                          + " was not resolved: the task was rejected, at most "
+                          + MAX_QUEUED_BLOCKING_TASKS
+                          + " may be queued")));
     }
   }
 
@@ -101,7 +109,7 @@
       InetSocketAddress address = new InetSocketAddress(InetAddress.getByName(host), port);
       loop.execute(() -> onResolved.accept(address));
     } catch (UnknownHostException e) {
-      IOException cause = new IOException("the name " + host + " was not found", e);
+      IOException cause = new IOException("host " + host + " could not be resolved", e);
       loop.execute(() -> onFailed.accept(cause));
     }
   }
@@ -130,7 +138,7 @@
       loop.join(CLOSE_TIMEOUT_MILLIS);
       network.close();
     } catch (IOException e) {
-      LOG.warn("the reports' sockets were not all closed", e);
+      LOG.warn("closing the exporters' network failed", e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/exporter/src/main/java/lemondock/exporter/host/ProcessMeterRegistry.java
+++ b/exporter/src/main/java/lemondock/exporter/host/ProcessMeterRegistry.java
@@ -8,11 +8,11 @@
 import io.micrometer.core.instrument.binder.system.ProcessorMetrics;
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
 
-/** Gauges of this process, from Micrometer's own binders. */
+/** Gauges of this process, from the binders that Micrometer provides. */
 public final class ProcessMeterRegistry {
   private ProcessMeterRegistry() {}
 
-  /** Makes a registry with gauges of memory, threads, processors, classes and open files. */
+  /** Creates a registry with gauges of memory, threads, processors, classes and open files. */
   public static MeterRegistry create() {
     MeterRegistry registry = new SimpleMeterRegistry();
     new JvmMemoryMetrics().bindTo(registry);
--- a/exporter/src/main/java/lemondock/exporter/host/package-info.java
+++ b/exporter/src/main/java/lemondock/exporter/host/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What exporters need of the real machine: threads, sockets, name resolution, the host's name and
- * gauges of the process.
+ * Threads, sockets, name resolution, the host name and process gauges for exporters on a real
+ * machine.
  */
 package lemondock.exporter.host;
--- a/exporter/src/test/java/lemondock/exporter/ExporterFixture.java
+++ b/exporter/src/test/java/lemondock/exporter/ExporterFixture.java
@@ -9,11 +9,11 @@
 import lemondock.net.time.ManualLoop;
 
 /**
- * An exporter that exports once a second, on a clock that the test advances. The first snapshot has
- * the timestamp 1,001 s.
+ * An exporter that exports once a second, on a clock that the test advances. The first snapshot's
+ * timestamp is 1,001 s.
  */
 public final class ExporterFixture {
-  /** Microseconds of a second. */
+  /** One second in microseconds. */
   public static final long SECOND = 1_000_000;
 
   /** A family with one counter. */
@@ -30,7 +30,7 @@
   public final Recorder recorder = registry.newRecorder();
   public final PeriodicExporter exporter = new PeriodicExporter(loop, registry, OPTIONS);
 
-  /** Counts one and advances the clock by a second, as often as given. */
+  /** Increments the counter and advances the clock by a second, {@code seconds} times. */
   public void countEachSecond(int seconds) {
     for (int i = 0; i < seconds; i++) {
       recorder.increment(series.firstSlot());
--- a/exporter/src/test/java/lemondock/exporter/LabelEscapingTest.java
+++ b/exporter/src/test/java/lemondock/exporter/LabelEscapingTest.java
@@ -4,11 +4,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Label values as collectors get them. */
+/** Escaping of label values for collectors. */
 @SuppressWarnings("checkstyle:AvoidEscapedUnicodeCharacters") // Sources stay ASCII.
 class LabelEscapingTest {
   @Test
-  void differentValuesStayDifferent() {
+  void escapesDistinctValuesDistinctly() {
     assertEquals("card-refund_2", LabelEscaping.escape("card-refund_2"));
     assertEquals("a%2Eb", LabelEscaping.escape("a.b"));
     assertEquals("a%20b%0Ac", LabelEscaping.escape("a b\nc"));
--- a/exporter/src/test/java/lemondock/exporter/MonotonicTimestampsTest.java
+++ b/exporter/src/test/java/lemondock/exporter/MonotonicTimestampsTest.java
@@ -5,10 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Timestamps while the wall clock is set back and forth. */
+/** Timestamps while the wall clock is set back and forward. */
 class MonotonicTimestampsTest {
   @Test
-  void timestampsNeverGoBackAndCatchUpWithAWallClockThatDid() {
+  void timestampsStayMonotonicAfterWallClockIsSetBack() {
     MonotonicTimestamps timestamps = new MonotonicTimestamps(3_600_000);
     long wallMillis = 1_000_000_000;
     long last = timestamps.next(0, wallMillis);
@@ -34,7 +34,7 @@
     assertEquals(
         wallMillis + 5,
         timestamps.next(monotonicMicros + 2, wallMillis + 5),
-        "too far ahead to wait for the wall clock");
+        "timestamps jump back when the lead exceeds the limit");
     assertEquals(2, timestamps.clockSetBackCount());
   }
 }
--- a/exporter/src/test/java/lemondock/exporter/SnapshotBufferTest.java
+++ b/exporter/src/test/java/lemondock/exporter/SnapshotBufferTest.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The buffer compared with a plain list of copies. */
+/** The limits of the buffer, and its contents compared with a plain list of copies. */
 class SnapshotBufferTest {
   private static final MetricFamily FAMILY =
       MetricFamily.ofFields(
@@ -33,13 +33,13 @@
   }
 
   @Property(tries = 300, seed = "4711")
-  void aCursorReadsWhatAListOfCopiesHolds(
+  void cursorReadsSameSnapshotsAsListOfCopies(
       @ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int maxSnapshots) {
     SplittableRandom random = new SplittableRandom(seed);
     SnapshotBuffer buffer = new SnapshotBuffer(1 << 20, maxSnapshots);
-    List<long[]> all = new ArrayList<>();
+    List<long[]> appendedValues = new ArrayList<>();
     SnapshotBuffer.Cursor[] cursors = {buffer.newCursor(), buffer.newCursor(), buffer.newCursor()};
-    long[] next = new long[cursors.length];
+    long[] nextIndexes = new long[cursors.length];
     long[] values = new long[1 + random.nextInt(5)];
     for (int step = 0; step < 120; step++) {
       if (random.nextInt(8) == 0) {
@@ -55,23 +55,24 @@
             };
       }
       buffer.append(step, snapshot(values.clone()));
-      all.add(values.clone());
-      for (int c = 0; c < cursors.length; c++) {
+      appendedValues.add(values.clone());
+      for (int cursorIndex = 0; cursorIndex < cursors.length; cursorIndex++) {
         if (random.nextInt(10) == 0) {
-          next[c] -= cursors[c].rewind(random.nextInt(5));
+          nextIndexes[cursorIndex] -= cursors[cursorIndex].rewind(random.nextInt(5));
         }
-        for (int n = random.nextInt(c + 2); n > 0; n--) {
-          long oldest = all.size() - Math.min(maxSnapshots, all.size());
-          Optional<BufferedSnapshot> view = cursors[c].next();
-          next[c] = Math.max(next[c], oldest);
-          if (view.isEmpty()) {
-            assertEquals(all.size(), next[c]);
+        for (int reads = random.nextInt(cursorIndex + 2); reads > 0; reads--) {
+          long oldestIndex = appendedValues.size() - Math.min(maxSnapshots, appendedValues.size());
+          Optional<BufferedSnapshot> read = cursors[cursorIndex].next();
+          nextIndexes[cursorIndex] = Math.max(nextIndexes[cursorIndex], oldestIndex);
+          if (read.isEmpty()) {
+            assertEquals(appendedValues.size(), nextIndexes[cursorIndex]);
           } else {
-            assertEquals(next[c], view.get().sequenceNumber());
-            assertEquals(next[c], view.get().timestampMillis());
-            assertArrayEquals(all.get((int) next[c]), view.get().values());
-            assertEquals(view.get().values().length, view.get().series().size());
-            next[c]++;
+            assertEquals(nextIndexes[cursorIndex], read.get().sequenceNumber());
+            assertEquals(nextIndexes[cursorIndex], read.get().timestampMillis());
+            assertArrayEquals(
+                appendedValues.get((int) nextIndexes[cursorIndex]), read.get().values());
+            assertEquals(read.get().values().length, read.get().series().size());
+            nextIndexes[cursorIndex]++;
           }
         }
       }
@@ -79,15 +80,15 @@
   }
 
   @Test
-  void theOldestAreDroppedFirstAndEachDropIsCounted() {
+  void dropsOldestSnapshotsFirstAndCountsThem() {
     SnapshotBuffer buffer = new SnapshotBuffer(1 << 20, 3);
     SnapshotBuffer.Cursor slow = buffer.newCursor();
-    SnapshotBuffer.Cursor quick = buffer.newCursor();
+    SnapshotBuffer.Cursor fast = buffer.newCursor();
     for (int i = 0; i < 10; i++) {
       buffer.append(i, snapshot(i));
-      assertEquals(i, quick.next().orElseThrow().values()[0]);
+      assertEquals(i, fast.next().orElseThrow().values()[0]);
     }
-    assertEquals(0, quick.droppedCount());
+    assertEquals(0, fast.droppedCount());
     assertEquals(7, slow.droppedCount());
     assertEquals(3, slow.pendingCount());
     assertEquals(7, slow.next().orElseThrow().values()[0]);
@@ -101,7 +102,7 @@
   }
 
   @Test
-  void bytesAreBoundedAndUnchangedValuesCostNothing() {
+  void boundsBytesAndStoresNothingForUnchangedValues() {
     SnapshotBuffer buffer = new SnapshotBuffer(10_000, 1_000_000);
     long[] values = new long[10_000];
     buffer.append(0, snapshot(values.clone()));
--- a/exporter/src/test/java/lemondock/exporter/StreamDestinationTest.java
+++ b/exporter/src/test/java/lemondock/exporter/StreamDestinationTest.java
@@ -18,7 +18,7 @@
 import lemondock.net.time.ManualLoop;
 import org.junit.jupiter.api.Test;
 
-/** Stream destinations on a clock and connections that the test controls. */
+/** Stream destinations, with a clock and connections that the test controls. */
 class StreamDestinationTest {
   private static final ExponentialBackoff.Policy BACKOFF =
       new ExponentialBackoff.Policy(SECOND / 2, 30 * SECOND, () -> 0.5);
@@ -29,11 +29,11 @@
   private final List<TestConnection> connections = new ArrayList<>();
   private boolean refusesConnections;
 
-  private StreamDestination newDestination(String name, boolean takesAtOnce) {
+  private StreamDestination newDestination(String name, boolean acceptsImmediately) {
     StreamDestination destination =
         new StreamDestination(
             loop,
-            handler -> connect(handler, takesAtOnce),
+            handler -> connect(handler, acceptsImmediately),
             new PlaintextEncoder("x", "i", false),
             exporter.buffer(),
             new StreamDestination.Options(name, 20, 5 * SECOND, 30 * SECOND, BACKOFF));
@@ -41,12 +41,12 @@
     return destination;
   }
 
-  private void connect(Connection.Handler handler, boolean takesAtOnce) {
+  private void connect(Connection.Handler handler, boolean acceptsImmediately) {
     if (refusesConnections) {
       loop.execute(() -> handler.closed(new IOException("refused")));
       return;
     }
-    TestConnection connection = new TestConnection(loop, handler, takesAtOnce);
+    TestConnection connection = new TestConnection(loop, handler, acceptsImmediately);
     connections.add(connection);
     loop.execute(() -> handler.connected(connection));
   }
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void everySnapshotArrivesWithItsTimestamp() {
+  void sendsEverySnapshotWithItsTimestamp() {
     start(newDestination("a", true));
     fixture.countEachSecond(3);
     assertEquals(
@@ -81,8 +81,8 @@
   }
 
   @Test
-  void aStalledCollectorCostsLittleMemoryAndItsConnectionIsAborted() {
-    for (int i = 0; i < 200; i++) { // some 50 KB a snapshot
+  void boundsMemoryAndAbortsConnectionOfStalledCollector() {
+    for (int i = 0; i < 200; i++) { // makes a snapshot about 50 KB long
       fixture.registry.series(MetricFamilies.TOOL_CALLS, "a-rather-long-name-of-a-class-" + i);
     }
     StreamDestination stalled = newDestination("stalled", false);
@@ -92,9 +92,10 @@
     assertEquals(2, connections.size());
     assertEquals(29, connections.get(1).countLines().size());
     long maxQueuedBytes = connections.get(0).maxQueuedBytes();
-    assertTrue(maxQueuedBytes < 100_000, "queued " + maxQueuedBytes);
+    assertTrue(
+        maxQueuedBytes < 100_000, "bytes queued on the stalled connection: " + maxQueuedBytes);
     fixture.countEachSecond(10);
-    assertEquals(3, connections.size(), "a new connection was tried after the stall");
+    assertEquals(3, connections.size(), "the stalled destination has connected again");
     assertEquals(39, connections.get(1).countLines().size());
     assertTrue(
         dropped(stalled) > 0 && pending(stalled) <= 21,
@@ -103,11 +104,11 @@
     MetricsSnapshot snapshot = exporter.latestSnapshot();
     assertTrue(
         snapshot.value(MetricFamilies.EXPORTS, "dropped", List.of("stalled")) > 0,
-        "the drops are exported themselves");
+        "the count of dropped snapshots is exported");
   }
 
   @Test
-  void missedSnapshotsArriveLaterWithTheirTimestampsAndTheOldestAreDropped() {
+  void sendsMissedSnapshotsAfterReconnectAndDropsOldest() {
     refusesConnections = true;
     StreamDestination destination = newDestination("away", true);
     start(destination);
@@ -121,38 +122,40 @@
         dropped(destination) + received.size(),
         331,
         "each snapshot arrived or is counted as dropped");
-    assertTrue(received.size() <= 20 + 31, received.size() + " arrived, 20 may wait");
-    long first = 331 - received.size() + 1;
+    assertTrue(received.size() <= 20 + 31, received.size() + " arrived, at most 20 may be pending");
+    long firstValue = 331 - received.size() + 1;
     assertEquals(
         IntStream.range(0, received.size())
-            .mapToObj(i -> countLine(1000 + first + i, first + i))
+            .mapToObj(i -> countLine(1000 + firstValue + i, firstValue + i))
             .toList(),
         received);
     long failures = destination.statistics().value(DestinationCounter.CONNECTION_FAILURES);
-    assertTrue(failures >= 9 && failures <= 20, "attempts were backed off: " + failures);
+    assertTrue(failures >= 9 && failures <= 20, "failed attempts with backoff: " + failures);
   }
 
   @Test
-  void afterABreakUnconfirmedSnapshotsAreSentAgain() {
+  void resendsRecentSnapshotsAfterConnectionBreaks() {
     StreamDestination destination = newDestination("breaks", true);
     start(destination);
     fixture.countEachSecond(10);
-    connections.get(0).takesAtOnce = false;
+    connections.get(0).acceptsImmediately = false;
     fixture.countEachSecond(1);
-    connections.get(0).take(15); // part of a line
-    connections.get(0).breakOff(new IOException("reset"));
+    connections.get(0).accept(15); // part of a line
+    connections.get(0).closeWith(new IOException("reset"));
     loop.runTasks();
     fixture.countEachSecond(3);
-    List<String> again = connections.get(1).countLines();
-    assertEquals(countLine(1014, 14), again.get(again.size() - 1));
-    assertTrue(again.contains(countLine(1011, 11)), again.toString());
-    assertTrue(again.contains(countLine(1008, 8)), "sent within the last five seconds: " + again);
-    assertFalse(again.contains(countLine(1003, 3)), again.toString());
+    List<String> linesAfterBreak = connections.get(1).countLines();
+    assertEquals(countLine(1014, 14), linesAfterBreak.get(linesAfterBreak.size() - 1));
+    assertTrue(linesAfterBreak.contains(countLine(1011, 11)), linesAfterBreak.toString());
+    assertTrue(
+        linesAfterBreak.contains(countLine(1008, 8)),
+        "sent within the last five seconds: " + linesAfterBreak);
+    assertFalse(linesAfterBreak.contains(countLine(1003, 3)), linesAfterBreak.toString());
     assertTrue(destination.statistics().value(DestinationCounter.SNAPSHOTS_RESENT) >= 3);
   }
 
   @Test
-  void aGaugeWithoutAValueIsLeftOutAndACounterThatWrapsIsNot() {
+  void omitsGaugeWithoutValueButSendsWrappedCounter() {
     Series gauge = fixture.registry.series(MetricFamilies.PROCESS, "odd.meter");
     start(newDestination("a", true));
     long ticket = fixture.recorder.beginUpdate();
@@ -161,19 +164,19 @@
     fixture.recorder.endUpdate(ticket);
     fixture.countEachSecond(1);
     TestConnection connection = connections.get(0);
-    assertFalse(connection.taken().contains("odd%2Emeter"), "no line without a value");
+    assertFalse(connection.acceptedText().contains("odd%2Emeter"), "no line without a value");
     ticket = fixture.recorder.beginUpdate();
     fixture.recorder.set(gauge.firstSlot(), 1_500);
     fixture.recorder.endUpdate(ticket);
     fixture.countEachSecond(1);
-    assertTrue(connection.taken().contains("x.i.process.odd%2Emeter.value 1.5 1002\n"));
+    assertTrue(connection.acceptedText().contains("x.i.process.odd%2Emeter.value 1.5 1002\n"));
     assertEquals(
         List.of(countLine(1001, Long.MIN_VALUE), countLine(1002, Long.MIN_VALUE + 1)),
         connection.countLines());
   }
 
   @Test
-  void aWallClockSetBackKeepsTheOrderOfTimestamps() {
+  void keepsTimestampsOrderedWhenWallClockIsSetBack() {
     start(newDestination("a", true));
     fixture.countEachSecond(5);
     loop.stepWallClock(-3_600_000);
@@ -189,7 +192,7 @@
   }
 
   @Test
-  void whatACollectorSendsIsCountedAndIgnoredAtABoundedRate() {
+  void countsAndIgnoresCollectorInputAtBoundedRate() {
     StreamDestination destination = newDestination("talks", true);
     start(destination);
     TestConnection connection = connections.get(0);
@@ -199,7 +202,7 @@
       connection.handler.decode(ByteBuffer.wrap(new byte[4096]), events);
       connection.handler.received(events);
       loop.runTasks();
-      assertEquals(readCount, connection.readCount(), "read on only after a pause");
+      assertEquals(readCount, connection.readCount(), "the next read comes after a pause");
       loop.advance(20_000);
       assertEquals(readCount + 1, connection.readCount());
     }
@@ -207,7 +210,7 @@
   }
 
   @Test
-  void shutDownSendsTheFinalSnapshotAndAStalledDestinationDoesNotDelayIt() {
+  void shutDownSendsFinalSnapshotDespiteStalledDestination() {
     start(newDestination("a", true), newDestination("stalled", false), newDestination("b", true));
     fixture.countEachSecond(2);
     fixture.recorder.increment(fixture.series.firstSlot());
@@ -217,17 +220,17 @@
     assertEquals(List.of(), finalSnapshots);
     assertTrue(
         connections.get(0).isClosing() && connections.get(2).isClosing(),
-        "the others are closed gracefully at once");
+        "the other destinations are closed gracefully at once");
     loop.advance(SECOND);
     assertEquals(1, finalSnapshots.size());
     assertEquals(3, finalSnapshots.get(0).value(ExporterFixture.FAMILY, "n", List.of()));
     assertEquals(countLine(1002, 3), connections.get(0).countLines().get(2));
     fixture.countEachSecond(5);
-    assertEquals(3, connections.get(0).countLines().size(), "nothing after the end");
+    assertEquals(3, connections.get(0).countLines().size(), "nothing is sent after the shutdown");
   }
 
   @Test
-  void shutDownMakesOneLastAttemptToConnect() {
+  void shutDownMakesOneFinalConnectionAttempt() {
     refusesConnections = true;
     start(newDestination("away", true));
     fixture.countEachSecond(3);
--- a/exporter/src/test/java/lemondock/exporter/TcpConnectorTest.java
+++ b/exporter/src/test/java/lemondock/exporter/TcpConnectorTest.java
@@ -13,20 +13,20 @@
 import lemondock.net.time.ManualLoop;
 import org.junit.jupiter.api.Test;
 
-/** Resolution of the host before a connection. */
+/** Resolution of the host before a connection attempt. */
 class TcpConnectorTest {
   private final ManualLoop loop = new ManualLoop(1_000_000_000L);
   private final List<Consumer<InetSocketAddress>> resolutions = new ArrayList<>();
   private final List<String> failures = new ArrayList<>();
 
-  /** Fails for the host "none" and else waits for the test. */
+  /** Fails for the host "none"; for others, keeps the callback for the test to call. */
   private void resolve(
       String host,
       int port,
       Consumer<InetSocketAddress> onResolved,
       Consumer<IOException> onFailed) {
     if (host.equals("none")) {
-      onFailed.accept(new IOException("the name none was not found"));
+      onFailed.accept(new IOException("host none could not be resolved"));
     } else {
       resolutions.add(onResolved);
     }
@@ -38,22 +38,22 @@
   }
 
   @Test
-  void aResolutionAfterTheTimeoutIsIgnored() {
+  void ignoresResolutionAfterTimeout() {
     connectTo("slow");
     loop.advance(2 * SECOND);
     resolutions.get(0).accept(new InetSocketAddress("127.0.0.1", 1));
     loop.runTasks();
-    assertEquals(List.of("the name slow was not found in time"), failures);
+    assertEquals(List.of("host slow was not resolved within 1000000 us"), failures);
   }
 
   @Test
-  void aFailedResolutionIsReportedOnce() {
+  void reportsFailedResolutionOnce() {
     connectTo("none");
     loop.advance(2 * SECOND);
-    assertEquals(List.of("the name none was not found"), failures);
+    assertEquals(List.of("host none could not be resolved"), failures);
   }
 
-  /** Notes why there is no connection. */
+  /** Records the message with which the connection attempt failed. */
   private final class FailureRecorder implements Connection.Handler {
     @Override
     public void connected(Connection connection) {}
--- a/exporter/src/test/java/lemondock/exporter/TestConnection.java
+++ b/exporter/src/test/java/lemondock/exporter/TestConnection.java
@@ -9,26 +9,28 @@
 import lemondock.net.Connection;
 import lemondock.net.Loop;
 
-/** A connection to a collector that takes bytes at once or only when the test says so. */
+/**
+ * A connection to a collector that accepts bytes immediately or when a test calls {@link #accept}.
+ */
 final class TestConnection implements Connection {
-  private static final int HIGH_MARK_BYTES = 64 * 1024;
-  private static final int LOW_MARK_BYTES = 16 * 1024;
+  private static final int HIGH_WATER_MARK_BYTES = 64 * 1024;
+  private static final int LOW_WATER_MARK_BYTES = 16 * 1024;
   private static final String COUNT_PATH = "x.i.count.n ";
 
   final Handler handler;
   private final Loop loop;
-  private final StringBuilder taken = new StringBuilder();
+  private final StringBuilder accepted = new StringBuilder();
   private final StringBuilder queued = new StringBuilder();
-  boolean takesAtOnce;
+  boolean acceptsImmediately;
   private boolean isClosed;
   private boolean isClosing;
   private int readCount;
   private long maxQueuedBytes;
 
-  TestConnection(Loop loop, Handler handler, boolean takesAtOnce) {
+  TestConnection(Loop loop, Handler handler, boolean acceptsImmediately) {
     this.loop = loop;
     this.handler = handler;
-    this.takesAtOnce = takesAtOnce;
+    this.acceptsImmediately = acceptsImmediately;
   }
 
   @Override
@@ -40,26 +42,26 @@
   public void write(ByteBuffer bytes) {
     queued.append(StandardCharsets.US_ASCII.decode(bytes));
     maxQueuedBytes = Math.max(maxQueuedBytes, queued.length());
-    if (takesAtOnce) {
-      take(queued.length());
+    if (acceptsImmediately) {
+      accept(queued.length());
     }
   }
 
-  /** Takes queued bytes. */
-  void take(int byteCount) {
-    boolean wasHigh = queued.length() > HIGH_MARK_BYTES;
-    taken.append(queued, 0, byteCount);
+  /** Accepts queued bytes, as the operating system does. */
+  void accept(int byteCount) {
+    boolean wasAboveHighWaterMark = queued.length() > HIGH_WATER_MARK_BYTES;
+    accepted.append(queued, 0, byteCount);
     queued.delete(0, byteCount);
-    if (wasHigh && queued.length() <= LOW_MARK_BYTES) {
+    if (wasAboveHighWaterMark && queued.length() <= LOW_WATER_MARK_BYTES) {
       loop.execute(handler::writeQueueDrained);
     }
     if (isClosing && queued.isEmpty()) {
-      breakOff(null);
+      closeWith(null);
     }
   }
 
-  /** Closes the connection; {@code cause} is null for an orderly close. */
-  void breakOff(IOException cause) {
+  /** Closes the connection; {@code cause} is null if it was closed without an error. */
+  void closeWith(IOException cause) {
     if (!isClosed) {
       isClosed = true;
       loop.execute(() -> handler.closed(cause));
@@ -73,20 +75,20 @@
 
   @Override
   public long flushedBytes() {
-    return taken.length();
+    return accepted.length();
   }
 
   @Override
   public void close() {
     isClosing = true;
     if (queued.isEmpty()) {
-      breakOff(null);
+      closeWith(null);
     }
   }
 
   @Override
   public void abort() {
-    breakOff(null);
+    closeWith(null);
   }
 
   @Override
@@ -106,19 +108,19 @@
     return maxQueuedBytes;
   }
 
-  /** All that was taken. */
-  String taken() {
-    return taken.toString();
+  /** All text accepted so far. */
+  String acceptedText() {
+    return accepted.toString();
   }
 
-  /** Value and seconds of each line of the fixture's counter that was taken completely. */
+  /** Value and timestamp of each completely accepted line of the fixture's counter. */
   List<String> countLines() {
-    List<String> found = new ArrayList<>();
-    for (String line : taken.substring(0, taken.lastIndexOf("\n") + 1).split("\n")) {
+    List<String> countLines = new ArrayList<>();
+    for (String line : accepted.substring(0, accepted.lastIndexOf("\n") + 1).split("\n")) {
       if (line.startsWith(COUNT_PATH)) {
-        found.add(line.substring(COUNT_PATH.length()));
+        countLines.add(line.substring(COUNT_PATH.length()));
       }
     }
-    return found;
+    return countLines;
   }
 }
--- a/exporter/src/test/java/lemondock/exporter/collectd/DatagramDestinationTest.java
+++ b/exporter/src/test/java/lemondock/exporter/collectd/DatagramDestinationTest.java
@@ -15,28 +15,28 @@
 import lemondock.net.DatagramSender;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams on a clock and a socket that the test controls. */
+/** A datagram destination, with a clock and a socket that the test controls. */
 class DatagramDestinationTest {
   private static final int MAX_PACKET_BYTES = 1024;
 
   private final ExporterFixture fixture = new ExporterFixture();
   private final List<ByteBuffer> sent = new ArrayList<>();
   private final DatagramDestination destination = newDestination();
-  private int freePackets = Integer.MAX_VALUE;
+  private int acceptablePackets = Integer.MAX_VALUE;
   private boolean isUnreachable;
   private int openedCount;
 
-  /** Takes packets as long as there are free ones. */
+  /** Accepts packets until {@code acceptablePackets} is used up. */
   private final class TestSender implements DatagramSender {
     @Override
     public boolean send(ByteBuffer packet) throws IOException {
       if (isUnreachable) {
         throw new IOException("port unreachable");
       }
-      if (freePackets == 0) {
+      if (acceptablePackets == 0) {
         return false;
       }
-      freePackets--;
+      acceptablePackets--;
       sent.add(packet.duplicate());
       packet.position(packet.limit());
       return true;
@@ -65,15 +65,15 @@
             MAX_PACKET_BYTES,
             1000,
             CounterType.DERIVE);
-    DatagramDestination made =
+    DatagramDestination created =
         new DatagramDestination(
             fixture.loop,
             connector,
             encoder,
             fixture.exporter.buffer(),
             new DatagramDestination.Options("udp", 20, SECOND));
-    fixture.exporter.addDestination(made);
-    return made;
+    fixture.exporter.addDestination(created);
+    return created;
   }
 
   private long value(DestinationCounter counter) {
@@ -81,30 +81,31 @@
   }
 
   @Test
-  void packetsAreBoundedInSizeAndRateAndWaitForTheOperatingSystem() {
+  void boundsPacketSizeAndRateAndRetriesRefusedPackets() {
     for (int i = 0; i < 1_000; i++) {
       fixture.registry.series(MetricFamilies.TOOL_CALLS, "class-" + i);
     }
     fixture.exporter.start();
     fixture.loop.advance(SECOND);
     int firstBurst = sent.size();
-    assertTrue(firstBurst > 0 && firstBurst <= 16, "at once: " + firstBurst);
+    assertTrue(firstBurst > 0 && firstBurst <= 16, "packets in the first burst: " + firstBurst);
     fixture.loop.advance(SECOND / 2);
     final int packetsPerSnapshot = sent.size();
     assertEquals(1, value(DestinationCounter.SNAPSHOTS_SENT));
     assertTrue(sent.stream().allMatch(packet -> packet.remaining() <= MAX_PACKET_BYTES));
-    freePackets = 3;
+    acceptablePackets = 3;
     fixture.loop.advance(SECOND);
     assertEquals(packetsPerSnapshot + 3, sent.size());
     assertTrue(value(DestinationCounter.PACKETS_LOST) > 0);
-    freePackets = Integer.MAX_VALUE;
+    acceptablePackets = Integer.MAX_VALUE;
     fixture.loop.advance(SECOND / 4);
-    assertEquals(2, value(DestinationCounter.SNAPSHOTS_SENT), "goes on where it stopped");
+    assertEquals(
+        2, value(DestinationCounter.SNAPSHOTS_SENT), "resumes with the packet that was refused");
     assertEquals(2 * packetsPerSnapshot, sent.size());
   }
 
   @Test
-  void whileThePortIsUnreachableSnapshotsAreKeptForLater() {
+  void sendsKeptSnapshotsOncePortIsReachable() {
     fixture.exporter.start();
     isUnreachable = true;
     fixture.countEachSecond(10);
@@ -114,6 +115,6 @@
     isUnreachable = false;
     fixture.countEachSecond(2);
     assertEquals(12, value(DestinationCounter.SNAPSHOTS_SENT));
-    assertTrue(openedCount > 1, "the host was resolved anew");
+    assertTrue(openedCount > 1, "the host was resolved again");
   }
 }
