--- a/anomaly/src/main/java/lemondock/anomaly/BurnRateDetector.java
+++ b/anomaly/src/main/java/lemondock/anomaly/BurnRateDetector.java
@@ -2,8 +2,8 @@
 
 /**
  * Multi-window burn rate of an error budget (chapter 5 of Google's "The Site Reliability
- * Workbook"): service counts as degraded while the budget burns too fast over both a short and a
- * long window. The baseline that {@link CusumDetector} is compared with. Not thread-safe.
+ * Workbook"): service starts to count as degraded when the burn rate is too high over both a short
+ * and a long window. Benchmarks compare {@link CusumDetector} with it. Not thread-safe.
  */
 public final class BurnRateDetector implements ChangeDetector {
   private static final int BUCKETS = 64;
@@ -17,9 +17,9 @@
   /**
    * Parameters of a detector.
    *
-   * @param errorBudget share of bad requests that is allowed
-   * @param maxBurnRate multiple of the budget at which it burns too fast
-   * @param minBadRequests bad requests in the short window below which there is no alarm
+   * @param errorBudget share of bad requests that is allowed, 0 to 1
+   * @param maxBurnRate burn rate, as a multiple of the error budget, from which on it is too high
+   * @param minBadRequests least number of bad requests in the short window for an alarm
    * @param shortWindowMicros length of the short window
    * @param longWindowMicros length of the long window
    * @param minDurationMicros shortest duration of a degradation
@@ -31,11 +31,11 @@
       long shortWindowMicros,
       long longWindowMicros,
       long minDurationMicros) {
-    /** Windows of 3 and 12 seconds, an alarm at 5 times the budget of 5 %. */
+    /** Windows of 3 and 12 seconds; an alarm at 5 times the budget of 5 %. */
     public static final Options DEFAULT = new Options(0.05, 5, 3, 3_000_000, 12_000_000, 3_000_000);
   }
 
-  /** Makes a detector that has observed nothing. */
+  /** Creates a detector that has observed nothing. */
   public BurnRateDetector(Options options) {
     this.options = options;
     long bucketMicros = Math.max(1, options.longWindowMicros() / (BUCKETS - 1));
@@ -59,7 +59,7 @@
     }
   }
 
-  /** Multiple of the error budget that was used up over a window. */
+  /** Returns the loss ratio over a window as a multiple of the error budget. */
   private double burnRate(long windowMicros) {
     long total = counts.total(windowMicros);
     return total == 0 ? 0 : (double) counts.bad(windowMicros) / total / options.errorBudget();
--- a/anomaly/src/main/java/lemondock/anomaly/ChangeDetector.java
+++ b/anomaly/src/main/java/lemondock/anomaly/ChangeDetector.java
@@ -1,12 +1,12 @@
 package lemondock.anomaly;
 
 /**
- * Decides from counts of good and bad requests whether service has degraded. No clock, no I/O; time
- * is passed in and must not go back. Not thread-safe.
+ * Decides from counts of good and bad requests whether service has degraded. Reads no clock and
+ * does no I/O; callers pass in the time, which must not go back. Not thread-safe.
  */
 public interface ChangeDetector {
   /**
-   * Takes the requests since the last call.
+   * Processes the requests since the last call.
    *
    * @param nowMicros the current time
    * @param good requests that met their latency objective
@@ -14,12 +14,12 @@
    */
   void observe(long nowMicros, long good, long bad);
 
-  /** Whether service counts as degraded; this has hysteresis. */
+  /** Returns whether service counts as degraded; the decision has hysteresis. */
   boolean isDegraded();
 
-  /** Evidence of a degradation: 0 is none, from 1 on service counts as degraded. */
+  /** Returns the evidence of a degradation: 0 is none, from 1 on service counts as degraded. */
   double evidence();
 
-  /** The share of bad requests that counts as usual. */
+  /** Returns the share of bad requests that counts as normal, 0 to 1. */
   double baselineLossRatio();
 }
--- a/anomaly/src/main/java/lemondock/anomaly/CounterWindow.java
+++ b/anomaly/src/main/java/lemondock/anomaly/CounterWindow.java
@@ -1,6 +1,6 @@
 package lemondock.anomaly;
 
-/** The recent increases of the cumulative counters of one scope. Not thread-safe. */
+/** Increases of the cumulative counters of one scope over the last 8 seconds. Not thread-safe. */
 final class CounterWindow {
   private static final long BUCKET_MICROS = 1_000_000;
   private static final int BUCKETS = 8;
@@ -8,42 +8,45 @@
   private final WindowedCounts recent = new WindowedCounts(BUCKET_MICROS, BUCKETS);
   private long lastGood;
   private long lastBad;
-  private long newGood;
-  private long newBad;
+  private long goodIncrease;
+  private long badIncrease;
 
-  /** Takes the counters. Ones that went back are those of a restarted process and began at zero. */
+  /**
+   * Takes the current values of the counters. If one of them has decreased, the process that counts
+   * has restarted from zero, and the whole values are the increase.
+   */
   void update(long nowMicros, EventCounts counters) {
     long good = counters.good();
     long bad = counters.bad();
-    boolean isRestarted = good < lastGood || bad < lastBad;
-    newGood = isRestarted ? good : good - lastGood;
-    newBad = isRestarted ? bad : bad - lastBad;
+    boolean hasRestarted = good < lastGood || bad < lastBad;
+    goodIncrease = hasRestarted ? good : good - lastGood;
+    badIncrease = hasRestarted ? bad : bad - lastBad;
     lastGood = good;
     lastBad = bad;
-    recent.add(nowMicros, newGood, newBad);
+    recent.add(nowMicros, goodIncrease, badIncrease);
   }
 
-  /** Increase of the good counter at the last update. */
-  long newGood() {
-    return newGood;
+  /** Returns the increase of the good counter at the last update. */
+  long goodIncrease() {
+    return goodIncrease;
   }
 
-  /** Increase of the bad counter at the last update. */
-  long newBad() {
-    return newBad;
+  /** Returns the increase of the bad counter at the last update. */
+  long badIncrease() {
+    return badIncrease;
   }
 
-  /** Bad requests over the last seconds. */
+  /** Returns the bad requests in the window. */
   long bad() {
     return recent.bad();
   }
 
-  /** All requests over the last seconds. */
+  /** Returns the good and bad requests in the window. */
   long total() {
     return recent.total();
   }
 
-  /** Share of bad requests over the last seconds; 0 if there were none. */
+  /** Returns the share of bad requests in the window, 0 to 1; 0 if there were no requests. */
   double lossRatio() {
     long total = total();
     return total == 0 ? 0 : (double) bad() / total;
--- a/anomaly/src/main/java/lemondock/anomaly/CusumDetector.java
+++ b/anomaly/src/main/java/lemondock/anomaly/CusumDetector.java
@@ -2,18 +2,18 @@
 
 /**
  * Page's CUSUM control chart for the share of bad requests (E. S. Page, "Continuous inspection
- * schemes", Biometrika 41, 1954). Each request adds the logarithm of how much likelier it is if
- * service is degraded than if it is as usual, and the sum never falls below zero. It needs no
- * window, so that it raises an alarm at small counts as soon as they are beyond chance, and one
- * threshold sets its rate of false alarms: about one in e^threshold requests at the usual loss, or
- * fewer. Not thread-safe.
+ * schemes", Biometrika 41, 1954). For each request the chart adds the log-likelihood ratio of its
+ * result under degraded service against the baseline, and the sum never falls below zero. The chart
+ * needs no window, so that it raises an alarm at small counts as soon as chance no longer explains
+ * them. A single threshold sets the rate of false alarms: at the baseline loss ratio, at most about
+ * one in e^threshold requests. Not thread-safe.
  */
 public final class CusumDetector implements ChangeDetector {
-  /** Keeps the logarithms finite. */
+  /** Upper bound of the tested loss ratio, below 1 so that the logarithms stay finite. */
   private static final double MAX_DEGRADED_LOSS = 0.95;
 
   private final Options options;
-  private double learntLossRatio;
+  private double learnedLossRatio;
   private double degradationEvidence;
   private double recoveryEvidence;
   private boolean isDegraded;
@@ -22,19 +22,21 @@
   private boolean hasObserved;
 
   /**
-   * Parameters of a chart. Ratios are shares of bad requests; evidence is the natural logarithm of
-   * likelihood ratios.
+   * Parameters of a chart. Losses are shares of bad requests, 0 to 1; evidence is the natural
+   * logarithm of a likelihood ratio.
    *
-   * @param minBaselineLoss ratio that counts as usual however good service was
-   * @param maxBaselineLoss ratio that is never usual however long it lasts
-   * @param minDegradedLoss ratio at least that service is tested for
-   * @param degradedLossFactor the same as a multiple of the usual ratio; the larger one counts
-   * @param alarmThreshold evidence at which service counts as degraded
-   * @param clearThreshold evidence of the contrary at which it no longer does
+   * @param minBaselineLoss lower bound of the baseline, however good service has been
+   * @param maxBaselineLoss upper bound of the baseline, however long a higher loss lasts
+   * @param minDegradedLoss lower bound of the loss ratio of degraded service that the chart tests
+   *     for
+   * @param degradedLossFactor loss ratio of degraded service as a multiple of the baseline; the
+   *     larger of this and {@code minDegradedLoss} applies
+   * @param alarmThreshold evidence of a degradation at which service counts as degraded
+   * @param clearThreshold evidence of recovery at which service no longer counts as degraded
    * @param minDurationMicros shortest duration of a degradation
    * @param idleTimeoutMicros time without requests after which a degradation ends
-   * @param learningRequests number of requests over which the usual ratio is averaged; nothing is
-   *     learnt during a degradation
+   * @param learningRequests number of requests over which the baseline is averaged; the baseline is
+   *     not updated during a degradation
    */
   public record Options(
       double minBaselineLoss,
@@ -46,11 +48,11 @@
       long minDurationMicros,
       long idleTimeoutMicros,
       double learningRequests) {
-    /** The parameters that measurements with fault scenarios led to (docs/PERFORMANCE.md). */
+    /** Defaults, derived from measurements with fault scenarios (docs/PERFORMANCE.md). */
     public static final Options DEFAULT =
         new Options(0.03, 0.25, 0.25, 3, 12, 6, 3_000_000, 30_000_000, 2_000);
 
-    /** The same with another threshold for an alarm. */
+    /** Returns the same parameters with another alarm threshold. */
     public Options withAlarmThreshold(double threshold) {
       return new Options(
           minBaselineLoss,
@@ -65,10 +67,10 @@
     }
   }
 
-  /** Makes a detector that has observed nothing. */
+  /** Creates a detector that has observed nothing. */
   public CusumDetector(Options options) {
     this.options = options;
-    this.learntLossRatio = options.minBaselineLoss();
+    this.learnedLossRatio = options.minBaselineLoss();
   }
 
   @Override
@@ -81,18 +83,19 @@
     if (isDegraded) {
       observeDegraded(nowMicros, logLikelihoodRatio);
     } else {
-      observeUsual(nowMicros, logLikelihoodRatio, good, bad);
+      observeNormal(nowMicros, logLikelihoodRatio, good, bad);
     }
   }
 
-  /** Logarithm of how much likelier the counts are if service is degraded. */
+  /** Returns the log-likelihood ratio of the counts, degraded service against the baseline. */
   private double logLikelihoodRatio(long good, long bad) {
-    double usual = baselineLossRatio();
-    double degraded =
+    double baselineLoss = baselineLossRatio();
+    double degradedLoss =
         Math.min(
             MAX_DEGRADED_LOSS,
-            Math.max(options.minDegradedLoss(), usual * options.degradedLossFactor()));
-    return bad * Math.log(degraded / usual) + good * Math.log((1 - degraded) / (1 - usual));
+            Math.max(options.minDegradedLoss(), baselineLoss * options.degradedLossFactor()));
+    return bad * Math.log(degradedLoss / baselineLoss)
+        + good * Math.log((1 - degradedLoss) / (1 - baselineLoss));
   }
 
   private void observeDegraded(long nowMicros, double logLikelihoodRatio) {
@@ -107,7 +110,7 @@
     }
   }
 
-  private void observeUsual(long nowMicros, double logLikelihoodRatio, long good, long bad) {
+  private void observeNormal(long nowMicros, double logLikelihoodRatio, long good, long bad) {
     degradationEvidence = Math.max(0, degradationEvidence + logLikelihoodRatio);
     if (degradationEvidence >= options.alarmThreshold()) {
       isDegraded = true;
@@ -120,7 +123,7 @@
 
   private void learnLossRatio(long good, long bad) {
     double weight = 1 - Math.exp(-(good + bad) / options.learningRequests());
-    learntLossRatio += weight * ((double) bad / (good + bad) - learntLossRatio);
+    learnedLossRatio += weight * ((double) bad / (good + bad) - learnedLossRatio);
   }
 
   @Override
@@ -138,6 +141,6 @@
   @Override
   public double baselineLossRatio() {
     return Math.min(
-        options.maxBaselineLoss(), Math.max(options.minBaselineLoss(), learntLossRatio));
+        options.maxBaselineLoss(), Math.max(options.minBaselineLoss(), learnedLossRatio));
   }
 }
--- a/anomaly/src/main/java/lemondock/anomaly/DegradationDetector.java
+++ b/anomaly/src/main/java/lemondock/anomaly/DegradationDetector.java
@@ -7,21 +7,21 @@
 import java.util.function.Supplier;
 
 /**
- * Detects degradations of service and where they are. Each class in each zone has a {@link
- * ChangeDetector} of its own, and so has each zone as a whole, where small losses of many classes
- * add up. Counters are passed in as they stand; the detector takes their differences. It keeps
- * state for each scope, the number of which its caller has to bound. No I/O, no clock. Not
- * thread-safe.
+ * Detects degradations of service and the classes, zones and servers that they affect. Each class
+ * in each zone has its own {@link ChangeDetector}. So has each zone as a whole, where small losses
+ * of many classes add up. Callers pass in cumulative counters; the detector computes their
+ * increases. It keeps state for each scope, and its caller has to limit the number of scopes. Does
+ * no I/O and reads no clock. Not thread-safe.
  */
 public final class DegradationDetector {
-  /** The name of the scope of all classes of a zone together. */
+  /** The name of the scope that covers all classes of a zone together. */
   public static final String ALL = "all";
 
   private final Supplier<ChangeDetector> changeDetectorFactory;
   private final Map<ServiceScope, Monitor> monitors = new LinkedHashMap<>();
   private final Map<ServiceScope, CounterWindow> attemptWindows = new LinkedHashMap<>();
 
-  /** What is known of one scope of requests. */
+  /** Counters and change detector of one scope of requests. */
   private static final class Monitor {
     final CounterWindow window = new CounterWindow();
     final ChangeDetector changeDetector;
@@ -31,10 +31,10 @@
       this.changeDetector = changeDetector;
     }
 
-    /** Passes on the latest increase; whether service has degraded or recovered by it. */
+    /** Observes the latest increase; returns whether service has degraded or recovered with it. */
     boolean detectChange(long nowMicros) {
       boolean wasDegraded = changeDetector.isDegraded();
-      changeDetector.observe(nowMicros, window.newGood(), window.newBad());
+      changeDetector.observe(nowMicros, window.goodIncrease(), window.badIncrease());
       boolean isDegraded = changeDetector.isDegraded();
       degradationCount += isDegraded && !wasDegraded ? 1 : 0;
       return isDegraded != wasDegraded;
@@ -51,24 +51,24 @@
     }
   }
 
-  /** Makes a detector; the factory is called for each scope. */
+  /** Creates a detector; the factory is called once for each scope. */
   public DegradationDetector(Supplier<ChangeDetector> changeDetectorFactory) {
     this.changeDetectorFactory = changeDetectorFactory;
   }
 
   /**
-   * Takes the counters as they stand, about once a second.
+   * Processes the current values of the cumulative counters; to be called about once a second.
    *
    * @param nowMicros the current time; must not go back
    * @param requests counters of requests by class and zone
-   * @param attempts counters of attempts by role and zone of the servers, which serve only to name
+   * @param attempts counters of attempts by role and zone of the servers; used only to find
    *     outliers
    * @return the degradations that have started or ended
    */
   public List<DegradationChange> observe(
       long nowMicros, List<EventCounts> requests, List<EventCounts> attempts) {
-    requests.forEach(counts -> monitor(counts.scope()).window.update(nowMicros, counts));
-    sumByZone(requests).forEach(sum -> monitor(sum.scope()).window.update(nowMicros, sum));
+    requests.forEach(counts -> monitorFor(counts.scope()).window.update(nowMicros, counts));
+    sumByZone(requests).forEach(sum -> monitorFor(sum.scope()).window.update(nowMicros, sum));
     attempts.forEach(
         counts ->
             attemptWindows
@@ -78,49 +78,52 @@
     monitors.forEach(
         (scope, monitor) -> {
           if (monitor.detectChange(nowMicros)) {
-            changes.add(change(scope, monitor));
+            changes.add(newChange(scope, monitor));
           }
         });
     return changes;
   }
 
-  private Monitor monitor(ServiceScope scope) {
-    return monitors.computeIfAbsent(scope, s -> new Monitor(changeDetectorFactory.get()));
+  private Monitor monitorFor(ServiceScope scope) {
+    return monitors.computeIfAbsent(scope, newScope -> new Monitor(changeDetectorFactory.get()));
   }
 
   private static List<EventCounts> sumByZone(List<EventCounts> requests) {
     Map<String, EventCounts> sums = new LinkedHashMap<>();
     for (EventCounts counts : requests) {
       String zone = counts.scope().zone();
-      EventCounts ofZone =
+      EventCounts zoneCounts =
           new EventCounts(new ServiceScope(ALL, zone), counts.good(), counts.bad());
-      sums.merge(zone, ofZone, EventCounts::plus);
+      sums.merge(zone, zoneCounts, EventCounts::plus);
     }
     return List.copyOf(sums.values());
   }
 
-  private DegradationChange change(ServiceScope scope, Monitor monitor) {
+  private DegradationChange newChange(ServiceScope scope, Monitor monitor) {
     boolean isDegraded = monitor.changeDetector.isDegraded();
     return new DegradationChange(
         scope,
         isDegraded,
         monitor.window.lossRatio(),
         monitor.changeDetector.baselineLossRatio(),
-        isDegraded ? outliers(scope) : "");
+        isDegraded ? describeOutliers(scope) : "");
   }
 
-  /** The state of each scope, in the order in which they were first observed. */
+  /** Returns the state of each scope, in the order in which they were first observed. */
   public List<ScopeStatus> scopeStatuses() {
     List<ScopeStatus> statuses = new ArrayList<>();
     monitors.forEach((scope, monitor) -> statuses.add(monitor.status(scope)));
     return statuses;
   }
 
-  /** The outlier among the classes, for a whole zone, and the one among the servers. */
-  private String outliers(ServiceScope degraded) {
+  /**
+   * Describes the outlier among the classes, if the degradation is that of a whole zone, and the
+   * outlier among the servers.
+   */
+  private String describeOutliers(ServiceScope degradedScope) {
     List<String> outliers = new ArrayList<>();
-    if (degraded.name().equals(ALL)) {
-      OutlierFinder.find(classWindows(degraded.zone()))
+    if (degradedScope.name().equals(ALL)) {
+      OutlierFinder.find(classWindows(degradedScope.zone()))
           .ifPresent(scope -> outliers.add("most of it in class " + scope.name()));
     }
     OutlierFinder.find(attemptWindows)
--- a/anomaly/src/main/java/lemondock/anomaly/OutlierFinder.java
+++ b/anomaly/src/main/java/lemondock/anomaly/OutlierFinder.java
@@ -4,14 +4,15 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Finds the scope that has most of the bad requests, if it clearly does worse than the rest. */
+/** Finds the scope with the most bad requests, if it clearly does worse than the rest. */
 final class OutlierFinder {
+  /** Fewer bad requests than this do not make an outlier. */
   private static final long MIN_BAD_REQUESTS = 3;
 
-  /** Part of all bad requests that an outlier has at least. */
+  /** Least share of all bad requests that an outlier has. */
   private static final double MIN_SHARE_OF_BAD = 0.5;
 
-  /** Loss ratio of an outlier, at least, as a multiple of that of the rest together. */
+  /** Least loss ratio of an outlier, as a multiple of the loss ratio of all others together. */
   private static final double MIN_LOSS_FACTOR = 2.0;
 
   private OutlierFinder() {}
--- a/anomaly/src/main/java/lemondock/anomaly/ServiceScope.java
+++ b/anomaly/src/main/java/lemondock/anomaly/ServiceScope.java
@@ -1,8 +1,8 @@
 package lemondock.anomaly;
 
 /**
- * What is observed as one: a request class and the zone in which its requests came in, or a role
- * and the zone of the servers that have it.
+ * A unit of observation: a request class and the zone that received its requests, or a server role
+ * and the zone of its servers.
  *
  * @param name name of the class or role; {@link DegradationDetector#ALL} for all classes together
  * @param zone name of the zone
--- a/anomaly/src/main/java/lemondock/anomaly/WindowedCounts.java
+++ b/anomaly/src/main/java/lemondock/anomaly/WindowedCounts.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * Counts of good and bad requests over the recent past, in buckets of equal duration. Time is
- * passed in and must not go back. Not thread-safe.
+ * Counts of good and bad requests in a sliding window of buckets of equal duration. Callers pass in
+ * the time, which must not go back. Not thread-safe.
  */
 final class WindowedCounts {
   private final long bucketMicros;
@@ -12,20 +12,20 @@
   private final long[] bad;
   private long latestBucket = Long.MIN_VALUE;
 
-  /** Makes empty counts over {@code bucketCount} buckets of {@code bucketMicros} each. */
+  /** Creates empty counts over {@code bucketCount} buckets of {@code bucketMicros} each. */
   WindowedCounts(long bucketMicros, int bucketCount) {
     this.bucketMicros = bucketMicros;
     this.good = new long[bucketCount];
     this.bad = new long[bucketCount];
   }
 
-  void add(long nowMicros, long newGood, long newBad) {
+  void add(long nowMicros, long goodIncrease, long badIncrease) {
     advanceTo(Math.floorDiv(nowMicros, bucketMicros));
-    good[slot(latestBucket)] += newGood;
-    bad[slot(latestBucket)] += newBad;
+    good[slot(latestBucket)] += goodIncrease;
+    bad[slot(latestBucket)] += badIncrease;
   }
 
-  /** Empties the buckets that have come since the last call. */
+  /** Moves the window forward to a bucket and empties the buckets that are new in it. */
   private void advanceTo(long bucket) {
     long firstNewBucket = Math.max(latestBucket + 1, bucket - good.length + 1);
     for (long newBucket = firstNewBucket; newBucket <= bucket; newBucket++) {
@@ -39,22 +39,22 @@
     return (int) Math.floorMod(bucket, (long) good.length);
   }
 
-  /** Good and bad requests in all buckets. */
+  /** Returns the good and bad requests in all buckets. */
   long total() {
     return Arrays.stream(good).sum() + bad();
   }
 
-  /** Good and bad requests over the last {@code windowMicros}, in whole buckets. */
+  /** Returns the good and bad requests over the last {@code windowMicros}, in whole buckets. */
   long total(long windowMicros) {
     return sumOverWindow(good, windowMicros) + bad(windowMicros);
   }
 
-  /** Bad requests in all buckets. */
+  /** Returns the bad requests in all buckets. */
   long bad() {
     return Arrays.stream(bad).sum();
   }
 
-  /** Bad requests over the last {@code windowMicros}, in whole buckets. */
+  /** Returns the bad requests over the last {@code windowMicros}, in whole buckets. */
   long bad(long windowMicros) {
     return sumOverWindow(bad, windowMicros);
   }
--- a/anomaly/src/main/java/lemondock/anomaly/package-info.java
+++ b/anomaly/src/main/java/lemondock/anomaly/package-info.java
@@ -1,8 +1,9 @@
 /**
  * Detection of degraded service from counts of good and bad requests.
  *
- * <p>{@link lemondock.anomaly.DegradationDetector} watches all classes and zones, each with a
+ * <p>{@link lemondock.anomaly.DegradationDetector} watches all classes and zones, each with its own
  * {@link lemondock.anomaly.ChangeDetector}: a CUSUM control chart, or the burn rate of an error
- * budget. No clock, no I/O, nothing but the JDK; time is passed in as microseconds.
+ * budget. The package reads no clock, does no I/O and depends on nothing but the JDK; callers pass
+ * in the time in microseconds.
  */
 package lemondock.anomaly;
--- a/anomaly/src/test/java/lemondock/anomaly/BurnRateDetectorTest.java
+++ b/anomaly/src/test/java/lemondock/anomaly/BurnRateDetectorTest.java
@@ -5,18 +5,19 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Alarms and recovery of the burn rate. */
+/** Alarms and recovery of the burn rate detector. */
 class BurnRateDetectorTest {
   private static final long SECOND = 1_000_000;
 
   @Test
-  void anAlarmNeedsBothWindowsAndAFewBadRequests() {
+  void alarmNeedsBothWindowsAndMinimumOfBadRequests() {
     BurnRateDetector detector = new BurnRateDetector(BurnRateDetector.Options.DEFAULT);
     long nowMicros = 0;
     for (int second = 0; second < 12; second++) {
       detector.observe(nowMicros += SECOND, 100, 0);
     }
-    detector.observe(nowMicros += SECOND, 0, 100); // the short window burns, the long one not yet
+    // The burn rate is now too high over the short window, not yet over the long one.
+    detector.observe(nowMicros += SECOND, 0, 100);
     assertFalse(detector.isDegraded());
     for (int second = 0; second < 3; second++) {
       detector.observe(nowMicros += SECOND, 0, 100);
--- a/anomaly/src/test/java/lemondock/anomaly/CusumDetectorTest.java
+++ b/anomaly/src/test/java/lemondock/anomaly/CusumDetectorTest.java
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void alarmsWithinSecondsAtSmallCountsAndNotByChance() {
+  void alarmsWithinSecondsAtSmallCountsButNotByChance() {
     int lateAlarms = 0;
     for (int seed = 0; seed < 100; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void aDegradationEndsWithoutRequests() {
+  void degradationEndsAfterIdleTimeout() {
     CusumDetector detector = newDetector();
     detector.observe(SECOND, 0, 20);
     assertTrue(detector.isDegraded());
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void aLastingModerateLossBecomesUsualUpToALimit() {
+  void baselineAdaptsToLastingLossUpToItsMaximum() {
     CusumDetector detector = newDetector();
     long nowMicros = 0;
     for (int second = 0; second < 3_000; second++) {
@@ -99,12 +99,12 @@
   }
 
   @Test
-  void aLossThatGrowsSlowlyRaisesAnAlarmInTheEnd() {
+  void slowlyGrowingLossEventuallyRaisesAnAlarm() {
     CusumDetector detector = newDetector();
     long nowMicros = 0;
-    for (int share = 3; share <= 60; share++) {
+    for (int lossPercent = 3; lossPercent <= 60; lossPercent++) {
       for (int second = 0; second < 2_000; second++) {
-        detector.observe(nowMicros += SECOND, 100 - share, share);
+        detector.observe(nowMicros += SECOND, 100 - lossPercent, lossPercent);
       }
     }
     assertTrue(detector.baselineLossRatio() <= CusumDetector.Options.DEFAULT.maxBaselineLoss());
--- a/anomaly/src/test/java/lemondock/anomaly/DegradationDetectorTest.java
+++ b/anomaly/src/test/java/lemondock/anomaly/DegradationDetectorTest.java
@@ -8,12 +8,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which scopes count as degraded, and which outliers are named. */
+/** Which scopes count as degraded, and which outliers the changes name. */
 class DegradationDetectorTest {
   private static final long SECOND = 1_000_000;
-  private static final ServiceScope A = new ServiceScope("a", "north");
-  private static final ServiceScope B = new ServiceScope("b", "north");
-  private static final ServiceScope ALL = new ServiceScope(DegradationDetector.ALL, "north");
+  private static final ServiceScope CLASS_A = new ServiceScope("a", "north");
+  private static final ServiceScope CLASS_B = new ServiceScope("b", "north");
+  private static final ServiceScope ALL_CLASSES =
+      new ServiceScope(DegradationDetector.ALL, "north");
 
   private static CusumDetector newChangeDetector() {
     return new CusumDetector(CusumDetector.Options.DEFAULT);
@@ -38,11 +39,12 @@
       changes.addAll(
           detector.observe(
               second * SECOND,
-              List.of(counts(A, good, 0), counts(B, good - bad, bad)),
+              List.of(counts(CLASS_A, good, 0), counts(CLASS_B, good - bad, bad)),
               List.of(counts(readers, good, 1), counts(writers, good - bad, 2 * bad))));
     }
     List<DegradationChange> starts = changes.stream().filter(DegradationChange::isStart).toList();
-    assertEquals(List.of(B, ALL), starts.stream().map(DegradationChange::scope).toList());
+    assertEquals(
+        List.of(CLASS_B, ALL_CLASSES), starts.stream().map(DegradationChange::scope).toList());
     assertEquals("attempts fail most at writers in south", starts.get(0).outliers());
     assertEquals(
         "most of it in class b, attempts fail most at writers in south", starts.get(1).outliers());
@@ -51,35 +53,36 @@
         starts.get(0).message());
     assertFalse(
         detector.scopeStatuses().stream()
-            .filter(status -> status.scope().equals(A))
+            .filter(status -> status.scope().equals(CLASS_A))
             .findFirst()
             .orElseThrow()
             .isDegraded());
   }
 
   @Test
-  void smallLossesOfManyClassesAddUpToADegradationOfTheZone() {
+  void smallLossesOfManyClassesDegradeTheWholeZone() {
     DegradationDetector detector =
         new DegradationDetector(DegradationDetectorTest::newChangeDetector);
     List<DegradationChange> changes = new ArrayList<>();
     for (int second = 1; second <= 4; second++) {
-      List<EventCounts> ofClasses = new ArrayList<>();
+      List<EventCounts> classCounts = new ArrayList<>();
       for (int i = 0; i < 12; i++) {
-        ofClasses.add(counts(new ServiceScope("class" + i, "north"), second, second / 2));
+        classCounts.add(counts(new ServiceScope("class" + i, "north"), second, second / 2));
       }
-      changes.addAll(detector.observe(second * SECOND, ofClasses, List.of()));
+      changes.addAll(detector.observe(second * SECOND, classCounts, List.of()));
     }
-    assertEquals(ALL, changes.get(0).scope());
+    assertEquals(ALL_CLASSES, changes.get(0).scope());
   }
 
   @Test
-  void countersThatGoBackAreThoseOfARestartedProcess() {
+  void decreasedCountersAreTakenAsRestartedFromZero() {
     DegradationDetector detector =
         new DegradationDetector(DegradationDetectorTest::newChangeDetector);
-    detector.observe(SECOND, List.of(counts(A, 1_000, 500)), List.of());
+    detector.observe(SECOND, List.of(counts(CLASS_A, 1_000, 500)), List.of());
     detector = new DegradationDetector(DegradationDetectorTest::newChangeDetector);
-    detector.observe(SECOND, List.of(counts(A, 1_000, 0)), List.of());
-    assertEquals(List.of(), detector.observe(2 * SECOND, List.of(counts(A, 10, 0)), List.of()));
+    detector.observe(SECOND, List.of(counts(CLASS_A, 1_000, 0)), List.of());
+    assertEquals(
+        List.of(), detector.observe(2 * SECOND, List.of(counts(CLASS_A, 10, 0)), List.of()));
     assertEquals(1_010, detector.scopeStatuses().get(0).requestCount());
   }
 }
--- a/metrics/src/main/java/lemondock/metrics/LabelCardinalityLimit.java
+++ b/metrics/src/main/java/lemondock/metrics/LabelCardinalityLimit.java
@@ -5,13 +5,13 @@
 import java.util.Set;
 
 /**
- * Bounds the number of distinct values of a label. Reserved values always pass; others pass until
- * the limit is reached, and what comes after that becomes {@link #OVERFLOW}. Without it a client
- * could make the gateway and every collector behind it keep a series for each name that it invents.
- * Not thread-safe.
+ * Limits the number of distinct values of a label. Reserved values are always accepted; other
+ * values are accepted until the limit is reached, and further ones become {@link #OVERFLOW}.
+ * Without the limit a client could make the gateway and every collector behind it keep a series for
+ * each name that the client invents. Not thread-safe.
  */
 public final class LabelCardinalityLimit {
-  /** The label value that stands for all values beyond the limit. */
+  /** The label value that replaces all values beyond the limit. */
   public static final String OVERFLOW = "other";
 
   private static final int MAX_VALUE_CHARS = 64;
@@ -22,10 +22,10 @@
   private long overflowCount;
 
   /**
-   * Makes a limit that has accepted nothing yet.
+   * Creates a limit that has accepted only the reserved values.
    *
-   * @param reservedValues values that always pass
-   * @param maxAcceptedValues number of further values that may pass
+   * @param reservedValues values that are always accepted
+   * @param maxAcceptedValues number of further values to accept
    */
   public LabelCardinalityLimit(Collection<String> reservedValues, int maxAcceptedValues) {
     this.reservedValues = Set.copyOf(reservedValues);
@@ -33,8 +33,8 @@
   }
 
   /**
-   * The label value to count under: the value itself, or {@link #OVERFLOW} if it is beyond the
-   * limit, empty or longer than 64 characters.
+   * Returns the label value to count under: the value itself, or {@link #OVERFLOW} if the value is
+   * beyond the limit, empty or longer than 64 characters.
    */
   public String labelFor(String value) {
     if (reservedValues.contains(value) || acceptedValues.contains(value)) {
@@ -52,7 +52,7 @@
     return !value.isEmpty() && value.length() <= MAX_VALUE_CHARS && !value.equals(OVERFLOW);
   }
 
-  /** How many calls of {@link #labelFor} answered {@link #OVERFLOW}. */
+  /** Returns how many calls of {@link #labelFor} returned {@link #OVERFLOW}. */
   public long overflowCount() {
     return overflowCount;
   }
--- a/metrics/src/main/java/lemondock/metrics/MetricCatalogue.java
+++ b/metrics/src/main/java/lemondock/metrics/MetricCatalogue.java
@@ -2,22 +2,26 @@
 
 import java.util.Locale;
 
-/** Writes the page that lists all metrics for operators. A test compares the repository's copy. */
+/**
+ * Writes the page that lists all metrics for operators. A test checks that the copy in the
+ * repository is up to date.
+ */
 public final class MetricCatalogue {
   private static final String INTRODUCTION =
       "# Metrics\n\n"
-          + "Written from `MetricFamilies.java` by `lemondock metrics`; a test compares."
-          + " Graphite paths are\n"
-          + "`PREFIX.INSTANCE.FAMILY.LABELS.FIELD`; collectd identifiers are"
-          + " `HOST/lemondock-INSTANCE/lemondock_FAMILY-LABELS`.\n"
-          + "No label: the part is left out. Counters grow over a process's life;"
-          + " gauges are of the moment; percentiles are of\n"
-          + "the last interval. collectd gets counters of worth in millionths and"
-          + " of time in microseconds, as whole numbers.\n";
+          + "Generated from `MetricFamilies.java` by `lemondock metrics`; a test checks that this"
+          + " page is up to date.\n"
+          + "Graphite paths are `PREFIX.INSTANCE.FAMILY.LABELS.FIELD`; collectd identifiers are\n"
+          + "`HOST/lemondock-INSTANCE/lemondock_FAMILY-LABELS`. A family without labels has no"
+          + " LABELS part.\n"
+          + "Counters grow over the life of a process; gauges are current values; percentiles cover"
+          + " the last interval.\n"
+          + "collectd receives counters of priority weight (`worth`) in millionths and of time in"
+          + " microseconds, as whole numbers.\n";
 
   private MetricCatalogue() {}
 
-  /** The page in Markdown: a table of fields for each family. */
+  /** Returns the page in Markdown: a table of fields for each family. */
   public static String markdown() {
     StringBuilder page = new StringBuilder(INTRODUCTION);
     for (MetricFamily family : MetricFamilies.ALL) {
--- a/metrics/src/main/java/lemondock/metrics/MetricField.java
+++ b/metrics/src/main/java/lemondock/metrics/MetricField.java
@@ -3,19 +3,19 @@
 /**
  * One value of a metric family.
  *
- * @param name name under which collectors get the value; part of the interface to them
- * @param kind what the value means to a collector
- * @param decimalPlaces digits after the decimal point. Values are recorded as whole numbers of this
- *     smallest unit, so that sums are exact and do not depend on their order
- * @param unit unit of the value with its decimal point set, {@code 1} for a plain count
- * @param help one line for operators
+ * @param name name under which collectors receive the value; part of the interface to them
+ * @param kind how a collector interprets the value
+ * @param decimalPlaces digits after the decimal point. Values are recorded as whole numbers of the
+ *     smallest unit that this allows, so that sums are exact and do not depend on their order
+ * @param unit unit of the value after the decimal point is applied, {@code 1} for a plain count
+ * @param help description in one line for operators
  */
 public record MetricField(String name, Kind kind, int decimalPlaces, String unit, String help) {
   private static final long[] POWERS_OF_TEN = {1, 10, 100, 1_000, 10_000, 100_000, 1_000_000};
 
-  /** What a value means to a collector. */
+  /** How a collector interprets a value. */
   public enum Kind {
-    /** Only grows over the life of a process. */
+    /** Only increases over the life of a process. */
     COUNTER,
     /** The value at the moment of the snapshot. */
     GAUGE
@@ -38,7 +38,10 @@
     }
   }
 
-  /** Whether a recorded value is one; a gauge may have none at the moment. */
+  /**
+   * Returns false for {@link MetricsSnapshot#NO_VALUE}, which marks a gauge without a value at
+   * present; a counter always has a value.
+   */
   public boolean hasValue(long value) {
     return kind == Kind.COUNTER || value != MetricsSnapshot.NO_VALUE;
   }
--- a/metrics/src/main/java/lemondock/metrics/MetricRegistry.java
+++ b/metrics/src/main/java/lemondock/metrics/MetricRegistry.java
@@ -9,9 +9,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The metrics of a process. Each thread records through a {@link Recorder} of its own; a snapshot
- * merges all recorders on the thread that asks for it. Series are looked up once and kept by those
- * who record, so that recording needs no look-up.
+ * The metrics of a process. Each thread records through its own {@link Recorder}; a snapshot merges
+ * all recorders on the thread that takes it. Callers look up a {@link Series} once and keep it, so
+ * that recording needs no look-up.
  */
 public final class MetricRegistry {
   private static final double[] QUANTILE_PERCENTAGES = {50, 90, 99, 99.9};
@@ -25,17 +25,17 @@
   private final SeriesTable seriesTable;
   private final List<Recorder> recorders = new CopyOnWriteArrayList<>();
 
-  /** Values by slot as of the last snapshot. Only the thread that takes a snapshot. */
+  /** Values by slot as of the last snapshot. Used only by the thread that takes a snapshot. */
   private final long[] totals;
 
-  /** Durations of the current interval by series. Only the thread that takes a snapshot. */
+  /** Durations of the current interval by series index. Used only while taking a snapshot. */
   private final Map<Integer, Histogram> intervalHistograms = new HashMap<>();
 
   /**
-   * Makes an empty registry.
+   * Creates an empty registry.
    *
-   * @param maxSlots limit on the number of values of all families together, on top of the limits of
-   *     single labels
+   * @param maxSlots limit on the number of values of all families together, in addition to the
+   *     limits of single labels
    */
   public MetricRegistry(int maxSlots) {
     this.maxSlots = maxSlots;
@@ -43,35 +43,36 @@
     this.totals = new long[maxSlots];
   }
 
-  /** Makes a recorder for one thread. Any thread. */
+  /** Creates a recorder for one thread. May be called on any thread. */
   public Recorder newRecorder() {
-    int maxSeries = maxSlots; // a series has one slot at least
+    int maxSeries = maxSlots; // a series has at least one slot
     Recorder recorder = new Recorder(maxSlots, maxSeries);
     recorders.add(recorder);
     return recorder;
   }
 
   /**
-   * The series of a family with the given label values, created if it does not exist. Any thread.
-   * Once the slots are used up, all label values become {@link LabelCardinalityLimit#OVERFLOW};
-   * slots for such a series are reserved for each family of {@link MetricFamilies}.
+   * Returns the series of a family with the given label values and creates it if it does not exist.
+   * Once the slots are used up, all label values of a new series become {@link
+   * LabelCardinalityLimit#OVERFLOW}; slots for such an overflow series are reserved for each family
+   * of {@link MetricFamilies}. May be called on any thread.
    *
-   * @throws IllegalArgumentException if the number of label values is not that of the family's
-   *     labels
+   * @throws IllegalArgumentException if the number of label values differs from the number of the
+   *     family's labels
    * @throws IllegalStateException if there is no slot left even for the overflow series
    */
   public Series series(MetricFamily family, String... labelValues) {
     return seriesTable.findOrCreate(family, labelValues);
   }
 
-  /** How many requests for a new series were answered with the overflow series. Any thread. */
+  /** Returns how many look-ups of a new series were given the overflow series. Any thread. */
   public long rejectedSeriesCount() {
     return seriesTable.rejectedCount();
   }
 
   /**
    * Merges what all threads have recorded, without stopping any of them. The interval that
-   * quantiles cover goes on. Any thread, one at a time.
+   * quantiles cover continues. May be called on any thread, but only by one thread at a time.
    */
   public MetricsSnapshot snapshot() {
     return merge(false);
@@ -87,8 +88,7 @@
     for (Recorder recorder : recorders) {
       buffers.add(recorder.swapBuffers());
     }
-    // Asked after the swap, so that the series of everything recorded in the buffers are among
-    // them.
+    // Read after the swap, so that it includes the series of everything recorded in the buffers.
     SeriesTable.Contents contents = seriesTable.contents();
     for (RecorderBuffer buffer : buffers) {
       buffer.drainSlotsTo(totals);
@@ -103,7 +103,7 @@
 
   private void updateQuantiles(Series series, List<RecorderBuffer> buffers, boolean endsInterval) {
     Histogram histogram =
-        intervalHistograms.computeIfAbsent(series.index(), i -> RecorderBuffer.newHistogram());
+        intervalHistograms.computeIfAbsent(series.index(), index -> RecorderBuffer.newHistogram());
     for (RecorderBuffer buffer : buffers) {
       buffer.drainHistogramTo(series, histogram);
     }
--- a/metrics/src/main/java/lemondock/metrics/MicrometerGauges.java
+++ b/metrics/src/main/java/lemondock/metrics/MicrometerGauges.java
@@ -10,8 +10,8 @@
   private MicrometerGauges() {}
 
   /**
-   * Calls the consumer with the current value of each gauge, which may be NaN or infinite, and the
-   * gauge's name, followed by its tag values with a space before each.
+   * Calls the consumer for each gauge with its name, followed by its tag values with a space before
+   * each, and its current value, which may be NaN or infinite.
    */
   public static void forEach(MeterRegistry registry, ObjDoubleConsumer<String> consumer) {
     for (Meter meter : registry.getMeters()) {
--- a/metrics/src/main/java/lemondock/metrics/MicrometerMeterBinder.java
+++ b/metrics/src/main/java/lemondock/metrics/MicrometerMeterBinder.java
@@ -9,17 +9,18 @@
 import java.util.List;
 
 /**
- * Shows the latest snapshot of a {@link MetricRegistry} as Micrometer meters in any number of
- * Micrometer registries. Recording itself does not go through Micrometer: its meters are updated
- * one by one, so that a snapshot could see half of the updates of one event. Any thread.
+ * Exposes the latest snapshot of a {@link MetricRegistry} as Micrometer meters in any number of
+ * Micrometer registries. Recording itself does not go through Micrometer: Micrometer's meters are
+ * updated one by one, so that a snapshot could include only part of the updates of one event.
+ * Thread-safe.
  */
 public final class MicrometerMeterBinder implements MeterBinder {
-  private final List<MeterRegistry> registries = new ArrayList<>(); // under this object's lock
+  private final List<MeterRegistry> registries = new ArrayList<>(); // guarded by this object's lock
 
   /** Read by Micrometer's meters on whichever thread scrapes them. */
   private volatile MetricsSnapshot latestSnapshot = MetricsSnapshot.EMPTY;
 
-  private int boundSeriesCount; // under this object's lock
+  private int boundSeriesCount; // guarded by this object's lock
 
   @Override
   public synchronized void bindTo(MeterRegistry registry) {
@@ -29,7 +30,7 @@
     }
   }
 
-  /** Replaces the snapshot whose values the meters show and registers meters of new series. */
+  /** Replaces the snapshot whose values the meters return and registers meters of new series. */
   public synchronized void update(MetricsSnapshot snapshot) {
     latestSnapshot = snapshot;
     for (; boundSeriesCount < snapshot.series().size(); boundSeriesCount++) {
@@ -42,7 +43,7 @@
   private void bindSeries(MeterRegistry registry, Series series) {
     MetricFamily family = series.family();
     if (family.equals(MetricFamilies.PROCESS)) {
-      return; // its values came from a Micrometer registry
+      return; // its values were read from a Micrometer registry in the first place
     }
     Tags tags = tags(series);
     for (int i = 0; i < family.fields().size(); i++) {
--- a/metrics/src/main/java/lemondock/metrics/RecorderBuffer.java
+++ b/metrics/src/main/java/lemondock/metrics/RecorderBuffer.java
@@ -4,15 +4,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What one thread has recorded since the buffer was last emptied. Slots are kept in chunks that are
- * allocated when first touched. Written by the recorder's thread within an update, read and emptied
- * by the thread that takes a snapshot while the buffer is inactive.
+ * The values that one thread has recorded since the buffer was last drained. Slots are kept in
+ * chunks, each allocated on its first use. The recorder's thread writes to the buffer within an
+ * update; the thread that takes a snapshot reads and drains it while it is inactive.
  */
 final class RecorderBuffer {
-  /** Longest duration told apart, an hour; longer ones count as that. */
+  /** Longest duration that is recorded, one hour; longer ones are recorded as one hour. */
   static final long MAX_DURATION_MICROS = 3_600_000_000L;
 
-  /** Two digits bound the error of a quantile at 1 %. */
+  /** Two digits limit the relative error of a quantile to 1 %. */
   private static final int SIGNIFICANT_DIGITS = 2;
 
   private static final int CHUNK_BITS = 10;
@@ -48,7 +48,7 @@
     return new Histogram(MAX_DURATION_MICROS, SIGNIFICANT_DIGITS);
   }
 
-  /** Adds to a slot. */
+  /** Adds {@code delta}, in the smallest unit of the field, to a slot. */
   void add(int slot, long delta) {
     long[] chunk = chunks.getPlain(chunkOf(slot));
     if (chunk == null) {
@@ -58,7 +58,7 @@
     chunk[offsetInChunk(slot)] += delta;
   }
 
-  /** Adds a duration to the histogram, the count and the sum of a series. */
+  /** Adds a duration to the histogram, the count and the sum of a duration summary. */
   void observe(Series series, long micros) {
     long bounded = Math.min(Math.max(0, micros), MAX_DURATION_MICROS);
     Histogram histogram = histograms.getPlain(series.index());
@@ -71,7 +71,7 @@
     add(series.slot(SUM_FIELD), bounded);
   }
 
-  /** Adds all slots to the totals and sets them to zero. */
+  /** Adds the values of all slots to the totals and resets the slots to zero. */
   void drainSlotsTo(long[] totals) {
     for (int i = 0; i < chunks.length(); i++) {
       long[] chunk = chunks.get(i);
@@ -90,7 +90,7 @@
     }
   }
 
-  /** Adds the durations recorded for a series to the target and forgets them. */
+  /** Adds the durations recorded for a series to the target and clears them. */
   void drainHistogramTo(Series series, Histogram target) {
     Histogram histogram = histograms.get(series.index());
     if (histogram != null && histogram.getTotalCount() > 0) {
--- a/metrics/src/main/java/lemondock/metrics/SeriesTable.java
+++ b/metrics/src/main/java/lemondock/metrics/SeriesTable.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 
 /**
- * Assigns slots to series, up to a limit. For each family of {@link MetricFamilies} the slots of
- * its overflow series are reserved, the one that takes the counts of all series beyond the limit.
- * Thread-safe: all state is under this object's lock.
+ * Assigns slots to series, up to a limit. Each family of {@link MetricFamilies} has slots reserved
+ * for its overflow series, which counts for all series beyond the limit. Thread-safe: all state is
+ * guarded by this object's lock.
  */
 final class SeriesTable {
   private final int maxSlots;
@@ -26,7 +26,7 @@
         MetricFamilies.ALL.stream().mapToInt(family -> family.fields().size()).sum();
   }
 
-  /** The series that exist, in the order of their index, and the number of slots they occupy. */
+  /** The existing series, in the order of their index, and the number of slots they occupy. */
   record Contents(List<Series> series, int usedSlots) {}
 
   synchronized Contents contents() {
@@ -40,18 +40,18 @@
   /** See {@link MetricRegistry#series}. */
   synchronized Series findOrCreate(MetricFamily family, String... labelValues) {
     checkLabelCount(family, labelValues);
-    Map<List<String>, Series> ofFamily =
-        seriesByLabels.computeIfAbsent(family, f -> new HashMap<>());
+    Map<List<String>, Series> seriesOfFamily =
+        seriesByLabels.computeIfAbsent(family, newFamily -> new HashMap<>());
     List<String> key = List.of(labelValues);
-    Series found = ofFamily.get(key);
-    if (found == null && !isOverflow(key) && !hasRoomFor(family)) {
+    Series found = seriesOfFamily.get(key);
+    if (found == null && !isOverflow(key) && !hasFreeSlotsFor(family)) {
       rejectedCount++;
       key = Collections.nCopies(labelValues.length, LabelCardinalityLimit.OVERFLOW);
-      found = ofFamily.get(key);
+      found = seriesOfFamily.get(key);
     }
     if (found == null) {
       found = create(family, key);
-      ofFamily.put(key, found);
+      seriesOfFamily.put(key, found);
     }
     return found;
   }
@@ -59,15 +59,16 @@
   private static void checkLabelCount(MetricFamily family, String[] labelValues) {
     if (labelValues.length != family.labelNames().size()) {
       throw new IllegalArgumentException(
-          family.name()
-              + " has the labels "
+          "metric family "
+              + family.name()
+              + ": expected a value for each of the labels "
               + family.labelNames()
               + ", found "
               + Arrays.toString(labelValues));
     }
   }
 
-  private boolean hasRoomFor(MetricFamily family) {
+  private boolean hasFreeSlotsFor(MetricFamily family) {
     return usedSlots + family.fields().size() <= maxSlots - reservedSlots;
   }
 
@@ -78,7 +79,7 @@
         throw noSlotsLeft(family);
       }
       reservedSlots -= slots;
-    } else if (!hasRoomFor(family)) {
+    } else if (!hasFreeSlotsFor(family)) {
       throw noSlotsLeft(family);
     }
     Series series = new Series(allSeries.size(), family, labelValues, usedSlots);
@@ -89,10 +90,17 @@
 
   private IllegalStateException noSlotsLeft(MetricFamily family) {
     return new IllegalStateException(
-        "no slot is left for " + family.name() + "; raise the limit of " + maxSlots);
+        "no free slots for a new series of metric family "
+            + family.name()
+            + "; raise the limit of "
+            + maxSlots
+            + " slots");
   }
 
-  /** Whether slots are reserved for such a series: all labels overflow, or there are none. */
+  /**
+   * Returns whether the labels are those of an overflow series, for which slots are reserved: all
+   * values are the overflow value, or there are no labels.
+   */
   private static boolean isOverflow(List<String> labelValues) {
     return labelValues.stream().allMatch(LabelCardinalityLimit.OVERFLOW::equals);
   }
--- a/metrics/src/test/java/lemondock/metrics/LabelCardinalityLimitTest.java
+++ b/metrics/src/test/java/lemondock/metrics/LabelCardinalityLimitTest.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which label values pass the limit. */
+/** Which label values the limit accepts and which overflow. */
 class LabelCardinalityLimitTest {
   @Test
   void valuesBeyondTheLimitOverflow() {
--- a/metrics/src/test/java/lemondock/metrics/MetricFieldTest.java
+++ b/metrics/src/test/java/lemondock/metrics/MetricFieldTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Values as decimals. */
+/** Formatting of recorded values as decimals. */
 class MetricFieldTest {
   @Test
   void valuesAreWrittenAsExactDecimals() {
--- a/metrics/src/test/java/lemondock/metrics/MetricRegistryTest.java
+++ b/metrics/src/test/java/lemondock/metrics/MetricRegistryTest.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
 
-/** Series, recorders and snapshots. */
+/** Recording through several recorders, snapshots, and the limit on slots. */
 class MetricRegistryTest {
   private static final MetricFamily PAIR =
       MetricFamily.ofFields(
@@ -31,27 +31,27 @@
     MetricRegistry registry = new MetricRegistry(4096);
     Series pair = registry.series(PAIR, "a");
     Series level = registry.series(LEVEL);
-    Recorder one = registry.newRecorder();
-    Recorder two = registry.newRecorder();
-    one.increment(pair.slot(0));
-    two.increment(pair.slot(0));
+    Recorder firstRecorder = registry.newRecorder();
+    Recorder secondRecorder = registry.newRecorder();
+    firstRecorder.increment(pair.slot(0));
+    secondRecorder.increment(pair.slot(0));
     for (int value : new int[] {7, 3}) {
-      long ticket = one.beginUpdate();
-      one.set(level.slot(0), value);
-      one.endUpdate(ticket);
+      long ticket = firstRecorder.beginUpdate();
+      firstRecorder.set(level.slot(0), value);
+      firstRecorder.endUpdate(ticket);
     }
-    long ticket = two.beginUpdate();
-    two.set(level.slot(0), 10);
-    two.endUpdate(ticket);
+    long ticket = secondRecorder.beginUpdate();
+    secondRecorder.set(level.slot(0), 10);
+    secondRecorder.endUpdate(ticket);
     assertEquals(2, registry.snapshotAndEndInterval().value(PAIR, "left", List.of("a")));
-    one.increment(pair.slot(0));
+    firstRecorder.increment(pair.slot(0));
     MetricsSnapshot later = registry.snapshotAndEndInterval();
     assertEquals(3, later.value(PAIR, "left", List.of("a")));
     assertEquals(13, later.value(LEVEL, "now", List.of()));
   }
 
   @Test
-  void aSnapshotSeesAllOrNothingOfAConcurrentUpdate() throws InterruptedException {
+  void snapshotIncludesAllOrNoneOfAConcurrentUpdate() throws InterruptedException {
     MetricRegistry registry = new MetricRegistry(8192);
     Series near = registry.series(PAIR, "near");
     for (int i = 0; i < 1_500; i++) { // so that the update spans two chunks of slots
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void quantilesCoverTheIntervalAndCountsTheLifeOfTheProcess() {
+  void quantilesCoverAnIntervalAndCountsTheProcessLife() {
     MetricRegistry registry = new MetricRegistry(4096);
     Series times = registry.series(TIMES);
     Recorder recorder = registry.newRecorder();
@@ -98,7 +98,7 @@
     }
     MetricsSnapshot inInterval = registry.snapshot();
     assertEquals(500_000, inInterval.value(TIMES, "p50", List.of()), 5_000);
-    recorder.recordDuration(times, 2_000_000); // the snapshot before did not end the interval
+    recorder.recordDuration(times, 2_000_000); // snapshot() above did not end the interval
     MetricsSnapshot first = registry.snapshotAndEndInterval();
     assertEquals(990_000, first.value(TIMES, "p99", List.of()), 10_000);
     assertEquals(2_000_000, first.value(TIMES, "max", List.of()), 20_000);
@@ -107,8 +107,8 @@
     MetricsSnapshot second = registry.snapshotAndEndInterval();
     assertEquals(50, second.value(TIMES, "p999", List.of()));
     assertEquals(1002, second.value(TIMES, "count", List.of()));
-    MetricsSnapshot quiet = registry.snapshotAndEndInterval();
-    assertEquals(MetricsSnapshot.NO_VALUE, quiet.value(TIMES, "p50", List.of()));
+    MetricsSnapshot emptyInterval = registry.snapshotAndEndInterval();
+    assertEquals(MetricsSnapshot.NO_VALUE, emptyInterval.value(TIMES, "p50", List.of()));
     recorder.recordDuration(times, -5);
     recorder.recordDuration(times, Long.MAX_VALUE);
     assertEquals(
@@ -118,7 +118,7 @@
   }
 
   @Test
-  void onceSlotsAreUsedUpEachFamilyHasItsOverflowSeries() {
+  void eachFamilyKeepsAnOverflowSeriesOnceSlotsAreUsedUp() {
     int allFields = MetricFamilies.ALL.stream().mapToInt(family -> family.fields().size()).sum();
     MetricRegistry registry = new MetricRegistry(2 * allFields);
     for (int i = 0; i < 500; i++) {
--- a/metrics/src/test/java/lemondock/metrics/MicrometerTest.java
+++ b/metrics/src/test/java/lemondock/metrics/MicrometerTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Snapshots as Micrometer meters, and Micrometer gauges as values. */
+/** Export of snapshots as Micrometer meters, and reading of Micrometer gauges. */
 class MicrometerTest {
   private static final MetricFamily FAMILY =
       MetricFamily.ofFields(
@@ -19,7 +19,7 @@
           new MetricField("right", MetricField.Kind.COUNTER, 0, "1", ""));
 
   @Test
-  void metersShowTheLatestSnapshot() {
+  void metersReturnValuesOfTheLatestSnapshot() {
     MetricRegistry registry = new MetricRegistry(4096);
     Series series = registry.series(FAMILY, "a");
     registry.newRecorder().increment(series.slot(1));
