--- a/emulator/src/main/java/lemondock/emulator/AnswerScript.java
+++ b/emulator/src/main/java/lemondock/emulator/AnswerScript.java
@@ -10,14 +10,14 @@
 import java.util.regex.Pattern;
 
 /**
- * What an emulated engine answers: a function of the prompt alone, so that any writer gives the
- * same answer and a client can check every token. A prompt may ask for a length ({@code answer in N
- * words of M letters}) and for tools ({@code call the tool NAME}, once or more; {@code call the
- * tools A and B together}); they are called if the client offers them.
+ * Derives an emulated engine's answer from the request alone, so that every writer gives the same
+ * answer and a client can check every token. A prompt may ask for a length ({@code answer in N
+ * words of M letters}) and for tool calls ({@code call the tool NAME}, once or more; {@code call
+ * the tools A and B together}). Only tools that the client offers are called.
  */
 final class AnswerScript {
   private static final Pattern WORD_COUNT = Pattern.compile("answer in (\\d{1,6}) words");
-  private static final Pattern LETTERS = Pattern.compile("words of (\\d{1,5}) letters");
+  private static final Pattern WORD_LETTERS = Pattern.compile("words of (\\d{1,5}) letters");
   private static final Pattern SINGLE_CALL =
       Pattern.compile("call the tool ([A-Za-z0-9_.-]*[A-Za-z0-9_-])");
   private static final Pattern PARALLEL_CALLS =
@@ -30,21 +30,21 @@
 
   private AnswerScript() {}
 
-  /** A tool call to be made; {@code arguments} is JSON. */
-  record Call(String id, String name, String arguments) {}
+  /** A tool call of an answer; {@code arguments} is JSON. */
+  record ToolCall(String id, String name, String arguments) {}
 
-  /** One turn of an answer: pieces of text, a token each, then tool calls, if any. */
-  record Turn(List<String> pieces, List<Call> calls) {}
+  /** One turn of an answer: pieces of text of one token each, then the tool calls, if any. */
+  record Turn(List<String> pieces, List<ToolCall> toolCalls) {}
 
   /**
-   * The last message of the user, and what has happened since.
+   * The last user message and the turns that followed it.
    *
-   * @param completedTurns turns that ended with tool calls
-   * @param toolResults results of the tools of the last of them
+   * @param completedTurns the number of assistant turns since then that ended with tool calls
+   * @param toolResults tool results of the last of these turns
    */
   private record Progress(String question, int completedTurns, List<String> toolResults) {}
 
-  /** The mark of the last user message that has one, empty if there is none. */
+  /** Returns the last mark ({@code #MARK#}) in the user messages, empty if there is none. */
   static String mark(JsonNode messages) {
     String mark = "";
     for (JsonNode message : messages) {
@@ -59,8 +59,9 @@
   }
 
   /**
-   * Whether the last message has these words; for measurements: {@code stamp each word} makes each
-   * the moment of its sending, {@code without pause} sends them as fast as they are taken.
+   * Whether the last message contains the given words. Benchmarks use two options: {@code stamp
+   * each word} replaces each token by the time at which it is sent, and {@code without pause} sends
+   * tokens as fast as the client reads them.
    */
   static boolean lastMessageContains(JsonNode messages, String words) {
     return content(messages.path(messages.size() - 1)).contains(words);
@@ -74,7 +75,7 @@
     return message.path("content").asText();
   }
 
-  /** The turn that follows the messages of a request. */
+  /** Returns the turn that follows the messages of a request. */
   static Turn nextTurn(JsonNode body) {
     JsonNode messages = body.path("messages");
     Progress progress = progress(messages);
@@ -82,20 +83,20 @@
         calledTools(progress.question(), offeredTools(body.path("tools")));
     int turn = progress.completedTurns();
     List<String> pieces = new ArrayList<>();
-    List<Call> calls = List.of();
+    List<ToolCall> toolCalls = List.of();
     if (!progress.toolResults().isEmpty()) {
       pieces.add("[" + String.join("|", progress.toolResults()) + "]");
     }
     if (turn < calledTools.size()) {
       addWords(pieces, turn, WORDS_BEFORE_CALL, 0);
-      calls = calls(turn, calledTools.get(turn));
+      toolCalls = toolCalls(turn, calledTools.get(turn));
     } else {
       String question = progress.question();
       int defaultCount = MIN_WORDS + Math.floorMod(question.hashCode(), WORD_SPREAD);
-      int count = find(WORD_COUNT, question).orElse(defaultCount);
-      addWords(pieces, turn, count, find(LETTERS, question).orElse(0));
+      int count = findNumber(WORD_COUNT, question).orElse(defaultCount);
+      addWords(pieces, turn, count, findNumber(WORD_LETTERS, question).orElse(0));
     }
-    return new Turn(withoutBeginning(pieces, deliveredText(body)), calls);
+    return new Turn(skipDelivered(pieces, deliveredText(body)), toolCalls);
   }
 
   private static Progress progress(JsonNode messages) {
@@ -117,25 +118,25 @@
         }
         case "tool" -> toolResults.add(content(message));
         default -> {
-          // a system prompt changes nothing
+          // a system prompt does not affect the answer
         }
       }
     }
     return new Progress(question, completedTurns, toolResults);
   }
 
-  private static OptionalInt find(Pattern pattern, String text) {
+  private static OptionalInt findNumber(Pattern pattern, String text) {
     Matcher matcher = pattern.matcher(text);
     return matcher.find()
         ? OptionalInt.of(Integer.parseInt(matcher.group(1)))
         : OptionalInt.empty();
   }
 
-  private static List<Call> calls(int turn, List<String> tools) {
-    List<Call> calls = new ArrayList<>();
+  private static List<ToolCall> toolCalls(int turn, List<String> tools) {
+    List<ToolCall> calls = new ArrayList<>();
     for (int number = 0; number < tools.size(); number++) {
       calls.add(
-          new Call(
+          new ToolCall(
               "call_" + turn + "_" + number,
               tools.get(number),
               "{\"turn\":" + turn + ",\"number\":" + number + "}"));
@@ -143,15 +144,15 @@
     return calls;
   }
 
-  /** Words of a letter for the turn and a number, filled up to so many characters. */
-  private static void addWords(List<String> pieces, int turn, int count, int letters) {
+  /** Adds words that consist of the turn's letter and a number, padded to the given length. */
+  private static void addWords(List<String> pieces, int turn, int count, int minLetters) {
     for (int i = 0; i < count; i++) {
       String word = " " + (char) ('a' + turn % 26) + i;
-      pieces.add(word + "x".repeat(Math.max(0, letters - word.length())));
+      pieces.add(word + "x".repeat(Math.max(0, minLetters - word.length())));
     }
   }
 
-  /** What of the turn was delivered before, by an engine whose stream broke. */
+  /** Returns the part of the turn that another engine delivered before its stream broke. */
   private static String deliveredText(JsonNode body) {
     if (!body.path("continue_final_message").asBoolean(false)) {
       return "";
@@ -160,7 +161,7 @@
     return content(messages.path(messages.size() - 1));
   }
 
-  private static List<String> withoutBeginning(List<String> pieces, String delivered) {
+  private static List<String> skipDelivered(List<String> pieces, String delivered) {
     int first = 0;
     int length = 0;
     while (first < pieces.size() && length < delivered.length()) {
@@ -175,7 +176,7 @@
     return names;
   }
 
-  /** The tools to be called by turn. */
+  /** Returns the names of the tools to call, one list for each turn. */
   private static List<List<String>> calledTools(String question, Set<String> offered) {
     List<List<String>> turns = new ArrayList<>();
     Matcher parallel = PARALLEL_CALLS.matcher(question);
--- a/emulator/src/main/java/lemondock/emulator/AnswerStream.java
+++ b/emulator/src/main/java/lemondock/emulator/AnswerStream.java
@@ -4,16 +4,16 @@
 import lemondock.net.http.Headers;
 import lemondock.net.http.HttpExchange;
 
-/** Sends an answer token by token, as events of a stream. Loop thread only. */
+/** Streams an answer as server-sent events, one token each. Loop thread only. */
 final class AnswerStream {
-  /** Bytes that the client has not taken from which on the stream waits. */
+  /** The stream pauses while more than this many bytes wait to be sent to the client. */
   private static final long HIGH_WATER_BYTES = 64 * 1024;
 
   private final EngineContext engine;
   private final EngineJob job;
   private final EngineRequest request;
   private final HttpExchange exchange;
-  private final AnswerScript.Turn script;
+  private final AnswerScript.Turn turn;
   private final boolean stampsTokens;
   private final double tokenMs;
   private int tokensSent;
@@ -24,10 +24,10 @@
     this.job = job;
     this.request = job.request();
     this.exchange = job.exchange();
-    this.script = AnswerScript.nextTurn(request.body());
+    this.turn = AnswerScript.nextTurn(request.body());
     this.stampsTokens = AnswerScript.lastMessageContains(request.messages(), "stamp each word");
-    boolean unpaced = AnswerScript.lastMessageContains(request.messages(), "without pause");
-    this.tokenMs = unpaced ? 0 : engine.settings().tokenMs();
+    boolean isUnpaced = AnswerScript.lastMessageContains(request.messages(), "without pause");
+    this.tokenMs = isUnpaced ? 0 : engine.settings().tokenMs();
   }
 
   int tokensSent() {
@@ -48,7 +48,7 @@
   }
 
   private void sendNext() {
-    if (job.isOver()) {
+    if (job.hasEnded()) {
       return;
     }
     EngineFaults faults = engine.faults();
@@ -59,12 +59,12 @@
     } else if (faults.stallAfterTokens >= 0
         && tokensSent >= faults.stallAfterTokens
         && faults.takeHit()) {
-      paused = false; // nothing more is ever sent
+      paused = false; // the stream stalls for good, even if the queue drains
     } else if (faults.malformedEvent != null && tokensSent == 1 && faults.takeHit()) {
       exchange.send(EngineMessages.event(faults.malformedEvent));
       tokensSent++;
-      job.after(tokenMs, this::sendNext);
-    } else if (tokensSent < Math.min(script.pieces().size(), request.maxTokens())) {
+      job.runAfter(tokenMs, this::sendNext);
+    } else if (tokensSent < Math.min(turn.pieces().size(), request.maxTokens())) {
       sendToken();
     } else {
       finish();
@@ -72,23 +72,23 @@
   }
 
   private void sendToken() {
-    String piece = stampsTokens ? " " + engine.loop().now() : script.pieces().get(tokensSent);
+    String piece = stampsTokens ? " " + engine.loop().now() : turn.pieces().get(tokensSent);
     tokensSent++;
     send(EngineMessages.contentDelta(piece), FinishReason.NONE);
     if (exchange.pendingBytes() > HIGH_WATER_BYTES) {
       paused = true;
     } else {
-      job.after(tokenMs, this::sendNext);
+      job.runAfter(tokenMs, this::sendNext);
     }
   }
 
   private void finish() {
-    boolean truncated = tokensSent >= request.maxTokens() && tokensSent < script.pieces().size();
-    if (truncated) {
+    boolean isTruncated = tokensSent >= request.maxTokens() && tokensSent < turn.pieces().size();
+    if (isTruncated) {
       send("{}", FinishReason.LENGTH);
     } else {
       sendToolCalls();
-      send("{}", script.calls().isEmpty() ? FinishReason.STOP : FinishReason.TOOL_CALLS);
+      send("{}", turn.toolCalls().isEmpty() ? FinishReason.STOP : FinishReason.TOOL_CALLS);
     }
     exchange.send(EngineMessages.usageChunk(request, tokensSent, job.cachedTokens()));
     exchange.send(EngineMessages.STREAM_END);
@@ -97,10 +97,10 @@
     exchange.finish();
   }
 
-  /** Arguments come in two fragments, as engines send them. */
+  /** Sends the arguments of each call in two fragments, as engines do. */
   private void sendToolCalls() {
     int index = 0;
-    for (AnswerScript.Call call : script.calls()) {
+    for (AnswerScript.ToolCall call : turn.toolCalls()) {
       String arguments = call.arguments();
       int half = arguments.length() / 2;
       send(
--- a/emulator/src/main/java/lemondock/emulator/CatalogueEmulator.java
+++ b/emulator/src/main/java/lemondock/emulator/CatalogueEmulator.java
@@ -23,9 +23,9 @@
 import lemondock.net.http.HttpService;
 
 /**
- * Emulates the part of Consul's HTTP API that lists services: the health of a service with blocking
- * queries, and the agent's register, deregister and maintenance. It has one node and no checks but
- * maintenance.
+ * Emulates the parts of Consul's HTTP API that concern services: the health endpoint with blocking
+ * queries, and the agent's register, deregister and maintenance endpoints. It has one node, and
+ * maintenance is the only health check.
  *
  * <p>Loop thread only, unless a method says otherwise.
  */
@@ -56,7 +56,7 @@
   /**
    * One instance of a service.
    *
-   * @param maintenance whether it is in maintenance, which is how it drains
+   * @param maintenance whether the instance is in maintenance, which means that it is draining
    */
   public record Service(
       String id,
@@ -66,16 +66,16 @@
       Map<String, String> meta,
       boolean maintenance,
       int weight) {
-    /** The same in or out of maintenance. */
-    public Service withMaintenance(boolean on) {
-      return new Service(id, service, address, port, meta, on, weight);
+    /** Returns a copy that is in maintenance or not. */
+    public Service withMaintenance(boolean newMaintenance) {
+      return new Service(id, service, address, port, meta, newMaintenance, weight);
     }
   }
 
-  /** A query that waits for a change. */
+  /** A health query, which may wait for a change of the catalogue. */
   private record BlockingQuery(HttpExchange exchange, String service, String gateway) {}
 
-  /** Makes an empty catalogue. */
+  /** Creates an empty catalogue that serves once {@link #start} is called. */
   public CatalogueEmulator(Loop loop, TrafficObserver observer) {
     this.loop = loop;
     this.traffic = new TrafficRecorder(loop, NAME, observer);
@@ -93,49 +93,49 @@
         .build();
   }
 
-  /** Takes a port; any thread. */
+  /** Starts to listen on an address; any thread. */
   public void start(Network network, InetSocketAddress address) throws IOException {
     server.start(network, address);
   }
 
-  /** The address taken; any thread. */
+  /** The address that the catalogue listens on; any thread. */
   public InetSocketAddress address() {
     return server.address();
   }
 
-  /** Adds or changes an instance. */
+  /** Adds an instance, or replaces the one with the same id. */
   public void put(Service service) {
     services.put(service.id(), service);
     onChange();
   }
 
-  /** Removes an instance, if there is one of that id. */
+  /** Removes the instance with this id; does nothing if there is none. */
   public void remove(String id) {
     if (services.remove(id) != null) {
       onChange();
     }
   }
 
-  /** Has an instance drain, or not any more. */
-  public void setMaintenance(String id, boolean on) {
+  /** Puts an instance into maintenance, so that it drains, or takes it out again. */
+  public void setMaintenance(String id, boolean enabled) {
     Service service = services.get(id);
     if (service != null) {
-      put(service.withMaintenance(on));
+      put(service.withMaintenance(enabled));
     }
   }
 
-  /** Whether it answers with status 500 from now on. */
-  public void setFailing(boolean on) {
-    failing = on;
-    if (on) {
+  /** Sets whether every request, including blocking queries that wait, gets status 500. */
+  public void setFailing(boolean newFailing) {
+    failing = newFailing;
+    if (newFailing) {
       List.copyOf(blockingQueries).forEach(query -> respondEmpty(query.exchange(), 500));
       blockingQueries.clear();
     }
   }
 
-  /** Whether it lists no instances at all. */
-  public void setEmpty(boolean on) {
-    empty = on;
+  /** Sets whether the catalogue lists no instances, whatever is registered. */
+  public void setEmpty(boolean newEmpty) {
+    empty = newEmpty;
     onChange();
   }
 
@@ -166,7 +166,7 @@
 
   private void serveGet(HttpExchange exchange, String path) {
     if (path.startsWith(HEALTH_PATH)) {
-      health(exchange, path.substring(HEALTH_PATH.length()));
+      serveHealth(exchange, path.substring(HEALTH_PATH.length()));
     } else {
       respondEmpty(exchange, 404);
     }
@@ -179,17 +179,17 @@
       remove(path.substring(DEREGISTER_PATH.length()));
       respondEmpty(exchange, 200);
     } else if (path.startsWith(MAINTENANCE_PATH)) {
-      boolean on = exchange.request().queryParameter("enable").equals(Optional.of("true"));
-      setMaintenance(path.substring(MAINTENANCE_PATH.length()), on);
+      boolean enabled = exchange.request().queryParameter("enable").equals(Optional.of("true"));
+      setMaintenance(path.substring(MAINTENANCE_PATH.length()), enabled);
       respondEmpty(exchange, 200);
     } else {
       respondEmpty(exchange, 404);
     }
   }
 
-  private void health(HttpExchange exchange, String service) {
+  private void serveHealth(HttpExchange exchange, String service) {
     BlockingQuery query =
-        new BlockingQuery(exchange, service, TrafficSource.gatewayOf(exchange.request()));
+        new BlockingQuery(exchange, service, TrafficSource.parseGateway(exchange.request()));
     if (parseIndex(exchange.request().queryParameter("index")) < index) {
       respond(query);
       return;
@@ -205,7 +205,7 @@
         });
   }
 
-  /** The index that a client has seen; 0 if it named none. */
+  /** Returns the index that a client has seen; 0 if it is missing or not a number. */
   private static long parseIndex(Optional<String> text) {
     try {
       return text.map(Long::parseLong).orElse(0L);
--- a/emulator/src/main/java/lemondock/emulator/ConsulJson.java
+++ b/emulator/src/main/java/lemondock/emulator/ConsulJson.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Service instances in the JSON of Consul's HTTP API. */
+/** Converts service instances to and from the JSON of Consul's HTTP API. */
 final class ConsulJson {
   private ConsulJson() {}
 
-  /** The response of {@code /v1/health/service}. */
+  /** Encodes the response body of {@code /v1/health/service}. */
   static byte[] healthResponse(List<CatalogueEmulator.Service> services) {
     ArrayNode entries = JsonNodeFactory.instance.arrayNode();
     services.forEach(service -> putEntry(entries.addObject(), service));
@@ -41,7 +41,7 @@
     }
   }
 
-  /** The instance in the body of {@code /v1/agent/service/register}, which has a name and port. */
+  /** Parses the body of {@code /v1/agent/service/register}, which must have a name and port. */
   static CatalogueEmulator.Service parseRegistration(JsonNode body) {
     String name = body.path("Name").asText("");
     Map<String, String> meta = new LinkedHashMap<>();
--- a/emulator/src/main/java/lemondock/emulator/EngineClock.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineClock.java
@@ -2,7 +2,7 @@
 
 import lemondock.net.Loop;
 
-/** How long work takes at an engine: slower while it warms up and by its faults. Loop only. */
+/** Times an engine's work, slowed down by its warm-up and faults. Loop thread only. */
 final class EngineClock {
   private static final long MICROS_PER_MILLI = 1_000;
 
@@ -18,13 +18,13 @@
     this.faults = faults;
   }
 
-  /** Begins the warm-up. */
+  /** Starts the warm-up. */
   void start() {
     startedAtMicros = loop.now();
   }
 
-  /** The engine died: it does nothing from now on. */
-  void die() {
+  /** Records that the engine's process died; its jobs and server do nothing after that. */
+  void markDead() {
     dead = true;
   }
 
@@ -32,17 +32,17 @@
     return dead;
   }
 
-  /** Runs a step of work after the time that it takes now, given the time at full speed. */
-  void after(double fullSpeedMs, Runnable step) {
+  /** Schedules a step after its duration at full speed, times the slowdown at this moment. */
+  void runAfter(double fullSpeedMs, Runnable step) {
     loop.schedule(Math.round(fullSpeedMs * MICROS_PER_MILLI * slowdown()), step);
   }
 
   private double slowdown() {
-    double warmedShare =
+    double warmUpProgress =
         settings.warmUpMs() <= 0
             ? 1
             : Math.min(
                 1, (loop.now() - startedAtMicros) / (settings.warmUpMs() * MICROS_PER_MILLI));
-    return faults.slowdown / (settings.coldShare() + (1 - settings.coldShare()) * warmedShare);
+    return faults.slowdown / (settings.coldShare() + (1 - settings.coldShare()) * warmUpProgress);
   }
 }
--- a/emulator/src/main/java/lemondock/emulator/EngineContext.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineContext.java
@@ -6,10 +6,10 @@
 import lemondock.net.Loop;
 
 /**
- * What the jobs of one engine share. Loop thread only.
+ * Components of one engine that its jobs share. Loop thread only.
  *
- * @param random draws which requests the faults hit; the order of its draws is part of what a seed
- *     means
+ * @param random draws which requests a fault affects; a seed reproduces a run only if the order of
+ *     the draws stays the same
  * @param address the engine's own address
  */
 record EngineContext(
--- a/emulator/src/main/java/lemondock/emulator/EngineEmulator.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineEmulator.java
@@ -18,17 +18,17 @@
 import lemondock.net.http.HttpService;
 
 /**
- * Emulates a model server: it takes prefills and requests for answers by the OpenAI-compatible API
- * with {@code kv_transfer_params}, has slots, a queue, memory, a prefix cache, a warm-up and
- * faults, and tells a {@link TrafficObserver} what passed on its sockets. It is no model of an
- * engine's inner workings. States move between emulators by a call of their own.
+ * Emulates a model server. It serves prefills and answers through the OpenAI-compatible API with
+ * {@code kv_transfer_params}, has slots, a queue, memory, a prefix cache, a warm-up and faults, and
+ * reports its traffic to a {@link TrafficObserver}. It does not model an engine's internals.
+ * Emulators transfer states with a separate HTTP call of their own.
  *
  * <p>Loop thread only, unless a method says otherwise.
  */
 public final class EngineEmulator implements HttpService {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final long MICROS_PER_SECOND = 1_000_000;
-  private static final long RAW_RESPONSE_TIMEOUT_MICROS = 5_000;
+  private static final long RAW_RESPONSE_ABORT_DELAY_MICROS = 5_000;
   private static final byte[] EMPTY = new byte[0];
 
   private final EngineSettings settings;
@@ -38,9 +38,9 @@
   private final HttpServer server;
 
   /**
-   * Makes an engine; it serves from {@link #start} on.
+   * Creates an engine that serves once {@link #start} is called.
    *
-   * @param seed draws which requests the faults hit
+   * @param seed seed of the random choice of the requests that a fault affects
    */
   public EngineEmulator(
       Loop loop, Network network, EngineSettings settings, long seed, TrafficObserver observer) {
@@ -74,7 +74,7 @@
         .build();
   }
 
-  /** Takes its port, from any thread; cold from this moment. */
+  /** Starts to listen and begins the warm-up. May be called by any thread. */
   public void start(Network network) throws IOException {
     int colon = settings.listen().lastIndexOf(':');
     String host = settings.listen().substring(0, colon);
@@ -90,44 +90,46 @@
             settings.role());
   }
 
-  /** The address taken; any thread. */
+  /** The address that the engine listens on; any thread. */
   public InetSocketAddress address() {
     return server.address();
   }
 
-  /** What is wrong with it. */
+  /** The faults that the engine injects; the caller may change them. */
   public EngineFaults faults() {
     return faults;
   }
 
-  /** Its settings; any thread. */
+  /** The engine's settings; any thread. */
   public EngineSettings settings() {
     return settings;
   }
 
-  /** Running requests, held tokens and reserved states in words, for tests. */
-  public String load() {
+  /** Describes the requests, reserved states and used tokens, for the messages of tests. */
+  public String describeLoad() {
     return runningRequests()
-        + " at work, "
+        + " running, "
         + context.scheduler().queued()
-        + " waiting, "
+        + " queued, "
         + reservedStates()
-        + " states, "
+        + " reserved states, "
         + memory.usedTokens()
         + " tokens";
   }
 
-  /** States that wait for a writer. */
+  /** The number of states that are reserved for a writer. */
   public int reservedStates() {
     return context.states().count();
   }
 
-  /** Requests that have a slot. */
+  /** The number of requests that have a slot. */
   public int runningRequests() {
     return context.scheduler().running();
   }
 
-  /** Tokens sent so far of the running answer with that mark; empty if there is none. */
+  /**
+   * The number of tokens sent for the request with this mark; empty if there is no such request.
+   */
   public Optional<Integer> tokensSent(String mark) {
     return context.scheduler().findByMark(mark).map(EngineJob::tokensSent);
   }
@@ -137,13 +139,13 @@
     context.prefixCache().clear();
   }
 
-  /** Records the death of its process; whoever runs it breaks its connections. */
-  public void die() {
-    context.clock().die();
+  /** Marks the engine's process as dead. The caller has to break its connections. */
+  public void markDead() {
+    context.clock().markDead();
     context.traffic().record(TrafficEvent.Kind.DIED, TrafficSource.NONE, 0, "");
   }
 
-  /** The body as JSON, a missing node if it is none. */
+  /** Parses the body as JSON; returns a missing node if it is not valid JSON. */
   @Override
   public Object prepare(HttpRequest request) {
     try {
@@ -166,17 +168,17 @@
     } else if (!body.isObject()) {
       EngineMessages.respondWithError(exchange, 400, "bad_request", "the body is no JSON object");
     } else if (path.equals("/v1/chat/completions")) {
-      complete(exchange, body);
+      serveCompletion(exchange, body);
     } else if (path.equals("/abort_request")) {
-      abort(exchange, body);
+      serveAbort(exchange, body);
     } else if (path.equals(StateFetcher.PATH)) {
-      handOutState(exchange, body);
+      serveStateFetch(exchange, body);
     } else {
       EngineMessages.respondWithError(exchange, 404, "not_found", "there is nothing at " + path);
     }
   }
 
-  private void complete(HttpExchange exchange, JsonNode body) {
+  private void serveCompletion(HttpExchange exchange, JsonNode body) {
     EngineRequest request = new EngineRequest(exchange.request(), body);
     EngineJob job = new EngineJob(context, request, exchange);
     job.record(
@@ -186,9 +188,9 @@
     exchange.onDisconnect(job::onDisconnect);
     boolean isWriter = settings.role().equals("writer");
     if (faults.rawResponse != null && faults.takeHit()) {
-      sendRaw(job);
+      sendRawResponse(job);
     } else if (faults.silent) {
-      context.scheduler().track(job); // nothing more happens to it
+      context.scheduler().track(job); // never submitted, so it gets no response
     } else if (isWriter && request.isPrefill()) {
       EngineMessages.respondWithError(exchange, 400, "bad_request", "this server reads no prompts");
     } else if (isWriter && !request.hasRemoteState()) {
@@ -200,15 +202,15 @@
     }
   }
 
-  private void sendRaw(EngineJob job) {
+  private void sendRawResponse(EngineJob job) {
     HttpExchange exchange = job.exchange();
     job.record(TrafficEvent.Kind.CONNECTION_LOST, 0, "raw");
     exchange.begin(200, Headers.of("content-type", "text/event-stream"));
     exchange.send(faults.rawResponse);
-    context.loop().schedule(RAW_RESPONSE_TIMEOUT_MICROS, exchange::abort);
+    context.loop().schedule(RAW_RESPONSE_ABORT_DELAY_MICROS, exchange::abort);
   }
 
-  private void abort(HttpExchange exchange, JsonNode body) {
+  private void serveAbort(HttpExchange exchange, JsonNode body) {
     String requestId = body.path("rid").asText("");
     TrafficSource source = new TrafficSource(requestId, "", "");
     context.traffic().record(TrafficEvent.Kind.ABORT, source, 0, "");
@@ -222,7 +224,7 @@
     exchange.respond(200, new Headers(), EMPTY);
   }
 
-  private void handOutState(HttpExchange exchange, JsonNode body) {
+  private void serveStateFetch(HttpExchange exchange, JsonNode body) {
     if (context.states().fetch(body.path("request_id").asText(""))) {
       exchange.respond(200, new Headers(), EMPTY);
     } else {
--- a/emulator/src/main/java/lemondock/emulator/EngineFaults.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineFaults.java
@@ -1,37 +1,40 @@
 package lemondock.emulator;
 
-/** What is wrong with an emulated engine at the moment; nothing at first. Engine's loop only. */
+/** The faults that an emulated engine injects; none by default. The engine's loop thread only. */
 public final class EngineFaults {
-  /** Share of requests that are answered with status 500, after the work of a first token. */
+  /**
+   * Share of requests, 0 to 1, that get status 500 when their prefill is done or their first token
+   * is due.
+   */
   public double errorShare;
 
-  /** Share of requests whose work is done though no answer ever comes. */
+  /** Share of requests, 0 to 1, whose work is done but whose response is never sent. */
   public double lostAnswerShare;
 
-  /** All work takes this many times as long. */
+  /** Factor by which all work takes longer. */
   public double slowdown = 1;
 
-  /** Accepts requests and does nothing with them. */
+  /** Accepts requests and never responds to them. */
   public boolean silent;
 
-  /** Writers break the connection after this many tokens of a stream; negative: they do not. */
+  /** Breaks a stream's connection after this many tokens; negative for never. */
   public int breakAfterTokens = -1;
 
-  /** Streams stop without an end after this many tokens; negative: they do not. */
+  /** Stalls a stream, with its connection open, after this many tokens; negative for never. */
   public int stallAfterTokens = -1;
 
   /**
-   * What is sent as the body of a stream in place of any response, before the connection is closed;
-   * null: nothing.
+   * Bytes that are sent as the body of a stream instead of the response, before the connection is
+   * aborted; null for none.
    */
   public byte[] rawResponse;
 
-  /** What is sent as the data of the second event of a stream; null: nothing. */
+  /** Data of an event that is sent instead of a stream's second token; null for none. */
   public String malformedEvent;
 
   /**
-   * How many more requests the stream faults and {@link #rawResponse} hit; each hit counts one
-   * down. Engines of one loop may share them.
+   * How many more times a stream fault or {@link #rawResponse} is injected. Engines of one loop may
+   * share the counter.
    */
   public Hits hits = new Hits(Integer.MAX_VALUE);
 
@@ -41,21 +44,21 @@
   /** Loses reserved states before a writer fetches them. */
   public boolean losesStates;
 
-  /** A number of hits, for engines of one loop. */
+  /** Counts down the remaining injections of a fault. Loop thread only. */
   public static final class Hits {
-    private int left;
+    private int remaining;
 
-    /** So many. */
-    public Hits(int left) {
-      this.left = left;
+    /** Allows the given number of injections. */
+    public Hits(int remaining) {
+      this.remaining = remaining;
     }
 
     private boolean take() {
-      return left > 0 && left-- > 0;
+      return remaining > 0 && remaining-- > 0;
     }
   }
 
-  /** Takes one hit, if any is left. */
+  /** Takes one injection from {@link #hits}; returns false if none remains. */
   boolean takeHit() {
     return hits.take();
   }
--- a/emulator/src/main/java/lemondock/emulator/EngineJob.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineJob.java
@@ -5,14 +5,14 @@
 import lemondock.net.http.HttpExchange;
 
 /**
- * The work for one request, from its arrival to its end: prefill or fetching of the state, then the
- * answer. Loop thread only.
+ * The work for one request from arrival to end: a prefill or the fetch of a reserved state, then,
+ * unless the request is a prefill only, the answer. Loop thread only.
  */
 final class EngineJob {
   private static final long MICROS_PER_SECOND = 1_000_000;
 
-  /** Where a job is; one with a place holds memory. */
-  enum Place {
+  /** A job's position in the scheduler; a queued or running job holds memory. */
+  enum SchedulingState {
     NONE,
     QUEUED,
     RUNNING
@@ -21,8 +21,8 @@
   private final EngineContext engine;
   private final EngineRequest request;
   private final HttpExchange exchange;
-  private Place place = Place.NONE;
-  private boolean over;
+  private SchedulingState schedulingState = SchedulingState.NONE;
+  private boolean ended;
   private boolean decodeStarted;
   private int cachedTokens;
   private Optional<AnswerStream> answer = Optional.empty();
@@ -41,16 +41,16 @@
     return exchange;
   }
 
-  Place place() {
-    return place;
+  SchedulingState schedulingState() {
+    return schedulingState;
   }
 
-  void setPlace(Place newPlace) {
-    place = newPlace;
+  void setSchedulingState(SchedulingState newState) {
+    schedulingState = newState;
   }
 
-  boolean isOver() {
-    return over;
+  boolean hasEnded() {
+    return ended;
   }
 
   int cachedTokens() {
@@ -65,14 +65,14 @@
     engine.traffic().record(kind, request.source(), value, detail);
   }
 
-  /** Rejects the request before any work was done. */
+  /** Rejects the request with status 503, before any work is done. */
   void reject(String code, String message) {
-    over = true;
+    ended = true;
     record(TrafficEvent.Kind.REJECTED, 0, code);
     EngineMessages.respondWithError(exchange, 503, code, message);
   }
 
-  /** Begins the work; the job has a slot. */
+  /** Starts the work; the scheduler has given the job a slot. */
   void run() {
     if (request.hasRemoteState()) {
       fetchState();
@@ -81,23 +81,23 @@
     cachedTokens = engine.prefixCache().cachedTokens(request);
     int uncachedTokens = request.promptTokens() - cachedTokens;
     EngineSettings settings = engine.settings();
-    after(
+    runAfter(
         settings.readMs() + 1000.0 * uncachedTokens / settings.readPerSecond(),
         () -> {
           engine.prefixCache().add(request);
           if (request.isPrefill()) {
             finishPrefill();
           } else {
-            after(settings.firstMs(), this::startDecode);
+            runAfter(settings.firstMs(), this::startDecode);
           }
         });
   }
 
-  /** Runs a step of work after its time, unless the job or the engine has ended meanwhile. */
-  void after(double fullSpeedMs, Runnable step) {
+  /** Runs a step after its duration, unless the job has ended or the engine died by then. */
+  void runAfter(double fullSpeedMs, Runnable step) {
     engine
         .clock()
-        .after(
+        .runAfter(
             fullSpeedMs,
             () -> {
               if (isAlive()) {
@@ -107,20 +107,20 @@
   }
 
   private boolean isAlive() {
-    return !over && !engine.clock().isDead();
+    return !ended && !engine.clock().isDead();
   }
 
-  private boolean draw(double share) {
+  private boolean drawFault(double share) {
     return engine.random().nextDouble() < share;
   }
 
   private void finishPrefill() {
-    if (draw(engine.faults().errorShare)) {
-      failAnswered("read");
+    if (drawFault(engine.faults().errorShare)) {
+      respondWithInternalError("read");
       return;
     }
-    final boolean answerIsLost = draw(engine.faults().lostAnswerShare);
-    if (engine.states().takeAborted(request.id())) {
+    final boolean isResponseLost = drawFault(engine.faults().lostAnswerShare);
+    if (engine.states().consumeAbort(request.id())) {
       end();
       return;
     }
@@ -130,7 +130,7 @@
       engine.states().reserve(request);
     }
     end();
-    if (!answerIsLost) {
+    if (!isResponseLost) {
       byte[] response =
           EngineMessages.prefillResponse(
               request, cachedTokens, engine.settings().name(), engine.address().get());
@@ -139,14 +139,14 @@
     }
   }
 
-  private void failAnswered(String work) {
-    record(TrafficEvent.Kind.ANSWERED, 500, work);
+  private void respondWithInternalError(String phase) {
+    record(TrafficEvent.Kind.ANSWERED, 500, phase);
     EngineMessages.respondWithError(exchange, 500, "internal", "a fault of the stand-in");
     end();
   }
 
   private void fetchState() {
-    if (!StateFetcher.hasAddress(request.transfer())) {
+    if (!StateFetcher.hasAddress(request.transferParams())) {
       end();
       reject("kv_state_missing", "the state's address makes no sense");
       return;
@@ -154,13 +154,13 @@
     engine
         .stateFetcher()
         .fetch(
-            request.transfer(),
+            request.transferParams(),
             found -> {
               if (!isAlive()) {
                 return;
               }
               if (found) {
-                after(engine.settings().firstMs(), this::startDecode);
+                runAfter(engine.settings().firstMs(), this::startDecode);
               } else {
                 end();
                 reject("kv_state_missing", "the state is not there");
@@ -171,12 +171,12 @@
   private void startDecode() {
     decodeStarted = true;
     record(TrafficEvent.Kind.DECODE_STARTED, request.messages().size(), "");
-    if (draw(engine.faults().errorShare)) {
-      failAnswered("write");
+    if (drawFault(engine.faults().errorShare)) {
+      respondWithInternalError("write");
       return;
     }
-    if (draw(engine.faults().lostAnswerShare)) {
-      // The work is done, and nobody is told.
+    if (drawFault(engine.faults().lostAnswerShare)) {
+      // The work counts as done, but no response is sent; the slot is freed after a second.
       engine.loop().schedule(MICROS_PER_SECOND, () -> engine.scheduler().release(this));
       return;
     }
@@ -185,22 +185,22 @@
     stream.begin();
   }
 
-  /** The gateway's connection is gone: waiting work is dropped, running work stops. */
+  /** Handles the loss of the gateway's connection: queued or running work is cancelled. */
   void onDisconnect() {
     record(TrafficEvent.Kind.CONNECTION_LOST, tokensSent(), decodeStarted ? "running" : "waiting");
     end();
   }
 
-  /** Ends the job as a gateway's abort does. */
+  /** Ends the job at a gateway's request to abort it, and aborts its connection. */
   void abort() {
     onDisconnect();
     exchange.abort();
   }
 
-  /** Frees what the job holds; nothing of it runs any more. */
+  /** Ends the job and frees its slot and memory; none of its later steps run. */
   void end() {
-    if (!over) {
-      over = true;
+    if (!ended) {
+      ended = true;
       engine.scheduler().untrack(this);
       engine.scheduler().release(this);
     }
--- a/emulator/src/main/java/lemondock/emulator/EngineMemory.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineMemory.java
@@ -1,6 +1,6 @@
 package lemondock.emulator;
 
-/** Tokens that an engine holds: of running and waiting requests and of reserved states. */
+/** Counts the tokens in an engine's memory: those of its requests and of its reserved states. */
 final class EngineMemory {
   private final long capacityTokens;
   private long usedTokens;
@@ -13,7 +13,7 @@
     return usedTokens + tokens <= capacityTokens;
   }
 
-  /** Takes tokens, also more than fit. */
+  /** Allocates tokens, even beyond the capacity. */
   void allocate(int tokens) {
     usedTokens += tokens;
   }
--- a/emulator/src/main/java/lemondock/emulator/EngineMessages.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineMessages.java
@@ -9,11 +9,11 @@
 import lemondock.net.http.HttpExchange;
 import lemondock.net.sse.SseEvent;
 
-/** The bodies and events of an engine's responses. */
+/** Encodes the bodies and stream events of an engine's responses. */
 final class EngineMessages {
   static final byte[] STREAM_END = event("[DONE]");
 
-  /** Why an answer ended; none while it goes on. */
+  /** Why an answer ended; {@code NONE} until its last chunk. */
   enum FinishReason {
     NONE("null"),
     STOP("\"stop\""),
@@ -43,7 +43,7 @@
     exchange.respond(status, Headers.of("content-type", "application/json"), bytes(body));
   }
 
-  /** The response to a prefill, which says where the state is. */
+  /** Encodes the response to a prefill, which tells where a writer can fetch the state. */
   static byte[] prefillResponse(
       EngineRequest request, int cachedTokens, String engine, InetSocketAddress address) {
     ObjectNode response =
@@ -84,7 +84,7 @@
     usage.putObject("prompt_tokens_details").put("cached_tokens", cachedTokens);
   }
 
-  /** An event of a stream; {@code delta} is JSON. */
+  /** Encodes one chunk of an answer; {@code delta} is JSON text. */
   static byte[] chunk(
       EngineRequest request, String delta, FinishReason finishReason, int completionTokens) {
     return event(
@@ -101,7 +101,7 @@
             + "}}");
   }
 
-  /** The last event with content of a stream: its usage. */
+  /** Encodes the usage, which is the stream's last event before {@link #STREAM_END}. */
   static byte[] usageChunk(EngineRequest request, int completionTokens, int cachedTokens) {
     ObjectNode chunk =
         JsonNodeFactory.instance
@@ -118,11 +118,11 @@
   }
 
   static String contentDelta(String text) {
-    return "{\"content\":" + quoted(text) + "}";
+    return "{\"content\":" + quoteJson(text) + "}";
   }
 
-  /** The beginning of a tool call, with the beginning of its arguments. */
-  static String toolCallDelta(int index, AnswerScript.Call call, String arguments) {
+  /** Encodes the first delta of a tool call; {@code arguments} is the start of its arguments. */
+  static String toolCallDelta(int index, AnswerScript.ToolCall call, String arguments) {
     return "{\"tool_calls\":[{\"index\":"
         + index
         + ",\"id\":\""
@@ -131,20 +131,20 @@
         + "\"function\":{\"name\":\""
         + call.name()
         + "\",\"arguments\":"
-        + quoted(arguments)
+        + quoteJson(arguments)
         + "}}]}";
   }
 
-  /** More of the arguments of a tool call. */
+  /** Encodes a delta that continues the arguments of a tool call. */
   static String argumentsDelta(int index, String arguments) {
     return "{\"tool_calls\":[{\"index\":"
         + index
         + ",\"function\":{\"arguments\":"
-        + quoted(arguments)
+        + quoteJson(arguments)
         + "}}]}";
   }
 
-  private static String quoted(String text) {
+  private static String quoteJson(String text) {
     return JsonNodeFactory.instance.textNode(text).toString();
   }
 }
--- a/emulator/src/main/java/lemondock/emulator/EngineRequest.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineRequest.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import lemondock.net.http.HttpRequest;
 
-/** A request for a chat completion, as an engine reads it. */
+/** A chat completion request, as parsed by an engine. */
 final class EngineRequest {
   private static final int CHARS_PER_TOKEN = 4;
 
@@ -19,7 +19,7 @@
             .orElseGet(() -> body.path("request_id").asText(""));
     this.source =
         new TrafficSource(
-            id, AnswerScript.mark(body.path("messages")), TrafficSource.gatewayOf(http));
+            id, AnswerScript.mark(body.path("messages")), TrafficSource.parseGateway(http));
     int chars = 0;
     for (JsonNode message : messages()) {
       chars += text(message).length();
@@ -59,18 +59,18 @@
     return body.path("max_tokens").asInt(Integer.MAX_VALUE);
   }
 
-  /** Whether only the prompt is to be read, and its state reserved for a writer. */
+  /** Whether the request is a prefill only, whose state is reserved for a writer. */
   boolean isPrefill() {
-    return transfer().path("do_remote_decode").asBoolean(false);
+    return transferParams().path("do_remote_decode").asBoolean(false);
   }
 
-  /** Whether the state of the prompt is to be fetched from another engine. */
+  /** Whether the prompt's state has to be fetched from another engine. */
   boolean hasRemoteState() {
-    return transfer().path("do_remote_prefill").asBoolean(false);
+    return transferParams().path("do_remote_prefill").asBoolean(false);
   }
 
-  /** The {@code kv_transfer_params}, which say where a remote state is; a missing node if none. */
-  JsonNode transfer() {
+  /** The {@code kv_transfer_params}, which locate a remote state; a missing node if absent. */
+  JsonNode transferParams() {
     return body.path("kv_transfer_params");
   }
 }
--- a/emulator/src/main/java/lemondock/emulator/EngineSettings.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineSettings.java
@@ -1,21 +1,21 @@
 package lemondock.emulator;
 
 /**
- * Settings of an emulated engine, under the names that they have in the emulator's configuration.
+ * Settings of an emulated engine. The components have the names of the emulator's configuration.
  *
- * @param listen {@code HOST:PORT}; port 0 takes a free one
+ * @param listen {@code HOST:PORT}; port 0 chooses a free one
  * @param role {@code reader}, {@code writer} or {@code mixed}
- * @param kind the kind of server under which the catalogue lists it
- * @param slots requests that run at once
+ * @param kind the server kind that the engine registers in the catalogue
+ * @param slots requests that run concurrently
  * @param queue requests that may wait for a slot
- * @param memoryTokens tokens of all requests that run or wait and of all reserved states
- * @param readPerSecond prompt tokens that are read a second, in each slot
- * @param readMs time added to each prefill
+ * @param memoryTokens capacity for the tokens of running and queued requests and reserved states
+ * @param readPerSecond prompt tokens that each slot prefills per second
+ * @param readMs fixed time added to each prefill
  * @param firstMs time from the end of the prefill to the first token
  * @param tokenMs time between two tokens
- * @param coldShare share of its speed with which it starts
- * @param warmUpMs time until it has all of its speed
- * @param catalogue {@code HOST:PORT} where it registers itself; null for nowhere
+ * @param coldShare share of the full speed, 0 to 1, at which the engine starts
+ * @param warmUpMs time from the start until the engine reaches its full speed
+ * @param catalogue {@code HOST:PORT} of the catalogue where the engine registers; null for none
  */
 public record EngineSettings(
     String name,
@@ -35,7 +35,7 @@
     double warmUpMs,
     String catalogue) {
 
-  /** A fast engine for tests, of the kind named as its role, on a free port. */
+  /** Returns settings of a fast engine for tests, on a free port; its kind is its role. */
   public static EngineSettings quick(String name, String role, String zone, String rack) {
     return new EngineSettings(
         name,
@@ -56,7 +56,7 @@
         null);
   }
 
-  /** The same with other latencies, in milliseconds. */
+  /** Returns a copy with other latencies, in milliseconds. */
   public EngineSettings withLatencies(double newReadMs, double newFirstMs, double newTokenMs) {
     return new EngineSettings(
         name,
@@ -77,7 +77,7 @@
         catalogue);
   }
 
-  /** The same with other limits. */
+  /** Returns a copy with other limits on slots, queued requests and tokens in memory. */
   public EngineSettings withLimits(int newSlots, int newQueue, long newMemoryTokens) {
     return new EngineSettings(
         name,
@@ -98,7 +98,7 @@
         catalogue);
   }
 
-  /** The same with a warm-up. */
+  /** Returns a copy with another warm-up: the initial share of the speed and the duration. */
   public EngineSettings withWarmUp(double newColdShare, double newWarmUpMs) {
     return new EngineSettings(
         name,
@@ -119,7 +119,7 @@
         catalogue);
   }
 
-  /** The same at another address. */
+  /** Returns a copy that listens on another address, {@code HOST:PORT}. */
   public EngineSettings withListen(String newListen) {
     return new EngineSettings(
         name,
--- a/emulator/src/main/java/lemondock/emulator/PlatformEmulator.java
+++ b/emulator/src/main/java/lemondock/emulator/PlatformEmulator.java
@@ -20,18 +20,18 @@
 import lemondock.net.http.HttpService;
 
 /**
- * Emulates the platform that {@code lemondock platform-gateway} serves on: readers, writers and
- * discovery, each on a port of its own. Prefills and tokens take fixed times; nothing queues. A
- * body that holds {@code please refuse} is rejected by every writer.
+ * Emulates the platform that {@code lemondock platform-gateway} runs on: readers, writers and
+ * discovery, each on its own port. Prefills and tokens take fixed times, and requests never queue.
+ * Every writer rejects a request whose body contains {@code please refuse}.
  *
- * <p>Loop thread only, except for {@link #start} and {@link #config} by the thread that made it.
+ * <p>Loop thread only, except that the creating thread calls {@link #start} and {@link #config}.
  */
 public final class PlatformEmulator {
   private static final long MICROS_PER_SECOND = 1_000_000;
   private static final long PREFILL_MICROS = 30_000;
   private static final long TOKEN_INTERVAL_MICROS = 50_000;
   private static final int ANSWER_TOKENS = 12;
-  private static final String REJECT_REQUEST = "please refuse";
+  private static final String REJECT_MARKER = "please refuse";
   private static final String STATE_PATH = "/state/";
   private static final byte[] EMPTY = new byte[0];
 
@@ -41,13 +41,15 @@
   private final ArrayNode servers = JsonNodeFactory.instance.arrayNode();
   private InetSocketAddress discovery;
 
-  /** Makes a platform without servers. */
+  /** Creates a platform without servers; {@link #start} adds them. */
   public PlatformEmulator(Loop loop, Network network) {
     this.loop = loop;
     this.network = network;
   }
 
-  /** Takes ports for so many servers and for discovery. */
+  /**
+   * Starts the given numbers of servers, and discovery, on free ports of the loopback interface.
+   */
   public void start(int readers, int writers) throws IOException {
     for (int i = 0; i < readers + writers; i++) {
       boolean isReader = i < readers;
@@ -55,7 +57,7 @@
       servers
           .addObject()
           .put("id", (isReader ? "reader-" : "writer-") + i)
-          .put("addr", text(address))
+          .put("addr", formatAddress(address))
           .put("zone", "a")
           .put("kind", isReader ? "reader" : "writer")
           .put("cell", 0)
@@ -83,13 +85,15 @@
     return server.address();
   }
 
-  private static String text(InetSocketAddress address) {
+  private static String formatAddress(InetSocketAddress address) {
     return address.getHostString() + ":" + address.getPort();
   }
 
   /**
-   * The configuration of a gateway on this platform, with the settings that the service's users
-   * gave as an example.
+   * Returns the configuration of a gateway on this platform, with the settings that the service's
+   * users gave as an example.
+   *
+   * @param listen the gateway's own address, {@code HOST:PORT}
    */
   public ObjectNode config(String listen) {
     ObjectNode config =
@@ -97,7 +101,7 @@
             .objectNode()
             .put("name", "n1")
             .put("listen", listen)
-            .put("discovery", text(discovery))
+            .put("discovery", formatAddress(discovery))
             .put("seed", "1");
     config.putObject("limits").put("cores", 1.0).put("memory_mb", 160).put("sockets", 512);
     config.putObject("known").put("version", 0).put("full", true).set("servers", servers);
@@ -140,13 +144,15 @@
 
   private void serveEndpointList(HttpExchange exchange) {
     String since = exchange.request().queryParameter("since").orElse(null);
-    String wait = exchange.request().queryParameter("timeout_ms").orElse(null);
-    ObjectNode answer =
+    String timeoutMs = exchange.request().queryParameter("timeout_ms").orElse(null);
+    ObjectNode list =
         JsonNodeFactory.instance.objectNode().put("version", 1).put("full", since == null);
-    answer.set("servers", since == null ? servers : JsonNodeFactory.instance.arrayNode());
-    byte[] body = answer.toString().getBytes(StandardCharsets.UTF_8);
+    list.set("servers", since == null ? servers : JsonNodeFactory.instance.arrayNode());
+    byte[] body = list.toString().getBytes(StandardCharsets.UTF_8);
     loop.schedule(
-        since == null || wait == null ? 0 : Math.min(60_000, Long.parseLong(wait)) * 1_000,
+        since == null || timeoutMs == null
+            ? 0
+            : Math.min(60_000, Long.parseLong(timeoutMs)) * 1_000,
         () -> exchange.respond(200, Headers.of("content-type", "application/json"), body));
   }
 
@@ -178,7 +184,7 @@
   private void serveDecode(HttpExchange exchange, String id) {
     Headers notRun = Headers.of("x-not-run", "1");
     String body = new String(exchange.request().body(), StandardCharsets.UTF_8);
-    if (body.contains(REJECT_REQUEST)) {
+    if (body.contains(REJECT_MARKER)) {
       exchange.respond(503, notRun, EMPTY);
     } else if (!reservedStates.remove(id)) {
       exchange.respond(410, notRun, EMPTY);
@@ -187,22 +193,22 @@
     }
   }
 
-  private void sendTokenAfterInterval(HttpExchange exchange, int number) {
+  private void sendTokenAfterInterval(HttpExchange exchange, int tokenIndex) {
     loop.schedule(
         TOKEN_INTERVAL_MICROS,
         () -> {
-          if (number == 0) {
+          if (tokenIndex == 0) {
             exchange.begin(200, Headers.of("content-type", "text/event-stream"));
           }
-          boolean last = number == ANSWER_TOKENS - 1;
+          boolean isLast = tokenIndex == ANSWER_TOKENS - 1;
           exchange.send(
               ("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"word"
-                      + number
+                      + tokenIndex
                       + " \"},\"finish_reason\":"
-                      + (last ? "\"stop\"" : "null")
+                      + (isLast ? "\"stop\"" : "null")
                       + "}]}\n\n")
                   .getBytes(StandardCharsets.UTF_8));
-          if (last) {
+          if (isLast) {
             exchange.send(
                 ("data: {\"choices\":[],\"usage\":{\"completion_tokens\":"
                         + ANSWER_TOKENS
@@ -211,7 +217,7 @@
                     .getBytes(StandardCharsets.UTF_8));
             exchange.finish();
           } else if (exchange.isOpen()) {
-            sendTokenAfterInterval(exchange, number + 1);
+            sendTokenAfterInterval(exchange, tokenIndex + 1);
           }
         });
   }
--- a/emulator/src/main/java/lemondock/emulator/PrefixCache.java
+++ b/emulator/src/main/java/lemondock/emulator/PrefixCache.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The prefixes that an engine has read, least recently used ones go first. Loop thread only. */
+/** An engine's cache of prefilled prefixes, with LRU eviction. Loop thread only. */
 final class PrefixCache {
   private static final int MAX_PREFIXES = 4_096;
   private static final long HASH_FACTOR = 1_000_003;
@@ -19,14 +19,17 @@
         }
       };
 
-  /** Tokens up to the last message that is cached with all before it; less than the prompt's. */
+  /**
+   * Returns the number of tokens in the longest cached prefix, at most all but one of the prompt's
+   * tokens. A prefix ends at the end of a message.
+   */
   int cachedTokens(EngineRequest request) {
     int cachedTokens = 0;
     int chars = 0;
     long hash = 1;
     for (JsonNode message : request.messages()) {
       chars += EngineRequest.text(message).length();
-      hash = extend(hash, message);
+      hash = extendHash(hash, message);
       if (prefixes.containsKey(hash)) {
         cachedTokens = EngineRequest.tokens(chars);
       }
@@ -37,12 +40,12 @@
   void add(EngineRequest request) {
     long hash = 1;
     for (JsonNode message : request.messages()) {
-      hash = extend(hash, message);
+      hash = extendHash(hash, message);
       prefixes.put(hash, true);
     }
   }
 
-  private static long extend(long hash, JsonNode message) {
+  private static long extendHash(long hash, JsonNode message) {
     return hash * HASH_FACTOR + EngineRequest.text(message).hashCode();
   }
 
--- a/emulator/src/main/java/lemondock/emulator/RequestScheduler.java
+++ b/emulator/src/main/java/lemondock/emulator/RequestScheduler.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Queue;
 
-/** The slots, the queue and the jobs of an engine. Loop thread only. */
+/** Schedules an engine's jobs on its slots, with a FIFO queue. Loop thread only. */
 final class RequestScheduler {
   private final EngineSettings settings;
   private final EngineMemory memory;
@@ -27,21 +27,21 @@
     return queue.size();
   }
 
-  /** Whether there is room for a request of so many tokens. */
+  /** Whether a prompt of this length fits: a slot or queue place, and memory for its tokens. */
   boolean canAccept(int tokens) {
-    boolean hasSlotOrPlace = running < settings.slots() || queue.size() < settings.queue();
-    return hasSlotOrPlace && memory.fits(tokens);
+    boolean hasSlotOrQueuePlace = running < settings.slots() || queue.size() < settings.queue();
+    return hasSlotOrQueuePlace && memory.fits(tokens);
   }
 
-  /** Takes a request that will never get a slot. */
+  /** Registers a job under its request id, without queueing it. */
   void track(EngineJob job) {
     jobs.put(job.request().id(), job);
   }
 
-  /** Takes a request, which runs at once or when a slot is free. */
+  /** Accepts a job, which starts as soon as a slot is free. */
   void submit(EngineJob job) {
     memory.allocate(job.request().promptTokens());
-    job.setPlace(EngineJob.Place.QUEUED);
+    job.setSchedulingState(EngineJob.SchedulingState.QUEUED);
     track(job);
     queue.add(job);
     startNext();
@@ -50,9 +50,9 @@
   private void startNext() {
     while (running < settings.slots() && !queue.isEmpty()) {
       EngineJob job = queue.poll();
-      if (!job.isOver()) {
+      if (!job.hasEnded()) {
         running++;
-        job.setPlace(EngineJob.Place.RUNNING);
+        job.setSchedulingState(EngineJob.SchedulingState.RUNNING);
         job.run();
       }
     }
@@ -62,17 +62,17 @@
     jobs.remove(job.request().id(), job);
   }
 
-  /** Frees the slot and the memory of a request, once. */
+  /** Frees the slot and memory of a job; does nothing the second time. */
   void release(EngineJob job) {
-    EngineJob.Place place = job.place();
-    if (place == EngineJob.Place.NONE) {
+    EngineJob.SchedulingState state = job.schedulingState();
+    if (state == EngineJob.SchedulingState.NONE) {
       return;
     }
-    job.setPlace(EngineJob.Place.NONE);
+    job.setSchedulingState(EngineJob.SchedulingState.NONE);
     memory.free(job.request().promptTokens());
     queue.remove(job);
     untrack(job);
-    if (place == EngineJob.Place.RUNNING) {
+    if (state == EngineJob.SchedulingState.RUNNING) {
       running--;
       startNext();
     }
@@ -82,7 +82,7 @@
     return Optional.ofNullable(jobs.get(requestId));
   }
 
-  /** The first job whose prompt has a mark. */
+  /** Finds the oldest job whose prompt has the given mark. */
   Optional<EngineJob> findByMark(String mark) {
     return jobs.values().stream()
         .filter(job -> job.request().source().mark().equals(mark))
--- a/emulator/src/main/java/lemondock/emulator/ReservedStates.java
+++ b/emulator/src/main/java/lemondock/emulator/ReservedStates.java
@@ -6,20 +6,20 @@
 import java.util.Set;
 import lemondock.net.Loop;
 
-/** Prefilled states that wait at an engine until a writer fetches them. Loop thread only. */
+/** KV-cache states that an engine holds until a writer fetches them. Loop thread only. */
 final class ReservedStates {
   private static final long MICROS_PER_SECOND = 1_000_000;
   private static final long EXPIRY_MICROS = 30 * MICROS_PER_SECOND;
-  private static final long ABORT_MEMORY_MICROS = MICROS_PER_SECOND;
-  private static final int MAX_ABORTED = 4_096;
+  private static final long ABORT_RETENTION_MICROS = MICROS_PER_SECOND;
+  private static final int MAX_REMEMBERED_ABORTS = 4_096;
 
   private final Loop loop;
   private final TrafficRecorder traffic;
   private final EngineMemory memory;
   private final Map<String, State> states = new LinkedHashMap<>();
 
-  /** Requests that were aborted before they arrived. */
-  private final Set<String> aborted = new HashSet<>();
+  /** Ids of aborted requests that had no job at the engine; they may still arrive. */
+  private final Set<String> abortedIds = new HashSet<>();
 
   private record State(TrafficSource source, int tokens) {}
 
@@ -33,7 +33,7 @@
     return states.size();
   }
 
-  /** Reserves the state of a prompt, until it is fetched, released or expired. */
+  /** Reserves the state of a prompt until it is fetched or released, or expires. */
   void reserve(EngineRequest request) {
     int tokens = request.promptTokens();
     traffic.record(TrafficEvent.Kind.STATE_RESERVED, request.source(), tokens, "");
@@ -42,14 +42,14 @@
     loop.schedule(EXPIRY_MICROS, () -> release(request.id(), "expired"));
   }
 
-  /** Reserves the state of a prompt and loses it at once. */
+  /** Records that the state of a prompt was reserved and lost at once. */
   void reserveAndLose(EngineRequest request) {
     int tokens = request.promptTokens();
     traffic.record(TrafficEvent.Kind.STATE_RESERVED, request.source(), tokens, "");
     traffic.record(TrafficEvent.Kind.STATE_RELEASED, request.source(), tokens, "lost");
   }
 
-  /** Hands a state to a writer; false if there is none of that request. */
+  /** Hands the state of a request to a writer; returns false if there is none. */
   boolean fetch(String requestId) {
     State state = states.remove(requestId);
     if (state == null) {
@@ -60,7 +60,7 @@
     return true;
   }
 
-  /** Releases the state of a request, if there is one. */
+  /** Releases the state of a request; does nothing if there is none. */
   void release(String requestId, String reason) {
     State state = states.remove(requestId);
     if (state != null) {
@@ -69,16 +69,16 @@
     }
   }
 
-  /** Remembers for a moment that a request is aborted: it may still be on its way. */
+  /** Remembers an abort for one second, because the request may arrive after it. */
   void rememberAborted(String requestId) {
-    if (aborted.size() < MAX_ABORTED) {
-      aborted.add(requestId);
-      loop.schedule(ABORT_MEMORY_MICROS, () -> aborted.remove(requestId));
+    if (abortedIds.size() < MAX_REMEMBERED_ABORTS) {
+      abortedIds.add(requestId);
+      loop.schedule(ABORT_RETENTION_MICROS, () -> abortedIds.remove(requestId));
     }
   }
 
-  /** Whether a request was aborted lately; that is forgotten with the answer. */
-  boolean takeAborted(String requestId) {
-    return aborted.remove(requestId);
+  /** Returns whether a request was aborted recently, and forgets the abort. */
+  boolean consumeAbort(String requestId) {
+    return abortedIds.remove(requestId);
   }
 }
--- a/emulator/src/main/java/lemondock/emulator/StateFetcher.java
+++ b/emulator/src/main/java/lemondock/emulator/StateFetcher.java
@@ -17,7 +17,7 @@
 
 /** Fetches reserved states from other emulated engines. Loop thread only. */
 final class StateFetcher {
-  /** Where emulated engines hand out states; the protocol of a real transfer is not emulated. */
+  /** The path at which engines hand out states; the protocol of real transfers is not emulated. */
   static final String PATH = "/standin/state";
 
   private static final long MICROS_PER_SECOND = 1_000_000;
@@ -34,29 +34,34 @@
                 HttpLimits.DEFAULT, 1024, 256, MICROS_PER_SECOND / 4, 15 * MICROS_PER_SECOND));
   }
 
-  /** Whether the {@code kv_transfer_params} name an address. */
-  static boolean hasAddress(JsonNode transfer) {
-    int port = port(transfer);
-    return !host(transfer).isEmpty() && port > 0 && port <= MAX_PORT;
+  /** Whether the {@code kv_transfer_params} contain a host and a valid port. */
+  static boolean hasAddress(JsonNode transferParams) {
+    int port = port(transferParams);
+    return !host(transferParams).isEmpty() && port > 0 && port <= MAX_PORT;
   }
 
-  private static String host(JsonNode transfer) {
-    return transfer.path("remote_host").asText("");
+  private static String host(JsonNode transferParams) {
+    return transferParams.path("remote_host").asText("");
   }
 
-  private static int port(JsonNode transfer) {
-    return transfer.path("remote_port").asInt(0);
+  private static int port(JsonNode transferParams) {
+    return transferParams.path("remote_port").asInt(0);
   }
 
-  /** Fetches the state that the {@code kv_transfer_params} name; tells whether it was there. */
-  void fetch(JsonNode transfer, Consumer<Boolean> onResult) {
-    String host = host(transfer);
-    String requestId = transfer.path("remote_request_id").asText("");
+  /**
+   * Fetches the state that the {@code kv_transfer_params} refer to.
+   *
+   * @param onResult receives true if the state was fetched, false if it is missing or the call
+   *     failed
+   */
+  void fetch(JsonNode transferParams, Consumer<Boolean> onResult) {
+    String host = host(transferParams);
+    String requestId = transferParams.path("remote_request_id").asText("");
     byte[] body =
         EngineMessages.bytes(JsonNodeFactory.instance.objectNode().put("request_id", requestId));
     Headers headers = Headers.of("host", host, "content-type", "application/json");
     client.send(
-        new InetSocketAddress(host, port(transfer)),
+        new InetSocketAddress(host, port(transferParams)),
         HttpEncoder.request("POST", PATH, headers, body),
         new ResponseReceiver() {
           private int status;
@@ -72,7 +77,7 @@
           }
 
           @Override
-          public void onFailure(RequestFailure failure, String what) {
+          public void onFailure(RequestFailure failure, String detail) {
             onResult.accept(false);
           }
         });
--- a/emulator/src/main/java/lemondock/emulator/TrafficObserver.java
+++ b/emulator/src/main/java/lemondock/emulator/TrafficObserver.java
@@ -1,6 +1,6 @@
 package lemondock.emulator;
 
-/** Observes what passes on an emulator's sockets. Called on the emulator's loop. */
+/** Observes the traffic of emulators. Called on the loop thread of the emulator. */
 @FunctionalInterface
 public interface TrafficObserver {
   /** Ignores all events. */
--- a/emulator/src/main/java/lemondock/emulator/TrafficRecorder.java
+++ b/emulator/src/main/java/lemondock/emulator/TrafficRecorder.java
@@ -2,7 +2,7 @@
 
 import lemondock.net.Loop;
 
-/** Passes what happens at one server to a {@link TrafficObserver}. Loop thread only. */
+/** Reports the events of one emulated server to a {@link TrafficObserver}. Loop thread only. */
 final class TrafficRecorder {
   private final Loop loop;
   private final String server;
--- a/emulator/src/main/java/lemondock/emulator/collect/CollectdListener.java
+++ b/emulator/src/main/java/lemondock/emulator/collect/CollectdListener.java
@@ -14,9 +14,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Emulates collectd's network plugin: reads its binary protocol, checks signatures, decrypts, and
- * takes only signed or encrypted packets if it has users. It can lose and reorder packets, drawn
- * from a seed. Its public methods may be called by any thread.
+ * Emulates collectd's network plugin: parses its binary protocol, verifies signatures and decrypts.
+ * If users are configured, it accepts only signed or encrypted packets. It can drop and reorder
+ * packets at random, from a seed. Its public methods may be called by any thread.
  */
 public final class CollectdListener implements AutoCloseable {
   private static final int RECEIVE_BUFFER_BYTES = 8 * 1024 * 1024;
@@ -28,22 +28,22 @@
   private final List<String> notifications = Collections.synchronizedList(new ArrayList<>());
   private final CollectdPacketReader reader;
 
-  // The receiving thread only.
+  // Used by the receiving thread only.
   private final SplittableRandom random;
   private final List<byte[]> heldBack = new ArrayList<>();
 
   private volatile double lossShare;
   private volatile double reorderShare;
 
-  // Written by the receiving thread.
+  // Written by the receiving thread only.
   private volatile int largestPacketBytes;
   private volatile long packets;
 
   /**
-   * Listens on a port of the loopback interface, 0 for a free one.
+   * Listens on a port of the loopback interface; 0 chooses a free one.
    *
-   * @param users passwords by name; without users it takes plain packets too
-   * @param seed draws which packets are lost or reordered
+   * @param users passwords by user name; if empty, plain packets are accepted too
+   * @param seed seed of the random choice of packets that are dropped or reordered
    */
   public CollectdListener(int port, Map<String, String> users, long seed) throws IOException {
     this.random = new SplittableRandom(seed);
@@ -54,35 +54,35 @@
     DaemonThreads.start("collectd", this::receive);
   }
 
-  /** The port taken. */
+  /** The port that it listens on. */
   public int port() {
     return socket.getLocalPort();
   }
 
-  /** What was received, by {@code HOST/PLUGIN-INSTANCE/TYPE-INSTANCE}. */
+  /** The values received, by {@code HOST/PLUGIN-INSTANCE/TYPE-INSTANCE}. */
   public ReceivedReports received() {
     return received;
   }
 
-  /** Messages of notifications. */
+  /** The messages of the notifications received, oldest first. */
   public List<String> notifications() {
     synchronized (notifications) {
       return List.copyOf(notifications);
     }
   }
 
-  /** The largest packet received, in bytes. */
+  /** The size of the largest packet received. */
   public int largestPacketBytes() {
     return largestPacketBytes;
   }
 
-  /** Packets that arrived, lost ones too. */
+  /** The number of packets that arrived, including those dropped on purpose. */
   public long packets() {
     return packets;
   }
 
-  /** Loses and reorders such shares of the packets from now on. */
-  public void disturb(double newLossShare, double newReorderShare) {
+  /** Sets the shares of packets, 0 to 1, that are dropped and reordered from now on. */
+  public void setPacketFaults(double newLossShare, double newReorderShare) {
     lossShare = newLossShare;
     reorderShare = newReorderShare;
   }
@@ -94,7 +94,7 @@
         packet.setLength(MAX_PACKET_BYTES);
         socket.receive(packet);
       } catch (IOException e) {
-        return; // closed
+        return; // the socket was closed
       }
       largestPacketBytes = Math.max(largestPacketBytes, packet.getLength());
       packets++;
--- a/emulator/src/main/java/lemondock/emulator/collect/CollectdPacketReader.java
+++ b/emulator/src/main/java/lemondock/emulator/collect/CollectdPacketReader.java
@@ -17,7 +17,7 @@
 import javax.crypto.spec.IvParameterSpec;
 import javax.crypto.spec.SecretKeySpec;
 
-/** Reads packets of collectd's network protocol. One thread. */
+/** Parses packets of collectd's network protocol. Not thread-safe. */
 final class CollectdPacketReader {
   private static final int PART_HOST = 0x0000;
   private static final int PART_TIME_SECONDS = 0x0001;
@@ -40,26 +40,26 @@
   private static final int IV_BYTES = 16;
   private static final int CHECKSUM_BYTES = 20;
 
-  /** High-resolution times count units of 2^-30 seconds. */
+  /** High-resolution times are in units of 2^-30 seconds. */
   private static final int TIME_FRACTION_BITS = 30;
 
   private final Map<String, String> users;
   private final ValuesReceiver values;
   private final Consumer<String> notifications;
 
-  /** Receives the values under a name with their time in milliseconds of the epoch. */
+  /** Receives the values of a name, with their time in milliseconds since the epoch. */
   interface ValuesReceiver {
-    void onValues(String name, long stampMs, List<BigDecimal> values);
+    void onValues(String name, long timestampMs, List<BigDecimal> values);
   }
 
-  /** Parts that hold for the values that follow. */
+  /** The parts of a packet that apply to all values after them. */
   private static final class Header {
     private String host = "";
     private String plugin = "";
     private String pluginInstance = "";
     private String type = "";
     private String typeInstance = "";
-    private long stampMs;
+    private long timestampMs;
 
     String name() {
       return host
@@ -73,9 +73,9 @@
   }
 
   /**
-   * Makes a reader.
+   * Creates a reader.
    *
-   * @param users passwords by name; without users plain packets are read too
+   * @param users passwords by user name; if empty, plain packets are accepted too
    */
   CollectdPacketReader(
       Map<String, String> users, ValuesReceiver values, Consumer<String> notifications) {
@@ -84,30 +84,38 @@
     this.notifications = notifications;
   }
 
-  /** Reads a packet; throws if it is malformed, or not signed or encrypted by a known user. */
+  /**
+   * Reads a packet.
+   *
+   * @throws RuntimeException if the packet is malformed, or if users are configured and the packet
+   *     is neither signed nor encrypted by one of them
+   */
   void read(byte[] packet) throws GeneralSecurityException {
     readParts(ByteBuffer.wrap(packet), users.isEmpty());
   }
 
-  private void readParts(ByteBuffer in, boolean isTrustedAtFirst) throws GeneralSecurityException {
+  private void readParts(ByteBuffer in, boolean isInitiallyTrusted)
+      throws GeneralSecurityException {
     Header header = new Header();
-    boolean isTrusted = isTrustedAtFirst;
+    boolean isTrusted = isInitiallyTrusted;
     while (in.remaining() >= PART_HEADER_BYTES) {
       int start = in.position();
       int type = in.getShort() & 0xFFFF;
       int length = in.getShort() & 0xFFFF;
       if (length < PART_HEADER_BYTES || start + length > in.limit()) {
-        throw new IllegalArgumentException("part of " + length + " bytes");
+        throw new IllegalArgumentException(
+            "part length " + length + " is shorter than the part header or exceeds the packet");
       }
       ByteBuffer part = in.slice(in.position(), length - PART_HEADER_BYTES);
       in.position(start + length);
       if (type == PART_SIGNATURE) {
-        isTrusted = isSignatureOf(part, in.duplicate());
+        isTrusted = isValidSignature(part, in.duplicate());
       } else if (type == PART_ENCRYPTED) {
         readParts(decrypt(part), true);
         return;
       } else if (!isTrusted) {
-        throw new IllegalArgumentException("not sealed, or not by a known user");
+        throw new IllegalArgumentException(
+            "the packet is not encrypted and has no valid signature, but users are configured");
       } else {
         readPart(type, part, header);
       }
@@ -121,19 +129,19 @@
       case PART_PLUGIN_INSTANCE -> header.pluginInstance = readTerminatedText(part);
       case PART_TYPE -> header.type = readTerminatedText(part);
       case PART_TYPE_INSTANCE -> header.typeInstance = readTerminatedText(part);
-      case PART_TIME_SECONDS -> header.stampMs = part.getLong() * 1000;
-      case PART_TIME_HIGH_RESOLUTION -> header.stampMs = toMillis(part.getLong());
-      case PART_VALUES -> values.onValues(header.name(), header.stampMs, readValues(part));
+      case PART_TIME_SECONDS -> header.timestampMs = part.getLong() * 1000;
+      case PART_TIME_HIGH_RESOLUTION -> header.timestampMs = toMillis(part.getLong());
+      case PART_VALUES -> values.onValues(header.name(), header.timestampMs, readValues(part));
       case PART_MESSAGE -> notifications.accept(readTerminatedText(part));
       default -> {
-        // interval, severity, and whatever else there may be
+        // interval, severity and other parts are ignored
       }
     }
   }
 
-  /** Rounds a high-resolution time to milliseconds. */
-  private static long toMillis(long highResolution) {
-    return BigInteger.valueOf(highResolution)
+  /** Converts a high-resolution time to milliseconds, rounded to the nearest. */
+  private static long toMillis(long highResolutionTime) {
+    return BigInteger.valueOf(highResolutionTime)
         .multiply(BigInteger.valueOf(1000))
         .add(BigInteger.ONE.shiftLeft(TIME_FRACTION_BITS - 1))
         .shiftRight(TIME_FRACTION_BITS)
@@ -176,15 +184,15 @@
     return users.get(user).getBytes(StandardCharsets.UTF_8);
   }
 
-  private boolean isSignatureOf(ByteBuffer signature, ByteBuffer signedParts)
+  private boolean isValidSignature(ByteBuffer signature, ByteBuffer signedParts)
       throws GeneralSecurityException {
-    final byte[] sent = readBytes(signature, MAC_BYTES);
+    final byte[] receivedMac = readBytes(signature, MAC_BYTES);
     String user = readText(signature, signature.remaining());
     Mac mac = Mac.getInstance(MAC_ALGORITHM);
     mac.init(new SecretKeySpec(password(user), MAC_ALGORITHM));
     mac.update(user.getBytes(StandardCharsets.UTF_8));
     mac.update(signedParts);
-    return Arrays.equals(sent, mac.doFinal());
+    return Arrays.equals(receivedMac, mac.doFinal());
   }
 
   private ByteBuffer decrypt(ByteBuffer part) throws GeneralSecurityException {
@@ -198,7 +206,8 @@
     byte[] checksum = Arrays.copyOf(plain, CHECKSUM_BYTES);
     byte[] parts = Arrays.copyOfRange(plain, CHECKSUM_BYTES, plain.length);
     if (!Arrays.equals(checksum, MessageDigest.getInstance("SHA-1").digest(parts))) {
-      throw new IllegalArgumentException("wrong checksum");
+      throw new IllegalArgumentException(
+          "the SHA-1 checksum of the decrypted packet does not match");
     }
     return ByteBuffer.wrap(parts);
   }
--- a/emulator/src/main/java/lemondock/emulator/collect/DaemonThreads.java
+++ b/emulator/src/main/java/lemondock/emulator/collect/DaemonThreads.java
@@ -1,6 +1,6 @@
 package lemondock.emulator.collect;
 
-/** Threads that do not keep the process alive. */
+/** Starts daemon threads, which do not keep the process alive. */
 final class DaemonThreads {
   private DaemonThreads() {}
 
--- a/emulator/src/main/java/lemondock/emulator/collect/GraphiteListener.java
+++ b/emulator/src/main/java/lemondock/emulator/collect/GraphiteListener.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Emulates carbon: Graphite's plaintext or pickle protocol over blocking sockets, with faults. Its
- * public methods may be called by any thread.
+ * Emulates carbon, the receiver of Graphite: the plaintext or pickle protocol over blocking
+ * sockets, with faults. Its public methods may be called by any thread.
  */
 public final class GraphiteListener implements AutoCloseable {
   private static final int MAX_FRAME_BYTES = 1 << 20;
@@ -30,28 +30,28 @@
   private final ServerSocket server;
   private final boolean pickle;
   private final ReceivedReports received = new ReceivedReports();
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+  private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
   private final Fault fault;
   private volatile int connections;
 
-  /** How it misbehaves. */
+  /** A fault of the listener. */
   public enum Fault {
-    /** It does not. */
+    /** Behaves normally. */
     NONE,
-    /** It accepts connections and reads nothing. */
+    /** Accepts connections and reads nothing. */
     NEVER_READS,
-    /** It reads a byte a second. */
+    /** Reads one byte per second. */
     BYTE_A_SECOND,
-    /** It resets connections after some bytes. */
+    /** Resets each connection after it has read some bytes. */
     RESETS,
-    /** It reads, and sends noise all the time. */
+    /** Reads normally, and sends random bytes all the time. */
     GARBAGE
   }
 
   /**
-   * Listens on a port of the loopback interface; 0 takes a free one.
+   * Listens on a port of the loopback interface; 0 chooses a free one.
    *
-   * @param pickle whether it takes the pickle protocol, otherwise plaintext
+   * @param pickle whether to read the pickle protocol instead of plaintext
    */
   public GraphiteListener(int port, boolean pickle, Fault fault) throws IOException {
     this.pickle = pickle;
@@ -60,17 +60,17 @@
     DaemonThreads.start("carbon-accept", this::accept);
   }
 
-  /** The port taken. */
+  /** The port that it listens on. */
   public int port() {
     return server.getLocalPort();
   }
 
-  /** What was received. */
+  /** The values received, by path. */
   public ReceivedReports received() {
     return received;
   }
 
-  /** Connections taken so far. */
+  /** The number of connections accepted so far. */
   public int connections() {
     return connections;
   }
@@ -80,10 +80,10 @@
       try {
         Socket socket = server.accept();
         connections++;
-        open.add(socket);
+        openSockets.add(socket);
         DaemonThreads.start("carbon-read", () -> serve(socket));
       } catch (IOException e) {
-        return; // closed
+        return; // the listener was closed
       }
     }
   }
@@ -108,11 +108,11 @@
         default -> read(socket.getInputStream());
       }
     } catch (IOException e) {
-      // the gateway has gone, or the listener is closed
+      // the gateway has disconnected, or the listener was closed
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
-      open.remove(socket);
+      openSockets.remove(socket);
     }
   }
 
@@ -124,7 +124,7 @@
         socket.getOutputStream().write(noise);
       }
     } catch (IOException e) {
-      // the gateway has gone
+      // the gateway has disconnected
     }
   }
 
@@ -150,7 +150,7 @@
 
   private void readFrames(DataInputStream in) throws IOException {
     while (true) {
-      int length = in.readInt(); // the end of the stream ends the thread
+      int length = in.readInt(); // throws at the end of the stream, which ends the thread
       if (length < 0 || length > MAX_FRAME_BYTES) {
         received.addUnreadable();
         return;
@@ -166,31 +166,31 @@
     }
   }
 
-  /** Takes {@code (path, (seconds, value))}. */
+  /** Adds a point of the form {@code (path, (seconds, value))}. */
   private void addPoint(List<?> point) {
-    List<?> stampAndValue = (List<?>) point.get(1);
-    long seconds = ((BigInteger) stampAndValue.get(0)).longValueExact();
-    Object number = stampAndValue.get(1);
+    List<?> timestampAndValue = (List<?>) point.get(1);
+    long seconds = ((BigInteger) timestampAndValue.get(0)).longValueExact();
+    Object number = timestampAndValue.get(1);
     BigDecimal value =
-        number instanceof BigInteger whole
-            ? new BigDecimal(whole)
+        number instanceof BigInteger integer
+            ? new BigDecimal(integer)
             : BigDecimal.valueOf((Double) number);
     received.add((String) point.get(0), seconds * 1000, List.of(value));
   }
 
-  /** The newest value of each path. */
+  /** The values with the newest timestamp of each path. */
   public Map<String, ReceivedReports.Entry> newest() {
     return received.newest();
   }
 
-  /** Breaks all connections and goes on listening. */
-  public void breakAll() {
-    for (Socket socket : open) {
+  /** Resets all open connections and continues to listen. */
+  public void resetConnections() {
+    for (Socket socket : openSockets) {
       try {
         socket.setSoLinger(true, 0);
         socket.close();
       } catch (IOException e) {
-        // gone already
+        // already closed
       }
     }
   }
@@ -198,6 +198,6 @@
   @Override
   public void close() throws IOException {
     server.close();
-    breakAll();
+    resetConnections();
   }
 }
--- a/emulator/src/main/java/lemondock/emulator/collect/PickleReader.java
+++ b/emulator/src/main/java/lemondock/emulator/collect/PickleReader.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * As much of Python's pickle machine as senders of metrics use: lists, pairs, texts, integers and
- * floating-point numbers. Anything else is refused.
+ * Reads the subset of Python's pickle format that senders of metrics use: lists, pairs, strings,
+ * integers and floating-point numbers. Any other opcode is an error.
  */
 final class PickleReader {
   private static final int PROTOCOL = 0x80;
@@ -31,7 +31,11 @@
     in = new DataInputStream(new ByteArrayInputStream(bytes));
   }
 
-  /** Reads one object: a list, text, {@link BigInteger} or {@link Double}. */
+  /**
+   * Reads one object.
+   *
+   * @return a {@link List}, {@link String}, {@link BigInteger} or {@link Double}
+   */
   static Object read(byte[] bytes) throws IOException {
     PickleReader reader = new PickleReader(bytes);
     int opcode = reader.in.readUnsignedByte();
@@ -52,7 +56,7 @@
       case INTEGER -> stack.add(readInteger());
       case PAIR -> makePair();
       case APPENDS -> appendToList();
-      default -> throw new IOException("opcode " + opcode + " is not known");
+      default -> throw new IOException("unsupported pickle opcode " + opcode);
     }
   }
 
@@ -80,12 +84,12 @@
     stack.add(List.of(first, second));
   }
 
-  /** Appends what is above the marker to the list below it. */
+  /** Appends the objects above the topmost marker to the list below it. */
   private void appendToList() {
     int marker = stack.lastIndexOf(MARKER);
     List<Object> items = new ArrayList<>(stack.subList(marker + 1, stack.size()));
     stack.subList(marker, stack.size()).clear();
-    @SuppressWarnings("unchecked") // only EMPTY_LIST puts lists on the stack that are appended to
+    @SuppressWarnings("unchecked") // the list below a marker was made by EMPTY_LIST
     List<Object> list = (List<Object>) stack.get(stack.size() - 1);
     list.addAll(items);
   }
--- a/emulator/src/main/java/lemondock/emulator/collect/ReceivedReports.java
+++ b/emulator/src/main/java/lemondock/emulator/collect/ReceivedReports.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What an emulated collector received: for each name the newest values. Any thread. */
+/** The newest values that an emulated collector received under each name. Thread-safe. */
 public final class ReceivedReports {
-  // Under the lock of this object.
+  // All fields are guarded by the lock of this object.
   private final Map<String, Entry> newest = new TreeMap<>();
   private long values;
   private long unreadable;
@@ -17,28 +17,28 @@
   /**
    * The newest values under a name.
    *
-   * @param stampMs their time as sent, in milliseconds of the epoch
-   * @param values null for a value that is not a number
+   * @param timestampMs the time that the sender gave them, in milliseconds since the epoch
+   * @param values the values; an element is null if the value is not a number
    */
-  public record Entry(long stampMs, List<BigDecimal> values) {}
+  public record Entry(long timestampMs, List<BigDecimal> values) {}
 
-  /** Takes values; of two with one stamp the later arrival counts. */
-  public synchronized void add(String name, long stampMs, List<BigDecimal> newValues) {
+  /** Adds values. If timestamps are equal, the values that arrive last are kept. */
+  public synchronized void add(String name, long timestampMs, List<BigDecimal> newValues) {
     values += newValues.size();
-    Entry known = newest.get(name);
-    if (known != null && stampMs < known.stampMs()) {
+    Entry previous = newest.get(name);
+    if (previous != null && timestampMs < previous.timestampMs()) {
       late++;
     } else {
-      newest.put(name, new Entry(stampMs, Collections.unmodifiableList(newValues)));
+      newest.put(name, new Entry(timestampMs, Collections.unmodifiableList(newValues)));
     }
   }
 
-  /** Counts something that could not be read. */
+  /** Counts a line, frame or packet that could not be read. */
   public synchronized void addUnreadable() {
     unreadable++;
   }
 
-  /** The newest values by name. */
+  /** Returns a copy of the newest values by name. */
   public synchronized Map<String, Entry> newest() {
     return new TreeMap<>(newest);
   }
@@ -48,12 +48,12 @@
     return values;
   }
 
-  /** Lines, frames or packets that could not be read, or whose signature was wrong. */
+  /** The number of lines, frames or packets that were malformed or not validly signed. */
   public synchronized long unreadable() {
     return unreadable;
   }
 
-  /** Reports that came after newer ones. */
+  /** The number of reports that arrived after one with a newer timestamp. */
   public synchronized long late() {
     return late;
   }
--- a/emulator/src/main/java/lemondock/emulator/collect/UnixsockListener.java
+++ b/emulator/src/main/java/lemondock/emulator/collect/UnixsockListener.java
@@ -18,8 +18,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Emulates collectd's unixsock plugin: takes {@code PUTVAL} lines and answers each as the plugin
- * does.
+ * Emulates collectd's unixsock plugin: reads {@code PUTVAL} lines and sends the plugin's response
+ * to each.
  */
 public final class UnixsockListener implements AutoCloseable {
   private static final Pattern PUTVAL =
@@ -31,7 +31,7 @@
   private final Path path;
   private final ReceivedReports received = new ReceivedReports();
 
-  /** Listens at a path, which must not exist. */
+  /** Listens on a Unix domain socket at a path, which must not exist yet. */
   public UnixsockListener(Path path) throws IOException {
     this.path = path;
     this.server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
@@ -39,7 +39,7 @@
     DaemonThreads.start("unixsock", this::accept);
   }
 
-  /** What was received, by identifier. */
+  /** The values received, by identifier. */
   public ReceivedReports received() {
     return received;
   }
@@ -50,7 +50,7 @@
         SocketChannel channel = server.accept();
         DaemonThreads.start("unixsock-read", () -> serve(channel));
       } catch (IOException e) {
-        return; // closed
+        return; // the listener was closed
       }
     }
   }
@@ -68,24 +68,29 @@
                     .getBytes(StandardCharsets.US_ASCII)));
       }
     } catch (IOException e) {
-      // the gateway has gone
+      // the gateway has disconnected
     }
   }
 
-  /** Reads one line as the exec and unixsock plugins do; false if it is none. */
+  /**
+   * Parses one {@code PUTVAL} line as the exec and unixsock plugins do.
+   *
+   * @return false if the line is malformed, which is counted as unreadable
+   */
   public static boolean readPutval(String line, ReceivedReports received) {
-    Matcher m = PUTVAL.matcher(line);
-    if (!m.matches()) {
+    Matcher matcher = PUTVAL.matcher(line);
+    if (!matcher.matches()) {
       received.addUnreadable();
       return false;
     }
     List<BigDecimal> values = new ArrayList<>();
-    for (String value : m.group(5).substring(1).split(":")) {
+    for (String value : matcher.group(5).substring(1).split(":")) {
       values.add(value.equals("U") ? null : new BigDecimal(value));
     }
     received.add(
-        m.group(1),
-        Long.parseLong(m.group(3)) * 1000 + (m.group(4) == null ? 0 : Long.parseLong(m.group(4))),
+        matcher.group(1),
+        Long.parseLong(matcher.group(3)) * 1000
+            + (matcher.group(4) == null ? 0 : Long.parseLong(matcher.group(4))),
         values);
     return true;
   }
--- a/emulator/src/main/java/lemondock/emulator/collect/package-info.java
+++ b/emulator/src/main/java/lemondock/emulator/collect/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Emulators of the collectors that gateways report to: carbon (plaintext and pickle) and collectd
+ * Emulators of the collectors to which gateways report: carbon (plaintext and pickle) and collectd
  * (network and unixsock plugins).
  */
 package lemondock.emulator.collect;
--- a/scenario/src/main/java/lemondock/scenario/EmulatedEngine.java
+++ b/scenario/src/main/java/lemondock/scenario/EmulatedEngine.java
@@ -88,7 +88,7 @@
 
   /** Breaks its connections at once; the catalogue drops it after a delay. */
   void crash(long noticeMicros) {
-    emulators.invokeAndWait(() -> emulator.die());
+    emulators.invokeAndWait(() -> emulator.markDead());
     process.close();
     emulators.invokeAndWait(
         () -> emulators.loop().schedule(noticeMicros, () -> catalogue.remove(settings.name())));
--- a/scenario/src/test/java/lemondock/scenario/ReportEdgeCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ReportEdgeCasesTest.java
@@ -163,7 +163,7 @@
   @Test
   void lossAndReorderingOfDatagramsLeaveTheLastWordRight() throws IOException {
     try (CollectdListener listener = new CollectdListener(0, Map.of(), 5)) {
-      listener.disturb(0.3, 0.3);
+      listener.setPacketFaults(0.3, 0.3);
       try (ScenarioFixture fixture =
           fixture(
               s ->
@@ -172,7 +172,7 @@
         calls(fixture, "a", 20);
         ScenarioFixture.await("some came", () -> listener.received().values() > 2_000);
         ScenarioFixture.await("some came late", () -> listener.received().late() > 0);
-        listener.disturb(0, 0);
+        listener.setPacketFaults(0, 0);
         JsonNode tally = fixture.fleet.stopGateway(ScenarioFixture.GATEWAY);
         assertEquals("20", served(tally));
         ScenarioFixture.await(
--- a/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
+++ b/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
@@ -212,7 +212,10 @@
               () ->
                   fleet.engine(e).reservedStates() + fleet.engine(e).runningRequests() == 0
                       ? busy
-                      : busy.append(e).append(": ").append(fleet.engine(e).load()).append(' '));
+                      : busy.append(e)
+                          .append(": ")
+                          .append(fleet.engine(e).describeLoad())
+                          .append(' '));
     }
     return busy.toString();
   }
