--- a/cli/src/main/java/lemondock/cli/CatalogueEmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/CatalogueEmulatorCommand.java
@@ -26,7 +26,7 @@
   /**
    * The settings of an emulated catalogue.
    *
-   * @param listen HOST:PORT
+   * @param listen the address to listen on, as HOST:PORT
    */
   record Settings(String listen) {}
 
--- a/cli/src/main/java/lemondock/cli/CatalogueRegistrar.java
+++ b/cli/src/main/java/lemondock/cli/CatalogueRegistrar.java
@@ -18,9 +18,9 @@
 import lemondock.scenario.EmulatedProcess;
 
 /**
- * Registers emulated engines with the catalogues that their settings name, by Consul's agent API. A
- * catalogue that cannot be reached is reported on standard error and not tried again. Call it off
- * the loop of its process.
+ * Registers emulated engines with the service catalogues named in their settings, through Consul's
+ * agent API. A failed request is reported on standard error and not retried. Its methods are called
+ * from threads other than the event loop of the process.
  */
 final class CatalogueRegistrar {
   private static final String SERVICE = "engines";
@@ -34,10 +34,10 @@
   private final long startedAtMillis = System.currentTimeMillis();
   private final List<Registration> registrations = new ArrayList<>();
 
-  /** An engine and the catalogue that lists it. */
+  /** An engine and the address of the catalogue that it is registered with. */
   private record Registration(String engine, InetSocketAddress catalogue) {}
 
-  /** Makes a registrar on the loop and the sockets of a process. */
+  /** Creates a registrar that uses the event loop and the network of the given process. */
   CatalogueRegistrar(EmulatedProcess process) {
     this.process = process;
     HttpClientOptions options =
@@ -50,7 +50,9 @@
     this.client = new HttpClient(process.loop(), process.network(), options);
   }
 
-  /** Registers an engine that listens there; does nothing if its settings name no catalogue. */
+  /**
+   * Registers an engine under its listen address; does nothing if its settings name no catalogue.
+   */
   void register(EngineSettings settings, InetSocketAddress engineAddress) {
     if (settings.catalogue() == null) {
       return;
@@ -62,7 +64,7 @@
     registrations.add(registration);
   }
 
-  /** Sends a deregistration for each engine and returns without waiting for the answers. */
+  /** Sends a deregistration for each engine and returns without waiting for the responses. */
   void deregisterAll() {
     process.loop().execute(() -> registrations.forEach(this::deregister));
   }
@@ -93,14 +95,14 @@
     client.send(catalogue, HttpEncoder.request("PUT", path, headers, body), new FailureReporter());
   }
 
-  /** Answers are of no interest; failures are shown. */
+  /** Ignores responses and prints failures to standard error. */
   private static final class FailureReporter implements ResponseReceiver {
     @Override
     public void onComplete() {}
 
     @Override
     public void onFailure(RequestFailure failure, String cause) {
-      System.err.println("lemondock: the catalogue cannot be told: " + cause);
+      System.err.println("lemondock: request to the catalogue failed: " + cause);
     }
   }
 }
--- a/cli/src/main/java/lemondock/cli/CollectorEmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/CollectorEmulatorCommand.java
@@ -15,7 +15,7 @@
     mixinStandardHelpOptions = true,
     description =
         "Runs emulators of carbon (plaintext) and collectd on loopback that print the"
-            + " newest worth they are told.")
+            + " latest priority weights reported to them.")
 final class CollectorEmulatorCommand implements Callable<Integer> {
   private static final long PRINT_INTERVAL_MILLIS = 1_000;
 
@@ -34,7 +34,7 @@
   @Option(
       names = "--seconds",
       defaultValue = "0",
-      description = "Ends by itself after so long; 0: by a signal.")
+      description = "Seconds to run; 0: until a signal.")
   private long seconds;
 
   @Override
@@ -57,19 +57,19 @@
     System.out.println(
         "graphite: "
             + graphite.received().values()
-            + " values, newest worth "
-            + priorityWeightInTime(graphite.received())
+            + " values, latest priority weight "
+            + describePriorityWeight(graphite.received())
             + "; collectd: "
             + collectd.received().values()
             + " values in "
             + collectd.packets()
-            + " packets, notices "
+            + " packets, notifications "
             + collectd.notifications().size());
   }
 
-  /** Sums the newest priority weights, answered in time and asked for, over all series. */
-  private static String priorityWeightInTime(ReceivedReports received) {
-    double asked = 0;
+  /** Sums the latest priority weights, answered in time and requested, over all series. */
+  private static String describePriorityWeight(ReceivedReports received) {
+    double requested = 0;
     double inTime = 0;
     for (Map.Entry<String, ReceivedReports.Entry> report : received.newest().entrySet()) {
       String path = report.getKey();
@@ -78,11 +78,11 @@
       }
       double value = report.getValue().values().get(0).doubleValue();
       if (path.endsWith(".asked")) {
-        asked += value;
+        requested += value;
       } else if (path.endsWith(".in_time")) {
         inTime += value;
       }
     }
-    return inTime + " in time of " + asked;
+    return inTime + " in time of " + requested;
   }
 }
--- a/cli/src/main/java/lemondock/cli/ConfigCommand.java
+++ b/cli/src/main/java/lemondock/cli/ConfigCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Works on settings. */
+/** Groups the commands that work on settings files. */
 @Command(
     name = "config",
     mixinStandardHelpOptions = true,
@@ -26,8 +26,8 @@
       name = "check",
       mixinStandardHelpOptions = true,
       description =
-          "Checks a gateway's settings; each problem is a line with file, pointer,"
-              + " expected and found.")
+          "Checks a gateway's settings; prints each problem on a line with the file, the JSON"
+              + " pointer, the expected and the actual value.")
   static final class Check implements Callable<Integer> {
     @Parameters(paramLabel = "FILE")
     private Path file;
--- a/cli/src/main/java/lemondock/cli/DemoCommand.java
+++ b/cli/src/main/java/lemondock/cli/DemoCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs a complete service on loopback: gateways, a catalogue and engines of two zones. */
+/** Runs a complete service on loopback: gateways, a catalogue and engines in two zones. */
 @Command(
     name = "demo",
     mixinStandardHelpOptions = true,
@@ -25,20 +25,20 @@
   private static final double FIRST_TOKEN_MILLIS = 5;
   private static final double TOKEN_MILLIS = 20;
   private static final long FLEET_SEED = 1;
-  private static final long SERVERS_WAIT_MILLIS = 10_000;
+  private static final long SERVERS_TIMEOUT_MILLIS = 10_000;
   private static final int REPORT_INTERVAL_MILLIS = 1_000;
   private static final int COLLECTD_MAX_BACKOFF_MILLIS = 2_000;
 
   @Option(
       names = "--port",
       defaultValue = "0",
-      description = "The first gateway's port; 0 takes a free one.")
+      description = "The first gateway's port; 0: any free port.")
   private int port;
 
   @Option(
       names = "--seconds",
       defaultValue = "0",
-      description = "Ends by itself after so long; 0: by a signal.")
+      description = "Seconds to run; 0: until a signal.")
   private long seconds;
 
   @Option(
@@ -48,7 +48,7 @@
       paramLabel = "HOST",
       description =
           "Reports to Graphite (plaintext, port 2003) and collectd (network plugin, port"
-              + " 25826) of a host.")
+              + " 25826) on a host.")
   private String reportHost;
 
   @Option(names = "--graphite-port", defaultValue = "2003", hidden = true)
@@ -75,7 +75,7 @@
     return 0;
   }
 
-  /** The request classes that the gateways' settings have by default. */
+  /** Returns the default request classes of the gateways' settings. */
   private static List<GatewaySettings.ClassSettings> requestClasses() {
     return LoopbackSettings.gateway("model", 0, 1, "north", 1, "127.0.0.1:1", settings -> {})
         .classes();
@@ -97,7 +97,7 @@
         .withLatencies(READ_MILLIS, FIRST_TOKEN_MILLIS, TOKEN_MILLIS);
   }
 
-  /** Adds a gateway for each zone, in the order of their ports. */
+  /** Adds one gateway per zone; the ports are in the order of {@link #ZONES}. */
   private void addGateways(ScenarioFleet fleet, List<Integer> ports) {
     for (int i = 0; i < ZONES.size(); i++) {
       GatewaySettings settings =
@@ -138,20 +138,28 @@
 
   private static void awaitServers(ScenarioFleet fleet) {
     for (String gateway : fleet.gateways()) {
-      if (!fleet.awaitServers(gateway, fleet.engines().size(), SERVERS_WAIT_MILLIS)) {
-        throw new IllegalStateException(gateway + " does not see its servers");
+      if (!fleet.awaitServers(gateway, fleet.engines().size(), SERVERS_TIMEOUT_MILLIS)) {
+        throw new IllegalStateException(
+            "gateway "
+                + gateway
+                + " did not discover all servers in "
+                + SERVERS_TIMEOUT_MILLIS
+                + " ms");
       }
     }
   }
 
-  /** The first line goes to standard output, where programs wait for it; the rest is for people. */
+  /**
+   * Prints the first gateway's URL to standard output, where scripts wait for it, and the other
+   * addresses to standard error for the user.
+   */
   private static void printAddresses(ScenarioFleet fleet, int firstPort, int secondPort) {
     System.out.println("ready http://127.0.0.1:" + firstPort + "/mcp");
     for (String gateway : fleet.gateways()) {
       int statusPort = fleet.reporting(gateway).statusAddress().orElseThrow().getPort();
       System.err.println("status of " + gateway + ": bin/lemondock status 127.0.0.1:" + statusPort);
     }
-    System.err.println("the second gateway is at http://127.0.0.1:" + secondPort + "/mcp");
+    System.err.println("the second gateway listens on http://127.0.0.1:" + secondPort + "/mcp");
   }
 
   private static void stopGateways(ScenarioFleet fleet) {
--- a/cli/src/main/java/lemondock/cli/EmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/EmulatorCommand.java
@@ -13,15 +13,16 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs emulated engines (readers and writers). */
+/** Runs emulated prefill and decode engines. */
 @Command(
     name = "emulator",
     mixinStandardHelpOptions = true,
-    description = "Runs emulated engines, registered with a catalogue if one is named.")
+    description =
+        "Runs emulated engines and registers them with the catalogue that their settings name.")
 final class EmulatorCommand implements Callable<Integer> {
   private static final int IO_THREADS = 2;
 
-  /** How long deregistrations may take on their way before the process exits. */
+  /** Time to send the deregistrations before the process exits. */
   private static final int DEREGISTRATION_MILLIS = 300;
 
   @Option(
--- a/cli/src/main/java/lemondock/cli/GatewayCommand.java
+++ b/cli/src/main/java/lemondock/cli/GatewayCommand.java
@@ -25,17 +25,20 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs a gateway until a signal stops it; calls in flight may end first. */
+/** Runs a gateway until SIGTERM or SIGINT, then drains the calls in flight before it exits. */
 @Command(name = "gateway", mixinStandardHelpOptions = true, description = "Runs a gateway.")
 final class GatewayCommand implements Callable<Integer> {
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
 
-  /** One thread writes the idempotency log; a full queue rejects calls that need it. */
+  /**
+   * A single thread writes the idempotency log; calls that need it are rejected while its queue is
+   * full.
+   */
   private static final int DISK_THREADS = 1;
 
-  private static final int DISK_QUEUE = 64;
+  private static final int DISK_QUEUE_CAPACITY = 64;
 
-  /** Added to the time that the settings allow for each step of the shutdown. */
+  /** Added to the time that the settings allow for each step of the graceful shutdown. */
   private static final long SHUTDOWN_GRACE_MILLIS = 2_000;
 
   @Option(
@@ -69,21 +72,26 @@
 
   private static GatewayEnvironment createEnvironment(GatewaySettings settings) throws IOException {
     ThreadLoop loop =
-        new ThreadLoop("lemondock-loop", e -> LOG.error("a task of the loop failed", e));
+        new ThreadLoop("lemondock-loop", e -> LOG.error("a task of the event loop failed", e));
     return new GatewayEnvironment(
         loop,
         new AsyncNetwork(loop, settings.ioThreads()),
-        WorkerPool.create(DISK_THREADS, DISK_QUEUE, "lemondock-disk"),
+        WorkerPool.create(DISK_THREADS, DISK_QUEUE_CAPACITY, "lemondock-disk"),
         WorkerPool.create(
             settings.overload().heavyThreads(),
             settings.overload().heavyQueue(),
             "lemondock-worker"),
         new JvmProcessResources(),
-        idempotencyFolder(settings));
+        openIdempotencyDirectory(settings));
   }
 
-  /** The folder of the idempotency log; null, as the environment wants it, if none is kept. */
-  private static FileSystemPort idempotencyFolder(GatewaySettings settings) throws IOException {
+  /**
+   * Opens and locks the directory of the idempotency log.
+   *
+   * @return null if the settings configure no log, as {@link GatewayEnvironment} expects
+   */
+  private static FileSystemPort openIdempotencyDirectory(GatewaySettings settings)
+      throws IOException {
     return settings.durable() == null
         ? null
         : new LockedDirectory(Path.of(settings.durable().path()));
@@ -96,7 +104,9 @@
         settings, gateway.metrics(), runtime.environment(), ProcessMeterRegistry.create());
   }
 
-  /** Stops the gateway, then its reports, so that the final metrics include its last calls. */
+  /**
+   * Stops the gateway first and reporting second, so that the final metrics include its last calls.
+   */
   private static void shutDown(GatewaySettings settings, Gateway gateway, Reporting reporting)
       throws InterruptedException {
     long gatewayMillis =
@@ -106,7 +116,7 @@
       gateway.stop().get(gatewayMillis + SHUTDOWN_GRACE_MILLIS, TimeUnit.MILLISECONDS);
       reporting.finish().get(reportingMillis + SHUTDOWN_GRACE_MILLIS, TimeUnit.MILLISECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      LOG.warn("the stop was not clean", e);
+      LOG.warn("the graceful shutdown failed or timed out", e);
     }
   }
 
--- a/cli/src/main/java/lemondock/cli/JsonLogEncoder.java
+++ b/cli/src/main/java/lemondock/cli/JsonLogEncoder.java
@@ -9,7 +9,9 @@
 import java.time.Instant;
 import org.slf4j.event.KeyValuePair;
 
-/** A line of JSON for each event: the finished message and the named fields beside it. */
+/**
+ * Encodes each log event as one line of JSON with the formatted message and the key-value pairs.
+ */
 final class JsonLogEncoder extends EncoderBase<ILoggingEvent> {
   @Override
   public byte[] headerBytes() {
--- a/cli/src/main/java/lemondock/cli/Lemondock.java
+++ b/cli/src/main/java/lemondock/cli/Lemondock.java
@@ -11,7 +11,8 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * The program's command line. Exit codes: 0 all well, 1 a rule was broken, 2 bad use or settings.
+ * The command line of the program. Exit codes: 0 success, 1 a rule was violated or service is
+ * degraded, 2 usage error or invalid settings.
  */
 @Command(
     name = "lemondock",
@@ -35,7 +36,7 @@
       Lemondock.SimulatorAdapterCommand.class
     })
 public final class Lemondock implements Callable<Integer> {
-  /** Tells the version. */
+  /** Provides the text of {@code --version}. */
   static final class Version implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
@@ -45,7 +46,8 @@
 
   /** Runs the program. */
   public static void main(String[] args) throws IOException, InterruptedException {
-    // These two start without the command line around them, as their callers start them.
+    // These two run without picocli: the simulator and the platform start their main methods
+    // directly.
     if (args.length == 1 && isCommand(args[0], "simulator-adapter", "wirehost")) {
       SimulatorAdapter.main(args);
       return;
@@ -61,7 +63,7 @@
     return argument.equals(name) || argument.equals(earlierName);
   }
 
-  /** The command line with all commands; earlier names of commands work and are not listed. */
+  /** Creates the command line with all commands; earlier names of commands work but are hidden. */
   static CommandLine commandLine() {
     CommandLine line = new CommandLine(new Lemondock());
     addHidden(line, "bad-day", new ScenarioCommand());
@@ -94,7 +96,7 @@
   @Command(
       name = "platform-gateway",
       description =
-          "One gateway of the platform, told all by the file that ROUTER_CONFIG or CONFIG"
+          "Runs one gateway of the platform, configured by the file that ROUTER_CONFIG or CONFIG"
               + " names.")
   static final class PlatformGatewayCommand implements Callable<Integer> {
     @Parameters(arity = "0..1", paramLabel = "CONFIG")
@@ -110,7 +112,8 @@
   /** Shown in the help; {@link #main} runs it without the command line. */
   @Command(
       name = "simulator-adapter",
-      description = "The decisions on the simulator's wire (standard input and output).")
+      description =
+          "Serves the simulator's protocol with the routing policy (standard input and output).")
   static final class SimulatorAdapterCommand implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
--- a/cli/src/main/java/lemondock/cli/MetricsCommand.java
+++ b/cli/src/main/java/lemondock/cli/MetricsCommand.java
@@ -11,17 +11,18 @@
 @Command(
     name = "metrics",
     mixinStandardHelpOptions = true,
-    description = "Lists all metrics (docs/METRICS.md is this page).",
+    description = "Lists all metrics (the content of docs/METRICS.md).",
     subcommands = MetricsDumpCommand.class)
 final class MetricsCommand implements Callable<Integer> {
   @Option(
       names = "--types-db",
-      description = "Prints collectd's data sets instead, for its TypesDB.")
+      description = "Prints collectd's data set definitions (TypesDB) instead.")
   private boolean typesDb;
 
   @Option(
       names = "--counter",
-      description = "With --types-db: counters as COUNTER, for destinations with that setting.")
+      description =
+          "With --types-db: defines counters as COUNTER, for destinations with that setting.")
   private boolean counter;
 
   @Override
--- a/cli/src/main/java/lemondock/cli/MetricsDumpCommand.java
+++ b/cli/src/main/java/lemondock/cli/MetricsDumpCommand.java
@@ -28,7 +28,7 @@
   @Option(
       names = "--file",
       paramLabel = "FILE",
-      description = "The final metrics that a stopped gateway wrote.")
+      description = "File of final metrics that a stopped gateway wrote.")
   private Path file;
 
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
--- a/cli/src/main/java/lemondock/cli/PlatformEmulatorCommand.java
+++ b/cli/src/main/java/lemondock/cli/PlatformEmulatorCommand.java
@@ -8,40 +8,40 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs an emulated platform for {@code lemondock platform-gateway}. */
+/** Runs an emulated platform for a gateway started as {@code lemondock platform-gateway}. */
 @Command(
     name = "platform-emulator",
     mixinStandardHelpOptions = true,
     description =
         "Runs emulated readers, writers and discovery for 'lemondock platform-gateway', and"
-            + " writes the configuration of one.")
+            + " writes a configuration for it.")
 final class PlatformEmulatorCommand implements Callable<Integer> {
   @Option(
       names = "--config-out",
       required = true,
       paramLabel = "FILE",
-      description = "Where the gateway's configuration goes.")
+      description = "File to write the gateway's configuration to.")
   private Path configFile;
 
   @Option(
       names = "--listen",
       defaultValue = "127.0.0.1:8000",
       paramLabel = "HOST:PORT",
-      description = "Where the gateway is to listen (default: ${DEFAULT-VALUE}).")
+      description = "Address that the gateway listens on (default: ${DEFAULT-VALUE}).")
   private String listen;
 
   @Option(
       names = "--readers",
       defaultValue = "2",
       paramLabel = "N",
-      description = "Readers (default: ${DEFAULT-VALUE}).")
+      description = "Number of readers (default: ${DEFAULT-VALUE}).")
   private int readers;
 
   @Option(
       names = "--writers",
       defaultValue = "2",
       paramLabel = "N",
-      description = "Writers (default: ${DEFAULT-VALUE}).")
+      description = "Number of writers (default: ${DEFAULT-VALUE}).")
   private int writers;
 
   @Override
--- a/cli/src/main/java/lemondock/cli/PutvalCommand.java
+++ b/cli/src/main/java/lemondock/cli/PutvalCommand.java
@@ -13,35 +13,36 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * For collectd's exec plugin: polls a gateway at every interval and prints its values as PUTVAL
- * lines. Ends when collectd closes the pipe.
+ * Polls a gateway at a fixed interval and prints its metrics as PUTVAL lines for collectd's exec
+ * plugin. Ends when collectd closes the pipe.
  */
 @Command(
     name = "putval",
     mixinStandardHelpOptions = true,
-    description = "Prints a gateway's values as PUTVAL lines, for collectd's exec plugin.")
+    description = "Prints a gateway's metrics as PUTVAL lines, for collectd's exec plugin.")
 final class PutvalCommand implements Callable<Integer> {
   @Parameters(paramLabel = "HOST:PORT", description = "reporting.listen of the gateway.")
   private String gateway;
 
   @Option(
       names = "--interval",
-      description = "Seconds; the exec plugin's COLLECTD_INTERVAL if not given.",
+      description = "Seconds between polls; COLLECTD_INTERVAL of the exec plugin if not given.",
       defaultValue = "${env:COLLECTD_INTERVAL:-10}")
-  private double interval;
+  private double intervalSeconds;
 
   @Option(
       names = "--host",
-      description = "The exec plugin's COLLECTD_HOSTNAME if not given.",
+      description =
+          "Host name in the PUTVAL lines; COLLECTD_HOSTNAME of the exec plugin if not given.",
       defaultValue = "${env:COLLECTD_HOSTNAME:-localhost}")
   private String host;
 
-  @Option(names = "--times", description = "Ends after so many; 0: never.", defaultValue = "0")
+  @Option(names = "--times", description = "Number of polls; 0: no limit.", defaultValue = "0")
   private int times;
 
   @Override
   public Integer call() throws InterruptedException {
-    long intervalMillis = Math.round(interval * 1_000);
+    long intervalMillis = Math.round(intervalSeconds * 1_000);
     for (int i = 0; times == 0 || i < times; i++) {
       if (i > 0) {
         TimeUnit.MILLISECONDS.sleep(intervalMillis);
--- a/cli/src/main/java/lemondock/cli/ScenarioCommand.java
+++ b/cli/src/main/java/lemondock/cli/ScenarioCommand.java
@@ -15,48 +15,48 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Plays fault scenarios, from a script or drawn from a seed, and checks the five rules. */
+/** Runs fault scenarios, from a script or generated from a seed, and checks the five rules. */
 @Command(
     name = "scenario",
     mixinStandardHelpOptions = true,
     description =
-        "Plays a fault scenario on loopback sockets; exits with 1 if one of the five rules"
-            + " was broken.")
+        "Runs a fault scenario on loopback sockets; exits with 1 if one of the five rules"
+            + " was violated.")
 final class ScenarioCommand implements Callable<Integer> {
   @Option(
       names = "--script",
       paramLabel = "FILE",
-      description = "The scenario (JSON); without it one is drawn from the seed.")
+      description = "The scenario (JSON); generated from the seed if not given.")
   private Path script;
 
   @Option(
       names = "--seed",
       defaultValue = "1",
-      description = "Draws the traffic and, without a script, the faults.")
+      description = "Seed of the generated traffic and, without a script, of the faults.")
   private long seed;
 
   @Option(
       names = "--seeds",
       defaultValue = "1",
-      description = "Number of scenarios to play, from the seed on.")
+      description = "Number of scenarios to run, with consecutive seeds from --seed on.")
   private int seeds;
 
-  @Option(names = "--seconds", defaultValue = "12", description = "Length of a drawn scenario.")
+  @Option(names = "--seconds", defaultValue = "12", description = "Length of a generated scenario.")
   private double seconds;
 
   @Option(
       names = "--out",
       paramLabel = "DIR",
       defaultValue = "bad-day",
-      description = "Where the verdict goes.")
+      description = "Directory to write verdict.json and verdict.html to.")
   private Path out;
 
   @Option(
       names = "--reports",
       description =
-          "Has the gateways report to small listeners for Graphite and collectd, in all"
-              + " forms, and compares what arrives with the gateways' final tallies;"
-              + " exits with 1 if it differs.")
+          "Makes the gateways report to emulated Graphite and collectd listeners in all"
+              + " formats, and compares the received values with the gateways' final"
+              + " metrics; exits with 1 if they differ.")
   private boolean reports;
 
   @Option(names = "--log", defaultValue = "error", description = "error, warn, info or debug.")
--- a/cli/src/main/java/lemondock/cli/ShutdownSignal.java
+++ b/cli/src/main/java/lemondock/cli/ShutdownSignal.java
@@ -4,18 +4,20 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** Finishes work when the process is told to stop by SIGTERM or SIGINT. */
+/** Runs a task before the process exits on SIGTERM or SIGINT. */
 final class ShutdownSignal {
-  private static final CountDownLatch STOPPED = new CountDownLatch(1);
+  private static final CountDownLatch TASK_FINISHED = new CountDownLatch(1);
 
   private ShutdownSignal() {}
 
-  /** Work to finish before the process exits. */
+  /** The work to do before the process exits. */
   interface Task {
     void run() throws InterruptedException;
   }
 
-  /** Runs the task on SIGTERM or SIGINT, on a thread of its own; the process exits after it. */
+  /**
+   * Runs the task on its own thread on SIGTERM or SIGINT; the process exits when it is finished.
+   */
   static void beforeExit(Task task) {
     Thread hook = new Thread(() -> finish(task), "lemondock-stop");
     Runtime.getRuntime().addShutdownHook(hook);
@@ -27,20 +29,20 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    STOPPED.countDown();
+    TASK_FINISHED.countDown();
   }
 
-  /** Blocks until the task of {@link #beforeExit} is done. */
+  /** Blocks until the task of {@link #beforeExit} is finished. */
   static void await() throws InterruptedException {
-    STOPPED.await();
+    TASK_FINISHED.await();
   }
 
-  /** Blocks until the task of {@link #beforeExit} is done, or for that long. */
-  static void await(Duration limit) throws InterruptedException {
-    STOPPED.await(TimeUnit.NANOSECONDS.convert(limit), TimeUnit.NANOSECONDS);
+  /** Blocks until the task of {@link #beforeExit} is finished, at most for the given time. */
+  static void await(Duration timeout) throws InterruptedException {
+    TASK_FINISHED.await(TimeUnit.NANOSECONDS.convert(timeout), TimeUnit.NANOSECONDS);
   }
 
-  /** Keeps a command that has nothing to finish running until a signal ends the process. */
+  /** Blocks a command that needs no shutdown task until a signal ends the process. */
   static void awaitWithoutTask() throws InterruptedException {
     beforeExit(() -> {});
     await();
--- a/cli/src/main/java/lemondock/cli/SnapshotParser.java
+++ b/cli/src/main/java/lemondock/cli/SnapshotParser.java
@@ -12,9 +12,8 @@
 import lemondock.metrics.Series;
 
 /**
- * Reads the metrics that a gateway answers as JSON back into series and values. Families that this
- * version does not know are left out; fields that an answer lacks are {@link
- * MetricsSnapshot#NO_VALUE}.
+ * Parses the JSON metrics of a gateway into series and values. Unknown families are skipped; fields
+ * that are missing in the JSON get {@link MetricsSnapshot#NO_VALUE}.
  */
 final class SnapshotParser {
   private static final Map<String, MetricFamily> FAMILIES = new HashMap<>();
@@ -27,15 +26,15 @@
   private final List<Long> values = new ArrayList<>();
 
   /**
-   * A parsed answer.
+   * The parsed metrics.
    *
-   * @param values by {@linkplain Series#slot slot}
+   * @param values indexed by {@linkplain Series#slot slot}
    */
   record Parsed(List<Series> series, long[] values) {}
 
   private SnapshotParser() {}
 
-  /** Parses an object whose members are families, each an array of rows. */
+  /** Parses a JSON object with one member per family, each an array of rows. */
   static Parsed parse(JsonNode families) {
     SnapshotParser parser = new SnapshotParser();
     for (Map.Entry<String, JsonNode> entry : families.properties()) {
--- a/cli/src/main/java/lemondock/cli/StatusClient.java
+++ b/cli/src/main/java/lemondock/cli/StatusClient.java
@@ -9,7 +9,7 @@
 import java.net.http.HttpResponse;
 import java.time.Duration;
 
-/** HTTP client of the status ports of gateways ({@code reporting.listen}). */
+/** HTTP client for the status endpoint of a gateway ({@code reporting.listen}). */
 final class StatusClient {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final Duration TIMEOUT = Duration.ofSeconds(3);
@@ -22,7 +22,7 @@
    * Fetches a JSON document.
    *
    * @param gateway HOST:PORT or a URL
-   * @throws IOException if the gateway cannot be reached in 3 s or answers anything but 200
+   * @throws IOException if the gateway does not answer within 3 s or its status is not 200
    */
   static JsonNode get(String gateway, String path) throws IOException, InterruptedException {
     String url = (gateway.contains("://") ? gateway : "http://" + gateway) + path;
@@ -32,7 +32,7 @@
               HttpRequest.newBuilder(URI.create(url)).timeout(TIMEOUT).build(),
               HttpResponse.BodyHandlers.ofByteArray());
       if (response.statusCode() != 200) {
-        throw new IOException(url + " answered " + response.statusCode());
+        throw new IOException(url + ": expected status 200, got " + response.statusCode());
       }
       return MAPPER.readTree(response.body());
     } catch (IllegalArgumentException e) {
--- a/cli/src/main/java/lemondock/cli/StatusCommand.java
+++ b/cli/src/main/java/lemondock/cli/StatusCommand.java
@@ -11,15 +11,15 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Shows a person what gateways see, as {@link StatusPage} lays it out; exits with 1 while service
- * is degraded and with 2 if no gateway answers.
+ * Shows the state of gateways as text, in the layout of {@link StatusPage}; exits with 1 while
+ * service is degraded and with 2 if no gateway answers.
  */
 @Command(
     name = "status",
     mixinStandardHelpOptions = true,
     description =
-        "Shows what one or several gateways see now; exits with 1 while service has fallen,"
-            + " 2 if none answers.")
+        "Shows the current state of one or more gateways; exits with 1 while service is"
+            + " degraded, with 2 if no gateway answers.")
 final class StatusCommand implements Callable<Integer> {
   private static final int HEALTHY = 0;
   private static final int DEGRADED = 1;
@@ -35,13 +35,16 @@
   @Option(
       names = "--watch",
       paramLabel = "<watch>",
-      description = "Shows it again every so many seconds.",
+      description = "Repeats at this interval in seconds.",
       arity = "0..1",
       fallbackValue = "2",
       defaultValue = "0")
   private double watchSeconds;
 
-  @Option(names = "--times", description = "With --watch: ends after so many.", defaultValue = "0")
+  @Option(
+      names = "--times",
+      description = "With --watch: how many times to show the state; 0: no limit.",
+      defaultValue = "0")
   private int times;
 
   @Override
--- a/cli/src/main/java/lemondock/cli/StatusPage.java
+++ b/cli/src/main/java/lemondock/cli/StatusPage.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * The text that {@code lemondock status} shows: degradations first, then service by region and
- * class, then gateways, servers and exporters that lag. Input is the JSON of {@code /status}.
+ * Renders the text of {@code lemondock status}: degradations first, then service by region and
+ * class, then gateways, servers and lagging exporters. Its input is the JSON of {@code /status}.
  */
 final class StatusPage {
   private static final String[] SERVER_COUNTS = {"ready", "away", "cold", "avoided"};
@@ -23,8 +23,8 @@
   /**
    * Renders the page.
    *
-   * @param statuses one answer of {@code /status} for each gateway that answered
-   * @param unreachable why each of the others did not answer
+   * @param statuses the {@code /status} document of each gateway that answered
+   * @param unreachable an error message for each gateway that did not answer
    */
   static String render(List<JsonNode> statuses, List<String> unreachable) {
     StatusPage page = new StatusPage(statuses);
@@ -44,23 +44,24 @@
   private void appendDegradations() {
     boolean degraded = false;
     for (JsonNode status : statuses) {
-      for (JsonNode fall : status.path("falls")) {
+      for (JsonNode degradation : status.path("falls")) {
         degraded = true;
         append(
-            "FALLEN     %s in %s: %.0f %% of %d requests of the last seconds lost, says %s%n",
-            fall.path("class").asText(),
-            fall.path("zone").asText(),
-            100 * fall.path("loss").asDouble(),
-            fall.path("requests").asLong(),
+            "DEGRADED   %s in %s: %.0f %% of %d requests lost in the last seconds, reported by"
+                + " %s%n",
+            degradation.path("class").asText(),
+            degradation.path("zone").asText(),
+            100 * degradation.path("loss").asDouble(),
+            degradation.path("requests").asLong(),
             status.path("instance").asText());
       }
     }
     if (!degraded && !statuses.isEmpty()) {
-      text.append("no fall of service is seen\n");
+      text.append("no degradation detected\n");
     }
   }
 
-  /** Priority weight of requests, asked for and answered in time, of one class in one region. */
+  /** Priority weight requested and answered in time by one class in one region. */
   private static final class Service {
     private double asked10s;
     private double inTime10s;
@@ -75,10 +76,10 @@
     }
   }
 
-  /** A region and what its rows are grouped by. */
+  /** A region and the request class or server role of a row. */
   private record RowKey(String region, String name) {}
 
-  /** Sums over the gateways of a region, since each sees only its part. */
+  /** Sums over the gateways of a region, because each one sees only its own part of the traffic. */
   private void appendService() {
     Map<RowKey, Service> services = new LinkedHashMap<>();
     for (JsonNode status : statuses) {
@@ -87,15 +88,15 @@
         services.computeIfAbsent(key, absent -> new Service()).add(requestClass);
       }
     }
-    append("%n%-16s %-20s %22s %22s%n", "region", "class", "in time of asked, 10 s", "60 s");
+    append("%n%-16s %-20s %22s %22s%n", "region", "class", "in time of total, 10 s", "60 s");
     services.forEach(
         (key, service) ->
             append(
                 "%-16s %-20s %22s %22s%n",
                 key.region(),
                 key.name(),
-                share(service.asked10s, service.inTime10s),
-                share(service.asked60s, service.inTime60s)));
+                formatShare(service.asked10s, service.inTime10s),
+                formatShare(service.asked60s, service.inTime60s)));
   }
 
   private void appendGateways() {
@@ -120,20 +121,20 @@
     for (JsonNode status : statuses) {
       for (JsonNode servers : status.path("servers")) {
         RowKey key = new RowKey(servers.path("zone").asText(), servers.path("role").asText());
-        long[] most = maxima.computeIfAbsent(key, absent -> new long[SERVER_COUNTS.length]);
+        long[] counts = maxima.computeIfAbsent(key, absent -> new long[SERVER_COUNTS.length]);
         for (int i = 0; i < SERVER_COUNTS.length; i++) {
-          most[i] = Math.max(most[i], servers.path(SERVER_COUNTS[i]).asLong());
+          counts[i] = Math.max(counts[i], servers.path(SERVER_COUNTS[i]).asLong());
         }
       }
     }
     append(
-        "%n%-16s %-10s %6s %6s %6s %8s   (most that any gateway sees)%n",
+        "%n%-16s %-10s %6s %6s %6s %8s   (maximum over the gateways)%n",
         "servers in", "role", "ready", "away", "cold", "ejected");
     maxima.forEach(
-        (key, most) ->
+        (key, counts) ->
             append(
                 "%-16s %-10s %6d %6d %6d %8d%n",
-                key.region(), key.name(), most[0], most[1], most[2], most[3]));
+                key.region(), key.name(), counts[0], counts[1], counts[2], counts[3]));
   }
 
   private void appendLaggingExporters() {
@@ -141,7 +142,7 @@
       for (JsonNode exporter : status.path("report")) {
         if (exporter.path("dropped").asLong() > 0 || exporter.path("waiting").asLong() > 1) {
           append(
-              "%nreports of %s to %s: %d snapshots wait, %d dropped%n",
+              "%nreports of %s to %s: %d snapshots waiting, %d dropped%n",
               status.path("instance").asText(),
               exporter.path("destination").asText(),
               exporter.path("waiting").asLong(),
@@ -151,7 +152,7 @@
     }
   }
 
-  private static String share(double asked, double inTime) {
+  private static String formatShare(double asked, double inTime) {
     return asked == 0
         ? "-"
         : String.format(Locale.ROOT, "%.1f of %.1f (%.0f %%)", inTime, asked, 100 * inTime / asked);
--- a/cli/src/main/java/lemondock/cli/package-info.java
+++ b/cli/src/main/java/lemondock/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The program {@code lemondock}: a command a class. Exit codes: 0 success, 1 a rule was broken or
- * service is degraded, 2 wrong use or settings.
+ * The program {@code lemondock}, with one class per command. Exit codes: 0 success, 1 a rule was
+ * violated or service is degraded, 2 usage error or invalid settings.
  */
 package lemondock.cli;
--- a/cli/src/test/java/lemondock/cli/JsonLogEncoderTest.java
+++ b/cli/src/test/java/lemondock/cli/JsonLogEncoderTest.java
@@ -15,7 +15,7 @@
 
 class JsonLogEncoderTest {
   @Test
-  void aLineHasTheFinishedMessageAndNamedFields() throws IOException {
+  void lineHasFormattedMessageAndKeyValuePairs() throws IOException {
     LoggingEvent event =
         new LoggingEvent(
             "x",
--- a/cli/src/test/java/lemondock/cli/LauncherTest.java
+++ b/cli/src/test/java/lemondock/cli/LauncherTest.java
@@ -22,35 +22,36 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The {@code run} line of the deploy file as the platform starts it: no program but {@code java} to
- * be found, no fork.
+ * Runs the {@code run} line of the deploy file as the platform does: {@code PATH} contains only
+ * {@code java}, and the launcher must not fork.
  */
 class LauncherTest {
-  private static final int CHILDREN_FAULTS =
-      8; // of /proc/PID/stat behind the name: page faults of children that ended
-  private static final int TICKS_IN_USER = 11;
-  private static final int TICKS_IN_SYSTEM = 12;
-  private static final long MOST_TICKS = 50; // half a core; a busy loop takes a whole one
-  private static final String COMPACT =
+  // Indices of the fields of /proc/PID/stat that follow the process name.
+  private static final int CHILDREN_PAGE_FAULTS = 8; // of children that have exited
+  private static final int USER_TICKS = 11;
+  private static final int SYSTEM_TICKS = 12;
+  private static final long MAX_TICKS = 50; // half a core; a busy loop uses a whole one
+  private static final String COMPACT_CONFIG =
       "{\"name\":\"n\",\"listen\":\"%1$s\",\"discovery\":\"%1$s\",\"seed\":\"1\","
           + "\"limits\":{\"cores\":0.5,\"memory_mb\":%2$d,\"sockets\":256},"
           + "\"known\":{\"version\":1,\"full\":true,\"servers\":[]},"
           + "\"settings\":{\"siblings\":1,\"skus\":[\"r\",\"w\"],\"resolution-ms\":2,\"tenants\":[],"
           + "\"classes\":[{\"name\":\"c\",\"goal-time-ms\":100,\"deadline-ms\":500,\"credit\":1,\"repeat\":\"once\"}],"
           + "\"limits\":{\"max-attempts\":4},\"specifics\":{\"duty-by-kind\":[\"read\",\"write\"]}}}";
-  private static final String UNTOLD = COMPACT.replace("\"memory_mb\":%2$d,", "");
+  private static final String CONFIG_WITHOUT_MEMORY =
+      COMPACT_CONFIG.replace("\"memory_mb\":%2$d,", "");
 
   @TempDir private Path folder;
 
   private final LoopbackPort port = LoopbackPort.reserve();
-  private String said = "";
+  private String startupLog = "";
 
   @AfterEach
   void releasePort() {
     port.close();
   }
 
-  /** The same JSON, each bracket, comma and colon on a line of its own or beside blanks. */
+  /** The same JSON with each bracket, comma and colon on its own line or next to whitespace. */
   private static String indented(String json) {
     return json.replaceAll("([{\\[,])", "$1\n\t ")
         .replaceAll("([}\\]])", "\n$1")
@@ -58,13 +59,15 @@
   }
 
   /**
-   * A gateway of that configuration as the platform starts it, with {@code before} run by the same
-   * shell first.
+   * Prepares a gateway process as the platform starts it. The same shell runs {@code shellPrefix}
+   * before the launcher.
+   *
+   * @param json the configuration, with placeholders for the listen address and the memory in MB
    */
-  private ProcessBuilder gateway(String before, String json, int memory) throws Exception {
+  private ProcessBuilder gateway(String shellPrefix, String json, int memoryMb) throws Exception {
     String run =
         Files.readAllLines(Path.of("../deploy/balancer.toml")).stream()
-            .filter(l -> l.startsWith("run = "))
+            .filter(line -> line.startsWith("run = "))
             .findFirst()
             .orElseThrow()
             .replaceAll("^run = \"|\"$", "");
@@ -75,9 +78,9 @@
     }
     Path config =
         Files.writeString(
-            folder.resolve("config.json"), json.formatted("127.0.0.1:" + port.number(), memory));
+            folder.resolve("config.json"), json.formatted("127.0.0.1:" + port.number(), memoryMb));
     ProcessBuilder builder =
-        new ProcessBuilder("/bin/sh", "-c", before + run)
+        new ProcessBuilder("/bin/sh", "-c", shellPrefix + run)
             .directory(Path.of("..").toFile())
             .redirectErrorStream(true);
     builder.environment().put("PATH", programs.toString());
@@ -85,64 +88,64 @@
     return builder;
   }
 
-  /** Starts a gateway, waits until it listens, ends it by SIGTERM; gives its heap in MB. */
-  private long heapOf(String json, int memory) throws Exception {
-    return heapOf("", json, memory);
+  /** Starts a gateway, waits until it listens and stops it by SIGTERM; returns its heap in MB. */
+  private long heapMbOf(String json, int memoryMb) throws Exception {
+    return heapMbOf("", json, memoryMb);
   }
 
-  private long heapOf(String before, String json, int memory) throws Exception {
-    ProcessBuilder builder = gateway(before, json, memory);
+  private long heapMbOf(String shellPrefix, String json, int memoryMb) throws Exception {
+    ProcessBuilder builder = gateway(shellPrefix, json, memoryMb);
     builder.environment().put("LEMONDOCK_NODE_OPTS", "-XX:+PrintFlagsFinal");
     Process process = builder.start();
     try (BufferedReader lines =
         new BufferedReader(
             new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
-      List<String> seen = new ArrayList<>();
-      long heap = 0;
+      List<String> otherLines = new ArrayList<>();
+      long heapMb = 0;
       String line = lines.readLine();
       for (; line != null && !line.contains("listens on"); line = lines.readLine()) {
         if (line.matches(" *size_t MaxHeapSize .*")) {
-          heap = Long.parseLong(line.replaceAll(".*= *([0-9]+) .*", "$1")) >> 20;
+          heapMb = Long.parseLong(line.replaceAll(".*= *([0-9]+) .*", "$1")) >> 20;
         } else if (!line.contains(" = ")) {
-          seen.add(line);
+          otherLines.add(line);
         }
       }
-      said = String.join("\n", seen);
-      assertNotEquals(null, line, said);
-      assertEquals(0, childrenFaults(process.pid()), "the launcher forked");
-      process.toHandle().destroy(); // unlike the process's own method this leaves its output open
+      startupLog = String.join("\n", otherLines);
+      assertNotEquals(null, line, startupLog);
+      assertEquals(0, childrenPageFaults(process.pid()), "the launcher forked");
+      process.toHandle().destroy(); // Process.destroy would also close the output
       while (lines.readLine() != null) {
         Thread.onSpinWait();
       }
       assertTrue(process.waitFor(20, TimeUnit.SECONDS));
       assertEquals(0, process.exitValue());
-      return heap;
+      return heapMb;
     } finally {
       process.destroyForcibly();
     }
   }
 
-  private static long childrenFaults(long pid) throws IOException {
-    return statistic(pid, CHILDREN_FAULTS);
+  private static long childrenPageFaults(long pid) throws IOException {
+    return readProcessStat(pid, CHILDREN_PAGE_FAULTS);
   }
 
-  private static long statistic(long pid, int field) throws IOException {
+  private static long readProcessStat(long pid, int field) throws IOException {
     Path stat = Path.of("/proc/" + pid + "/stat");
     if (!Files.exists(stat)) {
-      return 0; // only Linux tells
+      return 0; // only Linux has this file
     }
-    String told = Files.readString(stat);
-    return Long.parseLong(told.substring(told.lastIndexOf(')') + 2).split(" ")[field]);
+    String content = Files.readString(stat);
+    return Long.parseLong(content.substring(content.lastIndexOf(')') + 2).split(" ")[field]);
   }
 
   /**
-   * More idle clients than the process may have descriptors, though it was told of more: it neither
-   * ends nor spins, and accepts again.
+   * Opens more idle connections than the process has file descriptors, which are fewer than its
+   * configuration states. The gateway must neither exit nor spin, and must accept again afterwards.
    */
   @Test
-  void acceptingResumesAfterALackOfDescriptors() throws Exception {
-    Process process = gateway("ulimit -n 100; ", COMPACT, 64).start();
-    List<Socket> idle = new ArrayList<>();
+  void acceptingResumesAfterDescriptorExhaustion() throws Exception {
+    Process process = gateway("ulimit -n 100; ", COMPACT_CONFIG, 64).start();
+    List<Socket> idleSockets = new ArrayList<>();
     try (BufferedReader lines =
         new BufferedReader(
             new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
@@ -150,27 +153,30 @@
         assertTrue(process.isAlive(), line);
       }
       for (int i = 0; i < 150; i++) {
-        idle.add(new Socket(InetAddress.getLoopbackAddress(), port.number()));
+        idleSockets.add(new Socket(InetAddress.getLoopbackAddress(), port.number()));
       }
-      Thread.sleep(300); // past the moment in which descriptors ran out
-      long before =
-          statistic(process.pid(), TICKS_IN_USER) + statistic(process.pid(), TICKS_IN_SYSTEM);
+      Thread.sleep(300); // until the gateway has run out of descriptors
+      long ticksBefore =
+          readProcessStat(process.pid(), USER_TICKS) + readProcessStat(process.pid(), SYSTEM_TICKS);
       Thread.sleep(1_000);
       long ticks =
-          statistic(process.pid(), TICKS_IN_USER)
-              + statistic(process.pid(), TICKS_IN_SYSTEM)
-              - before;
+          readProcessStat(process.pid(), USER_TICKS)
+              + readProcessStat(process.pid(), SYSTEM_TICKS)
+              - ticksBefore;
       assertTrue(
-          ticks < MOST_TICKS, ticks + " hundredths of a second of CPU in one second of want");
-      for (Socket each : idle) {
-        each.close();
+          ticks < MAX_TICKS,
+          ticks + " hundredths of a second of CPU used in one second without free descriptors");
+      for (Socket socket : idleSockets) {
+        socket.close();
       }
-      try (Socket asks = new Socket(InetAddress.getLoopbackAddress(), port.number())) {
-        asks.setSoTimeout(10_000);
-        asks.getOutputStream()
+      try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port.number())) {
+        client.setSoTimeout(10_000);
+        client
+            .getOutputStream()
             .write("GET /healthz HTTP/1.1\r\nhost: h\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         assertEquals(
-            "HTTP/1.1", new String(asks.getInputStream().readNBytes(8), StandardCharsets.US_ASCII));
+            "HTTP/1.1",
+            new String(client.getInputStream().readNBytes(8), StandardCharsets.US_ASCII));
       }
       assertTrue(process.isAlive());
     } finally {
@@ -179,27 +185,33 @@
   }
 
   @Test
-  void heapFollowsTheToldMemoryUnderAnyLayout() throws Exception {
-    assertEquals(heapOf(COMPACT, 32), heapOf(indented(COMPACT), 32));
-    long large = heapOf(COMPACT, 192);
-    assertEquals(large, heapOf(indented(COMPACT), 192));
-    assertTrue(large >= 2 * heapOf(COMPACT, 32), "heap of " + large + " MB of 192");
-    assertEquals("", said.lines().filter(l -> l.contains("memory_mb")).findFirst().orElse(""));
+  void heapFollowsConfiguredMemoryForAnyJsonLayout() throws Exception {
+    assertEquals(heapMbOf(COMPACT_CONFIG, 32), heapMbOf(indented(COMPACT_CONFIG), 32));
+    long largeHeapMb = heapMbOf(COMPACT_CONFIG, 192);
+    assertEquals(largeHeapMb, heapMbOf(indented(COMPACT_CONFIG), 192));
+    assertTrue(
+        largeHeapMb >= 2 * heapMbOf(COMPACT_CONFIG, 32),
+        "heap of " + largeHeapMb + " MB with a limit of 192 MB");
+    assertEquals(
+        "", startupLog.lines().filter(line -> line.contains("memory_mb")).findFirst().orElse(""));
   }
 
-  /** A reload that never comes would go unseen until discovery has moved. */
+  /**
+   * Without the warning, a reload that never happens goes unnoticed until the address of discovery
+   * changes.
+   */
   @Test
-  void anIgnoredHangupIsSaid() throws Exception {
-    heapOf(COMPACT, 64);
-    assertFalse(said.contains("SIGHUP"), said);
-    heapOf("trap '' HUP; ", COMPACT, 64);
-    assertTrue(said.contains("SIGHUP was ignored"), said);
+  void ignoredSighupIsLogged() throws Exception {
+    heapMbOf(COMPACT_CONFIG, 64);
+    assertFalse(startupLog.contains("SIGHUP"), startupLog);
+    heapMbOf("trap '' HUP; ", COMPACT_CONFIG, 64);
+    assertTrue(startupLog.contains("SIGHUP was ignored"), startupLog);
   }
 
   @Test
-  void memoryThatIsNotToldHasADefaultAndALine() throws Exception {
-    assertEquals(heapOf(COMPACT, 64), heapOf(UNTOLD, 0));
-    assertTrue(said.contains("no limits.memory_mb could be read"), said);
-    assertTrue(said.contains("sized for 64 MB"), said);
+  void missingMemoryLimitUsesDefaultAndIsLogged() throws Exception {
+    assertEquals(heapMbOf(COMPACT_CONFIG, 64), heapMbOf(CONFIG_WITHOUT_MEMORY, 0));
+    assertTrue(startupLog.contains("no limits.memory_mb could be read"), startupLog);
+    assertTrue(startupLog.contains("sized for 64 MB"), startupLog);
   }
 }
--- a/cli/src/test/java/lemondock/cli/ProgramTest.java
+++ b/cli/src/test/java/lemondock/cli/ProgramTest.java
@@ -34,25 +34,27 @@
 import org.junit.jupiter.api.io.TempDir;
 import reactor.core.publisher.Mono;
 
-/** The program as processes of its own. */
+/** Runs the program in separate processes. */
 class ProgramTest {
   private static final HttpClient HTTP =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-  /** What a gateway says that turns away for its own sake, not for its engines'. */
+  /**
+   * Part of the error of a gateway that rejects a request for its own load, not for its engines'.
+   */
   private static final String AT_ITS_LIMIT = "the gateway is at its limit";
 
   private static final long POLL_MILLIS = 20;
 
   @TempDir private Path folder;
 
-  private static Process start(String before, String... args) throws IOException {
+  private static Process start(String shellPrefix, String... args) throws IOException {
     List<String> command =
         new ArrayList<>(
             List.of(
                 "sh",
                 "-c",
-                before + "exec \"$0\" \"$@\"",
+                shellPrefix + "exec \"$0\" \"$@\"",
                 ProcessHandle.current().info().command().orElse("java"),
                 "-cp",
                 System.getProperty("java.class.path"),
@@ -61,22 +63,26 @@
     return new ProcessBuilder(command).redirectErrorStream(true).start();
   }
 
-  private static String run(int code, String... args) throws IOException, InterruptedException {
+  private static String run(int expectedExitCode, String... args)
+      throws IOException, InterruptedException {
     Process process = start("", args);
     process.getOutputStream().close();
-    String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertTrue(process.waitFor(60, TimeUnit.SECONDS));
-    assertEquals(code, process.exitValue(), out);
-    return out;
+    assertEquals(expectedExitCode, process.exitValue(), output);
+    return output;
   }
 
-  /** Reads lines until one begins so; the rest is read on in the background. */
-  private static String awaitLine(Process process, String begin) throws IOException {
+  /**
+   * Reads output up to the first line with the prefix and returns that line; a background thread
+   * reads the rest.
+   */
+  private static String awaitLine(Process process, String prefix) throws IOException {
     BufferedReader lines =
         new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-    StringBuilder seen = new StringBuilder();
+    StringBuilder otherLines = new StringBuilder();
     for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-      if (line.startsWith(begin)) {
+      if (line.startsWith(prefix)) {
         Thread drain =
             new Thread(
                 () -> {
@@ -85,16 +91,17 @@
                       Thread.onSpinWait();
                     }
                   } catch (IOException e) {
-                    // the process ended
+                    // the process has exited
                   }
                 });
         drain.setDaemon(true);
         drain.start();
         return line;
       }
-      seen.append(line).append('\n');
+      otherLines.append(line).append('\n');
     }
-    throw new AssertionError("never printed " + begin + ", but\n" + seen);
+    throw new AssertionError(
+        "the process printed no line starting with " + prefix + ", but\n" + otherLines);
   }
 
   private static HttpResponse<String> post(String url, String session, String body)
@@ -111,22 +118,22 @@
   }
 
   /**
-   * Opens a session. A gateway that is at its own limit, as it may be for a while after its handles
-   * were used up, refuses with 503 and says when to come back; then this client does, as the
-   * protocol asks. Any other answer fails the test with what it says.
+   * Opens a session. A gateway that is at its own limit, which may last for a while after it has
+   * run out of file descriptors, rejects with 503 and Retry-After; this client then retries after
+   * that time, as the protocol requires. Any other response fails the test with its body.
    */
   private static String openSession(String url) throws IOException, InterruptedException {
     HttpResponse<String> response = initialize(url);
-    for (long until = deadline();
-        response.statusCode() == 503 && System.nanoTime() < until;
+    for (long deadlineNanos = deadlineNanosFromNow();
+        response.statusCode() == 503 && System.nanoTime() < deadlineNanos;
         response = initialize(url)) {
-      String refusal = response.body();
-      assertTrue(refusal.contains(AT_ITS_LIMIT), refusal);
+      String rejection = response.body();
+      assertTrue(rejection.contains(AT_ITS_LIMIT), rejection);
       String seconds =
           response
               .headers()
               .firstValue("retry-after")
-              .orElseThrow(() -> new AssertionError("no time to come back: " + refusal));
+              .orElseThrow(() -> new AssertionError("no Retry-After header: " + rejection));
       Thread.sleep(TimeUnit.SECONDS.toMillis(Long.parseLong(seconds)));
     }
     assertEquals(200, response.statusCode(), response.body());
@@ -142,7 +149,7 @@
             + "{\"protocolVersion\":\"2025-06-18\"}}");
   }
 
-  private static long deadline() {
+  private static long deadlineNanosFromNow() {
     return System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
   }
 
@@ -170,11 +177,11 @@
   }
 
   @Test
-  void versionHelpAndWrongUse() throws IOException, InterruptedException {
+  void versionHelpAndUsageErrors() throws IOException, InterruptedException {
     assertTrue(run(0, "--version").startsWith("lemondock "));
     String help = run(0, "--help");
     assertTrue(help.contains("scenario"));
-    assertFalse(help.contains("bad-day"), "earlier names are not listed");
+    assertFalse(help.contains("bad-day"), "help lists the earlier name bad-day");
     assertTrue(run(2, "nonsense").contains("nonsense"));
     assertTrue(
         run(2, "gateway", "--config", folder.resolve("none").toString())
@@ -182,7 +189,7 @@
   }
 
   @Test
-  void settingsAreChecked() throws IOException, InterruptedException {
+  void configCheckReportsInvalidSettings() throws IOException, InterruptedException {
     assertTrue(run(0, "config", "check", "../conf/gateway.json").contains("good"));
     Path bad = folder.resolve("bad.json");
     Files.writeString(
@@ -192,18 +199,18 @@
   }
 
   @Test
-  void theAdapterStartsThroughTheProgram() throws IOException, InterruptedException {
+  void simulatorAdapterStartsFromTheProgram() throws IOException, InterruptedException {
     assertEquals("", run(0, "wirehost"));
   }
 
   @Test
-  void theDemoServesAndEnds() throws Exception {
+  void demoServesCallsAndStopsOnSigterm() throws Exception {
     Process demo = start("", "demo", "--seconds", "60");
     try {
       String url = awaitLine(demo, "ready ").substring("ready ".length());
       assertTrue(call(url, "answer in 3 words").contains(" a0 a1 a2"));
       assertEquals(
-          " a0 a1 a2 a3[the stock] b0 b1 b2 b3[the price] c0 c1 c2", sdkCallsWithTools(url));
+          " a0 a1 a2 a3[the stock] b0 b1 b2 b3[the price] c0 c1 c2", callToolsThroughSdk(url));
     } finally {
       demo.destroy();
       assertTrue(demo.waitFor(20, TimeUnit.SECONDS));
@@ -211,7 +218,7 @@
   }
 
   @Test
-  void theDemoReportsToGraphiteAndCollectdWithOneFlag() throws Exception {
+  void demoWithReportFlagReportsToGraphiteAndCollectd() throws Exception {
     try (GraphiteListener graphite = new GraphiteListener(0, false, GraphiteListener.Fault.NONE);
         CollectdListener collectd = new CollectdListener(0, Map.of(), 1)) {
       Process demo =
@@ -228,17 +235,17 @@
       try {
         String url = awaitLine(demo, "ready ").substring("ready ".length());
         assertTrue(call(url, "answer in 3 words").contains(" a0 a1 a2"));
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while ((served(graphite.received()) != 1
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while ((servedRequests(graphite.received()) != 1
                 || collectd.received().newest().keySet().stream()
-                    .noneMatch(n -> n.contains("/lemondock_worth-")))
-            && System.nanoTime() < until) {
+                    .noneMatch(name -> name.contains("/lemondock_worth-")))
+            && System.nanoTime() < deadlineNanos) {
           Thread.sleep(10);
         }
-        assertEquals(1, served(graphite.received()));
+        assertEquals(1, servedRequests(graphite.received()));
         assertTrue(
             collectd.received().newest().keySet().stream()
-                .anyMatch(n -> n.contains("/lemondock_worth-")));
+                .anyMatch(name -> name.contains("/lemondock_worth-")));
       } finally {
         demo.destroy();
         assertTrue(demo.waitFor(20, TimeUnit.SECONDS));
@@ -246,17 +253,15 @@
     }
   }
 
-  private static long served(ReceivedReports received) {
+  private static long servedRequests(ReceivedReports received) {
     return received.newest().entrySet().stream()
-        .filter(e -> e.getKey().endsWith(".served"))
-        .mapToLong(e -> e.getValue().values().get(0).longValue())
+        .filter(entry -> entry.getKey().endsWith(".served"))
+        .mapToLong(entry -> entry.getValue().values().get(0).longValue())
         .sum();
   }
 
-  /**
-   * The official Java SDK as the client: a call with two tool calls in the middle of its answer.
-   */
-  private static String sdkCallsWithTools(String url) {
+  /** Makes a call with the official Java SDK whose answer contains two tool calls. */
+  private static String callToolsThroughSdk(String url) {
     McpClientSession.RequestHandler<Map<String, Object>> tool =
         params ->
             Mono.just(
@@ -309,17 +314,19 @@
   }
 
   /**
-   * Catalogue, stand-ins and gateway as processes of their own; SIGTERM lets a call under way end.
+   * Runs the catalogue, the emulated engines and the gateway as separate processes. The gateway
+   * must recover from an exhaustion of its file descriptors and from a stall during a stream, and
+   * on SIGTERM it must let the call in flight finish.
    */
   @Test
-  void processesOfTheirOwnAndASignalThatDrains() throws Exception {
+  void gatewayRecoversFromFaultsAndDrainsOnSigterm() throws Exception {
     try (LoopbackPort cataloguePort = LoopbackPort.reserve();
         LoopbackPort gatewayPort = LoopbackPort.reserve()) {
-      drainOnSignal(cataloguePort.number(), gatewayPort.number());
+      verifyRecoveryAndDrain(cataloguePort.number(), gatewayPort.number());
     }
   }
 
-  private void drainOnSignal(int cataloguePort, int gatewayPort) throws Exception {
+  private void verifyRecoveryAndDrain(int cataloguePort, int gatewayPort) throws Exception {
     Files.writeString(folder.resolve("c.json"), "{\"listen\":\"127.0.0.1:" + cataloguePort + "\"}");
     Files.writeString(
         folder.resolve("s.json"),
@@ -331,8 +338,8 @@
         Files.readString(Path.of("../conf/gateway.json"))
             .replace("127.0.0.1:8500", "127.0.0.1:" + cataloguePort)
             .replace("127.0.0.1:8080", "127.0.0.1:" + gatewayPort)
-            .replaceFirst("\\{", "{\"rules\":{\"warmUpMs\":1},")); // the stand-ins have just
-    // started, and need no warming up
+            .replaceFirst("\\{", "{\"rules\":{\"warmUpMs\":1},")); // emulated engines need no
+    // warm-up, though they have just started
     List<Process> processes = new ArrayList<>();
     try {
       processes.add(start("", "catalogue", "--config", folder.resolve("c.json").toString()));
@@ -343,23 +350,26 @@
           start("ulimit -n 200; ", "gateway", "--config", folder.resolve("g.json").toString()));
       String url = awaitLine(processes.get(2), "ready ").substring("ready ".length());
       assertTrue(awaitService(url).contains(" a0 a1 a2"));
-      useUpHandles(gatewayPort);
+      exhaustDescriptors(gatewayPort);
       assertTrue(awaitService(url).contains(" a0 a1 a2"));
       Process gateway = processes.get(2);
       String session = openSession(url);
       Iterator<String> lines = stream(url, session);
       String first = lines.next();
-      for (long until = deadline(); first.contains(AT_ITS_LIMIT) && System.nanoTime() < until; ) {
+      for (long deadlineNanos = deadlineNanosFromNow();
+          first.contains(AT_ITS_LIMIT) && System.nanoTime() < deadlineNanos; ) {
         Thread.sleep(POLL_MILLIS);
         lines = stream(url, session);
         first = lines.next();
       }
       assertTrue(
           first.contains("notifications/progress"),
-          "engines are blamed for handles that were used up: " + first);
-      signal(gateway, "STOP"); // the process stands still while its engine goes on
+          "expected a progress notification, not an engine failure after the gateway ran out of"
+              + " descriptors: "
+              + first);
+      sendSignal(gateway, "STOP"); // the gateway is suspended while its engine continues
       Thread.sleep(1_500);
-      signal(gateway, "CONT");
+      sendSignal(gateway, "CONT");
       gateway.destroy(); // SIGTERM
       String last = "";
       while (lines.hasNext()) {
@@ -375,7 +385,7 @@
     }
   }
 
-  private static void signal(Process process, String name)
+  private static void sendSignal(Process process, String name)
       throws IOException, InterruptedException {
     assertEquals(
         0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
@@ -396,14 +406,14 @@
                 .build(),
             HttpResponse.BodyHandlers.ofLines())
         .body()
-        .filter(l -> l.startsWith("data: "))
+        .filter(line -> line.startsWith("data: "))
         .iterator();
   }
 
   private static String awaitService(String url) throws Exception {
-    long until = deadline();
+    long deadlineNanos = deadlineNanosFromNow();
     String last = "";
-    while (System.nanoTime() < until) {
+    while (System.nanoTime() < deadlineNanos) {
       try {
         last = call(url, "answer in 3 words");
         if (last.contains(" a0 a1 a2")) {
@@ -418,10 +428,10 @@
   }
 
   /**
-   * More connections than the process has handles: it must go on, and serve again once they are
-   * given back.
+   * Opens more connections than the process has file descriptors, then closes them. The process
+   * must survive and serve again afterwards.
    */
-  private static void useUpHandles(int port) throws IOException {
+  private static void exhaustDescriptors(int port) throws IOException {
     List<Socket> sockets = new ArrayList<>();
     try {
       for (int i = 0; i < 300; i++) {
--- a/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
+++ b/cli/src/test/java/lemondock/cli/ReportCommandsTest.java
@@ -25,41 +25,41 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the command line tells of reports. */
+/** Tests the commands that show and convert a gateway's metrics. */
 class ReportCommandsTest {
-  private static String out;
+  private static String output;
 
   private static int run(String... args) {
-    PrintStream before = System.out;
+    PrintStream originalOut = System.out;
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     System.setOut(new PrintStream(bytes, true, StandardCharsets.UTF_8));
     try {
       return Lemondock.commandLine().execute(args);
     } finally {
-      System.setOut(before);
-      out = bytes.toString(StandardCharsets.UTF_8);
+      System.setOut(originalOut);
+      output = bytes.toString(StandardCharsets.UTF_8);
     }
   }
 
   @Test
-  void thePagesOfTheRepositoryAreWhatTheCodeSays() throws IOException {
-    String again =
-        "write it anew: bin/lemondock metrics > docs/METRICS.md; bin/lemondock metrics"
+  void metricsPageAndTypesDbMatchTheCode() throws IOException {
+    String hint =
+        "regenerate the file: bin/lemondock metrics > docs/METRICS.md; bin/lemondock metrics"
             + " --types-db > conf/types.db";
-    assertEquals(
-        MetricCatalogue.markdown(), Files.readString(Path.of("../docs/METRICS.md")), again);
+    assertEquals(MetricCatalogue.markdown(), Files.readString(Path.of("../docs/METRICS.md")), hint);
     assertEquals(
         TypesDb.definitions(CounterType.DERIVE),
         Files.readString(Path.of("../conf/types.db")),
-        again);
+        hint);
     assertEquals(0, run("metrics", "--types-db", "--counter"));
-    assertTrue(out.contains("in_time:COUNTER:0:U"));
+    assertTrue(output.contains("in_time:COUNTER:0:U"));
   }
 
   @Test
-  void statusTallyAndPutvalTellWhatAGatewayCounts(@TempDir Path folder) throws IOException {
+  void statusDumpAndPutvalPrintGatewayMetrics(@TempDir Path folder) throws IOException {
     Path file = folder.resolve("tally.json");
-    var classes = LoopbackSettings.gateway("x", 0, 1, "north", 1, "127.0.0.1:1", s -> {}).classes();
+    var classes =
+        LoopbackSettings.gateway("x", 0, 1, "north", 1, "127.0.0.1:1", settings -> {}).classes();
     try (ScenarioFleet fleet = new ScenarioFleet(classes, 1)) {
       fleet.addEngine(EngineSettings.quick("m", "mixed", "north", "r1"));
       fleet.addGateway(
@@ -70,48 +70,50 @@
               "north",
               fleet.reservePort(),
               fleet.catalogueAddress(),
-              s ->
-                  s.putObject("reporting")
+              settings ->
+                  settings
+                      .putObject("reporting")
                       .put("listen", "127.0.0.1:" + fleet.reservePort())
                       .put("tickMs", 20)
                       .put("intervalMs", 20)
                       .put("tallyFile", file.toString())),
           Gateway.DEFAULT_ROUTER_FACTORY);
       assertTrue(fleet.awaitServers("gw", 1, 10_000));
-      InetSocketAddress at = fleet.reporting("gw").statusAddress().orElseThrow();
-      String address = at.getHostString() + ":" + at.getPort();
-      for (int i = 0; i < 500 && (run("status", address) != 0 || !out.contains("mixed")); i++) {
-        Thread.onSpinWait(); // the first looks may be a moment away
+      InetSocketAddress statusAddress = fleet.reporting("gw").statusAddress().orElseThrow();
+      String address = statusAddress.getHostString() + ":" + statusAddress.getPort();
+      for (int i = 0; i < 500 && (run("status", address) != 0 || !output.contains("mixed")); i++) {
+        Thread.onSpinWait(); // the first snapshot may not have been taken yet
       }
-      assertTrue(out.contains("no fall of service is seen") && out.contains("gw-"), out);
+      assertTrue(output.contains("no degradation detected") && output.contains("gw-"), output);
       assertEquals(0, run("status", address, "127.0.0.1:" + fleet.reservePort()));
-      assertTrue(out.startsWith("NO ANSWER"), out);
+      assertTrue(output.startsWith("NO ANSWER"), output);
       assertEquals(2, run("status", "127.0.0.1:" + fleet.reservePort()));
       assertEquals(0, run("metrics", "dump", address));
-      JsonNode tally = new ObjectMapper().readTree(out);
-      assertEquals(false, tally.get("final").booleanValue());
+      JsonNode metrics = new ObjectMapper().readTree(output);
+      assertEquals(false, metrics.get("final").booleanValue());
       ReceivedReports received = new ReceivedReports();
       assertEquals(0, run("putval", address, "--times", "1", "--host", "till"));
-      for (String line : out.split("\n")) {
+      for (String line : output.split("\n")) {
         assertTrue(UnixsockListener.readPutval(line, received), line);
       }
       assertTrue(
           received.newest().keySet().stream()
               .anyMatch(
-                  n -> n.startsWith("till/lemondock-gw-") && n.endsWith("/lemondock_gateway")),
+                  name ->
+                      name.startsWith("till/lemondock-gw-") && name.endsWith("/lemondock_gateway")),
           received.newest().keySet().toString());
-      JsonNode last = fleet.stopGateway("gw");
+      JsonNode finalMetrics = fleet.stopGateway("gw");
       assertEquals(0, run("metrics", "dump", "--file", file.toString()));
       assertEquals(
-          last.get("tally").get("requests"),
-          new ObjectMapper().readTree(out).get("tally").get("requests"));
-      assertEquals(true, new ObjectMapper().readTree(out).get("final").booleanValue());
+          finalMetrics.get("tally").get("requests"),
+          new ObjectMapper().readTree(output).get("tally").get("requests"));
+      assertEquals(true, new ObjectMapper().readTree(output).get("final").booleanValue());
     }
     assertEquals(2, run("metrics", "dump"));
   }
 
   @Test
-  void aFallIsTheFirstThingThatStatusSays() throws IOException {
+  void statusShowsDegradationFirst() throws IOException {
     JsonNode answer =
         new ObjectMapper()
             .readTree(
@@ -124,9 +126,9 @@
     String text = StatusPage.render(List.of(answer), List.of());
     assertTrue(
         text.startsWith(
-            "FALLEN     day-close in north: 60 % of 20 requests of the last seconds" + " lost"),
+            "DEGRADED   day-close in north: 60 % of 20 requests lost in the last seconds"),
         text);
     assertTrue(text.contains("12.0 of 30.0 (40 %)") && text.contains("80.0 of 100.0 (80 %)"), text);
-    assertTrue(text.contains("reports of gw-1 to g: 7 snapshots wait, 3 dropped"), text);
+    assertTrue(text.contains("reports of gw-1 to g: 7 snapshots waiting, 3 dropped"), text);
   }
 }
--- a/clients/typescript/eslint.config.js
+++ b/clients/typescript/eslint.config.js
@@ -10,7 +10,7 @@
       parserOptions: { projectService: { allowDefaultProject: ["eslint.config.js"] } },
     },
     rules: {
-      // The runner of node:test waits for the tests itself.
+      // The test runner of node:test awaits the tests itself.
       "@typescript-eslint/no-floating-promises": [
         "error",
         { allowForKnownSafeCalls: [{ from: "package", package: "node:test", name: "test" }] },
--- a/clients/typescript/examples/ask.ts
+++ b/clients/typescript/examples/ask.ts
@@ -1,4 +1,4 @@
-// node dist/examples/ask.js http://127.0.0.1:8080/mcp
+// Run with: node dist/examples/ask.js http://127.0.0.1:8080/mcp
 import { Lemondock } from "../src/index.js";
 
 const client = new Lemondock(process.argv[2] ?? "http://127.0.0.1:8080/mcp").tool("stock", {
--- a/clients/typescript/src/index.ts
+++ b/clients/typescript/src/index.ts
@@ -5,59 +5,59 @@
   StreamableHTTPClientTransport,
   StreamableHTTPError,
 } from "@modelcontextprotocol/sdk/client/streamableHttp.js";
-import { resumed } from "./resume.js";
+import { withResumption } from "./resume.js";
 import {
   CallToolRequestSchema,
   CallToolResultSchema,
   McpError,
 } from "@modelcontextprotocol/sdk/types.js";
 
-/** One message of a prompt, as the gateway's tools take them. */
+/** One message of a prompt, in the format of the gateway's tools. */
 export interface Message {
   role: "system" | "user" | "assistant";
   content: string;
 }
 
-/** A tool that runs at the client. Models may call it in the middle of an answer. */
+/** A tool that runs in the client. A model may call it in the middle of an answer. */
 export interface Tool {
   description?: string;
-  /** JSON Schema of its arguments; an object without further rules if left out. */
+  /** JSON Schema of its arguments; any object if not given. */
   inputSchema?: Record<string, unknown>;
-  /** Runs it. What it throws is told to the model as a failure of the tool. */
+  /** Runs the tool. An exception is reported to the model as a failure of the tool. */
   run(args: Record<string, unknown>): Promise<string> | string;
 }
 
-/** How a client is made. Times in milliseconds. */
+/** Settings of a client. Times are in milliseconds. */
 export interface Options {
-  /** How often a call is tried again at most where the gateway says that this does no harm; 4 if left out. */
+  /** Maximum number of retries of a call, which are made only if the gateway says that a retry is safe; default 4. */
   retries?: number;
-  /** The longest wait before a repeat, whatever the gateway advises; 30,000 if left out. */
+  /** Maximum wait before a retry, even if the gateway advises a longer one; default 30,000. */
   longestWait?: number;
-  /** Time for a whole call, repeats not counted; 120,000 if left out. */
+  /** Timeout of each attempt of a call; default 120,000. */
   timeout?: number;
-  /** Name of the tenant that the gateway's reports count calls under. */
+  /** Name of the tenant that the gateway's metrics attribute the calls to. */
   tenant?: string;
 }
 
-/** What a call asks for. */
+/** Parameters of a call. */
 export interface Ask {
   prompt?: string;
   messages?: Message[];
   maxTokens?: number;
   conversation?: string;
-  /** Names of registered tools that the model may call; all of them if left out. */
+  /** Names of registered tools that the model may call; default all of them. */
   tools?: string[];
-  /** Takes the answer piece by piece; `tokens` counts all so far. */
+  /** Receives the answer piece by piece; `tokens` is the total so far. */
   onToken?: (piece: string, tokens: number) => void;
-  /** The answer is tried again from its beginning: what came by `onToken` for it is void. */
+  /** Called before a retry, which starts the answer again: discard what `onToken` has received for this call. */
   onRestart?: () => void;
-  /** Calls off the call. */
+  /** Cancels the call. */
   signal?: AbortSignal;
-  /** Names this call over all its repeats, also those of another process of yours; drawn if left out. */
+  /** Idempotency key of the call, shared by all its retries, also by those of other processes; default a random UUID. */
   key?: string;
 }
 
-/** A whole answer. */
+/** A complete answer. */
 export interface Answer {
   text: string;
   tokens: number;
@@ -65,21 +65,21 @@
   toolCalls: number;
   finishReason: string;
   conversation?: string;
-  /** The key under which it ran. */
+  /** The idempotency key of the call. */
   key: string;
 }
 
-/** Why a call has no answer. */
+/** The failure of a call. */
 export class CallError extends Error {
   constructor(
     message: string,
-    /** The code of JSON-RPC, or the status of HTTP if it did not come that far. */
+    /** The JSON-RPC error code; else the HTTP status; 0 for any other failure. */
     readonly code: number,
-    /** Whether the gateway promises that trying again does no harm. */
+    /** Whether a retry is safe. */
     readonly retryable: boolean,
-    /** Milliseconds to wait first. */
+    /** Milliseconds to wait before a retry. */
     readonly retryAfter: number,
-    /** What became of an earlier call under the same key, if the gateway knows of one. */
+    /** Outcome of an earlier call with the same key, if the gateway knows of one. */
     readonly became: string | undefined,
     readonly key: string,
   ) {
@@ -88,19 +88,19 @@
   }
 }
 
-/** The gateway is at its limit and did not take the request. */
-class Busy extends Error {
+/** The gateway is at its limit and rejected the request. */
+class OverloadedError extends Error {
   constructor(readonly retryAfter: number) {
     super("the gateway is at its limit");
   }
 }
 
-const FIRST_WAIT = 100;
-const SECOND = 1000;
+const FIRST_BACKOFF_MS = 100;
+const MS_PER_SECOND = 1000;
 const NOT_FOUND = 404;
 const UNAVAILABLE = 503;
 
-/** A client of one gateway. Broken streams are taken up again behind the last event; a session that is gone is opened anew. */
+/** A client of one gateway. It resumes a broken stream after the last event and opens a new session when the gateway has lost the old one. */
 export class Lemondock {
   private readonly tools = new Map<string, Tool>();
   private client: Promise<Client> | undefined;
@@ -110,39 +110,39 @@
     private readonly options: Options = {},
   ) {}
 
-  /** Registers a tool for the calls that begin from now on. */
+  /** Registers a tool for the calls that start after this. */
   tool(name: string, tool: Tool): this {
     this.tools.set(name, tool);
     return this;
   }
 
-  /** The tools of the gateway: its request classes. */
+  /** Lists the tools of the gateway, which are its request classes. */
   async list(): Promise<{ name: string; description?: string }[]> {
     const listed = await (await this.session()).listTools();
-    return listed.tools.map((t) => ({
-      name: t.name,
-      ...(t.description === undefined ? {} : { description: t.description }),
+    return listed.tools.map((tool) => ({
+      name: tool.name,
+      ...(tool.description === undefined ? {} : { description: tool.description }),
     }));
   }
 
   /**
-   * Calls a tool of the gateway and gives its whole answer.
+   * Calls a tool of the gateway and returns its complete answer.
    *
-   * @throws CallError if there is none, after as many repeats as the gateway allows and the options have
+   * @throws CallError if the call failed and the gateway or the options allow no further retry
    */
   async call(name: string, ask: Ask): Promise<Answer> {
     const key = ask.key ?? randomUUID();
     for (let attempt = 0; ; attempt++) {
       try {
-        return await this.once(name, ask, key, attempt > 0);
+        return await this.callOnce(name, ask, key, attempt > 0);
       } catch (e) {
-        const error = this.told(e, key);
+        const error = this.toCallError(e, key);
         if (!error.retryable || attempt >= (this.options.retries ?? 4) || ask.signal?.aborted) {
           throw error;
         }
         const wait = Math.min(
-          this.options.longestWait ?? 30 * SECOND,
-          Math.max(error.retryAfter, FIRST_WAIT * 2 ** attempt),
+          this.options.longestWait ?? 30 * MS_PER_SECOND,
+          Math.max(error.retryAfter, FIRST_BACKOFF_MS * 2 ** attempt),
         );
         await sleep(wait, undefined, ask.signal === undefined ? {} : { signal: ask.signal });
         ask.onRestart?.();
@@ -150,12 +150,12 @@
     }
   }
 
-  /** Ends the session; calls under way are called off. */
+  /** Ends the session; calls in flight are cancelled. */
   async close(): Promise<void> {
-    const open = this.client;
+    const opened = this.client;
     this.client = undefined;
-    if (open !== undefined) {
-      const client = await open;
+    if (opened !== undefined) {
+      const client = await opened;
       await (client.transport as StreamableHTTPClientTransport | undefined)
         ?.terminateSession()
         .catch(() => undefined);
@@ -196,7 +196,9 @@
         const response = await fetch(input, init);
         if (response.status === UNAVAILABLE) {
           await response.body?.cancel();
-          throw new Busy(Number(response.headers.get("retry-after") ?? "1") * SECOND);
+          throw new OverloadedError(
+            Number(response.headers.get("retry-after") ?? "1") * MS_PER_SECOND,
+          );
         }
         if (
           init?.method !== "POST" ||
@@ -204,7 +206,7 @@
         ) {
           return response;
         }
-        return resumed(
+        return withResumption(
           response,
           (lastEventId) => {
             const headers = new Headers(init.headers);
@@ -225,49 +227,49 @@
     return client;
   }
 
-  private async once(name: string, ask: Ask, key: string, again: boolean): Promise<Answer> {
+  private async callOnce(name: string, ask: Ask, key: string, isRetry: boolean): Promise<Answer> {
     const client = await this.session();
-    const offered = ask.tools ?? [...this.tools.keys()];
+    const toolNames = ask.tools ?? [...this.tools.keys()];
     const args: Record<string, unknown> = {};
     if (ask.prompt !== undefined) args.prompt = ask.prompt;
     if (ask.messages !== undefined) args.messages = ask.messages;
     if (ask.maxTokens !== undefined) args.max_tokens = ask.maxTokens;
     if (ask.conversation !== undefined) args.conversation = ask.conversation;
-    if (offered.length > 0) {
-      args.tools = offered.map((t) => ({
-        name: t,
-        ...(this.tools.get(t)?.description === undefined
+    if (toolNames.length > 0) {
+      args.tools = toolNames.map((toolName) => ({
+        name: toolName,
+        ...(this.tools.get(toolName)?.description === undefined
           ? {}
-          : { description: this.tools.get(t)?.description }),
-        inputSchema: this.tools.get(t)?.inputSchema ?? { type: "object" },
+          : { description: this.tools.get(toolName)?.description }),
+        inputSchema: this.tools.get(toolName)?.inputSchema ?? { type: "object" },
       }));
     }
     const meta: Record<string, unknown> = { "lemondock/key": key };
-    if (again) meta["lemondock/retry"] = true;
+    if (isRetry) meta["lemondock/retry"] = true;
     if (this.options.tenant !== undefined) meta["lemondock/tenant"] = this.options.tenant;
     const result = await client.request(
       { method: "tools/call", params: { name, arguments: args, _meta: meta } },
       CallToolResultSchema,
       {
-        onprogress: (p) => ask.onToken?.(p.message ?? "", p.progress),
-        timeout: this.options.timeout ?? 120 * SECOND,
+        onprogress: (progress) => ask.onToken?.(progress.message ?? "", progress.progress),
+        timeout: this.options.timeout ?? 120 * MS_PER_SECOND,
         ...(ask.signal === undefined ? {} : { signal: ask.signal }),
       },
     );
-    const told = (result.structuredContent ?? {}) as Partial<Answer>;
+    const answer = (result.structuredContent ?? {}) as Partial<Answer>;
     return {
-      text: told.text ?? "",
-      tokens: told.tokens ?? 0,
-      turns: told.turns ?? 0,
-      toolCalls: told.toolCalls ?? 0,
-      finishReason: told.finishReason ?? "",
-      ...(told.conversation === undefined ? {} : { conversation: told.conversation }),
+      text: answer.text ?? "",
+      tokens: answer.tokens ?? 0,
+      turns: answer.turns ?? 0,
+      toolCalls: answer.toolCalls ?? 0,
+      finishReason: answer.finishReason ?? "",
+      ...(answer.conversation === undefined ? {} : { conversation: answer.conversation }),
       key,
     };
   }
 
-  /** What an attempt ended with, in one form. Only what provably was not taken is retryable without the gateway's word. */
-  private told(e: unknown, key: string): CallError {
+  /** Converts the failure of an attempt. Unless the gateway says so, only a request that it certainly did not accept is retryable. */
+  private toCallError(e: unknown, key: string): CallError {
     if (e instanceof McpError) {
       const data = (e.data ?? {}) as {
         retryable?: boolean;
@@ -283,18 +285,32 @@
         key,
       );
     }
-    if (e instanceof Busy) {
+    if (e instanceof OverloadedError) {
       return new CallError(e.message, UNAVAILABLE, true, e.retryAfter, undefined, key);
     }
     if (e instanceof StreamableHTTPError && e.code === NOT_FOUND) {
-      this.client = undefined; // the gateway was started anew and knows nothing of the session
-      return new CallError("the session is gone", NOT_FOUND, true, 0, undefined, key);
+      this.client = undefined; // the gateway has restarted and does not know the session
+      return new CallError(
+        "the gateway does not know the session",
+        NOT_FOUND,
+        true,
+        0,
+        undefined,
+        key,
+      );
     }
     const cause = e instanceof Error ? (e.cause as { code?: string } | undefined) : undefined;
-    const refused = cause?.code === "ECONNREFUSED";
-    if (refused) {
+    const connectionRefused = cause?.code === "ECONNREFUSED";
+    if (connectionRefused) {
       this.client = undefined;
     }
-    return new CallError(e instanceof Error ? e.message : String(e), 0, refused, 0, undefined, key);
+    return new CallError(
+      e instanceof Error ? e.message : String(e),
+      0,
+      connectionRefused,
+      0,
+      undefined,
+      key,
+    );
   }
 }
--- a/clients/typescript/src/resume.ts
+++ b/clients/typescript/src/resume.ts
@@ -1,46 +1,47 @@
 import { setTimeout as sleep } from "node:timers/promises";
 
-const LINE_END = 10;
-const FIRST_WAIT = 50;
-const MOST_WAIT = 1000;
-const TRIES = 8;
-const ID = /^id: ?(.*)$/m;
+const LINE_FEED = 10;
+const FIRST_BACKOFF_MS = 50;
+const MAX_BACKOFF_MS = 1000;
+const MAX_ATTEMPTS = 8;
+const EVENT_ID = /^id: ?(.*)$/m;
 
 /**
- * The same event stream, but one that goes on over breaks of its connection: it is taken up again by the last event's id, and whoever
- * reads it sees each event once and whole. The SDK's own reconnection loses its place where a connection breaks before its first event.
+ * Returns the same event stream, but one that is resumed after the last event id when its connection breaks. Its consumer gets each
+ * event whole and exactly once. The SDK's own reconnection loses its position when a connection breaks before its first event.
  *
- * @param again asks for the stream behind an event
+ * @param reconnect requests the stream after the event with the given id
+ * @param signal stops further attempts to resume once it is aborted
  */
-export function resumed(
+export function withResumption(
   first: Response,
-  again: (lastEventId: string) => Promise<Response>,
+  reconnect: (lastEventId: string) => Promise<Response>,
   signal: AbortSignal | null | undefined,
 ): Response {
   if (first.body === null) {
     return first;
   }
   let reader: ReadableStreamDefaultReader<Uint8Array> = first.body.getReader();
-  let last: string | undefined;
-  let rest = new Uint8Array(0);
-  let tries = 0;
+  let lastEventId: string | undefined;
+  let incomplete = new Uint8Array(0);
+  let attempts = 0;
 
-  /** Whole events among the bytes that have come; what is behind them waits for more. */
-  const whole = (more: Uint8Array): Uint8Array => {
-    const all = new Uint8Array(rest.length + more.length);
-    all.set(rest);
-    all.set(more, rest.length);
+  /** Returns the complete events received so far; keeps the incomplete one until more bytes arrive. */
+  const takeCompleteEvents = (chunk: Uint8Array): Uint8Array => {
+    const bytes = new Uint8Array(incomplete.length + chunk.length);
+    bytes.set(incomplete);
+    bytes.set(chunk, incomplete.length);
     let end = 0;
-    for (let i = Math.max(1, rest.length); i < all.length; i++) {
-      if (all[i] === LINE_END && all[i - 1] === LINE_END) {
+    for (let i = Math.max(1, incomplete.length); i < bytes.length; i++) {
+      if (bytes[i] === LINE_FEED && bytes[i - 1] === LINE_FEED) {
         end = i + 1;
       }
     }
-    rest = all.slice(end);
-    for (const event of new TextDecoder().decode(all.subarray(0, end)).split("\n\n")) {
-      last = ID.exec(event)?.[1] ?? last;
+    incomplete = bytes.slice(end);
+    for (const event of new TextDecoder().decode(bytes.subarray(0, end)).split("\n\n")) {
+      lastEventId = EVENT_ID.exec(event)?.[1] ?? lastEventId;
     }
-    return all.subarray(0, end);
+    return bytes.subarray(0, end);
   };
 
   const body = new ReadableStream<Uint8Array>({
@@ -52,26 +53,26 @@
             controller.close();
             return;
           }
-          const events = whole(value);
+          const events = takeCompleteEvents(value);
           if (events.length > 0) {
-            tries = 0;
+            attempts = 0;
             controller.enqueue(events);
             return;
           }
-        } catch (broken) {
-          rest = new Uint8Array(0);
+        } catch (disconnectError) {
+          incomplete = new Uint8Array(0);
           let next: Response | undefined;
           while (next === undefined) {
-            if (last === undefined || signal?.aborted || tries === TRIES) {
-              controller.error(broken);
+            if (lastEventId === undefined || signal?.aborted || attempts === MAX_ATTEMPTS) {
+              controller.error(disconnectError);
               return;
             }
-            await sleep(Math.min(MOST_WAIT, FIRST_WAIT * 2 ** tries++));
-            next = await again(last).catch(() => undefined);
+            await sleep(Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** attempts++));
+            next = await reconnect(lastEventId).catch(() => undefined);
             if (next !== undefined && (next.status !== 200 || next.body === null)) {
               controller.error(
-                new Error(`the stream cannot be taken up again: status ${next.status}`, {
-                  cause: broken,
+                new Error(`cannot resume the stream: expected status 200, got ${next.status}`, {
+                  cause: disconnectError,
                 }),
               );
               return;
--- a/clients/typescript/test/client.test.ts
+++ b/clients/typescript/test/client.test.ts
@@ -4,26 +4,26 @@
 import { after, before, test } from "node:test";
 import { CallError, Lemondock } from "../src/index.js";
 
-// A gateway with stand-in engines; whoever runs the tests starts it and says where.
+// A running gateway with emulated engines, which the caller of the tests starts.
 const gateway = new URL(process.env.LEMONDOCK_URL ?? "http://127.0.0.1:8080/mcp");
 const words = (n: number, turn = "a") =>
   Array.from({ length: n }, (_, i) => ` ${turn}${i}`).join("");
 
-test("an answer streams and is whole", async () => {
+test("an answer is streamed completely", async () => {
   const client = new Lemondock(gateway);
   const pieces: string[] = [];
   const answer = await client.call("sale-lookup", {
     prompt: "answer in 9 words",
-    onToken: (p) => pieces.push(p),
+    onToken: (piece) => pieces.push(piece),
   });
   assert.equal(answer.text, words(9));
   assert.equal(pieces.join(""), answer.text);
   assert.equal(answer.tokens, 9);
-  assert.ok((await client.list()).some((t) => t.name === "sale-lookup"));
+  assert.ok((await client.list()).some((tool) => tool.name === "sale-lookup"));
   await client.close();
 });
 
-test("tools run in the middle of answers, several at once, and their failures are told to the model", async () => {
+test("several tools run during an answer and their failures are reported to the model", async () => {
   const seen: unknown[] = [];
   const client = new Lemondock(gateway)
     .tool("stock", {
@@ -46,14 +46,14 @@
   await client.close();
 });
 
-test("a call is called off", async () => {
+test("an aborted call fails and the session stays usable", async () => {
   const client = new Lemondock(gateway);
-  const off = new AbortController();
+  const abort = new AbortController();
   await assert.rejects(
     client.call("sale-lookup", {
       prompt: "answer in 400 words",
-      signal: off.signal,
-      onToken: () => off.abort(),
+      signal: abort.signal,
+      onToken: () => abort.abort(),
     }),
     CallError,
   );
@@ -61,7 +61,7 @@
   await client.close();
 });
 
-test("bad arguments are no reason to try again", async () => {
+test("invalid arguments are not retryable", async () => {
   const client = new Lemondock(gateway);
   await assert.rejects(
     client.call("sale-lookup", {}),
@@ -70,77 +70,80 @@
   await client.close();
 });
 
-/** Hands bytes on to the gateway and may cut connections. */
+/** Forwards bytes to the gateway and cuts each connection after `cutAfterBytes` bytes from it. */
 let relay: net.Server;
-let cutAfter = Infinity;
+let cutAfterBytes = Infinity;
 let cuts = 0;
 const sockets = new Set<net.Socket>();
 before(async () => {
-  relay = net.createServer((near) => {
-    sockets.add(near);
-    const far = net.connect(Number(gateway.port), gateway.hostname);
+  relay = net.createServer((clientSocket) => {
+    sockets.add(clientSocket);
+    const gatewaySocket = net.connect(Number(gateway.port), gateway.hostname);
     let bytes = 0;
-    near.on("error", () => far.destroy());
-    far.on("error", () => near.destroy());
-    near.pipe(far);
-    far.on("data", (data) => {
+    clientSocket.on("error", () => gatewaySocket.destroy());
+    gatewaySocket.on("error", () => clientSocket.destroy());
+    clientSocket.pipe(gatewaySocket);
+    gatewaySocket.on("data", (data) => {
       bytes += data.length;
-      if (bytes > cutAfter) {
+      if (bytes > cutAfterBytes) {
         cuts++;
-        near.destroy();
-        far.destroy();
+        clientSocket.destroy();
+        gatewaySocket.destroy();
       } else {
-        near.write(data);
+        clientSocket.write(data);
       }
     });
-    far.on("close", () => near.destroy());
-    near.on("close", () => far.destroy());
+    gatewaySocket.on("close", () => clientSocket.destroy());
+    clientSocket.on("close", () => gatewaySocket.destroy());
   });
   await new Promise<void>((done) => relay.listen(0, "127.0.0.1", done));
 });
 after(() => {
   relay.close();
-  sockets.forEach((s) => s.destroy());
+  sockets.forEach((socket) => socket.destroy());
 });
 
-test("a stream that breaks again and again is taken up behind the last token", async () => {
+test("a stream that breaks repeatedly is resumed after the last token", async () => {
   const client = new Lemondock(`http://127.0.0.1:${(relay.address() as net.AddressInfo).port}/mcp`);
   await client.list();
-  cutAfter = 8_000;
+  cutAfterBytes = 8_000;
   const pieces: string[] = [];
   const answer = await client.call("sale-lookup", {
     prompt: "answer in 150 words",
-    onToken: (p) => pieces.push(p),
+    onToken: (piece) => pieces.push(piece),
   });
-  cutAfter = Infinity;
+  cutAfterBytes = Infinity;
   assert.equal(answer.text, words(150));
   assert.equal(pieces.join(""), answer.text);
   assert.ok(cuts >= 2, `the stream was cut ${cuts} times`);
   await client.close();
 });
 
-/** Stands before the gateway and refuses what it is told to. */
-interface Instead {
+/** A response that the rejecting proxy sends instead of forwarding the request. */
+interface CannedResponse {
   status: number;
   headers: Record<string, string>;
   body: string;
 }
 
-async function refusing(answers: (body: Record<string, unknown>) => Instead | undefined) {
+/** Starts a proxy before the gateway that answers the calls for which `cannedResponse` returns a response. */
+async function startRejectingProxy(
+  cannedResponse: (body: Record<string, unknown>) => CannedResponse | undefined,
+) {
   const calls: Record<string, unknown>[] = [];
   const server = http.createServer((request, response) => {
     const chunks: Buffer[] = [];
-    request.on("data", (c: Buffer) => chunks.push(c));
+    request.on("data", (chunk: Buffer) => chunks.push(chunk));
     request.on("end", () => {
       const text = Buffer.concat(chunks).toString();
       const body = text === "" ? {} : (JSON.parse(text) as Record<string, unknown>);
       if (body.method === "tools/call") calls.push(body.params as Record<string, unknown>);
-      const instead = body.method === "tools/call" ? answers(body) : undefined;
-      if (instead !== undefined) {
-        response.writeHead(instead.status, instead.headers).end(instead.body);
+      const canned = body.method === "tools/call" ? cannedResponse(body) : undefined;
+      if (canned !== undefined) {
+        response.writeHead(canned.status, canned.headers).end(canned.body);
         return;
       }
-      const on = http.request(
+      const forwarded = http.request(
         {
           host: gateway.hostname,
           port: gateway.port,
@@ -153,7 +156,7 @@
           answer.pipe(response);
         },
       );
-      on.end(text);
+      forwarded.end(text);
     });
   });
   await new Promise<void>((done) => server.listen(0, "127.0.0.1", done));
@@ -167,19 +170,19 @@
   };
 }
 
-test("what was refused is tried again as advised, under one key", async () => {
-  let refused = 0;
+test("rejected calls are retried as advised with the same key", async () => {
+  let rejections = 0;
   const times: number[] = [];
-  const before = await refusing((body): Instead | undefined => {
+  const proxy = await startRejectingProxy((body): CannedResponse | undefined => {
     times.push(Date.now());
-    refused++;
-    if (refused === 1)
+    rejections++;
+    if (rejections === 1)
       return {
         status: 503,
         headers: { "retry-after": "1", "content-type": "text/plain" },
         body: "full",
       };
-    if (refused === 2) {
+    if (rejections === 2) {
       return {
         status: 200,
         headers: { "content-type": "application/json" },
@@ -192,7 +195,7 @@
     }
     return undefined;
   });
-  const client = new Lemondock(before.url, { tenant: "north" });
+  const client = new Lemondock(proxy.url, { tenant: "north" });
   let restarts = 0;
   const answer = await client.call("sale-lookup", {
     prompt: "answer in 3 words",
@@ -200,27 +203,27 @@
   });
   assert.equal(answer.text, words(3));
   assert.equal(restarts, 2);
-  const metas = before.calls.map((c) => c._meta as Record<string, unknown>);
+  const metas = proxy.calls.map((call) => call._meta as Record<string, unknown>);
   assert.deepEqual(
-    metas.map((m) => m["lemondock/key"]),
+    metas.map((meta) => meta["lemondock/key"]),
     [answer.key, answer.key, answer.key],
   );
   assert.deepEqual(
-    metas.map((m) => m["lemondock/retry"] ?? false),
+    metas.map((meta) => meta["lemondock/retry"] ?? false),
     [false, true, true],
   );
   assert.deepEqual(
-    metas.map((m) => m["lemondock/tenant"]),
+    metas.map((meta) => meta["lemondock/tenant"]),
     ["north", "north", "north"],
   );
-  assert.ok((times[1] ?? 0) - (times[0] ?? 0) >= 990, "not before the advice");
-  assert.ok((times[2] ?? 0) - (times[1] ?? 0) >= 290, "not before the advice");
+  assert.ok((times[1] ?? 0) - (times[0] ?? 0) >= 990, "retried before the advised time");
+  assert.ok((times[2] ?? 0) - (times[1] ?? 0) >= 290, "retried before the advised time");
   await client.close();
-  before.close();
+  proxy.close();
 });
 
-test("what may have run is not tried again, and what became of it is told", async () => {
-  const before = await refusing((body) => ({
+test("a call that may have run is not retried and its outcome is reported", async () => {
+  const proxy = await startRejectingProxy((body) => ({
     status: 200,
     headers: { "content-type": "application/json" },
     body: JSON.stringify({
@@ -233,21 +236,21 @@
       },
     }),
   }));
-  const client = new Lemondock(before.url);
+  const client = new Lemondock(proxy.url);
   await assert.rejects(
     client.call("sale-lookup", { prompt: "x" }),
     (e: CallError) => !e.retryable && e.became === "may_have_run",
   );
-  assert.equal(before.calls.length, 1);
+  assert.equal(proxy.calls.length, 1);
   await client.close();
-  before.close();
+  proxy.close();
 });
 
-test("where nobody listens it says so after its repeats", async () => {
-  const nobody = net.createServer();
-  await new Promise<void>((done) => nobody.listen(0, "127.0.0.1", done));
-  const { port } = nobody.address() as net.AddressInfo;
-  await new Promise((done) => nobody.close(done));
+test("a refused connection is reported after the retries", async () => {
+  const closedServer = net.createServer();
+  await new Promise<void>((done) => closedServer.listen(0, "127.0.0.1", done));
+  const { port } = closedServer.address() as net.AddressInfo;
+  await new Promise((done) => closedServer.close(done));
   const client = new Lemondock(`http://127.0.0.1:${port}/mcp`, { retries: 1 });
   await assert.rejects(
     client.call("sale-lookup", { prompt: "x" }),
