--- a/faultinjection/src/main/c/faultshim.c
+++ b/faultinjection/src/main/c/faultshim.c
@@ -1,12 +1,15 @@
 /*
- * A library for LD_PRELOAD that lets the system calls of one process fail as Linux documents, and moves its wall clock.
+ * A library for LD_PRELOAD that makes system calls of one process fail in ways that Linux documents, and offsets the wall clock that
+ * the process sees.
  *
- * It is told by a file of ten 64-bit words, named by LEMONDOCK_FAULTS and mapped at the start, which the test may change at any time:
+ * The environment variable LEMONDOCK_FAULTS names a control file of ten 64-bit words. The library maps it when the process starts;
+ * the test may change the words at any time:
  *   0  milliseconds added to the wall clock
- *   1  accept fails, 2  socket fails, 3  connect fails, 4  reads and writes of sockets are interrupted, 5  they are short,
- *   6  a connection that this process opened times out, 7  writes to files fail, 8  syncs of files fail (each in parts of a million)
- *   9  seed
- * A failed call does nothing else; a connection that times out is broken for good.
+ *   1 to 8  how often a fault occurs, in parts of a million:
+ *     1  accept fails, 2  socket fails, 3  connect fails, 4  reads and writes of sockets are interrupted, 5  they are short,
+ *     6  a connection that this process opened times out, 7  writes to files fail or are short, 8  syncs of files fail
+ *   9  seed of the random numbers, read only at the start
+ * A call that fails has no other effect, except that a connection that times out is shut down for good.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -25,172 +28,182 @@
 
 enum { CLOCK, ACCEPT, SOCKET, CONNECT, INTERRUPT, SHORTEN, TIMEOUT, DISK_WRITE, DISK_SYNC, SEED, WORDS };
 
-enum { MOST_FILES = 65536 };
+enum { MAX_DESCRIPTORS = 65536 };
 
-static const volatile int64_t *told;
-/* Sockets that this process connected: only these time out, for the peer of any other has then gone as well. */
-static volatile char outgoing[MOST_FILES];
-static atomic_ullong state;
+/* The mapped control file; NULL if there is none, and then no call fails. */
+static const volatile int64_t *control;
+/*
+ * Whether a descriptor is a socket that this process connected. Only such sockets time out: an accepted connection would time out
+ * only if its client were unreachable as well.
+ */
+static volatile char outgoing[MAX_DESCRIPTORS];
+static atomic_ullong random_state;
 
-/* The function of that name that stands behind this one, looked up once. */
+/* The function of the same name that this library overrides, looked up once. */
 #define REAL(name) ({ \
-    static __typeof__(&name) found; \
-    if (!found) { \
-        found = (__typeof__(&name))dlsym(RTLD_NEXT, #name); \
+    static __typeof__(&name) real_function; \
+    if (!real_function) { \
+        real_function = (__typeof__(&name))dlsym(RTLD_NEXT, #name); \
     } \
-    found; \
+    real_function; \
 })
 
-__attribute__((constructor)) static void begin(void) {
+__attribute__((constructor)) static void map_control_file(void) {
     const char *path = getenv("LEMONDOCK_FAULTS");
     int file = path ? open(path, O_RDONLY | O_CLOEXEC) : -1;
-    void *at = file < 0 ? MAP_FAILED : mmap(NULL, WORDS * sizeof(int64_t), PROT_READ, MAP_SHARED, file, 0);
+    void *mapping = file < 0 ? MAP_FAILED : mmap(NULL, WORDS * sizeof(int64_t), PROT_READ, MAP_SHARED, file, 0);
     if (file >= 0) {
         close(file);
     }
-    if (at != MAP_FAILED) {
-        told = at;
-        state = (unsigned long long)told[SEED] * 0x9E3779B97F4A7C15ULL + 1;
+    if (mapping != MAP_FAILED) {
+        control = mapping;
+        random_state = (unsigned long long)control[SEED] * 0x9E3779B97F4A7C15ULL + 1;
     }
 }
 
+/* Returns the next number of a SplitMix64 generator that all threads share. */
 static unsigned long long next_random(void) {
-    unsigned long long z = atomic_fetch_add(&state, 0x9E3779B97F4A7C15ULL);
-    z = (z ^ (z >> 30)) * 0xBF58476D1CE4E5B9ULL;
-    z = (z ^ (z >> 27)) * 0x94D049BB133111EBULL;
-    return z ^ (z >> 31);
+    unsigned long long value = atomic_fetch_add(&random_state, 0x9E3779B97F4A7C15ULL);
+    value = (value ^ (value >> 30)) * 0xBF58476D1CE4E5B9ULL;
+    value = (value ^ (value >> 27)) * 0x94D049BB133111EBULL;
+    return value ^ (value >> 31);
 }
 
-static int strikes(int what) {
-    return told && told[what] > 0 && (int64_t)(next_random() % 1000000) < told[what];
+/* Draws whether the fault, a word of the control file, occurs now. */
+static int should_fail(int fault) {
+    return control && control[fault] > 0 && (int64_t)(next_random() % 1000000) < control[fault];
 }
 
-static int one_of(const int *errors, int count) {
+/* Sets errno to one of the errors; returns -1, the result of the failed call. */
+static int fail_with_one_of(const int *errors, int count) {
     errno = errors[next_random() % (unsigned)count];
     return -1;
 }
 
-static int has_mode(int fd, mode_t kind) {
-    struct stat about;
-    int before = errno;
-    int fits = fstat(fd, &about) == 0 && (about.st_mode & S_IFMT) == kind;
-    errno = before;
-    return fits;
+/* Whether the descriptor is of a file type, such as S_IFSOCK; leaves errno unchanged. */
+static int has_type(int fd, mode_t type) {
+    struct stat status;
+    int saved_errno = errno;
+    int matches = fstat(fd, &status) == 0 && (status.st_mode & S_IFMT) == type;
+    errno = saved_errno;
+    return matches;
 }
 
-/* Whether a transfer on a socket fails now; errno is set. */
+/* Whether a read or write of the descriptor fails now; if so, sets errno. Only sockets fail. */
 static int transfer_fails(int fd) {
-    if (!told || told[INTERRUPT] + told[TIMEOUT] <= 0 || !has_mode(fd, S_IFSOCK)) {
+    if (!control || control[INTERRUPT] + control[TIMEOUT] <= 0 || !has_type(fd, S_IFSOCK)) {
         return 0;
     }
-    if (strikes(INTERRUPT)) {
+    if (should_fail(INTERRUPT)) {
         errno = EINTR;
         return 1;
     }
-    if ((unsigned)fd < MOST_FILES && outgoing[fd] && strikes(TIMEOUT)) {
+    if ((unsigned)fd < MAX_DESCRIPTORS && outgoing[fd] && should_fail(TIMEOUT)) {
         static const int errors[] = {ETIMEDOUT, EHOSTUNREACH};
         shutdown(fd, SHUT_RDWR);
-        one_of(errors, 2);
+        fail_with_one_of(errors, 2);
         return 1;
     }
     return 0;
 }
 
-static size_t shortened(int fd, size_t count) {
-    return count > 1 && told && told[SHORTEN] > 0 && has_mode(fd, S_IFSOCK) && strikes(SHORTEN)
+/* The number of bytes to transfer: a part of count if the transfer is to be short. */
+static size_t shortened_count(int fd, size_t count) {
+    return count > 1 && control && control[SHORTEN] > 0 && has_type(fd, S_IFSOCK) && should_fail(SHORTEN)
         ? 1 + next_random() % (count - 1) : count;
 }
 
-int clock_gettime(clockid_t clock, struct timespec *at) {
-    int result = REAL(clock_gettime)(clock, at);
-    if (result == 0 && told && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) {
-        int64_t nanos = at->tv_nsec + (told[CLOCK] % 1000) * 1000000;
-        at->tv_sec += told[CLOCK] / 1000 + (nanos < 0 ? -1 : nanos / 1000000000);
-        at->tv_nsec = nanos < 0 ? nanos + 1000000000 : nanos % 1000000000;
+int clock_gettime(clockid_t clock, struct timespec *now) {
+    int result = REAL(clock_gettime)(clock, now);
+    if (result == 0 && control && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) {
+        int64_t nanos = now->tv_nsec + (control[CLOCK] % 1000) * 1000000;
+        now->tv_sec += control[CLOCK] / 1000 + (nanos < 0 ? -1 : nanos / 1000000000);
+        now->tv_nsec = nanos < 0 ? nanos + 1000000000 : nanos % 1000000000;
     }
     return result;
 }
 
-int gettimeofday(struct timeval *restrict at, void *restrict zone) {
-    (void)zone;
+int gettimeofday(struct timeval *restrict result_time, void *restrict time_zone) {
+    (void)time_zone;
     struct timespec now;
     int result = clock_gettime(CLOCK_REALTIME, &now);
-    at->tv_sec = now.tv_sec;
-    at->tv_usec = now.tv_nsec / 1000;
+    result_time->tv_sec = now.tv_sec;
+    result_time->tv_usec = now.tv_nsec / 1000;
     return result;
 }
 
-time_t time(time_t *at) {
+time_t time(time_t *result_time) {
     struct timespec now;
     clock_gettime(CLOCK_REALTIME, &now);
-    if (at) {
-        *at = now.tv_sec;
+    if (result_time) {
+        *result_time = now.tv_sec;
     }
     return now.tv_sec;
 }
 
 static const int accept_errors[] = {ECONNABORTED, ENFILE, ENOBUFS, EINTR};
 
-static int accepted(int fd) {
-    if (fd >= 0 && fd < MOST_FILES) {
+/* Records that the descriptor is no longer one that this process connected; returns it. */
+static int mark_accepted(int fd) {
+    if (fd >= 0 && fd < MAX_DESCRIPTORS) {
         outgoing[fd] = 0;
     }
     return fd;
 }
 
 int accept(int fd, struct sockaddr *restrict peer, socklen_t *restrict length) {
-    return strikes(ACCEPT) ? one_of(accept_errors, 4) : accepted(REAL(accept)(fd, peer, length));
+    return should_fail(ACCEPT) ? fail_with_one_of(accept_errors, 4) : mark_accepted(REAL(accept)(fd, peer, length));
 }
 
 int accept4(int fd, struct sockaddr *restrict peer, socklen_t *restrict length, int flags) {
-    return strikes(ACCEPT) ? one_of(accept_errors, 4) : accepted(REAL(accept4)(fd, peer, length, flags));
+    return should_fail(ACCEPT) ? fail_with_one_of(accept_errors, 4) : mark_accepted(REAL(accept4)(fd, peer, length, flags));
 }
 
 int socket(int domain, int type, int protocol) {
     static const int errors[] = {ENFILE, ENOBUFS};
-    return strikes(SOCKET) ? one_of(errors, 2) : REAL(socket)(domain, type, protocol);
+    return should_fail(SOCKET) ? fail_with_one_of(errors, 2) : REAL(socket)(domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *peer, socklen_t length) {
     static const int errors[] = {EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EHOSTUNREACH, ETIMEDOUT, EINTR};
-    if (strikes(CONNECT)) {
-        return one_of(errors, 6);
+    if (should_fail(CONNECT)) {
+        return fail_with_one_of(errors, 6);
     }
-    if (fd >= 0 && fd < MOST_FILES) {
+    if (fd >= 0 && fd < MAX_DESCRIPTORS) {
         outgoing[fd] = 1;
     }
     return REAL(connect)(fd, peer, length);
 }
 
-ssize_t read(int fd, void *into, size_t count) {
-    return transfer_fails(fd) ? -1 : REAL(read)(fd, into, shortened(fd, count));
+ssize_t read(int fd, void *buffer, size_t count) {
+    return transfer_fails(fd) ? -1 : REAL(read)(fd, buffer, shortened_count(fd, count));
 }
 
-ssize_t write(int fd, const void *from, size_t count) {
+ssize_t write(int fd, const void *buffer, size_t count) {
     static const int errors[] = {ENOSPC, EIO};
-    if (told && told[DISK_WRITE] > 0 && has_mode(fd, S_IFREG) && strikes(DISK_WRITE)) {
+    if (control && control[DISK_WRITE] > 0 && has_type(fd, S_IFREG) && should_fail(DISK_WRITE)) {
         if (next_random() & 1) {
-            return one_of(errors, 2);
+            return fail_with_one_of(errors, 2);
         }
-        count = count > 1 ? count / 2 : count; /* a short write, as one that meets a full disk */
+        count = count > 1 ? count / 2 : count; /* a short write, as on a disk that becomes full */
     }
-    return transfer_fails(fd) ? -1 : REAL(write)(fd, from, shortened(fd, count));
+    return transfer_fails(fd) ? -1 : REAL(write)(fd, buffer, shortened_count(fd, count));
 }
 
-ssize_t readv(int fd, const struct iovec *into, int count) {
-    return transfer_fails(fd) ? -1 : REAL(readv)(fd, into, count);
+ssize_t readv(int fd, const struct iovec *buffers, int count) {
+    return transfer_fails(fd) ? -1 : REAL(readv)(fd, buffers, count);
 }
 
-ssize_t writev(int fd, const struct iovec *from, int count) {
-    return transfer_fails(fd) ? -1 : REAL(writev)(fd, from, count);
+ssize_t writev(int fd, const struct iovec *buffers, int count) {
+    return transfer_fails(fd) ? -1 : REAL(writev)(fd, buffers, count);
 }
 
 int fsync(int fd) {
     static const int errors[] = {EIO, ENOSPC};
-    return strikes(DISK_SYNC) ? one_of(errors, 2) : REAL(fsync)(fd);
+    return should_fail(DISK_SYNC) ? fail_with_one_of(errors, 2) : REAL(fsync)(fd);
 }
 
 int fdatasync(int fd) {
     static const int errors[] = {EIO, ENOSPC};
-    return strikes(DISK_SYNC) ? one_of(errors, 2) : REAL(fdatasync)(fd);
+    return should_fail(DISK_SYNC) ? fail_with_one_of(errors, 2) : REAL(fdatasync)(fd);
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/Arrival.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/Arrival.java
@@ -3,8 +3,8 @@
 import lemondock.faultinjection.HttpMessageReader.Message;
 
 /**
- * An attempt that has reached a running server with its last byte. Written by the server's
- * connection thread only, read by any.
+ * An attempt that a running server has received completely, up to its last byte. Only the server's
+ * connection thread changes it; any thread may read it.
  */
 final class Arrival {
   private final String requestId;
@@ -17,7 +17,7 @@
   private volatile boolean streamComplete;
   private volatile long streamedMicros;
 
-  /** Records a request that has arrived just now. */
+  /** Records a request whose last byte has just been received. */
   Arrival(String serverId, ServerRole role, Message request) {
     this.requestId = request.header("x-request-id").orElseThrow();
     this.serverId = serverId;
@@ -31,7 +31,7 @@
     this.fate = fate;
   }
 
-  /** Records that the answer was written to its end. */
+  /** Records that the whole answer has been written. */
   void markStreamComplete() {
     streamedMicros = MonotonicClock.nowMicros();
     streamComplete = true;
@@ -57,7 +57,7 @@
     return arrivedMicros;
   }
 
-  /** The time left until the deadline as the gateway stated it in the request. */
+  /** The time left until the deadline, as the gateway stated it in the request. */
   long statedDeadlineMillis() {
     return statedDeadlineMillis;
   }
@@ -70,7 +70,7 @@
     return streamComplete;
   }
 
-  /** When the answer was written to its end, 0 if it was not. */
+  /** When the answer had been written completely, 0 if it has not been. */
   long streamedMicros() {
     return streamedMicros;
   }
--- a/faultinjection/src/main/java/lemondock/faultinjection/ChatRequest.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ChatRequest.java
@@ -2,12 +2,12 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** The requests of clients on the platform's protocol, as text. */
+/** Formats the HTTP requests that clients send to the platform. */
 final class ChatRequest {
   private ChatRequest() {}
 
   /**
-   * Formats the request of a call.
+   * Formats the chat completion request of a call.
    *
    * @param promptCharacters length of the prompt
    * @param prefixKey calls with the same number share the beginning of their prompts
--- a/faultinjection/src/main/java/lemondock/faultinjection/ClientConnection.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ClientConnection.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 
-/** A client's connection to a gateway, used for one request after another by one thread. */
+/** A client's connection to a gateway. One thread uses it, for one request at a time. */
 final class ClientConnection {
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
@@ -20,7 +20,7 @@
     this.in = new BufferedInputStream(socket.getInputStream());
   }
 
-  /** Connects to a port of loopback. */
+  /** Connects to a port on loopback. */
   static ClientConnection open(int port) throws IOException {
     Socket socket = new Socket();
     socket.setTcpNoDelay(true);
@@ -28,16 +28,16 @@
     return new ClientConnection(socket);
   }
 
-  /** Writes a request. */
+  /** Writes a complete request. */
   void write(String request) throws IOException {
     HttpMessageWriter.write(socket, request);
   }
 
   /**
-   * Reads the head of the answer, and its body unless that is chunked.
+   * Reads the head of the answer, and also its body unless the body is chunked.
    *
-   * @return the answer; empty if the gateway has closed the connection instead
-   * @throws java.net.SocketTimeoutException if nothing comes for that long
+   * @return the answer; empty if the gateway closed the connection without sending one
+   * @throws java.net.SocketTimeoutException if no byte arrives for that long
    */
   Optional<HttpMessageReader.Message> readAnswer(int timeoutMillis) throws IOException {
     socket.setSoTimeout(timeoutMillis);
@@ -47,17 +47,17 @@
   /**
    * Reads a chunked body to its end.
    *
-   * @throws java.net.SocketTimeoutException if nothing comes for that long
+   * @throws java.net.SocketTimeoutException if no byte arrives for that long
    */
-  String readChunks(int timeoutMillis) throws IOException {
-    StringBuilder text = new StringBuilder();
+  String readChunkedBody(int timeoutMillis) throws IOException {
+    StringBuilder body = new StringBuilder();
     socket.setSoTimeout(timeoutMillis);
     byte[] chunk = HttpMessageReader.readChunk(in);
     while (chunk.length > 0) {
-      text.append(new String(chunk, StandardCharsets.ISO_8859_1));
+      body.append(new String(chunk, StandardCharsets.ISO_8859_1));
       chunk = HttpMessageReader.readChunk(in);
     }
-    return text.toString();
+    return body.toString();
   }
 
   /** Closes the connection. */
@@ -65,12 +65,12 @@
     FaultProxy.closeQuietly(socket);
   }
 
-  /** Resets the connection. */
+  /** Closes the connection with a RST. */
   void reset() {
     try {
       socket.setSoLinger(true, 0);
     } catch (IOException e) {
-      // closed in any case
+      // the socket is closed below in any case
     }
     close();
   }
--- a/faultinjection/src/main/java/lemondock/faultinjection/DiscoveryAgent.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/DiscoveryAgent.java
@@ -19,9 +19,9 @@
 import lemondock.faultinjection.RunRecord.Announcement;
 
 /**
- * An emulator of one gateway's discovery agent: answers with the full endpoint list, or holds a
- * watch until the list has changed or the watch's time is up. Thread-safe; each connection has a
- * thread of its own.
+ * An emulator of one gateway's discovery agent. It answers with the full endpoint list, or holds a
+ * watch until the list changes or the watch times out. Thread-safe; each connection has its own
+ * thread.
  */
 final class DiscoveryAgent implements AutoCloseable {
   private static final int BACKLOG = 64;
@@ -30,18 +30,18 @@
   private final RunRecord runRecord;
   private final ServerSocket serverSocket;
 
-  /** By server id; guarded by this, as the version is. */
+  /** By server id; guarded by {@code this}, as is the version. */
   private final Map<String, ListEntry> entries = new LinkedHashMap<>();
 
   private int version = 1;
 
-  /** A server and the version of the list that brought its present state. */
+  /** A server and the list version that introduced its current state. */
   private record ListEntry(ListedServer server, int version) {}
 
-  /** The body of an answer and the servers that it announces. */
+  /** The body of an answer, and the servers that the body lists. */
   private record Answer(String body, List<ListedServer> servers) {}
 
-  /** Begins to listen on a free port of loopback. */
+  /** Starts listening on a free port on loopback. */
   DiscoveryAgent(String gatewayName, RunRecord runRecord) throws IOException {
     this.gatewayName = gatewayName;
     this.runRecord = runRecord;
@@ -53,14 +53,14 @@
     return new InetSocketAddress("127.0.0.1", serverSocket.getLocalPort());
   }
 
-  /** Adds a server to the list, or replaces what the list says of it, and wakes watches. */
+  /** Adds a server to the list, or replaces its entry, and wakes the waiting watches. */
   synchronized void update(ListedServer server) {
     version++;
     entries.put(server.id(), new ListEntry(server, version));
     notifyAll();
   }
 
-  /** The full list, as a gateway's configuration and an answer have it. */
+  /** The full list in the JSON form of both a gateway's configuration and an answer. */
   synchronized String fullListJson() {
     return listJson(true, listedServers());
   }
@@ -86,7 +86,7 @@
         DaemonThreads.start("watch-" + gatewayName, () -> serve(socket));
       }
     } catch (IOException e) {
-      // closed
+      // the agent was closed
     }
   }
 
@@ -99,7 +99,7 @@
         request = HttpMessageReader.read(in);
       }
     } catch (IOException | RuntimeException e) {
-      // the gateway has gone
+      // the gateway has disconnected
     }
   }
 
@@ -120,8 +120,8 @@
   }
 
   private synchronized Answer awaitChanges(String target) {
-    int since = queryNumber(target, "since=");
-    int timeoutMillis = queryNumber(target, "timeout_ms=");
+    int since = queryParameter(target, "since=");
+    int timeoutMillis = queryParameter(target, "timeout_ms=");
     awaitVersionAfter(
         since, MonotonicClock.nowMicros() + TimeUnit.MILLISECONDS.toMicros(timeoutMillis));
     List<ListedServer> changed = new ArrayList<>();
@@ -133,24 +133,25 @@
     return new Answer(listJson(false, changed), changed);
   }
 
-  private synchronized void awaitVersionAfter(int since, long untilMicros) {
+  private synchronized void awaitVersionAfter(int since, long deadlineMicros) {
     try {
-      while (version <= since && MonotonicClock.nowMicros() < untilMicros) {
-        long remainingMicros = untilMicros - MonotonicClock.nowMicros();
+      while (version <= since && MonotonicClock.nowMicros() < deadlineMicros) {
+        long remainingMicros = deadlineMicros - MonotonicClock.nowMicros();
         wait(Math.max(1, TimeUnit.MICROSECONDS.toMillis(remainingMicros)));
       }
     } catch (InterruptedException e) {
-      throw new IllegalStateException("interrupted while a watch waits", e);
+      throw new IllegalStateException(
+          "interrupted while a watch waits for a version after " + since, e);
     }
   }
 
-  private static int queryNumber(String target, String name) {
+  private static int queryParameter(String target, String name) {
     int begin = target.indexOf(name) + name.length();
     int end = target.indexOf('&', begin);
     return Integer.parseInt(end < 0 ? target.substring(begin) : target.substring(begin, end));
   }
 
-  /** Stops accepting connections; open ones end with their gateway. */
+  /** Stops accepting connections. Open ones end when their gateway exits. */
   @Override
   public void close() throws IOException {
     serverSocket.close();
--- a/faultinjection/src/main/java/lemondock/faultinjection/FaultInjector.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultInjector.java
@@ -7,14 +7,14 @@
 import java.util.function.Consumer;
 
 /**
- * Injects the faults of a plan into a fleet. Each fault is injected by a thread of its own, which
- * it keeps until the fault has ended; signals to one gateway exclude each other.
+ * Injects the faults of a plan into a fleet. Each fault occupies one thread until it has ended.
+ * Faults that signal the same gateway exclude each other.
  */
 final class FaultInjector {
   private static final long RESET_INTERVAL_MICROS = TimeUnit.MILLISECONDS.toMicros(80);
-  private static final long FREEZE_MICROS = TimeUnit.MILLISECONDS.toMicros(130);
-  private static final long FREEZE_PAUSE_MICROS = TimeUnit.MILLISECONDS.toMicros(700);
-  private static final long KILLED_DOWN_MICROS = TimeUnit.MILLISECONDS.toMicros(400);
+  private static final long FREEZE_DURATION_MICROS = TimeUnit.MILLISECONDS.toMicros(130);
+  private static final long FREEZE_GAP_MICROS = TimeUnit.MILLISECONDS.toMicros(700);
+  private static final long RESTART_DELAY_MICROS = TimeUnit.MILLISECONDS.toMicros(400);
   private static final int MAX_LINK_DELAY_MILLIS = 120;
   private static final long HOUR_MILLIS = TimeUnit.HOURS.toMillis(1);
   private static final long MIN_CLOCK_STEP_MILLIS = 1_000;
@@ -27,73 +27,78 @@
   }
 
   /**
-   * Begins the fault now, and returns once its time is over and it is ended. What a fault draws, it
-   * draws from the step's seed in a fixed order.
+   * Starts the fault now and returns once it has ended. The fault makes all its random choices from
+   * the step's seed, in a fixed order.
    */
   void inject(FaultPlan.Step step) throws IOException, InterruptedException {
     SplittableRandom random = new SplittableRandom(step.seed());
     GatewayProcess gateway = fleet.gateways().get(random.nextInt(fleet.gateways().size()));
     long untilMicros = MonotonicClock.nowMicros() + step.durationMicros();
     switch (step.kind()) {
-      case SILENT_WRITERS -> silence(linksToMost(ServerRole.WRITER, random), untilMicros, random);
-      case SILENT_READERS -> silence(linksToMost(ServerRole.READER, random), untilMicros, random);
-      case ZONE_CUT -> silence(linksToOtherZones(gateway), untilMicros, random);
+      case SILENT_WRITERS ->
+          holdBothDirections(linksToAllButOne(ServerRole.WRITER, random), untilMicros, random);
+      case SILENT_READERS ->
+          holdBothDirections(linksToAllButOne(ServerRole.READER, random), untilMicros, random);
+      case ZONE_CUT -> holdBothDirections(linksToOtherZones(gateway), untilMicros, random);
       case ANSWERS_HELD ->
-          hold(someLinks(random), LinkFlow.PASS, LinkFlow.HOLD, untilMicros, random);
+          hold(randomLinks(random), LinkFlow.PASS, LinkFlow.HOLD, untilMicros, random);
       case REQUESTS_HELD ->
-          hold(someLinks(random), LinkFlow.HOLD, LinkFlow.PASS, untilMicros, random);
-      case RESETS -> resetRepeatedly(someLinks(random), untilMicros);
-      case SLOW_LINKS -> slowDown(someLinks(random), untilMicros, random);
-      case REFUSED -> setAdmission(someLinks(random), LinkAdmission.RESET, untilMicros);
-      case HALF_OPEN -> setAdmission(someLinks(random), LinkAdmission.HALF_OPEN, untilMicros);
+          hold(randomLinks(random), LinkFlow.HOLD, LinkFlow.PASS, untilMicros, random);
+      case RESETS -> resetRepeatedly(randomLinks(random), untilMicros);
+      case SLOW_LINKS -> delay(randomLinks(random), untilMicros, random);
+      case REFUSED -> setAdmission(randomLinks(random), LinkAdmission.RESET, untilMicros);
+      case HALF_OPEN -> setAdmission(randomLinks(random), LinkAdmission.HALF_OPEN, untilMicros);
       case SERVERS_HANG -> hangServers(untilMicros, random);
-      case SERVER_RESTARTS -> fleet.restartCold(anyServer(random), step.durationMicros() / 4);
+      case SERVER_RESTARTS -> fleet.restartCold(randomServer(random), step.durationMicros() / 4);
       case SERVERS_DRAIN -> drainServers(untilMicros, random);
-      case DISCOVERY_SILENT -> silence(List.of(fleet.discoveryLink(gateway)), untilMicros, random);
+      case DISCOVERY_SILENT ->
+          holdBothDirections(List.of(fleet.discoveryLink(gateway)), untilMicros, random);
       case DISCOVERY_RESET -> resetRepeatedly(List.of(fleet.discoveryLink(gateway)), untilMicros);
       case GATEWAY_TERMINATED -> terminateAndRestart(gateway);
       case GATEWAY_KILLED -> killAndRestart(gateway);
       case GATEWAY_FREEZES -> freezeRepeatedly(gateway, untilMicros);
       case GATEWAY_RELOADS -> reload(gateway);
       case CLOCK_STEP -> stepClock(gateway, random);
-      case CALLS_FAIL -> failCalls(gateway, untilMicros, shim -> setFailureRates(shim, random));
+      case CALLS_FAIL ->
+          failSystemCalls(gateway, untilMicros, shim -> setFailureRates(shim, random));
       case CALLS_INTERRUPTED ->
-          failCalls(gateway, untilMicros, shim -> setInterruptionRates(shim, random));
-      default -> throw new IllegalArgumentException("unknown fault " + step.kind());
+          failSystemCalls(gateway, untilMicros, shim -> setInterruptionRates(shim, random));
+      default -> throw new IllegalArgumentException("unknown fault kind " + step.kind());
     }
   }
 
-  private ModelServer anyServer(SplittableRandom random) {
+  private ModelServer randomServer(SplittableRandom random) {
     return fleet.servers().get(random.nextInt(fleet.servers().size()));
   }
 
   // ==== links
 
-  /** The links of all gateways to all servers of a role but one; to that one if it is alone. */
-  private List<ProxyLink> linksToMost(ServerRole role, SplittableRandom random) {
+  /** The links of all gateways to all but one server of a role; to the only one if it has one. */
+  private List<ProxyLink> linksToAllButOne(ServerRole role, SplittableRandom random) {
     List<ModelServer> servers =
         fleet.servers().stream().filter(server -> server.role() == role).toList();
-    ModelServer spared = servers.get(random.nextInt(servers.size()));
+    ModelServer excluded = servers.get(random.nextInt(servers.size()));
     return fleet.links(
         gateway -> true,
-        server -> servers.contains(server) && (servers.size() == 1 || server != spared));
+        server -> servers.contains(server) && (servers.size() == 1 || server != excluded));
   }
 
   private List<ProxyLink> linksToOtherZones(GatewayProcess gateway) {
     String zone = fleet.zone(gateway);
-    return fleet.links(each -> each == gateway, server -> !server.zone().equals(zone));
+    return fleet.links(candidate -> candidate == gateway, server -> !server.zone().equals(zone));
   }
 
-  private List<ProxyLink> someLinks(SplittableRandom random) {
+  private List<ProxyLink> randomLinks(SplittableRandom random) {
     double share = 0.2 + 0.6 * random.nextDouble();
     return fleet.links(gateway -> true, server -> random.nextDouble() < share);
   }
 
-  private void silence(List<ProxyLink> links, long untilMicros, SplittableRandom random) {
+  private void holdBothDirections(
+      List<ProxyLink> links, long untilMicros, SplittableRandom random) {
     hold(links, LinkFlow.HOLD, LinkFlow.HOLD, untilMicros, random);
   }
 
-  /** Holds bytes back; afterwards they are delivered, or lost with their connections. */
+  /** Holds bytes, and in the end either delivers them or resets their connections. */
   private void hold(
       List<ProxyLink> links,
       LinkFlow flowToServer,
@@ -115,7 +120,7 @@
     }
   }
 
-  private void slowDown(List<ProxyLink> links, long untilMicros, SplittableRandom random) {
+  private void delay(List<ProxyLink> links, long untilMicros, SplittableRandom random) {
     long delayMillis = 1 + random.nextInt(MAX_LINK_DELAY_MILLIS);
     long delayMicros = TimeUnit.MILLISECONDS.toMicros(delayMillis);
     links.forEach(link -> link.setDelayMicros(delayMicros));
@@ -148,11 +153,11 @@
     List<ModelServer> servers =
         fleet.servers().stream().filter(server -> random.nextInt(4) == 0).toList();
     for (ModelServer server : servers) {
-      fleet.list(server, ListedState.DRAINING);
+      fleet.setListedState(server, ListedState.DRAINING);
     }
     MonotonicClock.sleepUntil(untilMicros);
     for (ModelServer server : servers) {
-      fleet.list(server, ListedState.READY);
+      fleet.setListedState(server, ListedState.READY);
     }
   }
 
@@ -173,7 +178,7 @@
     synchronized (gateway) {
       if (gateway.isAlive()) {
         gateway.kill();
-        MonotonicClock.sleepMicros(KILLED_DOWN_MICROS);
+        MonotonicClock.sleepMicros(RESTART_DELAY_MICROS);
         fleet.restart(gateway);
         gateway.awaitReady();
       }
@@ -184,10 +189,10 @@
     while (MonotonicClock.nowMicros() < untilMicros) {
       synchronized (gateway) {
         gateway.signal("STOP");
-        MonotonicClock.sleepMicros(FREEZE_MICROS);
+        MonotonicClock.sleepMicros(FREEZE_DURATION_MICROS);
         gateway.signal("CONT");
       }
-      MonotonicClock.sleepMicros(FREEZE_PAUSE_MICROS);
+      MonotonicClock.sleepMicros(FREEZE_GAP_MICROS);
     }
   }
 
@@ -211,12 +216,13 @@
             shim -> shim.setWallClockOffsetMillis(random.nextBoolean() ? stepMillis : -stepMillis));
   }
 
-  private void failCalls(GatewayProcess gateway, long untilMicros, Consumer<FaultShim> setRates) {
+  private void failSystemCalls(
+      GatewayProcess gateway, long untilMicros, Consumer<FaultShim> rateSetter) {
     gateway
         .shim()
         .ifPresent(
             shim -> {
-              setRates.accept(shim);
+              rateSetter.accept(shim);
               MonotonicClock.sleepUntil(untilMicros);
               shim.heal();
             });
--- a/faultinjection/src/main/java/lemondock/faultinjection/FaultKind.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultKind.java
@@ -1,47 +1,50 @@
 package lemondock.faultinjection;
 
-/** The faults that a plan may contain. The order is part of what a seed draws. */
+/**
+ * The faults that a plan may contain. A plan draws a kind by its position, so changing the order
+ * changes the plan of every seed.
+ */
 enum FaultKind {
-  /** Most writers fall silent together; what was sent arrives late or never. */
+  /** All writers but one stop responding together; bytes sent meanwhile arrive late or never. */
   SILENT_WRITERS,
-  /** Most readers fall silent together. */
+  /** All readers but one stop responding together. */
   SILENT_READERS,
-  /** A gateway's zone is cut from the other zones. */
+  /** A gateway's links to servers in other zones carry nothing. */
   ZONE_CUT,
-  /** Some links carry requests and hold the answers. */
+  /** Some links deliver requests and hold the answers. */
   ANSWERS_HELD,
-  /** Some links hold requests and carry the answers. */
+  /** Some links hold requests and deliver the answers. */
   REQUESTS_HELD,
-  /** Some links are reset again and again. */
+  /** Some links are reset repeatedly. */
   RESETS,
-  /** Some links are slow. */
+  /** Some links delay all bytes. */
   SLOW_LINKS,
-  /** Some links refuse connections. */
+  /** Some links reset every new connection. */
   REFUSED,
-  /** Some links let connections come up without a far side. */
+  /** Some links accept connections but do not connect to the server. */
   HALF_OPEN,
-  /** Some servers accept connections and take nothing. */
+  /** Some servers accept connections but process nothing. */
   SERVERS_HANG,
-  /** A server dies and comes back cold. */
+  /** A server crashes and restarts cold. */
   SERVER_RESTARTS,
   /** Some servers are listed as draining. */
   SERVERS_DRAIN,
-  /** A gateway's discovery says nothing. */
+  /** A gateway's discovery link carries nothing. */
   DISCOVERY_SILENT,
-  /** A gateway's discovery resets its connections. */
+  /** A gateway's discovery link is reset repeatedly. */
   DISCOVERY_RESET,
-  /** A gateway gets SIGTERM, then SIGKILL if it has not ended in time, and is started again. */
+  /** A gateway gets SIGTERM, then SIGKILL if it has not exited in time, and is restarted. */
   GATEWAY_TERMINATED,
-  /** A gateway gets SIGKILL and is started again. */
+  /** A gateway gets SIGKILL and is restarted. */
   GATEWAY_KILLED,
-  /** A gateway gets SIGSTOP for a moment, again and again. */
+  /** A gateway is repeatedly stopped for a short time with SIGSTOP and resumed with SIGCONT. */
   GATEWAY_FREEZES,
-  /** A gateway gets a new configuration and SIGHUP. */
+  /** A gateway gets a new configuration, then SIGHUP. */
   GATEWAY_RELOADS,
-  /** A gateway's wall clock steps. */
+  /** A gateway's wall clock jumps forwards or backwards. */
   CLOCK_STEP,
-  /** A gateway's system calls fail. */
+  /** Some of a gateway's socket system calls fail. */
   CALLS_FAIL,
-  /** A gateway's reads and writes are interrupted and short. */
+  /** Some of a gateway's socket reads and writes are interrupted or short. */
   CALLS_INTERRUPTED
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/FaultPlan.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultPlan.java
@@ -8,12 +8,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The fleet of one run and the faults that are injected into it, drawn from a seed.
+ * The fleet of one run and the faults injected into it, drawn from a seed.
  *
- * @param crowd whether the gateways have several times their usual clients
- * @param termination whether all gateways are terminated at the end of the load
- * @param steps the faults by their begin
- * @param signals what the gateways get at the end in place of one SIGTERM; none in plans of before
+ * @param crowd whether each gateway has several times its usual number of clients
+ * @param termination whether all gateways are terminated at the end of the load phase
+ * @param steps the faults in the order in which they begin
+ * @param signals the signals that replace the single SIGTERM at the end; empty in plans that {@link
+ *     #draw} returns
  */
 record FaultPlan(
     FleetShape shape,
@@ -21,8 +22,8 @@
     boolean termination,
     List<Step> steps,
     Optional<SignalSeries> signals) {
-  private static final long FIRST_BEGIN_MICROS = TimeUnit.MILLISECONDS.toMicros(800);
-  private static final long LAST_BEGIN_MICROS = TimeUnit.MILLISECONDS.toMicros(8_000);
+  private static final long EARLIEST_BEGIN_MICROS = TimeUnit.MILLISECONDS.toMicros(800);
+  private static final long LATEST_BEGIN_MICROS = TimeUnit.MILLISECONDS.toMicros(8_000);
   private static final long MIN_DURATION_MICROS = TimeUnit.MILLISECONDS.toMicros(300);
   private static final long MAX_DURATION_MICROS = TimeUnit.MILLISECONDS.toMicros(3_500);
   private static final double CROWD_PROBABILITY = 0.25;
@@ -32,8 +33,8 @@
   /**
    * One fault of a plan.
    *
-   * @param beginMicros from the start of the load
-   * @param seed draws what the kind leaves open, as the links that are chosen
+   * @param beginMicros time from the start of the load phase
+   * @param seed for the choices that the kind leaves open, such as the affected links
    */
   record Step(FaultKind kind, long beginMicros, long durationMicros, long seed) {
     @Override
@@ -44,7 +45,10 @@
     }
   }
 
-  /** Draws the plan of a seed. A plan depends on its seed alone: the order of draws is fixed. */
+  /**
+   * Draws the plan of a seed. A plan depends on its seed alone, so the order of the random draws is
+   * fixed.
+   */
   static FaultPlan draw(long seed) {
     return draw(new SplittableRandom(seed));
   }
@@ -57,7 +61,10 @@
     return new FaultPlan(shape, crowd, termination, steps, Optional.empty());
   }
 
-  /** The plan of the same seed, with a series of signals at its end. */
+  /**
+   * Draws the plan that {@link #draw} returns for the same seed, but always with a termination, by
+   * a series of signals.
+   */
   static FaultPlan drawWithSignals(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     FaultPlan plan = draw(random);
@@ -97,7 +104,8 @@
   private static Step drawStep(SplittableRandom random) {
     FaultKind[] kinds = FaultKind.values();
     FaultKind kind = kinds[random.nextInt(kinds.length)];
-    long beginMicros = FIRST_BEGIN_MICROS + random.nextLong(LAST_BEGIN_MICROS - FIRST_BEGIN_MICROS);
+    long beginMicros =
+        EARLIEST_BEGIN_MICROS + random.nextLong(LATEST_BEGIN_MICROS - EARLIEST_BEGIN_MICROS);
     long durationMicros =
         MIN_DURATION_MICROS + random.nextLong(MAX_DURATION_MICROS - MIN_DURATION_MICROS);
     return new Step(kind, beginMicros, durationMicros, random.nextLong());
--- a/faultinjection/src/main/java/lemondock/faultinjection/FaultProxy.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultProxy.java
@@ -16,27 +16,27 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A TCP proxy whose links can be cut, held, slowed and reset while they are in use. All its
- * connections are served by one thread; a {@link ProxyLink} may be changed from any thread.
+ * A TCP proxy whose links can refuse, hold, delay and reset connections while they are in use. One
+ * thread serves all connections; a {@link ProxyLink} may be changed from any thread.
  */
 final class FaultProxy implements AutoCloseable {
   private static final int BUFFER_BYTES = 16 * 1024;
 
-  /** Delayed bytes and links that pass again are looked at so often. */
-  private static final int POLL_MILLIS = 2;
+  /** How often the proxy checks for delayed bytes that are due and links that deliver again. */
+  private static final int POLL_INTERVAL_MILLIS = 2;
 
   private final Selector selector;
   private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
   private final List<ProxyLink> links = new CopyOnWriteArrayList<>();
 
-  /** Connections with something to do; of the proxy's thread only. */
+  /** Connections that have work to do. Used by the proxy's thread only. */
   private final Set<ProxyConnection> activeConnections = new LinkedHashSet<>();
 
   private final Thread thread;
   private final MachineStalls stalls;
   private volatile boolean closed;
 
-  /** Begins to serve; turns of its own that take long are recorded as stalls. */
+  /** Starts serving. Long iterations of the proxy's own loop are recorded as stalls. */
   FaultProxy(MachineStalls stalls) throws IOException {
     this.stalls = stalls;
     selector = Selector.open();
@@ -45,7 +45,7 @@
     thread.start();
   }
 
-  /** Makes a new address that leads to that one. */
+  /** Creates a link with an address of its own, whose connections go to the upstream address. */
   ProxyLink createLink(InetSocketAddress upstream) throws IOException {
     ProxyLink link = new ProxyLink(this, upstream);
     links.add(link);
@@ -57,17 +57,18 @@
     try {
       link.serverChannel().register(selector, SelectionKey.OP_ACCEPT, link);
     } catch (IOException e) {
-      throw new IllegalStateException("a link cannot be served", e);
+      throw new IllegalStateException(
+          "cannot register the link to " + link.upstream() + " with the proxy's selector", e);
     }
   }
 
-  /** Runs a task on the proxy's thread, from any thread. */
+  /** Runs a task on the proxy's thread. May be called from any thread. */
   void execute(Runnable task) {
     tasks.add(task);
     wakeUp();
   }
 
-  /** Has the proxy's thread look at its connections again, from any thread. */
+  /** Makes the proxy's thread check its active connections. May be called from any thread. */
   void wakeUp() {
     selector.wakeup();
   }
@@ -76,17 +77,17 @@
     ByteBuffer buffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
     try {
       while (!closed) {
-        selector.select(POLL_MILLIS);
-        final long beganMicros = MonotonicClock.nowMicros();
+        selector.select(POLL_INTERVAL_MILLIS);
+        final long startedMicros = MonotonicClock.nowMicros();
         runTasks();
         handleSelectedKeys();
         activeConnections.removeIf(
             connection -> !connection.advance(buffer) || !connection.isPending());
-        stalls.recordWork(beganMicros, MonotonicClock.nowMicros());
+        stalls.recordDelay(startedMicros, MonotonicClock.nowMicros());
       }
     } catch (IOException | ClosedSelectorException e) {
       if (!closed) {
-        throw new IllegalStateException("the proxy failed", e);
+        throw new IllegalStateException("the loop of the fault proxy failed", e);
       }
     }
   }
@@ -116,7 +117,7 @@
         client = link.acceptNext();
       }
     } catch (IOException e) {
-      // the client has gone again
+      // the client has already disconnected
     }
   }
 
@@ -130,12 +131,12 @@
     }
   }
 
-  /** Closes something whose failure to close loses nothing. */
+  /** Closes a resource and ignores any failure, for resources whose data is no longer needed. */
   static void closeQuietly(AutoCloseable resource) {
     try {
       resource.close();
     } catch (Exception e) {
-      // nothing is lost
+      // no data is lost
     }
   }
 
--- a/faultinjection/src/main/java/lemondock/faultinjection/FaultShim.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultShim.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Controls the library that is preloaded into one process (faultshim.c): the wall clock that the
- * process sees, and how often its system calls fail. The two share a file of 64-bit words, which
- * the library maps; a word may be changed from any thread while the process runs.
+ * Controls the library that is preloaded into one process (faultshim.c). It sets the wall clock
+ * that the process sees and how often its system calls fail. This class and the library map the
+ * same file of 64-bit words; any thread may change a word while the process runs.
  */
 final class FaultShim {
   private static final String SOURCE = "faultshim.c";
@@ -41,15 +41,15 @@
      * {@code connect} fails: EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EHOSTUNREACH, ETIMEDOUT or EINTR.
      */
     CONNECT(3),
-    /** Reads and writes of sockets are interrupted. */
+    /** Reads and writes of sockets fail with EINTR. */
     INTERRUPT(4),
-    /** Reads and writes of sockets move a part only. */
+    /** Reads and writes of sockets transfer only a part of the bytes. */
     SHORTEN(5),
-    /** An open connection breaks with ETIMEDOUT or EHOSTUNREACH. */
+    /** An open connection fails with ETIMEDOUT or EHOSTUNREACH. */
     TIMEOUT(6),
-    /** Writes to files fail or are short. */
+    /** Writes to files fail with ENOSPC or EIO, or are short. */
     DISK_WRITE(7),
-    /** Syncs of files fail. */
+    /** {@code fsync} and {@code fdatasync} fail with EIO or ENOSPC. */
     DISK_SYNC(8);
 
     private final int word;
@@ -59,7 +59,7 @@
     }
   }
 
-  /** Makes a control file in a folder for a library that was {@link #compile compiled}. */
+  /** Creates a control file in a folder, for a library that {@link #compile} has built. */
   FaultShim(Path library, Path folder, String name, long seed) throws IOException {
     this.library = library;
     this.controlFile = folder.resolve(name + ".faults");
@@ -73,11 +73,11 @@
   }
 
   /**
-   * Compiles the library.
+   * Compiles the library with the system's C compiler.
    *
-   * @param project the root of the repository, which has the source
-   * @param folder where the library goes
-   * @return the library; empty where no C compiler is present
+   * @param project the root of the repository, which contains the source
+   * @param folder where the library is written
+   * @return the library; empty if there is no C compiler or the compilation fails
    */
   static Optional<Path> compile(Path project, Path folder) {
     Path library = folder.resolve("faultshim.so");
@@ -87,7 +87,7 @@
     } catch (IOException e) {
       return Optional.empty();
     } catch (InterruptedException e) {
-      throw new IllegalStateException("interrupted while compiling", e);
+      throw new IllegalStateException("interrupted while compiling " + source, e);
     }
   }
 
@@ -100,17 +100,17 @@
     return compiler.waitFor(COMPILE_SECONDS, TimeUnit.SECONDS) && compiler.exitValue() == 0;
   }
 
-  /** The environment variables that a process must be started with to be under this control. */
+  /** The environment variables with which a process must be started to be controlled by this. */
   Map<String, String> environment() {
     return Map.of("LD_PRELOAD", library.toString(), "LEMONDOCK_FAULTS", controlFile.toString());
   }
 
-  /** Moves the wall clock to so many milliseconds off the true one. */
+  /** Sets the offset of the wall clock from the true one. */
   void setWallClockOffsetMillis(long millis) {
     setWord(CLOCK_OFFSET_WORD, millis);
   }
 
-  /** Lets system calls fail in so many of a million cases from now on. */
+  /** Sets how many of a million system calls of a kind fail from now on. */
   void setFailureRate(Fault fault, long perMillion) {
     if (perMillion > 0) {
       disturbances.begin();
@@ -118,7 +118,7 @@
     setWord(fault.word, perMillion);
   }
 
-  /** Lets all system calls work again; the clock stays as it is. */
+  /** Stops all failures of system calls. The clock offset stays as it is. */
   void heal() {
     for (Fault fault : Fault.values()) {
       setFailureRate(fault, 0);
@@ -126,7 +126,7 @@
     disturbances.endAll();
   }
 
-  /** Whether no system call was made to fail in that period. */
+  /** Whether no failure of system calls was active at any time in that period. */
   boolean isHealthyBetween(long fromMicros, long untilMicros) {
     return disturbances.noneBetween(fromMicros, untilMicros);
   }
--- a/faultinjection/src/main/java/lemondock/faultinjection/FleetShape.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FleetShape.java
@@ -3,11 +3,12 @@
 /**
  * The size of a fleet and the settings of its gateways that vary between runs.
  *
- * @param releaseWithinMs the settings' limit on how long a state may be reserved and not taken
+ * @param releaseWithinMs the configured limit on how long a state may stay reserved without being
+ *     taken
  * @param deadlineMs the deadline of the request classes
- * @param clientsPerGateway usual clients of each gateway
- * @param idleMs how long servers keep unused connections, as the gateways are told
- * @param drainGraceMs how long after a server is listed as draining it may still get attempts
+ * @param clientsPerGateway the usual number of clients of each gateway
+ * @param idleMs how long servers keep idle connections, according to the gateways' configuration
+ * @param drainGraceMs how long a server may still get attempts after it is listed as draining
  */
 record FleetShape(
     int gateways,
@@ -18,29 +19,29 @@
     int clientsPerGateway,
     long idleMs,
     long drainGraceMs) {
-  /** How long a server takes after its start until it has its full capacity. */
+  /** How long a server takes from its start until it has its full capacity. */
   static final long WARM_UP_MS = 3_000;
 
-  /** The part of its capacity that a server has when it starts. */
+  /** The fraction of its full capacity that a server has when it starts. */
   static final double COLD_SHARE = 0.3;
 
-  /** A warm server may get that many times its capacity within a window. */
+  /** A warm server may get up to this multiple of its capacity within a window. */
   static final double OVERLOAD_FACTOR = 2.5;
 
   static final long OVERLOAD_WINDOW_MS = 1_000;
   private static final long MAX_SHUTDOWN_GRACE_MS = 3_000;
   private static final long KILL_SLACK_MS = 700;
 
-  /** When SIGKILL may follow SIGTERM at the earliest, in milliseconds. */
+  /** The shortest time between SIGTERM and SIGKILL, in milliseconds. */
   long killAfterMs() {
     return Math.min(deadlineMs, MAX_SHUTDOWN_GRACE_MS) + KILL_SLACK_MS;
   }
 
   /**
-   * Writes a gateway's configuration.
+   * Formats a gateway's configuration as JSON.
    *
-   * @param discoveryAddress HOST:PORT of its discovery agent
-   * @param knownServers the endpoint list that it starts with, as JSON
+   * @param discoveryAddress HOST:PORT of the gateway's discovery agent
+   * @param knownServers the endpoint list that the gateway starts with, as JSON
    */
   String config(String name, int port, String discoveryAddress, String knownServers, long seed) {
     return """
--- a/faultinjection/src/main/java/lemondock/faultinjection/GatewayProcess.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/GatewayProcess.java
@@ -11,18 +11,19 @@
 import lemondock.net.nio.LoopbackPort;
 
 /**
- * One gateway: processes of {@code bin/lemondock-platform}, one after another at one address, and
- * the signals that they get. Faults that stop, restart or reconfigure it hold its monitor
- * meanwhile, so that they do not overlap; all else may be called from any thread.
+ * One gateway: a series of processes of {@code bin/lemondock-platform} at one address, of which at
+ * most one runs at a time, and the signals sent to them. A fault that stops, restarts or
+ * reconfigures the gateway holds this object's monitor for as long as it lasts, so that such faults
+ * do not overlap. The other methods may be called from any thread.
  */
 final class GatewayProcess implements AutoCloseable {
-  private static final long READY_WITHIN_MICROS = TimeUnit.SECONDS.toMicros(20);
+  private static final long READY_TIMEOUT_MICROS = TimeUnit.SECONDS.toMicros(20);
   private static final long POLL_MILLIS = 20;
   private static final int HEALTH_CHECK_TIMEOUT_MILLIS = 500;
-  private static final long KILL_WITHIN_SECONDS = 10;
+  private static final long KILL_TIMEOUT_SECONDS = 10;
 
-  /** For so long after SIGTERM the platform may still send new connections. */
-  private static final long ARRIVALS_AFTER_TERMINATION_MICROS = TimeUnit.MILLISECONDS.toMicros(350);
+  /** How long after SIGTERM the platform may still send new connections to a gateway. */
+  private static final long NEW_CONNECTION_GRACE_MICROS = TimeUnit.MILLISECONDS.toMicros(350);
 
   private final String name;
   private final Path project;
@@ -31,20 +32,20 @@
   private final Optional<FaultShim> shim;
   private final LoopbackPort port = LoopbackPort.reserve();
 
-  /** Number of processes started so far; the last part of the log file's name. */
-  private int starts;
+  /** Number of processes started so far; part of the log file's name. */
+  private int startCount;
 
-  /** The newest process and its record; both null until the first start. */
+  /** The latest process. It and its incarnation are null until the first start. */
   private volatile Process process;
 
   private volatile GatewayIncarnation incarnation;
 
   /**
-   * Makes a gateway without a process.
+   * Creates a gateway without starting a process.
    *
-   * @param project the root of the repository, which has the program
-   * @param folder where configuration and logs go
-   * @param shim the control of its system calls, if it is to be under one
+   * @param project the root of the repository, which contains the program
+   * @param folder where the configuration and the logs are written
+   * @param shim controls the system calls of the processes; empty to leave them alone
    */
   GatewayProcess(
       String name, Path project, Path folder, Optional<FaultShim> shim, RunRecord runRecord) {
@@ -67,7 +68,7 @@
     return shim;
   }
 
-  /** Replaces its configuration, which the next start or SIGHUP reads. */
+  /** Replaces the configuration file, which the next start or SIGHUP reads. */
   void configure(String config) throws IOException {
     Path newFile = folder.resolve(name + ".json.new");
     Files.writeString(newFile, config);
@@ -79,27 +80,27 @@
     return folder.resolve(name + ".json");
   }
 
-  /** Starts a process and returns at once. */
+  /** Starts a process, without waiting until it is ready. */
   void start() throws IOException {
-    starts++;
+    startCount++;
     ProcessBuilder builder = processBuilder();
     GatewayIncarnation newIncarnation = new GatewayIncarnation(name);
     Process newProcess = builder.start();
     process = newProcess;
     incarnation = newIncarnation;
     runRecord.addIncarnation(newIncarnation);
-    newProcess.onExit().thenAccept(ended -> newIncarnation.markEnded(ended.exitValue()));
+    newProcess.onExit().thenAccept(exited -> newIncarnation.markEnded(exited.exitValue()));
   }
 
   private ProcessBuilder processBuilder() {
     Path program = project.resolve("bin/lemondock-platform");
-    Path logFile = folder.resolve(name + "-" + starts + ".log");
+    Path logFile = folder.resolve(name + "-" + startCount + ".log");
     ProcessBuilder builder =
         new ProcessBuilder(program.toString(), configFile().toString())
             .redirectErrorStream(true)
             .redirectOutput(logFile.toFile());
     Map<String, String> environment = builder.environment();
-    shim.ifPresent(present -> environment.putAll(present.environment()));
+    shim.ifPresent(control -> environment.putAll(control.environment()));
     if (Boolean.getBoolean("lemondock.faultinjection.debug")) {
       environment.put("LEMONDOCK_NODE_OPTS", "-Dorg.slf4j.simpleLogger.defaultLogLevel=debug");
     }
@@ -107,15 +108,20 @@
   }
 
   /**
-   * Waits until its health check succeeds.
+   * Waits until the health check of the current process succeeds.
    *
-   * @throws IOException if the process ends or takes longer than 20 s
+   * @throws IOException if the process exits or takes longer than 20 s
    */
   void awaitReady() throws IOException, InterruptedException {
-    long untilMicros = MonotonicClock.nowMicros() + READY_WITHIN_MICROS;
+    long untilMicros = MonotonicClock.nowMicros() + READY_TIMEOUT_MICROS;
     while (!isHealthy()) {
       if (MonotonicClock.nowMicros() > untilMicros || !process.isAlive()) {
-        throw new IOException(name + " is not ready: see its log in " + folder);
+        throw new IOException(
+            name
+                + " is not ready: it exited, or its health check on port "
+                + port.number()
+                + " did not succeed in time; see its log in "
+                + folder);
       }
       Thread.sleep(POLL_MILLIS);
     }
@@ -135,29 +141,32 @@
     }
   }
 
-  /** Sends a signal by its name, as HUP. */
+  /** Sends a signal to the current process, by the name that kill takes, such as HUP. */
   void signal(String signal) {
     try {
       new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
     } catch (IOException | InterruptedException e) {
-      throw new IllegalStateException("SIG" + signal + " cannot be sent to " + name, e);
+      throw new IllegalStateException("cannot send SIG" + signal + " to " + name, e);
     }
   }
 
-  /** Kills the process without notice and waits for its end. */
+  /** Sends SIGKILL and waits until the process has exited, for at most 10 s. */
   void kill() throws InterruptedException {
     incarnation.markKilled();
-    process.destroyForcibly().waitFor(KILL_WITHIN_SECONDS, TimeUnit.SECONDS);
+    process.destroyForcibly().waitFor(KILL_TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  /** Sends SIGTERM, and SIGKILL so long after it if the process is still there. */
+  /** Sends SIGTERM, and SIGKILL after the given time if the process has not exited by then. */
   void terminate(long killAfterMillis) throws InterruptedException {
     incarnation.markTerminated();
     process.destroy();
-    awaitEndOrKill(killAfterMillis);
+    awaitExitOrKill(killAfterMillis);
   }
 
-  /** The same with a series of signals; the time runs from its first SIGTERM. */
+  /**
+   * Sends a series of signals, and SIGKILL if the process has not exited within the given time
+   * after the first SIGTERM.
+   */
   void terminate(SignalSeries series, long killAfterMillis) throws InterruptedException {
     for (SignalSeries.Step step : series.steps()) {
       if (!process.isAlive()) {
@@ -166,7 +175,7 @@
       send(step);
     }
     long sinceTerminationMicros = MonotonicClock.nowMicros() - incarnation.terminatedMicros();
-    awaitEndOrKill(killAfterMillis - TimeUnit.MICROSECONDS.toMillis(sinceTerminationMicros));
+    awaitExitOrKill(killAfterMillis - TimeUnit.MICROSECONDS.toMillis(sinceTerminationMicros));
   }
 
   private void send(SignalSeries.Step step) throws InterruptedException {
@@ -180,24 +189,23 @@
     }
   }
 
-  private void awaitEndOrKill(long withinMillis) throws InterruptedException {
-    if (!process.waitFor(withinMillis, TimeUnit.MILLISECONDS)) {
+  private void awaitExitOrKill(long timeoutMillis) throws InterruptedException {
+    if (!process.waitFor(timeoutMillis, TimeUnit.MILLISECONDS)) {
       kill();
     }
   }
 
   /**
-   * Whether the platform sends new connections here: once it was ready, and for a moment after
-   * SIGTERM.
+   * Whether the platform may send new connections to this gateway: from when it is ready until
+   * shortly after SIGTERM.
    */
-  boolean getsNewConnections() {
+  boolean mayReceiveNewConnections() {
     GatewayIncarnation current = incarnation;
     if (current == null || !current.isReady() || current.hasEnded()) {
       return false;
     }
     return !current.wasTerminated()
-        || MonotonicClock.nowMicros()
-            < current.terminatedMicros() + ARRIVALS_AFTER_TERMINATION_MICROS;
+        || MonotonicClock.nowMicros() < current.terminatedMicros() + NEW_CONNECTION_GRACE_MICROS;
   }
 
   boolean isAlive() {
--- a/faultinjection/src/main/java/lemondock/faultinjection/HttpMessageReader.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/HttpMessageReader.java
@@ -11,9 +11,9 @@
 import java.util.Optional;
 
 /**
- * Reads HTTP/1.1 messages in the form that this package's servers and clients and the gateway send
- * them to each other. Malformed messages end in an {@link IOException} or a {@link
- * RuntimeException}; callers treat both as a broken connection.
+ * Reads HTTP/1.1 messages in the forms that the gateway and this package's servers and clients use.
+ * A malformed message throws an {@link IOException} or a {@link RuntimeException}; callers treat
+ * both as a broken connection.
  */
 final class HttpMessageReader {
   private static final int MAX_LINE_BYTES = 16 * 1024;
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Reads a head, and a body of the length that it states; a chunked body is left to {@link
-   * #readChunk}. Empty if the connection ends before the first byte.
+   * Reads a head, and a body of the length that its content-length header states. A chunked body is
+   * left to {@link #readChunk}. Empty if the connection ends before the first byte.
    *
    * @throws EOFException if the connection ends within the message
    */
@@ -88,17 +88,24 @@
   private static byte[] readBytes(InputStream in, int length, String part) throws IOException {
     byte[] bytes = in.readNBytes(length);
     if (bytes.length < length) {
-      throw new EOFException("the connection ended within " + part);
+      throw new EOFException(
+          "the connection ended within "
+              + part
+              + " of "
+              + length
+              + " bytes, after "
+              + bytes.length);
     }
     return bytes;
   }
 
-  /** Reads a line without its end. */
+  /** Reads a line and returns it without its line break. */
   private static String readLine(InputStream in) throws IOException {
     ByteArrayOutputStream line = new ByteArrayOutputStream();
     for (int next = in.read(); next != '\n'; next = in.read()) {
       if (next < 0 || line.size() > MAX_LINE_BYTES) {
-        throw new EOFException("the connection ended within a line");
+        throw new EOFException(
+            "the connection ended within a line, or the line exceeds " + MAX_LINE_BYTES + " bytes");
       }
       if (next != '\r') {
         line.write(next);
--- a/faultinjection/src/main/java/lemondock/faultinjection/LinkAdmission.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/LinkAdmission.java
@@ -1,11 +1,11 @@
 package lemondock.faultinjection;
 
-/** What becomes of new connections of a link. */
+/** How a link treats new connections. */
 enum LinkAdmission {
-  /** They are connected through. */
+  /** They are connected to the upstream address. */
   ACCEPT,
   /** They are reset at once. */
   RESET,
-  /** They come up, and their far side is reached only once the link accepts again. */
+  /** They are accepted, but connected upstream only once the link is set to ACCEPT again. */
   HALF_OPEN
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/LinkFlow.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/LinkFlow.java
@@ -1,12 +1,12 @@
 package lemondock.faultinjection;
 
-/** What becomes of the bytes of a link in one direction. */
+/** How a link treats bytes in one direction. */
 enum LinkFlow {
-  /** They pass. */
+  /** They are forwarded. */
   PASS,
   /**
-   * They are taken from their sender and kept, closes and resets too; all of it is delivered once
-   * the link passes again.
+   * They are read from the sender and held, as are closes and resets; everything is delivered once
+   * the link is set to PASS again.
    */
   HOLD
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/ListedServer.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ListedServer.java
@@ -1,10 +1,10 @@
 package lemondock.faultinjection;
 
 /**
- * A server as endpoint lists name it.
+ * An entry of an endpoint list.
  *
- * @param address where the gateway that gets the list reaches it, HOST:PORT
- * @param startedMillis wall time of its start, 0 for long ago
+ * @param address HOST:PORT at which the gateway that gets the list reaches the server
+ * @param startedMillis wall time at which the server started, 0 if it started long ago
  */
 record ListedServer(
     String id,
--- a/faultinjection/src/main/java/lemondock/faultinjection/LoadClient.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/LoadClient.java
@@ -8,21 +8,21 @@
 import lemondock.faultinjection.HttpMessageReader.Message;
 
 /**
- * One client of a gateway: sends one call at a time on a connection that it keeps, until it is
- * stopped; some calls it leaves early. It goes on using an open connection whatever the gateway's
- * state. Runs on one thread; {@link #stop} may be called from any.
+ * One client of a gateway. Until it is stopped, it sends one call at a time on a keep-alive
+ * connection, and abandons some calls by disconnecting early. It keeps using an open connection
+ * regardless of the gateway's state. Runs on one thread; {@link #stop} may be called from any.
  */
 final class LoadClient implements Runnable {
   private static final long ANSWER_SLACK_MICROS = TimeUnit.MILLISECONDS.toMicros(500);
   private static final int STREAM_IDLE_TIMEOUT_MILLIS = 7_000;
 
-  /** Clients do not begin all at once. */
+  /** Clients start at random times within this period, not all at once. */
   private static final long MAX_START_DELAY_MICROS = TimeUnit.MILLISECONDS.toMicros(800);
 
-  private static final long RECONNECT_PAUSE_MICROS = TimeUnit.MILLISECONDS.toMicros(50);
-  private static final double NON_IDEMPOTENT_SHARE = 0.3;
-  private static final double LEAVING_SHARE = 0.06;
-  private static final double NEW_CONNECTION_SHARE = 0.05;
+  private static final long RECONNECT_DELAY_MICROS = TimeUnit.MILLISECONDS.toMicros(50);
+  private static final double NON_IDEMPOTENT_PROBABILITY = 0.3;
+  private static final double DISCONNECT_PROBABILITY = 0.06;
+  private static final double NEW_CONNECTION_PROBABILITY = 0.05;
   private static final int MIN_DEADLINE_PERCENT = 60;
   private static final int MAX_DEADLINE_PERCENT = 100;
   private static final int MIN_PROMPT_CHARACTERS = 200;
@@ -30,8 +30,11 @@
   private static final int PREFIX_KEYS = 40;
   private static final String STREAM_END = "data: [DONE]\n\n";
 
-  /** The close of an idle connection crosses a request only if it is noticed so soon. */
-  private static final long CROSSING_MICROS = TimeUnit.MILLISECONDS.toMicros(100);
+  /**
+   * If a kept connection ends without an answer within this time, the request is taken to have
+   * crossed the gateway's close of the idle connection.
+   */
+  private static final long IDLE_CLOSE_RACE_MICROS = TimeUnit.MILLISECONDS.toMicros(100);
 
   private final String name;
   private final GatewayProcess gateway;
@@ -40,23 +43,28 @@
   private final SplittableRandom random;
   private volatile boolean stopped;
 
-  /** The connection that is kept; null while there is none. */
+  /** The kept connection; null while there is none. */
   private ClientConnection connection;
 
-  private int calls;
+  private int callCount;
 
   /**
-   * How a client behaves.
+   * The behaviour of a client.
    *
    * @param deadlineMillis the longest deadline of its calls
    * @param thinkMicros mean pause between two calls
-   * @param seed of all that it draws
+   * @param seed for all random choices of the client
    */
   record Options(long deadlineMillis, long thinkMicros, long seed) {}
 
-  /** A call, whether it is the first on its connection, and when its client gives up or leaves. */
+  /**
+   * A call that has been sent.
+   *
+   * @param shouldDisconnect whether the client abandons the call at {@code untilMicros}, instead of
+   *     giving up waiting for the answer
+   */
   private record PendingCall(
-      ClientCall call, boolean isFirstOnConnection, boolean leaves, long untilMicros) {
+      ClientCall call, boolean isFirstOnConnection, boolean shouldDisconnect, long untilMicros) {
     int remainingMillis() {
       long remainingMicros = untilMicros - MonotonicClock.nowMicros();
       return (int) Math.max(1, TimeUnit.MICROSECONDS.toMillis(remainingMicros));
@@ -71,7 +79,7 @@
     this.random = new SplittableRandom(options.seed());
   }
 
-  /** Ends it after its present call. */
+  /** Stops the client after its current call. */
   void stop() {
     stopped = true;
   }
@@ -89,39 +97,42 @@
 
   private void call() {
     ClientCall call = drawCall();
-    if (random.nextDouble() < NEW_CONNECTION_SHARE) {
+    if (random.nextDouble() < NEW_CONNECTION_PROBABILITY) {
       closeConnection();
     }
     boolean isFirstOnConnection = connection == null;
     try {
       connectIfNeeded();
     } catch (IOException e) {
-      // nothing was sent: the gateway is down or starts
-      MonotonicClock.sleepMicros(RECONNECT_PAUSE_MICROS);
+      // nothing was sent: the gateway is down or starting
+      MonotonicClock.sleepMicros(RECONNECT_DELAY_MICROS);
       return;
     }
     String request = drawRequest(call);
     runRecord.addCall(call);
-    boolean leaves = random.nextDouble() < LEAVING_SHARE;
-    long leaveMicros = MonotonicClock.nowMicros() + random.nextLong(call.deadlineMicros() / 3);
+    boolean mayDisconnect = random.nextDouble() < DISCONNECT_PROBABILITY;
+    long disconnectMicros = MonotonicClock.nowMicros() + random.nextLong(call.deadlineMicros() / 3);
     if (send(call, request)) {
       long giveUpMicros = call.dueMicros() + ANSWER_SLACK_MICROS;
-      boolean leavesFirst = leaves && leaveMicros <= giveUpMicros;
+      boolean disconnectsFirst = mayDisconnect && disconnectMicros <= giveUpMicros;
       awaitAnswer(
           new PendingCall(
-              call, isFirstOnConnection, leavesFirst, leavesFirst ? leaveMicros : giveUpMicros));
+              call,
+              isFirstOnConnection,
+              disconnectsFirst,
+              disconnectsFirst ? disconnectMicros : giveUpMicros));
     }
   }
 
   private ClientCall drawCall() {
     CallEffect effect =
-        random.nextDouble() < NON_IDEMPOTENT_SHARE ? CallEffect.ONCE : CallEffect.SAFE;
+        random.nextDouble() < NON_IDEMPOTENT_PROBABILITY ? CallEffect.ONCE : CallEffect.SAFE;
     int deadlinePercent =
         MIN_DEADLINE_PERCENT + random.nextInt(MAX_DEADLINE_PERCENT - MIN_DEADLINE_PERCENT + 1);
     long deadlineMicros =
         TimeUnit.MILLISECONDS.toMicros(options.deadlineMillis()) * deadlinePercent / 100;
-    calls++;
-    String id = name + "-" + calls + "-" + Long.toHexString(random.nextLong() >>> 32);
+    callCount++;
+    String id = name + "-" + callCount + "-" + Long.toHexString(random.nextLong() >>> 32);
     return new ClientCall(id, gateway.name(), effect, deadlineMicros);
   }
 
@@ -135,13 +146,13 @@
     if (connection != null) {
       return;
     }
-    if (!gateway.getsNewConnections()) {
-      throw new IOException("the platform sends no clients to " + gateway.name());
+    if (!gateway.mayReceiveNewConnections()) {
+      throw new IOException("the platform sends no new connections to " + gateway.name());
     }
     connection = ClientConnection.open(gateway.port());
   }
 
-  /** Writes the request; returns false if the connection took it no more. */
+  /** Writes the request; returns false if the connection was already broken. */
   private boolean send(ClientCall call, String request) {
     try {
       call.markSent();
@@ -163,7 +174,7 @@
         endUnanswered(pending);
       }
     } catch (SocketTimeoutException e) {
-      giveUp(pending);
+      endOrDisconnect(pending);
     } catch (IOException | RuntimeException e) {
       endUnanswered(pending);
     }
@@ -185,17 +196,17 @@
 
   private void readStream(ClientCall call) {
     try {
-      String text = connection.readChunks(STREAM_IDLE_TIMEOUT_MILLIS);
-      call.end(text.endsWith(STREAM_END) ? CallOutcome.SERVED : CallOutcome.CUT_SHORT);
+      String body = connection.readChunkedBody(STREAM_IDLE_TIMEOUT_MILLIS);
+      call.end(body.endsWith(STREAM_END) ? CallOutcome.SERVED : CallOutcome.CUT_SHORT);
     } catch (IOException e) {
       call.end(CallOutcome.BROKEN);
       closeConnection();
     }
   }
 
-  /** Ends a call without an answer so far: its client leaves, or its time is up. */
-  private void giveUp(PendingCall pending) {
-    if (!pending.leaves()) {
+  /** Ends a call that has no answer yet: the client disconnects early, or gives up waiting. */
+  private void endOrDisconnect(PendingCall pending) {
+    if (!pending.shouldDisconnect()) {
       pending.call().end(CallOutcome.OPEN);
       closeConnection();
       return;
@@ -211,8 +222,9 @@
 
   private void endUnanswered(PendingCall pending) {
     long waitedMicros = MonotonicClock.nowMicros() - pending.call().sentMicros();
-    boolean crossed = !pending.isFirstOnConnection() && waitedMicros < CROSSING_MICROS;
-    pending.call().end(crossed ? CallOutcome.NOT_TAKEN : CallOutcome.UNANSWERED);
+    boolean racedIdleClose =
+        !pending.isFirstOnConnection() && waitedMicros < IDLE_CLOSE_RACE_MICROS;
+    pending.call().end(racedIdleClose ? CallOutcome.NOT_TAKEN : CallOutcome.UNANSWERED);
     closeConnection();
   }
 
--- a/faultinjection/src/main/java/lemondock/faultinjection/ModelServer.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ModelServer.java
@@ -10,12 +10,13 @@
 import lemondock.net.nio.LoopbackPort;
 
 /**
- * An emulator of one model server, a reader or a writer. It can hang (accept connections and take
- * nothing), die and start again at the same address. It records what reached it with its last byte
- * while it ran. Each connection has a thread of its own; the methods may be called from any thread.
+ * An emulator of one model server, a reader or a writer. It can hang (accept connections but
+ * process nothing), crash, and restart at the same address. It records each request that it
+ * received completely while it ran. Each connection has its own thread; the methods may be called
+ * from any thread.
  */
 final class ModelServer implements AutoCloseable {
-  /** The start time of a server that has been up for long. */
+  /** The start time of a server that has been up for a long time. */
   static final long LONG_AGO_MILLIS = 0;
 
   private static final int BACKLOG = 256;
@@ -25,7 +26,7 @@
   private final LoopbackPort reservedPort = LoopbackPort.reserve();
   private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
 
-  /** Replaced at each start: what ran before it counts no more. */
+  /** Replaced at each start, so that requests of the previous process occupy no slot. */
   private volatile Semaphore freeSlots;
 
   private volatile ServerSocket serverSocket;
@@ -33,14 +34,14 @@
   private volatile long startedMillis;
 
   /**
-   * What a server is.
+   * The fixed properties of a server.
    *
-   * @param slots requests that run at the same time
+   * @param slots number of requests that can run at the same time
    * @param maxQueueMicros how long a request may wait for a slot before it is rejected
    */
   record Options(String id, String zone, ServerRole role, int slots, long maxQueueMicros) {}
 
-  /** Makes and starts a server that counts as up for long. */
+  /** Creates and starts a server that counts as having been up for a long time. */
   ModelServer(Options options, RunRecord runRecord) throws IOException {
     this.options = options;
     this.runRecord = runRecord;
@@ -48,30 +49,30 @@
   }
 
   /**
-   * Starts a process, always at the same address.
+   * Starts an emulated process. Its address is the same at each start.
    *
-   * @param newStartedMillis wall time of the start as endpoint lists state it
+   * @param newStartedMillis wall time of the start, as endpoint lists state it
    */
   void start(long newStartedMillis) throws IOException {
-    ServerSocket newSocket = new ServerSocket();
-    newSocket.setReuseAddress(true);
-    newSocket.bind(reservedPort.address(), BACKLOG);
+    ServerSocket newServerSocket = new ServerSocket();
+    newServerSocket.setReuseAddress(true);
+    newServerSocket.bind(reservedPort.address(), BACKLOG);
     freeSlots = new Semaphore(options.slots(), true);
     startedMillis = newStartedMillis;
-    serverSocket = newSocket;
-    DaemonThreads.start("accept-" + id(), () -> acceptConnections(newSocket));
+    serverSocket = newServerSocket;
+    DaemonThreads.start("accept-" + id(), () -> acceptConnections(newServerSocket));
   }
 
-  private void acceptConnections(ServerSocket from) {
+  private void acceptConnections(ServerSocket listener) {
     try {
       while (true) {
-        Socket socket = from.accept();
+        Socket socket = listener.accept();
         socket.setTcpNoDelay(true);
         openSockets.add(socket);
         DaemonThreads.start("serve-" + id(), () -> serve(socket));
       }
     } catch (IOException e) {
-      // it has died
+      // the server crashed or was closed
     }
   }
 
@@ -79,33 +80,35 @@
     try (socket) {
       new ModelServerConnection(this, socket, runRecord).serve();
     } catch (IOException | RuntimeException e) {
-      // its peer has gone, or it died
+      // the gateway disconnected, or the server crashed
     } finally {
       openSockets.remove(socket);
     }
   }
 
-  /** Dies: its connections are reset, new ones are refused, its reserved states are lost. */
-  void die() {
+  /**
+   * Crashes: open connections are reset, new ones are refused, and the reserved states are lost.
+   */
+  void crash() {
     try {
       serverSocket.close();
     } catch (IOException e) {
-      throw new IllegalStateException(id() + " cannot close its port", e);
+      throw new IllegalStateException("cannot close the port of server " + id(), e);
     }
     for (Socket socket : openSockets) {
       try {
         socket.setSoLinger(true, 0);
         socket.close();
       } catch (IOException e) {
-        // its peer was quicker
+        // the gateway closed it first
       }
     }
     runRecord.reservedStates().serverDied(id());
   }
 
-  /** Hangs, or goes on with what has come meanwhile. */
-  void setHanging(boolean isHanging) {
-    hanging = isHanging;
+  /** Makes the server hang, or resume; when it resumes, it processes what has arrived meanwhile. */
+  void setHanging(boolean newHanging) {
+    hanging = newHanging;
   }
 
   boolean isHanging() {
@@ -128,7 +131,7 @@
     return options.maxQueueMicros();
   }
 
-  /** The slots of the present process. */
+  /** The slots of the current process. */
   Semaphore freeSlots() {
     return freeSlots;
   }
@@ -137,14 +140,14 @@
     return reservedPort.address();
   }
 
-  /** Wall time of its last start in milliseconds, 0 for long ago. */
+  /** Wall time of the last start in milliseconds, 0 if that was long ago. */
   long startedMillis() {
     return startedMillis;
   }
 
   @Override
   public void close() {
-    die();
+    crash();
     hanging = false;
     reservedPort.close();
   }
--- a/faultinjection/src/main/java/lemondock/faultinjection/ModelServerConnection.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ModelServerConnection.java
@@ -12,24 +12,25 @@
 import lemondock.faultinjection.HttpMessageReader.Message;
 
 /**
- * Serves the requests of one connection to a {@link ModelServer}: attempts and releases of reserved
- * states. Belongs to one thread.
+ * Serves the requests of one connection to a {@link ModelServer}: attempts, and releases of
+ * reserved states. An attempt is a read (the prefill of a prompt) or a write (the decode of its
+ * answer). Used by one thread only.
  */
 final class ModelServerConnection {
-  private static final long READ_MICROS = 15_000;
-  private static final long READ_MICROS_PER_TOKEN = 20;
+  private static final long PREFILL_BASE_MICROS = 15_000;
+  private static final long PREFILL_MICROS_PER_TOKEN = 20;
   private static final int BYTES_PER_TOKEN = 4;
   private static final long FIRST_TOKEN_MICROS = 10_000;
-  private static final long TOKEN_MICROS = 15_000;
+  private static final long TOKEN_INTERVAL_MICROS = 15_000;
   private static final int MIN_TOKENS = 3;
   private static final int TOKENS_RANGE = 20;
-  private static final long POLL_MICROS = 4_000;
+  private static final long POLL_INTERVAL_MICROS = 4_000;
   private static final String STATE_PATH = "/state/";
-  private static final String RELEASE = "DELETE " + STATE_PATH;
-  private static final String RELEASED = "HTTP/1.1 204 No Content\r\n\r\n";
-  private static final String NO_SLOT = "503 Service Unavailable";
-  private static final String NO_STATE = "410 Gone";
-  private static final String PROMPT_READ =
+  private static final String RELEASE_REQUEST = "DELETE " + STATE_PATH;
+  private static final String RELEASE_CONFIRMED = "HTTP/1.1 204 No Content\r\n\r\n";
+  private static final String NO_SLOT_STATUS = "503 Service Unavailable";
+  private static final String NO_STATE_STATUS = "410 Gone";
+  private static final String READ_ACCEPTED =
       "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":4}";
   private static final String STREAM_HEAD =
       "HTTP/1.1 200 OK\r\n"
@@ -45,11 +46,11 @@
   private final ReservedStateTable states;
   private final PushbackInputStream in;
 
-  /** How the wait for a slot of the server ended. */
+  /** How the wait for a free slot of the server ended. */
   private enum SlotWait {
     ACQUIRED,
     TIMED_OUT,
-    CLIENT_GONE
+    CLIENT_DISCONNECTED
   }
 
   ModelServerConnection(ModelServer server, Socket socket, RunRecord runRecord) throws IOException {
@@ -61,35 +62,36 @@
   }
 
   /**
-   * Serves requests until the client closes, leaves an attempt or the server's process ends.
+   * Serves requests until the client closes the connection or abandons an attempt, or the server
+   * crashes.
    *
    * @throws IOException if the connection breaks
    */
   void serve() throws IOException {
-    boolean open = true;
-    while (open) {
+    boolean canContinue = true;
+    while (canContinue) {
       socket.setSoTimeout(0);
       Optional<Message> request = HttpMessageReader.read(in);
-      open = request.isPresent() && handle(request.get());
+      canContinue = request.isPresent() && handle(request.get());
     }
   }
 
-  /** Handles a request; returns whether the connection can be used for another. */
+  /** Handles a request; returns whether the connection can be used for another one. */
   private boolean handle(Message request) throws IOException {
     awaitNotHanging();
-    if (!request.startLine().startsWith(RELEASE)) {
+    if (!request.startLine().startsWith(RELEASE_REQUEST)) {
       return handleAttempt(request);
     }
     String requestId = request.target().substring(STATE_PATH.length());
     runRecord.addRelease(requestId, server.id());
     states.release(requestId);
-    HttpMessageWriter.write(socket, RELEASED);
+    HttpMessageWriter.write(socket, RELEASE_CONFIRMED);
     return true;
   }
 
   private void awaitNotHanging() {
     while (server.isHanging()) {
-      MonotonicClock.sleepMicros(POLL_MICROS);
+      MonotonicClock.sleepMicros(POLL_INTERVAL_MICROS);
     }
   }
 
@@ -98,8 +100,8 @@
     runRecord.addArrival(arrival);
     try {
       return server.role() == ServerRole.READER
-          ? read(arrival, request.body().length)
-          : write(arrival);
+          ? handleRead(arrival, request.body().length)
+          : handleWrite(arrival);
     } catch (IOException e) {
       if (arrival.fate() == AttemptFate.UNDER_WAY) {
         arrival.setFate(AttemptFate.DROPPED);
@@ -111,9 +113,9 @@
   private SlotWait awaitSlot(Semaphore slots) throws IOException {
     long untilMicros = MonotonicClock.nowMicros() + server.maxQueueMicros();
     try {
-      while (!slots.tryAcquire(POLL_MICROS, TimeUnit.MICROSECONDS)) {
-        if (hasClientGone()) {
-          return SlotWait.CLIENT_GONE;
+      while (!slots.tryAcquire(POLL_INTERVAL_MICROS, TimeUnit.MICROSECONDS)) {
+        if (hasClientDisconnected()) {
+          return SlotWait.CLIENT_DISCONNECTED;
         }
         if (MonotonicClock.nowMicros() > untilMicros) {
           return SlotWait.TIMED_OUT;
@@ -121,54 +123,59 @@
       }
       return SlotWait.ACQUIRED;
     } catch (InterruptedException e) {
-      throw new IllegalStateException("interrupted while a request waits for a slot", e);
+      throw new IllegalStateException(
+          "interrupted while a request waits for a slot of " + server.id(), e);
     }
   }
 
-  // ==== prompts
+  // ==== reads (prefill)
 
-  private boolean read(Arrival arrival, int promptBytes) throws IOException {
+  private boolean handleRead(Arrival arrival, int promptBytes) throws IOException {
     Semaphore slots = server.freeSlots();
     SlotWait wait = awaitSlot(slots);
     if (wait != SlotWait.ACQUIRED) {
       return endWithoutSlot(arrival, wait);
     }
     try {
-      if (!readPrompt(promptBytes)) {
+      if (!prefill(promptBytes)) {
         return drop(arrival);
       }
     } finally {
       slots.release();
     }
-    // one that has hung notices too, before it keeps a state that nobody wants
-    if (socket.isClosed() || hasClientGone()) {
+    // checked after a hang as well, so that no state is reserved for a client that disconnected
+    if (socket.isClosed() || hasClientDisconnected()) {
       return drop(arrival);
     }
     arrival.setFate(AttemptFate.READ);
     states.reserve(arrival.requestId(), server.id());
-    HttpMessageWriter.write(socket, PROMPT_READ);
+    HttpMessageWriter.write(socket, READ_ACCEPTED);
     return true;
   }
 
-  /** Takes the time that reading needs; returns false if the client leaves meanwhile. */
-  private boolean readPrompt(int promptBytes) throws IOException {
-    long readMicros = READ_MICROS + promptBytes / BYTES_PER_TOKEN * READ_MICROS_PER_TOKEN;
-    long endMicros = MonotonicClock.nowMicros() + readMicros;
+  /**
+   * Waits for as long as the prefill takes; returns false if the client disconnects before its end.
+   */
+  private boolean prefill(int promptBytes) throws IOException {
+    long prefillMicros =
+        PREFILL_BASE_MICROS + promptBytes / BYTES_PER_TOKEN * PREFILL_MICROS_PER_TOKEN;
+    long endMicros = MonotonicClock.nowMicros() + prefillMicros;
     while (MonotonicClock.nowMicros() < endMicros) {
-      MonotonicClock.sleepUntil(Math.min(endMicros, MonotonicClock.nowMicros() + POLL_MICROS));
+      MonotonicClock.sleepUntil(
+          Math.min(endMicros, MonotonicClock.nowMicros() + POLL_INTERVAL_MICROS));
       awaitNotHanging();
-      if (MonotonicClock.nowMicros() < endMicros && hasClientGone()) {
+      if (MonotonicClock.nowMicros() < endMicros && hasClientDisconnected()) {
         return false;
       }
     }
     return true;
   }
 
-  // ==== answers
+  // ==== writes (decode)
 
-  private boolean write(Arrival arrival) throws IOException {
+  private boolean handleWrite(Arrival arrival) throws IOException {
     if (!states.beginWrite(arrival.requestId())) {
-      return reject(arrival, NO_STATE);
+      return reject(arrival, NO_STATE_STATUS);
     }
     Semaphore slots = server.freeSlots();
     SlotWait wait = awaitSlotForWrite(arrival, slots);
@@ -178,7 +185,7 @@
     try {
       awaitNotHanging();
       if (!states.take(arrival.requestId())) {
-        return reject(arrival, NO_STATE);
+        return reject(arrival, NO_STATE_STATUS);
       }
       arrival.setFate(AttemptFate.RAN);
       streamAnswer();
@@ -189,7 +196,7 @@
     }
   }
 
-  /** Waits for a slot; the reserved state waits for no write any more if there is none. */
+  /** Waits for a slot; without one, the reserved state no longer counts as awaited by a write. */
   private SlotWait awaitSlotForWrite(Arrival arrival, Semaphore slots) throws IOException {
     SlotWait wait;
     try {
@@ -212,17 +219,17 @@
       awaitNotHanging();
       HttpMessageWriter.writeChunk(
           socket, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"t" + i + "\"}}]}\n\n");
-      MonotonicClock.sleepMicros(TOKEN_MICROS);
+      MonotonicClock.sleepMicros(TOKEN_INTERVAL_MICROS);
     }
     awaitNotHanging();
     HttpMessageWriter.writeChunk(socket, STREAM_END);
     HttpMessageWriter.writeLastChunk(socket);
   }
 
-  // ==== other ends
+  // ==== rejected and abandoned attempts
 
   private boolean endWithoutSlot(Arrival arrival, SlotWait wait) throws IOException {
-    return wait == SlotWait.CLIENT_GONE ? drop(arrival) : reject(arrival, NO_SLOT);
+    return wait == SlotWait.CLIENT_DISCONNECTED ? drop(arrival) : reject(arrival, NO_SLOT_STATUS);
   }
 
   private boolean reject(Arrival arrival, String status) throws IOException {
@@ -237,8 +244,8 @@
     return false;
   }
 
-  /** Whether the client has closed; a byte that comes instead is kept for the next read. */
-  private boolean hasClientGone() throws IOException {
+  /** Whether the client has closed; a byte that arrives instead is pushed back to the input. */
+  private boolean hasClientDisconnected() throws IOException {
     socket.setSoTimeout(1);
     try {
       int next = in.read();
--- a/faultinjection/src/main/java/lemondock/faultinjection/MonotonicClock.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/MonotonicClock.java
@@ -4,8 +4,9 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * The one clock of a run: monotonic microseconds since an arbitrary origin. Every field and
- * parameter of this package whose name ends in {@code Micros} is a duration or a moment of it.
+ * The only clock of a run: monotonic microseconds since an arbitrary origin. Every field and
+ * parameter of this package whose name ends in {@code Micros} is a duration or a time of this
+ * clock.
  */
 final class MonotonicClock {
   private MonotonicClock() {}
@@ -14,11 +15,11 @@
     return TimeUnit.NANOSECONDS.toMicros(System.nanoTime());
   }
 
-  /** Waits until that moment, not at all if it has passed; returns early if interrupted. */
-  static void sleepUntil(long momentMicros) {
-    for (long remaining = momentMicros - nowMicros();
+  /** Sleeps until the given time, if that is in the future; returns early if interrupted. */
+  static void sleepUntil(long untilMicros) {
+    for (long remaining = untilMicros - nowMicros();
         remaining > 0;
-        remaining = momentMicros - nowMicros()) {
+        remaining = untilMicros - nowMicros()) {
       LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(remaining));
       if (Thread.currentThread().isInterrupted()) {
         return;
@@ -26,7 +27,7 @@
     }
   }
 
-  /** Waits for that long; returns early if interrupted. */
+  /** Sleeps for the given duration; returns early if interrupted. */
   static void sleepMicros(long micros) {
     sleepUntil(nowMicros() + micros);
   }
--- a/faultinjection/src/main/java/lemondock/faultinjection/ProcessFleet.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ProcessFleet.java
@@ -11,8 +11,8 @@
 import java.util.function.Predicate;
 
 /**
- * The fleet of one run: gateways with a discovery agent each, model servers in three zones, and a
- * proxy with a link for each pair of gateway and server and for each gateway's discovery.
+ * The fleet of one run: gateways with one discovery agent each, model servers in three zones, and a
+ * proxy with one link for each pair of gateway and server and one for each gateway's discovery.
  */
 final class ProcessFleet implements AutoCloseable {
   private static final List<String> ZONES = List.of("a", "b", "c");
@@ -29,26 +29,26 @@
   private final List<ModelServer> servers = new ArrayList<>();
   private final List<GatewayProcess> gateways = new ArrayList<>();
 
-  /** By gateway; fixed once the fleet is made. */
+  /** By gateway name; not changed after construction. */
   private final Map<String, DiscoveryAgent> discoveryAgents = new LinkedHashMap<>();
 
-  /** By gateway; a value is replaced while the gateway's monitor is held. */
+  /** By gateway name. A value is replaced only while the gateway's monitor is held. */
   private final Map<String, ProxyLink> discoveryLinks = new LinkedHashMap<>();
 
-  /** Fixed once the fleet is made. */
+  /** Not changed after construction. */
   private final Map<LinkKey, ProxyLink> links = new LinkedHashMap<>();
 
-  /** By server. */
+  /** By server id. */
   private final Map<String, ListedState> listedStates = new LinkedHashMap<>();
 
   private record LinkKey(String gatewayName, String serverId) {}
 
   /**
-   * Makes a fleet whose servers run and whose gateways are not started.
+   * Creates a fleet whose servers are running and whose gateways are not started.
    *
-   * @param project the root of the repository, which has the gateway's program
-   * @param folder where the gateways' files go
-   * @param faultLibrary the library of {@link FaultShim}, if system calls are to be under control
+   * @param project the root of the repository, which contains the gateway's program
+   * @param folder where the gateways' files are written
+   * @param faultLibrary the library of {@link FaultShim}; empty to leave system calls alone
    */
   ProcessFleet(FleetShape shape, Path project, Path folder, Optional<Path> faultLibrary, long seed)
       throws IOException {
@@ -88,7 +88,7 @@
     discoveryLinks.put(name, proxy.createLink(agent.address()));
     for (ModelServer server : servers) {
       links.put(new LinkKey(name, server.id()), proxy.createLink(server.address()));
-      updateList(name, server);
+      updateEndpointList(name, server);
     }
     configure(gateway);
   }
@@ -129,15 +129,15 @@
     }
   }
 
-  /** Starts a gateway's next process with the endpoint list that its agent has now. */
+  /** Starts a gateway's next process with the current endpoint list of its agent. */
   void restart(GatewayProcess gateway) throws IOException {
     configure(gateway);
     gateway.start();
   }
 
   /**
-   * Moves a gateway's discovery to another address and notifies it by SIGHUP; the old address
-   * resets connections.
+   * Moves a gateway's discovery to another address and notifies the gateway by SIGHUP. From then on
+   * the old address resets connections.
    */
   void moveDiscovery(GatewayProcess gateway) throws IOException {
     DiscoveryAgent agent = discoveryAgents.get(gateway.name());
@@ -157,46 +157,48 @@
     return links.get(new LinkKey(gatewayName, serverId));
   }
 
-  /** The links of those gateways to those servers. */
-  List<ProxyLink> links(Predicate<GatewayProcess> fromGateways, Predicate<ModelServer> toServers) {
-    List<ProxyLink> chosen = new ArrayList<>();
+  /** The links from the gateways to the servers that match the filters. */
+  List<ProxyLink> links(
+      Predicate<GatewayProcess> gatewayFilter, Predicate<ModelServer> serverFilter) {
+    List<ProxyLink> matching = new ArrayList<>();
     for (GatewayProcess gateway : gateways) {
       for (ModelServer server : servers) {
-        if (fromGateways.test(gateway) && toServers.test(server)) {
-          chosen.add(link(gateway.name(), server.id()));
+        if (gatewayFilter.test(gateway) && serverFilter.test(server)) {
+          matching.add(link(gateway.name(), server.id()));
         }
       }
     }
-    return chosen;
+    return matching;
   }
 
   /**
-   * Whether neither the link nor the gateway's system calls were made to fail in that period; a
-   * {@link LinkHealth}.
+   * Whether no fault was injected into the link or the gateway's system calls in that period.
+   * Implements {@link LinkHealth}.
    */
   boolean isHealthyBetween(String gatewayName, String serverId, long fromMicros, long untilMicros) {
-    boolean callsWork =
+    boolean areSystemCallsHealthy =
         gateways.stream()
             .filter(gateway -> gateway.name().equals(gatewayName))
             .flatMap(gateway -> gateway.shim().stream())
             .allMatch(shim -> shim.isHealthyBetween(fromMicros, untilMicros));
-    return callsWork && link(gatewayName, serverId).isHealthyBetween(fromMicros, untilMicros);
+    return areSystemCallsHealthy
+        && link(gatewayName, serverId).isHealthyBetween(fromMicros, untilMicros);
   }
 
-  /** The zone that a gateway stands in. */
+  /** The zone of a gateway. */
   String zone(GatewayProcess gateway) {
     return ZONES.get(gateways.indexOf(gateway) % ZONES.size());
   }
 
-  /** Lists a server in another state at all gateways' agents. */
-  void list(ModelServer server, ListedState state) throws IOException {
+  /** Changes the state of a server in the endpoint lists of all gateways' agents. */
+  void setListedState(ModelServer server, ListedState state) throws IOException {
     listedStates.put(server.id(), state);
     for (GatewayProcess gateway : gateways) {
-      updateList(gateway.name(), server);
+      updateEndpointList(gateway.name(), server);
     }
   }
 
-  private void updateList(String gatewayName, ModelServer server) throws IOException {
+  private void updateEndpointList(String gatewayName, ModelServer server) throws IOException {
     discoveryAgents
         .get(gatewayName)
         .update(
@@ -210,21 +212,24 @@
   }
 
   /**
-   * Kills a server and, after a while, starts a new process of it at the same address, cold; the
-   * gateways' endpoint lists state the new start.
+   * Crashes a server and, after the given time, starts it cold at the same address. The gateways'
+   * endpoint lists then state the new start time.
    */
   void restartCold(ModelServer server, long downMicros) throws IOException {
-    server.die();
+    server.crash();
     MonotonicClock.sleepMicros(downMicros);
     runRecord.addServerStart(server.id());
     server.start(System.currentTimeMillis());
     for (GatewayProcess gateway : gateways) {
       link(gateway.name(), server.id()).setUpstream(server.address());
     }
-    list(server, ListedState.READY);
+    setListedState(server, ListedState.READY);
   }
 
-  /** Ends every fault of the network, the servers and system calls; clocks stay as they are. */
+  /**
+   * Ends all faults of the network, all hangs of servers and all failures of system calls. Clock
+   * offsets and listed states stay as they are.
+   */
   void heal() {
     links.values().forEach(ProxyLink::heal);
     discoveryLinks.values().forEach(ProxyLink::heal);
--- a/faultinjection/src/main/java/lemondock/faultinjection/ProxyConnection.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ProxyConnection.java
@@ -8,7 +8,10 @@
 import java.nio.channels.SocketChannel;
 import java.util.List;
 
-/** A proxied connection: its client's side and its far side. Used by the proxy's thread only. */
+/**
+ * A proxied connection: the client's channel and the channel to the server. Used by the proxy's
+ * thread only.
+ */
 final class ProxyConnection {
   private final ProxyLink link;
   private final Selector selector;
@@ -19,15 +22,15 @@
   private boolean connecting;
   private boolean clientBroken;
 
-  /** Takes over a client's connection; its far side is connected by {@link #advance}. */
+  /** Takes over a client's connection; {@link #advance} connects to the server. */
   ProxyConnection(ProxyLink link, Selector selector, SocketChannel client) throws IOException {
     this.link = link;
     this.selector = selector;
     this.client = client;
     this.server = SocketChannel.open();
-    for (SocketChannel side : List.of(client, server)) {
-      side.configureBlocking(false);
-      side.setOption(StandardSocketOptions.TCP_NODELAY, true);
+    for (SocketChannel channel : List.of(client, server)) {
+      channel.configureBlocking(false);
+      channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
     }
     toServer = new ProxyStream(selector, client, server, link::flowToServer, link::delayMicros);
     toClient = new ProxyStream(selector, server, client, link::flowToClient, link::delayMicros);
@@ -35,14 +38,14 @@
   }
 
   /**
-   * Whether it has to be looked at again though nothing new comes: it connects, or holds something
-   * back.
+   * Whether the connection needs another {@link #advance} even if no channel becomes ready: it is
+   * not connected to the server yet, or holds bytes, a close or a reset.
    */
   boolean isPending() {
     return !server.isConnected() || clientBroken || toServer.isPending() || toClient.isPending();
   }
 
-  /** Does all that can be done now; returns false once the connection has ended. */
+  /** Does all that is possible without blocking; returns false once the connection has ended. */
   boolean advance(ByteBuffer buffer) {
     try {
       if (!server.isConnected() && !connect()) {
@@ -53,7 +56,7 @@
         reset();
         return false;
       }
-      if (toServer.isEndPassed() && toClient.isEndPassed()) {
+      if (toServer.isEndForwarded() && toClient.isEndForwarded()) {
         close();
         return false;
       }
@@ -65,7 +68,7 @@
   }
 
   private boolean connect() throws IOException {
-    if (link.admission() == LinkAdmission.HALF_OPEN || !toServer.passes()) {
+    if (link.admission() == LinkAdmission.HALF_OPEN || !toServer.isPassing()) {
       return false;
     }
     if (!connecting) {
@@ -79,31 +82,34 @@
     return true;
   }
 
-  /** Moves bytes both ways; returns false if a side is broken and the other has to learn of it. */
+  /**
+   * Transfers bytes in both directions; returns false if a channel is broken and the connection
+   * must be reset now.
+   */
   private boolean transfer(ByteBuffer buffer) {
     if (!clientBroken && !toServer.read(buffer)) {
       clientBroken = true;
     }
-    // a reset travels as bytes do: only where the link passes
-    if (clientBroken && toServer.passes()) {
+    // like bytes, a reset is forwarded only while the link passes
+    if (clientBroken && toServer.isPassing()) {
       return false;
     }
     boolean serverBroken = !toClient.read(buffer);
-    if (serverBroken && toClient.passes()) {
+    if (serverBroken && toClient.isPassing()) {
       return false;
     }
     return toServer.write() && toClient.write();
   }
 
-  /** Resets both sides. */
+  /** Closes both channels with a RST. */
   void reset() {
-    for (SocketChannel side : List.of(client, server)) {
+    for (SocketChannel channel : List.of(client, server)) {
       try {
-        if (side.isOpen()) {
-          side.setOption(StandardSocketOptions.SO_LINGER, 0);
+        if (channel.isOpen()) {
+          channel.setOption(StandardSocketOptions.SO_LINGER, 0);
         }
       } catch (IOException e) {
-        // closed in any case
+        // the channel is closed below in any case
       }
     }
     close();
--- a/faultinjection/src/main/java/lemondock/faultinjection/ProxyLink.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ProxyLink.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * One address of a {@link FaultProxy}, whose connections lead to one upstream address. Its faults
- * may be changed from any thread; its connections belong to the proxy's thread.
+ * One listening address of a {@link FaultProxy}, whose connections go to one upstream address. Any
+ * thread may change its faults; its connections belong to the proxy's thread.
  */
 final class ProxyLink {
   private static final int BACKLOG = 256;
@@ -19,7 +19,7 @@
   private final FaultProxy proxy;
   private final ServerSocketChannel serverChannel;
 
-  /** Changed by the proxy's thread, and read once more when the proxy is closed. */
+  /** Changed by the proxy's thread only; also read when the proxy is closed. */
   private final List<ProxyConnection> connections = new CopyOnWriteArrayList<>();
 
   private final DisturbanceLog disturbances = new DisturbanceLog();
@@ -29,7 +29,7 @@
   private volatile LinkAdmission admission = LinkAdmission.ACCEPT;
   private volatile long delayMicros;
 
-  /** Listens on a free port of loopback; the proxy has to be told to serve it. */
+  /** Listens on a free port on loopback; the proxy must register the channel to serve it. */
   ProxyLink(FaultProxy proxy, InetSocketAddress upstream) throws IOException {
     this.proxy = proxy;
     this.upstream = upstream;
@@ -38,18 +38,18 @@
     serverChannel.configureBlocking(false);
   }
 
-  /** Where clients connect, as {@code HOST:PORT}. */
+  /** The address to which clients connect, as {@code HOST:PORT}. */
   String address() throws IOException {
     InetSocketAddress address = (InetSocketAddress) serverChannel.getLocalAddress();
     return address.getHostString() + ":" + address.getPort();
   }
 
-  /** Sends new connections elsewhere from now on. */
+  /** Sets the upstream address of new connections. */
   void setUpstream(InetSocketAddress newUpstream) {
     upstream = newUpstream;
   }
 
-  /** Injects a fault: what becomes of bytes in each direction and of new connections. */
+  /** Injects a fault: how the link treats bytes in each direction, and new connections. */
   void setFault(LinkFlow newFlowToServer, LinkFlow newFlowToClient, LinkAdmission newAdmission) {
     flowToServer = newFlowToServer;
     flowToClient = newFlowToClient;
@@ -58,37 +58,37 @@
     proxy.wakeUp();
   }
 
-  /** Injects a fault: all bytes are delayed by that much. */
+  /** Injects a fault: delays all bytes by the given time. */
   void setDelayMicros(long newDelayMicros) {
     delayMicros = newDelayMicros;
     disturbances.begin();
   }
 
-  /** Ends all faults and delivers what was held. */
+  /** Ends all faults and delivers the held bytes. */
   void heal() {
     setFault(LinkFlow.PASS, LinkFlow.PASS, LinkAdmission.ACCEPT);
     delayMicros = 0;
     disturbances.endAll();
   }
 
-  /** Resets every open connection; what was held is lost. */
+  /** Resets every open connection; held bytes are lost. */
   void reset() {
     disturbances.addMomentary();
     proxy.execute(this::resetConnections);
   }
 
-  /** Whether no fault of this link lasted in that period. */
+  /** Whether no fault of this link was active at any time in that period. */
   boolean isHealthyBetween(long fromMicros, long untilMicros) {
     return disturbances.noneBetween(fromMicros, untilMicros);
   }
 
-  // ==== for the proxy and its connections
+  // ==== used by the proxy and its connections
 
   SelectableChannel serverChannel() {
     return serverChannel;
   }
 
-  /** The next connection that waits to be accepted. */
+  /** Accepts the next waiting connection; empty if none waits. */
   Optional<SocketChannel> acceptNext() throws IOException {
     return Optional.ofNullable(serverChannel.accept());
   }
--- a/faultinjection/src/main/java/lemondock/faultinjection/ProxyStream.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ProxyStream.java
@@ -12,7 +12,7 @@
 
 /** One direction of a proxied connection. Used by the proxy's thread only. */
 final class ProxyStream {
-  private static final int MAX_HELD_BYTES = 4 * 1024 * 1024;
+  private static final int MAX_BUFFERED_BYTES = 4 * 1024 * 1024;
 
   private final Selector selector;
   private final SocketChannel source;
@@ -20,11 +20,11 @@
   private final Supplier<LinkFlow> flow;
   private final LongSupplier delayMicros;
   private final Queue<Segment> segments = new ArrayDeque<>();
-  private int heldBytes;
+  private int bufferedBytes;
   private boolean sourceEnded;
-  private boolean endPassed;
+  private boolean endForwarded;
 
-  /** Bytes that were read together and may be passed on from a moment on. */
+  /** Bytes that were read together, and the earliest time at which they may be forwarded. */
   private record Segment(ByteBuffer bytes, long dueMicros) {
     boolean isDue() {
       return dueMicros <= MonotonicClock.nowMicros();
@@ -32,10 +32,10 @@
   }
 
   /**
-   * Makes a stream of a link.
+   * Creates a stream for one direction of a link.
    *
-   * @param flow tells what the link does with bytes of this direction now
-   * @param delayMicros tells by how much it delays them
+   * @param flow returns how the link currently treats bytes in this direction
+   * @param delayMicros returns by how much the link currently delays them
    */
   ProxyStream(
       Selector selector,
@@ -50,80 +50,83 @@
     this.delayMicros = delayMicros;
   }
 
-  /** Whether something waits to be passed on. */
+  /** Whether bytes or the end of the stream wait to be forwarded. */
   boolean isPending() {
-    return !segments.isEmpty() || sourceEnded && !endPassed;
+    return !segments.isEmpty() || sourceEnded && !endForwarded;
   }
 
-  boolean passes() {
+  boolean isPassing() {
     return flow.get() == LinkFlow.PASS;
   }
 
-  /** Whether the sender's end was passed on after all its bytes. */
-  boolean isEndPassed() {
-    return endPassed;
+  /** Whether the sender's end of stream has been forwarded, after all its bytes. */
+  boolean isEndForwarded() {
+    return endForwarded;
   }
 
-  /** Takes what has come; returns false if the sender's side is broken. */
+  /** Reads and buffers the available bytes; returns false if the source is broken. */
   boolean read(ByteBuffer buffer) {
     try {
-      while (isReading()) {
+      while (canRead()) {
         buffer.clear();
         int count = source.read(buffer);
         sourceEnded = count < 0;
         if (count <= 0) {
           return true;
         }
-        hold(buffer.flip());
+        enqueue(buffer.flip());
       }
       return true;
     } catch (IOException e) {
       sourceEnded = true;
       return false;
     } finally {
-      updateInterest();
+      updateReadInterest();
     }
   }
 
-  private boolean isReading() {
-    return !sourceEnded && heldBytes < MAX_HELD_BYTES;
+  private boolean canRead() {
+    return !sourceEnded && bufferedBytes < MAX_BUFFERED_BYTES;
   }
 
-  private void hold(ByteBuffer bytes) {
+  private void enqueue(ByteBuffer bytes) {
     ByteBuffer copy = ByteBuffer.allocate(bytes.remaining()).put(bytes).flip();
-    heldBytes += copy.remaining();
+    bufferedBytes += copy.remaining();
     segments.add(new Segment(copy, MonotonicClock.nowMicros() + delayMicros.getAsLong()));
   }
 
-  /** The selector would report an end, and bytes that are not taken, again and again. */
-  private void updateInterest() {
+  /**
+   * Deregisters interest in reads while nothing can be read: the selector would report an end of
+   * stream, or bytes that do not fit the buffer, again on every call.
+   */
+  private void updateReadInterest() {
     SelectionKey key = source.keyFor(selector);
     if (key != null && key.isValid()) {
-      key.interestOps(isReading() ? SelectionKey.OP_READ : 0);
+      key.interestOps(canRead() ? SelectionKey.OP_READ : 0);
     }
   }
 
-  /** Passes on what is due; returns false if the receiver's side is broken. */
+  /** Forwards what is due; returns false if the destination is broken. */
   boolean write() {
     try {
-      while (passes() && !segments.isEmpty() && segments.peek().isDue()) {
+      while (isPassing() && !segments.isEmpty() && segments.peek().isDue()) {
         ByteBuffer bytes = segments.peek().bytes();
-        heldBytes -= destination.write(bytes);
+        bufferedBytes -= destination.write(bytes);
         if (bytes.hasRemaining()) {
           return true;
         }
         segments.poll();
       }
-      passEnd();
+      forwardEnd();
       return true;
     } catch (IOException e) {
       return false;
     }
   }
 
-  private void passEnd() throws IOException {
-    if (sourceEnded && !endPassed && segments.isEmpty() && passes()) {
-      endPassed = true;
+  private void forwardEnd() throws IOException {
+    if (sourceEnded && !endForwarded && segments.isEmpty() && isPassing()) {
+      endForwarded = true;
       destination.shutdownOutput();
     }
   }
--- a/faultinjection/src/main/java/lemondock/faultinjection/ServerRole.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ServerRole.java
@@ -1,10 +1,10 @@
 package lemondock.faultinjection;
 
-/** What a model server does for a request. */
+/** The phase of a request that a model server runs. */
 enum ServerRole {
   /** Reads prompts (prefill) and reserves their state. */
   READER("r"),
-  /** Takes reserved states and writes answers (decode). */
+  /** Takes over reserved states and writes answers (decode). */
   WRITER("w");
 
   private final String code;
@@ -13,7 +13,7 @@
     this.code = code;
   }
 
-  /** The kind of the server in endpoint lists, and the first letter of its id. */
+  /** The kind of the server in endpoint lists; also the first letter of its id. */
   String code() {
     return code;
   }
--- a/faultinjection/src/main/java/lemondock/faultinjection/SignalSeries.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/SignalSeries.java
@@ -6,8 +6,9 @@
 import java.util.stream.Collectors;
 
 /**
- * Signals that a gateway gets in quick succession when it is told to end: new configurations right
- * before, between and after requests to terminate, and moments in which it is stopped.
+ * Signals that a gateway gets in quick succession when it is terminated: reloads of its
+ * configuration right before, between and after requests to terminate, and short periods in which
+ * it is stopped.
  */
 record SignalSeries(List<Step> steps) {
   private static final int MIN_RELOADS = 1;
@@ -15,7 +16,7 @@
   private static final int MAX_LATER_SIGNALS = 5;
   private static final long MAX_PAUSE_MILLIS = 60;
 
-  /** What a step sends. */
+  /** The signal that a step sends. */
   enum Signal {
     RELOAD("HUP"),
     TERMINATE("TERM"),
@@ -28,13 +29,13 @@
       this.code = code;
     }
 
-    /** Its name as the kill command takes it. */
+    /** The name of the signal as the kill command takes it. */
     String code() {
       return code;
     }
   }
 
-  /** One signal, and the time until the next. */
+  /** One signal, and the pause after it. */
   record Step(Signal signal, long pauseMillis) {
     @Override
     public String toString() {
@@ -42,7 +43,9 @@
     }
   }
 
-  /** Draws a series with at least one request to terminate. */
+  /**
+   * Draws a series with at least one request to terminate. The order of the random draws is fixed.
+   */
   static SignalSeries draw(SplittableRandom random) {
     List<Step> steps = new ArrayList<>();
     int reloads = MIN_RELOADS + random.nextInt(RELOADS_RANGE);
--- a/faultinjection/src/main/java/lemondock/faultinjection/package-info.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Fault injection: real gateway processes on loopback between load clients, a fault proxy and
- * emulated model servers, with a preloaded library for the clock, system calls and the disk, and an
- * auditor that judges the five rules by what truly arrived. {@link
- * lemondock.faultinjection.SoakRun} plays one seeded run, {@link lemondock.faultinjection.SoakMain}
- * many. A plan, what its faults choose and what clients send are drawn from the seed alone.
+ * Fault-injection tests of real gateway processes on loopback. Load clients send requests to the
+ * gateways, which reach emulated model servers through a fault proxy. A preloaded library injects
+ * faults into each gateway's wall clock, system calls and disk writes. An auditor checks the five
+ * rules against the requests that actually arrived. {@link lemondock.faultinjection.SoakRun} plays
+ * one seeded run, {@link lemondock.faultinjection.SoakMain} plays many. The fault plan, the targets
+ * of its faults and the requests of the clients are drawn from the seed alone.
  */
 package lemondock.faultinjection;
--- a/faultinjection/src/test/java/lemondock/faultinjection/InterruptedCallsTest.java
+++ b/faultinjection/src/test/java/lemondock/faultinjection/InterruptedCallsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A gateway whose system calls fail as Linux documents, and nothing else is wrong. */
+/** Runs a gateway whose system calls fail in ways that Linux documents, with no other fault. */
 @Timeout(60)
 class InterruptedCallsTest {
   private static final Path PROJECT = Path.of("..").toAbsolutePath().normalize();
@@ -30,18 +30,18 @@
   @TempDir Path folder;
 
   /**
-   * Interrupted and short reads and writes are no faults of a connection: every stream arrives
-   * whole.
+   * Interrupted and short reads and writes must not be taken for a broken connection: every stream
+   * arrives complete.
    */
   @Test
-  void interruptedAndShortTransfersLoseNothing() throws Exception {
+  void interruptedAndShortTransfersKeepStreamsComplete() throws Exception {
     Set<CallOutcome> outcomes = outcomesWith(Fault.INTERRUPT, Fault.SHORTEN);
     assertTrue(
         EnumSet.of(CallOutcome.SERVED, CallOutcome.LEFT).containsAll(outcomes),
         outcomes.toString());
   }
 
-  /** Sockets that cannot be had for a moment cost time, and no request its answer. */
+  /** Temporary failures to open sockets may delay or reject a request, not leave it unanswered. */
   @Test
   void failingAcceptsAndConnectsLeaveNoRequestUnanswered() throws Exception {
     Set<CallOutcome> outcomes = outcomesWith(Fault.ACCEPT, Fault.SOCKET, Fault.CONNECT);
@@ -78,7 +78,7 @@
           List.of(),
           new SoakAuditor(fleet.runRecord(), shape, (gateway, server, from, until) -> true)
               .audit());
-      assertTrue(fleet.runRecord().calls().size() > CLIENTS * 3, "the test asks enough");
+      assertTrue(fleet.runRecord().calls().size() > CLIENTS * 3, "too few calls were made");
       return fleet.runRecord().calls().stream()
           .map(ClientCall::outcome)
           .collect(Collectors.toSet());
