--- a/faultinjection/src/main/java/lemondock/faultinjection/AbandonedCallAudit.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/AbandonedCallAudit.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 
-/** No attempt may begin for a client that has left. */
+/** No attempt may begin for a client that has disconnected. */
 final class AbandonedCallAudit implements AttemptAudit {
   private final RunHistory history;
 
@@ -12,7 +12,7 @@
 
   @Override
   public void audit(ClientCall call, Arrival arrival, Consumer<Breach> breaches) {
-    if (!call.hasLeft() || !history.beganAfter(call.leftMicros(), call, arrival)) {
+    if (!call.hasDisconnected() || !history.beganAfter(call.disconnectedMicros(), call, arrival)) {
       return;
     }
     breaches.accept(
@@ -21,9 +21,9 @@
             "begun at "
                 + arrival.serverId()
                 + " "
-                + history.formatMoment(arrival.firstByteMicros())
+                + history.formatTime(arrival.firstByteMicros())
                 + ", its client left "
-                + history.formatMoment(call.leftMicros())
+                + history.formatTime(call.disconnectedMicros())
                 + ": "
                 + history.describe(call)));
   }
--- a/faultinjection/src/main/java/lemondock/faultinjection/AttemptAudit.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/AttemptAudit.java
@@ -2,8 +2,8 @@
 
 import java.util.function.Consumer;
 
-/** Audits a rule attempt by attempt. */
+/** Checks a rule for one attempt at a time. */
 interface AttemptAudit {
-  /** Adds the breach of the rule by that attempt of the call, if there is one. */
+  /** Passes the breach of the rule by an attempt of the call, if any, to {@code breaches}. */
   void audit(ClientCall call, Arrival arrival, Consumer<Breach> breaches);
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/AttemptAudits.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/AttemptAudits.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Has each attempt audited that arrived when its gateway sent it. */
+/**
+ * Runs attempt audits on each attempt of a call that arrived over a healthy link. Other attempts
+ * are left out, because they may have been sent long before they arrived.
+ */
 final class AttemptAudits implements CallAudit {
   private final RunHistory history;
   private final List<AttemptAudit> audits;
--- a/faultinjection/src/main/java/lemondock/faultinjection/AttemptFate.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/AttemptFate.java
@@ -1,14 +1,14 @@
 package lemondock.faultinjection;
 
-/** What became of an attempt at its server. */
+/** How far an attempt got at its server, or how it ended there. */
 enum AttemptFate {
   UNDER_WAY,
-  /** A reader has read the prompt and reserved its state. */
+  /** A reader has finished the prefill and reserved the state. */
   READ,
-  /** A writer has taken the state: whatever the call does has happened. */
+  /** A writer has taken the state, so the effect of the call has happened. */
   RAN,
   /** Rejected by the server before it ran. */
   NOT_RUN,
-  /** Given up because its connection ended. */
+  /** Abandoned by the server because the connection closed. */
   DROPPED
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/Breach.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/Breach.java
@@ -1,4 +1,4 @@
 package lemondock.faultinjection;
 
-/** A rule that was broken, and how. */
+/** A violation of a rule, with a description for the report. */
 record Breach(Rule rule, String description) {}
--- a/faultinjection/src/main/java/lemondock/faultinjection/CallAudit.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/CallAudit.java
@@ -2,8 +2,8 @@
 
 import java.util.function.Consumer;
 
-/** Audits a rule call by call. */
+/** Checks a rule for one call at a time. */
 interface CallAudit {
-  /** Adds each breach of the rule by that call. */
+  /** Passes each breach of the rule by the call to {@code breaches}. */
   void audit(ClientCall call, Consumer<Breach> breaches);
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/CallOutcome.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/CallOutcome.java
@@ -2,7 +2,7 @@
 
 /** How a call ended, as its client saw it. */
 enum CallOutcome {
-  /** Not ended in time to be known. */
+  /** No answer yet, or none by the time at which the client gave up waiting. */
   OPEN,
   /** A complete stream. */
   SERVED,
@@ -10,17 +10,17 @@
   REFUSED,
   /** Any other status. */
   FAILED,
-  /** A stream that broke off. */
+  /** A stream that broke off with an error before its end. */
   BROKEN,
-  /** A stream that ended properly and yet is not complete. */
+  /** A stream that ended without an error but lacks its final event. */
   CUT_SHORT,
-  /** The connection ended with no answer. */
+  /** The connection closed without an answer. */
   UNANSWERED,
-  /** The client left. */
+  /** The client disconnected before the answer was complete. */
   LEFT,
   /**
    * The request could not be written, or crossed the close of an idle connection; a real client
-   * sends it once more.
+   * would send it again.
    */
   NOT_TAKEN
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/ClientCall.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ClientCall.java
@@ -1,8 +1,8 @@
 package lemondock.faultinjection;
 
 /**
- * A client's call and what its client saw of it. Written by its client's thread only, read by any;
- * moments are 0 until they have come.
+ * A client's call and its outcome as the client observed it. Only the client's thread writes it,
+ * any thread may read it. Timestamps are 0 until their event has occurred.
  */
 final class ClientCall {
   private final String id;
@@ -11,11 +11,11 @@
   private final long deadlineMicros;
   private volatile long sentMicros;
   private volatile long endedMicros;
-  private volatile long leftMicros;
+  private volatile long disconnectedMicros;
   private volatile int status;
   private volatile CallOutcome outcome = CallOutcome.OPEN;
 
-  /** A call that is not sent yet; {@code deadlineMicros} counts from when it is. */
+  /** Creates a call that is not sent yet; {@code deadlineMicros} counts from {@link #markSent}. */
   ClientCall(String id, String gatewayName, CallEffect effect, long deadlineMicros) {
     this.id = id;
     this.gatewayName = gatewayName;
@@ -28,8 +28,8 @@
   }
 
   /** Records that the client has closed its connection before the answer was complete. */
-  void markLeft() {
-    leftMicros = MonotonicClock.nowMicros();
+  void markDisconnected() {
+    disconnectedMicros = MonotonicClock.nowMicros();
     end(CallOutcome.LEFT);
   }
 
@@ -54,12 +54,12 @@
     return effect;
   }
 
-  /** How long the client waits for the answer's beginning, in microseconds. */
+  /** The time from sending within which the answer must begin, in microseconds. */
   long deadlineMicros() {
     return deadlineMicros;
   }
 
-  /** The moment at which its deadline passes. */
+  /** The time at which the deadline expires. */
   long dueMicros() {
     return sentMicros + deadlineMicros;
   }
@@ -72,15 +72,15 @@
     return endedMicros;
   }
 
-  boolean hasLeft() {
-    return leftMicros > 0;
+  boolean hasDisconnected() {
+    return disconnectedMicros > 0;
   }
 
-  long leftMicros() {
-    return leftMicros;
+  long disconnectedMicros() {
+    return disconnectedMicros;
   }
 
-  /** The status of the answer, 0 if there was none. */
+  /** The HTTP status of the answer; 0 if there was none. */
   int status() {
     return status;
   }
--- a/faultinjection/src/main/java/lemondock/faultinjection/CrashAudit.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/CrashAudit.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 
-/** A gateway's process may end only by a signal, and after SIGTERM with exit code 0. */
+/** A gateway process may end only by a signal, and after SIGTERM only with exit code 0. */
 final class CrashAudit implements RunAudit {
   private final RunHistory history;
 
@@ -13,15 +13,15 @@
   @Override
   public void audit(Consumer<Breach> breaches) {
     for (GatewayIncarnation incarnation : history.runRecord().incarnations()) {
-      boolean endedByItself = incarnation.hasEnded() && !incarnation.wasKilled();
-      boolean endedWell = incarnation.wasTerminated() && incarnation.exitCode() == 0;
-      if (endedByItself && !endedWell) {
+      boolean endedUnkilled = incarnation.hasEnded() && !incarnation.wasKilled();
+      boolean endedCleanly = incarnation.wasTerminated() && incarnation.exitCode() == 0;
+      if (endedUnkilled && !endedCleanly) {
         breaches.accept(
             new Breach(
                 Rule.CRASH,
                 incarnation.gatewayName()
                     + " ended at "
-                    + history.formatMoment(incarnation.endedMicros())
+                    + history.formatTime(incarnation.endedMicros())
                     + " with "
                     + incarnation.exitCode()));
       }
--- a/faultinjection/src/main/java/lemondock/faultinjection/DisturbanceLog.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/DisturbanceLog.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * The periods in which faults were injected into a link or a process, so that audits can leave out
- * what happened meanwhile. Thread-safe.
+ * The periods in which faults were injected into a link or a process, so that audits can exclude
+ * events within them. Thread-safe.
  */
 final class DisturbanceLog {
   private final List<Disturbance> disturbances = new CopyOnWriteArrayList<>();
@@ -14,7 +14,7 @@
     private final long beganMicros = MonotonicClock.nowMicros();
     private volatile long endedMicros = Long.MAX_VALUE;
 
-    /** Ends it, unless it ended before. */
+    /** Sets the end of the disturbance unless it has already ended. */
     void end(long nowMicros) {
       endedMicros = Math.min(endedMicros, nowMicros);
     }
@@ -24,25 +24,25 @@
     }
   }
 
-  /** Begins a disturbance that lasts until {@link #endAll}. */
+  /** Begins a disturbance now, which lasts until {@link #endAll}. */
   void begin() {
     disturbances.add(new Disturbance());
   }
 
-  /** Records a disturbance of this moment alone. */
+  /** Records a disturbance that begins and ends now. */
   void addMomentary() {
     Disturbance disturbance = new Disturbance();
     disturbance.end(disturbance.beganMicros);
     disturbances.add(disturbance);
   }
 
-  /** Ends all disturbances that still last. */
+  /** Ends all disturbances that have not ended yet. */
   void endAll() {
     long nowMicros = MonotonicClock.nowMicros();
     disturbances.forEach(disturbance -> disturbance.end(nowMicros));
   }
 
-  /** Whether there was no disturbance in that period. */
+  /** Whether no disturbance overlaps that period. */
   boolean noneBetween(long fromMicros, long untilMicros) {
     return disturbances.stream()
         .noneMatch(disturbance -> disturbance.overlaps(fromMicros, untilMicros));
--- a/faultinjection/src/main/java/lemondock/faultinjection/DrainAudit.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/DrainAudit.java
@@ -4,7 +4,10 @@
 import java.util.function.Consumer;
 import lemondock.faultinjection.RunRecord.Announcement;
 
-/** A server gets no new attempts from a gateway that was told that it drains. */
+/**
+ * A gateway that was notified that a server is draining must send it no new attempts after the
+ * grace period.
+ */
 final class DrainAudit implements RunAudit {
   private static final long SLACK_MICROS = TimeUnit.MILLISECONDS.toMicros(50);
 
@@ -26,7 +29,7 @@
   private void auditDraining(Announcement draining, Consumer<Breach> breaches) {
     long graceMicros = TimeUnit.MILLISECONDS.toMicros(history.shape().drainGraceMs());
     long fromMicros = draining.writtenMicros() + graceMicros + SLACK_MICROS;
-    long untilMicros = readyAgainMicros(draining);
+    long untilMicros = nextReadyMicros(draining);
     for (Arrival arrival : history.runRecord().arrivals()) {
       boolean arrivedWhileDraining =
           arrival.serverId().equals(draining.serverId())
@@ -38,33 +41,36 @@
             .call(arrival.requestId())
             .filter(call -> call.gatewayName().equals(draining.gatewayName()))
             .filter(call -> history.arrivedUndelayed(call, arrival))
-            .ifPresent(call -> breaches.accept(breach(draining, arrival, call)));
+            .ifPresent(call -> breaches.accept(createBreach(draining, arrival, call)));
       }
     }
   }
 
-  /** When the same gateway was next told that the server is ready; never is the largest value. */
-  private long readyAgainMicros(Announcement draining) {
+  /**
+   * When the same gateway was next notified that the server is ready; {@link Long#MAX_VALUE} if
+   * never.
+   */
+  private long nextReadyMicros(Announcement draining) {
     return history.runRecord().announcements().stream()
-        .filter(next -> next.gatewayName().equals(draining.gatewayName()))
-        .filter(next -> next.serverId().equals(draining.serverId()))
-        .filter(next -> next.state() == ListedState.READY)
+        .filter(later -> later.gatewayName().equals(draining.gatewayName()))
+        .filter(later -> later.serverId().equals(draining.serverId()))
+        .filter(later -> later.state() == ListedState.READY)
         .mapToLong(Announcement::writtenMicros)
         .filter(writtenMicros -> writtenMicros > draining.writtenMicros())
         .min()
         .orElse(Long.MAX_VALUE);
   }
 
-  private Breach breach(Announcement draining, Arrival arrival, ClientCall call) {
+  private Breach createBreach(Announcement draining, Arrival arrival, ClientCall call) {
     return new Breach(
         Rule.DRAIN,
         arrival.serverId()
             + " got an attempt at "
-            + history.formatMoment(arrival.firstByteMicros())
+            + history.formatTime(arrival.firstByteMicros())
             + ", told "
             + draining.state().wireName()
             + " at "
-            + history.formatMoment(draining.writtenMicros())
+            + history.formatTime(draining.writtenMicros())
             + ": "
             + history.describe(call));
   }
--- a/faultinjection/src/main/java/lemondock/faultinjection/DuplicateEffectAudit.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/DuplicateEffectAudit.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** A non-idempotent call must not run twice, and not at all if it was rejected. */
+/** A non-idempotent call must run at most once, and not at all if it was rejected. */
 final class DuplicateEffectAudit implements CallAudit {
   private final RunHistory history;
 
@@ -22,14 +22,14 @@
             .filter(arrival -> arrival.fate() == AttemptFate.RAN)
             .toList();
     if (runs.size() > 1) {
-      add("ran " + runs.size() + " times", call, breaches);
+      addBreach("ran " + runs.size() + " times", call, breaches);
     }
     if (!runs.isEmpty() && call.outcome() == CallOutcome.REFUSED) {
-      add("refused though it ran at " + runs.get(0).serverId(), call, breaches);
+      addBreach("refused though it ran at " + runs.get(0).serverId(), call, breaches);
     }
   }
 
-  private void add(String description, ClientCall call, Consumer<Breach> breaches) {
+  private void addBreach(String description, ClientCall call, Consumer<Breach> breaches) {
     breaches.accept(new Breach(Rule.DUPLICATE, description + ": " + history.describe(call)));
   }
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/EndedCallAudit.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/EndedCallAudit.java
@@ -12,7 +12,7 @@
 
   @Override
   public void audit(ClientCall call, Arrival arrival, Consumer<Breach> breaches) {
-    boolean hasFinalAnswer = !call.hasLeft() && call.outcome() != CallOutcome.OPEN;
+    boolean hasFinalAnswer = !call.hasDisconnected() && call.outcome() != CallOutcome.OPEN;
     if (!hasFinalAnswer || !history.beganAfter(call.endedMicros(), call, arrival)) {
       return;
     }
@@ -22,7 +22,7 @@
             "begun at "
                 + arrival.serverId()
                 + " "
-                + history.formatMoment(arrival.firstByteMicros())
+                + history.formatTime(arrival.firstByteMicros())
                 + " after its final answer: "
                 + history.describe(call)));
   }
--- a/faultinjection/src/main/java/lemondock/faultinjection/FinalAnswerAudit.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FinalAnswerAudit.java
@@ -5,15 +5,16 @@
 import java.util.function.Consumer;
 
 /**
- * Each call must get one final answer in time. Calls of a gateway that was killed without notice
- * and calls whose clients left are excused.
+ * Each call must get one final answer in time. Excused are calls that had not ended when their
+ * gateway was killed without notice, calls that were sent while their gateway had no process, and
+ * calls whose client disconnected.
  */
 final class FinalAnswerAudit implements CallAudit {
   private static final long KILL_SLACK_MICROS = TimeUnit.MILLISECONDS.toMicros(50);
 
   /**
-   * The clients' own lateness on a busy machine, on top of the half second that a final answer may
-   * be late.
+   * Allowance for the clients' own delay on a busy machine, on top of the half second by which a
+   * final answer may be late.
    */
   private static final long LATE_SLACK_MICROS = TimeUnit.MILLISECONDS.toMicros(500);
 
@@ -30,8 +31,8 @@
     }
     switch (call.outcome()) {
       case OPEN -> auditOpen(call, breaches);
-      case UNANSWERED -> add("closed with no answer", call, breaches);
-      case CUT_SHORT -> add("ended as if it were whole", call, breaches);
+      case UNANSWERED -> addBreach("closed with no answer", call, breaches);
+      case CUT_SHORT -> addBreach("ended as if it were whole", call, breaches);
       case NOT_TAKEN -> auditNotTaken(call, breaches);
       case BROKEN -> auditBroken(call, breaches);
       case REFUSED, FAILED -> auditLate(call, breaches);
@@ -50,24 +51,24 @@
 
   private void auditOpen(ClientCall call, Consumer<Breach> breaches) {
     if (stalledMicros(call) == 0) {
-      add("no final answer", call, breaches);
+      addBreach("no final answer", call, breaches);
     }
   }
 
   private void auditNotTaken(ClientCall call, Consumer<Breach> breaches) {
     if (!history.arrivals(call).isEmpty()) {
-      add("forwarded, then closed with no answer", call, breaches);
+      addBreach("forwarded, then closed with no answer", call, breaches);
     }
   }
 
-  /** A stream that its server finished over a link that worked must reach its client complete. */
+  /** A stream that its server finished over a healthy link must reach the client completely. */
   private void auditBroken(ClientCall call, Consumer<Breach> breaches) {
     for (Arrival arrival : history.arrivals(call)) {
       if (arrival.isStreamComplete()
           && history.isLinkHealthyUntil(call, arrival, call.endedMicros())) {
-        String finished = history.formatMoment(arrival.streamedMicros());
-        add(
-            "a stream that " + arrival.serverId() + " finished at " + finished + " was cut",
+        String finishedAt = history.formatTime(arrival.streamedMicros());
+        addBreach(
+            "a stream that " + arrival.serverId() + " finished at " + finishedAt + " was cut",
             call,
             breaches);
       }
@@ -77,7 +78,8 @@
   private void auditLate(ClientCall call, Consumer<Breach> breaches) {
     long lateMicros = call.endedMicros() - call.dueMicros() - stalledMicros(call);
     if (lateMicros > LATE_SLACK_MICROS) {
-      add("answered " + TimeUnit.MICROSECONDS.toMillis(lateMicros) + " ms late", call, breaches);
+      addBreach(
+          "answered " + TimeUnit.MICROSECONDS.toMillis(lateMicros) + " ms late", call, breaches);
     }
   }
 
@@ -85,7 +87,7 @@
     return history.stalledMicros(call.sentMicros(), call.endedMicros());
   }
 
-  private void add(String description, ClientCall call, Consumer<Breach> breaches) {
+  private void addBreach(String description, ClientCall call, Consumer<Breach> breaches) {
     breaches.accept(new Breach(Rule.LOST, description + ": " + history.describe(call)));
   }
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/GatewayIncarnation.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/GatewayIncarnation.java
@@ -2,7 +2,7 @@
 
 /**
  * One process of a gateway, from its start to its end. Written by the threads that start, signal
- * and await it, read by any; moments are 0 until they have come.
+ * and await it; any thread may read it. Timestamps are 0 until their event has occurred.
  */
 final class GatewayIncarnation {
   private final String gatewayName;
@@ -13,7 +13,7 @@
   private volatile long endedMicros;
   private volatile int exitCode;
 
-  /** A process that is started now. */
+  /** Records a process that starts now. */
   GatewayIncarnation(String gatewayName) {
     this.gatewayName = gatewayName;
   }
@@ -22,12 +22,12 @@
     readyMicros = MonotonicClock.nowMicros();
   }
 
-  /** Records SIGTERM. */
+  /** Records that SIGTERM is sent now. */
   void markTerminated() {
     terminatedMicros = MonotonicClock.nowMicros();
   }
 
-  /** Records SIGKILL. */
+  /** Records that SIGKILL is sent now. */
   void markKilled() {
     killedMicros = MonotonicClock.nowMicros();
   }
@@ -73,12 +73,12 @@
     return exitCode;
   }
 
-  /** Whether the process was there at that moment. */
-  boolean covers(long momentMicros) {
-    return momentMicros >= startedMicros && (!hasEnded() || momentMicros <= endedMicros);
+  /** Whether the process had started and not yet ended at that time. */
+  boolean wasRunningAt(long timeMicros) {
+    return timeMicros >= startedMicros && (!hasEnded() || timeMicros <= endedMicros);
   }
 
-  /** Whether the process was killed without notice. */
+  /** Whether the process got SIGKILL without SIGTERM before it. */
   boolean wasKilledWithoutNotice() {
     return wasKilled() && !wasTerminated();
   }
--- a/faultinjection/src/main/java/lemondock/faultinjection/LoadClient.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/LoadClient.java
@@ -206,7 +206,7 @@
     } else {
       closeConnection();
     }
-    pending.call().markLeft();
+    pending.call().markDisconnected();
   }
 
   private void endUnanswered(PendingCall pending) {
--- a/faultinjection/src/main/java/lemondock/faultinjection/ReservedStateAudit.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ReservedStateAudit.java
@@ -5,9 +5,9 @@
 import java.util.function.Consumer;
 import lemondock.faultinjection.ReservedStateTable.IdlePeriod;
 
-/** A state that a reader reserves must be taken by a write or released in time. */
+/** Each state that a reader reserves must be taken by a write or released within the limit. */
 final class ReservedStateAudit implements RunAudit {
-  /** What the platform grants beyond the settings' limit. */
+  /** Tolerance that the platform grants beyond the limit of the gateways' settings. */
   private static final long SLACK_MICROS = TimeUnit.MILLISECONDS.toMicros(300);
 
   private final RunHistory history;
@@ -27,7 +27,7 @@
             .runRecord()
             .call(period.requestId())
             .filter(call -> !isExcused(call, period))
-            .ifPresent(call -> breaches.accept(breach(call, period)));
+            .ifPresent(call -> breaches.accept(createBreach(call, period)));
       }
     }
   }
@@ -37,7 +37,10 @@
     return period.durationMicros() > limitMicros + stalledMicros;
   }
 
-  /** A gateway that was killed without notice cannot release what it reserved. */
+  /**
+   * Whether the call's gateway was killed without notice before the limit expired, so that it could
+   * not release the state.
+   */
   private boolean isExcused(ClientCall call, IdlePeriod period) {
     Optional<GatewayIncarnation> incarnation =
         history.runRecord().incarnationAt(call.gatewayName(), call.sentMicros());
@@ -47,7 +50,7 @@
         .isPresent();
   }
 
-  private Breach breach(ClientCall call, IdlePeriod period) {
+  private Breach createBreach(ClientCall call, IdlePeriod period) {
     return new Breach(
         Rule.HELD,
         "at "
@@ -55,7 +58,7 @@
             + " for "
             + TimeUnit.MICROSECONDS.toMillis(period.durationMicros())
             + " ms from "
-            + history.formatMoment(period.fromMicros())
+            + history.formatTime(period.fromMicros())
             + " ("
             + period.end()
             + "): "
@@ -70,7 +73,7 @@
           .append(arrival.role() == ServerRole.READER ? "read " : "write ")
           .append(arrival.serverId())
           .append(' ')
-          .append(history.formatMoment(arrival.arrivedMicros()))
+          .append(history.formatTime(arrival.arrivedMicros()))
           .append(' ')
           .append(arrival.fate());
     }
@@ -79,7 +82,7 @@
         text.append("; release ")
             .append(release.serverId())
             .append(' ')
-            .append(history.formatMoment(release.arrivedMicros()));
+            .append(history.formatTime(release.arrivedMicros()));
       }
     }
     return text.toString();
--- a/faultinjection/src/main/java/lemondock/faultinjection/ReservedStateTable.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ReservedStateTable.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * The states that readers truly reserve for requests, and the periods in which no write waited for
- * them. Thread-safe.
+ * The KV-cache states that readers hold reserved for requests, as the servers observe them, and the
+ * idle periods in which no write waited for such a state. Thread-safe.
  */
 final class ReservedStateTable {
   private final Map<String, List<ReservedState>> statesByRequest = new HashMap<>();
@@ -19,7 +19,7 @@
     TAKEN,
     RELEASED,
     SERVER_DIED,
-    /** Not at all: the state is still reserved. */
+    /** It has not ended: the state is still reserved. */
     LEFT
   }
 
@@ -51,14 +51,14 @@
     }
   }
 
-  /** Records that a read has ended and left its state at a server. */
+  /** Records that a read (prefill) has ended and reserves its state at a server. */
   synchronized void reserve(String requestId, String serverId) {
     statesByRequest
         .computeIfAbsent(requestId, absent -> new ArrayList<>())
         .add(new ReservedState(requestId, serverId));
   }
 
-  /** Records that a write has arrived for the newest state; returns false if there is none. */
+  /** Records that a write arrived for the request's newest state; returns false if it has none. */
   synchronized boolean beginWrite(String requestId) {
     List<ReservedState> states = statesByRequest.get(requestId);
     if (states == null) {
@@ -72,7 +72,7 @@
     return true;
   }
 
-  /** Records that a write that waited has ended without taking the state. */
+  /** Records that a waiting write has ended without taking the state. */
   synchronized void abandonWrite(String requestId) {
     List<ReservedState> states = statesByRequest.get(requestId);
     if (states == null) {
@@ -86,8 +86,8 @@
   }
 
   /**
-   * Lets a write take the state, which also ends all other states of the request; returns false if
-   * there is none any more.
+   * Records that a write takes the state, which also ends all other states of the request; returns
+   * false if the request has no state left.
    */
   synchronized boolean take(String requestId) {
     List<ReservedState> states = statesByRequest.remove(requestId);
@@ -98,7 +98,7 @@
     return true;
   }
 
-  /** Releases all states of the request that no write waits for. */
+  /** Releases all states of the request for which no write waits. */
   synchronized void release(String requestId) {
     statesByRequest.computeIfPresent(
         requestId,
@@ -111,7 +111,7 @@
         });
   }
 
-  /** Records that a server's process has ended, and with it all states that it had reserved. */
+  /** Records that a server's process has ended and lost all states that it had reserved. */
   synchronized void serverDied(String serverId) {
     for (List<ReservedState> states : statesByRequest.values()) {
       states.stream()
@@ -122,7 +122,7 @@
     statesByRequest.values().removeIf(List::isEmpty);
   }
 
-  /** All idle periods so far; those of states that are still reserved last until now. */
+  /** All idle periods so far; those of states that are still reserved and idle end now. */
   synchronized List<IdlePeriod> idlePeriods() {
     List<IdlePeriod> periods = new ArrayList<>(idlePeriods);
     statesByRequest.values().stream()
--- a/faultinjection/src/main/java/lemondock/faultinjection/Rule.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/Rule.java
@@ -1,21 +1,21 @@
 package lemondock.faultinjection;
 
-/** A rule that every run must keep. */
+/** A rule that every run must satisfy. */
 enum Rule {
-  /** Each call gets one final answer in time, and none is lost. */
+  /** Each call gets one final answer in time; none is lost, and no attempt begins afterwards. */
   LOST,
-  /** A non-idempotent call runs at most once, and a rejected one not at all. */
+  /** A non-idempotent call runs at most once, and not at all if it was rejected. */
   DUPLICATE,
-  /** Draining servers get no new attempts. */
+  /** Draining servers get no new attempts once their grace period is over. */
   DRAIN,
-  /** Cold servers get no more than their share. */
+  /** Servers that are warming up get no more than their reduced share of calls. */
   SLOW_START,
-  /** Reserved states are taken or released in time. */
+  /** Reserved states are taken by a write or released in time. */
   HELD,
-  /** Servers are told no later deadline than the call has. */
+  /** Gateways state no more remaining time to servers than the call has left. */
   DEADLINE_TOLD,
-  /** No attempt begins for a client that has left. */
+  /** No attempt begins for a client that has disconnected. */
   BEGUN_AFTER_LEAVING,
-  /** Gateways end only when they are told to, and then with 0. */
+  /** A gateway process ends only by a signal, and after SIGTERM with exit code 0. */
   CRASH
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/RunAudit.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/RunAudit.java
@@ -2,8 +2,8 @@
 
 import java.util.function.Consumer;
 
-/** Audits a rule over a whole run. */
+/** Checks a rule over a whole run. */
 interface RunAudit {
-  /** Adds each breach of the rule. */
+  /** Passes each breach of the rule to {@code breaches}. */
   void audit(Consumer<Breach> breaches);
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/RunHistory.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/RunHistory.java
@@ -7,19 +7,22 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** What audits ask of a run that is over. */
+/** Queries of the audits on the record of a finished run. */
 final class RunHistory {
-  /** How long a link must have worked for what comes over it to be judged by its time. */
-  private static final long HEALTHY_BEFORE_MICROS = TimeUnit.MILLISECONDS.toMicros(1_000);
+  /**
+   * How long a link must have been healthy before an attempt for the audits to rely on the time of
+   * its arrival.
+   */
+  private static final long MIN_HEALTHY_BEFORE_MICROS = TimeUnit.MILLISECONDS.toMicros(1_000);
 
-  /** How long after the end of a call an attempt that was sent before it may still arrive. */
+  /** How long after the end of a call an attempt may arrive that was sent before that end. */
   private static final long ARRIVAL_SLACK_MICROS = TimeUnit.MILLISECONDS.toMicros(100);
 
   private final RunRecord runRecord;
   private final FleetShape shape;
   private final LinkHealth linkHealth;
 
-  /** In the order in which they arrived. */
+  /** By call id; each list is ordered by arrival time. */
   private final Map<String, List<Arrival>> arrivalsByCall = new HashMap<>();
 
   RunHistory(RunRecord runRecord, FleetShape shape, LinkHealth linkHealth) {
@@ -41,42 +44,44 @@
     return shape;
   }
 
-  /** The attempts of a call that reached a server, in the order in which they did. */
+  /** The attempts of a call that reached a server, ordered by arrival time. */
   List<Arrival> arrivals(ClientCall call) {
     return arrivalsByCall.getOrDefault(call.id(), List.of());
   }
 
-  /** Whether the link worked for so long that an attempt arrived when its gateway sent it. */
+  /** Whether the link was healthy long enough for an attempt to arrive when its gateway sent it. */
   boolean arrivedUndelayed(ClientCall call, Arrival arrival) {
     return isLinkHealthyUntil(call, arrival, arrival.firstByteMicros());
   }
 
-  /** Whether an attempt's link worked from before the attempt until that moment. */
+  /** Whether an attempt's link was healthy from before the attempt until that time. */
   boolean isLinkHealthyUntil(ClientCall call, Arrival arrival, long untilMicros) {
     return linkHealth.isHealthyBetween(
         call.gatewayName(),
         arrival.serverId(),
-        arrival.firstByteMicros() - HEALTHY_BEFORE_MICROS,
+        arrival.firstByteMicros() - MIN_HEALTHY_BEFORE_MICROS,
         untilMicros);
   }
 
-  /** Whether an attempt began later after a moment than the network and the machine explain. */
-  boolean beganAfter(long momentMicros, ClientCall call, Arrival arrival) {
+  /**
+   * Whether an attempt began after a time by more than network latency and machine stalls explain.
+   */
+  boolean beganAfter(long timeMicros, ClientCall call, Arrival arrival) {
     long stalledMicros = stalledMicros(call.sentMicros(), arrival.firstByteMicros());
-    return arrival.firstByteMicros() > momentMicros + ARRIVAL_SLACK_MICROS + stalledMicros;
+    return arrival.firstByteMicros() > timeMicros + ARRIVAL_SLACK_MICROS + stalledMicros;
   }
 
-  /** Time in that period in which the machine stood still, in microseconds. */
+  /** How long the machine was stalled within that period, in microseconds. */
   long stalledMicros(long fromMicros, long untilMicros) {
     return runRecord.stalls().stalledMicros(fromMicros, untilMicros);
   }
 
-  /** A moment as seconds of the run. */
-  String formatMoment(long momentMicros) {
-    return runRecord.formatMoment(momentMicros);
+  /** Formats a time as seconds since the start of the run. */
+  String formatTime(long timeMicros) {
+    return runRecord.formatTime(timeMicros);
   }
 
-  /** A call and its outcome as breaches name it. */
+  /** Describes a call and its outcome for the text of a breach. */
   String describe(ClientCall call) {
     return call.id()
         + " ("
@@ -84,7 +89,7 @@
         + ", "
         + call.gatewayName()
         + ", sent "
-        + formatMoment(call.sentMicros())
+        + formatTime(call.sentMicros())
         + ", may wait "
         + TimeUnit.MICROSECONDS.toMillis(call.deadlineMicros())
         + " ms, "
@@ -92,7 +97,7 @@
         + " "
         + call.status()
         + " "
-        + formatMoment(call.endedMicros())
+        + formatTime(call.endedMicros())
         + ")";
   }
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/RunRecord.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/RunRecord.java
@@ -10,8 +10,9 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * All that truly happened in a run, recorded by clients, servers, discovery and whoever sends
- * signals. Thread-safe; complete once all of them have stopped.
+ * The events of a run as clients, servers, discovery agents and the senders of signals observed
+ * them, independent of what the gateways report. Thread-safe; complete once all of these have
+ * stopped.
  */
 final class RunRecord implements AutoCloseable {
   private static final double MICROS_PER_SECOND = 1e6;
@@ -27,13 +28,16 @@
   private final MachineStalls stalls = new MachineStalls();
   private final long originMicros = MonotonicClock.nowMicros();
 
-  /** A release of a reserved state that has reached a running server. */
+  /** The arrival of a release of reserved state at a running server. */
   record Release(String requestId, String serverId, long arrivedMicros) {}
 
   /** The start of a new process of a server. */
   record ServerStart(String serverId, long startedMicros) {}
 
-  /** An endpoint list, or a change of one, that discovery has written to a gateway. */
+  /**
+   * A server's entry in an endpoint list, or in an update of one, that discovery has written to a
+   * gateway.
+   */
   record Announcement(String gatewayName, String serverId, ListedState state, long writtenMicros) {}
 
   void addCall(ClientCall call) {
@@ -44,12 +48,12 @@
     arrivals.add(arrival);
   }
 
-  /** Records a release that has arrived just now. */
+  /** Records that a release arrives now. */
   void addRelease(String requestId, String serverId) {
     releases.add(new Release(requestId, serverId, MonotonicClock.nowMicros()));
   }
 
-  /** Records a process of a server that starts now. */
+  /** Records that a new process of a server starts now. */
   void addServerStart(String serverId) {
     serverStarts.add(new ServerStart(serverId, MonotonicClock.nowMicros()));
   }
@@ -58,7 +62,7 @@
     announcements.add(announcement);
   }
 
-  /** Records how many calls a second a server answers when it is warm. */
+  /** Sets how many calls per second a server answers when it is warm. */
   void setServerCapacity(String serverId, double callsPerSecond) {
     serverCapacities.put(serverId, callsPerSecond);
   }
@@ -71,7 +75,7 @@
     return calls.values();
   }
 
-  /** The call with that id; empty for requests of others, as health checks. */
+  /** The call with that id; empty for requests that no client sent, such as health checks. */
   Optional<ClientCall> call(String id) {
     return Optional.ofNullable(calls.get(id));
   }
@@ -92,7 +96,7 @@
     return announcements;
   }
 
-  /** Calls a second that a server answers when it is warm; 0 for an unknown server. */
+  /** Calls per second that a server answers when it is warm; 0 for an unknown server. */
   double serverCapacity(String serverId) {
     return serverCapacities.getOrDefault(serverId, 0.0);
   }
@@ -101,11 +105,11 @@
     return incarnations;
   }
 
-  /** The process of a gateway at that moment. */
-  Optional<GatewayIncarnation> incarnationAt(String gatewayName, long momentMicros) {
+  /** The process of a gateway that was running at that time. */
+  Optional<GatewayIncarnation> incarnationAt(String gatewayName, long timeMicros) {
     return incarnations.stream()
         .filter(incarnation -> incarnation.gatewayName().equals(gatewayName))
-        .filter(incarnation -> incarnation.covers(momentMicros))
+        .filter(incarnation -> incarnation.wasRunningAt(timeMicros))
         .findFirst();
   }
 
@@ -117,12 +121,12 @@
     return stalls;
   }
 
-  /** A moment as seconds of the run. */
-  String formatMoment(long momentMicros) {
-    return String.format("%.3f", (momentMicros - originMicros) / MICROS_PER_SECOND);
+  /** Formats a time as seconds since the start of the run. */
+  String formatTime(long timeMicros) {
+    return String.format("%.3f", (timeMicros - originMicros) / MICROS_PER_SECOND);
   }
 
-  /** Stops watching for stalls. */
+  /** Stops the detection of machine stalls. */
   @Override
   public void close() {
     stalls.close();
--- a/faultinjection/src/main/java/lemondock/faultinjection/SlowStartAudit.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/SlowStartAudit.java
@@ -7,16 +7,16 @@
 import lemondock.faultinjection.RunRecord.ServerStart;
 
 /**
- * A server that has just started must not be overloaded: in each window of its warm-up it may get a
- * multiple of what it can do then, and what chance explains beyond it.
+ * A server that has just started must not be overloaded: in each time window of its warm-up it may
+ * get a fixed multiple of its capacity at that time, plus an allowance for random variation.
  */
 final class SlowStartAudit implements RunAudit {
   private static final long WARM_UP_MICROS = TimeUnit.MILLISECONDS.toMicros(FleetShape.WARM_UP_MS);
   private static final long WINDOW_MICROS =
       TimeUnit.MILLISECONDS.toMicros(FleetShape.OVERLOAD_WINDOW_MS);
 
-  /** Below so many allowed calls chance is granted more. */
-  private static final int SMALL_COUNT = 30;
+  /** Below this number of allowed calls, the allowance for random variation is larger. */
+  private static final int SMALL_CALL_COUNT = 30;
 
   private final RunHistory history;
 
@@ -40,39 +40,47 @@
     }
   }
 
-  /** Adds the first window that got too many calls. */
+  /**
+   * Adds a breach for the first window in which the server got too many calls, and for no other.
+   */
   private void auditStart(ServerStart start, Consumer<Breach> breaches) {
-    List<Long> arrivals = arrivalsInWarmUp(start);
-    for (long windowBegin : arrivals) {
+    List<Long> arrivalTimes = arrivalTimesInWarmUp(start);
+    for (long windowBeginMicros : arrivalTimes) {
       long calls =
-          arrivals.stream()
-              .filter(arrived -> arrived >= windowBegin && arrived < windowBegin + WINDOW_MICROS)
+          arrivalTimes.stream()
+              .filter(
+                  arrivedMicros ->
+                      arrivedMicros >= windowBeginMicros
+                          && arrivedMicros < windowBeginMicros + WINDOW_MICROS)
               .count();
-      double limit = limit(start, windowBegin);
-      if (calls > limit) {
-        breaches.accept(breach(start, windowBegin, calls, limit));
+      double maxCalls = maxCalls(start, windowBeginMicros);
+      if (calls > maxCalls) {
+        breaches.accept(createBreach(start, windowBeginMicros, calls, maxCalls));
         return;
       }
     }
   }
 
-  private List<Long> arrivalsInWarmUp(ServerStart start) {
+  private List<Long> arrivalTimesInWarmUp(ServerStart start) {
     return history.runRecord().arrivals().stream()
         .filter(arrival -> arrival.serverId().equals(start.serverId()))
         .map(Arrival::arrivedMicros)
-        .filter(arrived -> arrived >= start.startedMicros())
-        .filter(arrived -> arrived <= start.startedMicros() + WARM_UP_MICROS)
+        .filter(arrivedMicros -> arrivedMicros >= start.startedMicros())
+        .filter(arrivedMicros -> arrivedMicros <= start.startedMicros() + WARM_UP_MICROS)
         .sorted()
         .toList();
   }
 
-  private double limit(ServerStart start, long windowBegin) {
+  private double maxCalls(ServerStart start, long windowBeginMicros) {
     double capacityShare =
         FleetShape.COLD_SHARE
-            + (1 - FleetShape.COLD_SHARE) * (windowBegin - start.startedMicros()) / WARM_UP_MICROS;
+            + (1 - FleetShape.COLD_SHARE)
+                * (windowBeginMicros - start.startedMicros())
+                / WARM_UP_MICROS;
     double allowed =
         FleetShape.OVERLOAD_FACTOR * capacityShare * warmCallsPerWindow(start.serverId());
-    double slack = allowed < SMALL_COUNT ? 3 * Math.sqrt(allowed) + 3 : 2 * Math.sqrt(allowed) + 2;
+    double slack =
+        allowed < SMALL_CALL_COUNT ? 3 * Math.sqrt(allowed) + 3 : 2 * Math.sqrt(allowed) + 2;
     return allowed + slack;
   }
 
@@ -80,18 +88,19 @@
     return history.runRecord().serverCapacity(serverId) * FleetShape.OVERLOAD_WINDOW_MS / 1_000;
   }
 
-  private Breach breach(ServerStart start, long windowBegin, long calls, double limit) {
+  private Breach createBreach(
+      ServerStart start, long windowBeginMicros, long calls, double maxCalls) {
     return new Breach(
         Rule.SLOW_START,
         start.serverId()
             + ", started "
-            + history.formatMoment(start.startedMicros())
+            + history.formatTime(start.startedMicros())
             + ", got "
             + calls
             + " calls from "
-            + history.formatMoment(windowBegin)
+            + history.formatTime(windowBeginMicros)
             + " on, "
-            + Math.round(limit)
+            + Math.round(maxCalls)
             + " are allowed");
   }
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/SoakAuditor.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/SoakAuditor.java
@@ -4,15 +4,16 @@
 import java.util.List;
 
 /**
- * Judges a run by what truly happened: the five rules, the deadline that servers are told, attempts
- * for clients that have left, crashes. Each rule has an audit of its own.
+ * Audits a run by its {@link RunRecord}, not by what gateways report: the five rules of the
+ * service, the deadline that is stated to servers, attempts for clients that have disconnected, and
+ * crashes. Each rule has its own audit.
  */
 final class SoakAuditor {
   private final RunRecord runRecord;
   private final List<CallAudit> callAudits;
   private final List<RunAudit> runAudits;
 
-  /** Makes the auditor of a run in which nothing happens any more. */
+  /** Creates the auditor of a run that is over; events after this call are not audited. */
   SoakAuditor(RunRecord runRecord, FleetShape shape, LinkHealth linkHealth) {
     this.runRecord = runRecord;
     RunHistory history = new RunHistory(runRecord, shape, linkHealth);
@@ -34,7 +35,7 @@
             new CrashAudit(history));
   }
 
-  /** All breaches of the run. */
+  /** Runs all audits and returns the breaches that they find. */
   List<Breach> audit() {
     List<Breach> breaches = new ArrayList<>();
     for (ClientCall call : runRecord.calls()) {
--- a/faultinjection/src/main/java/lemondock/faultinjection/SoakResult.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/SoakResult.java
@@ -5,11 +5,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What came of a run.
+ * The result of a run.
  *
- * @param outcomes number of calls by how they ended
- * @param stalledMicros time in which the machine stood still
- * @param rigFailures what went wrong with the faults and the load themselves
+ * @param outcomes number of calls by outcome
+ * @param stalledMicros time for which the machine was stalled, in microseconds
+ * @param rigFailures failures of the test rig itself: faults that could not be injected, threads
+ *     that did not end
  */
 record SoakResult(
     long seed,
@@ -19,7 +20,7 @@
     long stalledMicros,
     List<String> rigFailures) {
 
-  boolean isKept() {
+  boolean hasNoBreaches() {
     return breaches.isEmpty();
   }
 
@@ -28,7 +29,7 @@
     return "seed "
         + seed
         + ": "
-        + (isKept() ? "kept" : "BROKEN " + breaches.size())
+        + (hasNoBreaches() ? "kept" : "BROKEN " + breaches.size())
         + " "
         + outcomes
         + (plan.crowd() ? " crowd" : "")
--- a/faultinjection/src/main/java/lemondock/faultinjection/SoakRun.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/SoakRun.java
@@ -12,18 +12,21 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
 
-/** One seeded run: a fleet under load, its faults, and the audit. */
+/** One seeded run: a fleet of processes under load, the faults injected into it, and the audit. */
 final class SoakRun {
   private static final long LOAD_MICROS = TimeUnit.SECONDS.toMicros(11);
 
-  /** After the last call: whatever is reserved must have been released by then. */
+  /** Wait after the last call, by whose end every reserved state must have been released. */
   private static final long SETTLE_MICROS = TimeUnit.MILLISECONDS.toMicros(1_500);
 
-  private static final long THINK_MICROS = TimeUnit.MILLISECONDS.toMicros(40);
+  private static final long MEAN_THINK_MICROS = TimeUnit.MILLISECONDS.toMicros(40);
+
+  /** How many times their usual clients the gateways have in a run with a crowd. */
   private static final int CROWD_FACTOR = 4;
-  private static final long JOIN_MILLIS = 20_000;
 
-  /** Client seeds of different runs do not overlap. */
+  private static final long JOIN_TIMEOUT_MILLIS = 20_000;
+
+  /** Range of client seeds of one run, so that those of different runs do not overlap. */
   private static final long CLIENT_SEEDS_PER_RUN = 1_000;
 
   private final Path project;
@@ -32,15 +35,16 @@
   private final long seed;
   private final FaultPlan plan;
 
-  /** Added to by the threads that inject faults. */
+  /** Thread-safe: the threads that inject faults add to it. */
   private final Queue<String> rigFailures = new ConcurrentLinkedQueue<>();
 
   /**
    * Prepares a run.
    *
    * @param project the root of the repository
-   * @param folder where logs of the gateways and the report go
-   * @param faultLibrary the library of {@link FaultShim}; without it system calls are left alone
+   * @param folder receives the logs of the gateways and the report
+   * @param faultLibrary the library of {@link FaultShim}; without it no faults are injected into
+   *     system calls and clocks
    * @param plan drawn from the seed
    */
   SoakRun(Path project, Path folder, Optional<Path> faultLibrary, long seed, FaultPlan plan) {
@@ -51,22 +55,22 @@
     this.plan = plan;
   }
 
-  /** Plays the run, which takes about 15 s, and writes its report. */
-  SoakResult play() throws IOException, InterruptedException {
+  /** Executes the run, which takes about 15 s, and writes its report. */
+  SoakResult execute() throws IOException, InterruptedException {
     Files.createDirectories(folder);
     try (ProcessFleet fleet = new ProcessFleet(plan.shape(), project, folder, faultLibrary, seed)) {
       fleet.start();
       List<LoadClient> clients = createClients(fleet);
-      final List<Thread> load = startAll("client", clients);
-      List<Thread> faults = startFaults(fleet);
+      final List<Thread> clientThreads = startAll("client", clients);
+      List<Thread> faultThreads = startFaults(fleet);
       MonotonicClock.sleepMicros(LOAD_MICROS);
-      join(faults);
+      join(faultThreads);
       fleet.heal();
       if (plan.termination()) {
-        join(startTerminations(fleet));
+        join(startTerminators(fleet));
       }
       clients.forEach(LoadClient::stop);
-      join(load);
+      join(clientThreads);
       MonotonicClock.sleepMicros(SETTLE_MICROS);
       SoakResult result = audit(fleet);
       writeReport(result);
@@ -75,13 +79,13 @@
   }
 
   private List<LoadClient> createClients(ProcessFleet fleet) {
-    int perGateway = plan.shape().clientsPerGateway() * (plan.crowd() ? CROWD_FACTOR : 1);
+    int clientsPerGateway = plan.shape().clientsPerGateway() * (plan.crowd() ? CROWD_FACTOR : 1);
     List<LoadClient> clients = new ArrayList<>();
     for (GatewayProcess gateway : fleet.gateways()) {
-      for (int i = 0; i < perGateway; i++) {
+      for (int i = 0; i < clientsPerGateway; i++) {
         long clientSeed = seed * CLIENT_SEEDS_PER_RUN + clients.size();
         LoadClient.Options options =
-            new LoadClient.Options(plan.shape().deadlineMs(), THINK_MICROS, clientSeed);
+            new LoadClient.Options(plan.shape().deadlineMs(), MEAN_THINK_MICROS, clientSeed);
         clients.add(new LoadClient(gateway.name() + "-c" + i, gateway, fleet.runRecord(), options));
       }
     }
@@ -112,8 +116,11 @@
     }
   }
 
-  /** Terminates all gateways, one soon after another, while their clients go on. */
-  private List<Thread> startTerminations(ProcessFleet fleet) {
+  /**
+   * Terminates all running gateways at about the same time, each from its own thread, while their
+   * clients continue to send calls.
+   */
+  private List<Thread> startTerminators(ProcessFleet fleet) {
     return fleet.gateways().stream()
         .filter(GatewayProcess::isAlive)
         .map(gateway -> DaemonThreads.start("terminate", () -> terminate(gateway)))
@@ -134,7 +141,7 @@
 
   private void join(List<Thread> threads) throws InterruptedException {
     for (Thread thread : threads) {
-      thread.join(JOIN_MILLIS);
+      thread.join(JOIN_TIMEOUT_MILLIS);
       if (thread.isAlive()) {
         rigFailures.add(thread.getName() + " did not end");
       }
--- a/faultinjection/src/main/java/lemondock/faultinjection/StatedDeadlineAudit.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/StatedDeadlineAudit.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Servers must not be told that there is more time than the call has left. */
+/** The remaining time that a gateway states to a server must not exceed what the call has left. */
 final class StatedDeadlineAudit implements AttemptAudit {
   private static final long SLACK_MILLIS = 150;
 
--- a/faultinjection/src/test/java/lemondock/faultinjection/HeldStateTest.java
+++ b/faultinjection/src/test/java/lemondock/faultinjection/HeldStateTest.java
@@ -14,34 +14,40 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Incident 36 and its relatives: connections that are up, take bytes and say nothing, while a
- * reader holds a state.
+ * Guards against incident 36 and its variants: connections to some servers stay open and accept
+ * bytes but deliver none, while a reader holds reserved state that has to be released.
  */
 @Timeout(60)
 class HeldStateTest {
   private static final Path PROJECT = Path.of("..").toAbsolutePath().normalize();
-  private static final long BEFORE_MICROS = TimeUnit.MILLISECONDS.toMicros(1_500);
+  private static final long LOAD_BEFORE_SILENCE_MICROS = TimeUnit.MILLISECONDS.toMicros(1_500);
   private static final long SILENCE_MICROS = TimeUnit.MILLISECONDS.toMicros(4_500);
-  private static final long AFTER_MICROS = TimeUnit.MILLISECONDS.toMicros(1_500);
-  private static final long THINK_MICROS = TimeUnit.MILLISECONDS.toMicros(60);
+  private static final long SETTLE_MICROS = TimeUnit.MILLISECONDS.toMicros(1_500);
+  private static final long MEAN_THINK_MICROS = TimeUnit.MILLISECONDS.toMicros(60);
   private static final int CLIENTS = 12;
-  private static final long USUAL_LIMIT_MILLIS = 500;
-  private static final long SHORT_LIMIT_MILLIS = 300;
+  private static final long USUAL_RELEASE_LIMIT_MILLIS = 500;
+  private static final long SHORT_RELEASE_LIMIT_MILLIS = 300;
 
   @TempDir Path folder;
 
-  /** As reported: writes leave on connections that took them before, and never arrive. */
+  /**
+   * As reported in the incident: writes are sent on connections that carried writes before, and
+   * never arrive.
+   */
   @Test
-  void aStateWhoseWriteNeverArrivesIsReleasedInTime() throws Exception {
+  void releasesStateInTimeWhenWriteNeverArrives() throws Exception {
     assertEquals(
         List.of(),
         breachesWhileSilent(
             server -> server.role() == ServerRole.WRITER, LinkFlow.HOLD, LinkFlow.HOLD));
   }
 
-  /** The write arrives, or not; the gateway hears nothing either way. */
+  /**
+   * Only the direction to the writers is held back; the gateway receives no answer whether or not
+   * the write arrived before.
+   */
   @Test
-  void aStateIsReleasedInTimeWhereRequestsAreHeldBackOneWay() throws Exception {
+  void releasesStateInTimeWhenOnlyRequestsAreHeldBack() throws Exception {
     assertEquals(
         List.of(),
         breachesWhileSilent(
@@ -49,35 +55,35 @@
   }
 
   /**
-   * The read ends well, and its answer is held back: its state waits at the reader, and nobody says
-   * so.
+   * The read (prefill) succeeds but its answer is held back: the reader holds the state, and the
+   * gateway is not notified of it.
    */
   @Test
-  void aStateWhoseReadsAnswerNeverArrivesIsReleasedInTime() throws Exception {
+  void releasesStateInTimeWhenAnswerOfReadNeverArrives() throws Exception {
     assertEquals(
         List.of(),
         breachesWhileSilent(server -> server.id().equals("r0"), LinkFlow.PASS, LinkFlow.HOLD));
   }
 
-  /** The limit is far shorter than the time in which the class wants its first token. */
+  /** The release limit is far shorter than the latency objective of the request class. */
   @Test
-  void aLostReadIsReleasedWithinALimitShorterThanTheObjective() throws Exception {
+  void releasesLostReadWithinLimitBelowLatencyObjective() throws Exception {
     assertEquals(
         List.of(),
         breachesWhileSilent(
-            shape(SHORT_LIMIT_MILLIS),
+            shape(SHORT_RELEASE_LIMIT_MILLIS),
             server -> server.id().equals("r0"),
             LinkFlow.PASS,
             LinkFlow.HOLD));
   }
 
-  /** A lost read that is moved to another reader is lost there too. */
+  /** A lost read that is retried at another reader is lost there too. */
   @Test
-  void lostReadsAreReleasedInTimeWhereEveryReaderIsSilent() throws Exception {
+  void releasesLostReadsInTimeWhenEveryReaderIsSilent() throws Exception {
     assertEquals(
         List.of(),
         breachesWhileSilent(
-            shape(SHORT_LIMIT_MILLIS),
+            shape(SHORT_RELEASE_LIMIT_MILLIS),
             server -> server.role() == ServerRole.READER,
             LinkFlow.PASS,
             LinkFlow.HOLD));
@@ -91,12 +97,12 @@
       Predicate<ModelServer> silentServers, LinkFlow flowToServer, LinkFlow flowToClient)
       throws Exception {
     return breachesWhileSilent(
-        shape(USUAL_LIMIT_MILLIS), silentServers, flowToServer, flowToClient);
+        shape(USUAL_RELEASE_LIMIT_MILLIS), silentServers, flowToServer, flowToClient);
   }
 
   /**
-   * One gateway, two readers, three writers; for a while the links to some servers are silent. What
-   * was held for too long.
+   * Runs one gateway, two readers and three writers under load, makes the links to some servers
+   * silent for a while, and returns the breaches by states that were held for too long.
    */
   private List<Breach> breachesWhileSilent(
       FleetShape shape,
@@ -109,14 +115,15 @@
       List<LoadClient> clients = new ArrayList<>();
       List<Thread> threads = new ArrayList<>();
       for (int i = 0; i < CLIENTS; i++) {
-        LoadClient.Options options = new LoadClient.Options(shape.deadlineMs(), THINK_MICROS, i);
+        LoadClient.Options options =
+            new LoadClient.Options(shape.deadlineMs(), MEAN_THINK_MICROS, i);
         LoadClient client =
             new LoadClient("c" + i, fleet.gateways().get(0), fleet.runRecord(), options);
         clients.add(client);
         threads.add(new Thread(client));
       }
       threads.forEach(Thread::start);
-      MonotonicClock.sleepMicros(BEFORE_MICROS);
+      MonotonicClock.sleepMicros(LOAD_BEFORE_SILENCE_MICROS);
       List<ProxyLink> links = fleet.links(gateway -> true, silentServers);
       links.forEach(link -> link.setFault(flowToServer, flowToClient, LinkAdmission.ACCEPT));
       MonotonicClock.sleepMicros(SILENCE_MICROS);
@@ -125,8 +132,8 @@
       for (Thread thread : threads) {
         thread.join();
       }
-      MonotonicClock.sleepMicros(AFTER_MICROS);
-      assertTrue(fleet.runRecord().calls().size() > CLIENTS * 3, "the test asks enough");
+      MonotonicClock.sleepMicros(SETTLE_MICROS);
+      assertTrue(fleet.runRecord().calls().size() > CLIENTS * 3, "too few calls were sent");
       List<Breach> breaches =
           new SoakAuditor(fleet.runRecord(), shape, (gateway, server, from, until) -> false)
               .audit();
--- a/faultinjection/src/test/java/lemondock/faultinjection/SoakTest.java
+++ b/faultinjection/src/test/java/lemondock/faultinjection/SoakTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A short seeded soak: real gateway processes under several faults at a time. More seeds by hand:
- * bin/soak.
+ * A short seeded soak of real gateway processes under several simultaneous faults. {@code bin/soak}
+ * runs more seeds by hand.
  */
 @Timeout(120)
 class SoakTest {
@@ -25,34 +25,35 @@
   @ParameterizedTest
   @ValueSource(longs = {3, 4, 9, 17})
   void noRuleIsBroken(long seed) throws Exception {
-    play(seed, FaultPlan.draw(seed));
+    assertNoBreaches(seed, FaultPlan.draw(seed));
   }
 
-  /** New configurations and requests to end in quick succession, with connections in use. */
+  /** Sends reloads (SIGHUP) and SIGTERM in quick succession while connections are in use. */
   @ParameterizedTest
   @ValueSource(longs = {101, 102})
   void noRuleIsBrokenBySignalsInSeries(long seed) throws Exception {
-    play(seed, FaultPlan.drawWithSignals(seed));
+    assertNoBreaches(seed, FaultPlan.drawWithSignals(seed));
   }
 
   /**
-   * Reads whose answers are lost cannot be told from slow ones in time, and first requests after a
-   * start are read late (docs/incidents/r36-held-state.md).
+   * Seeds that expose two faults: a read (prefill) whose answer is lost cannot be distinguished
+   * from a slow one in time, and the first requests after a start are read late
+   * (docs/incidents/r36-held-state.md).
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 8, 12, 46})
   void noRuleIsBrokenBySeedsWithOpenFaults(long seed) throws Exception {
-    play(seed, FaultPlan.draw(seed));
+    assertNoBreaches(seed, FaultPlan.draw(seed));
   }
 
-  private void play(long seed, FaultPlan plan) throws Exception {
+  private void assertNoBreaches(long seed, FaultPlan plan) throws Exception {
     Optional<Path> library = FaultShim.compile(PROJECT, folder);
-    SoakResult result = new SoakRun(PROJECT, folder.resolve("run"), library, seed, plan).play();
+    SoakResult result = new SoakRun(PROJECT, folder.resolve("run"), library, seed, plan).execute();
     System.out.println(result);
     assertEquals(List.of(), result.breaches(), result.toString());
     assertEquals(List.of(), result.rigFailures());
     assertTrue(
         result.outcomes().getOrDefault(CallOutcome.SERVED, 0) > MIN_SERVED,
-        "enough is served: " + result);
+        "too few calls were served: " + result);
   }
 }
--- a/faultinjection/src/test/java/lemondock/faultinjection/StatedDeadlineTest.java
+++ b/faultinjection/src/test/java/lemondock/faultinjection/StatedDeadlineTest.java
@@ -13,45 +13,48 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Servers are told what is left of a deadline though the gateway came to the request late. */
+/** A gateway that handles a request late states only the remaining time to servers. */
 @Timeout(60)
 class StatedDeadlineTest {
   private static final Path PROJECT = Path.of("..").toAbsolutePath().normalize();
-  private static final long BEFORE_MICROS = TimeUnit.MILLISECONDS.toMicros(1_500);
-  private static final long AFTER_MICROS = TimeUnit.MILLISECONDS.toMicros(1_500);
+  private static final long LOAD_BEFORE_FREEZES_MICROS = TimeUnit.MILLISECONDS.toMicros(1_500);
+  private static final long LOAD_AFTER_FREEZES_MICROS = TimeUnit.MILLISECONDS.toMicros(1_500);
   private static final long PAUSE_MICROS = TimeUnit.MILLISECONDS.toMicros(500);
-  private static final long THINK_MICROS = TimeUnit.MILLISECONDS.toMicros(60);
+  private static final long MEAN_THINK_MICROS = TimeUnit.MILLISECONDS.toMicros(60);
 
-  private static final int CROWD = 40;
+  private static final int NEW_CLIENTS = 40;
   private static final int PROMPT_CHARACTERS = 400;
 
-  /** Of a gateway's usual load; a crowd would have requests turned away. */
+  /** The usual load of a gateway; with many more clients it would reject requests. */
   private static final int CLIENTS = 12;
 
   private static final FleetShape SHAPE = new FleetShape(1, 3, 4, 500, 3_500, CLIENTS, 15_000, 250);
 
   @TempDir Path folder;
 
-  /** A request that came while the process did not run is as old as that gap. */
+  /** A request that arrived while the process was stopped has waited since then. */
   @Test
-  void aGatewayThatFreezesTellsWhatIsLeft() throws Exception {
+  void statesRemainingTimeAfterShortFreezes() throws Exception {
     assertEquals(List.of(), breachesWithFreezes(400, 8));
   }
 
   @Test
-  void aGatewayThatFreezesForLongTellsWhatIsLeft() throws Exception {
+  void statesRemainingTimeAfterLongFreezes() throws Exception {
     assertEquals(List.of(), breachesWithFreezes(2_000, 2));
   }
 
-  /** Connections that the kernel has accepted, and requests on them, are as old as the freeze. */
+  /**
+   * Connections that the kernel accepted during the freeze, and the requests on them, have waited
+   * for as long as the freeze lasted.
+   */
   @Test
-  void aFrozenGatewayTellsACrowdOfNewClientsWhatIsLeft() throws Exception {
+  void statesRemainingTimeForNewClientsOfAFrozenGateway() throws Exception {
     try (ProcessFleet fleet = newFleet()) {
       fleet.start();
       GatewayProcess gateway = fleet.gateways().get(0);
       gateway.signal("STOP");
       List<ClientConnection> connections = new ArrayList<>();
-      for (int i = 0; i < CROWD; i++) {
+      for (int i = 0; i < NEW_CLIENTS; i++) {
         connections.add(sendCall(fleet, gateway, "crowd-" + i));
       }
       MonotonicClock.sleepMicros(PAUSE_MICROS);
@@ -61,7 +64,7 @@
         answered += connection.readAnswer((int) SHAPE.deadlineMs()).isPresent() ? 1 : 0;
         connection.close();
       }
-      assertEquals(CROWD, answered);
+      assertEquals(NEW_CLIENTS, answered);
       assertEquals(List.of(), deadlineBreaches(fleet));
     }
   }
@@ -87,7 +90,7 @@
   }
 
   private static List<Breach> deadlineBreaches(ProcessFleet fleet) {
-    assertTrue(!fleet.runRecord().arrivals().isEmpty(), "something has to be told");
+    assertTrue(!fleet.runRecord().arrivals().isEmpty(), "no attempt reached a server");
     return new SoakAuditor(fleet.runRecord(), SHAPE, (name, server, from, until) -> true)
         .audit().stream().filter(breach -> breach.rule() == Rule.DEADLINE_TOLD).toList();
   }
@@ -99,24 +102,25 @@
       List<LoadClient> clients = new ArrayList<>();
       List<Thread> threads = new ArrayList<>();
       for (int i = 0; i < CLIENTS; i++) {
-        LoadClient.Options options = new LoadClient.Options(SHAPE.deadlineMs(), THINK_MICROS, i);
+        LoadClient.Options options =
+            new LoadClient.Options(SHAPE.deadlineMs(), MEAN_THINK_MICROS, i);
         LoadClient client = new LoadClient("c" + i, gateway, fleet.runRecord(), options);
         clients.add(client);
         threads.add(DaemonThreads.start("client", client));
       }
-      MonotonicClock.sleepMicros(BEFORE_MICROS);
+      MonotonicClock.sleepMicros(LOAD_BEFORE_FREEZES_MICROS);
       for (int i = 0; i < freezes; i++) {
         gateway.signal("STOP");
         MonotonicClock.sleepMicros(TimeUnit.MILLISECONDS.toMicros(freezeMillis));
         gateway.signal("CONT");
         MonotonicClock.sleepMicros(PAUSE_MICROS);
       }
-      MonotonicClock.sleepMicros(AFTER_MICROS);
+      MonotonicClock.sleepMicros(LOAD_AFTER_FREEZES_MICROS);
       clients.forEach(LoadClient::stop);
       for (Thread thread : threads) {
         thread.join();
       }
-      assertTrue(fleet.runRecord().calls().size() > CLIENTS * 3, "the test asks enough");
+      assertTrue(fleet.runRecord().calls().size() > CLIENTS * 3, "too few calls were sent");
       return deadlineBreaches(fleet);
     }
   }
