--- a/scenario/src/main/java/lemondock/scenario/AuditResult.java
+++ b/scenario/src/main/java/lemondock/scenario/AuditResult.java
@@ -6,9 +6,9 @@
 import java.util.stream.Collectors;
 
 /**
- * What the auditor found.
+ * The result of an audit.
  *
- * @param violations descriptions by number of the rule; an empty list for a rule that was kept
+ * @param violations descriptions of violations by rule number; an empty list if the rule was kept
  */
 public record AuditResult(Map<Integer, List<String>> violations) {
   /** Whether no rule was violated. */
--- a/scenario/src/main/java/lemondock/scenario/AuditedRun.java
+++ b/scenario/src/main/java/lemondock/scenario/AuditedRun.java
@@ -10,19 +10,19 @@
 import lemondock.gateway.settings.GatewaySettings;
 
 /**
- * A recording in the form in which the rules are checked: events sorted, attempts put together, and
- * the allowances for gateways that were killed or paused. Immutable after it was made.
+ * A recording prepared for the rule checks: events sorted by time, the events of each attempt
+ * joined, and the allowances for gateways that were killed or paused. Immutable after construction.
  */
 final class AuditedRun {
   /**
-   * Time between an act of a gateway and its sight at a peer's socket, on a busy machine. Every
-   * limit has it on top.
+   * Longest delay, on a busy machine, between an action of a gateway and its observation at a
+   * peer's socket. It is added to every time limit.
    */
   static final long TOLERANCE_MICROS = 150_000;
 
   /**
-   * Time that a gateway has after a pause to read what waits at its sockets before it judges by
-   * time.
+   * Time that a gateway gets after a pause to read the data pending at its sockets before it
+   * applies time limits; it counts as paused during that time.
    */
   static final long RESUME_ALLOWANCE_MICROS = 200_000;
 
@@ -40,7 +40,7 @@
             .sorted(Comparator.comparingLong(TrafficEvent::atMicros))
             .toList();
     recording.engines().forEach(engine -> engines.put(engine.name(), engine));
-    this.attemptsByMark = EngineAttempt.byMark(events);
+    this.attemptsByMark = EngineAttempt.groupByMark(events);
   }
 
   GatewaySettings.Rules rules() {
@@ -51,7 +51,7 @@
     return recording.settings().classes().get(call.classId);
   }
 
-  /** All events by time. */
+  /** All events, sorted by time. */
   List<TrafficEvent> events() {
     return events;
   }
@@ -68,12 +68,12 @@
     return engines.containsKey(name);
   }
 
-  /** Settings of an engine; the name must be one's. */
+  /** Settings of an engine; null if no engine has that name. */
   EngineSettings engine(String name) {
     return engines.get(name);
   }
 
-  /** The attempts at a call's requests, by arrival. */
+  /** The attempts of the call with that mark, in the order of their arrival at the engines. */
   List<EngineAttempt> attempts(String mark) {
     return attemptsByMark.getOrDefault(mark, List.of());
   }
@@ -82,7 +82,7 @@
     return recording.endMicros();
   }
 
-  /** Whether a gateway was killed between two moments or just before. */
+  /** Whether a gateway was killed in a time span or within the tolerance before it. */
   boolean wasKilledWithin(String gateway, long fromMicros, long toMicros) {
     return recording.kills().stream()
         .filter(kill -> kill.gateway().equals(gateway))
@@ -91,7 +91,7 @@
                 kill.atMicros() >= fromMicros - TOLERANCE_MICROS && kill.atMicros() <= toMicros);
   }
 
-  /** Time between two moments in which a gateway was paused or had just resumed. */
+  /** Time within a time span in which a gateway was paused or had just resumed. */
   long pausedMicrosWithin(String gateway, long fromMicros, long toMicros) {
     return recording.pauses().stream()
         .filter(pause -> pause.gateway().equals(gateway))
--- a/scenario/src/main/java/lemondock/scenario/CallRecord.java
+++ b/scenario/src/main/java/lemondock/scenario/CallRecord.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * What one client saw of one call on its own socket. Times are microseconds of the machine's
- * monotonic clock, 0 for what did not happen. Written on the client's loop; read there, or when the
- * call is over.
+ * What a client observed of one call on its own socket. Times are microseconds of the machine's
+ * monotonic clock, 0 for events that did not happen. Written on the client's loop; read there or
+ * after the call has ended.
  */
 public final class CallRecord {
-  /** Name of the call in its prompt; a retry has a suffix. */
+  /** Identifies the call in its prompt; the mark of a retry ends in {@code -try} and a number. */
   public final String mark;
 
   public final String gateway;
@@ -18,31 +18,31 @@
   public final boolean retry;
   public final long calledAtMicros;
 
-  /** The first progress, or the first relayed tool call. */
+  /** Time of the first progress notification or relayed tool call. */
   public long firstMessageAtMicros;
 
   public long answeredAtMicros;
   public long cancelledAtMicros;
 
-  /** The connection was lost, or the stream ended, without an answer. */
+  /** Time at which the connection was lost, or the stream ended, without an answer. */
   public long connectionLostAtMicros;
 
   /** The gateway could not be reached, rejected the call early, or did not know the session. */
   public boolean notAccepted;
 
-  /** Final answers. */
+  /** Number of final answers received. */
   public int responses;
 
   public int messagesAfterAnswer;
   public int tokens;
 
-  /** The JSON-RPC error of the answer, 0 for a result. */
+  /** The JSON-RPC error code of the answer; 0 for a result. */
   public int errorCode;
 
   public boolean retryable;
   public long retryAfterMs;
 
-  /** What the gateway says of an earlier attempt's outcome; null if it says nothing. */
+  /** Outcome of an earlier attempt as reported by the gateway; null if it reported none. */
   public String earlierAttemptOutcome;
 
   public String finalText = "";
@@ -51,7 +51,7 @@
   /** Name and arguments of each relayed tool call. */
   public final List<String> toolCalls = new ArrayList<>();
 
-  /** What the protocol does not allow, in words. */
+  /** Descriptions of received messages that the protocol does not allow. */
   public final List<String> protocolViolations = new ArrayList<>();
 
   CallRecord(
@@ -74,7 +74,7 @@
     return responses > 0 && errorCode == 0;
   }
 
-  /** How the call ended, for messages of checks. */
+  /** A summary of the call for failure messages of tests. */
   @Override
   public String toString() {
     return mark
@@ -102,7 +102,7 @@
     return atMicros == 0 ? "none" : Long.toString(atMicros - calledAtMicros);
   }
 
-  /** The mark that all attempts of a client at one call share. */
+  /** The mark of the call's first attempt, which is the same for all retries. */
   String markOfFirstAttempt() {
     return mark.replaceAll("-try\\d+$", "");
   }
--- a/scenario/src/main/java/lemondock/scenario/ClientLoad.java
+++ b/scenario/src/main/java/lemondock/scenario/ClientLoad.java
@@ -12,16 +12,17 @@
 import lemondock.net.http.HttpLimits;
 
 /**
- * The clients of a scenario: they arrive at random, have conversations with tool calls, retry what
- * failed and abandon some calls. All state belongs to the clients' loop unless a field says
- * otherwise.
+ * The clients of a scenario. They arrive at random, have conversations with tool calls, retry
+ * failed calls and abandon some calls. All state is confined to the clients' loop unless a field
+ * says otherwise.
  */
 final class ClientLoad {
   private static final long MICROS_PER_MILLI = 1_000;
   private static final long RETRY_DELAY_MICROS = 80_000;
 
   /**
-   * A call that is not idempotent is retried at the same gateway, which may have to restart first.
+   * Delay of a retry at the same gateway, as for calls that are not idempotent; the gateway may
+   * have to restart first.
    */
   private static final long SAME_GATEWAY_RETRY_DELAY_MICROS = 700_000;
 
@@ -31,7 +32,7 @@
   private static final double MAX_PATIENCE_MS = 700;
   private static final int TOOL_CALLING_CLASS = 1;
 
-  /** Names that a collector's protocol would take for something else, unless they are escaped. */
+  /** Includes names with characters that the metrics protocols require to be escaped. */
   private static final List<String> TENANTS =
       List.of("omaruru.tills", "swakop market", "mondesa/traders", "henties");
 
@@ -43,7 +44,7 @@
   private final ConversationSource conversations;
   private final Map<String, List<McpClient>> clientsByGateway = new HashMap<>();
 
-  /** Added to on the clients' loop, read by the thread that plays the scenario. */
+  /** Appended to on the clients' loop, read by the thread that plays the scenario. */
   private final List<CallRecord> callRecords = Collections.synchronizedList(new ArrayList<>());
 
   private int openCalls;
@@ -52,7 +53,7 @@
   /** Set by the thread that plays the scenario. */
   private volatile double additionalAbandonShare;
 
-  /** Draws the prefixes of the conversations; the fleet's gateways must have been started. */
+  /** Draws the system prompts; the fleet's gateways must have been started. */
   ClientLoad(
       ScenarioScript script,
       SplittableRandom random,
@@ -82,7 +83,7 @@
     }
   }
 
-  /** Draws the arrivals of clients. */
+  /** Draws the clients' arrival times and adds them to the timetable. */
   void scheduleArrivals(Timetable timetable) {
     double atMs = 0;
     while (atMs < script.seconds() * 1000) {
@@ -91,22 +92,22 @@
     }
   }
 
-  /** Has clients abandon more of their calls than the script says; any thread. */
+  /** Sets the share of calls that clients abandon in addition to the script's. Any thread. */
   void setAdditionalAbandonShare(double share) {
     additionalAbandonShare = share;
   }
 
-  /** Where conversations begin. */
+  /** The source of the clients' conversations. */
   ConversationSource conversations() {
     return conversations;
   }
 
-  /** Calls that have not ended, retries that wait included; any thread. */
+  /** Number of calls that have not ended, including those waiting to be retried. Any thread. */
   int openCalls() {
     return clientProcess.invokeAndWait(() -> openCalls);
   }
 
-  /** What the clients saw of all calls; any thread. */
+  /** The records of all calls so far. Any thread. */
   List<CallRecord> callRecords() {
     return List.copyOf(callRecords);
   }
@@ -156,7 +157,7 @@
         isOpen -> {
           if (isOpen) {
             call(client, attempt, request);
-          } else if (mayHaveRunAt(attempt)) {
+          } else if (mayHaveRunBefore(attempt)) {
             retryAtSameGateway(attempt);
           } else {
             retryElsewhere(attempt);
@@ -210,7 +211,7 @@
   private void onEnd(CallAttempt attempt, CallRecord record) {
     boolean canRetryElsewhere = record.notAccepted || record.retryable;
     boolean connectionLost = record.connectionLostAtMicros != 0;
-    if (mayHaveRunAt(attempt) && canRetryElsewhere) {
+    if (mayHaveRunBefore(attempt) && canRetryElsewhere) {
       retryAtSameGateway(attempt);
     } else if (record.served()) {
       attempt.conversation().addAnswer(record.finalText);
@@ -224,8 +225,11 @@
     }
   }
 
-  /** Whether an earlier attempt at the same gateway may have run, which may not be repeated. */
-  private boolean mayHaveRunAt(CallAttempt attempt) {
+  /**
+   * Whether an earlier attempt at this gateway may have run a call that is not idempotent, and
+   * another attempt is allowed.
+   */
+  private boolean mayHaveRunBefore(CallAttempt attempt) {
     return !isIdempotent(attempt) && attempt.isRetry() && !attempt.isLast();
   }
 
--- a/scenario/src/main/java/lemondock/scenario/ColdStartCheck.java
+++ b/scenario/src/main/java/lemondock/scenario/ColdStartCheck.java
@@ -7,9 +7,10 @@
 import lemondock.gateway.settings.GatewaySettings;
 
 /**
- * Rule 4: cold servers are not overloaded. Over any window of the stated length, what all gateways
- * together send is at most the factor times what the server can do in that window, each request
- * weighing as the mean of the run. Chance gets two and two square roots of the budget on top.
+ * Rule 4: cold servers are not overloaded. In any window of the configured length, all gateways
+ * together send a warming server at most the configured factor times the number of requests that it
+ * can process in that window; each request counts as the mean request of the run. The limit adds 2
+ * plus twice the square root of that budget for random variation.
  */
 final class ColdStartCheck implements RuleCheck {
   private static final double DEFAULT_PROMPT_TOKENS = 500;
@@ -34,32 +35,31 @@
     }
   }
 
-  /** Whether one warm-up of one engine was without a violation. */
+  /** Whether a warm-up of an engine has no violation; reports the first one otherwise. */
   private static boolean checkWarmUp(
       AuditedRun run, TrafficEvent start, EngineSettings engine, Consumer<String> violations) {
     double windowMicros = GatewaySettings.micros(run.rules().overloadWindowMs());
-    double capacityPerMicro = requestsPerSecond(run, engine) / 1e6;
+    double requestsPerMicro = requestsPerSecond(run, engine) / 1e6;
     List<Long> arrivals = arrivalsWhileCold(run, start, engine);
-    for (int from = 0; from < arrivals.size(); from++) {
-      long beginMicros = arrivals.get(from);
-      int to = from;
-      while (to < arrivals.size() && arrivals.get(to) - beginMicros <= windowMicros) {
-        to++;
+    for (int firstIndex = 0; firstIndex < arrivals.size(); firstIndex++) {
+      long beginMicros = arrivals.get(firstIndex);
+      int endIndex = firstIndex;
+      while (endIndex < arrivals.size() && arrivals.get(endIndex) - beginMicros <= windowMicros) {
+        endIndex++;
       }
-      double speed = speedAt(start, engine, beginMicros + windowMicros / 2);
-      double budget = run.rules().overloadFactor() * speed * capacityPerMicro * windowMicros;
-      if (to - from > budget + 2 + 2 * Math.sqrt(budget)) {
+      double speedShare = speedAt(start, engine, beginMicros + windowMicros / 2);
+      double budget = run.rules().overloadFactor() * speedShare * requestsPerMicro * windowMicros;
+      if (endIndex - firstIndex > budget + 2 + 2 * Math.sqrt(budget)) {
         violations.accept(
             engine.name()
-                + " was sent "
-                + (to - from)
+                + " received "
+                + (endIndex - firstIndex)
                 + " requests in "
                 + (long) (windowMicros / AuditedRun.MICROS_PER_MILLI)
                 + " ms, "
                 + (beginMicros - start.atMicros()) / AuditedRun.MICROS_PER_MILLI
-                + " ms after its start, of "
-                + Math.round(budget)
-                + " that it bears");
+                + " ms after its start; its budget is "
+                + Math.round(budget));
         return false;
       }
     }
@@ -84,13 +84,13 @@
         .toList();
   }
 
-  /** Speed of a warming engine as a share of its full speed. */
+  /** Speed of a warming engine as a share of its full speed, which it reaches linearly. */
   private static double speedAt(TrafficEvent start, EngineSettings engine, double atMicros) {
     double warmedShare = Math.min(1, (atMicros - start.atMicros()) / warmUpMicros(start));
     return engine.coldShare() + (1 - engine.coldShare()) * warmedShare;
   }
 
-  /** What a warm engine can do, by the mean work that was sent in the run. */
+  /** Capacity of a warm engine for requests of the run's mean length. */
   private static double requestsPerSecond(AuditedRun run, EngineSettings engine) {
     double promptTokens =
         run.events().stream()
--- a/scenario/src/main/java/lemondock/scenario/Conversation.java
+++ b/scenario/src/main/java/lemondock/scenario/Conversation.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 
-/** A conversation of a client that may have further turns. Used on the clients' loop only. */
+/** A conversation of a client with one or more turns. Used on the clients' loop only. */
 final class Conversation {
   private final String name;
   private final int classId;
@@ -26,7 +26,7 @@
     return classId;
   }
 
-  /** All messages so far, as a copy. */
+  /** A copy of all messages so far. */
   ArrayNode messages() {
     return messages.deepCopy();
   }
@@ -39,7 +39,7 @@
     return turnsLeft <= 0;
   }
 
-  /** Takes a turn; the conversation is busy until {@link #endTurn}. */
+  /** Begins a turn; the conversation is busy until {@link #endTurn}. */
   void beginTurn() {
     turnsLeft--;
     busy = true;
@@ -57,7 +57,7 @@
     messages.addObject().put("role", role).put("content", text);
   }
 
-  /** Ends the turn; a conversation whose last turn got no answer is over. */
+  /** Ends the turn; the conversation is over if the turn got no answer. */
   void endTurn() {
     busy = false;
     String lastRole = messages.get(messages.size() - 1).path("role").asText();
--- a/scenario/src/main/java/lemondock/scenario/ConversationSource.java
+++ b/scenario/src/main/java/lemondock/scenario/ConversationSource.java
@@ -6,8 +6,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Draws which conversation a client goes on with or begins. Used on the clients' loop unless a
- * member says otherwise.
+ * Draws whether a client continues one of the conversations or begins a new one. Used on the
+ * clients' loop unless a member says otherwise.
  */
 final class ConversationSource {
   private static final int SYSTEM_PROMPT_COUNT = 6;
@@ -18,10 +18,10 @@
   private final List<String> systemPrompts = new ArrayList<>();
   private final List<Conversation> conversations = new ArrayList<>();
 
-  /** Set by the thread that plays the scenario; null while no prompt is hot. */
+  /** Set by the thread that plays the scenario; null while there is no hot prompt. */
   private volatile String hotSystemPrompt;
 
-  /** Draws the system prompts. */
+  /** Draws the lengths of the system prompts. */
   ConversationSource(long seed, SplittableRandom random) {
     this.seed = seed;
     this.random = random;
@@ -30,12 +30,12 @@
     }
   }
 
-  /** Has a third of the new conversations begin with one long prompt, or no more; any thread. */
+  /** Sets whether a third of the new conversations share one long system prompt. Any thread. */
   void setHotSystemPrompt(boolean hot) {
     hotSystemPrompt = hot ? RandomText.words("hot", HOT_PROMPT_WORDS) : null;
   }
 
-  /** Begins a turn of a conversation that is not busy, or of a new one. */
+  /** Begins a turn of an idle conversation or of a new one. */
   Conversation nextTurn(int number) {
     Optional<Conversation> idle =
         conversations.stream()
@@ -72,7 +72,7 @@
     return percentile < 90 ? 2 : 3;
   }
 
-  /** Lower numbers are drawn more often. */
+  /** Prefers prompts with a low index, so that some prefixes are shared by many conversations. */
   private String drawSystemPrompt() {
     String hot = hotSystemPrompt;
     if (hot != null && random.nextInt(3) == 0) {
--- a/scenario/src/main/java/lemondock/scenario/DrainCheck.java
+++ b/scenario/src/main/java/lemondock/scenario/DrainCheck.java
@@ -8,7 +8,7 @@
 import lemondock.emulator.TrafficEvent;
 import lemondock.gateway.settings.GatewaySettings;
 
-/** Rule 3: a draining or removed server gets nothing new after the grace period. */
+/** Rule 3: a draining or removed server gets no new requests after the grace period. */
 final class DrainCheck implements RuleCheck {
   private static final String READY_SUFFIX = "=ready";
 
@@ -26,7 +26,7 @@
       Map<String, Long> notReadySince =
           notReadySinceByGateway.computeIfAbsent(event.gateway(), gateway -> new HashMap<>());
       if (event.kind() == TrafficEvent.Kind.ENDPOINTS_SENT) {
-        update(notReadySince, run.engineNames(), event);
+        updateNotReady(notReadySince, run.engineNames(), event);
       } else if (event.kind() == TrafficEvent.Kind.PREFILL
           || event.kind() == TrafficEvent.Kind.DECODE) {
         Long since = notReadySince.get(event.server());
@@ -37,7 +37,7 @@
     }
   }
 
-  private static void update(
+  private static void updateNotReady(
       Map<String, Long> notReadySince, Set<String> engines, TrafficEvent sentList) {
     Set<String> ready = new HashSet<>();
     for (String entry : sentList.detail().split(" ")) {
@@ -70,6 +70,6 @@
         + event.server()
         + " "
         + (event.atMicros() - sinceMicros) / AuditedRun.MICROS_PER_MILLI
-        + " ms after it was told that it drains or is gone";
+        + " ms after its endpoint list showed that server as draining or gone";
   }
 }
--- a/scenario/src/main/java/lemondock/scenario/DuplicateEffectCheck.java
+++ b/scenario/src/main/java/lemondock/scenario/DuplicateEffectCheck.java
@@ -32,28 +32,30 @@
   }
 
   /**
-   * A call that may run once does so once over all attempts of its client, kills of its gateway
-   * among them. Attempts at other gateways count too: a client makes them only where it was told
-   * that nothing ran.
+   * A call that may run only once runs at most once over all attempts of its client, even if its
+   * gateway is killed in between. Attempts at other gateways count too: a client makes them only
+   * after it was told that nothing ran.
    */
   private static void checkClientRetries(AuditedRun run, Consumer<String> violations) {
-    Map<String, String> ranByCall = new HashMap<>();
+    Map<String, String> ranMarkByCall = new HashMap<>();
     for (CallRecord call : run.calls()) {
       if (run.requestClass(call).repeat() == Idempotency.NON_IDEMPOTENT
           && run.attempts(call.mark).stream().anyMatch(EngineAttempt::mayHaveRun)) {
-        String earlier = ranByCall.put(call.markOfFirstAttempt(), call.mark);
-        if (earlier != null) {
+        String earlierMark = ranMarkByCall.put(call.markOfFirstAttempt(), call.mark);
+        if (earlierMark != null) {
           violations.accept(
               call.mark
-                  + " may run only once and was sent to a writer, as "
-                  + earlier
-                  + " had been");
+                  + " may run only once, but was sent to a writer, and so was "
+                  + earlierMark);
         }
       }
     }
   }
 
-  /** A request has one attempt at a time; an aborted one may be seen to end a little later. */
+  /**
+   * A request has one attempt at a time. The end of an aborted attempt may be observed a little
+   * late, so overlaps within the tolerance are allowed.
+   */
   private static void checkOverlaps(AuditedRun run, CallRecord call, Consumer<String> violations) {
     List<EngineAttempt> attempts = run.attempts(call.mark);
     for (int i = 0; i < attempts.size(); i++) {
@@ -63,11 +65,11 @@
         if (overlapMicros(first, second) > AuditedRun.TOLERANCE_MICROS) {
           violations.accept(
               call.mark
-                  + " was out at "
+                  + " had attempts in flight at "
                   + first.server()
                   + " and "
                   + second.server()
-                  + " at a time");
+                  + " at the same time");
           return;
         }
       }
@@ -75,9 +77,9 @@
   }
 
   private static long overlapMicros(EngineAttempt first, EngineAttempt second) {
-    long begin = Math.max(first.startMicros(), second.startMicros());
-    long end = Math.min(first.endMicros(), second.endMicros());
-    return end - begin;
+    long beginMicros = Math.max(first.startMicros(), second.startMicros());
+    long endMicros = Math.min(first.endMicros(), second.endMicros());
+    return endMicros - beginMicros;
   }
 
   private static void checkToolCalls(CallRecord call, Consumer<String> violations) {
@@ -105,7 +107,7 @@
             && requestClass.group() == DeduplicationScope.ALL;
     if (call.retryable && !attemptsByTurn.isEmpty() && !isDeduplicatedEverywhere) {
       violations.accept(
-          call.mark + " may have run, and its client was told that trying again is harmless");
+          call.mark + " may have run, but its client was told that it is safe to retry");
     }
   }
 
@@ -126,7 +128,10 @@
     }
   }
 
-  /** A repeat under a key stays among the servers that deduplicate it, within their window. */
+  /**
+   * A repeat with an idempotency key goes to a server of the same deduplication scope, within the
+   * deduplication window.
+   */
   private static void checkDeduplicated(
       AuditedRun run,
       CallRecord call,
@@ -136,31 +141,31 @@
     GatewaySettings.ClassSettings requestClass = run.requestClass(call);
     EngineSettings firstEngine = run.engine(first.server());
     EngineSettings repeatEngine = run.engine(repeat.server());
-    boolean inGroup = inSameGroup(requestClass.group(), firstEngine, repeatEngine);
-    long afterMicros = repeat.startMicros() - first.startMicros();
+    boolean isInScope = isInSameScope(requestClass.group(), firstEngine, repeatEngine);
+    long elapsedMicros = repeat.startMicros() - first.startMicros();
     long windowMicros =
         GatewaySettings.micros(requestClass.repeatWindowMs()) + AuditedRun.TOLERANCE_MICROS;
-    if (!inGroup || afterMicros > windowMicros) {
-      String excess =
-          inGroup
-              ? ", " + afterMicros / AuditedRun.MICROS_PER_MILLI + " ms later"
-              : ", outside its group";
+    if (!isInScope || elapsedMicros > windowMicros) {
+      String violationDetail =
+          isInScope
+              ? ", " + elapsedMicros / AuditedRun.MICROS_PER_MILLI + " ms later"
+              : ", outside its deduplication scope";
       violations.accept(
           call.mark
               + " was repeated at "
               + repeatEngine.name()
               + " after "
               + firstEngine.name()
-              + excess);
+              + violationDetail);
     }
   }
 
-  private static boolean inSameGroup(
+  private static boolean isInSameScope(
       DeduplicationScope group, EngineSettings first, EngineSettings second) {
-    boolean sameZone = first.zone().equals(second.zone());
+    boolean isSameZone = first.zone().equals(second.zone());
     return switch (group) {
-      case ZONE -> sameZone;
-      case CELL -> sameZone && first.rack().equals(second.rack());
+      case ZONE -> isSameZone;
+      case CELL -> isSameZone && first.rack().equals(second.rack());
       case ALL -> true;
     };
   }
--- a/scenario/src/main/java/lemondock/scenario/EmulatedEngine.java
+++ b/scenario/src/main/java/lemondock/scenario/EmulatedEngine.java
@@ -10,14 +10,14 @@
 import lemondock.emulator.TrafficObserver;
 
 /**
- * An emulated engine of a fleet: it shares the emulators' loop, has sockets of its own, is listed
- * in the catalogue, and can die and be started again. Used by the thread that runs the fleet.
+ * An emulated engine of a fleet. It shares the emulators' loop, has its own sockets, is listed in
+ * the catalogue, and can crash and be restarted. Used by the thread that runs the fleet.
  */
 final class EmulatedEngine {
   private static final String SERVICE = "engines";
   private static final String LOOPBACK = "127.0.0.1";
 
-  /** Start of an engine that has been up for long, in milliseconds of the epoch. */
+  /** Start time of an engine that has warmed up long ago, in milliseconds since the epoch. */
   private static final long LONG_AGO_MS = 1;
 
   private final EmulatedProcess emulators;
@@ -40,7 +40,7 @@
     this.settings = settings;
   }
 
-  /** Starts an engine that has been up for long, and lists it. */
+  /** Starts an engine that is already warmed up and lists it in the catalogue. */
   static EmulatedEngine startWarm(
       EmulatedProcess emulators,
       CatalogueEmulator catalogue,
@@ -52,7 +52,7 @@
     return engine;
   }
 
-  /** Starts it again after {@link #crash}, cold, on its old port. */
+  /** Restarts it after {@link #crash}, cold and on its previous port. */
   void restart(long seed) {
     start(settings, seed, System.currentTimeMillis());
   }
@@ -86,19 +86,24 @@
         settings.name(), SERVICE, LOOPBACK, address.getPort(), meta, false, 1);
   }
 
-  /** Breaks its connections at once; the catalogue drops it after a delay. */
-  void crash(long noticeMicros) {
+  /**
+   * Breaks its connections at once.
+   *
+   * @param removalDelayMicros time until the catalogue removes it
+   */
+  void crash(long removalDelayMicros) {
     emulators.invokeAndWait(() -> emulator.die());
     process.close();
     emulators.invokeAndWait(
-        () -> emulators.loop().schedule(noticeMicros, () -> catalogue.remove(settings.name())));
+        () ->
+            emulators.loop().schedule(removalDelayMicros, () -> catalogue.remove(settings.name())));
   }
 
   void setDraining(boolean draining) {
     emulators.invokeAndWait(() -> catalogue.setMaintenance(settings.name(), draining));
   }
 
-  /** The emulator of the latest start; use it on the emulators' loop. */
+  /** The emulator of the latest start; to be used on the emulators' loop. */
   EngineEmulator emulator() {
     return emulator;
   }
--- a/scenario/src/main/java/lemondock/scenario/EmulatedGateway.java
+++ b/scenario/src/main/java/lemondock/scenario/EmulatedGateway.java
@@ -25,8 +25,8 @@
 import lemondock.net.nio.ThreadLoop;
 
 /**
- * A gateway of a fleet with a loop and sockets of its own, which can be killed, paused and started
- * again. Used by the thread that runs the fleet.
+ * A gateway of a fleet. It has its own loop and sockets, and can be killed, paused and restarted.
+ * Used by the thread that runs the fleet.
  */
 final class EmulatedGateway {
   private static final long TIMEOUT_SECONDS = 30;
@@ -34,10 +34,10 @@
   private static final long NANOS_PER_MICRO = 1_000;
 
   /**
-   * What gateways of one fleet share.
+   * Resources that the gateways of a fleet share.
    *
-   * @param workers for work that must not hold up the loop
-   * @param fileSystemDecorator is put before the folder of the idempotency log
+   * @param workers executor for work that must not block an event loop
+   * @param fileSystemDecorator wraps the file system of the idempotency log
    */
   record Environment(
       Executor workers,
@@ -57,14 +57,14 @@
   private ExporterRuntime exporterRuntime;
   private Reporting reporting;
 
-  /** Makes a gateway and starts it. */
+  /** Creates a gateway and starts it. */
   EmulatedGateway(GatewaySettings settings, RouterFactory routerFactory, Environment environment) {
     this.settings = settings;
     this.routerFactory = routerFactory;
     start(environment);
   }
 
-  /** Starts it, also after {@link #kill}, with nothing but its settings and its disk. */
+  /** Starts it, also after {@link #kill}; only its settings and its disk contents are kept. */
   void start(Environment environment) {
     process = new EmulatedProcess(settings.name(), settings.ioThreads());
     network = new PausableNetwork(process.network(), process.loop());
@@ -101,14 +101,14 @@
     reporting.start(gateway.address());
   }
 
-  /** Kills it at once; a paused one must have been resumed. */
+  /** Kills it at once; it must not be paused. */
   GatewayKill kill() {
     GatewayKill kill = new GatewayKill(settings.name(), process.loop().now());
     closeProcess();
     return kill;
   }
 
-  /** Releases all that it holds. */
+  /** Ends it without a graceful shutdown and releases its resources, even if it is paused. */
   void close() {
     network.resume();
     closeProcess();
@@ -120,13 +120,14 @@
     disk.close();
   }
 
-  /** Pauses it, as SIGSTOP does a process; returns when it is paused. */
+  /** Pauses it, as SIGSTOP pauses a process; returns when it is paused. */
   void pause() {
     CountDownLatch paused = new CountDownLatch(1);
     network.pause(paused::countDown);
     try {
       if (!paused.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-        throw new IllegalStateException("gateway " + settings.name() + " does not come to stand");
+        throw new IllegalStateException(
+            "gateway " + settings.name() + " did not pause within " + TIMEOUT_SECONDS + " s");
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -134,14 +135,14 @@
     }
   }
 
-  /** Resumes it; empty if it was not paused. */
+  /** Resumes it and returns the pause; empty if it was not paused. */
   Optional<GatewayPause> resume() {
     return network
         .resume()
-        .map(since -> new GatewayPause(settings.name(), since, process.loop().now()));
+        .map(sinceMicros -> new GatewayPause(settings.name(), sinceMicros, process.loop().now()));
   }
 
-  /** Takes a share of its loop for some time, as another program on its machine would. */
+  /** Occupies a share of its loop's time, as another program on its machine would. */
   void occupy(double share, long micros) {
     ThreadLoop loop = process.loop();
     loop.execute(() -> occupy(loop, share, loop.now() + micros));
@@ -153,25 +154,26 @@
       LockSupport.parkNanos((freeAtMicros - loop.now()) * NANOS_PER_MICRO);
     }
     if (loop.now() < untilMicros) {
-      long pauseMicros = (long) ((1 - share) * OCCUPATION_PERIOD_MICROS);
-      loop.schedule(pauseMicros, () -> occupy(loop, share, untilMicros));
+      long idleMicros = (long) ((1 - share) * OCCUPATION_PERIOD_MICROS);
+      loop.schedule(idleMicros, () -> occupy(loop, share, untilMicros));
     }
   }
 
-  /** Shuts it down gracefully; gives its final metrics. */
+  /** Shuts it down gracefully and returns its final metrics. */
   ObjectNode stop() {
     try {
       gateway.stop().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       return reporting.finish().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      throw new IllegalStateException("gateway " + settings.name() + " does not stop", e);
+      throw new IllegalStateException(
+          "graceful shutdown of gateway " + settings.name() + " failed or timed out", e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IllegalStateException(e);
     }
   }
 
-  /** The number of endpoints that it knows. */
+  /** Number of endpoints that it currently knows. */
   int endpointCount() {
     return process.invokeAndWait(gateway::endpointCount);
   }
--- a/scenario/src/main/java/lemondock/scenario/EmulatedProcess.java
+++ b/scenario/src/main/java/lemondock/scenario/EmulatedProcess.java
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A loop and its sockets: what a process has. Closing it breaks all connections at once, as a kill
- * -9 would. Any thread may use it.
+ * Stands for a process: an event loop and its sockets. Closing it breaks all connections at once,
+ * as {@code kill -9} would. Any thread may use it.
  */
 public final class EmulatedProcess implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(EmulatedProcess.class);
@@ -23,13 +23,15 @@
   private final boolean ownsLoop;
   private final AsyncNetwork network;
 
-  /** A process with a loop of its own. */
+  /** Creates a process with its own loop. */
   public EmulatedProcess(String name, int ioThreads) {
     this(
-        new ThreadLoop(name, e -> LOG.error("a task of loop {} failed", name, e)), true, ioThreads);
+        new ThreadLoop(name, e -> LOG.error("task on event loop {} failed", name, e)),
+        true,
+        ioThreads);
   }
 
-  /** A process on the loop of another, with sockets of its own. */
+  /** Creates a process with its own sockets on the loop of another process. */
   public EmulatedProcess(EmulatedProcess other, int ioThreads) {
     this(other.loop, false, ioThreads);
   }
@@ -44,17 +46,17 @@
     }
   }
 
-  /** Its loop. */
+  /** The loop, which another process may own. */
   public ThreadLoop loop() {
     return loop;
   }
 
-  /** Its sockets. */
+  /** The network of this process's sockets. */
   public AsyncNetwork network() {
     return network;
   }
 
-  /** Runs a task on the loop and waits for its end. */
+  /** Runs a task on the loop and waits until it has ended. */
   public void invokeAndWait(Runnable task) {
     invokeAndWait(
         () -> {
@@ -63,7 +65,12 @@
         });
   }
 
-  /** Runs a task on the loop and waits for its result; null if the task throws. */
+  /**
+   * Runs a task on the loop and waits for its result.
+   *
+   * @return null if the task throws on the loop
+   * @throws IllegalStateException if the task does not end within 20 s or the wait is interrupted
+   */
   public <T> T invokeAndWait(Supplier<T> task) {
     if (loop.inLoop()) {
       return task.get();
@@ -80,7 +87,8 @@
         });
     try {
       if (!done.await(INVOKE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-        throw new IllegalStateException("the loop does not answer");
+        throw new IllegalStateException(
+            "the event loop did not run a task within " + INVOKE_TIMEOUT_SECONDS + " s");
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -89,20 +97,20 @@
     return result.get();
   }
 
-  /** Breaks all connections, frees the ports and stops; a loop of its own is closed. */
+  /** Breaks all connections and frees the ports; closes the loop if this process owns it. */
   @Override
   public void close() {
     invokeAndWait(
         () -> {
           network.abortAll();
           if (ownsLoop) {
-            loop.close(); // nothing that was handed over is done any more
+            loop.close(); // tasks still in its queue do not run
           }
         });
     try {
       network.close();
     } catch (IOException e) {
-      LOG.warn("sockets were not all closed", e);
+      LOG.warn("closing the sockets of an emulated process failed", e);
     }
   }
 }
--- a/scenario/src/main/java/lemondock/scenario/EngineAttempt.java
+++ b/scenario/src/main/java/lemondock/scenario/EngineAttempt.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import lemondock.emulator.TrafficEvent;
 
-/** A request for prefill or decode as its engine saw it. */
+/** A request for prefill or decode as its engine observed it. */
 final class EngineAttempt {
-  /** The end of an attempt that was never seen to end. */
+  /** The end time of an attempt whose end was not observed. */
   static final long NOT_ENDED = Long.MAX_VALUE;
 
   private final TrafficEvent arrival;
@@ -20,33 +20,33 @@
     this.arrival = arrival;
   }
 
-  /** All attempts in the order of their arrival, by the mark of their call. */
-  static Map<String, List<EngineAttempt>> byMark(List<TrafficEvent> sortedEvents) {
-    Map<String, List<EngineAttempt>> byMark = new LinkedHashMap<>();
-    Map<String, EngineAttempt> byRequest = new HashMap<>();
+  /** All attempts, grouped by the mark of their call, in the order of their arrival. */
+  static Map<String, List<EngineAttempt>> groupByMark(List<TrafficEvent> sortedEvents) {
+    Map<String, List<EngineAttempt>> attemptsByMark = new LinkedHashMap<>();
+    Map<String, EngineAttempt> attemptByRequest = new HashMap<>();
     for (TrafficEvent event : sortedEvents) {
       String request = event.server() + "/" + event.requestId();
       switch (event.kind()) {
         case PREFILL, DECODE -> {
           EngineAttempt attempt = new EngineAttempt(event);
-          byRequest.put(request, attempt);
-          byMark.computeIfAbsent(event.mark(), mark -> new ArrayList<>()).add(attempt);
+          attemptByRequest.put(request, attempt);
+          attemptsByMark.computeIfAbsent(event.mark(), mark -> new ArrayList<>()).add(attempt);
         }
         case ANSWERED, REJECTED, CONNECTION_LOST -> {
-          if (byRequest.containsKey(request)) {
-            byRequest.get(request).end(event);
+          if (attemptByRequest.containsKey(request)) {
+            attemptByRequest.get(request).end(event);
           }
         }
         case DIED ->
-            byRequest.values().stream()
+            attemptByRequest.values().stream()
                 .filter(attempt -> attempt.server().equals(event.server()))
                 .forEach(attempt -> attempt.end(event));
         default -> {
-          // says nothing about an attempt
+          // does not concern an attempt
         }
       }
     }
-    return byMark;
+    return attemptsByMark;
   }
 
   private void end(TrafficEvent event) {
@@ -62,7 +62,7 @@
     return arrival.gateway();
   }
 
-  /** Tells the turns of a call apart: the number of messages in the prompt. */
+  /** The number of messages in the prompt, which distinguishes the turns of a call. */
   String turn() {
     return arrival.detail();
   }
@@ -71,12 +71,12 @@
     return arrival.atMicros();
   }
 
-  /** When it ended, {@link #NOT_ENDED} if that was not seen. */
+  /** When it ended; {@link #NOT_ENDED} if its end was not observed. */
   long endMicros() {
     return endMicros;
   }
 
-  /** Whether it was a request for an answer that was not rejected, so that it may have run. */
+  /** Whether it may have had an effect: a decode request that was not rejected. */
   boolean mayHaveRun() {
     return arrival.kind() == TrafficEvent.Kind.DECODE && !rejected;
   }
--- a/scenario/src/main/java/lemondock/scenario/FaultInjector.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultInjector.java
@@ -11,13 +11,13 @@
 import lemondock.emulator.EngineFaults;
 
 /**
- * Puts a script's faults on the timetable. Which engines and gateways a fault hits is drawn when it
- * is scheduled, in the script's order, except for {@link FaultKind#FORGET}, which draws when it
- * begins.
+ * Adds the faults of a script to the timetable. The engines and gateways that a fault hits are
+ * drawn when the fault is scheduled, in the script's order; only {@link FaultKind#FORGET} draws
+ * them when it begins.
  */
 final class FaultInjector {
   private static final long MICROS_PER_MILLI = 1_000;
-  private static final long MAX_CRASH_NOTICE_MICROS = 250_000;
+  private static final long MAX_CATALOGUE_REMOVAL_DELAY_MICROS = 250_000;
   private static final int GRADUAL_STEPS = 6;
   private static final double RESTART_AFTER_AGEING_MS = 400;
   private static final double MAX_GATEWAY_KILL_MS = 1200;
@@ -85,11 +85,11 @@
               () -> load.conversations().setHotSystemPrompt(false));
       case LIST_FAILS -> scheduleCatalogueFault(fault, CatalogueEmulator::setFailing);
       case LIST_EMPTY -> scheduleCatalogueFault(fault, CatalogueEmulator::setEmpty);
-      default -> throw new IllegalArgumentException("unknown fault " + fault.kind());
+      default -> throw new IllegalArgumentException("unknown kind of fault: " + fault.kind());
     }
   }
 
-  /** Has one action begin a fault and another end it. */
+  /** Schedules the action that begins a fault and the one that ends it. */
   private void scheduleSpan(ScriptedFault fault, Runnable begin, Runnable end) {
     timetable.add(fault.atMs(), begin);
     timetable.add(fault.endMs(), end);
@@ -103,7 +103,7 @@
         () -> runOnEmulators(() -> setter.accept(fleet.catalogue(), false)));
   }
 
-  // Faults of engines that stay up.
+  // Faults during which the engines stay up.
 
   private void scheduleEngineFault(ScriptedFault fault) {
     double size = fault.size();
@@ -131,7 +131,8 @@
               pickEngines(fault, "writer"),
               f -> f.breakAfterTokens = BREAK_AFTER_TOKENS,
               f -> f.breakAfterTokens = -1);
-      default -> throw new IllegalArgumentException("no fault of an engine: " + fault.kind());
+      default ->
+          throw new IllegalArgumentException("not a fault of running engines: " + fault.kind());
     }
   }
 
@@ -151,7 +152,7 @@
     fleet.emulators().loop().execute(task);
   }
 
-  /** Engines that become slower step by step, die at the end and come back cold. */
+  /** Slows engines down step by step, then crashes them and restarts them cold. */
   private void scheduleAgeing(ScriptedFault fault) {
     List<String> engines = pickEngines(fault);
     for (int step = 1; step <= GRADUAL_STEPS; step++) {
@@ -163,7 +164,7 @@
     scheduleCrash(engines, fault.endMs(), RESTART_AFTER_AGEING_MS);
   }
 
-  /** Another program that takes a share of some machines, on and off. */
+  /** Slows engines down on and off, as another program on their machines would. */
   private void scheduleNeighbour(ScriptedFault fault) {
     List<String> engines = pickEngines(fault);
     double factor = 1 / Math.max(0.1, 1 - fault.size());
@@ -176,21 +177,22 @@
     timetable.add(fault.endMs(), () -> changeFaults(engines, f -> f.slowdown = 1));
   }
 
-  // Faults that take processes down.
+  // Faults that stop, pause or occupy processes.
 
   private void scheduleCrash(List<String> engines, double atMs, double forMs) {
-    long noticeMicros = Math.min(MAX_CRASH_NOTICE_MICROS, (long) (forMs * MICROS_PER_MILLI / 2));
+    long removalDelayMicros =
+        Math.min(MAX_CATALOGUE_REMOVAL_DELAY_MICROS, (long) (forMs * MICROS_PER_MILLI / 2));
     for (String name : engines) {
       if (reserveOutage(name, atMs, atMs + forMs)) {
-        timetable.add(atMs, () -> fleet.crashEngine(name, noticeMicros));
+        timetable.add(atMs, () -> fleet.crashEngine(name, removalDelayMicros));
         timetable.add(atMs + forMs, () -> fleet.restartEngine(name));
       }
     }
   }
 
   /**
-   * A rolling deployment: each engine drains, the catalogue lists that late, it is stopped, and it
-   * comes back cold.
+   * A rolling deployment: each engine drains, the catalogue lists it as draining with a delay, and
+   * it is stopped and restarted cold.
    */
   private void scheduleDeploy(ScriptedFault fault) {
     double atMs = fault.atMs();
@@ -198,7 +200,7 @@
       double stopAtMs = atMs + DRAIN_LISTED_AFTER_MS + fault.forMs();
       double restartAtMs = stopAtMs + DEPLOY_RESTART_MS;
       if (reserveOutage(name, atMs, restartAtMs)) {
-        if (fault.size() >= 0.5) { // it rejects work before the list says why
+        if (fault.size() >= 0.5) { // it rejects work before it is listed as draining
           timetable.add(atMs, () -> changeFaults(List.of(name), f -> f.rejectsAll = true));
         }
         timetable.add(atMs + DRAIN_LISTED_AFTER_MS, () -> fleet.setEngineDraining(name, true));
@@ -242,7 +244,7 @@
         long micros = (long) (fault.forMs() * MICROS_PER_MILLI);
         timetable.add(fault.atMs(), () -> fleet.occupyGateway(name, share, micros));
       }
-      default -> throw new IllegalArgumentException("no fault of a gateway: " + fault.kind());
+      default -> throw new IllegalArgumentException("not a fault of a gateway: " + fault.kind());
     }
   }
 
@@ -253,7 +255,7 @@
     }
   }
 
-  /** Whether the process is up at that time; if so it counts as down until the end. */
+  /** Whether the process is up at {@code fromMs}; if so, marks it as down until {@code untilMs}. */
   private boolean reserveOutage(String name, double fromMs, double untilMs) {
     if (downUntilMs.getOrDefault(name, -1.0) >= fromMs) {
       return false;
@@ -262,7 +264,7 @@
     return true;
   }
 
-  // Draws.
+  // Random choices of what a fault hits.
 
   private List<String> pickEngines(ScriptedFault fault) {
     return pick(fault.part(), fleet.engines());
@@ -274,11 +276,11 @@
   }
 
   private List<String> pick(double part, List<String> names) {
-    List<String> rest = new ArrayList<>(names);
-    int count = Math.max(1, (int) Math.round(part * rest.size()));
+    List<String> remaining = new ArrayList<>(names);
+    int count = Math.max(1, (int) Math.round(part * remaining.size()));
     List<String> picked = new ArrayList<>();
     while (picked.size() < count) {
-      picked.add(rest.remove(random.nextInt(rest.size())));
+      picked.add(remaining.remove(random.nextInt(remaining.size())));
     }
     return picked;
   }
--- a/scenario/src/main/java/lemondock/scenario/FaultKind.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultKind.java
@@ -3,45 +3,45 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Kinds of faults that a script can ask for. A seed draws a kind by its position here: the order is
- * part of what a seed means.
+ * Kinds of faults in a script. A seed draws a kind by its position in this enum, so reordering the
+ * constants changes the scenario of a seed.
  */
 public enum FaultKind {
-  /** Engines answer a share of their requests with status 500. */
+  /** Some engines answer a share of their requests with status 500. */
   FAST_ERRORS("fast_errors"),
   /** Some engines are slower by a factor. */
   SLOW("slow"),
   /** All engines are slower at once. */
   SHARED_SLOW("shared_slow"),
-  /** Engines lose their prefix caches. */
+  /** Some engines lose their prefix caches. */
   FORGET("forget"),
-  /** Engines do a share of their work and never answer. */
+  /** Some engines run a share of their requests but never answer them. */
   ANSWER_LOST("answer_lost"),
-  /** Engines accept requests and do nothing. */
+  /** Some engines accept requests and do nothing. */
   SILENT("silent"),
-  /** Engines die and are started again. */
+  /** Some engines crash and are restarted. */
   CRASH("crash"),
-  /** Engines are drained, stopped and started one after the other. */
+  /** Some engines are drained, stopped and restarted one after the other. */
   DEPLOY("deploy"),
-  /** All engines and gateways of a zone die and are started again. */
+  /** All engines and gateways of a zone crash and are restarted. */
   ZONE_LOSS("zone_loss"),
-  /** One gateway dies and is started again. */
+  /** One gateway is killed and restarted. */
   GATEWAY_KILL("gateway_kill"),
-  /** All gateways die and are started again one after the other. */
+  /** All gateways are killed and restarted one after the other. */
   GATEWAYS_ROLL("gateways_roll"),
-  /** More clients give up waiting. */
+  /** Clients abandon more of their calls. */
   GIVE_UP("give_up"),
-  /** Writers break their streams. */
+  /** Some writers break their streams. */
   STREAM_BREAK("stream_break"),
   /** Many new conversations share one prefix. */
   HOT_OPENING("hot_opening"),
-  /** Readers lose reserved states. */
+  /** Some readers lose reserved states. */
   STATES_LOST("states_lost"),
   /** The catalogue answers with errors. */
   LIST_FAILS("list_fails"),
   /** The catalogue lists no engines. */
   LIST_EMPTY("list_empty"),
-  /** Engines become slower step by step, then crash. */
+  /** Some engines become slower step by step, then crash. */
   AGEING("ageing"),
   /** Another program on the engines' machines slows them on and off. */
   NEIGHBOUR("neighbour"),
@@ -56,7 +56,7 @@
     this.scriptName = scriptName;
   }
 
-  /** The name in scripts and reports. */
+  /** The name of the kind in scripts and reports. */
   @JsonValue
   public String scriptName() {
     return scriptName;
--- a/scenario/src/main/java/lemondock/scenario/FaultScenario.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultScenario.java
@@ -19,15 +19,15 @@
 
 /**
  * Plays a script on real sockets: a fleet of gateways and emulated engines in zones, clients with
- * conversations, tool calls and retries, and faults at their times. The seed draws the traffic and
- * what the faults hit; how threads and sockets interleave is not drawn, so two runs of one seed
- * differ in detail. Set up and played by one thread, once.
+ * conversations, tool calls and retries, and faults at the scripted times. The seed determines the
+ * traffic and what the faults hit, but not how threads and sockets interleave, so two runs with the
+ * same seed differ in detail. Configured and played by one thread; plays only once.
  */
 public final class FaultScenario {
   private static final double MAX_SETTLE_SECONDS = 4.5;
   private static final long SETTLE_POLL_MS = 20;
 
-  /** Longer than any state may stay reserved: what is reserved after it was forgotten. */
+  /** Longer than any state may stay reserved: a state still reserved after it has been leaked. */
   private static final long STATE_RELEASE_MS = 700;
 
   private final ScenarioScript script;
@@ -37,19 +37,19 @@
   private Optional<ReportComparison> reports = Optional.empty();
   private SnapshotListener snapshotListener = (gateway, atMicros, snapshot) -> {};
 
-  /** A scenario whose gateways decide by the routers of a factory. */
+  /** Creates a scenario whose gateways use the routers of a factory. */
   public FaultScenario(ScenarioScript script, RouterFactory routerFactory) {
     this.script = script;
     this.routerFactory = routerFactory;
     this.random = new SplittableRandom(script.seed() * 31 + 7);
   }
 
-  /** A scenario with the project's own router. */
+  /** Creates a scenario with the default router. */
   public FaultScenario(ScenarioScript script) {
     this(script, Gateway.DEFAULT_ROUTER_FACTORY);
   }
 
-  /** Has the gateways report, and what arrives compared with their final metrics. */
+  /** Makes the gateways report, and compares the received values with their final metrics. */
   public FaultScenario compareReports(ReportComparison comparison) {
     reports = Optional.of(comparison);
     return this;
@@ -61,7 +61,7 @@
     return this;
   }
 
-  /** Puts a decorator before the file systems of the gateways' idempotency logs. */
+  /** Sets a decorator for the file systems of the gateways' idempotency logs. */
   public FaultScenario decorateFileSystem(UnaryOperator<FileSystemPort> decorator) {
     fileSystemDecorator = decorator;
     return this;
@@ -108,10 +108,10 @@
     }
   }
 
-  /** Waits for the calls that are still open, and for states that are still reserved. */
+  /** Waits for calls that are still open, at most 4.5 s, and then for states still reserved. */
   private static void settle(ClientLoad load) throws InterruptedException {
-    long untilNanos = System.nanoTime() + (long) (MAX_SETTLE_SECONDS * 1e9);
-    while (load.openCalls() > 0 && System.nanoTime() < untilNanos) {
+    long deadlineNanos = System.nanoTime() + (long) (MAX_SETTLE_SECONDS * 1e9);
+    while (load.openCalls() > 0 && System.nanoTime() < deadlineNanos) {
       TimeUnit.MILLISECONDS.sleep(SETTLE_POLL_MS);
     }
     TimeUnit.MILLISECONDS.sleep(STATE_RELEASE_MS);
--- a/scenario/src/main/java/lemondock/scenario/FinalAnswerCheck.java
+++ b/scenario/src/main/java/lemondock/scenario/FinalAnswerCheck.java
@@ -4,11 +4,11 @@
 import lemondock.gateway.settings.GatewaySettings;
 
 /**
- * Rule 1: each accepted request gets exactly one final answer, in time, and nothing after it. Part
- * of the same promise is that the stream is the answer, without a token twice or missing.
+ * Rule 1: each accepted request gets exactly one final answer, in time, and nothing after it. The
+ * streamed text must also equal that answer, with no token missing or repeated.
  */
 final class FinalAnswerCheck implements RuleCheck {
-  /** Fewer than any tokenizer's mean: errs towards more patience. */
+  /** Below the mean of any tokenizer, which makes the token estimate and the deadline generous. */
   private static final double CHARS_PER_TOKEN = 3;
 
   @Override
@@ -40,46 +40,50 @@
       violations.accept(
           call.mark
               + " got no final answer"
-              + (call.connectionLostAtMicros != 0 ? ", its stream just ended" : ""));
+              + (call.connectionLostAtMicros != 0
+                  ? ", its connection was lost or its stream ended"
+                  : ""));
     }
     checkTime(run, call, violations);
   }
 
   private static boolean wasKilledDuring(AuditedRun run, CallRecord call) {
-    long last = run.endMicros();
+    long lastMicros = run.endMicros();
     if (call.cancelledAtMicros != 0) {
-      last = call.cancelledAtMicros;
+      lastMicros = call.cancelledAtMicros;
     } else if (call.answeredAtMicros != 0) {
-      last = call.answeredAtMicros;
+      lastMicros = call.answeredAtMicros;
     }
     return run.wasKilledWithin(
-        call.gateway, call.calledAtMicros, last + AuditedRun.TOLERANCE_MICROS);
+        call.gateway, call.calledAtMicros, lastMicros + AuditedRun.TOLERANCE_MICROS);
   }
 
   private static void checkTime(AuditedRun run, CallRecord call, Consumer<String> violations) {
-    long first = call.firstMessageAtMicros != 0 ? call.firstMessageAtMicros : call.answeredAtMicros;
-    if (first == 0) {
+    long firstMicros =
+        call.firstMessageAtMicros != 0 ? call.firstMessageAtMicros : call.answeredAtMicros;
+    if (firstMicros == 0) {
       return;
     }
-    int tokens = (int) (call.promptChars / CHARS_PER_TOKEN);
+    int promptTokens = (int) (call.promptChars / CHARS_PER_TOKEN);
     long limitMicros =
-        run.requestClass(call).deadlineMicros(tokens)
+        run.requestClass(call).deadlineMicros(promptTokens)
             + GatewaySettings.micros(run.rules().answerSlackMs());
-    long waitMicros = first - call.calledAtMicros;
-    long pausedMicros = run.pausedMicrosWithin(call.gateway, call.calledAtMicros, first);
+    long waitMicros = firstMicros - call.calledAtMicros;
+    long pausedMicros = run.pausedMicrosWithin(call.gateway, call.calledAtMicros, firstMicros);
     if (waitMicros - pausedMicros > limitMicros + AuditedRun.TOLERANCE_MICROS) {
       violations.accept(
           call.mark
-              + " heard first after "
+              + " got its first message after "
               + waitMicros / AuditedRun.MICROS_PER_MILLI
-              + " ms of "
-              + limitMicros / AuditedRun.MICROS_PER_MILLI);
+              + " ms, its limit is "
+              + limitMicros / AuditedRun.MICROS_PER_MILLI
+              + " ms");
     }
   }
 
   private static void checkStream(CallRecord call, Consumer<String> violations) {
     if (call.served() && !call.finalText.contentEquals(call.streamed)) {
-      violations.accept(call.mark + ": the stream differs from the final text");
+      violations.accept(call.mark + ": the streamed text differs from the final text");
     }
     if (checkTokens(call, violations) && !call.protocolViolations.isEmpty()) {
       violations.accept(call.mark + ": " + call.protocolViolations);
@@ -87,26 +91,28 @@
   }
 
   /**
-   * Whether the emulated engines' words, a letter for the turn and a number, are all there. What
-   * stands in brackets are results of tools.
+   * Whether the tokens of the emulated engines are complete and in order; reports the first that is
+   * not. A token is a letter for the turn and a number that counts from 0. Text in brackets is the
+   * result of a tool and is ignored.
    */
   private static boolean checkTokens(CallRecord call, Consumer<String> violations) {
     String text = call.finalText.replaceAll("\\[[^\\]]*\\]", " ").trim();
-    int next = 0;
+    int expectedNumber = 0;
     char turn = 'a';
-    for (String word : text.split("\\s+")) {
-      if (!word.matches("[a-z][0-9]+")) {
+    for (String token : text.split("\\s+")) {
+      if (!token.matches("[a-z][0-9]+")) {
         continue;
       }
-      if (word.charAt(0) != turn) {
-        turn = word.charAt(0);
-        next = 0;
+      if (token.charAt(0) != turn) {
+        turn = token.charAt(0);
+        expectedNumber = 0;
       }
-      if (Integer.parseInt(word.substring(1)) != next) {
-        violations.accept(call.mark + ": token " + word + " where " + turn + next + " was due");
+      if (Integer.parseInt(token.substring(1)) != expectedNumber) {
+        violations.accept(
+            call.mark + ": found token " + token + ", expected " + turn + expectedNumber);
         return false;
       }
-      next++;
+      expectedNumber++;
     }
     return true;
   }
--- a/scenario/src/main/java/lemondock/scenario/FleetBuilder.java
+++ b/scenario/src/main/java/lemondock/scenario/FleetBuilder.java
@@ -7,7 +7,7 @@
 import lemondock.emulator.EngineSettings;
 import lemondock.gateway.settings.GatewaySettings;
 
-/** Starts the engines and gateways that a script asks for. */
+/** Starts the engines and gateways of a script's fleet. */
 final class FleetBuilder {
   private static final long DISCOVERY_TIMEOUT_MS = 10_000;
   private static final double PREFILL_MS = 4;
@@ -23,10 +23,10 @@
   private final Optional<ReportComparison> reports;
 
   /**
-   * Prepares a fleet.
+   * Creates a builder; {@link #build} starts the processes.
    *
-   * @param folder holds the gateways' idempotency logs
-   * @param reports names the destinations of the gateways' reports
+   * @param folder parent folder of the gateways' idempotency logs
+   * @param reports provides the destinations of the gateways' reports; empty for none
    */
   FleetBuilder(
       ScenarioScript script,
@@ -39,7 +39,7 @@
     this.reports = reports;
   }
 
-  /** Starts all, and returns when every gateway sees every engine. */
+  /** Starts all engines and gateways; returns when every gateway knows every engine. */
   void build(ScenarioFleet fleet) {
     for (String zone : script.zones()) {
       addEngines(fleet, zone, "reader", script.readersPerZone(), script.slots() / 2);
@@ -56,7 +56,12 @@
     }
     for (String gateway : fleet.gateways()) {
       if (!fleet.awaitServers(gateway, fleet.engines().size(), DISCOVERY_TIMEOUT_MS)) {
-        throw new IllegalStateException(gateway + " does not see its servers");
+        throw new IllegalStateException(
+            "gateway "
+                + gateway
+                + " did not find all servers within "
+                + DISCOVERY_TIMEOUT_MS
+                + " ms");
       }
     }
   }
--- a/scenario/src/main/java/lemondock/scenario/GatewayDisk.java
+++ b/scenario/src/main/java/lemondock/scenario/GatewayDisk.java
@@ -11,7 +11,7 @@
 import lemondock.idempotency.LockedDirectory;
 import lemondock.net.nio.WorkerPool;
 
-/** A gateway's disk worker and the folder of its idempotency log, if it has one. */
+/** A gateway's disk worker thread and the folder of its idempotency log, if it has one. */
 final class GatewayDisk implements AutoCloseable {
   private static final int QUEUE_SIZE = 64;
   private static final long STOP_SECONDS = 30;
@@ -46,13 +46,14 @@
     return folder;
   }
 
-  /** Drops what was not written: a dead process does not write it later. */
+  /** Discards writes that are still queued, since a killed process would not perform them. */
   @Override
   public void close() {
     worker.shutdownNow();
     try {
       if (!worker.awaitTermination(STOP_SECONDS, TimeUnit.SECONDS)) {
-        throw new IllegalStateException("the disk does not end");
+        throw new IllegalStateException(
+            "the disk worker did not terminate within " + STOP_SECONDS + " s");
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/scenario/src/main/java/lemondock/scenario/GatewayKill.java
+++ b/scenario/src/main/java/lemondock/scenario/GatewayKill.java
@@ -1,8 +1,8 @@
 package lemondock.scenario;
 
 /**
- * A gateway was killed.
+ * The kill of a gateway.
  *
- * @param atMicros when, by the machine's monotonic clock
+ * @param atMicros time of the kill, in microseconds of the machine's monotonic clock
  */
 public record GatewayKill(String gateway, long atMicros) {}
--- a/scenario/src/main/java/lemondock/scenario/IgnoringReceiver.java
+++ b/scenario/src/main/java/lemondock/scenario/IgnoringReceiver.java
@@ -3,15 +3,15 @@
 import lemondock.net.http.RequestFailure;
 import lemondock.net.http.ResponseReceiver;
 
-/** Ignores a response. */
+/** Ignores the response or failure of a request whose result does not matter. */
 final class IgnoringReceiver implements ResponseReceiver {
   @Override
   public void onComplete() {
-    // whatever it was
+    // ignored
   }
 
   @Override
-  public void onFailure(RequestFailure failure, String what) {
-    // whatever it was
+  public void onFailure(RequestFailure failure, String reason) {
+    // ignored
   }
 }
--- a/scenario/src/main/java/lemondock/scenario/LoopbackSettings.java
+++ b/scenario/src/main/java/lemondock/scenario/LoopbackSettings.java
@@ -8,15 +8,19 @@
 import lemondock.gateway.settings.SettingsException;
 import lemondock.gateway.settings.SettingsFile;
 
-/** Settings of gateways on loopback addresses, for the demo, scenarios, benchmarks and tests. */
+/**
+ * Builds settings of gateways on loopback addresses for the demo, scenarios, benchmarks and tests.
+ */
 public final class LoopbackSettings {
   private LoopbackSettings() {}
 
   /**
-   * Settings of a gateway that follows a catalogue, with changes to the JSON before it is checked.
+   * Settings of a gateway that discovers its servers from a catalogue.
    *
-   * @param number the gateway's index among {@code gatewayCount}
+   * @param number index of the gateway, from 0 to below {@code gatewayCount}
    * @param catalogue {@code HOST:PORT}
+   * @param changes edits the JSON before it is validated
+   * @throws IllegalArgumentException if the settings are not valid
    */
   public static GatewaySettings gateway(
       String name,
@@ -52,7 +56,7 @@
     root.putObject("limits").put("stopNoticeMs", 0);
     root.putObject("engines");
     root.putObject("overload")
-        .put("targetMs", 200); // all of a fleet share one process, which has just started
+        .put("targetMs", 200); // the whole fleet shares one process, which has just started
     changes.accept(root);
     try {
       return SettingsFile.readGateway(name, root);
@@ -61,7 +65,7 @@
     }
   }
 
-  /** Appends a request class and returns its JSON, for more settings. */
+  /** Appends a request class and returns its JSON, so that more settings can be added. */
   public static ObjectNode requestClass(
       ArrayNode classes,
       String name,
--- a/scenario/src/main/java/lemondock/scenario/McpCall.java
+++ b/scenario/src/main/java/lemondock/scenario/McpCall.java
@@ -15,7 +15,7 @@
 import lemondock.rpc.JsonRpcMessage;
 import lemondock.rpc.Mcp;
 
-/** One {@code tools/call} of a {@link McpClient} and what it saw of it. Loop thread only. */
+/** One {@code tools/call} of a {@link McpClient}, with its call record. Loop thread only. */
 public final class McpCall implements ResponseReceiver {
   private static final JsonRpc RPC = new JsonRpc(JsonRpc.Limits.DEFAULT);
   private static final int TOOL_ERROR_CODE = -32000;
@@ -51,12 +51,12 @@
     return client.loop().now();
   }
 
-  /** What was seen of it so far. */
+  /** What the client has observed of the call so far. */
   public CallRecord record() {
     return record;
   }
 
-  /** What was asked for. */
+  /** The request that the client sent. */
   public ToolCallRequest request() {
     return request;
   }
@@ -93,7 +93,7 @@
     return params;
   }
 
-  /** Abandons the call: sends a cancellation, and closes the connection. */
+  /** Abandons the call: sends a cancellation and closes the connection. No-op once it has ended. */
   public void cancel() {
     if (record.answeredAtMicros != 0 || record.connectionLostAtMicros != 0) {
       return;
@@ -111,9 +111,9 @@
       record.notAccepted = true;
       client.forgetSession();
     } else if (head.status() == 503) {
-      record.notAccepted = true; // the gateway is at its limit
+      record.notAccepted = true; // the gateway is at its capacity limit
     } else if (head.status() != 200) {
-      record.protocolViolations.add("status " + head.status());
+      record.protocolViolations.add("unexpected HTTP status " + head.status());
     }
   }
 
@@ -214,7 +214,7 @@
   }
 
   @Override
-  public void onFailure(RequestFailure failure, String what) {
+  public void onFailure(RequestFailure failure, String reason) {
     if (record.answeredAtMicros == 0) {
       record.connectionLostAtMicros = nowMicros();
       record.notAccepted |=
--- a/scenario/src/main/java/lemondock/scenario/McpClient.java
+++ b/scenario/src/main/java/lemondock/scenario/McpClient.java
@@ -21,9 +21,9 @@
 import lemondock.rpc.Mcp;
 
 /**
- * A client of MCP's Streamable HTTP transport for scenarios and tests: it records what it sees, can
- * abandon calls, and can leave tool calls unanswered or answer them twice. It has one session at a
- * time. Loop thread only.
+ * A client of MCP's Streamable HTTP transport for scenarios and tests. It records what it receives,
+ * can abandon calls, and can leave tool calls unanswered or answer them twice. It has one session
+ * at a time. Loop thread only.
  */
 public final class McpClient {
   private static final String PROTOCOL_VERSION = "2025-06-18";
@@ -39,9 +39,9 @@
   private int nextRequestId = 1;
 
   /**
-   * Makes a client without a session.
+   * Creates a client without a session.
    *
-   * @param gateway name of the gateway for the records of its calls
+   * @param gateway name of the gateway, for the call records
    */
   public McpClient(Loop loop, HttpClient http, InetSocketAddress address, String gateway) {
     this.loop = loop;
@@ -50,7 +50,7 @@
     this.gateway = gateway;
   }
 
-  /** Opens a session if there is none; tells whether there is one. */
+  /** Opens a session if there is none; {@code onResult} receives whether there is one then. */
   public void open(Consumer<Boolean> onResult) {
     if (sessionId.isPresent()) {
       onResult.accept(true);
@@ -88,7 +88,7 @@
           }
 
           @Override
-          public void onFailure(RequestFailure failure, String what) {
+          public void onFailure(RequestFailure failure, String reason) {
             onInitialized(Optional.empty());
           }
         });
@@ -105,12 +105,12 @@
     waiting.forEach(onResult -> onResult.accept(id.isPresent()));
   }
 
-  /** The status of the last response to an attempt to open a session, 0 if there was none. */
+  /** HTTP status of the response to the last attempt to open a session; 0 if there was none. */
   public int openStatus() {
     return openStatus;
   }
 
-  /** Forgets the session, as after a 404. */
+  /** Discards the session, as a client does after a 404; the next {@link #open} begins another. */
   public void forgetSession() {
     sessionId = Optional.empty();
   }
@@ -118,7 +118,7 @@
   /**
    * Calls a tool; there must be a session.
    *
-   * @param onEnd is told of the end, whatever it is, unless the client abandons the call
+   * @param onEnd is called once when the call ends in any way, unless the client abandons it
    */
   public McpCall call(ToolCallRequest request, Consumer<McpCall> onEnd) {
     McpCall call = new McpCall(this, request, nextRequestId++, onEnd);
--- a/scenario/src/main/java/lemondock/scenario/PausableNetwork.java
+++ b/scenario/src/main/java/lemondock/scenario/PausableNetwork.java
@@ -13,12 +13,15 @@
 import lemondock.net.Network;
 
 /**
- * Pauses a gateway as SIGSTOP does a process: its loop and its I/O threads block wherever they next
- * come to. The kernel goes on accepting connections and taking bytes for it. One process holds all
- * gateways of a scenario, so a signal would not do.
+ * Pauses a gateway as SIGSTOP pauses a process: its event loop blocks in its next task, and its I/O
+ * threads block when they next decode bytes. The kernel continues to accept connections and to
+ * buffer received bytes. The signal itself cannot be used, because one process holds all gateways
+ * of a scenario.
  */
 final class PausableNetwork implements Network {
-  /** A paused gateway is resumed after this even if nobody does, so that no test hangs. */
+  /**
+   * Longest time that a thread blocks even if nobody resumes the gateway; keeps tests from hanging.
+   */
   private static final long MAX_PAUSE_SECONDS = 30;
 
   private static final long WAIT_MS = 1_000;
@@ -26,7 +29,7 @@
   private final Network network;
   private final Loop loop;
 
-  // Under the lock of this object.
+  // Guarded by the lock of this object.
   private boolean paused;
   private long pausedSinceMicros;
 
@@ -35,7 +38,7 @@
     this.loop = loop;
   }
 
-  /** Pauses from the loop's next task on; {@code onPaused} runs on the loop just before. */
+  /** Pauses in the loop's next task; {@code onPaused} runs on the loop just before it blocks. */
   void pause(Runnable onPaused) {
     loop.execute(
         () -> {
@@ -48,7 +51,10 @@
         });
   }
 
-  /** Resumes; tells when it was paused by the loop's clock, empty if it was not. Any thread. */
+  /**
+   * Resumes; returns the time of the pause in microseconds of the loop's clock, empty if it was not
+   * paused. Any thread.
+   */
   synchronized Optional<Long> resume() {
     Optional<Long> since = paused ? Optional.of(pausedSinceMicros) : Optional.empty();
     paused = false;
@@ -57,12 +63,12 @@
   }
 
   private synchronized void blockWhilePaused() {
-    long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_PAUSE_SECONDS);
-    while (paused && System.nanoTime() < untilNanos) {
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_PAUSE_SECONDS);
+    while (paused && System.nanoTime() < deadlineNanos) {
       try {
         wait(WAIT_MS);
       } catch (InterruptedException e) {
-        Thread.currentThread().interrupt(); // the channel group ends its threads so
+        Thread.currentThread().interrupt(); // the channel group interrupts its threads to end them
         return;
       }
     }
@@ -91,7 +97,7 @@
     return network.delayProbes();
   }
 
-  /** Blocks what comes on I/O threads; the rest comes on the loop, which is blocked itself. */
+  /** Blocks decoding on I/O threads; all other work runs on the loop, which is itself blocked. */
   private final class PausableHandler implements Connection.Handler {
     private final Connection.Handler handler;
 
--- a/scenario/src/main/java/lemondock/scenario/RandomText.java
+++ b/scenario/src/main/java/lemondock/scenario/RandomText.java
@@ -1,12 +1,12 @@
 package lemondock.scenario;
 
-/** Text for prompts, the same for the same name. */
+/** Generates pseudo-random text for prompts; the same name always gives the same text. */
 final class RandomText {
   private static final int VOCABULARY_SIZE = 997;
 
   private RandomText() {}
 
-  /** So many words, by a name that stands for the text. */
+  /** Returns {@code count} words, determined by the name. */
   static String words(String name, int count) {
     StringBuilder text = new StringBuilder();
     for (int i = 0; i < count; i++) {
--- a/scenario/src/main/java/lemondock/scenario/ReportComparison.java
+++ b/scenario/src/main/java/lemondock/scenario/ReportComparison.java
@@ -18,8 +18,8 @@
 import lemondock.emulator.collect.GraphiteListener;
 
 /**
- * Listeners for all forms of reports, and the comparison of the values that each received last with
- * the gateways' own final metrics. Used by the thread that plays the scenario.
+ * Runs listeners for all report formats and compares the values that each received last with the
+ * gateways' final metrics. Used by the thread that plays the scenario.
  */
 public final class ReportComparison implements AutoCloseable {
   private static final String USER = "rehearsal";
@@ -51,7 +51,7 @@
     }
   }
 
-  /** Names the listeners as destinations in the {@code reporting} settings of a gateway. */
+  /** Adds the listeners as destinations to the {@code reporting} settings of a gateway. */
   void addDestinations(ObjectNode reporting) {
     ArrayNode destinations = reporting.put("host", "rehearsal").putArray("destinations");
     graphite.forEach(
@@ -78,17 +78,17 @@
         });
   }
 
-  /** The listener for a form of collectd's protocol: bare, signed, encrypted. */
+  /** The listener for a variant of collectd's protocol: bare, signed or encrypted. */
   public CollectdListener collectdListener(String form) {
     return collectd.get(form);
   }
 
-  /** The listener for a form of Graphite's protocol: plain, pickle. */
+  /** The listener for a variant of Graphite's protocol: plain or pickle. */
   public GraphiteListener graphiteListener(String form) {
     return graphite.get(form);
   }
 
-  /** Stops the gateways and compares; {@link #differences} has the outcome. */
+  /** Stops the gateways and compares; {@link #differences} returns the result. */
   void compare(ScenarioFleet fleet) {
     for (String gateway : fleet.gateways()) {
       JsonNode metrics = fleet.stopGateway(gateway);
@@ -111,14 +111,14 @@
     }
   }
 
-  /** Waits until both agree; what was sent last may still be on its way. */
+  /** Waits up to 5 s for agreement, since the last report may still be in transit. */
   private void compare(
-      String where,
+      String source,
       Map<String, BigDecimal> expected,
       Supplier<Map<String, BigDecimal>> reportedNow) {
-    long untilNanos = System.nanoTime() + TIMEOUT_NANOS;
+    long deadlineNanos = System.nanoTime() + TIMEOUT_NANOS;
     Map<String, BigDecimal> reported = reportedNow.get();
-    while (!containsAll(reported, expected) && System.nanoTime() < untilNanos) {
+    while (!containsAll(reported, expected) && System.nanoTime() < deadlineNanos) {
       try {
         TimeUnit.MILLISECONDS.sleep(POLL_MS);
       } catch (InterruptedException e) {
@@ -130,12 +130,12 @@
     for (Map.Entry<String, BigDecimal> value : expected.entrySet()) {
       if (!contains(reported, value) && differences.size() < MAX_DIFFERENCES) {
         differences.add(
-            where
+            source
                 + ": "
                 + value.getKey()
                 + " is "
                 + value.getValue()
-                + " in the tally, was told as "
+                + " in the final metrics, but was last reported as "
                 + reported.get(value.getKey()));
       }
     }
@@ -152,12 +152,12 @@
     return value != null && value.compareTo(expected.getValue()) == 0;
   }
 
-  /** What differed, in words; empty if all that was received last agrees. */
+  /** Descriptions of the first 20 differences; empty if all values agree. */
   public List<String> differences() {
     return List.copyOf(differences);
   }
 
-  /** Values compared, one for each value of a gateway's metrics and form of report. */
+  /** Number of comparisons: each value of a gateway's metrics counts once per report format. */
   public int compared() {
     return compared;
   }
--- a/scenario/src/main/java/lemondock/scenario/ReportedValues.java
+++ b/scenario/src/main/java/lemondock/scenario/ReportedValues.java
@@ -14,8 +14,8 @@
 import lemondock.metrics.MetricField;
 
 /**
- * Values of metrics under one key for all forms of reports: family, labels and field. A value that
- * was reported as unknown is null.
+ * Extracts metric values from all report formats under a common key of family, labels and field. A
+ * value that was reported as unknown is null.
  */
 final class ReportedValues {
   private static final String COLLECTD_PLUGIN_PREFIX = "lemondock-";
@@ -27,7 +27,7 @@
     return family + labels + field;
   }
 
-  /** What a gateway's final metrics say. */
+  /** The values of a gateway's final metrics. */
   static Map<String, BigDecimal> ofFinalMetrics(JsonNode finalMetrics) {
     Map<String, BigDecimal> values = new TreeMap<>();
     for (MetricFamily family : MetricFamilies.ALL) {
@@ -45,7 +45,10 @@
     return values;
   }
 
-  /** What Graphite was told of one instance: {@code PREFIX.INSTANCE.FAMILY.LABEL...FIELD}. */
+  /**
+   * The newest values that Graphite received from an instance, under paths of the form {@code
+   * PREFIX.INSTANCE.FAMILY.LABEL...FIELD}.
+   */
   static Map<String, BigDecimal> ofGraphite(ReceivedReports received, String instance) {
     Map<String, BigDecimal> values = new TreeMap<>();
     received
@@ -65,7 +68,10 @@
     return values;
   }
 
-  /** What collectd was told of one instance: {@code HOST/PLUGIN-INSTANCE/TYPE-LABELS}. */
+  /**
+   * The newest values that collectd received from an instance, under names of the form {@code
+   * HOST/PLUGIN-INSTANCE/TYPE-LABELS}.
+   */
   static Map<String, BigDecimal> ofCollectd(ReceivedReports received, String instance) {
     Map<String, BigDecimal> values = new TreeMap<>();
     received
--- a/scenario/src/main/java/lemondock/scenario/ScenarioAuditor.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioAuditor.java
@@ -6,12 +6,13 @@
 import java.util.TreeMap;
 
 /**
- * Checks the five rules from what passed on the sockets: what engines and the catalogue were sent
- * and answered, and what clients received. It asks no gateway. No I/O, no clock.
+ * Checks the five rules against the traffic observed on the sockets: what engines and the catalogue
+ * received and answered, and what clients received. It queries no gateway, performs no I/O and
+ * reads no clock.
  *
- * <p>What a socket shows comes a little later than what a gateway did, so each limit has a
- * tolerance on top. Limits of time do not run while a gateway is paused, and for a moment after;
- * what may not happen twice, or too late for a deduplication window, gets no such allowance.
+ * <p>Traffic is observed a little after the gateway's action, so a tolerance is added to each time
+ * limit. Time limits do not run while a gateway is paused and shortly after. There is no such
+ * allowance for what may not happen twice or after the end of a deduplication window.
  */
 public final class ScenarioAuditor {
   private static final int MAX_VIOLATIONS_PER_RULE = 20;
@@ -25,7 +26,7 @@
 
   private ScenarioAuditor() {}
 
-  /** Checks all rules. */
+  /** Checks all rules; keeps at most 20 violations of each. */
   public static AuditResult check(ScenarioRecording recording) {
     AuditedRun run = new AuditedRun(recording);
     Map<Integer, List<String>> violations = new TreeMap<>();
--- a/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
@@ -27,11 +27,11 @@
 import lemondock.net.nio.WorkerPool;
 
 /**
- * Gateways, emulated engines and a catalogue in one process, over real loopback sockets. Each
- * gateway and each engine has sockets of its own and can be killed by itself. What passes on the
+ * Gateways, emulated engines and a catalogue in one process, connected by real loopback sockets.
+ * Each gateway and each engine has its own sockets and can be killed separately. The traffic on the
  * emulators' sockets is recorded for the auditor.
  *
- * <p>One thread starts, kills and closes; others may read.
+ * <p>One thread starts, kills and closes the members of the fleet; other threads may read.
  */
 public final class ScenarioFleet implements AutoCloseable {
   private static final String ANY_LOOPBACK_PORT = "127.0.0.1:0";
@@ -51,17 +51,17 @@
       WorkerPool.create(WORKERS, WORKER_QUEUE_SIZE, "rehearsal-worker");
   private UnaryOperator<FileSystemPort> fileSystemDecorator = UnaryOperator.identity();
 
-  /** One process holds all gateways: what it uses says nothing about one of them. */
+  /** Unknown by default, since one process holds all gateways and its usage fits none of them. */
   private ProcessResources processResources = ProcessResources.UNKNOWN;
 
   private SnapshotListener snapshotListener = (gateway, atMicros, snapshot) -> {};
   private long lastEngineSeed;
 
   /**
-   * Makes a fleet without engines and gateways.
+   * Creates a fleet without engines and gateways, and starts its catalogue.
    *
    * @param classes the request classes of its gateways
-   * @param seed draws which requests the engines' faults hit
+   * @param seed determines which requests are hit by the engines' faults
    */
   public ScenarioFleet(List<GatewaySettings.ClassSettings> classes, long seed) {
     this.lastEngineSeed = seed;
@@ -75,47 +75,47 @@
     }
   }
 
-  /** Sets the receiver of metrics snapshots; before gateways are added. */
+  /** Sets the receiver of metrics snapshots; applies to gateways that are started later. */
   public void onSnapshot(SnapshotListener listener) {
     snapshotListener = listener;
   }
 
   /**
-   * Puts a decorator before the file systems of the idempotency logs of gateways that are started
-   * from now on.
+   * Sets a decorator for the file systems of idempotency logs; applies to gateways that are started
+   * later.
    */
   public void decorateFileSystem(UnaryOperator<FileSystemPort> decorator) {
     fileSystemDecorator = decorator;
   }
 
-  /** What gateways that are started from now on read of their process. */
+  /** Sets the process resources that gateways see; applies to gateways that are started later. */
   public void setProcessResources(ProcessResources resources) {
     processResources = resources;
   }
 
-  /** A loopback port that nobody else of the machine is given until the fleet is closed. */
+  /** Reserves a loopback port that no other process of the machine gets until the fleet closes. */
   public int reservePort() {
     LoopbackPort port = LoopbackPort.reserve();
     reservedPorts.add(port);
     return port.number();
   }
 
-  /** Where the catalogue listens. */
+  /** The catalogue's address as {@code HOST:PORT}. */
   public String catalogueAddress() {
     return "127.0.0.1:" + catalogue.address().getPort();
   }
 
-  /** The catalogue, for its faults; use it on the loop of {@link #emulators}. */
+  /** The catalogue, to inject faults; to be used on the loop of {@link #emulators}. */
   public CatalogueEmulator catalogue() {
     return catalogue;
   }
 
-  /** The process of the emulators, whose loop they share. */
+  /** The process whose loop all emulators share. */
   public EmulatedProcess emulators() {
     return emulators;
   }
 
-  /** Starts an engine that has been up for long, and lists it. */
+  /** Starts an engine that is already warmed up and lists it in the catalogue. */
   public void addEngine(EngineSettings settings) {
     EngineSettings withPort =
         settings.listen().equals(ANY_LOOPBACK_PORT)
@@ -126,22 +126,26 @@
         EmulatedEngine.startWarm(emulators, catalogue, events::add, withPort, ++lastEngineSeed));
   }
 
-  /** Kills an engine: its connections break at once; the catalogue drops it after a delay. */
-  public void crashEngine(String name, long noticeMicros) {
-    engines.get(name).crash(noticeMicros);
+  /**
+   * Kills an engine; its connections break at once.
+   *
+   * @param removalDelayMicros time until the catalogue removes it
+   */
+  public void crashEngine(String name, long removalDelayMicros) {
+    engines.get(name).crash(removalDelayMicros);
   }
 
-  /** Starts a dead engine again, cold, on its old port. */
+  /** Restarts a crashed engine, cold and on its previous port. */
   public void restartEngine(String name) {
     engines.get(name).restart(++lastEngineSeed);
   }
 
-  /** Lists an engine as draining, or not any more. */
+  /** Sets whether the catalogue lists an engine as draining. */
   public void setEngineDraining(String name, boolean draining) {
     engines.get(name).setDraining(draining);
   }
 
-  /** An engine; use it on the loop of {@link #emulators}. */
+  /** The emulator of an engine; to be used on the loop of {@link #emulators}. */
   public EngineEmulator engine(String name) {
     return engines.get(name).emulator();
   }
@@ -162,7 +166,7 @@
         settings.name(), new EmulatedGateway(settings, routerFactory, gatewayEnvironment()));
   }
 
-  /** Starts a gateway that was killed or stopped, with nothing but its settings and its disk. */
+  /** Restarts a killed or stopped gateway; only its settings and its disk contents are kept. */
   public void startGateway(String name) {
     gateways.get(name).start(gatewayEnvironment());
   }
@@ -172,43 +176,43 @@
         workers, processResources, fileSystemDecorator, prompts, snapshotListener);
   }
 
-  /** Kills a gateway at once. */
+  /** Kills a gateway at once; a paused one is resumed first. */
   public void killGateway(String name) {
     resumeGateway(name);
     kills.add(gateways.get(name).kill());
   }
 
-  /** Pauses a gateway, as SIGSTOP does a process; returns when it is paused. */
+  /** Pauses a gateway, as SIGSTOP pauses a process; returns when it is paused. */
   public void pauseGateway(String name) {
     gateways.get(name).pause();
   }
 
-  /** Resumes a paused gateway; harmless for any other. */
+  /** Resumes a paused gateway; has no effect on one that is not paused. */
   public void resumeGateway(String name) {
     gateways.get(name).resume().ifPresent(pauses::add);
   }
 
-  /** Takes a share of a gateway's loop for some time, as another program on its machine would. */
+  /** Occupies a share of a gateway's loop time, as another program on its machine would. */
   public void occupyGateway(String name, double share, long micros) {
     gateways.get(name).occupy(share, micros);
   }
 
-  /** Shuts a gateway down gracefully; gives its final metrics. */
+  /** Shuts a gateway down gracefully and returns its final metrics. */
   public ObjectNode stopGateway(String name) {
     return gateways.get(name).stop();
   }
 
-  /** A gateway's reports. */
+  /** The reporting component of a gateway. */
   public Reporting reporting(String name) {
     return gateways.get(name).reporting();
   }
 
-  /** A gateway. */
+  /** The gateway of that name, as created by its latest start. */
   public Gateway gateway(String name) {
     return gateways.get(name).gateway();
   }
 
-  /** A gateway's process. */
+  /** The emulated process of a gateway's latest start. */
   public EmulatedProcess gatewayProcess(String name) {
     return gateways.get(name).process();
   }
@@ -223,11 +227,11 @@
     return gateways.get(name).settings();
   }
 
-  /** Waits until a gateway knows so many servers; false if it does not in time. */
+  /** Waits until a gateway knows exactly {@code count} servers; false on timeout. */
   public boolean awaitServers(String gateway, int count, long timeoutMs) {
-    long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
     while (gateways.get(gateway).endpointCount() != count) {
-      if (System.nanoTime() > untilNanos) {
+      if (System.nanoTime() > deadlineNanos) {
         return false;
       }
       Thread.onSpinWait();
@@ -235,17 +239,17 @@
     return true;
   }
 
-  /** What passed on the emulators' sockets so far. */
+  /** The traffic on the emulators' sockets so far. */
   public List<TrafficEvent> events() {
     return copy(events);
   }
 
-  /** Gateways killed so far. */
+  /** The kills of gateways so far. */
   public List<GatewayKill> kills() {
     return copy(kills);
   }
 
-  /** Pauses of gateways so far. */
+  /** The pauses of gateways so far that have ended. */
   public List<GatewayPause> pauses() {
     return copy(pauses);
   }
--- a/scenario/src/main/java/lemondock/scenario/ScenarioRecording.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioRecording.java
@@ -8,10 +8,12 @@
 /**
  * What was observed of a run from outside the gateways.
  *
- * @param settings of any of the gateways: request classes and limits of the rules, which all share
- * @param events what passed on the emulators' sockets, in any order
- * @param pauses times for which gateways were paused
- * @param endMicros when the run was over and nothing was in flight any more
+ * @param settings the request classes and rule limits, which all gateways share; the rest is not
+ *     used
+ * @param events the traffic on the emulators' sockets, in any order
+ * @param pauses time spans in which gateways were paused
+ * @param endMicros end of the run, when nothing was in flight any more, in microseconds of the
+ *     machine's monotonic clock
  */
 public record ScenarioRecording(
     GatewaySettings settings,
--- a/scenario/src/main/java/lemondock/scenario/ScenarioReport.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioReport.java
@@ -7,7 +7,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Writes the results of scenarios as a line, as JSON and as a page. */
+/** Formats the results of scenarios as a line of text, as JSON and as an HTML page. */
 public final class ScenarioReport {
   private static final Map<Integer, String> RULES =
       Map.of(
@@ -29,7 +29,7 @@
 
   private ScenarioReport() {}
 
-  /** One scenario on a line. */
+  /** One scenario as a line of text. */
   public static String line(ScenarioResult result) {
     AuditResult audit = result.audit();
     return String.format(
@@ -46,7 +46,7 @@
         result.script().describe());
   }
 
-  /** All scenarios as JSON. */
+  /** All scenarios as indented JSON. */
   public static String json(List<ScenarioResult> results) {
     ObjectNode root = JsonNodeFactory.instance.objectNode();
     root.put("kept", results.stream().allMatch(result -> result.audit().allRulesKept()));
--- a/scenario/src/main/java/lemondock/scenario/ScenarioResult.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioResult.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * The outcome of a fault scenario.
+ * The result of a fault scenario.
  *
- * @param valueInTimeShares priority weight served in time as a share of the weight requested, under
- *     the name of each request class and under {@code all}
- * @param outcomeCounts calls by how they ended
+ * @param valueInTimeShares priority weight served in time as a share of the weight requested, keyed
+ *     by the name of each request class and by {@code all}
+ * @param outcomeCounts number of calls by outcome
  * @param callCount calls that the clients made, retries included
  * @param engineRequests requests for prefill and decode that reached the engines
- * @param seconds how long the run took
+ * @param seconds duration of the run
  */
 public record ScenarioResult(
     ScenarioScript script,
--- a/scenario/src/main/java/lemondock/scenario/ScenarioScript.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioScript.java
@@ -14,13 +14,14 @@
 import lemondock.gateway.settings.SettingsFile;
 
 /**
- * A scenario to be played: the fleet, its load and the faults; {@code day.schema.json} holds the
- * defaults and the bounds.
+ * The script of a scenario: the fleet, its load and the faults. The defaults and bounds are in
+ * {@code day.schema.json}.
  *
- * @param seed draws the traffic
- * @param seconds time for which clients arrive
- * @param rate arrivals of clients a second
- * @param slots parallel requests of an engine of the kind {@code mixed}
+ * @param seed seeds the random traffic and the choice of what the faults hit
+ * @param seconds duration for which clients arrive
+ * @param rate client arrivals per second
+ * @param slots requests that a mixed engine runs in parallel; readers run half as many, writers
+ *     twice as many
  * @param tokenMs time between two tokens of an answer
  * @param abandonShare share of calls that their client abandons
  * @param toolShare share of calls that may lead to tool calls
@@ -53,7 +54,7 @@
         file, root, "day.schema.json", ScenarioScript.class, ScenarioScript.class);
   }
 
-  /** A script with all defaults and no faults. */
+  /** A script with the defaults of the schema, which has no faults. */
   public static ScenarioScript withDefaults() {
     try {
       return bind("quiet", JsonNodeFactory.instance.objectNode());
@@ -81,7 +82,7 @@
         faults);
   }
 
-  /** The same fleet under another load and other faults. */
+  /** The same fleet and seed with another name, load and faults. */
   public ScenarioScript withLoad(
       String newName, double newSeconds, double newRate, List<ScriptedFault> newFaults) {
     return new ScenarioScript(
@@ -101,7 +102,7 @@
         newFaults);
   }
 
-  /** The same load and faults on another fleet, one zone with one gateway. */
+  /** The same load and faults on another fleet of one zone with one gateway. */
   public ScenarioScript withFleet(
       int readers, int writers, int mixed, int newSlots, double newTokenMs) {
     return new ScenarioScript(
@@ -121,7 +122,7 @@
         faults);
   }
 
-  /** Draws a scenario from a seed: three to five faults, some of them at the same time. */
+  /** Draws a scenario from a seed: three to five faults, which may overlap in time. */
   public static ScenarioScript draw(long seed, double seconds) {
     SplittableRandom random = new SplittableRandom(seed);
     List<ScriptedFault> faults = new ArrayList<>();
@@ -135,7 +136,7 @@
         .withLoad("bad-" + seed, seconds, defaults.rate(), List.copyOf(faults));
   }
 
-  /** The order of the draws is part of what a seed means. */
+  /** The order of the draws must not change: it determines the scenario of a seed. */
   private static ScriptedFault drawFault(SplittableRandom random, double seconds) {
     FaultKind[] kinds = FaultKind.values();
     FaultKind kind = kinds[random.nextInt(kinds.length)];
@@ -150,7 +151,7 @@
     return new ScriptedFault(kind, atMs, forMs, part, size);
   }
 
-  /** The faults on one line. */
+  /** The faults and their start times on one line. */
   public String describe() {
     if (faults.isEmpty()) {
       return "no trouble";
@@ -162,7 +163,7 @@
         .collect(Collectors.joining(", "));
   }
 
-  /** The script as JSON, as a file would hold it. */
+  /** The script as JSON, in the form of a script file. */
   public ObjectNode toJson() {
     return MAPPER.valueToTree(this);
   }
--- a/scenario/src/main/java/lemondock/scenario/ScenarioSettings.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioSettings.java
@@ -7,8 +7,8 @@
 import lemondock.gateway.settings.GatewaySettings;
 
 /**
- * Settings that the gateways of a fault scenario share: short times, so that a scenario takes
- * seconds.
+ * Settings that the gateways of a fault scenario share. Their times are short, so that a scenario
+ * takes only seconds.
  */
 public final class ScenarioSettings {
   private ScenarioSettings() {}
@@ -18,7 +18,7 @@
     return model().classes();
   }
 
-  /** Settings that no gateway is started with: only their classes and rules count. */
+  /** Settings of which only the classes and rules are used; no gateway is started with them. */
   static GatewaySettings model() {
     return gateway("model", 0, 1, "north", 1, "127.0.0.1:1");
   }
@@ -29,7 +29,7 @@
     return gateway(name, number, gatewayCount, zone, port, catalogue, root -> {});
   }
 
-  /** Settings of one gateway, with changes to the JSON before it is checked. */
+  /** Settings of one gateway; {@code changes} edits the JSON before it is validated. */
   static GatewaySettings gateway(
       String name,
       int number,
--- a/scenario/src/main/java/lemondock/scenario/ServiceStatistics.java
+++ b/scenario/src/main/java/lemondock/scenario/ServiceStatistics.java
@@ -8,12 +8,12 @@
 import lemondock.gateway.settings.GatewaySettings;
 import lemondock.rpc.Mcp;
 
-/** How well the calls of a run were served. */
+/** Statistics of how well the calls of a run were served. */
 final class ServiceStatistics {
   private static final String ALL_CLASSES = "all";
   private static final int MICROS_PER_MILLI = 1_000;
 
-  /** Characters in the unit of {@code aimMsPerThousandTokens}. */
+  /** Characters that count as a thousand tokens for {@code aimMsPerThousandTokens}. */
   private static final int CHARS_PER_THOUSAND_TOKENS = 4000;
 
   /** Sums of priority weights. */
@@ -26,7 +26,7 @@
 
   /**
    * Priority weight served in time as a share of the weight requested, over all classes and by
-   * class; the attempts of a client at a call count as one call.
+   * class. A call and its retries count as one call, with the best of their values.
    */
   static Map<String, Double> valueInTimeShares(
       List<GatewaySettings.ClassSettings> classes, List<CallRecord> calls) {
@@ -40,14 +40,14 @@
     for (List<CallRecord> attempts : attemptsByCall.values()) {
       CallRecord first = attempts.get(0);
       GatewaySettings.ClassSettings requestClass = classes.get(first.classId);
-      double best =
+      double bestValue =
           attempts.stream()
               .mapToDouble(attempt -> value(requestClass, attempt, first.calledAtMicros))
               .max()
               .orElse(0);
       for (String name : List.of(ALL_CLASSES, requestClass.name())) {
         Weights weights = weightsByName.computeIfAbsent(name, key -> new Weights());
-        weights.inTime += best;
+        weights.inTime += bestValue;
         weights.requested += requestClass.worth();
       }
     }
@@ -58,7 +58,7 @@
     return shares;
   }
 
-  /** The priority weight of an answer: all of it in time, less of it late, none without answer. */
+  /** The value of an answer: its full priority weight in time, part of it if late, 0 if missing. */
   private static double value(
       GatewaySettings.ClassSettings requestClass, CallRecord call, long fromMicros) {
     if (!call.served() || call.firstMessageAtMicros == 0) {
@@ -68,16 +68,17 @@
         requestClass.aimMs()
             + requestClass.aimMsPerThousandTokens() * call.promptChars / CHARS_PER_THOUSAND_TOKENS;
     double firstTokenMs = (call.firstMessageAtMicros - fromMicros) / (double) MICROS_PER_MILLI;
-    boolean isPrompt = firstTokenMs <= objectiveMs;
+    boolean isFirstTokenInTime = firstTokenMs <= objectiveMs;
     double streamMs =
         (call.answeredAtMicros - call.firstMessageAtMicros) / (double) MICROS_PER_MILLI;
-    boolean isSteady =
+    boolean isStreamInTime =
         !call.toolCalls.isEmpty()
             || streamMs <= Math.max(1, call.tokens) * requestClass.tokenAimMs();
-    return requestClass.worth() * (isPrompt && isSteady ? 1 : requestClass.lateWorth());
+    return requestClass.worth()
+        * (isFirstTokenInTime && isStreamInTime ? 1 : requestClass.lateWorth());
   }
 
-  /** Calls by how they ended. */
+  /** Number of calls by outcome. */
   static Map<String, Integer> outcomeCounts(List<CallRecord> calls) {
     Map<String, Integer> counts = new TreeMap<>();
     calls.forEach(call -> counts.merge(outcome(call), 1, Integer::sum));
--- a/scenario/src/main/java/lemondock/scenario/SnapshotListener.java
+++ b/scenario/src/main/java/lemondock/scenario/SnapshotListener.java
@@ -2,13 +2,13 @@
 
 import lemondock.metrics.MetricsSnapshot;
 
-/** Receives every metrics snapshot that the gateways of a fleet take for their reports. */
+/** Receives each metrics snapshot that the gateways of a fleet take for their reports. */
 @FunctionalInterface
 public interface SnapshotListener {
   /**
-   * Called on the reporting loop of the gateway.
+   * Called on the gateway's reporting loop.
    *
-   * @param atMicros when the snapshot was taken, by the machine's monotonic clock
+   * @param atMicros time of the snapshot, in microseconds of the machine's monotonic clock
    */
   void onSnapshot(String gateway, long atMicros, MetricsSnapshot snapshot);
 }
--- a/scenario/src/main/java/lemondock/scenario/StateReleaseCheck.java
+++ b/scenario/src/main/java/lemondock/scenario/StateReleaseCheck.java
@@ -11,11 +11,11 @@
 import lemondock.gateway.settings.GatewaySettings;
 
 /**
- * Rule 5: a state that is reserved while its request has no attempt in flight is fetched or
- * released within the limit.
+ * Rule 5: a reserved state whose request has no attempt in flight is fetched or released within the
+ * limit.
  */
 final class StateReleaseCheck implements RuleCheck {
-  /** A state from its reservation to its end, or to the end of the run. */
+  /** A state's reservation until it is fetched, released or lost, or until the run ends. */
   private record Reservation(TrafficEvent reserved, long endMicros) {}
 
   @Override
@@ -36,11 +36,11 @@
         violations.accept(
             "a state of "
                 + reserved.mark()
-                + " was held at "
+                + " was reserved at "
                 + reserved.server()
                 + " for "
                 + idleMicros / AuditedRun.MICROS_PER_MILLI
-                + " ms with none of its attempts out");
+                + " ms without an attempt of its request in flight");
       }
     }
   }
@@ -58,9 +58,9 @@
             reservations.add(new Reservation(reserved, event.atMicros()));
           }
         }
-        case DIED -> endAllAt(event, open, reservations);
+        case DIED -> endReservationsAt(event, open, reservations);
         default -> {
-          // says nothing about a state
+          // does not concern a state
         }
       }
     }
@@ -68,18 +68,18 @@
     return reservations;
   }
 
-  private static void endAllAt(
+  private static void endReservationsAt(
       TrafficEvent death, Map<String, TrafficEvent> open, List<Reservation> reservations) {
-    for (Iterator<TrafficEvent> all = open.values().iterator(); all.hasNext(); ) {
-      TrafficEvent reserved = all.next();
+    for (Iterator<TrafficEvent> iterator = open.values().iterator(); iterator.hasNext(); ) {
+      TrafficEvent reserved = iterator.next();
       if (reserved.server().equals(death.server())) {
         reservations.add(new Reservation(reserved, death.atMicros()));
-        all.remove();
+        iterator.remove();
       }
     }
   }
 
-  /** The longest time of a reservation in which its request had no attempt in flight. */
+  /** The longest span of a reservation during which its request had no attempt in flight. */
   private static long longestIdleMicros(AuditedRun run, Reservation reservation) {
     TrafficEvent reserved = reservation.reserved();
     List<EngineAttempt> attempts =
@@ -88,17 +88,18 @@
             .sorted(Comparator.comparingLong(EngineAttempt::startMicros))
             .toList();
     long endMicros = reservation.endMicros();
-    long idleSince = reserved.atMicros();
-    long longest = 0;
+    long idleSinceMicros = reserved.atMicros();
+    long longestMicros = 0;
     for (EngineAttempt attempt : attempts) {
-      if (attempt.startMicros() > idleSince) {
-        long idleUntil = Math.min(attempt.startMicros(), endMicros);
-        longest = Math.max(longest, idleMicros(run, reserved, idleSince, idleUntil));
+      if (attempt.startMicros() > idleSinceMicros) {
+        long idleUntilMicros = Math.min(attempt.startMicros(), endMicros);
+        longestMicros =
+            Math.max(longestMicros, idleMicros(run, reserved, idleSinceMicros, idleUntilMicros));
       }
       boolean hasEnded = attempt.endMicros() != EngineAttempt.NOT_ENDED;
-      idleSince = Math.max(idleSince, hasEnded ? attempt.endMicros() : endMicros);
+      idleSinceMicros = Math.max(idleSinceMicros, hasEnded ? attempt.endMicros() : endMicros);
     }
-    return Math.max(longest, idleMicros(run, reserved, idleSince, endMicros));
+    return Math.max(longestMicros, idleMicros(run, reserved, idleSinceMicros, endMicros));
   }
 
   private static long idleMicros(
--- a/scenario/src/main/java/lemondock/scenario/Timetable.java
+++ b/scenario/src/main/java/lemondock/scenario/Timetable.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Actions with their times from the start of a run. One thread fills it and runs it; actions of the
- * same time run in the order in which they were added.
+ * Actions scheduled at times relative to the start of a run. One thread both adds and runs them;
+ * actions with the same time run in the order in which they were added.
  */
 final class Timetable {
   private static final double NANOS_PER_MILLI = 1e6;
@@ -20,7 +20,7 @@
     entries.add(new Entry(atMs, action));
   }
 
-  /** Runs all actions, each at its time, on the calling thread; returns after the last one. */
+  /** Runs each action at its time on the calling thread; returns after the last one. */
   void run() throws InterruptedException {
     entries.sort(Comparator.comparingDouble(Entry::atMs));
     long startNanos = System.nanoTime();
--- a/scenario/src/main/java/lemondock/scenario/ToolCallRequest.java
+++ b/scenario/src/main/java/lemondock/scenario/ToolCallRequest.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * What a client sends with one {@code tools/call}, and how it behaves while the call runs.
+ * What a client sends with one {@code tools/call} and how it behaves while the call runs.
  *
- * @param tool name of the request class, which a gateway offers as a tool
+ * @param tool name of the request class, which a gateway exposes as a tool
  * @param classId index of that class in the settings
  * @param conversation name of the conversation for prefix affinity; null for none
  * @param tools names of the tools that the client offers to the model
  * @param toolDelayMicros time before the client answers a relayed tool call
- * @param mark name of the call in the prompt, by which the auditor finds its work at the engines
- * @param retry whether the call is declared to be a retry
+ * @param mark identifies the call in the prompt, so that the auditor finds its requests to engines
+ * @param retry whether the call is marked as a retry
  * @param tenant null for none
  * @param idempotencyKey the same for all attempts at one call; null for none
  */
@@ -30,7 +30,7 @@
     String tenant,
     String idempotencyKey) {
 
-  /** A call without a tenant and an idempotency key. */
+  /** A call without a tenant and without an idempotency key. */
   public ToolCallRequest(
       String tool,
       int classId,
@@ -74,7 +74,7 @@
         idempotencyKey);
   }
 
-  /** The same call under an idempotency key. */
+  /** The same call with an idempotency key. */
   public ToolCallRequest withIdempotencyKey(String newKey) {
     return new ToolCallRequest(
         tool,
