--- a/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
@@ -18,71 +18,77 @@
 import lemondock.rpc.Mcp;
 import org.junit.jupiter.api.Test;
 
-/** What breaks, one by one, and what must be seen on the sockets. */
+/** One failure per test, and what clients and engines must see of it on their sockets. */
 class GatewayEdgeCasesTest {
-  private static final String LONG = "answer in 40 words";
+  private static final String PROMPT_FOR_40_WORDS = "answer in 40 words";
 
-  private static void limits(ObjectNode s, double deadlineMs) {
-    for (var c : s.withArray("classes")) {
-      ((ObjectNode) c)
+  /** Sets the deadline and short timeouts, and disables the resumption of broken streams. */
+  private static void setTimeouts(ObjectNode settings, double deadlineMs) {
+    for (var requestClass : settings.withArray("classes")) {
+      ((ObjectNode) requestClass)
           .put("deadlineMs", deadlineMs)
           .put("aimMs", deadlineMs / 3)
           .put("toolTimeoutMs", 300);
     }
-    ((ObjectNode) s.get("engines")).put("streamSilenceMs", 300);
-    ((ObjectNode) s.get("front")).put("resumeWindowMs", 0);
+    ((ObjectNode) settings.get("engines")).put("streamSilenceMs", 300);
+    ((ObjectNode) settings.get("front")).put("resumeWindowMs", 0);
   }
 
-  private static Consumer<ObjectNode> quick() {
-    return s -> limits(s, 1500);
+  private static Consumer<ObjectNode> shortTimeouts() {
+    return settings -> setTimeouts(settings, 1500);
   }
 
-  private static Consumer<ObjectNode> once() {
-    return s -> {
-      limits(s, 1500);
-      ((ObjectNode) s.at("/classes/0")).put("repeat", "once");
+  /** Short timeouts, and a request class whose calls may run at most once. */
+  private static Consumer<ObjectNode> nonIdempotent() {
+    return settings -> {
+      setTimeouts(settings, 1500);
+      ((ObjectNode) settings.at("/classes/0")).put("repeat", "once");
     };
   }
 
-  private static void fault(ScenarioFixture fixture, String engine, Consumer<EngineFaults> set) {
+  private static void setFaults(
+      ScenarioFixture fixture, String engine, Consumer<EngineFaults> change) {
     fixture
         .fleet
         .emulators()
         .invokeAndWait(
             () -> {
-              set.accept(fixture.fleet.engine(engine).faults());
+              change.accept(fixture.fleet.engine(engine).faults());
             });
   }
 
-  private static void faults(ScenarioFixture fixture, Consumer<EngineFaults> set) {
-    fixture.fleet.engines().forEach(e -> fault(fixture, e, set));
+  private static void setFaultsOfAllEngines(
+      ScenarioFixture fixture, Consumer<EngineFaults> change) {
+    fixture.fleet.engines().forEach(engine -> setFaults(fixture, engine, change));
   }
 
-  private static void assertOneEnd(CallRecord seen) {
-    assertEquals(1, seen.responses);
-    assertEquals(0, seen.messagesAfterAnswer);
-    assertEquals(List.of(), seen.protocolViolations);
+  private static void assertAnsweredOnce(CallRecord record) {
+    assertEquals(1, record.responses);
+    assertEquals(0, record.messagesAfterAnswer);
+    assertEquals(List.of(), record.protocolViolations);
   }
 
-  /** Makes a call, which must end once and with the whole answer. */
+  /** Makes a call, which must be answered once and with the complete answer. */
   private static CallRecord assertServedComplete(ScenarioFixture fixture) {
-    CallRecord seen = fixture.call(ScenarioFixture.request("m", LONG, ToolBehaviour.ANSWER));
-    assertOneEnd(seen);
-    assertEquals(ScenarioFixture.answerText(40), seen.finalText);
-    return seen;
+    CallRecord record =
+        fixture.call(ScenarioFixture.request("m", PROMPT_FOR_40_WORDS, ToolBehaviour.ANSWER));
+    assertAnsweredOnce(record);
+    assertEquals(ScenarioFixture.answerText(40), record.finalText);
+    return record;
   }
 
   // ==== writers
 
   @Test
-  void aWriterThatBreaksBeforeItsFirstToken() {
+  void writerFailureBeforeFirstTokenIsRetried() {
     try (ScenarioFixture fixture =
-        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
-      faults(
+        new ScenarioFixture(
+            shortTimeouts(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
+      setFaultsOfAllEngines(
           fixture,
-          f -> {
-            f.breakAfterTokens = 0;
-            f.hits = new EngineFaults.Hits(1);
+          faults -> {
+            faults.breakAfterTokens = 0;
+            faults.hits = new EngineFaults.Hits(1);
           });
       assertServedComplete(fixture);
       fixture.awaitIdle();
@@ -90,50 +96,51 @@
   }
 
   @Test
-  void aWriterThatBreaksAfterSomeTokensIsGoneOnBehind() {
+  void writerFailureMidStreamIsContinuedByAnotherAttempt() {
     try (ScenarioFixture fixture =
         new ScenarioFixture(
-            quick(),
+            shortTimeouts(),
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w1"),
             ScenarioFixture.writer("w2"))) {
-      faults(
+      setFaultsOfAllEngines(
           fixture,
-          f -> {
-            f.breakAfterTokens = 7;
-            f.hits = new EngineFaults.Hits(1);
+          faults -> {
+            faults.breakAfterTokens = 7;
+            faults.hits = new EngineFaults.Hits(1);
           });
-      CallRecord seen = assertServedComplete(fixture);
-      assertEquals(ScenarioFixture.answerText(40), seen.streamed.toString());
-      assertEquals(40, seen.tokens);
+      CallRecord record = assertServedComplete(fixture);
+      assertEquals(ScenarioFixture.answerText(40), record.streamed.toString());
+      assertEquals(40, record.tokens);
       assertTrue(fixture.events(TrafficEvent.Kind.DECODE_STARTED, "m").size() >= 2);
       fixture.awaitIdle();
     }
   }
 
   @Test
-  void anAnswerThatMayRunOnlyOnceFailsWhenItBreaks() {
+  void nonIdempotentCallFailsWhenItsStreamBreaks() {
     try (ScenarioFixture fixture =
         new ScenarioFixture(
-            once(),
+            nonIdempotent(),
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w1"),
             ScenarioFixture.writer("w2"))) {
-      faults(fixture, f -> f.breakAfterTokens = 7);
-      CallRecord seen = fixture.call(ScenarioFixture.request("m", LONG, ToolBehaviour.ANSWER));
-      assertOneEnd(seen);
-      assertEquals(Mcp.FAILED, seen.errorCode);
-      assertFalse(seen.retryable);
+      setFaultsOfAllEngines(fixture, f -> f.breakAfterTokens = 7);
+      CallRecord record =
+          fixture.call(ScenarioFixture.request("m", PROMPT_FOR_40_WORDS, ToolBehaviour.ANSWER));
+      assertAnsweredOnce(record);
+      assertEquals(Mcp.FAILED, record.errorCode);
+      assertFalse(record.retryable);
       assertEquals(1, fixture.events(TrafficEvent.Kind.DECODE_STARTED, "m").size());
       fixture.awaitIdle();
     }
   }
 
   @Test
-  void aWriterThatBreaksAfterAToolCallWasRelayed() {
+  void writerFailureAfterRelayedToolCallIsRetried() {
     try (ScenarioFixture fixture =
         new ScenarioFixture(
-            quick(),
+            shortTimeouts(),
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w1"),
             ScenarioFixture.writer("w2"))) {
@@ -141,88 +148,94 @@
           fixture.begin(
               fixture.client(),
               ScenarioFixture.request(
-                  "m", "call the tool stock " + LONG, ToolBehaviour.ANSWER, "stock"),
+                  "m", "call the tool stock " + PROMPT_FOR_40_WORDS, ToolBehaviour.ANSWER, "stock"),
               call ->
-                  faults(
+                  setFaultsOfAllEngines(
                       fixture,
-                      f -> {
-                        f.breakAfterTokens = 6; // the first leg has four tokens: it is
-                        // the second that breaks
-                        f.hits = new EngineFaults.Hits(1);
+                      faults -> {
+                        // The part before the tool call has four tokens, so the part after it
+                        // breaks.
+                        faults.breakAfterTokens = 6;
+                        faults.hits = new EngineFaults.Hits(1);
                       }));
-      CallRecord seen = ScenarioFixture.get(done).record();
-      assertOneEnd(seen);
-      assertEquals(1, seen.toolCalls.size());
+      CallRecord record = ScenarioFixture.get(done).record();
+      assertAnsweredOnce(record);
+      assertEquals(1, record.toolCalls.size());
       assertTrue(
-          seen.finalText.startsWith(" a0 a1 a2 a3[did-stock] b0 b1")
-              && seen.finalText.endsWith(" b39"),
-          seen.finalText);
+          record.finalText.startsWith(" a0 a1 a2 a3[did-stock] b0 b1")
+              && record.finalText.endsWith(" b39"),
+          record.finalText);
       fixture.awaitIdle();
     }
   }
 
   @Test
-  void streamsThatFallSilentMidwayAreBrokenOffAndGoneOnWith() {
+  void stalledStreamIsCancelledAndContinuedByAnotherAttempt() {
     try (ScenarioFixture fixture =
         new ScenarioFixture(
-            quick(),
+            shortTimeouts(),
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w1"),
             ScenarioFixture.writer("w2"))) {
-      faults(
+      setFaultsOfAllEngines(
           fixture,
-          f -> {
-            f.stallAfterTokens = 5;
-            f.hits = new EngineFaults.Hits(1);
+          faults -> {
+            faults.stallAfterTokens = 5;
+            faults.hits = new EngineFaults.Hits(1);
           });
       assertServedComplete(fixture);
       fixture.awaitIdle();
     }
   }
 
-  // ==== readers and states
+  // ==== readers and reserved states
 
   @Test
-  void aReaderThatDiesHoldingAState() {
+  void lostReservedStatesRejectTheCall() {
     try (ScenarioFixture fixture =
         new ScenarioFixture(
-            quick(),
+            shortTimeouts(),
             ScenarioFixture.reader("r1"),
             ScenarioFixture.reader("r2"),
             ScenarioFixture.writer("w"))) {
       for (String reader : List.of("r1", "r2")) {
-        fault(fixture, reader, f -> f.losesStates = true);
+        setFaults(fixture, reader, f -> f.losesStates = true);
       }
-      CallRecord lost = fixture.call(ScenarioFixture.request("m1", LONG, ToolBehaviour.ANSWER));
-      assertOneEnd(lost);
-      assertEquals(Mcp.REJECTED, lost.errorCode);
-      assertTrue(lost.retryable);
+      CallRecord withoutState =
+          fixture.call(ScenarioFixture.request("m1", PROMPT_FOR_40_WORDS, ToolBehaviour.ANSWER));
+      assertAnsweredOnce(withoutState);
+      assertEquals(Mcp.REJECTED, withoutState.errorCode);
+      assertTrue(withoutState.retryable);
       for (String reader : List.of("r1", "r2")) {
-        fault(fixture, reader, f -> f.losesStates = false);
+        setFaults(fixture, reader, f -> f.losesStates = false);
       }
       assertEquals(
           ScenarioFixture.answerText(40),
-          fixture.call(ScenarioFixture.request("m2", LONG, ToolBehaviour.ANSWER)).finalText);
+          fixture.call(ScenarioFixture.request("m2", PROMPT_FOR_40_WORDS, ToolBehaviour.ANSWER))
+              .finalText);
       fixture.awaitIdle();
     }
   }
 
   @Test
-  void everyReaderGone() {
+  void callIsRejectedWhenEveryReaderIsGone() {
     try (ScenarioFixture fixture =
-        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
+        new ScenarioFixture(
+            shortTimeouts(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       fixture.fleet.crashEngine("r", 0);
-      CallRecord seen = fixture.call(ScenarioFixture.request("m", LONG, ToolBehaviour.ANSWER));
-      assertOneEnd(seen);
-      assertEquals(Mcp.REJECTED, seen.errorCode);
-      assertTrue(seen.retryable);
+      CallRecord record =
+          fixture.call(ScenarioFixture.request("m", PROMPT_FOR_40_WORDS, ToolBehaviour.ANSWER));
+      assertAnsweredOnce(record);
+      assertEquals(Mcp.REJECTED, record.errorCode);
+      assertTrue(record.retryable);
     }
   }
 
   @Test
-  void anEmptyListAndOneWhoseServersAllChange() {
+  void gatewayFollowsEmptyAndFullyReplacedEndpointLists() {
     try (ScenarioFixture fixture =
-        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
+        new ScenarioFixture(
+            shortTimeouts(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       fixture
           .fleet
           .emulators()
@@ -233,7 +246,8 @@
       assertTrue(fixture.fleet.awaitServers(ScenarioFixture.GATEWAY, 0, 5_000));
       assertEquals(
           Mcp.REJECTED,
-          fixture.call(ScenarioFixture.request("m1", LONG, ToolBehaviour.ANSWER)).errorCode);
+          fixture.call(ScenarioFixture.request("m1", PROMPT_FOR_40_WORDS, ToolBehaviour.ANSWER))
+              .errorCode);
       fixture.fleet.crashEngine("r", 0);
       fixture.fleet.crashEngine("w", 0);
       fixture.fleet.addEngine(ScenarioFixture.reader("r9"));
@@ -248,61 +262,70 @@
       assertTrue(fixture.fleet.awaitServers(ScenarioFixture.GATEWAY, 2, 5_000));
       assertEquals(
           ScenarioFixture.answerText(40),
-          fixture.call(ScenarioFixture.request("m2", LONG, ToolBehaviour.ANSWER)).finalText);
+          fixture.call(ScenarioFixture.request("m2", PROMPT_FOR_40_WORDS, ToolBehaviour.ANSWER))
+              .finalText);
     }
   }
 
   @Test
-  void aDrainToldWhileASendIsUnderWay() {
+  void drainingWriterFinishesItsStreamAndGetsNoNewCalls() {
     try (ScenarioFixture fixture =
-        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w1"))) {
+        new ScenarioFixture(
+            shortTimeouts(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w1"))) {
       AtomicReference<McpCall> call = new AtomicReference<>();
       CompletableFuture<McpCall> done =
           fixture.begin(
               fixture.client(),
               ScenarioFixture.request("m", "answer in 200 words", ToolBehaviour.ANSWER),
               call::set);
-      ScenarioFixture.await("tokens", () -> call.get() != null && call.get().record().tokens > 3);
+      ScenarioFixture.await(
+          "the call streams tokens", () -> call.get() != null && call.get().record().tokens > 3);
       fixture.fleet.setEngineDraining("w1", true);
-      assertEquals(
-          ScenarioFixture.answerText(200),
-          ScenarioFixture.get(done).record().finalText); // what runs may end
+      // A draining engine finishes its streams.
+      assertEquals(ScenarioFixture.answerText(200), ScenarioFixture.get(done).record().finalText);
       assertEquals(
           Mcp.REJECTED,
-          fixture.call(ScenarioFixture.request("m2", LONG, ToolBehaviour.ANSWER)).errorCode);
+          fixture.call(ScenarioFixture.request("m2", PROMPT_FOR_40_WORDS, ToolBehaviour.ANSWER))
+              .errorCode);
       assertEquals(0, fixture.events(TrafficEvent.Kind.DECODE, "m2").size());
     }
   }
 
   // ==== engines that misbehave
 
-  private void misbehaving(Consumer<EngineFaults> fault) {
+  /** Calls must fail within 2 s while all engines have a fault, and be served after it. */
+  private void assertFailsFastAndRecovers(Consumer<EngineFaults> fault) {
     try (ScenarioFixture fixture =
         new ScenarioFixture(
-            quick(),
+            shortTimeouts(),
             ScenarioFixture.reader("r1"),
             ScenarioFixture.reader("r2"),
             ScenarioFixture.writer("w1"),
             ScenarioFixture.writer("w2"))) {
-      faults(fixture, fault);
-      CallRecord seen = fixture.call(ScenarioFixture.request("m1", LONG, ToolBehaviour.ANSWER));
-      assertOneEnd(seen);
+      setFaultsOfAllEngines(fixture, fault);
+      CallRecord record =
+          fixture.call(ScenarioFixture.request("m1", PROMPT_FOR_40_WORDS, ToolBehaviour.ANSWER));
+      assertAnsweredOnce(record);
+      assertTrue(
+          record.errorCode == Mcp.REJECTED || record.errorCode == Mcp.FAILED,
+          "expected REJECTED or FAILED, found error code " + record.errorCode);
+      long tookMillis =
+          TimeUnit.MICROSECONDS.toMillis(record.answeredAtMicros - record.calledAtMicros);
       assertTrue(
-          seen.errorCode == Mcp.REJECTED || seen.errorCode == Mcp.FAILED, "code " + seen.errorCode);
-      long took = TimeUnit.MICROSECONDS.toMillis(seen.answeredAtMicros - seen.calledAtMicros);
-      assertTrue(took < 2_000, "after " + took + " ms");
-      faults(
+          tookMillis < 2_000,
+          "the call ended after " + tookMillis + " ms, expected less than 2000");
+      setFaultsOfAllEngines(
           fixture,
-          f -> {
-            f.silent = false;
-            f.rawResponse = null;
-            f.malformedEvent = null;
+          faults -> {
+            faults.silent = false;
+            faults.rawResponse = null;
+            faults.malformedEvent = null;
           });
       ScenarioFixture.await(
-          "service again",
+          "calls are served after the fault",
           () ->
               fixture
-                  .call(ScenarioFixture.request("m2", LONG, ToolBehaviour.ANSWER))
+                  .call(ScenarioFixture.request("m2", PROMPT_FOR_40_WORDS, ToolBehaviour.ANSWER))
                   .finalText
                   .equals(ScenarioFixture.answerText(40)));
       fixture.awaitIdle();
@@ -310,60 +333,67 @@
   }
 
   @Test
-  void anEngineThatAcceptsAndStaysSilent() {
-    misbehaving(f -> f.silent = true);
+  void silentEnginesFailCallsFast() {
+    assertFailsFastAndRecovers(f -> f.silent = true);
   }
 
   @Test
-  void anEngineThatSendsHalfAChunk() {
-    misbehaving(f -> f.rawResponse = "half".getBytes(StandardCharsets.UTF_8));
+  void incompleteEngineResponsesFailCallsFast() {
+    assertFailsFastAndRecovers(f -> f.rawResponse = "half".getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
-  void anEngineThatSendsMalformedEvents() {
+  void malformedEngineEventsFailTheCall() {
     try (ScenarioFixture fixture =
-        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
-      fault(fixture, "w", f -> f.malformedEvent = "{\"choices\":[");
-      CallRecord seen = fixture.call(ScenarioFixture.request("m", LONG, ToolBehaviour.ANSWER));
-      assertOneEnd(seen);
-      assertEquals(
-          Mcp.FAILED, seen.errorCode); // some tokens were delivered, and each going-on breaks again
+        new ScenarioFixture(
+            shortTimeouts(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
+      setFaults(fixture, "w", f -> f.malformedEvent = "{\"choices\":[");
+      CallRecord record =
+          fixture.call(ScenarioFixture.request("m", PROMPT_FOR_40_WORDS, ToolBehaviour.ANSWER));
+      assertAnsweredOnce(record);
+      // Some tokens were delivered, and each continuation fails too.
+      assertEquals(Mcp.FAILED, record.errorCode);
       fixture.awaitIdle();
     }
   }
 
   @Test
-  void anEngineThatReportsAnErrorInItsStream() {
+  void errorEventInEngineStreamIsRetried() {
     try (ScenarioFixture fixture =
-        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
-      fault(
+        new ScenarioFixture(
+            shortTimeouts(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
+      setFaults(
           fixture,
           "w",
-          f -> {
-            f.malformedEvent = "{\"error\":{\"message\":\"out of memory\"}}";
-            f.hits = new EngineFaults.Hits(1);
+          faults -> {
+            faults.malformedEvent = "{\"error\":{\"message\":\"out of memory\"}}";
+            faults.hits = new EngineFaults.Hits(1);
           });
-      CallRecord seen = fixture.call(ScenarioFixture.request("m", LONG, ToolBehaviour.ANSWER));
-      assertOneEnd(seen);
-      assertEquals(ScenarioFixture.answerText(40), seen.finalText);
+      CallRecord record =
+          fixture.call(ScenarioFixture.request("m", PROMPT_FOR_40_WORDS, ToolBehaviour.ANSWER));
+      assertAnsweredOnce(record);
+      assertEquals(ScenarioFixture.answerText(40), record.finalText);
     }
   }
 
   // ==== clients
 
-  private void leaves(
+  /** Cancels a call when the condition holds; nothing may stay busy, and no answer may come. */
+  private void assertCancelledCallIsCleanedUp(
       String text,
       ToolBehaviour toolBehaviour,
-      java.util.function.Predicate<ScenarioFixture> when) {
+      java.util.function.Predicate<ScenarioFixture> shouldCancel) {
     try (ScenarioFixture fixture =
         new ScenarioFixture(
-            quick(),
+            shortTimeouts(),
             ScenarioFixture.reader("r").withLatencies(60, 1, 5),
             ScenarioFixture.writer("w").withLatencies(60, 60, 5))) {
       AtomicReference<McpCall> call = new AtomicReference<>();
       fixture.begin(
           fixture.client(), ScenarioFixture.request("m", text, toolBehaviour, "stock"), call::set);
-      ScenarioFixture.await("the moment to leave", () -> call.get() != null && when.test(fixture));
+      ScenarioFixture.await(
+          "the call reaches the point of its cancellation",
+          () -> call.get() != null && shouldCancel.test(fixture));
       fixture.clients.loop().execute(call.get()::cancel);
       fixture.awaitIdle();
       assertEquals(0, call.get().record().responses);
@@ -371,62 +401,64 @@
   }
 
   @Test
-  void aClientThatLeavesBeforeTheRead() {
-    leaves(LONG, ToolBehaviour.ANSWER, b -> true);
+  void clientCancelsBeforeThePrefill() {
+    assertCancelledCallIsCleanedUp(PROMPT_FOR_40_WORDS, ToolBehaviour.ANSWER, fixture -> true);
   }
 
   @Test
-  void aClientThatLeavesWhileAStateIsHeld() {
-    leaves(
-        LONG,
+  void clientCancelsWhileAStateIsReserved() {
+    assertCancelledCallIsCleanedUp(
+        PROMPT_FOR_40_WORDS,
         ToolBehaviour.ANSWER,
-        b -> !b.events(TrafficEvent.Kind.STATE_RESERVED, "m").isEmpty());
+        fixture -> !fixture.events(TrafficEvent.Kind.STATE_RESERVED, "m").isEmpty());
   }
 
   @Test
-  void aClientThatLeavesMidStream() {
-    leaves(
+  void clientCancelsWhileTokensAreStreamed() {
+    assertCancelledCallIsCleanedUp(
         "answer in 400 words",
         ToolBehaviour.ANSWER,
-        b -> !b.events(TrafficEvent.Kind.DECODE_STARTED, "m").isEmpty());
+        fixture -> !fixture.events(TrafficEvent.Kind.DECODE_STARTED, "m").isEmpty());
   }
 
   @Test
-  void aClientThatLeavesMidCall() {
-    leaves(
+  void clientCancelsWhileItsToolCallIsPending() {
+    assertCancelledCallIsCleanedUp(
         "call the tool stock",
         ToolBehaviour.SILENT,
-        b -> b.events(TrafficEvent.Kind.ANSWERED, "m").size() == 2);
+        fixture -> fixture.events(TrafficEvent.Kind.ANSWERED, "m").size() == 2);
   }
 
   @Test
-  void aToolThatNeverAnswersAnswersTwiceOrFails() {
+  void callEndsOnceWhenToolIsSilentAnswersTwiceOrFails() {
     try (ScenarioFixture fixture =
-        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
+        new ScenarioFixture(
+            shortTimeouts(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       CallRecord silent =
           fixture.call(
               ScenarioFixture.request("m1", "call the tool stock", ToolBehaviour.SILENT, "stock"));
-      assertOneEnd(silent);
+      assertAnsweredOnce(silent);
       assertTrue(silent.finalText.contains("[the tool gave no result in time]"), silent.finalText);
       CallRecord twice =
           fixture.call(
               ScenarioFixture.request("m2", "call the tool stock", ToolBehaviour.TWICE, "stock"));
-      assertOneEnd(twice);
+      assertAnsweredOnce(twice);
       assertTrue(twice.finalText.contains("[did-stock]"), twice.finalText);
       CallRecord error =
           fixture.call(
               ScenarioFixture.request("m3", "call the tool stock", ToolBehaviour.ERROR, "stock"));
-      assertOneEnd(error);
+      assertAnsweredOnce(error);
       assertTrue(error.finalText.contains("[error -32000: the tool failed]"), error.finalText);
       fixture.awaitIdle();
     }
   }
 
   @Test
-  void toolsCalledTogetherAreAnsweredInAnyOrder() {
+  void resultsOfToolsCalledTogetherAreAllPassedOn() {
     try (ScenarioFixture fixture =
-        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
-      CallRecord seen =
+        new ScenarioFixture(
+            shortTimeouts(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
+      CallRecord record =
           fixture.call(
               ScenarioFixture.request(
                   "m",
@@ -434,17 +466,18 @@
                   ToolBehaviour.ANSWER,
                   "stock",
                   "price"));
-      assertOneEnd(seen);
-      assertTrue(seen.finalText.contains("[did-stock|did-price]"), seen.finalText);
+      assertAnsweredOnce(record);
+      assertTrue(record.finalText.contains("[did-stock|did-price]"), record.finalText);
     }
   }
 
-  // ==== stops
+  // ==== shutdown
 
   @Test
-  void aStopLetsStreamsEndAndTakesNoNewCalls() {
+  void shutdownWaitsForRunningStreams() {
     try (ScenarioFixture fixture =
-        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
+        new ScenarioFixture(
+            shortTimeouts(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       AtomicReference<McpCall> call = new AtomicReference<>();
       McpClient client = fixture.client();
       CompletableFuture<McpCall> done =
@@ -452,7 +485,8 @@
               client,
               ScenarioFixture.request("m", "answer in 300 words", ToolBehaviour.ANSWER),
               call::set);
-      ScenarioFixture.await("tokens", () -> call.get() != null && call.get().record().tokens > 3);
+      ScenarioFixture.await(
+          "the call streams tokens", () -> call.get() != null && call.get().record().tokens > 3);
       Gateway gateway = fixture.fleet.gateway(ScenarioFixture.GATEWAY);
       CompletableFuture<Void> stopped = gateway.stop();
       assertEquals(ScenarioFixture.answerText(300), ScenarioFixture.get(done).record().finalText);
@@ -461,12 +495,12 @@
   }
 
   @Test
-  void aStopCutsWhatTakesTooLong() {
+  void shutdownFailsCallsThatOutlastItsTimeLimit() {
     try (ScenarioFixture fixture =
         new ScenarioFixture(
-            s -> {
-              limits(s, 1500);
-              ((ObjectNode) s.get("limits")).put("stopWithinMs", 100);
+            settings -> {
+              setTimeouts(settings, 1500);
+              ((ObjectNode) settings.get("limits")).put("stopWithinMs", 100);
             },
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w").withLatencies(1, 1, 20))) {
@@ -476,29 +510,30 @@
               fixture.client(),
               ScenarioFixture.request("m", "answer in 400 words", ToolBehaviour.ANSWER),
               call::set);
-      ScenarioFixture.await("tokens", () -> call.get() != null && call.get().record().tokens > 3);
+      ScenarioFixture.await(
+          "the call streams tokens", () -> call.get() != null && call.get().record().tokens > 3);
       fixture.fleet.gateway(ScenarioFixture.GATEWAY).stop();
-      CallRecord seen = ScenarioFixture.get(done).record();
-      assertOneEnd(seen);
-      assertEquals(Mcp.FAILED, seen.errorCode);
+      CallRecord record = ScenarioFixture.get(done).record();
+      assertAnsweredOnce(record);
+      assertEquals(Mcp.FAILED, record.errorCode);
     }
   }
 
-  // ==== many at a time
+  // ==== concurrent calls and connections
 
   @Test
-  void moreCallsThanTheGatewayTakes() {
+  void callsAboveTheLimitAreRejectedAsRetryable() {
     try (ScenarioFixture fixture =
         new ScenarioFixture(
-            s -> {
-              limits(s, 1500);
-              ((ObjectNode) s.get("limits")).put("maxCalls", 2);
+            settings -> {
+              setTimeouts(settings, 1500);
+              ((ObjectNode) settings.get("limits")).put("maxCalls", 2);
             },
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w"))) {
       McpClient client = fixture.client();
       AtomicReference<McpCall> call = new AtomicReference<>();
-      final List<CompletableFuture<McpCall>> taken =
+      final List<CompletableFuture<McpCall>> acceptedCalls =
           List.of(
               fixture.begin(
                   client,
@@ -508,31 +543,35 @@
                   ScenarioFixture.request("m2", "answer in 300 words", ToolBehaviour.ANSWER),
                   call::set));
       ScenarioFixture.await(
-          "two calls", () -> call.get() != null && call.get().record().tokens > 0);
+          "the second call streams tokens",
+          () -> call.get() != null && call.get().record().tokens > 0);
       CallRecord third =
           ScenarioFixture.get(
-                  fixture.begin(client, ScenarioFixture.request("m3", LONG, ToolBehaviour.ANSWER)))
+                  fixture.begin(
+                      client,
+                      ScenarioFixture.request("m3", PROMPT_FOR_40_WORDS, ToolBehaviour.ANSWER)))
               .record();
       assertEquals(Mcp.LIMIT, third.errorCode);
       assertTrue(third.retryable);
-      taken.forEach(
-          t ->
+      acceptedCalls.forEach(
+          accepted ->
               assertEquals(
-                  ScenarioFixture.answerText(300), ScenarioFixture.get(t).record().finalText));
+                  ScenarioFixture.answerText(300),
+                  ScenarioFixture.get(accepted).record().finalText));
     }
   }
 
   @Test
-  void finalAnswersThatRaceTheDeadline() {
+  void answersThatRaceTheDeadlineEndOnce() {
     try (ScenarioFixture fixture =
         new ScenarioFixture(
-            s -> {
-              limits(s, 60);
-              ((ObjectNode) s.at("/classes/0")).put("aimMsPerThousandTokens", 0);
+            settings -> {
+              setTimeouts(settings, 60);
+              ((ObjectNode) settings.at("/classes/0")).put("aimMsPerThousandTokens", 0);
             },
             ScenarioFixture.reader("r").withLatencies(20, 1, 1),
-            ScenarioFixture.writer("w")
-                .withLatencies(1, 28, 1))) { // a first token after about 60 ms
+            ScenarioFixture.writer("w").withLatencies(1, 28, 1))) {
+      // The first token comes after about 60 ms, at the deadline.
       McpClient client = fixture.client();
       List<CompletableFuture<McpCall>> calls = new java.util.ArrayList<>();
       for (int i = 0; i < 40; i++) {
@@ -542,34 +581,37 @@
                 ScenarioFixture.request("m" + i, "answer in 5 words", ToolBehaviour.ANSWER)));
       }
       for (CompletableFuture<McpCall> call : calls) {
-        CallRecord seen = ScenarioFixture.get(call).record();
-        assertOneEnd(seen);
+        CallRecord record = ScenarioFixture.get(call).record();
+        assertAnsweredOnce(record);
         assertTrue(
-            seen.served()
-                ? seen.finalText.equals(ScenarioFixture.answerText(5))
-                : seen.errorCode <= Mcp.REJECTED,
-            seen.finalText);
+            record.served()
+                ? record.finalText.equals(ScenarioFixture.answerText(5))
+                : record.errorCode <= Mcp.REJECTED,
+            record.finalText);
       }
       fixture.awaitIdle();
     }
   }
 
   @Test
-  void pooledConnectionsThatTheirPeerClosedBetweenRequests() {
+  void callsAreServedAfterEnginesClosedPooledConnections() {
     try (ScenarioFixture fixture =
-        new ScenarioFixture(quick(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
+        new ScenarioFixture(
+            shortTimeouts(), ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
       assertEquals(
           ScenarioFixture.answerText(40),
-          fixture.call(ScenarioFixture.request("m1", LONG, ToolBehaviour.ANSWER)).finalText);
+          fixture.call(ScenarioFixture.request("m1", PROMPT_FOR_40_WORDS, ToolBehaviour.ANSWER))
+              .finalText);
       for (String engine : List.of("r", "w")) {
-        fixture.fleet.crashEngine(engine, 10_000_000); // the list does not hear of it
+        // The endpoint list keeps the engine for 10 s.
+        fixture.fleet.crashEngine(engine, 10_000_000);
         fixture.fleet.restartEngine(engine);
       }
       ScenarioFixture.await(
-          "service",
+          "calls are served by the restarted engines",
           () ->
               fixture
-                  .call(ScenarioFixture.request("m2", LONG, ToolBehaviour.ANSWER))
+                  .call(ScenarioFixture.request("m2", PROMPT_FOR_40_WORDS, ToolBehaviour.ANSWER))
                   .finalText
                   .equals(ScenarioFixture.answerText(40)));
       fixture.awaitIdle();
@@ -577,10 +619,10 @@
   }
 
   @Test
-  void aClientThatReadsSlowlySlowsItsEngineAndNobodyElse() throws Exception {
+  void slowClientSlowsItsEngineStreamAndNoOtherCall() throws Exception {
     try (ScenarioFixture fixture =
         new ScenarioFixture(
-            s -> ((ObjectNode) s.at("/classes/0")).put("maxTokens", 10_000),
+            settings -> ((ObjectNode) settings.at("/classes/0")).put("maxTokens", 10_000),
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w").withLatencies(1, 1, 0))) {
       String session =
@@ -621,28 +663,33 @@
                         + "\r\n\r\n"
                         + body)
                     .getBytes(StandardCharsets.UTF_8));
-        int[] before = {-2};
+        int[] lastTokensSent = {-2};
         ScenarioFixture.await(
-            "the engine waits",
+            "the engine's stream is stalled by its client",
             () -> {
-              int now =
+              int tokensSent =
                   fixture
                       .fleet
                       .emulators()
                       .invokeAndWait(() -> fixture.fleet.engine("w").tokensSent("slow").orElse(-1));
-              boolean stands = now > 0 && now == before[0];
-              before[0] = now;
+              boolean isStalled = tokensSent > 0 && tokensSent == lastTokensSent[0];
+              lastTokensSent[0] = tokensSent;
               ScenarioFixture.pause(100);
-              return stands;
+              return isStalled;
             });
-        assertTrue(before[0] < 4000, "all of 32 MB was taken: " + before[0]);
+        assertTrue(
+            lastTokensSent[0] < 4000,
+            "the gateway accepted all 4000 tokens (32 MB) though the client reads slowly; tokens"
+                + " sent: "
+                + lastTokensSent[0]);
         assertEquals(
             ScenarioFixture.answerText(40),
-            fixture.call(ScenarioFixture.request("m", LONG, ToolBehaviour.ANSWER)).finalText);
-        byte[] all = socket.getInputStream().readAllBytes();
-        assertTrue(all.length > 4000 * 8000);
+            fixture.call(ScenarioFixture.request("m", PROMPT_FOR_40_WORDS, ToolBehaviour.ANSWER))
+                .finalText);
+        byte[] response = socket.getInputStream().readAllBytes();
+        assertTrue(response.length > 4000 * 8000);
         assertTrue(
-            new String(all, all.length - 400, 400, StandardCharsets.UTF_8)
+            new String(response, response.length - 400, 400, StandardCharsets.UTF_8)
                 .contains("\"finishReason\":\"stop\""));
       }
       fixture.awaitIdle();
@@ -650,33 +697,34 @@
   }
 
   @Test
-  void aGatewayAtItsLimitRefusesEarlyAndRunningStreamsGoOn() {
+  void overloadedGatewayRejectsEarlyAndRunningCallsComplete() {
     try (ScenarioFixture fixture =
         new ScenarioFixture(
-            s -> {
-              s.putObject("overload").put("targetMs", 50).put("intervalMs", 10);
-              s.putObject("reporting").put("tickMs", 20).put("intervalMs", 20);
+            settings -> {
+              settings.putObject("overload").put("targetMs", 50).put("intervalMs", 10);
+              settings.putObject("reporting").put("tickMs", 20).put("intervalMs", 20);
             },
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w").withLatencies(1, 1, 20))) {
-      McpClient client =
-          fixture.client(); // with a session from before: a gateway at its limit refuses
-      // new ones as well
+      // The client opens its session before the overload, because an overloaded gateway rejects new
+      // sessions too.
+      McpClient client = fixture.client();
       final CompletableFuture<McpCall> running =
           fixture.begin(
               client,
               ScenarioFixture.request("running", "answer in 100 words", ToolBehaviour.ANSWER));
       ScenarioFixture.await(
-          "it runs", () -> !fixture.events(TrafficEvent.Kind.DECODE, "running").isEmpty());
-      AtomicBoolean tooMuch = new AtomicBoolean(true);
-      for (int i = 0; i < 3; i++) { // work always waits for the context for longer than the target
-        keepBusy(fixture.fleet.gatewayProcess(ScenarioFixture.GATEWAY), tooMuch);
+          "the call is being decoded",
+          () -> !fixture.events(TrafficEvent.Kind.DECODE, "running").isEmpty());
+      AtomicBoolean isOverloaded = new AtomicBoolean(true);
+      for (int i = 0; i < 3; i++) { // tasks always wait for the event loop longer than targetMs
+        keepBusy(fixture.fleet.gatewayProcess(ScenarioFixture.GATEWAY), isOverloaded);
       }
       AtomicReference<CallRecord> refused = new AtomicReference<>();
       ScenarioFixture.await(
-          "a refusal",
+          "the gateway rejects a call before its prefill",
           () -> {
-            CallRecord seen =
+            CallRecord record =
                 ScenarioFixture.get(
                         fixture.begin(
                             client,
@@ -685,17 +733,18 @@
                                 "answer in 1 words",
                                 ToolBehaviour.ANSWER)))
                     .record();
-            refused.set(seen);
-            return seen.errorCode == Mcp.REJECTED
-                && fixture.events(TrafficEvent.Kind.PREFILL, seen.mark).isEmpty();
+            refused.set(record);
+            return record.errorCode == Mcp.REJECTED
+                && fixture.events(TrafficEvent.Kind.PREFILL, record.mark).isEmpty();
           });
-      tooMuch.set(false);
+      isOverloaded.set(false);
       assertTrue(
           refused.get().retryable && refused.get().retryAfterMs >= 250,
-          "advice " + refused.get().retryAfterMs);
+          "expected a retryable error with retryAfterMs of at least 250, found retryAfterMs "
+              + refused.get().retryAfterMs);
       assertTrue(ScenarioFixture.get(running).record().served());
       ScenarioFixture.await(
-          "all is let in again",
+          "the gateway serves calls again",
           () ->
               ScenarioFixture.get(
                       fixture.begin(
@@ -711,20 +760,21 @@
     }
   }
 
-  private static void keepBusy(EmulatedProcess node, AtomicBoolean on) {
+  /** Blocks the event loop for 40 ms at a time until the flag is cleared. */
+  private static void keepBusy(EmulatedProcess node, AtomicBoolean isOverloaded) {
     node.loop()
         .execute(
             () -> {
-              busy(40);
-              if (on.get()) {
-                keepBusy(node, on);
+              spin(40);
+              if (isOverloaded.get()) {
+                keepBusy(node, isOverloaded);
               }
             });
   }
 
-  private static void busy(long millis) {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-    while (System.nanoTime() < until) {
+  private static void spin(long millis) {
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+    while (System.nanoTime() < deadlineNanos) {
       Thread.onSpinWait();
     }
   }
--- a/scenario/src/test/java/lemondock/scenario/GatewayOverloadTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayOverloadTest.java
@@ -22,13 +22,16 @@
 import lemondock.rpc.Mcp;
 import org.junit.jupiter.api.Test;
 
-/** A gateway whose own means run out, or that many clients use at a time in the worst way. */
+/** A gateway that runs out of its own resources, or that many clients overload at once. */
 class GatewayOverloadTest {
-  private static final int MANY = 60;
-  private static final int STILL = 8;
+  private static final int CONCURRENT_CALLS = 60;
+  private static final int NON_READING_CLIENTS = 8;
 
-  /** Words of 8,000 letters: more than the system's buffers take on both sides of the gateway. */
-  private static final int LONG = 2_000;
+  /**
+   * An answer of this many words of 8,000 letters does not fit into the system's socket buffers on
+   * both sides of the gateway.
+   */
+  private static final int LONG_ANSWER_WORDS = 2_000;
 
   private static ScenarioFixture fixture(Consumer<ObjectNode> changes) {
     return fixture(4, changes);
@@ -36,11 +39,14 @@
 
   private static ScenarioFixture fixture(double tokenMs, Consumer<ObjectNode> changes) {
     return new ScenarioFixture(
-        s -> {
-          s.put("ioThreads", 3);
-          s.withArray("classes")
-              .forEach(c -> ((ObjectNode) c).put("aimMs", 20_000).put("deadlineMs", 60_000));
-          changes.accept(s);
+        settings -> {
+          settings.put("ioThreads", 3);
+          settings
+              .withArray("classes")
+              .forEach(
+                  requestClass ->
+                      ((ObjectNode) requestClass).put("aimMs", 20_000).put("deadlineMs", 60_000));
+          changes.accept(settings);
         },
         EngineSettings.quick("r", "reader", "north", "r1").withLimits(64, 256, 10_000_000),
         EngineSettings.quick("w", "writer", "north", "r1")
@@ -48,7 +54,8 @@
             .withLimits(256, 256, 10_000_000));
   }
 
-  private static CompletableFuture<McpCall> running(ScenarioFixture fixture, int words) {
+  /** Starts a call and waits for its first token; the future completes when the call ends. */
+  private static CompletableFuture<McpCall> startRunningCall(ScenarioFixture fixture, int words) {
     AtomicReference<McpCall> call = new AtomicReference<>();
     CompletableFuture<McpCall> done =
         fixture.begin(
@@ -56,29 +63,30 @@
             ScenarioFixture.request(
                 "running", "answer in " + words + " words", ToolBehaviour.ANSWER),
             call::set);
-    ScenarioFixture.await("it runs", () -> call.get() != null && call.get().record().tokens > 0);
+    ScenarioFixture.await(
+        "the call streams tokens", () -> call.get() != null && call.get().record().tokens > 0);
     return done;
   }
 
   private static void assertComplete(CompletableFuture<McpCall> call, int words) {
-    CallRecord seen = ScenarioFixture.get(call).record();
-    assertEquals(ScenarioFixture.answerText(words), seen.finalText);
-    assertEquals(ScenarioFixture.answerText(words), seen.streamed.toString());
-    assertEquals(1, seen.responses);
-    assertEquals(0, seen.messagesAfterAnswer);
+    CallRecord record = ScenarioFixture.get(call).record();
+    assertEquals(ScenarioFixture.answerText(words), record.finalText);
+    assertEquals(ScenarioFixture.answerText(words), record.streamed.toString());
+    assertEquals(1, record.responses);
+    assertEquals(0, record.messagesAfterAnswer);
   }
 
-  /** Resources of a process that are used up as far as a test says. Any thread. */
+  /** Process resources whose use a test sets. Any thread. */
   private static final class ConfiguredResources implements ProcessResources {
     private volatile double memoryUsed;
     private volatile double handlesUsed;
     private volatile long maxHandles = 10_000;
-    private volatile boolean stopped;
+    private volatile boolean isStopped;
 
-    /** All of the time, if it says so. */
+    /** Counts all time as paused while a test has stopped the process, else none. */
     @Override
     public long pausedMicros() {
-      return stopped ? System.nanoTime() / 1_000 : 0;
+      return isStopped ? System.nanoTime() / 1_000 : 0;
     }
 
     @Override
@@ -97,7 +105,8 @@
     }
   }
 
-  private static ScenarioFixture fixtureWith(
+  /** Restarts the gateway of a fixture so that it uses the given resources. */
+  private static ScenarioFixture fixtureWithResources(
       ConfiguredResources resources, Consumer<ObjectNode> changes) {
     ScenarioFixture fixture = fixture(changes);
     fixture.fleet.setProcessResources(resources);
@@ -108,17 +117,21 @@
   }
 
   @Test
-  void aLargeCallIsRefusedAtAGlanceAndItsConnectionGoesOn() throws Exception {
+  void largeCallIsRejectedEarlyAndItsConnectionStaysOpen() throws Exception {
     ConfiguredResources resources = new ConfiguredResources();
     try (ScenarioFixture fixture =
-            fixtureWith(
+            fixtureWithResources(
                 resources,
-                s -> s.putObject("overload").put("risePerSecond", 100).put("targetMs", 5_000));
+                settings ->
+                    settings
+                        .putObject("overload")
+                        .put("risePerSecond", 100)
+                        .put("targetMs", 5_000));
         Socket socket = socket(fixture, 0)) {
       send(socket, initialize(1));
       String session = readResponse(socket).replaceAll("(?is).*mcp-session-id: (\\S+).*", "$1");
       resources.memoryUsed = 0.97;
-      String large =
+      String largeCall =
           post(
                   session,
                   "{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\",\"arguments\":{\"prompt\":\"#large#"
@@ -128,10 +141,10 @@
               .replace("application/json, text/event-stream", "application/json");
       String[] answer = new String[1];
       ScenarioFixture.await(
-          "a refusal",
+          "the gateway rejects a call",
           () -> {
             try {
-              send(socket, large);
+              send(socket, largeCall);
               answer[0] = readResponse(socket);
             } catch (IOException e) {
               throw new AssertionError(e);
@@ -146,10 +159,10 @@
           answer[0]);
       resources.memoryUsed = 0;
       ScenarioFixture.await(
-          "service",
+          "the gateway serves the call",
           () -> {
             try {
-              send(socket, large);
+              send(socket, largeCall);
               answer[0] = readResponse(socket);
             } catch (IOException e) {
               throw new AssertionError(e);
@@ -176,13 +189,18 @@
     return text + new String(socket.getInputStream().readNBytes(length), StandardCharsets.UTF_8);
   }
 
-  /** Calls while the decision context is taken from the gateway for 150 ms again and again. */
-  private static long refusedWhileItWaits(boolean stopped) {
+  /**
+   * Makes calls while the gateway's event loop is repeatedly blocked for 150 ms. Returns the number
+   * of calls that its load shedding rejected.
+   */
+  private static long countRejectedWhileLoopIsBlocked(boolean isStopped) {
     ConfiguredResources resources = new ConfiguredResources();
-    resources.stopped = stopped;
+    resources.isStopped = isStopped;
     try (ScenarioFixture fixture =
-        fixtureWith(
-            resources, s -> s.putObject("overload").put("targetMs", 20).put("stallMs", 10_000))) {
+        fixtureWithResources(
+            resources,
+            settings ->
+                settings.putObject("overload").put("targetMs", 20).put("stallMs", 10_000))) {
       fixture.awaitIdle();
       EmulatedProcess gateway = fixture.fleet.gatewayProcess(ScenarioFixture.GATEWAY);
       List<CompletableFuture<McpCall>> calls = new ArrayList<>();
@@ -202,7 +220,8 @@
                 ScenarioFixture.request("p" + i, "answer in 2 words", ToolBehaviour.ANSWER)));
         ScenarioFixture.pause(100);
       }
-      calls.forEach(ScenarioFixture::get); // the module may refuse some too, as it is late
+      // The routing module may reject some too, because they reach it late.
+      calls.forEach(ScenarioFixture::get);
       return fixture
           .fleet
           .stopGateway(ScenarioFixture.GATEWAY)
@@ -212,48 +231,50 @@
   }
 
   @Test
-  void aWaitWhileTheProcessIsStoppedIsNoOverload() {
+  void queueDelayWhileTheProcessIsStoppedIsNotOverload() {
     assertTrue(
-        refusedWhileItWaits(false) > 0, "what waits for so long while the process runs is one");
-    assertEquals(0, refusedWhileItWaits(true));
+        countRejectedWhileLoopIsBlocked(false) > 0,
+        "a blocked event loop must count as overload while the process runs");
+    assertEquals(0, countRejectedWhileLoopIsBlocked(true));
   }
 
   @Test
-  void repeatsHaveABudgetWhileTheShareIsCut() {
+  void retriesAreLimitedByABudgetWhileCallsAreRejected() {
     ConfiguredResources resources = new ConfiguredResources();
     try (ScenarioFixture fixture =
-        fixtureWith(
+        fixtureWithResources(
             resources,
-            s ->
-                s.putObject("overload")
+            settings ->
+                settings
+                    .putObject("overload")
                     .put("repeatPart", 0)
                     .put("repeatsPerSecond", 0)
                     .put("targetMs", 5_000))) {
-      McpClient known = fixture.client();
-      ToolCallRequest again =
+      McpClient openClient = fixture.client();
+      ToolCallRequest firstAttempt =
           ScenarioFixture.request("again", "answer in 1 words", ToolBehaviour.ANSWER);
-      ToolCallRequest repeat =
+      ToolCallRequest retry =
           new ToolCallRequest(
-              again.tool(),
-              again.classId(),
-              again.messages(),
-              again.conversation(),
-              again.tools(),
-              again.toolBehaviour(),
-              again.toolDelayMicros(),
-              again.maxTokens(),
-              again.mark(),
+              firstAttempt.tool(),
+              firstAttempt.classId(),
+              firstAttempt.messages(),
+              firstAttempt.conversation(),
+              firstAttempt.tools(),
+              firstAttempt.toolBehaviour(),
+              firstAttempt.toolDelayMicros(),
+              firstAttempt.maxTokens(),
+              firstAttempt.mark(),
               true);
       assertTrue(
-          ScenarioFixture.get(fixture.begin(known, repeat)).record().served(),
-          "while all is let in there is no budget");
-      resources.memoryUsed = 0.875; // half of what comes may come in
+          ScenarioFixture.get(fixture.begin(openClient, retry)).record().served(),
+          "retries must not be limited while the gateway admits all calls");
+      resources.memoryUsed = 0.875; // half of the calls are admitted
       ScenarioFixture.await(
-          "a refusal",
+          "the gateway rejects a call",
           () ->
               ScenarioFixture.get(
                           fixture.begin(
-                              known,
+                              openClient,
                               ScenarioFixture.request(
                                   "m" + System.nanoTime(),
                                   "answer in 1 words",
@@ -262,36 +283,40 @@
                       .errorCode
                   == Mcp.REJECTED);
       ScenarioFixture.await(
-          "the counts are judged",
-          () -> !ScenarioFixture.get(fixture.begin(known, repeat)).record().served());
+          "the retry budget is enforced",
+          () -> !ScenarioFixture.get(fixture.begin(openClient, retry)).record().served());
       int firstAttemptsServed = 0;
-      int repeatsServed = 0;
+      int retriesServed = 0;
       for (int i = 0; i < 60; i++) {
         firstAttemptsServed +=
             ScenarioFixture.get(
                         fixture.begin(
-                            known,
+                            openClient,
                             ScenarioFixture.request(
                                 "f" + i, "answer in 1 words", ToolBehaviour.ANSWER)))
                     .record()
                     .served()
                 ? 1
                 : 0;
-        repeatsServed +=
-            ScenarioFixture.get(fixture.begin(known, repeat)).record().served() ? 1 : 0;
+        retriesServed +=
+            ScenarioFixture.get(fixture.begin(openClient, retry)).record().served() ? 1 : 0;
       }
-      assertTrue(firstAttemptsServed > 10, "first tries let in: " + firstAttemptsServed);
-      assertEquals(0, repeatsServed, "repeats let in");
+      assertTrue(
+          firstAttemptsServed > 10,
+          "first attempts served, expected more than 10: " + firstAttemptsServed);
+      assertEquals(0, retriesServed, "retries served");
     }
   }
 
   @Test
-  void answersThatWaitForToolsTakeNoPlaceOfOthersAndAreBoundedThemselves() {
+  void answersWaitingForToolsAreBoundedAndBlockNoOtherCalls() {
     try (ScenarioFixture fixture =
         fixture(
-            s -> {
-              ((ObjectNode) s.get("limits")).put("maxCalls", 2).put("maxWaitingAnswers", 3);
-              s.withArray("classes").forEach(c -> ((ObjectNode) c).put("toolTimeoutMs", 3_000));
+            settings -> {
+              ((ObjectNode) settings.get("limits")).put("maxCalls", 2).put("maxWaitingAnswers", 3);
+              settings
+                  .withArray("classes")
+                  .forEach(requestClass -> ((ObjectNode) requestClass).put("toolTimeoutMs", 3_000));
             })) {
       List<CompletableFuture<McpCall>> waiting = new ArrayList<>();
       for (int i = 0; i < 3; i++) {
@@ -306,20 +331,21 @@
                     "stock"),
                 call::set));
         ScenarioFixture.await(
-            "it waits", () -> call.get() != null && !call.get().record().toolCalls.isEmpty());
+            "the answer waits for its tool",
+            () -> call.get() != null && !call.get().record().toolCalls.isEmpty());
       }
       assertTrue(
           fixture
               .call(ScenarioFixture.request("m", "answer in 3 words", ToolBehaviour.ANSWER))
               .served(),
-          "starved by slow tools");
-      CallRecord fourth =
+          "a call is not served while other answers wait for their tools");
+      CallRecord fourthWaiting =
           fixture.call(
               ScenarioFixture.request(
                   "w4", "call the tool stock answer in 3 words", ToolBehaviour.ANSWER, "stock"));
-      assertEquals(Mcp.FAILED, fourth.errorCode);
-      assertEquals(List.of(), fourth.toolCalls);
-      waiting.forEach(w -> assertTrue(ScenarioFixture.get(w).record().served()));
+      assertEquals(Mcp.FAILED, fourthWaiting.errorCode);
+      assertEquals(List.of(), fourthWaiting.toolCalls);
+      waiting.forEach(call -> assertTrue(ScenarioFixture.get(call).record().served()));
       assertTrue(
           fixture
               .call(
@@ -331,10 +357,10 @@
   }
 
   @Test
-  void clientsLeaveHandlesForEngines() throws IOException {
+  void clientConnectionsLeaveFileHandlesForEngines() throws IOException {
     ConfiguredResources resources = new ConfiguredResources();
     resources.maxHandles = 100;
-    try (ScenarioFixture fixture = fixtureWith(resources, s -> {})) {
+    try (ScenarioFixture fixture = fixtureWithResources(resources, settings -> {})) {
       List<Socket> sockets = new ArrayList<>();
       try {
         for (int i = 0; i < 60; i++) {
@@ -349,7 +375,8 @@
             closed++;
           }
         }
-        assertEquals(10, closed, "of sixty, with a hundred handles in all");
+        assertEquals(
+            10, closed, "connections closed of 60, when the process may have 100 file handles");
       } finally {
         closeAll(sockets);
       }
@@ -357,32 +384,33 @@
   }
 
   @Test
-  void memoryOrHandlesNearTheirBoundKeepNewcomersOutAndLetRunningStreamsEnd() {
+  void highMemoryOrHandleUseRejectsNewCallsAndStreamsComplete() {
     ConfiguredResources resources = new ConfiguredResources();
     try (ScenarioFixture fixture =
-        fixtureWith(
+        fixtureWithResources(
             resources,
-            s -> s.putObject("overload").put("risePerSecond", 100).put("targetMs", 5_000))) {
-      McpClient known = fixture.client();
+            settings ->
+                settings.putObject("overload").put("risePerSecond", 100).put("targetMs", 5_000))) {
+      McpClient openClient = fixture.client();
       assertTrue(
           ScenarioFixture.get(
                   fixture.begin(
-                      known,
+                      openClient,
                       ScenarioFixture.request("before", "answer in 1 words", ToolBehaviour.ANSWER)))
               .record()
               .served());
-      for (int way = 0; way < 2; way++) {
-        final CompletableFuture<McpCall> running = running(fixture, 480);
-        resources.memoryUsed = way == 0 ? 0.97 : 0;
-        resources.handlesUsed = way == 0 ? 0 : 0.99;
+      for (int resource = 0; resource < 2; resource++) {
+        final CompletableFuture<McpCall> running = startRunningCall(fixture, 480);
+        resources.memoryUsed = resource == 0 ? 0.97 : 0;
+        resources.handlesUsed = resource == 0 ? 0 : 0.99;
         AtomicReference<CallRecord> refused = new AtomicReference<>();
         ScenarioFixture.await(
-            "a refusal",
+            "the gateway rejects a call",
             () -> {
               refused.set(
                   ScenarioFixture.get(
                           fixture.begin(
-                              known,
+                              openClient,
                               ScenarioFixture.request(
                                   "m" + System.nanoTime(),
                                   "answer in 1 words",
@@ -392,18 +420,19 @@
             });
         assertTrue(refused.get().retryable && refused.get().retryAfterMs > 0);
         assertTrue(fixture.events(TrafficEvent.Kind.PREFILL, refused.get().mark).isEmpty());
-        CompletableFuture<Boolean> session = new CompletableFuture<>();
-        fixture.clients.loop().execute(() -> fixture.client().open(session::complete));
-        assertFalse(ScenarioFixture.get(session), "no new sessions either");
+        CompletableFuture<Boolean> isSessionOpen = new CompletableFuture<>();
+        fixture.clients.loop().execute(() -> fixture.client().open(isSessionOpen::complete));
+        assertFalse(
+            ScenarioFixture.get(isSessionOpen), "a session was opened while calls are rejected");
         resources.memoryUsed = 0;
         resources.handlesUsed = 0;
         assertComplete(running, 480);
         ScenarioFixture.await(
-            "all is let in again",
+            "the gateway serves calls again",
             () ->
                 ScenarioFixture.get(
                         fixture.begin(
-                            known,
+                            openClient,
                             ScenarioFixture.request(
                                 "a" + System.nanoTime(),
                                 "answer in 1 words",
@@ -415,30 +444,34 @@
   }
 
   @Test
-  void aServerIsNotBlamedForConnectionsThatTheGatewayDoesNotHave() {
+  void gatewayConnectionLimitIsNotCountedAsServerFailure() {
     try (ScenarioFixture fixture =
-        fixture(20, s -> ((ObjectNode) s.get("engines")).put("maxConnectionsPerServer", 1))) {
-      CompletableFuture<McpCall> running = running(fixture, 300);
+        fixture(
+            20,
+            settings -> ((ObjectNode) settings.get("engines")).put("maxConnectionsPerServer", 1))) {
+      CompletableFuture<McpCall> running = startRunningCall(fixture, 300);
       for (int i = 0; i < 20; i++) { // the writer's one connection is in use
-        CallRecord seen =
+        CallRecord record =
             fixture.call(
                 ScenarioFixture.request("m" + i, "answer in 3 words", ToolBehaviour.ANSWER));
-        assertEquals(1, seen.responses);
-        assertTrue(seen.served() || seen.retryable, "code " + seen.errorCode);
+        assertEquals(1, record.responses);
+        assertTrue(
+            record.served() || record.retryable,
+            "neither served nor retryable: error code " + record.errorCode);
       }
       assertComplete(running, 300);
       fixture.awaitIdle();
-      long moot = 0;
+      long unsentAttempts = 0;
       for (JsonNode row :
           fixture.fleet.stopGateway(ScenarioFixture.GATEWAY).at("/tally/attempts")) {
         assertEquals(0, row.get("connect_failed").longValue(), row.toString());
-        moot += row.get("moot").longValue();
+        unsentAttempts += row.get("moot").longValue();
       }
-      assertTrue(moot > 0, "the bound was never met");
+      assertTrue(unsentAttempts > 0, "no attempt met the limit of one connection per server");
     }
   }
 
-  // ==== raw clients
+  // ==== clients on plain sockets
 
   private static String post(String session, String body) {
     return "POST /mcp HTTP/1.1\r\n"
@@ -481,35 +514,41 @@
     }
   }
 
-  /** Counts answers by their status until so many have come. */
-  private static int[] statuses(Socket socket, int count) throws IOException {
-    int[] found = new int[2];
+  /** Reads the given number of responses; returns how many had status 200 and how many 503. */
+  private static int[] countStatuses(Socket socket, int count) throws IOException {
+    int[] counts = new int[2];
     InputStream in = socket.getInputStream();
     StringBuilder line = new StringBuilder();
-    while (found[0] + found[1] < count) {
-      int c = in.read();
-      if (c < 0) {
-        throw new IOException("closed after " + found[0] + " and " + found[1]);
+    while (counts[0] + counts[1] < count) {
+      int nextByte = in.read();
+      if (nextByte < 0) {
+        throw new IOException(
+            "connection closed after "
+                + counts[0]
+                + " responses with status 200 and "
+                + counts[1]
+                + " with 503, expected "
+                + count);
       }
-      line.append((char) c);
+      line.append((char) nextByte);
       if (line.toString().endsWith("HTTP/1.1 200")) {
-        found[0]++;
+        counts[0]++;
         line.setLength(0);
       } else if (line.toString().endsWith("HTTP/1.1 503")) {
-        found[1]++;
+        counts[1]++;
         line.setLength(0);
       } else if (line.length() > 12) {
         line.deleteCharAt(0);
       }
     }
-    return found;
+    return counts;
   }
 
   @Test
-  void fiveThousandSessionsAtOnceAreBoundedAndHoldNobodyUp() throws Exception {
+  void sessionCountIsBoundedAndRunningCallsComplete() throws Exception {
     try (ScenarioFixture fixture =
-        fixture(s -> ((ObjectNode) s.get("front")).put("maxSessions", 1_000))) {
-      CompletableFuture<McpCall> running = running(fixture, 400);
+        fixture(settings -> ((ObjectNode) settings.get("front")).put("maxSessions", 1_000))) {
+      CompletableFuture<McpCall> running = startRunningCall(fixture, 400);
       List<Socket> sockets = new ArrayList<>();
       List<CompletableFuture<int[]>> answers = new ArrayList<>();
       try {
@@ -520,7 +559,7 @@
               CompletableFuture.supplyAsync(
                   () -> {
                     try {
-                      return statuses(socket, 500);
+                      return countStatuses(socket, 500);
                     } catch (IOException e) {
                       throw new IllegalStateException(e);
                     }
@@ -537,7 +576,7 @@
           refused += ScenarioFixture.get(answer)[1];
         }
         assertEquals(5_000, opened + refused);
-        assertTrue(opened > 0 && opened <= 999, "opened " + opened);
+        assertTrue(opened > 0 && opened <= 999, "sessions opened, expected 1 to 999: " + opened);
         assertEquals(
             opened + 1,
             fixture
@@ -552,18 +591,18 @@
   }
 
   @Test
-  void bodiesAtTheLimitSentSlowlyByHundredsLeaveRoomForSmallOnes() throws Exception {
+  void incompleteLargeBodiesDoNotBlockSmallCalls() throws Exception {
     try (ScenarioFixture fixture =
         fixture(
-            s ->
-                ((ObjectNode) s.get("front"))
+            settings ->
+                ((ObjectNode) settings.get("front"))
                     .put("maxBodyBytes", 1 << 20)
                     .put("maxBodiesBytes", 4 << 20))) {
-      McpClient known = fixture.client();
+      McpClient openClient = fixture.client();
       assertTrue(
           ScenarioFixture.get(
                   fixture.begin(
-                      known,
+                      openClient,
                       ScenarioFixture.request("first", "answer in 1 words", ToolBehaviour.ANSWER)))
               .record()
               .served());
@@ -576,19 +615,24 @@
                 + "Content-Length: "
                 + (1 << 20)
                 + "\r\n\r\n";
-        for (int i = 0; i < 300; i++) { // together far more than all may hold
+        for (int i = 0; i < 300; i++) { // together far more than maxBodiesBytes
           sockets.add(socket(fixture, 0));
           send(sockets.get(i), head + "x".repeat(40_000));
         }
         for (int i = 0; i < 20; i++) {
-          CallRecord seen =
+          CallRecord record =
               ScenarioFixture.get(
                       fixture.begin(
-                          known,
+                          openClient,
                           ScenarioFixture.request(
                               "m" + i, "answer in 3 words", ToolBehaviour.ANSWER)))
                   .record();
-          assertTrue(seen.served(), "code " + seen.errorCode + " " + seen.protocolViolations);
+          assertTrue(
+              record.served(),
+              "not served: error code "
+                  + record.errorCode
+                  + ", protocol violations "
+                  + record.protocolViolations);
         }
       } finally {
         closeAll(sockets);
@@ -598,17 +642,19 @@
   }
 
   @Test
-  void manyClientsThatNeverReadThenAllReadAtOnceGetAll() throws Exception {
+  void clientsThatStartReadingLateGetCompleteAnswers() throws Exception {
     try (ScenarioFixture fixture =
         fixture(
             0.5,
-            s -> {
-              ((ObjectNode) s.at("/classes/0")).put("maxTokens", LONG).put("deadlineMs", 60_000);
-              ((ObjectNode) s.get("front")).put("stallTimeoutMs", 60_000);
+            settings -> {
+              ((ObjectNode) settings.at("/classes/0"))
+                  .put("maxTokens", LONG_ANSWER_WORDS)
+                  .put("deadlineMs", 60_000);
+              ((ObjectNode) settings.get("front")).put("stallTimeoutMs", 60_000);
             })) {
       List<Socket> sockets = new ArrayList<>();
       try {
-        for (int i = 0; i < STILL; i++) {
+        for (int i = 0; i < NON_READING_CLIENTS; i++) {
           Socket socket = socket(fixture, 8 * 1024);
           sockets.add(socket);
           send(socket, initialize(1));
@@ -622,39 +668,42 @@
                       + "\"sale-lookup\",\"_meta\":{\"progressToken\":1},\"arguments\":{\"prompt\":\"#n"
                       + i
                       + "# answer in "
-                      + LONG
+                      + LONG_ANSWER_WORDS
                       + " words of 8000 letters\"}}}"));
         }
-        int[] before = {-1};
+        int[] lastTokensSent = {-1};
         ScenarioFixture.await(
-            "all stand still",
+            "every engine stream is stalled by its client",
             () -> {
-              int now = 0;
-              for (int i = 0; i < STILL; i++) {
+              int tokensSent = 0;
+              for (int i = 0; i < NON_READING_CLIENTS; i++) {
                 String mark = "n" + i;
-                now +=
+                tokensSent +=
                     fixture
                         .fleet
                         .emulators()
                         .invokeAndWait(() -> fixture.fleet.engine("w").tokensSent(mark).orElse(-1));
               }
-              boolean stands =
-                  now > 0
-                      && now == before[0]
-                      && fixture.events(TrafficEvent.Kind.DECODE, null).size() >= STILL;
-              before[0] = now;
+              boolean isStalled =
+                  tokensSent > 0
+                      && tokensSent == lastTokensSent[0]
+                      && fixture.events(TrafficEvent.Kind.DECODE, null).size()
+                          >= NON_READING_CLIENTS;
+              lastTokensSent[0] = tokensSent;
               ScenarioFixture.pause(200);
-              return stands;
+              return isStalled;
             });
-        assertTrue(before[0] < STILL * LONG, "all was taken");
-        List<CompletableFuture<Long>> read = new ArrayList<>();
+        assertTrue(
+            lastTokensSent[0] < NON_READING_CLIENTS * LONG_ANSWER_WORDS,
+            "the gateway accepted all tokens though no client reads");
+        List<CompletableFuture<Long>> bytesRead = new ArrayList<>();
         for (Socket socket : sockets) {
-          read.add(
+          bytesRead.add(
               CompletableFuture.supplyAsync(
                   () -> readToEnd(socket), task -> new Thread(task).start()));
         }
-        for (CompletableFuture<Long> all : read) {
-          assertTrue(ScenarioFixture.get(all) > 8_000L * LONG);
+        for (CompletableFuture<Long> answerBytes : bytesRead) {
+          assertTrue(ScenarioFixture.get(answerBytes) > 8_000L * LONG_ANSWER_WORDS);
         }
       } finally {
         closeAll(sockets);
@@ -663,24 +712,25 @@
     }
   }
 
-  /** Bytes up to the end of a chunked answer. */
+  /** Reads up to the end of a chunked response; returns the number of bytes. */
   private static long readToEnd(Socket socket) {
     byte[] buffer = new byte[64 * 1024];
-    long all = 0;
+    long totalBytes = 0;
     String tail = "";
     try {
       while (!tail.endsWith("\r\n0\r\n\r\n")) {
         int count = socket.getInputStream().read(buffer);
         if (count < 0) {
-          throw new IOException("broken off after " + all);
+          throw new IOException(
+              "connection closed before the last chunk, after " + totalBytes + " bytes");
         }
-        all += count;
+        totalBytes += count;
         tail +=
             new String(
                 buffer, Math.max(0, count - 7), Math.min(7, count), StandardCharsets.US_ASCII);
         tail = tail.substring(Math.max(0, tail.length() - 7));
       }
-      return all;
+      return totalBytes;
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
@@ -689,11 +739,12 @@
   // ==== shards
 
   @Test
-  void resultsOfToolsComeOverConnectionsOfAnyShard() {
-    try (ScenarioFixture fixture = fixture(s -> {})) {
+  void toolResultsArriveOverConnectionsOfAnyShard() {
+    try (ScenarioFixture fixture = fixture(settings -> {})) {
       McpClient client = fixture.client();
       List<CompletableFuture<McpCall>> calls = new ArrayList<>();
-      for (int i = 0; i < MANY; i++) { // as many connections, and as many more for the results
+      // Uses one connection per call, and as many again for the tool results.
+      for (int i = 0; i < CONCURRENT_CALLS; i++) {
         calls.add(
             fixture.begin(
                 client,
@@ -705,33 +756,34 @@
                     "price")));
       }
       for (CompletableFuture<McpCall> call : calls) {
-        CallRecord seen = ScenarioFixture.get(call).record();
-        assertEquals(2, seen.toolCalls.size());
-        assertEquals(1, seen.responses);
-        assertEquals(List.of(), seen.protocolViolations);
-        assertEquals(seen.finalText, seen.streamed.toString());
+        CallRecord record = ScenarioFixture.get(call).record();
+        assertEquals(2, record.toolCalls.size());
+        assertEquals(1, record.responses);
+        assertEquals(List.of(), record.protocolViolations);
+        assertEquals(record.finalText, record.streamed.toString());
         assertTrue(
-            seen.finalText.contains("[did-stock]") && seen.finalText.contains("[did-price]"),
-            seen.finalText);
+            record.finalText.contains("[did-stock]") && record.finalText.contains("[did-price]"),
+            record.finalText);
       }
       fixture.awaitIdle();
     }
   }
 
   @Test
-  void aStopWhileAllShardsAreBusyLetsEveryStreamEnd() {
-    try (ScenarioFixture fixture = fixture(s -> {})) {
+  void shutdownWhileAllShardsAreBusyCompletesEveryStream() {
+    try (ScenarioFixture fixture = fixture(settings -> {})) {
       List<CompletableFuture<McpCall>> calls = new ArrayList<>();
-      for (int i = 0; i < MANY; i++) {
+      for (int i = 0; i < CONCURRENT_CALLS; i++) {
         calls.add(
             fixture.begin(
                 fixture.client(),
                 ScenarioFixture.request("m" + i, "answer in 200 words", ToolBehaviour.ANSWER)));
       }
       ScenarioFixture.await(
-          "all run", () -> fixture.events(TrafficEvent.Kind.DECODE, null).size() >= MANY);
+          "all calls are being decoded",
+          () -> fixture.events(TrafficEvent.Kind.DECODE, null).size() >= CONCURRENT_CALLS);
       CompletableFuture<Void> stopped = fixture.fleet.gateway(ScenarioFixture.GATEWAY).stop();
-      calls.forEach(c -> assertComplete(c, 200));
+      calls.forEach(call -> assertComplete(call, 200));
       ScenarioFixture.get(stopped);
     }
   }
--- a/scenario/src/test/java/lemondock/scenario/HaltingGateway.java
+++ b/scenario/src/test/java/lemondock/scenario/HaltingGateway.java
@@ -15,23 +15,24 @@
 import lemondock.net.nio.WorkerPool;
 
 /**
- * A process with a gateway that ends at once, as by kill -9, at a given step of what it does to its
- * folder: before the step of that number, or by half, when half of the write of that number is
- * done. Arguments: settings, the number (0: never), whether by half.
+ * A gateway process that halts, as after kill -9, at a given step of its changes to its idempotency
+ * directory. Steps are numbered from 1; it halts before the given step or, for a partial write,
+ * after half of the bytes of that write. Arguments: settings file, number of the step (0: never
+ * halts), whether to halt after half of a write.
  */
 final class HaltingGateway {
-  /** What a process that was killed by signal 9 is seen to end with. */
+  /** Exit code of a process that signal 9 killed: 128 + 9. */
   static final int KILLED = 137;
 
-  private static final int DISK_QUEUE = 64;
+  private static final int DISK_QUEUE_CAPACITY = 64;
 
   private HaltingGateway() {}
 
   public static void main(String[] args) throws Exception {
     GatewaySettings settings = SettingsFile.readGateway(Path.of(args[0]));
     EmulatedProcess node = new EmulatedProcess("gateway", settings.ioThreads());
-    FileSystemPort folder =
-        new Halting(
+    FileSystemPort directory =
+        new HaltingFiles(
             new LockedDirectory(Path.of(settings.durable().path())),
             Integer.parseInt(args[1]),
             Boolean.parseBoolean(args[2]));
@@ -40,38 +41,40 @@
             new GatewayEnvironment(
                 node.loop(),
                 node.network(),
-                WorkerPool.create(1, DISK_QUEUE, "disk"),
+                WorkerPool.create(1, DISK_QUEUE_CAPACITY, "disk"),
                 WorkerPool.create(
                     settings.overload().heavyThreads(), settings.overload().heavyQueue(), "worker"),
                 new JvmProcessResources(),
-                folder),
+                directory),
             settings,
             new PromptReader(settings.classes()),
             Gateway.DEFAULT_ROUTER_FACTORY);
     gateway.start();
     System.out.println("ready");
-    TimeUnit.MINUTES.sleep(2); // whoever started it ends it long before
+    TimeUnit.MINUTES.sleep(2); // the test that started the process kills it long before this
     Runtime.getRuntime().halt(1);
   }
 
-  private static final class Halting extends ForwardingFiles {
-    private final int at;
-    private final boolean half;
-    private int steps;
+  /** Counts the changes to the directory and halts the process at the given one. */
+  private static final class HaltingFiles extends ForwardingFiles {
+    private final int haltAtStep;
+    private final boolean isPartialWrite;
+    private int stepCount;
 
-    Halting(FileSystemPort files, int at, boolean half) {
+    HaltingFiles(FileSystemPort files, int haltAtStep, boolean isPartialWrite) {
       super(files);
-      this.at = at;
-      this.half = half;
+      this.haltAtStep = haltAtStep;
+      this.isPartialWrite = isPartialWrite;
     }
 
-    /** Whether this is the step. */
-    private synchronized boolean now() {
-      return ++steps == at;
+    /** Counts a step; returns whether the process halts at it. Any thread. */
+    private synchronized boolean isHaltStep() {
+      return ++stepCount == haltAtStep;
     }
 
-    private void step() {
-      if (!half && now()) {
+    /** Counts a step other than a write; halts at it unless only writes are halted. */
+    private void countStep() {
+      if (!isPartialWrite && isHaltStep()) {
         Runtime.getRuntime().halt(KILLED);
       }
     }
@@ -81,8 +84,8 @@
       return new ForwardingOut(super.append(name)) {
         @Override
         public void write(ByteBuffer bytes) throws IOException {
-          if (now()) {
-            if (half) {
+          if (isHaltStep()) {
+            if (isPartialWrite) {
               super.write(bytes.slice(bytes.position(), bytes.remaining() / 2));
             }
             Runtime.getRuntime().halt(KILLED);
@@ -92,7 +95,7 @@
 
         @Override
         public void sync() throws IOException {
-          step();
+          countStep();
           super.sync();
         }
       };
@@ -100,25 +103,25 @@
 
     @Override
     public void truncate(String name, long length) throws IOException {
-      step();
+      countStep();
       super.truncate(name, length);
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-      step();
+      countStep();
       super.rename(from, to);
     }
 
     @Override
     public void delete(String name) throws IOException {
-      step();
+      countStep();
       super.delete(name);
     }
 
     @Override
     public void syncDirectory() throws IOException {
-      step();
+      countStep();
       super.syncDirectory();
     }
   }
--- a/scenario/src/test/java/lemondock/scenario/ReportEdgeCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ReportEdgeCasesTest.java
@@ -25,13 +25,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Collectors that misbehave, on sockets: requests do not notice, and neither do the other
- * collectors.
+ * Collectors of metrics that misbehave on their sockets. They must affect neither requests nor the
+ * reports to other collectors.
  */
 class ReportEdgeCasesTest {
-  private static final String TEXT = "answer in 5 words";
+  private static final String PROMPT = "answer in 5 words";
 
-  private static ObjectNode destination(ObjectNode settings, String name, String kind) {
+  /** Adds a destination to the settings, with frequent reports; returns its settings. */
+  private static ObjectNode addDestination(ObjectNode settings, String name, String kind) {
     ObjectNode reporting = (ObjectNode) settings.get("reporting");
     if (reporting == null) {
       reporting =
@@ -49,10 +50,10 @@
         .put("kind", kind);
   }
 
-  private static Consumer<ObjectNode> graphite(GraphiteListener... listeners) {
-    return s -> {
+  private static Consumer<ObjectNode> graphiteDestinations(GraphiteListener... listeners) {
+    return settings -> {
       for (int i = 0; i < listeners.length; i++) {
-        destination(s, "g" + i, "graphite")
+        addDestination(settings, "g" + i, "graphite")
             .put("address", "127.0.0.1:" + listeners[i].port())
             .put("stallMs", 500)
             .put("backoffMs", 20)
@@ -66,77 +67,92 @@
         settings, ScenarioFixture.reader("reader"), ScenarioFixture.writer("writer"));
   }
 
-  private static void calls(ScenarioFixture fixture, String mark, int count) {
-    List<CompletableFuture<McpCall>> all = new ArrayList<>();
+  /** Makes the calls at the same time, each of another tenant; all must be served. */
+  private static void assertCallsServed(ScenarioFixture fixture, String mark, int count) {
+    List<CompletableFuture<McpCall>> calls = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      all.add(
+      calls.add(
           fixture.begin(
               fixture.client(),
-              ScenarioFixture.request(mark + i, TEXT, ToolBehaviour.ANSWER).withTenant("t" + i)));
+              ScenarioFixture.request(mark + i, PROMPT, ToolBehaviour.ANSWER).withTenant("t" + i)));
     }
-    for (CompletableFuture<McpCall> call : all) {
-      CallRecord seen = ScenarioFixture.get(call).record();
-      assertTrue(seen.served(), seen.toString());
+    for (CompletableFuture<McpCall> call : calls) {
+      CallRecord record = ScenarioFixture.get(call).record();
+      assertTrue(record.served(), record.toString());
     }
   }
 
-  private static String served(JsonNode tally) {
+  /** Number of served requests in the gateway's own counters, over all classes and tenants. */
+  private static String servedRequests(JsonNode tally) {
     return tally.at("/tally/requests").findValuesAsText("served").stream()
             .mapToLong(Long::parseLong)
             .sum()
         + "";
   }
 
-  private static long last(ReceivedReports received, String end) {
+  /** Sum of the newest values whose metric name has the given ending. */
+  private static long sumOfNewest(ReceivedReports received, String nameSuffix) {
     return received.newest().entrySet().stream()
-        .filter(e -> e.getKey().endsWith(end))
-        .mapToLong(e -> e.getValue().values().get(0).longValue())
+        .filter(entry -> entry.getKey().endsWith(nameSuffix))
+        .mapToLong(entry -> entry.getValue().values().get(0).longValue())
         .sum();
   }
 
   @Test
-  void collectorsThatMisbehaveChangeNothingForRequestsOrForEachOther() throws IOException {
-    try (GraphiteListener never = new GraphiteListener(0, false, Fault.NEVER_READS);
-        GraphiteListener slow = new GraphiteListener(0, false, Fault.BYTE_A_SECOND);
+  void misbehavingCollectorsAffectNeitherRequestsNorEachOther() throws IOException {
+    try (GraphiteListener neverReads = new GraphiteListener(0, false, Fault.NEVER_READS);
+        GraphiteListener readsSlowly = new GraphiteListener(0, false, Fault.BYTE_A_SECOND);
         GraphiteListener resets = new GraphiteListener(0, false, Fault.RESETS);
-        GraphiteListener noise = new GraphiteListener(0, false, Fault.GARBAGE);
-        GraphiteListener good = new GraphiteListener(0, false, Fault.NONE);
+        GraphiteListener sendsGarbage = new GraphiteListener(0, false, Fault.GARBAGE);
+        GraphiteListener correct = new GraphiteListener(0, false, Fault.NONE);
         LoopbackPort unused = LoopbackPort.reserve()) {
-      int nobody = unused.number();
-      Consumer<ObjectNode> settings = graphite(never, slow, resets, noise, good);
+      int unusedPort = unused.number();
+      Consumer<ObjectNode> graphiteSettings =
+          graphiteDestinations(neverReads, readsSlowly, resets, sendsGarbage, correct);
       try (ScenarioFixture fixture =
           fixture(
-              s -> {
-                settings.accept(s);
-                destination(s, "nobody", "graphite").put("address", "127.0.0.1:" + nobody);
-                destination(s, "nobody-udp", "collectd").put("address", "127.0.0.1:" + nobody);
-                destination(s, "no-name", "graphite").put("address", "does-not-exist.invalid:1");
-                destination(s, "no-socket", "collectd-unixsock").put("path", "/nowhere/at/all");
+              settings -> {
+                graphiteSettings.accept(settings);
+                addDestination(settings, "nobody", "graphite")
+                    .put("address", "127.0.0.1:" + unusedPort);
+                addDestination(settings, "nobody-udp", "collectd")
+                    .put("address", "127.0.0.1:" + unusedPort);
+                addDestination(settings, "no-name", "graphite")
+                    .put("address", "does-not-exist.invalid:1");
+                addDestination(settings, "no-socket", "collectd-unixsock")
+                    .put("path", "/nowhere/at/all");
               })) {
-        calls(fixture, "a", 20);
+        assertCallsServed(fixture, "a", 20);
         ScenarioFixture.await(
-            "the one that resets was tried again", () -> resets.connections() >= 3);
-        ScenarioFixture.await("the good one goes on", () -> last(good.received(), ".served") == 20);
-        calls(fixture, "b", 20);
-        long from = System.nanoTime();
+            "the gateway reconnected to the collector that resets connections",
+            () -> resets.connections() >= 3);
+        ScenarioFixture.await(
+            "the correct collector has received 20 served requests",
+            () -> sumOfNewest(correct.received(), ".served") == 20);
+        assertCallsServed(fixture, "b", 20);
+        long stopStartedNanos = System.nanoTime();
         JsonNode tally = fixture.fleet.stopGateway(ScenarioFixture.GATEWAY);
-        double seconds = (System.nanoTime() - from) / 1e9;
-        assertTrue(seconds < 5, "the stop took " + seconds + " s");
-        assertEquals("40", served(tally));
+        double stopSeconds = (System.nanoTime() - stopStartedNanos) / 1e9;
+        assertTrue(
+            stopSeconds < 5,
+            "the gateway took " + stopSeconds + " s to stop, expected less than 5");
+        assertEquals("40", servedRequests(tally));
         ScenarioFixture.await(
-            "the good one has the last word", () -> last(good.received(), ".served") == 40);
+            "the correct collector has received the final report of 40 served requests",
+            () -> sumOfNewest(correct.received(), ".served") == 40);
         ScenarioFixture.await(
-            "so has the noisy one", () -> last(noise.received(), ".served") == 40);
-        assertEquals(0, good.received().unreadable());
+            "the collector that sends garbage has received the final report too",
+            () -> sumOfNewest(sendsGarbage.received(), ".served") == 40);
+        assertEquals(0, correct.received().unreadable());
         JsonNode reports = tally.at("/tally/report");
-        for (JsonNode r : reports) {
-          String name = r.get("destination").textValue();
+        for (JsonNode report : reports) {
+          String name = report.get("destination").textValue();
           if (name.startsWith("no")) {
-            assertTrue(r.get("failures").longValue() > 0, r.toString());
-            assertEquals(0, r.get("snapshots").longValue(), r.toString());
+            assertTrue(report.get("failures").longValue() > 0, report.toString());
+            assertEquals(0, report.get("snapshots").longValue(), report.toString());
           }
           if (name.equals("g3")) {
-            assertTrue(r.get("ignored").longValue() > 0, r.toString());
+            assertTrue(report.get("ignored").longValue() > 0, report.toString());
           }
         }
       }
@@ -144,39 +160,45 @@
   }
 
   @Test
-  void aCollectorThatComesBackGetsWhatItMissed() throws IOException {
+  void returningCollectorGetsTheCountsThatItMissed() throws IOException {
     GraphiteListener first = new GraphiteListener(0, false, Fault.NONE);
     int port = first.port();
-    try (ScenarioFixture fixture = fixture(graphite(first))) {
-      calls(fixture, "a", 5);
-      ScenarioFixture.await("reported", () -> last(first.received(), ".served") == 5);
+    try (ScenarioFixture fixture = fixture(graphiteDestinations(first))) {
+      assertCallsServed(fixture, "a", 5);
+      ScenarioFixture.await(
+          "the first collector has received 5 served requests",
+          () -> sumOfNewest(first.received(), ".served") == 5);
       first.close();
-      calls(fixture, "b", 5);
+      assertCallsServed(fixture, "b", 5);
       ScenarioFixture.await(
-          "snapshots wait", () -> fixture.fleet.reporting(ScenarioFixture.GATEWAY) != null);
+          "the gateway reports", () -> fixture.fleet.reporting(ScenarioFixture.GATEWAY) != null);
       try (GraphiteListener second = new GraphiteListener(port, false, Fault.NONE)) {
-        ScenarioFixture.await("all of it came", () -> last(second.received(), ".served") == 10);
+        ScenarioFixture.await(
+            "the second collector has received 10 served requests",
+            () -> sumOfNewest(second.received(), ".served") == 10);
       }
     }
   }
 
   @Test
-  void lossAndReorderingOfDatagramsLeaveTheLastWordRight() throws IOException {
+  void lostAndReorderedDatagramsLeaveFinalReportCorrect() throws IOException {
     try (CollectdListener listener = new CollectdListener(0, Map.of(), 5)) {
       listener.setPacketFaults(0.3, 0.3);
       try (ScenarioFixture fixture =
           fixture(
-              s ->
-                  destination(s, "udp", "collectd")
+              settings ->
+                  addDestination(settings, "udp", "collectd")
                       .put("address", "127.0.0.1:" + listener.port()))) {
-        calls(fixture, "a", 20);
-        ScenarioFixture.await("some came", () -> listener.received().values() > 2_000);
-        ScenarioFixture.await("some came late", () -> listener.received().late() > 0);
+        assertCallsServed(fixture, "a", 20);
+        ScenarioFixture.await(
+            "more than 2000 values have arrived", () -> listener.received().values() > 2_000);
+        ScenarioFixture.await(
+            "a report has arrived out of order", () -> listener.received().late() > 0);
         listener.setPacketFaults(0, 0);
         JsonNode tally = fixture.fleet.stopGateway(ScenarioFixture.GATEWAY);
-        assertEquals("20", served(tally));
+        assertEquals("20", servedRequests(tally));
         ScenarioFixture.await(
-            "the last word",
+            "the collector has received the final report of served requests",
             () ->
                 listener.received().newest().entrySet().stream()
                         .filter(e -> e.getKey().contains("/lemondock_requests-"))
@@ -189,73 +211,82 @@
   }
 
   @Test
-  void wrongPasswordsAreNoticedByTheCollectorOnly(@TempDir Path folder) throws IOException {
-    Path users = folder.resolve("users");
+  void reportsWithWrongPasswordAreRejectedByCollector(@TempDir Path directory) throws IOException {
+    Path users = directory.resolve("users");
     java.nio.file.Files.writeString(users, "till: wrong\n");
     try (CollectdListener listener = new CollectdListener(0, Map.of("till", "right"), 5)) {
       try (ScenarioFixture fixture =
           fixture(
-              s -> {
-                for (String form : List.of("sign", "encrypt")) {
-                  destination(s, form, "collectd")
+              settings -> {
+                for (String security : List.of("sign", "encrypt")) {
+                  addDestination(settings, security, "collectd")
                       .put("address", "127.0.0.1:" + listener.port())
-                      .put("security", form)
+                      .put("security", security)
                       .put("username", "till")
                       .put("authFile", users.toString());
                 }
               })) {
-        calls(fixture, "a", 3);
+        assertCallsServed(fixture, "a", 3);
         ScenarioFixture.await(
-            "refused by the listener", () -> listener.received().unreadable() > 4);
+            "the collector has rejected more than 4 packets",
+            () -> listener.received().unreadable() > 4);
         assertEquals(0, listener.received().values());
       }
     }
   }
 
   @Test
-  void theUnixsockPluginsTextIsSpokenAndItsAnswersIgnored(@TempDir Path folder) throws IOException {
-    Path path = folder.resolve("sock");
+  void unixsockReportsArriveAndTheirAnswersAreIgnored(@TempDir Path directory) throws IOException {
+    Path path = directory.resolve("sock");
     try (UnixsockListener listener = new UnixsockListener(path)) {
       try (ScenarioFixture fixture =
-          fixture(s -> destination(s, "sock", "collectd-unixsock").put("path", path.toString()))) {
-        calls(fixture, "a", 4);
+          fixture(
+              settings ->
+                  addDestination(settings, "sock", "collectd-unixsock")
+                      .put("path", path.toString()))) {
+        assertCallsServed(fixture, "a", 4);
         JsonNode tally = fixture.fleet.stopGateway(ScenarioFixture.GATEWAY);
         ScenarioFixture.await(
-            "the last word",
+            "the collector has received the final report of served requests",
             () ->
                 listener.received().newest().entrySet().stream()
                         .filter(e -> e.getKey().contains("/lemondock_requests-"))
                         .mapToLong(e -> e.getValue().values().get(2).longValue())
                         .sum()
                     == 4);
-        assertEquals("4", served(tally));
+        assertEquals("4", servedRequests(tally));
         assertEquals(0, listener.received().unreadable());
       }
     }
   }
 
   @Test
-  void twoGatewaysUnderOneNameAreToldApart() throws IOException {
+  void gatewaysOfTheSameNameReportUnderSeparateInstances() throws IOException {
     try (GraphiteListener listener = new GraphiteListener(0, false, Fault.NONE)) {
-      Consumer<ObjectNode> reports = graphite(listener);
-      try (ScenarioFixture one = fixture(reports);
-          ScenarioFixture two = fixture(reports)) {
-        calls(one, "a", 3);
-        calls(two, "b", 5);
-        String first = one.fleet.stopGateway(ScenarioFixture.GATEWAY).get("instance").textValue();
-        String second = two.fleet.stopGateway(ScenarioFixture.GATEWAY).get("instance").textValue();
-        assertNotEquals(first, second);
-        for (Map.Entry<String, Integer> e : Map.of(first, 3, second, 5).entrySet()) {
+      Consumer<ObjectNode> reports = graphiteDestinations(listener);
+      try (ScenarioFixture firstFixture = fixture(reports);
+          ScenarioFixture secondFixture = fixture(reports)) {
+        assertCallsServed(firstFixture, "a", 3);
+        assertCallsServed(secondFixture, "b", 5);
+        String firstInstance =
+            firstFixture.fleet.stopGateway(ScenarioFixture.GATEWAY).get("instance").textValue();
+        String secondInstance =
+            secondFixture.fleet.stopGateway(ScenarioFixture.GATEWAY).get("instance").textValue();
+        assertNotEquals(firstInstance, secondInstance);
+        for (Map.Entry<String, Integer> served :
+            Map.of(firstInstance, 3, secondInstance, 5).entrySet()) {
           ScenarioFixture.await(
-              "the last word of " + e.getKey(),
+              "the collector has received the final report of instance " + served.getKey(),
               () ->
                   listener.newest().entrySet().stream()
                           .filter(
-                              p -> p.getKey().startsWith("lemondock." + e.getKey() + ".requests."))
+                              p ->
+                                  p.getKey()
+                                      .startsWith("lemondock." + served.getKey() + ".requests."))
                           .filter(p -> p.getKey().endsWith(".served"))
                           .mapToLong(p -> p.getValue().values().get(0).longValue())
                           .sum()
-                      == e.getValue());
+                      == served.getValue());
         }
       }
     }
@@ -264,44 +295,44 @@
   @Test
   void aFloodOfTenantsIsBoundedAndStillCountedWhole() throws IOException {
     try (GraphiteListener listener = new GraphiteListener(0, false, Fault.NONE)) {
-      Consumer<ObjectNode> reports = graphite(listener);
+      Consumer<ObjectNode> reports = graphiteDestinations(listener);
       try (ScenarioFixture fixture =
           fixture(
-              s -> {
-                reports.accept(s);
-                ((ObjectNode) s.get("reporting"))
+              settings -> {
+                reports.accept(settings);
+                ((ObjectNode) settings.get("reporting"))
                     .put("maxTenants", 5)
                     .putArray("tenants")
                     .add("t39");
               })) {
-        calls(fixture, "a", 40);
+        assertCallsServed(fixture, "a", 40);
         JsonNode tally = fixture.fleet.stopGateway(ScenarioFixture.GATEWAY);
-        assertEquals("40", served(tally));
+        assertEquals("40", servedRequests(tally));
         TreeSet<String> tenants =
             new TreeSet<>(tally.at("/tally/requests").findValuesAsText("tenant"));
         assertEquals(7, tenants.size(), tenants.toString());
         assertTrue(tenants.contains("other") && tenants.contains("t39"));
-        JsonNode bound = null;
+        JsonNode tenantBound = null;
         for (JsonNode row : tally.at("/tally/bounds")) {
-          bound = row.get("dimension").textValue().equals("tenant") ? row : bound;
+          tenantBound = row.get("dimension").textValue().equals("tenant") ? row : tenantBound;
         }
-        assertEquals(34, bound.get("other").longValue());
+        assertEquals(34, tenantBound.get("other").longValue());
       }
     }
   }
 
   @Test
-  void toolCallsAndStatesAndAttemptsAreCounted() {
+  void toolCallsReservedStatesAndAttemptsAreCounted() {
     try (ScenarioFixture fixture =
-        fixture(s -> ((ObjectNode) s.at("/classes/0")).put("toolTimeoutMs", 300))) {
-      CallRecord seen =
+        fixture(settings -> ((ObjectNode) settings.at("/classes/0")).put("toolTimeoutMs", 300))) {
+      CallRecord record =
           fixture.call(
               ScenarioFixture.request(
                   "m1",
                   "call the tool stock and answer in 5 words",
                   ToolBehaviour.ANSWER,
                   "stock"));
-      assertTrue(seen.served());
+      assertTrue(record.served());
       assertTrue(
           fixture
               .call(
@@ -316,16 +347,16 @@
       JsonNode tools = tally.at("/tools/0");
       assertEquals(
           "2 1 1", tools.get("relayed") + " " + tools.get("answered") + " " + tools.get("lost"));
-      JsonNode held = tally.at("/held/0");
+      JsonNode reservedStates = tally.at("/held/0");
       assertEquals(
           "4 4 0 0",
-          held.get("made")
+          reservedStates.get("made")
               + " "
-              + held.get("fetched")
+              + reservedStates.get("fetched")
               + " "
-              + held.get("let_go")
+              + reservedStates.get("let_go")
               + " "
-              + held.get("now"));
+              + reservedStates.get("now"));
       for (JsonNode row : tally.get("attempts")) {
         assertEquals(4, row.get("sent").longValue(), row.toString());
         assertEquals(
--- a/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
+++ b/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
@@ -19,7 +19,7 @@
 import lemondock.net.http.HttpClientOptions;
 import lemondock.net.http.HttpLimits;
 
-/** A small fleet with one gateway and a client, for tests. */
+/** A small fleet of emulated engines with one gateway and MCP clients, on loopback sockets. */
 final class ScenarioFixture implements AutoCloseable {
   static final String GATEWAY = "gw";
   final ScenarioFleet fleet;
@@ -37,9 +37,9 @@
   }
 
   /**
-   * Refusals by the gateway's own limit are off unless the changes put settings of their own under
-   * "overload": gateway, engines and clients share this process, and a machine that is slow for a
-   * moment is not what most tests are about.
+   * Starts the fleet. The gateway's load shedding is off unless the changes set "overload"
+   * themselves: gateway, engines and clients share this process, and most tests should not fail
+   * because the machine is slow for a moment.
    */
   ScenarioFixture(
       Consumer<ObjectNode> testChanges, RouterFactory routerFactory, EngineSettings... engines) {
@@ -52,14 +52,15 @@
         LoopbackSettings.gateway("x", 0, 1, "north", 1, "127.0.0.1:1", changes).classes();
     fleet = new ScenarioFleet(classes, 1);
     port = fleet.reservePort();
-    for (EngineSettings e : engines) {
-      fleet.addEngine(e);
+    for (EngineSettings engine : engines) {
+      fleet.addEngine(engine);
     }
     settings =
         LoopbackSettings.gateway(GATEWAY, 0, 1, "north", port, fleet.catalogueAddress(), changes);
     fleet.addGateway(settings, routerFactory);
     if (!fleet.awaitServers(GATEWAY, engines.length, 10_000)) {
-      throw new IllegalStateException("the gateway does not see its servers");
+      throw new IllegalStateException(
+          "gateway " + GATEWAY + " does not list all " + engines.length + " engines within 10 s");
     }
   }
 
@@ -110,7 +111,7 @@
         false);
   }
 
-  /** The complete text of an answer of so many words, without tool calls. */
+  /** The complete text of an answer of the given number of words, without tool calls. */
   static String answerText(int words) {
     StringBuilder text = new StringBuilder();
     for (int i = 0; i < words; i++) {
@@ -119,25 +120,27 @@
     return text.toString();
   }
 
-  /** Begins a call; the future ends with it. */
+  /** Opens a session and starts a call; the future completes when the call ends. */
   CompletableFuture<McpCall> begin(McpClient client, ToolCallRequest request) {
     return begin(client, request, call -> {});
   }
 
+  /** As {@link #begin(McpClient, ToolCallRequest)}; passes on the started call on its loop. */
   CompletableFuture<McpCall> begin(
-      McpClient client, ToolCallRequest request, Consumer<McpCall> begun) {
+      McpClient client, ToolCallRequest request, Consumer<McpCall> onStarted) {
     CompletableFuture<McpCall> done = new CompletableFuture<>();
     clients
         .loop()
         .execute(
             () ->
                 client.open(
-                    ok -> {
-                      if (ok) {
-                        begun.accept(client.call(request, done::complete));
+                    isOpen -> {
+                      if (isOpen) {
+                        onStarted.accept(client.call(request, done::complete));
                       } else {
                         done.completeExceptionally(
-                            new IllegalStateException("no session: status " + client.openStatus()));
+                            new IllegalStateException(
+                                "the gateway opened no session: status " + client.openStatus()));
                       }
                     }));
     return done;
@@ -155,21 +158,22 @@
     }
   }
 
+  /** Events of one kind; of all calls if the mark is null. */
   List<TrafficEvent> events(TrafficEvent.Kind kind, String mark) {
     return fleet.events().stream()
-        .filter(e -> e.kind() == kind && (mark == null || e.mark().equals(mark)))
+        .filter(event -> event.kind() == kind && (mark == null || event.mark().equals(mark)))
         .toList();
   }
 
   /**
-   * Waits for something to become true; what is awaited must come, so time only bounds a failing
-   * test.
+   * Waits until the condition is true and fails after 15 s. A passing test never depends on the
+   * time limit, because the condition must become true.
    */
-  static void await(String what, BooleanSupplier condition) {
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(15);
+  static void await(String description, BooleanSupplier condition) {
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(15);
     while (!condition.getAsBoolean()) {
-      if (System.nanoTime() > until) {
-        throw new AssertionError("in vain: " + what);
+      if (System.nanoTime() > deadlineNanos) {
+        throw new AssertionError("condition not met within 15 s: " + description);
       }
       pause(2);
     }
@@ -183,41 +187,43 @@
     }
   }
 
-  /** Waits until nothing is under way or held anywhere. */
+  /** Waits until the gateway and the engines have no request, call or reserved state left. */
   void awaitIdle() {
-    String[] last = {""};
+    String[] lastLoad = {""};
     try {
-      await("idle", () -> (last[0] = busy()).isEmpty());
+      await("fleet is idle", () -> (lastLoad[0] = describeLoad()).isEmpty());
     } catch (AssertionError e) {
       throw new AssertionError(
-          "still busy: "
-              + last[0]
-              + ", "
+          "fleet is not idle: "
+              + lastLoad[0]
+              + ", last events: "
               + fleet.events().stream().skip(Math.max(0, fleet.events().size() - 30)).toList(),
           e);
     }
   }
 
-  private String busy() {
+  /** Describes the requests, calls and reserved states that remain; empty if there are none. */
+  private String describeLoad() {
     int requests =
         fleet.gatewayProcess(GATEWAY).invokeAndWait(fleet.gateway(GATEWAY)::requestsInFlight);
     int calls = fleet.gatewayProcess(GATEWAY).invokeAndWait(fleet.gateway(GATEWAY)::callsInFlight);
-    StringBuilder busy =
+    StringBuilder load =
         new StringBuilder(
             requests + calls == 0 ? "" : requests + " requests, " + calls + " calls ");
-    for (String e : fleet.engines()) {
+    for (String engine : fleet.engines()) {
       fleet
           .emulators()
           .invokeAndWait(
               () ->
-                  fleet.engine(e).reservedStates() + fleet.engine(e).runningRequests() == 0
-                      ? busy
-                      : busy.append(e)
+                  fleet.engine(engine).reservedStates() + fleet.engine(engine).runningRequests()
+                          == 0
+                      ? load
+                      : load.append(engine)
                           .append(": ")
-                          .append(fleet.engine(e).describeLoad())
+                          .append(fleet.engine(engine).describeLoad())
                           .append(' '));
     }
-    return busy.toString();
+    return load.toString();
   }
 
   @Override
--- a/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
+++ b/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
@@ -17,16 +17,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tokens that go without the loop, while the loop pauses, resumes, cancels and moves their streams.
+ * Tokens that bypass the event loop on their way to the client, while the event loop pauses,
+ * resumes, cancels and moves their streams.
  */
 class TokenPathTest {
-  private static final int WORDS = 300;
+  private static final int ANSWER_WORDS = 300;
 
   private static ScenarioFixture fixture() {
     return new ScenarioFixture(
-        s -> {
-          s.put("ioThreads", 3);
-          ((ObjectNode) s.get("front")).put("resumeWindowMs", 5_000).put("replayBytes", 65_536);
+        settings -> {
+          settings.put("ioThreads", 3);
+          ((ObjectNode) settings.get("front"))
+              .put("resumeWindowMs", 5_000)
+              .put("replayBytes", 65_536);
         },
         EngineSettings.quick("r", "reader", "north", "r1").withLimits(64, 256, 10_000_000),
         EngineSettings.quick("w", "writer", "north", "r1")
@@ -35,20 +38,24 @@
   }
 
   /**
-   * One call whose connection is broken again and again, read at changing pace; gives what was
-   * streamed and the result.
+   * Makes one call whose connection the client closes and resumes repeatedly and reads at a
+   * changing pace. Returns the streamed text and the text of the result.
    */
-  private static String[] broken(ScenarioFixture fixture, int seed)
+  private static String[] callWithReconnects(ScenarioFixture fixture, int seed)
       throws IOException, InterruptedException {
     SplittableRandom random = new SplittableRandom(seed);
     StringBuilder streamed = new StringBuilder();
     try (ConversationClient.Answer answer =
         new ConversationClient(fixture.port)
-            .call("7", "sale-lookup", "#b" + seed + "# answer in " + WORDS + " words", List.of())) {
+            .call(
+                "7",
+                "sale-lookup",
+                "#b" + seed + "# answer in " + ANSWER_WORDS + " words",
+                List.of())) {
       answer.primed();
       while (true) {
-        boolean slow = random.nextInt(4) == 0;
-        for (int left = 1 + random.nextInt(120); left > 0; left--) {
+        boolean isSlow = random.nextInt(4) == 0;
+        for (int remaining = 1 + random.nextInt(120); remaining > 0; remaining--) {
           JsonNode message = answer.next();
           if (message.has("result") || message.has("error")) {
             return new String[] {
@@ -56,7 +63,7 @@
             };
           }
           streamed.append(message.at("/params/message").asText());
-          if (slow) {
+          if (isSlow) {
             Thread.sleep(1);
           }
         }
@@ -66,27 +73,27 @@
   }
 
   @Test
-  void noTokenIsLostOrRepeatedHoweverOftenConnectionsBreak() throws Exception {
+  void reconnectingClientsGetEachTokenExactlyOnce() throws Exception {
     ExecutorService threads = Executors.newCachedThreadPool();
     try (ScenarioFixture fixture = fixture()) {
-      List<CompletableFuture<String[]>> all = new ArrayList<>();
+      List<CompletableFuture<String[]>> calls = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
         int seed = i;
-        all.add(
+        calls.add(
             CompletableFuture.supplyAsync(
                 () -> {
                   try {
-                    return broken(fixture, seed);
+                    return callWithReconnects(fixture, seed);
                   } catch (IOException | InterruptedException e) {
                     throw new IllegalStateException(e);
                   }
                 },
                 threads));
       }
-      for (CompletableFuture<String[]> one : all) {
-        String[] seen = ScenarioFixture.get(one);
-        assertEquals(ScenarioFixture.answerText(WORDS), seen[0]);
-        assertEquals(seen[0], seen[1]);
+      for (CompletableFuture<String[]> call : calls) {
+        String[] streamedAndResult = ScenarioFixture.get(call);
+        assertEquals(ScenarioFixture.answerText(ANSWER_WORDS), streamedAndResult[0]);
+        assertEquals(streamedAndResult[0], streamedAndResult[1]);
       }
       fixture.awaitIdle();
     } finally {
@@ -95,18 +102,20 @@
   }
 
   /**
-   * A timer that is left to run out holds the call it was for: at 800 calls a second that was all
-   * of the memory there was.
+   * A timer that is not cancelled keeps its call reachable until it expires. At 800 calls a second
+   * such timers used up all memory.
    */
   @Test
-  void aCallThatHasEndedIsHeldByNoTimer() {
+  void endedCallsLeaveNoTimersThatReferToThem() {
     int calls = 150;
     try (ScenarioFixture fixture =
         new ScenarioFixture(
-            s -> {
-              ((ObjectNode) s.get("engines")).put("streamSilenceMs", 120_000);
-              ((ObjectNode) s.get("front")).put("resumeWindowMs", 0);
-              ((ObjectNode) s.at("/classes/0")).put("deadlineMs", 120_000).put("aimMs", 60_000);
+            settings -> {
+              ((ObjectNode) settings.get("engines")).put("streamSilenceMs", 120_000);
+              ((ObjectNode) settings.get("front")).put("resumeWindowMs", 0);
+              ((ObjectNode) settings.at("/classes/0"))
+                  .put("deadlineMs", 120_000)
+                  .put("aimMs", 60_000);
             },
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w"))) {
@@ -120,64 +129,62 @@
               .record()
               .tokens);
       fixture.awaitIdle();
-      int before = node.invokeAndWait(node.loop()::pendingTimers);
+      int timersBefore = node.invokeAndWait(node.loop()::pendingTimers);
       for (int i = 0; i < calls; i += 10) {
-        List<CompletableFuture<McpCall>> some = new ArrayList<>();
+        List<CompletableFuture<McpCall>> batch = new ArrayList<>();
         for (int j = 0; j < 10; j++) {
-          some.add(
+          batch.add(
               fixture.begin(
                   fixture.client(),
                   ScenarioFixture.request(
                       "t" + i + "-" + j, "answer in 12 words", ToolBehaviour.ANSWER)));
         }
-        some.forEach(one -> assertTrue(ScenarioFixture.get(one).record().served()));
+        batch.forEach(call -> assertTrue(ScenarioFixture.get(call).record().served()));
       }
       fixture.awaitIdle();
-      int perCall = (node.invokeAndWait(node.loop()::pendingTimers) - before) / calls;
+      int timersPerCall = (node.invokeAndWait(node.loop()::pendingTimers) - timersBefore) / calls;
       assertTrue(
-          perCall <= 3,
-          "the module's own, for its deadline and each attempt, hold a number each; found"
-              + " "
-              + perCall
-              + " a call");
+          timersPerCall <= 3,
+          "expected at most 3 pending timers per ended call: the routing module's own, for the"
+              + " deadline and each attempt, which refer to the call by number only; found "
+              + timersPerCall);
     }
   }
 
   @Test
-  void manyCallsOfOneSessionOnOneStreamEndEachOnceWhileTheirNeighboursAreCancelled()
-      throws Exception {
+  void callsEndOnceWhileConcurrentCallsAreCancelled() throws Exception {
     try (ScenarioFixture fixture = fixture()) {
-      List<CompletableFuture<McpCall>> kept = new ArrayList<>();
+      List<CompletableFuture<McpCall>> keptCalls = new ArrayList<>();
       SplittableRandom random = new SplittableRandom(3);
       for (int i = 0; i < 80; i++) {
-        boolean leaves = i % 2 == 1;
-        long after = random.nextLong(150_000);
+        boolean isCancelled = i % 2 == 1;
+        long cancelAfterMicros = random.nextLong(150_000);
         CompletableFuture<McpCall> done =
             fixture.begin(
                 fixture.client(),
                 ScenarioFixture.request("s" + i, "answer in 100 words", ToolBehaviour.ANSWER),
                 call -> {
-                  if (leaves) {
-                    fixture.clients.loop().schedule(after, call::cancel);
+                  if (isCancelled) {
+                    fixture.clients.loop().schedule(cancelAfterMicros, call::cancel);
                   }
                 });
-        if (!leaves) {
-          kept.add(done);
+        if (!isCancelled) {
+          keptCalls.add(done);
         }
       }
-      for (CompletableFuture<McpCall> one : kept) {
-        CallRecord seen = ScenarioFixture.get(one).record();
-        assertTrue(seen.served(), seen.mark);
-        assertEquals(ScenarioFixture.answerText(100), seen.streamed.toString());
-        assertEquals(1, seen.responses);
-        assertEquals(0, seen.messagesAfterAnswer);
+      for (CompletableFuture<McpCall> call : keptCalls) {
+        CallRecord record = ScenarioFixture.get(call).record();
+        assertTrue(record.served(), record.mark);
+        assertEquals(ScenarioFixture.answerText(100), record.streamed.toString());
+        assertEquals(1, record.responses);
+        assertEquals(0, record.messagesAfterAnswer);
       }
       fixture.awaitIdle();
     }
   }
 
   @Test
-  void aTokenGoesOutWhenItComesAndNotWithALaterOne() throws Exception {
+  void tokensAreSentOnArrivalAndNotWithLaterOnes() throws Exception {
     try (ScenarioFixture fixture =
         new ScenarioFixture(
             s -> {},
@@ -192,7 +199,8 @@
         assertTrue(
             fixture.events(TrafficEvent.Kind.ANSWERED, "slow").stream()
                 .noneMatch(e -> e.detail().equals("write")),
-            "the third of eight tokens came only with the end");
+            "the client received the third of eight tokens only after the engine had ended the"
+                + " answer");
       }
     }
   }
