--- a/benchmark/src/main/java/lemondock/benchmark/AffinityBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/AffinityBenchmark.java
@@ -28,10 +28,11 @@
 import lemondock.scenario.ToolCallRequest;
 
 /**
- * What is won by sending the turn behind a tool call to the reader that has the text cached,
- * against one that reads it anew: tokens found in the cache, and the time from the turn's arrival
- * at a reader to the beginning of its writing. Nothing is reserved for it meanwhile in either case.
- * Emulated engines.
+ * Measures the benefit of sending the turn after a tool call to the reader (prefill engine) that
+ * has the conversation cached, compared with a reader that prefills it again. Reports the share of
+ * prompt tokens found in the cache and the time from the turn's arrival at a reader to the start of
+ * its decode. Between the two turns nothing is reserved for the call in either case. Uses emulated
+ * engines.
  */
 final class AffinityBenchmark implements Benchmark {
   private static final int CALLS = 200;
@@ -46,8 +47,8 @@
   private static final long TOOL_MICROS = 20_000;
   private static final int MAX_TOKENS = 100;
   private static final String GATEWAY = "gw";
-  private static final long SERVERS_WAIT_MILLIS = 10_000;
-  private static final long DONE_WAIT_SECONDS = 120;
+  private static final long SERVERS_TIMEOUT_MILLIS = 10_000;
+  private static final long DONE_TIMEOUT_SECONDS = 120;
   private static final double MICROS_PER_MILLI = 1e3;
 
   @Override
@@ -58,7 +59,7 @@
             + PROMPT_WORDS
             + " words, "
             + READERS
-            + " readers that read "
+            + " readers that prefill "
             + (int) READ_TOKENS_PER_SECOND
             + " tokens a second, "
             + CONCURRENT_CALLS
@@ -71,7 +72,7 @@
   }
 
   private static void measure(String name, PrefixCacheMeter meter) throws Exception {
-    long[] sortedMicros = runCalls(meter).stream().mapToLong(Long::longValue).sorted().toArray();
+    long[] sortedMicros = runAllCalls(meter).stream().mapToLong(Long::longValue).sorted().toArray();
     System.out.printf(
         Locale.ROOT,
         "| %s | %.2f | %.1f | %.1f |%n",
@@ -81,8 +82,8 @@
         sortedMicros[(int) (sortedMicros.length * 0.99)] / MICROS_PER_MILLI);
   }
 
-  /** Runs all calls; gives for each the time from its second read to its second write. */
-  private static List<Long> runCalls(PrefixCacheMeter meter) throws Exception {
+  /** Runs all calls; returns for each the time from its second prefill to its second decode. */
+  private static List<Long> runAllCalls(PrefixCacheMeter meter) throws Exception {
     List<GatewaySettings.ClassSettings> classes = settings(1, "127.0.0.1:1").classes();
     try (ScenarioFleet fleet = new ScenarioFleet(classes, 1);
         EmulatedProcess clients = new EmulatedProcess("clients", 1)) {
@@ -104,8 +105,15 @@
               .withLimits(WRITER_SLOTS, WRITER_SLOTS, MEMORY_TOKENS));
     }
     fleet.addGateway(settings(port, fleet.catalogueAddress()), meter.routerFactory());
-    if (!fleet.awaitServers(GATEWAY, READERS + WRITERS, SERVERS_WAIT_MILLIS)) {
-      throw new IllegalStateException("the gateway does not see its servers");
+    if (!fleet.awaitServers(GATEWAY, READERS + WRITERS, SERVERS_TIMEOUT_MILLIS)) {
+      throw new IllegalStateException(
+          "gateway "
+              + GATEWAY
+              + " did not list all "
+              + (READERS + WRITERS)
+              + " servers within "
+              + SERVERS_TIMEOUT_MILLIS
+              + " ms");
     }
   }
 
@@ -132,15 +140,15 @@
 
   private static GatewaySettings settings(int port, String catalogueAddress) {
     return LoopbackSettings.gateway(
-        GATEWAY, 0, 1, "north", port, catalogueAddress, AffinityBenchmark::widen);
+        GATEWAY, 0, 1, "north", port, catalogueAddress, AffinityBenchmark::relaxLimits);
   }
 
-  private static void widen(ObjectNode settings) {
+  private static void relaxLimits(ObjectNode settings) {
     settings.putObject("overload").put("refuse", false);
     ((ObjectNode) settings.at("/classes/0")).put("deadlineMs", 60_000).put("aimMs", 20_000);
   }
 
-  /** Clients that make one call after the other, until all are made. */
+  /** Clients that each send one call after another until {@link #CALLS} have been sent. */
   private static final class ToolCallers {
     private final EmulatedProcess process;
     private final HttpClient http;
@@ -162,8 +170,14 @@
       for (int i = 0; i < CONCURRENT_CALLS; i++) {
         process.loop().execute(this::startNext);
       }
-      if (!done.await(DONE_WAIT_SECONDS, TimeUnit.SECONDS)) {
-        throw new IllegalStateException(done.getCount() + " calls have not ended");
+      if (!done.await(DONE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+        throw new IllegalStateException(
+            done.getCount()
+                + " of "
+                + CALLS
+                + " calls did not end within "
+                + DONE_TIMEOUT_SECONDS
+                + " s");
       }
     }
 
@@ -210,16 +224,19 @@
     }
   }
 
-  /** For each call, from the arrival of its second read to the second beginning of writing. */
+  /**
+   * Returns, for each call, the microseconds from the arrival of its second prefill to the start of
+   * its second decode.
+   */
   private static List<Long> secondReadToWriteMicros(List<TrafficEvent> events) {
     Map<String, List<TrafficEvent>> eventsByCall = new LinkedHashMap<>();
     for (TrafficEvent event : events) {
-      eventsByCall.computeIfAbsent(event.mark(), absent -> new ArrayList<>()).add(event);
+      eventsByCall.computeIfAbsent(event.mark(), ignored -> new ArrayList<>()).add(event);
     }
     List<Long> micros = new ArrayList<>();
-    for (List<TrafficEvent> ofCall : eventsByCall.values()) {
-      long[] reads = sortedMoments(ofCall, TrafficEvent.Kind.PREFILL);
-      long[] writes = sortedMoments(ofCall, TrafficEvent.Kind.DECODE_STARTED);
+    for (List<TrafficEvent> callEvents : eventsByCall.values()) {
+      long[] reads = sortedTimesMicros(callEvents, TrafficEvent.Kind.PREFILL);
+      long[] writes = sortedTimesMicros(callEvents, TrafficEvent.Kind.DECODE_STARTED);
       if (writes.length > 1) {
         Arrays.stream(reads)
             .filter(read -> read > writes[0])
@@ -230,7 +247,7 @@
     return micros;
   }
 
-  private static long[] sortedMoments(List<TrafficEvent> events, TrafficEvent.Kind kind) {
+  private static long[] sortedTimesMicros(List<TrafficEvent> events, TrafficEvent.Kind kind) {
     return events.stream()
         .filter(event -> event.kind() == kind)
         .mapToLong(TrafficEvent::atMicros)
--- a/benchmark/src/main/java/lemondock/benchmark/BenchmarkMain.java
+++ b/benchmark/src/main/java/lemondock/benchmark/BenchmarkMain.java
@@ -10,9 +10,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The program {@code bin/benchmark}: runs a benchmark by its name, or one of the processes that
- * benchmarks start of this program. Numbers that can be chosen are system properties, named at each
- * benchmark.
+ * The program {@code bin/benchmark}: runs a benchmark by its name, or one of the child processes
+ * that benchmarks start from this program. Parameters are system properties, listed in the comment
+ * of each benchmark.
  */
 public final class BenchmarkMain {
   private static final String DEFAULT_BENCHMARK = "all";
@@ -23,7 +23,7 @@
           + "|decisions|recording|reports|reporting|detector"
           + " FILE...]";
 
-  /** Makes a benchmark of the arguments behind its name. */
+  /** Creates a benchmark, by its name, from the arguments that follow the name. */
   private static final Map<String, Function<List<String>, Benchmark>> BENCHMARKS =
       Map.ofEntries(
           Map.entry("all", arguments -> BenchmarkMain::runAll),
@@ -46,7 +46,7 @@
           Map.entry("detector", BenchmarkMain::detectorBenchmark),
           Map.entry("detector-days", BenchmarkMain::scenarioRecorder));
 
-  /** The processes that benchmarks start; see {@link ChildProcess}. */
+  /** The programs of the child processes that benchmarks start; see {@link ChildProcess}. */
   private static final Map<String, ChildProgram> CHILD_PROGRAMS =
       Map.of(
           ChildProcess.ENGINE, new EngineProgram(),
@@ -56,7 +56,10 @@
 
   private BenchmarkMain() {}
 
-  /** Runs what the first argument names; prints the usage if it names nothing. */
+  /**
+   * Runs the benchmark or child program that the first argument names, by default {@value
+   * #DEFAULT_BENCHMARK}; prints the usage if the name is unknown.
+   */
   public static void main(String[] args) throws Exception {
     ((Logger) LoggerFactory.getLogger(Logger.ROOT_LOGGER_NAME)).setLevel(Level.ERROR);
     String name = args.length == 0 ? DEFAULT_BENCHMARK : args[0];
@@ -85,12 +88,12 @@
     new OpenStreamsBenchmark().run();
   }
 
-  /** Creates the benchmark of {@code detector FILE...}. */
+  /** Creates the benchmark for the command line {@code detector FILE...}. */
   private static Benchmark detectorBenchmark(List<String> arguments) {
     return new DegradationDetectorBenchmark(arguments.stream().map(Path::of).toList());
   }
 
-  /** Creates the recorder of {@code detector-days FROM TO FILE}. */
+  /** Creates the recorder for the command line {@code detector-days FROM TO FILE}. */
   private static Benchmark scenarioRecorder(List<String> arguments) {
     return new DetectorScenarioRecorder(
         Long.parseLong(arguments.get(0)),
--- a/benchmark/src/main/java/lemondock/benchmark/ChildProcess.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ChildProcess.java
@@ -9,32 +9,32 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A process of a benchmark that listens on a port of loopback. Used by one thread. */
+/** A child process of a benchmark that listens on a loopback port. Not thread-safe. */
 final class ChildProcess implements AutoCloseable {
   static final String ENGINE = "engine";
   static final String GATEWAY = "gateway";
   static final String RELAY = "relay-process";
   static final String FIREHOSE = "firehose";
 
-  /** The first word of a gateway's answer to {@link #MEMORY_COMMAND}. */
+  /** The first word of a gateway's response to {@link #MEMORY_COMMAND}. */
   static final String HEAP = "heap";
 
-  /** The first word of a gateway's answer to {@link #ALLOCATED_COMMAND}. */
+  /** The first word of a gateway's response to {@link #ALLOCATED_COMMAND}. */
   static final String ALLOCATED = "allocated";
 
-  /** Written to a gateway's standard input to ask for its heap after a collection. */
+  /** Written to a gateway's standard input to request its heap after a garbage collection. */
   static final int MEMORY_COMMAND = '\n';
 
-  /** Written to a gateway's standard input to ask for the bytes that it has allocated. */
+  /** Written to a gateway's standard input to request the bytes that it has allocated so far. */
   static final int ALLOCATED_COMMAND = 'a';
 
-  private static final List<ChildProcess> ALL = new ArrayList<>();
+  private static final List<ChildProcess> STARTED_PROCESSES = new ArrayList<>();
 
   private final Process process;
   private final BufferedReader output;
   private final int port;
 
-  /** A process of the program as a command line. */
+  /** Builds the command line of a child process and starts it. */
   static final class Builder {
     private final List<String> launcher = new ArrayList<>();
     private final List<String> jvmOptions = new ArrayList<>();
@@ -45,13 +45,17 @@
       this.arguments.addAll(List.of(arguments));
     }
 
-    /** Has the process started by another program, as {@code taskset -c 0}. */
+    /** Starts the process through another program, such as {@code taskset -c 0}. */
     Builder launchedBy(String... launcherCommand) {
       launcher.addAll(List.of(launcherCommand));
       return this;
     }
 
-    /** Starts the process and waits until it listens. */
+    /**
+     * Starts the process and waits until it listens.
+     *
+     * @throws IOException if the process ends before it reports its port
+     */
     ChildProcess start() throws IOException {
       List<String> command = new ArrayList<>(launcher);
       command.add(ProcessHandle.current().info().command().orElse("java"));
@@ -64,16 +68,19 @@
   }
 
   /**
-   * An emulated engine.
+   * Builds the process of an emulated engine.
    *
-   * @param slots requests that it runs at a time
-   * @param tokenMillis between two tokens of an answer
+   * @param slots requests that the engine runs concurrently
+   * @param tokenMillis interval between two tokens of an answer
    */
   static Builder engine(String maxHeap, int slots, int tokenMillis) {
     return new Builder(maxHeap, ENGINE, Integer.toString(slots), Integer.toString(tokenMillis));
   }
 
-  /** A gateway; the system property {@code jvm} has further options, to compare or to profile. */
+  /**
+   * Builds the process of a gateway. The system property {@code jvm} adds JVM options, for
+   * comparison or profiling.
+   */
   static Builder gateway(String maxHeap, Path settings) {
     Builder builder = new Builder(maxHeap, GATEWAY, settings.toString());
     String jvmOptions = System.getProperty("jvm", "");
@@ -83,19 +90,19 @@
     return builder;
   }
 
-  /** A relay of bytes to a port, the baseline of a gateway. */
+  /** Builds the process of a byte relay to a port, the baseline for a gateway. */
   static Builder relay(String maxHeap, int targetPort, int threads) {
     return new Builder(maxHeap, RELAY, Integer.toString(targetPort), Integer.toString(threads));
   }
 
-  /** A server that writes streams as fast as they are taken. */
+  /** Builds the process of a server that writes streams as fast as clients read them. */
   static Builder firehose(String maxHeap, int threads) {
     return new Builder(maxHeap, FIREHOSE, Integer.toString(threads));
   }
 
   private ChildProcess(List<String> command) throws IOException {
     process = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.INHERIT).start();
-    ALL.add(this);
+    STARTED_PROCESSES.add(this);
     output =
         new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     port = Integer.parseInt(awaitLine("ready"));
@@ -105,60 +112,66 @@
     return port;
   }
 
-  /** Waits for the line that begins with that word and gives the rest of it. */
+  /** Waits for a line that begins with {@code firstWord} and returns the rest of the line. */
   private String awaitLine(String firstWord) throws IOException {
     for (String line = output.readLine(); line != null; line = output.readLine()) {
       if (line.startsWith(firstWord + " ")) {
         return line.substring(firstWord.length() + 1);
       }
     }
-    throw new IOException("a process ended before it said " + firstWord);
+    throw new IOException(
+        "child process closed its output before it printed a line that begins with \""
+            + firstWord
+            + "\"");
   }
 
-  /** CPU time that the process has used so far. */
+  /** The CPU time that the process has used so far; zero if the platform does not report it. */
   Duration cpuTime() {
     return process.info().totalCpuDuration().orElse(Duration.ZERO);
   }
 
   /**
-   * A gateway's heap after a collection and its load.
+   * A gateway's heap after a garbage collection, and its load.
    *
-   * @param allocatedBytes that all its threads have allocated so far
-   * @param description as the process prints it, beginning with the heap in MB
+   * @param heapMegabytes heap in use
+   * @param allocatedBytes bytes that all its threads have allocated so far
+   * @param description the line that the process prints, which begins with the heap in MB
    */
   record Memory(long heapMegabytes, long allocatedBytes, String description) {}
 
-  /** Has a gateway collect its garbage and asks for its memory. */
+  /** Runs a garbage collection in a gateway and returns its memory afterwards. */
   Memory collectAndMeasure() throws IOException {
-    String answer = ask(MEMORY_COMMAND, HEAP);
-    String[] words = answer.split(" ");
-    return new Memory(Long.parseLong(words[0]), Long.parseLong(words[words.length - 1]), answer);
+    String response = sendCommand(MEMORY_COMMAND, HEAP);
+    String[] words = response.split(" ");
+    return new Memory(Long.parseLong(words[0]), Long.parseLong(words[words.length - 1]), response);
   }
 
-  /** Asks a gateway for the bytes that its threads have allocated so far, without a collection. */
+  /**
+   * Returns the bytes that a gateway's threads have allocated so far, without a garbage collection.
+   */
   long allocatedBytes() throws IOException {
-    return Long.parseLong(ask(ALLOCATED_COMMAND, ALLOCATED));
+    return Long.parseLong(sendCommand(ALLOCATED_COMMAND, ALLOCATED));
   }
 
-  private String ask(int command, String firstWord) throws IOException {
+  private String sendCommand(int command, String firstWord) throws IOException {
     process.getOutputStream().write(command);
     process.getOutputStream().flush();
     return awaitLine(firstWord);
   }
 
-  /** Sends a signal by its name, as STOP. */
+  /** Sends a signal by its name without the prefix SIG, such as STOP. */
   void signal(String name) throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
   }
 
-  /** Ends the process, without waiting for it. */
+  /** Asks the process to terminate, without waiting until it has. */
   @Override
   public void close() {
     process.destroy();
   }
 
-  /** Ends all processes that were started. */
+  /** Closes all child processes that this process has started. */
   static void closeAll() {
-    ALL.forEach(ChildProcess::close);
+    STARTED_PROCESSES.forEach(ChildProcess::close);
   }
 }
--- a/benchmark/src/main/java/lemondock/benchmark/ChildProgram.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ChildProgram.java
@@ -3,10 +3,14 @@
 import java.util.List;
 
 /**
- * What a process that a benchmark starts does: it prints {@code ready PORT} once it listens and
- * runs until it is ended.
+ * The program of a child process that a benchmark starts. It prints {@code ready PORT} once it
+ * listens and runs until the process is terminated.
  */
 interface ChildProgram {
-  /** Runs in this process; the arguments are those of {@link ChildProcess}. */
+  /**
+   * Runs the program in this process.
+   *
+   * @param arguments the command-line arguments that {@link ChildProcess} passes after the name
+   */
   void run(List<String> arguments) throws Exception;
 }
--- a/benchmark/src/main/java/lemondock/benchmark/CpuTime.java
+++ b/benchmark/src/main/java/lemondock/benchmark/CpuTime.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.concurrent.TimeUnit;
 
-/** CPU time of processes. */
+/** Reads and formats the CPU time of processes. */
 final class CpuTime {
   private static final int SHARE_SAMPLES = 10;
   private static final double NANOS_PER_MICRO = 1e3;
@@ -11,19 +11,19 @@
 
   private CpuTime() {}
 
-  /** CPU time that this process has used so far. */
+  /** The CPU time that this process has used so far; zero if the platform does not report it. */
   static Duration ofThisProcess() {
     return ProcessHandle.current().info().totalCpuDuration().orElse(Duration.ZERO);
   }
 
-  /** CPU time between two readings for each of so many events, in microseconds. */
+  /** The CPU time between two readings, divided by the number of events, in microseconds. */
   static double microsPerEvent(Duration before, Duration after, double events) {
     return after.minus(before).toNanos() / NANOS_PER_MICRO / events;
   }
 
   /**
-   * Watches a process for ten seconds and formats its use of one processor, in percent, as {@code
-   * median (least to most)}.
+   * Samples the CPU time of a process each second for ten seconds and formats its use of one
+   * processor, in percent, as {@code median (minimum to maximum)}.
    */
   static String formatShare(ChildProcess process) throws InterruptedException {
     RoundValues shares = new RoundValues(1, SHARE_SAMPLES);
--- a/benchmark/src/main/java/lemondock/benchmark/DecisionBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/DecisionBenchmark.java
@@ -25,8 +25,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How long the decision module takes for a request, with 64 servers and 400 requests in flight. A
- * request is four events: it arrives, its prompt is read, its first token comes, its answer ends.
+ * Measures how long the decision module takes for a request, with 64 servers and 400 requests in
+ * flight. A request causes four events: its arrival, the end of its prefill, its first token and
+ * the end of its answer.
  */
 final class DecisionBenchmark implements Benchmark {
   private static final int SERVERS = 64;
@@ -43,7 +44,7 @@
   private final Queue<RecordingRouterHost.Send> writes = new ArrayDeque<>();
   private final SplittableRandom random = new SplittableRandom(1);
 
-  /** Times of the module's own clock. */
+  /** The simulated time that is passed to the module. */
   private long nowMicros = 1_000_000;
 
   @Override
@@ -52,11 +53,11 @@
     control.endpointsChanged(nowMicros, EndpointListKind.FULL_LIST, servers());
     Histogram requestNanos = new Histogram(MAX_DECISION_NANOS, 3);
     for (int i = 0; i < WARM_UP_REQUESTS; i++) {
-      decide(i + 1);
+      runRequest(i + 1);
     }
     long startNanos = System.nanoTime();
     for (int i = WARM_UP_REQUESTS; i < REQUESTS; i++) {
-      requestNanos.recordValue(decide(i + 1));
+      requestNanos.recordValue(runRequest(i + 1));
     }
     print(requestNanos, (System.nanoTime() - startNanos) / NANOS_PER_SECOND);
   }
@@ -64,7 +65,7 @@
   private void print(Histogram requestNanos, double seconds) {
     System.out.printf(
         Locale.ROOT,
-        "decisions, %d servers, %d under way: %.0f requests a second (four events each); "
+        "decisions, %d servers, %d in flight: %.0f requests a second (four events each); "
             + "a request p50 %.1f us, p99 %.1f us%n",
         SERVERS,
         writes.size(),
@@ -73,21 +74,24 @@
         requestNanos.getValueAtPercentile(99) / NANOS_PER_MICRO);
   }
 
-  /** Has a request decided and an earlier one ended; gives the time that it took. */
-  private long decide(long requestId) {
+  /**
+   * Runs the arrival, prefill and first token of a new request and the end of an earlier one;
+   * returns the nanoseconds that the module took.
+   */
+  private long runRequest(long requestId) {
     nowMicros += REQUEST_INTERVAL_MICROS;
     final long startNanos = System.nanoTime();
     control.requestArrived(nowMicros, drawRequest(requestId));
-    host.pollSend().ifPresent(this::readAndWrite);
+    host.pollSend().ifPresent(this::completeRead);
     if (writes.size() > IN_FLIGHT) {
       endAnswer(writes.remove());
     }
-    long tookNanos = System.nanoTime() - startNanos;
+    long elapsedNanos = System.nanoTime() - startNanos;
     host.clearSends();
-    return tookNanos;
+    return elapsedNanos;
   }
 
-  private void readAndWrite(RecordingRouterHost.Send read) {
+  private void completeRead(RecordingRouterHost.Send read) {
     control.attemptEnded(
         nowMicros + 100,
         new AttemptResult(
--- a/benchmark/src/main/java/lemondock/benchmark/Degradation.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Degradation.java
@@ -8,8 +8,9 @@
 import lemondock.benchmark.RecordedScenario.Call;
 
 /**
- * A degradation of service as clients saw it: from a bad call on, over two seconds of a gateway's
- * calls (all, or of one class), at least a quarter, and four, were lost or late.
+ * A degradation of service as clients observed it. It starts at a bad (lost or late) call of a
+ * gateway, considering all calls or those of one class, if at least a quarter of the calls in the
+ * two seconds from there, and at least four, were bad.
  *
  * @param fromMicros when its first bad call was sent
  * @param toMicros when its last bad call was sent
@@ -20,36 +21,36 @@
   private static final double MIN_BAD_SHARE = 0.25;
   private static final int MIN_BAD_CALLS = 4;
 
-  /** Finds the degradations among calls; those close to each other are one. */
+  /** Finds the degradations among calls; merges those at most a second apart. */
   static List<Degradation> find(List<Call> calls) {
     List<Call> sorted = new ArrayList<>(calls);
     sorted.sort(Comparator.comparingLong(Call::atMicros));
     List<Degradation> found = new ArrayList<>();
     for (int i = 0; i < sorted.size(); i++) {
-      beginningAt(sorted, i).ifPresent(next -> addOrMerge(found, next));
+      startingAt(sorted, i).ifPresent(next -> addOrMerge(found, next));
     }
     return found;
   }
 
-  private static Optional<Degradation> beginningAt(List<Call> sorted, int first) {
+  private static Optional<Degradation> startingAt(List<Call> sorted, int first) {
     long fromMicros = sorted.get(first).atMicros();
     if (sorted.get(first).good()) {
       return Optional.empty();
     }
     int bad = 0;
-    int all = 0;
+    int total = 0;
     long lastBadMicros = 0;
     for (Call call : sorted.subList(first, sorted.size())) {
       if (call.atMicros() - fromMicros > WINDOW_MICROS) {
         break;
       }
-      all++;
+      total++;
       if (!call.good()) {
         bad++;
         lastBadMicros = call.atMicros();
       }
     }
-    return bad >= MIN_BAD_CALLS && bad >= MIN_BAD_SHARE * all
+    return bad >= MIN_BAD_CALLS && bad >= MIN_BAD_SHARE * total
         ? Optional.of(new Degradation(fromMicros, lastBadMicros))
         : Optional.empty();
   }
@@ -65,8 +66,8 @@
     }
   }
 
-  /** Whether a moment lies in it or not longer than that behind it. */
-  boolean includes(long momentMicros, long afterMicros) {
-    return momentMicros >= fromMicros && momentMicros <= toMicros + afterMicros;
+  /** Whether a time is within this degradation or at most {@code afterMicros} after its end. */
+  boolean includes(long timeMicros, long afterMicros) {
+    return timeMicros >= fromMicros && timeMicros <= toMicros + afterMicros;
   }
 }
--- a/benchmark/src/main/java/lemondock/benchmark/DegradationDetectorBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/DegradationDetectorBenchmark.java
@@ -16,21 +16,22 @@
 import lemondock.anomaly.CusumDetector;
 
 /**
- * Runs detectors of degradations over recorded scenarios and prints how many each found, how soon,
- * and how often it was wrong; then over hours of drawn quiet traffic.
+ * Runs degradation detectors over recorded scenarios and prints how many degradations each
+ * detected, after which delay, and how many false alarms it raised. Also counts false alarms over
+ * hours of randomly generated traffic without degradations.
  */
 final class DegradationDetectorBenchmark implements Benchmark {
   private static final long SECOND_MICROS = TimeUnit.SECONDS.toMicros(1);
   private static final double[] CUSUM_THRESHOLDS = {5, 7, 9, 12, 16};
-  private static final double[] BURN_RATES = {3, 5, 8};
-  private static final double USUAL_LOSS = 0.05;
+  private static final double[] MAX_BURN_RATES = {3, 5, 8};
+  private static final double ERROR_BUDGET = 0.05;
   private static final int MIN_BAD_REQUESTS = 3;
   private static final int QUIET_HOURS = 100;
-  private static final double QUIET_LOSS = 0.03;
+  private static final double QUIET_BAD_PROBABILITY = 0.03;
 
   private final List<Path> files;
 
-  /** Makes a benchmark of the scenarios in those files. */
+  /** Creates a benchmark of the scenarios in files that {@link DetectorScenarioRecorder} wrote. */
   DegradationDetectorBenchmark(List<Path> files) {
     this.files = files;
   }
@@ -40,13 +41,13 @@
     List<RecordedScenario> scenarios = readScenarios();
     System.out.println(
         scenarios.size()
-            + " days, kept the rules: "
+            + " recorded scenarios, of which kept all rules: "
             + scenarios.stream().filter(RecordedScenario::rulesKept).count());
     System.out.println(
         "| detector | falls | told | delay s p50 / p90 | false alarms / all | false an hour"
             + " (gateway) | false in 100 h of quiet draws: 2, 20, 100 a second |\n"
             + "| --- | --- | --- | --- | --- | --- | --- |");
-    detectors().forEach((name, newDetector) -> judge(name, newDetector, scenarios));
+    detectors().forEach((name, newDetector) -> printScore(name, newDetector, scenarios));
   }
 
   private List<RecordedScenario> readScenarios() throws IOException {
@@ -59,7 +60,7 @@
     return scenarios;
   }
 
-  /** The detectors that are compared, by the names that the table has. */
+  /** The compared detectors by their names in the printed table. */
   private static Map<String, Supplier<ChangeDetector>> detectors() {
     Map<String, Supplier<ChangeDetector>> detectors = new LinkedHashMap<>();
     for (double threshold : CUSUM_THRESHOLDS) {
@@ -67,10 +68,12 @@
           "cumulative sum, threshold " + threshold,
           () -> new CusumDetector(CusumDetector.Options.DEFAULT.withAlarmThreshold(threshold)));
     }
-    for (double rate : BURN_RATES) {
+    for (double maxBurnRate : MAX_BURN_RATES) {
       detectors.put(
-          "burn rate 3 s and 12 s, " + rate + " times 5 %",
-          () -> new BurnRateDetector(burnRateOptions(rate, 3 * SECOND_MICROS, 12 * SECOND_MICROS)));
+          "burn rate 3 s and 12 s, " + maxBurnRate + " times 5 %",
+          () ->
+              new BurnRateDetector(
+                  burnRateOptions(maxBurnRate, 3 * SECOND_MICROS, 12 * SECOND_MICROS)));
     }
     detectors.put(
         "burn rate 1 s and 5 s, 5.0 times 5 %",
@@ -79,12 +82,17 @@
   }
 
   private static BurnRateDetector.Options burnRateOptions(
-      double rate, long shortWindowMicros, long longWindowMicros) {
+      double maxBurnRate, long shortWindowMicros, long longWindowMicros) {
     return new BurnRateDetector.Options(
-        USUAL_LOSS, rate, MIN_BAD_REQUESTS, shortWindowMicros, longWindowMicros, 3 * SECOND_MICROS);
+        ERROR_BUDGET,
+        maxBurnRate,
+        MIN_BAD_REQUESTS,
+        shortWindowMicros,
+        longWindowMicros,
+        3 * SECOND_MICROS);
   }
 
-  private static void judge(
+  private static void printScore(
       String name, Supplier<ChangeDetector> newDetector, List<RecordedScenario> scenarios) {
     DetectorScore score = new DetectorScore(newDetector);
     scenarios.forEach(score::add);
@@ -105,7 +113,10 @@
         countQuietAlarms(newDetector, 100));
   }
 
-  /** Alarms in 100 hours of drawn requests, of which 3 in 100 are bad by chance. */
+  /**
+   * Counts the alarms in 100 hours of generated requests, each of which is bad with a probability
+   * of 3 %. Every such alarm is false.
+   */
   private static int countQuietAlarms(Supplier<ChangeDetector> newDetector, int requestsPerSecond) {
     SplittableRandom random = new SplittableRandom(requestsPerSecond);
     ChangeDetector detector = newDetector.get();
@@ -122,7 +133,7 @@
   private static int drawBadRequests(SplittableRandom random, int requests) {
     int bad = 0;
     for (int i = 0; i < requests; i++) {
-      if (random.nextDouble() < QUIET_LOSS) {
+      if (random.nextDouble() < QUIET_BAD_PROBABILITY) {
         bad++;
       }
     }
--- a/benchmark/src/main/java/lemondock/benchmark/DetectorScenarioRecorder.java
+++ b/benchmark/src/main/java/lemondock/benchmark/DetectorScenarioRecorder.java
@@ -20,9 +20,10 @@
 import lemondock.scenario.ScenarioSettings;
 
 /**
- * Plays fault scenarios on sockets with emulated engines and keeps what each gateway's detector saw
- * beside what the clients saw, for {@link DegradationDetectorBenchmark}. Appends one line of JSON
- * for each scenario to a file; {@link RecordedScenario} describes it.
+ * Plays fault scenarios over sockets with emulated engines and records, for {@link
+ * DegradationDetectorBenchmark}, the input of each gateway's detector together with what the
+ * clients observed. Appends one line of JSON for each scenario to a file; {@link RecordedScenario}
+ * parses it.
  */
 final class DetectorScenarioRecorder implements Benchmark {
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -34,6 +35,7 @@
   private final long lastSeed;
   private final Path file;
 
+  /** Creates a recorder of the scenarios with the seeds from first to last, both included. */
   DetectorScenarioRecorder(long firstSeed, long lastSeed, Path file) {
     this.firstSeed = firstSeed;
     this.lastSeed = lastSeed;
@@ -48,14 +50,14 @@
   }
 
   private void playAndAppend(long seed) throws IOException, InterruptedException {
-    ArrayNode looks = MAPPER.createArrayNode(); // guarded by itself
+    ArrayNode snapshots = MAPPER.createArrayNode(); // guarded by itself
     FaultScenario scenario =
         new FaultScenario(ScenarioScript.draw(seed, SCENARIO_SECONDS))
             .onSnapshot(
                 (gateway, atMicros, snapshot) -> {
-                  ObjectNode look = lookJson(gateway, atMicros, snapshot);
-                  synchronized (looks) {
-                    looks.add(look);
+                  ObjectNode snapshotJson = snapshotJson(gateway, atMicros, snapshot);
+                  synchronized (snapshots) {
+                    snapshots.add(snapshotJson);
                   }
                 });
     ScenarioResult result = scenario.play();
@@ -66,12 +68,12 @@
             .put("kept", result.audit().allRulesKept())
             .put("troubles", result.script().describe());
     line.set("calls", callsJson(result.callRecords()));
-    synchronized (looks) {
-      line.set("looks", looks);
+    synchronized (snapshots) {
+      line.set("looks", snapshots);
     }
     append(line);
     System.err.println(
-        "day "
+        "scenario with seed "
             + seed
             + ": "
             + (result.audit().allRulesKept()
@@ -79,10 +81,10 @@
                 : "RULES BROKEN " + result.audit().violations()));
   }
 
-  /** The counts of good and bad requests of each class as a detector gets them. */
-  private static ObjectNode lookJson(String gateway, long atMicros, MetricsSnapshot snapshot) {
-    ObjectNode look = MAPPER.createObjectNode().put("g", gateway).put("at", atMicros);
-    ObjectNode counts = look.putObject("n");
+  /** Formats the counts of good and bad requests of each class, as a detector receives them. */
+  private static ObjectNode snapshotJson(String gateway, long atMicros, MetricsSnapshot snapshot) {
+    ObjectNode json = MAPPER.createObjectNode().put("g", gateway).put("at", atMicros);
+    ObjectNode counts = json.putObject("n");
     for (Series series : snapshot.series()) {
       if (series.family().equals(MetricFamilies.SERVICE_LEVEL)) {
         counts
@@ -91,15 +93,15 @@
             .add(snapshot.values()[series.slot(1)]);
       }
     }
-    return look;
+    return json;
   }
 
   private static ArrayNode callsJson(List<CallRecord> records) {
     ArrayNode calls = MAPPER.createArrayNode();
     List<GatewaySettings.ClassSettings> classes = ScenarioSettings.requestClasses();
     for (CallRecord call : records) {
-      boolean hasEnd = call.answeredAtMicros != 0 || call.connectionLostAtMicros == 0;
-      if (!call.notAccepted && call.cancelledAtMicros == 0 && hasEnd) {
+      boolean hasKnownOutcome = call.answeredAtMicros != 0 || call.connectionLostAtMicros == 0;
+      if (!call.notAccepted && call.cancelledAtMicros == 0 && hasKnownOutcome) {
         GatewaySettings.ClassSettings requestClass = classes.get(call.classId);
         calls
             .addObject()
@@ -112,22 +114,23 @@
     return calls;
   }
 
-  /** Whether a call met its class's latency objectives, as its client saw it. */
+  /** Whether a call met the latency objectives of its class, as measured by its client. */
   private static boolean isGood(GatewaySettings.ClassSettings requestClass, CallRecord call) {
-    double promptMillis =
+    double promptAllowanceMillis =
         requestClass.aimMsPerThousandTokens()
             * call.promptChars
             / CHARACTERS_PER_TOKEN
             / TOKENS_PER_OBJECTIVE_UNIT;
-    double objectiveMicros = GatewaySettings.micros(requestClass.aimMs() + promptMillis);
-    long firstMicros =
+    double objectiveMicros = GatewaySettings.micros(requestClass.aimMs() + promptAllowanceMillis);
+    long firstResponseAtMicros =
         call.firstMessageAtMicros != 0 ? call.firstMessageAtMicros : call.answeredAtMicros;
     return call.served()
-        && firstMicros - call.calledAtMicros <= objectiveMicros
-        && (!call.toolCalls.isEmpty() || hasGoodPace(requestClass, call));
+        && firstResponseAtMicros - call.calledAtMicros <= objectiveMicros
+        && (!call.toolCalls.isEmpty() || meetsTokenObjective(requestClass, call));
   }
 
-  private static boolean hasGoodPace(GatewaySettings.ClassSettings requestClass, CallRecord call) {
+  private static boolean meetsTokenObjective(
+      GatewaySettings.ClassSettings requestClass, CallRecord call) {
     return call.answeredAtMicros - call.firstMessageAtMicros
         <= GatewaySettings.micros(Math.max(1, call.tokens) * requestClass.tokenAimMs());
   }
--- a/benchmark/src/main/java/lemondock/benchmark/DetectorScore.java
+++ b/benchmark/src/main/java/lemondock/benchmark/DetectorScore.java
@@ -15,17 +15,17 @@
 import lemondock.benchmark.RecordedScenario.Look;
 
 /**
- * How well a detector found the degradations of recorded scenarios. An alarm belongs to a
- * degradation of the same gateway and class, where all classes together match each of them.
+ * How well a detector found the degradations of recorded scenarios. An alarm matches a degradation
+ * of the same gateway and class; {@link DegradationDetector#ALL} matches every class.
  */
 final class DetectorScore {
   private static final long SECOND_MICROS = TimeUnit.SECONDS.toMicros(1);
   private static final double HOUR_MICROS = TimeUnit.HOURS.toMicros(1);
 
-  /** An alarm detects a degradation until so long after its end. */
+  /** An alarm up to this long after the end of a degradation still detects it. */
   private static final long DETECTED_WITHIN_MICROS = 3 * SECOND_MICROS;
 
-  /** An alarm is not false until so long after a degradation's end. */
+  /** An alarm up to this long after the end of a degradation is not counted as false. */
   private static final long CAUSED_WITHIN_MICROS = 4 * SECOND_MICROS;
 
   private final Supplier<ChangeDetector> newChangeDetector;
@@ -35,32 +35,36 @@
   private int falseAlarms;
   private double observedHours;
 
-  /** Makes the score of a detector that judges each class by such a change detector. */
+  /**
+   * Creates the score of a detector.
+   *
+   * @param newChangeDetector creates the change detector that the detector runs for each class
+   */
   DetectorScore(Supplier<ChangeDetector> newChangeDetector) {
     this.newChangeDetector = newChangeDetector;
   }
 
-  /** Runs the detector over a scenario and adds what it found. */
+  /** Runs the detector over a scenario and adds its detections and alarms to the score. */
   void add(RecordedScenario scenario) {
     scenario
         .looksByGateway()
         .forEach(
             (gateway, looks) -> {
-              Map<String, List<Degradation>> truth = new TreeMap<>();
+              Map<String, List<Degradation>> degradationsByKey = new TreeMap<>();
               scenario
                   .callsByGateway()
                   .getOrDefault(gateway, Map.of())
-                  .forEach((key, calls) -> truth.put(key, Degradation.find(calls)));
+                  .forEach((key, calls) -> degradationsByKey.put(key, Degradation.find(calls)));
               long observedMicros =
                   looks.get(looks.size() - 1).atMicros() - looks.get(0).atMicros();
               observedHours += observedMicros / HOUR_MICROS;
               Map<String, List<Long>> alarmsByKey = runDetector(looks);
-              addDetections(truth, alarmsByKey);
-              addAlarms(truth, alarmsByKey);
+              addDetections(degradationsByKey, alarmsByKey);
+              addAlarms(degradationsByKey, alarmsByKey);
             });
   }
 
-  /** Runs the detector over what it saw; gives the moments of its alarms by class. */
+  /** Runs the detector over the snapshots of a gateway; returns the times of alarms by class. */
   private Map<String, List<Long>> runDetector(List<Look> looks) {
     Map<String, List<Long>> alarmsByKey = new TreeMap<>();
     DegradationDetector detector = new DegradationDetector(newChangeDetector);
@@ -74,7 +78,7 @@
       for (DegradationChange change : detector.observe(look.atMicros(), counts(look), List.of())) {
         if (change.isStart()) {
           alarmsByKey
-              .computeIfAbsent(change.scope().name(), absent -> new ArrayList<>())
+              .computeIfAbsent(change.scope().name(), ignored -> new ArrayList<>())
               .add(look.atMicros());
         }
       }
@@ -94,17 +98,17 @@
   }
 
   private void addDetections(
-      Map<String, List<Degradation>> truth, Map<String, List<Long>> alarmsByKey) {
-    truth.forEach(
-        (key, all) -> {
-          for (Degradation degradation : all) {
+      Map<String, List<Degradation>> degradationsByKey, Map<String, List<Long>> alarmsByKey) {
+    degradationsByKey.forEach(
+        (key, degradationsOfKey) -> {
+          for (Degradation degradation : degradationsOfKey) {
             degradations++;
             alarmsByKey.entrySet().stream()
                 .filter(entry -> matches(key, entry.getKey()))
                 .flatMap(entry -> entry.getValue().stream())
-                .filter(alarm -> degradation.includes(alarm, DETECTED_WITHIN_MICROS))
+                .filter(alarmMicros -> degradation.includes(alarmMicros, DETECTED_WITHIN_MICROS))
                 .min(Long::compare)
-                .ifPresent(alarm -> addDelay(alarm - degradation.fromMicros()));
+                .ifPresent(alarmMicros -> addDelay(alarmMicros - degradation.fromMicros()));
           }
         });
   }
@@ -114,33 +118,34 @@
   }
 
   private void addAlarms(
-      Map<String, List<Degradation>> truth, Map<String, List<Long>> alarmsByKey) {
+      Map<String, List<Degradation>> degradationsByKey, Map<String, List<Long>> alarmsByKey) {
     alarmsByKey.forEach(
-        (key, moments) -> {
-          for (long alarm : moments) {
+        (key, alarmTimes) -> {
+          for (long alarmMicros : alarmTimes) {
             alarms++;
-            boolean isCaused =
-                truth.entrySet().stream()
+            boolean hasCause =
+                degradationsByKey.entrySet().stream()
                     .filter(entry -> matches(key, entry.getKey()))
                     .flatMap(entry -> entry.getValue().stream())
-                    .anyMatch(degradation -> degradation.includes(alarm, CAUSED_WITHIN_MICROS));
-            falseAlarms += isCaused ? 0 : 1;
+                    .anyMatch(
+                        degradation -> degradation.includes(alarmMicros, CAUSED_WITHIN_MICROS));
+            falseAlarms += hasCause ? 0 : 1;
           }
         });
   }
 
-  private static boolean matches(String key, String other) {
-    return key.equals(other)
+  private static boolean matches(String key, String otherKey) {
+    return key.equals(otherKey)
         || key.equals(DegradationDetector.ALL)
-        || other.equals(DegradationDetector.ALL);
+        || otherKey.equals(DegradationDetector.ALL);
   }
 
-  /** Degradations that there were. */
+  /** The number of degradations that clients observed. */
   int degradations() {
     return degradations;
   }
 
-  /** Those of them that an alarm told of. */
+  /** The number of degradations that an alarm detected. */
   int detected() {
     return delaysSeconds.size();
   }
@@ -153,20 +158,23 @@
     return falseAlarms;
   }
 
-  /** False alarms in an hour of one gateway. */
+  /** The false alarms per hour of observation of one gateway. */
   double falseAlarmsPerHour() {
     return falseAlarms / Math.max(1e-9, observedHours);
   }
 
   /**
-   * The delay that this part of the detected degradations did not exceed; NaN if there are none.
+   * A quantile of the delays from the start of a degradation to its first alarm; NaN if no
+   * degradation was detected.
+   *
+   * @param quantile from 0 to 1
    */
-  double delaySeconds(double share) {
+  double delaySeconds(double quantile) {
     if (delaysSeconds.isEmpty()) {
       return Double.NaN;
     }
     List<Double> sorted = new ArrayList<>(delaysSeconds);
     Collections.sort(sorted);
-    return sorted.get((int) Math.min(sorted.size() - 1, sorted.size() * share));
+    return sorted.get((int) Math.min(sorted.size() - 1, sorted.size() * quantile));
   }
 }
--- a/benchmark/src/main/java/lemondock/benchmark/DirectToolCalls.java
+++ b/benchmark/src/main/java/lemondock/benchmark/DirectToolCalls.java
@@ -12,7 +12,10 @@
 import lemondock.net.http.RequestFailure;
 import lemondock.net.http.ResponseReceiver;
 
-/** The calls of {@link RelayedToolCalls}, by a client that speaks with the engine itself. */
+/**
+ * Makes the calls of {@link RelayedToolCalls} from a client that connects directly to the engine,
+ * without a gateway.
+ */
 final class DirectToolCalls {
   private static final int ANSWER_WORDS = 3;
   private static final int MAX_TOKENS = 100;
@@ -26,7 +29,12 @@
   private long remaining;
   private int started;
 
-  /** Prepares as many calls as the latch counts. */
+  /**
+   * Prepares as many calls as the count of the latch.
+   *
+   * @param namePrefix prefix of the names that identify the calls in the engine's reports
+   * @param done counted down when a call completes
+   */
   DirectToolCalls(
       HttpClient http, InetSocketAddress engine, String namePrefix, CountDownLatch done) {
     this.http = http;
@@ -36,7 +44,7 @@
     this.remaining = done.getCount();
   }
 
-  /** Starts the next call, and each later one when the one before it has ended. */
+  /** Starts the next call; each later call starts when the previous one has ended. */
   void start() {
     if (remaining == 0) {
       return;
@@ -44,11 +52,11 @@
     remaining--;
     ObjectNode body = firstTurn(namePrefix + started);
     started++;
-    complete(
+    sendTurn(
         body,
         () -> {
           addToolResult((ArrayNode) body.get("messages"));
-          complete(body, this::endCall);
+          sendTurn(body, this::endCall);
         });
   }
 
@@ -74,7 +82,7 @@
     return body;
   }
 
-  /** Adds the turn that calls the tool, as the engine has written it, and the tool's result. */
+  /** Adds the turn that calls the tool, exactly as the engine wrote it, and the tool's result. */
   private static void addToolResult(ArrayNode messages) {
     ObjectNode callingTurn =
         messages.addObject().put("role", "assistant").put("content", FIRST_TURN_TEXT);
@@ -93,27 +101,27 @@
         .put("content", "did-stock");
   }
 
-  private void complete(ObjectNode body, Runnable afterwards) {
+  private void sendTurn(ObjectNode body, Runnable onCompletion) {
     Headers headers =
         Headers.of("host", "x", "user-agent", "direct", "content-type", "application/json");
     byte[] bytes = body.toString().getBytes(StandardCharsets.UTF_8);
     http.send(
         engine,
         HttpEncoder.request("POST", "/v1/chat/completions", headers, bytes),
-        new CompletionReceiver(afterwards));
+        new CompletionReceiver(onCompletion));
   }
 
-  /** Goes on when an answer is complete. */
-  private record CompletionReceiver(Runnable afterwards) implements ResponseReceiver {
+  /** Runs an action when the response is complete. */
+  private record CompletionReceiver(Runnable onCompletion) implements ResponseReceiver {
     @Override
     public void onComplete() {
-      afterwards.run();
+      onCompletion.run();
     }
 
     @Override
     public void onFailure(RequestFailure failure, String reason) {
-      // the calls that do not end are reported by who awaits them
-      System.err.println("the engine: " + failure + ", " + reason);
+      // calls that never end are reported by the thread that waits on the latch
+      System.err.println("request to the engine failed: " + failure + ", " + reason);
     }
   }
 }
--- a/benchmark/src/main/java/lemondock/benchmark/EngineProgram.java
+++ b/benchmark/src/main/java/lemondock/benchmark/EngineProgram.java
@@ -6,7 +6,9 @@
 import lemondock.emulator.TrafficObserver;
 import lemondock.scenario.EmulatedProcess;
 
-/** An emulated engine that never runs out of memory: arguments SLOTS TOKEN_MILLIS. */
+/**
+ * An emulated engine that never runs out of KV-cache memory. Arguments: {@code SLOTS TOKEN_MILLIS}.
+ */
 final class EngineProgram implements ChildProgram {
   private static final int IO_THREADS = 2;
   private static final long SEED = 1;
--- a/benchmark/src/main/java/lemondock/benchmark/FirehoseProgram.java
+++ b/benchmark/src/main/java/lemondock/benchmark/FirehoseProgram.java
@@ -19,8 +19,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Writes streams in the engines' form as fast as they are taken; the prompt says how many events:
- * {@code send N events}. Argument THREADS.
+ * Writes streams in the engines' response format as fast as the client reads them. The prompt sets
+ * the number of events: {@code send N events}. Argument: {@code THREADS}.
  */
 final class FirehoseProgram implements ChildProgram {
   private static final int MAX_REQUEST_BYTES = 1 << 20;
@@ -42,7 +42,7 @@
   private static final class StreamHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final Pattern EVENT_COUNT = Pattern.compile("send (\\d+) events");
     private static final int EVENTS_PER_FLUSH = 4;
-    private static final int ENDED = -1;
+    private static final int NO_STREAM = -1;
     private static final byte[] EVENT =
         ("data:"
              + " {\"id\":\"chatcmpl-1\",\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\""
@@ -54,21 +54,21 @@
              + "data: [DONE]\n\n")
             .getBytes(StandardCharsets.UTF_8);
 
-    private int remainingEvents = ENDED;
+    private int remainingEvents = NO_STREAM;
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-      Matcher count = EVENT_COUNT.matcher(request.content().toString(StandardCharsets.UTF_8));
-      if (count.find()) {
-        remainingEvents = Integer.parseInt(count.group(1));
-        context.write(streamHead());
+      Matcher matcher = EVENT_COUNT.matcher(request.content().toString(StandardCharsets.UTF_8));
+      if (matcher.find()) {
+        remainingEvents = Integer.parseInt(matcher.group(1));
+        context.write(streamResponseHead());
         writeEvents(context);
       } else {
-        answerAbort(context);
+        writeEmptyResponse(context);
       }
     }
 
-    private static HttpResponse streamHead() {
+    private static HttpResponse streamResponseHead() {
       HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
       head.headers()
           .set(HttpHeaderNames.CONTENT_TYPE, "text/event-stream")
@@ -76,13 +76,15 @@
       return head;
     }
 
-    private static void answerAbort(ChannelHandlerContext context) {
+    /** Answers a request that has no event count, such as an abort, with an empty response. */
+    private static void writeEmptyResponse(ChannelHandlerContext context) {
       HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
       head.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
       context.write(head);
       context.writeAndFlush(DefaultLastHttpContent.EMPTY_LAST_CONTENT);
     }
 
+    /** Writes events until the channel is no longer writable or the stream is complete. */
     private void writeEvents(ChannelHandlerContext context) {
       while (remainingEvents > 0 && context.channel().isWritable()) {
         remainingEvents--;
@@ -92,7 +94,7 @@
         }
       }
       if (remainingEvents == 0) {
-        remainingEvents = ENDED;
+        remainingEvents = NO_STREAM;
         context.write(new DefaultHttpContent(Unpooled.wrappedBuffer(LAST_EVENTS)));
         context.writeAndFlush(DefaultLastHttpContent.EMPTY_LAST_CONTENT);
       } else {
--- a/benchmark/src/main/java/lemondock/benchmark/FirehoseRun.java
+++ b/benchmark/src/main/java/lemondock/benchmark/FirehoseRun.java
@@ -7,19 +7,22 @@
 import java.util.function.IntFunction;
 
 /**
- * One run of streams from a firehose over a relaying process, as fast as they are taken.
+ * The result of one run of streams from a {@link FirehoseProgram} through a relaying process, as
+ * fast as the clients read them.
  *
- * @param events that arrived
- * @param cpu time of the relaying process
+ * @param events events that arrived at the clients
+ * @param failures requests that failed, and error events
+ * @param seconds duration of the run
+ * @param cpu CPU time that the relaying process used
  */
 record FirehoseRun(long events, long failures, double seconds, Duration cpu) {
   static final int STREAMS = 64;
   static final int EVENTS_PER_STREAM = 20_000;
   private static final String PROMPT = "send " + EVENTS_PER_STREAM + " events";
-  private static final long DONE_WAIT_SECONDS = 180;
+  private static final long DONE_TIMEOUT_SECONDS = 180;
   private static final double NANOS_PER_SECOND = 1e9;
 
-  /** Runs over a gateway, with a session for each stream. */
+  /** Runs the streams through a gateway, with a session for each stream. */
   static FirehoseRun overGateway(StreamLoad load, ChildProcess gateway, List<String> sessions)
       throws InterruptedException {
     int port = gateway.port();
@@ -29,21 +32,21 @@
         number -> StreamRequest.toGateway(number, port, sessions.get(number), PROMPT));
   }
 
-  /** Runs over a relay that knows no protocol. */
+  /** Runs the streams through a relay of bytes that parses no protocol. */
   static FirehoseRun overRelay(StreamLoad load, ChildProcess relay) throws InterruptedException {
     return run(load, relay, number -> StreamRequest.toEngine(number, relay.port(), PROMPT));
   }
 
   private static FirehoseRun run(
-      StreamLoad load, ChildProcess relayingProcess, IntFunction<StreamRequest> requests)
+      StreamLoad load, ChildProcess relayingProcess, IntFunction<StreamRequest> newRequest)
       throws InterruptedException {
     CountDownLatch done = new CountDownLatch(STREAMS);
     Duration cpuBefore = relayingProcess.cpuTime();
     long startNanos = System.nanoTime();
     for (int i = 0; i < STREAMS; i++) {
-      load.stream(requests.apply(i), done);
+      load.stream(newRequest.apply(i), done);
     }
-    done.await(DONE_WAIT_SECONDS, TimeUnit.SECONDS);
+    done.await(DONE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
     Duration cpu = relayingProcess.cpuTime().minus(cpuBefore);
     return new FirehoseRun(load.events(), load.failures(), seconds, cpu);
--- a/benchmark/src/main/java/lemondock/benchmark/GatewayProgram.java
+++ b/benchmark/src/main/java/lemondock/benchmark/GatewayProgram.java
@@ -19,7 +19,10 @@
 import lemondock.net.nio.WorkerPool;
 import lemondock.scenario.EmulatedProcess;
 
-/** A gateway whose memory can be asked for on standard input: argument SETTINGS_FILE. */
+/**
+ * A gateway that reports its memory on request through standard input. Argument: {@code
+ * SETTINGS_FILE}.
+ */
 final class GatewayProgram implements ChildProgram {
   private static final int BYTES_PER_MEGABYTE = 1 << 20;
 
@@ -64,7 +67,7 @@
     reporting.start(gateway.address());
   }
 
-  /** Returns when standard input ends, with the process that started this one. */
+  /** Answers commands until standard input ends, as it does when the parent process ends. */
   private static void answerCommands(EmulatedProcess process, Gateway gateway) throws IOException {
     for (int command = System.in.read(); command >= 0; command = System.in.read()) {
       if (command == ChildProcess.ALLOCATED_COMMAND) {
--- a/benchmark/src/main/java/lemondock/benchmark/GatewaySettingsFile.java
+++ b/benchmark/src/main/java/lemondock/benchmark/GatewaySettingsFile.java
@@ -6,14 +6,15 @@
 import java.util.OptionalInt;
 
 /**
- * The settings file of a gateway under test: wide limits, one request class without a tight
- * objective, engines from a list in a file. Parts of it can be replaced before it is written.
+ * The settings file of a gateway under test. By default it has limits that no benchmark reaches,
+ * one request class with loose latency objectives, and an endpoint list of engines in a file. Parts
+ * of it can be replaced before it is written.
  */
 final class GatewaySettingsFile {
-  /** The shortest tick that settings may have stands for a gateway that reports nothing. */
+  /** The shortest tick that settings allow; here it marks a gateway that reports nothing. */
   static final int NO_REPORTS_TICK_MILLIS = 10;
 
-  /** The part {@code reporting} of a gateway that reports nothing. */
+  /** The value of {@code reporting} for a gateway that reports nothing. */
   static final String NO_REPORTS = "{\"tickMs\":" + NO_REPORTS_TICK_MILLIS + ",\"intervalMs\":10}";
 
   /** Limits that no benchmark reaches. */
@@ -29,24 +30,24 @@
   private String classes = ONE_CLASS;
   private OptionalInt ioThreads = OptionalInt.empty();
 
-  /** Settings of a gateway with engines at those ports of loopback. */
+  /** Creates the settings of a gateway with engines at the given loopback ports. */
   GatewaySettingsFile(int... enginePorts) {
     this.enginePorts = enginePorts.clone();
   }
 
-  /** Replaces the object {@code reporting}. */
+  /** Replaces the value of the member {@code reporting}. */
   GatewaySettingsFile withReporting(String json) {
     reporting = json;
     return this;
   }
 
-  /** Replaces the member {@code limits}, possibly by several members. */
+  /** Replaces the member {@code limits} with one or more members, given with their names. */
   GatewaySettingsFile withLimits(String jsonMembers) {
     limits = jsonMembers;
     return this;
   }
 
-  /** Replaces the array {@code classes}. */
+  /** Replaces the value of the member {@code classes}. */
   GatewaySettingsFile withClasses(String json) {
     classes = json;
     return this;
@@ -58,17 +59,17 @@
     return this;
   }
 
-  /** Writes settings and engine list to a new temporary folder. */
+  /** Writes the settings and the endpoint list to a new temporary folder; returns the settings. */
   Path write() throws IOException {
     Path folder = Files.createTempDirectory("lemondock-benchmark");
-    Path engineList = folder.resolve("list.json");
-    Files.writeString(engineList, engineListJson());
+    Path endpointList = folder.resolve("list.json");
+    Files.writeString(endpointList, endpointListJson());
     Path settings = folder.resolve("gateway.json");
-    Files.writeString(settings, settingsJson(engineList));
+    Files.writeString(settings, settingsJson(endpointList));
     return settings;
   }
 
-  private String engineListJson() {
+  private String endpointListJson() {
     StringBuilder list = new StringBuilder("{\"servers\":[");
     for (int i = 0; i < enginePorts.length; i++) {
       list.append(i == 0 ? "" : ",")
@@ -81,7 +82,7 @@
     return list.append("]}").toString();
   }
 
-  private String settingsJson(Path engineList) {
+  private String settingsJson(Path endpointList) {
     String threads = ioThreads.isPresent() ? "\"ioThreads\":" + ioThreads.getAsInt() + "," : "";
     return "{\"name\":\"gw\","
         + threads
@@ -92,7 +93,7 @@
         + limits
         + ",\"engines\":{\"maxConnectionsPerServer\":40000,\"streamSilenceMs\":60000,\"connectTimeoutMs\":5000},"
         + "\"discovery\":{\"kind\":\"file\",\"path\":\""
-        + engineList
+        + endpointList
         + "\"},\"classes\":"
         + classes
         + ",\"kinds\":[{\"name\":\"mixed\",\"role\":\"mixed\",\"memoryTokens\":100000000000}]}";
--- a/benchmark/src/main/java/lemondock/benchmark/IdempotencyLogBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/IdempotencyLogBenchmark.java
@@ -15,15 +15,16 @@
 import lemondock.idempotency.LockedDirectory;
 
 /**
- * What it costs to remember calls that may run once: the wait until a call is durable, syncs and
- * CPU, against calls that are not remembered; and the time to read the log again. System
- * properties: {@code rounds}, {@code seconds} (of a round), {@code folder} (where logs go).
+ * Measures the cost of storing non-idempotent calls in the write-ahead log, compared with calls
+ * that are not stored: the wait until a call is durable, syncs and CPU time. Also measures the time
+ * to replay the log. System properties: {@code rounds}, {@code seconds} (length of a round), {@code
+ * folder} (parent folder of the logs).
  */
 final class IdempotencyLogBenchmark implements Benchmark {
   private static final double[] CALLS_PER_SECOND = {1, 100, 10_000};
   private static final int[] LOG_SIZES = {1_000, 10_000, 100_000, 1_000_000};
 
-  /** Rounds at lower rates are longer. */
+  /** Below this rate a round is {@link #LOW_RATE_FACTOR} times as long. */
   private static final double LOW_CALLS_PER_SECOND = 10;
 
   private static final int LOW_RATE_FACTOR = 5;
@@ -51,7 +52,7 @@
   public void run() throws Exception {
     Path root = Files.createTempDirectory(Path.of(parentFolder), "lemondock-dispatch");
     System.out.println(
-        "calls taken, made durable, and ended; "
+        "calls accepted, made durable, and ended; "
             + rounds
             + " rounds of "
             + seconds
@@ -77,14 +78,14 @@
 
   private void measureAppends(Path root, double callsPerSecond) throws Exception {
     int runSeconds = callsPerSecond < LOW_CALLS_PER_SECOND ? LOW_RATE_FACTOR * seconds : seconds;
-    RoundValues forgotten = new RoundValues(COLUMNS, rounds);
+    RoundValues notStored = new RoundValues(COLUMNS, rounds);
     RoundValues durable = new RoundValues(COLUMNS, rounds);
-    for (int round = -1; round < rounds; round++) { // the first warms up
+    for (int round = -1; round < rounds; round++) { // round -1 is a warm-up
       Path folder = root.resolve("r" + callsPerSecond + "-" + round);
-      forgotten.record(round, runAppends(folder, callsPerSecond, runSeconds, false));
+      notStored.record(round, runAppends(folder, callsPerSecond, runSeconds, false));
       durable.record(round, runAppends(folder, callsPerSecond, runSeconds, true));
     }
-    printAppends(callsPerSecond, "none", forgotten);
+    printAppends(callsPerSecond, "none", notStored);
     printAppends(callsPerSecond, "durable", durable);
   }
 
@@ -109,13 +110,13 @@
         String.format(Locale.ROOT, "| %.0f | %s", callsPerSecond, store) + values.format() + " |");
   }
 
-  // ==== reading again
+  // ==== replay
 
   private void measureReplay(Path folder, int calls) throws IOException {
     Files.createDirectories(folder);
     long bytes = writeLog(folder, calls);
     double[] millis = new double[rounds];
-    for (int round = -1; round < rounds; round++) { // the first warms up
+    for (int round = -1; round < rounds; round++) { // round -1 is a warm-up
       long startNanos = System.nanoTime();
       replayLog(folder, calls);
       if (round >= 0) {
@@ -133,7 +134,7 @@
         millis[rounds - 1]);
   }
 
-  /** Writes the records of calls with one tool call each; gives the log's length in bytes. */
+  /** Writes the records of calls with one tool call each; returns the log's length in bytes. */
   private static long writeLog(Path folder, int calls) throws IOException {
     try (LockedDirectory files = new LockedDirectory(folder);
         AppendLog log = new AppendLog(files)) {
@@ -163,7 +164,13 @@
       IdempotencyStore store = newStore();
       log.open(store::replay);
       if (store.size() != calls) {
-        throw new IOException(store.size() + " calls known of " + calls);
+        throw new IOException(
+            "replay of the log in "
+                + folder
+                + " restored "
+                + store.size()
+                + " calls, expected "
+                + calls);
       }
     }
   }
--- a/benchmark/src/main/java/lemondock/benchmark/IdleCostBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/IdleCostBenchmark.java
@@ -6,15 +6,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The gateway's CPU with nothing to do, with idle connections, and with streams whose clients take
- * nothing. System properties: {@code idle} (connections), {@code stalled} (streams).
+ * Measures the gateway's CPU time and heap without load, with idle connections, and with streams
+ * whose clients do not read. System properties: {@code idle} (connections), {@code stalled}
+ * (streams).
  */
 final class IdleCostBenchmark implements Benchmark {
   private static final int ENGINE_SLOTS = 40_000;
   private static final int TOKEN_MILLIS = 1;
-  private static final long START_SECONDS = 3;
-  private static final long IDLE_SECONDS = 2;
-  private static final long STALL_SECONDS = 20;
+  private static final long STARTUP_SECONDS = 3;
+  private static final long IDLE_SETTLE_SECONDS = 2;
+  private static final long STALL_SETTLE_SECONDS = 20;
 
   private final int idleConnections = Integer.getInteger("idle", 5_000);
   private final int stalledStreams = Integer.getInteger("stalled", 100);
@@ -28,7 +29,7 @@
             "| | CPU % of one processor, median (spread) of 10 times 1 s | heap MB after a"
                 + " collection |\n"
                 + "| --- | --- | --- |");
-        TimeUnit.SECONDS.sleep(START_SECONDS);
+        TimeUnit.SECONDS.sleep(STARTUP_SECONDS);
         printRow("nothing", gateway);
         measureIdleConnections(gateway);
         measureStalledStreams(gateway);
@@ -42,7 +43,7 @@
       for (int i = 0; i < idleConnections; i++) {
         connections.connect(gateway.port());
       }
-      TimeUnit.SECONDS.sleep(IDLE_SECONDS);
+      TimeUnit.SECONDS.sleep(IDLE_SETTLE_SECONDS);
       printRow(idleConnections + " idle connections", gateway);
     }
   }
@@ -56,7 +57,7 @@
         String prompt = "#q" + i + "# answer in 100000 words of 8000 letters without pause";
         calls.post(gateway.port(), sessions.get(i), RequestBodies.call(i, prompt));
       }
-      TimeUnit.SECONDS.sleep(STALL_SECONDS);
+      TimeUnit.SECONDS.sleep(STALL_SETTLE_SECONDS);
       printRow(stalledStreams + " stalled streams", gateway);
     }
   }
--- a/benchmark/src/main/java/lemondock/benchmark/IoThreadsBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/IoThreadsBenchmark.java
@@ -4,7 +4,8 @@
 import java.util.List;
 
 /**
- * Events a second, and a CPU second, by the gateway's I/O threads. System property: {@code rounds}.
+ * Measures events per second, events per CPU second and bytes allocated per event, by the number of
+ * the gateway's I/O threads. System property: {@code rounds}.
  */
 final class IoThreadsBenchmark implements Benchmark {
   private static final int[] THREAD_COUNTS = {1, 2, 4, 8};
@@ -32,7 +33,7 @@
         FirehoseRun.STREAMS
             + " streams of "
             + FirehoseRun.EVENTS_PER_STREAM
-            + " events as fast as they are taken; "
+            + " events as fast as clients read them; "
             + rounds
             + " rounds, median (spread)\n"
             + "| I/O threads | events a second | events a CPU second | bytes allocated"
@@ -42,15 +43,19 @@
 
   private RoundValues measure(ChildProcess gateway) throws Exception {
     RoundValues values = new RoundValues(COLUMNS, rounds);
-    for (int round = -1; round < rounds; round++) { // the first warms up
+    for (int round = -1; round < rounds; round++) { // round -1 is a warm-up
       try (StreamLoad load = new StreamLoad(LOAD_LOOPS)) {
         List<String> sessions = load.openSessions(gateway.port(), FirehoseRun.STREAMS);
-        long allocatedBefore = gateway.collectAndMeasure().allocatedBytes();
+        long allocatedBytesBefore = gateway.collectAndMeasure().allocatedBytes();
         FirehoseRun run = FirehoseRun.overGateway(load, gateway, sessions);
         if (round >= 0) {
-          double allocated = gateway.collectAndMeasure().allocatedBytes() - allocatedBefore;
+          double allocatedBytes =
+              gateway.collectAndMeasure().allocatedBytes() - allocatedBytesBefore;
           values.record(
-              round, run.eventsPerSecond(), run.eventsPerCpuSecond(), allocated / run.events());
+              round,
+              run.eventsPerSecond(),
+              run.eventsPerCpuSecond(),
+              allocatedBytes / run.events());
         }
       }
     }
--- a/benchmark/src/main/java/lemondock/benchmark/LatencyBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/LatencyBenchmark.java
@@ -9,19 +9,20 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Streams of a token every 20 ms: straight to the emulated engine, over a bare Netty relay of
- * bytes, and over the gateway. System properties: {@code streams}, {@code rounds}, {@code words},
- * {@code threads} (of the relay), {@code way} (the beginning of the only route that is measured).
+ * Measures the latency and cost of streams with a token every 20 ms on three routes: directly to
+ * the emulated engine, through a bare Netty relay of bytes, and through the gateway. System
+ * properties: {@code streams}, {@code rounds}, {@code words} (of an answer), {@code threads} (of
+ * the relay), {@code way} (prefix of the names of the routes to measure; all by default).
  */
 final class LatencyBenchmark implements Benchmark {
   private static final int TOKEN_MILLIS = 20;
   private static final int ENGINE_SLOTS = 8_000;
 
-  /** Until streams that were begun run evenly. */
+  /** Time after the last stream has started until all streams run steadily. */
   private static final long SETTLE_MILLIS = 1_500;
 
   private static final long MIN_STEADY_MILLIS = 1_000;
-  private static final long DONE_WAIT_SECONDS = 120;
+  private static final long DONE_TIMEOUT_SECONDS = 120;
   private static final int LOAD_LOOPS = 2;
   private static final int COLUMNS = 11;
   private static final String HEADER =
@@ -35,9 +36,15 @@
   private final int rounds = Integer.getInteger("rounds", 5);
   private final int words = Integer.getInteger("words", 500);
   private final int relayThreads = Integer.getInteger("threads", 2);
-  private final String onlyRoute = System.getProperty("way", "");
+  private final String routePrefix = System.getProperty("way", "");
 
-  /** A route of streams: the process that they go to and what was measured. */
+  /**
+   * A route of streams.
+   *
+   * @param process the process that receives the requests of the clients
+   * @param overGateway whether that process is the gateway
+   * @param values what was measured in each round
+   */
   private record Route(
       String name, ChildProcess process, boolean overGateway, RoundValues values) {}
 
@@ -51,9 +58,9 @@
               new Route("direct", engine, false, new RoundValues(COLUMNS, rounds)),
               new Route("netty", relay, false, new RoundValues(COLUMNS, rounds)),
               new Route("gateway", gateway, true, new RoundValues(COLUMNS, rounds)));
-      for (int round = -1; round < rounds; round++) { // the first warms up
+      for (int round = -1; round < rounds; round++) { // round -1 is a warm-up
         for (Route route : routes) {
-          if (route.name().startsWith(onlyRoute)) {
+          if (route.name().startsWith(routePrefix)) {
             route.values().record(round, measure(route, engine));
           }
         }
@@ -67,14 +74,14 @@
     return ChildProcess.gateway("1g", settings).start();
   }
 
-  /** What one round costs the processes; read before it begins. */
+  /** The CPU time that each process has used, read before and after a round. */
   private record CpuReadings(Duration route, Duration engine, Duration load) {
     static CpuReadings now(Route route, ChildProcess engine) {
       return new CpuReadings(route.process().cpuTime(), engine.cpuTime(), CpuTime.ofThisProcess());
     }
   }
 
-  /** What a token costs while all streams run and none begins or ends. */
+  /** The cost of one token while all streams run and none starts or ends. */
   private record TokenCost(double cpuMicros, double allocatedBytes) {}
 
   private double[] measure(Route route, ChildProcess engine) throws Exception {
@@ -85,7 +92,7 @@
       CpuReadings before = CpuReadings.now(route, engine);
       startStreams(route, load, sessions, done);
       TokenCost cost = measureSteadyState(route, load);
-      done.await(DONE_WAIT_SECONDS, TimeUnit.SECONDS);
+      done.await(DONE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
       CpuReadings after = CpuReadings.now(route, engine);
       return row(load, cost, before, after);
     }
@@ -106,19 +113,22 @@
     }
   }
 
-  /** Measures a token, not a call and not the compiler: while no stream begins or ends. */
+  /**
+   * Measures the cost of a token while no stream starts or ends, to exclude the cost of a call and
+   * of the JIT compiler.
+   */
   private TokenCost measureSteadyState(Route route, StreamLoad load) throws Exception {
     ChildProcess process = route.process();
     Thread.sleep(SETTLE_MILLIS);
     long eventsBefore = load.events();
     Duration cpuBefore = process.cpuTime();
-    long allocatedBefore = route.overGateway() ? process.allocatedBytes() : 0;
+    long allocatedBytesBefore = route.overGateway() ? process.allocatedBytes() : 0;
     long streamMillis = (long) words * TOKEN_MILLIS;
     Thread.sleep(Math.max(MIN_STEADY_MILLIS, streamMillis - 2 * SETTLE_MILLIS - streams / 2));
     double events = load.events() - eventsBefore;
     double cpuMicros = CpuTime.microsPerEvent(cpuBefore, process.cpuTime(), events);
     double allocatedBytes =
-        route.overGateway() ? (process.allocatedBytes() - allocatedBefore) / events : 0;
+        route.overGateway() ? (process.allocatedBytes() - allocatedBytesBefore) / events : 0;
     return new TokenCost(cpuMicros, allocatedBytes);
   }
 
--- a/benchmark/src/main/java/lemondock/benchmark/MetricRecordingBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/MetricRecordingBenchmark.java
@@ -25,8 +25,8 @@
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 
 /**
- * What it costs to count: a group of an ended request (four counters, one time), and a single
- * count.
+ * Measures the cost of recording metrics: a single increment, and the group of updates at the end
+ * of a request (four counters and one duration).
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -37,13 +37,14 @@
 public class MetricRecordingBenchmark {
   private final MetricRegistry registry = new MetricRegistry(8192);
   private final Recorder recorder = registry.newRecorder();
-  private final Series worth = registry.series(MetricFamilies.PRIORITY_WEIGHT, "c", "z", "t");
+  private final Series priorityWeight =
+      registry.series(MetricFamilies.PRIORITY_WEIGHT, "c", "z", "t");
   private final Series requests = registry.series(MetricFamilies.REQUESTS, "c", "z", "t");
-  private final Series time = registry.series(MetricFamilies.REQUEST_DURATION, "c");
+  private final Series duration = registry.series(MetricFamilies.REQUEST_DURATION, "c");
   private final LongAdder[] adders = {
     new LongAdder(), new LongAdder(), new LongAdder(), new LongAdder()
   };
-  private final ConcurrentHashMap<String, LongAdder> map = new ConcurrentHashMap<>();
+  private final ConcurrentHashMap<String, LongAdder> addersByName = new ConcurrentHashMap<>();
   private final SimpleMeterRegistry meterRegistry = new SimpleMeterRegistry();
   private final Counter[] counters = {
     meterRegistry.counter("a"),
@@ -55,25 +56,25 @@
       Timer.builder("t").publishPercentiles(0.5, 0.9, 0.99, 0.999).register(meterRegistry);
   private long micros;
 
-  /** One count of its own. */
+  /** A single increment outside a group. */
   @Benchmark
   public void oneCount() {
-    recorder.increment(worth.slot(0));
+    recorder.increment(priorityWeight.slot(0));
   }
 
-  /** The end of a request, seen whole or not at all by a snapshot. */
+  /** The updates at the end of a request; a snapshot includes all of them or none. */
   @Benchmark
   public void requestEnds() {
     long ticket = recorder.beginUpdate();
-    recorder.add(worth.slot(0), 1_000_000);
-    recorder.add(worth.slot(2), 1_000_000);
+    recorder.add(priorityWeight.slot(0), 1_000_000);
+    recorder.add(priorityWeight.slot(2), 1_000_000);
     recorder.add(requests.slot(0), 1);
     recorder.add(requests.slot(2), 1);
-    recorder.observe(time, micros++ & 0xFFFFF);
+    recorder.observe(duration, micros++ & 0xFFFFF);
     recorder.endUpdate(ticket);
   }
 
-  /** The same with four adders and no time. */
+  /** The four counters of a request as plain adders, without a duration. */
   @Benchmark
   public void plainAdders() {
     adders[0].add(1_000_000);
@@ -82,16 +83,16 @@
     adders[3].increment();
   }
 
-  /** The same with adders found by name. */
+  /** The four counters of a request as adders that are looked up by name, without a duration. */
   @Benchmark
   public void addersInAMap() {
-    map.computeIfAbsent("worth.asked", k -> new LongAdder()).add(1_000_000);
-    map.computeIfAbsent("worth.in_time", k -> new LongAdder()).add(1_000_000);
-    map.computeIfAbsent("requests.taken", k -> new LongAdder()).increment();
-    map.computeIfAbsent("requests.served", k -> new LongAdder()).increment();
+    addersByName.computeIfAbsent("worth.asked", ignored -> new LongAdder()).add(1_000_000);
+    addersByName.computeIfAbsent("worth.in_time", ignored -> new LongAdder()).add(1_000_000);
+    addersByName.computeIfAbsent("requests.taken", ignored -> new LongAdder()).increment();
+    addersByName.computeIfAbsent("requests.served", ignored -> new LongAdder()).increment();
   }
 
-  /** The same with Micrometer's own meters; a snapshot may see half of it. */
+  /** The updates of a request with Micrometer's meters; a snapshot may include some of them. */
   @Benchmark
   public void micrometer() {
     counters[0].increment(1);
@@ -101,7 +102,7 @@
     timer.record(micros++ & 0xFFFFF, TimeUnit.MICROSECONDS);
   }
 
-  /** Runs all measurements of this class. */
+  /** Runs all measurements of this class with the garbage-collection profiler. */
   static void runAll() throws RunnerException {
     new Runner(
             new OptionsBuilder()
--- a/benchmark/src/main/java/lemondock/benchmark/NettyServer.java
+++ b/benchmark/src/main/java/lemondock/benchmark/NettyServer.java
@@ -11,15 +11,16 @@
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
 
-/** Runs a Netty server as the process of a benchmark. */
+/** Runs a Netty server in a child process of a benchmark. */
 final class NettyServer {
   private NettyServer() {}
 
   /**
-   * Listens on a free port of loopback and serves until the process is ended.
+   * Listens on a free loopback port, prints {@code ready PORT} and serves until the process ends.
    *
-   * @param autoRead whether channels read by themselves; if not, handlers have to ask for it
-   * @param initializer adds the handlers of a new connection
+   * @param threads number of event-loop threads
+   * @param autoRead whether channels read automatically; otherwise handlers must request each read
+   * @param initializer adds the handlers to the pipeline of a new connection
    */
   static void run(int threads, boolean autoRead, Consumer<SocketChannel> initializer)
       throws InterruptedException {
