--- a/benchmark/src/main/java/lemondock/benchmark/DetectorScore.java
+++ b/benchmark/src/main/java/lemondock/benchmark/DetectorScore.java
@@ -12,7 +12,7 @@
 import lemondock.anomaly.DegradationDetector;
 import lemondock.anomaly.EventCounts;
 import lemondock.anomaly.ServiceScope;
-import lemondock.benchmark.RecordedScenario.Look;
+import lemondock.benchmark.RecordedScenario.Observation;
 
 /**
  * How well a detector found the degradations of recorded scenarios. An alarm belongs to a
@@ -43,7 +43,7 @@
   /** Runs the detector over a scenario and adds what it found. */
   void add(RecordedScenario scenario) {
     scenario
-        .looksByGateway()
+        .observationsByGateway()
         .forEach(
             (gateway, looks) -> {
               Map<String, List<Degradation>> truth = new TreeMap<>();
@@ -61,11 +61,11 @@
   }
 
   /** Runs the detector over what it saw; gives the moments of its alarms by class. */
-  private Map<String, List<Long>> runDetector(List<Look> looks) {
+  private Map<String, List<Long>> runDetector(List<Observation> looks) {
     Map<String, List<Long>> alarmsByKey = new TreeMap<>();
     DegradationDetector detector = new DegradationDetector(newChangeDetector);
     long previousTotal = 0;
-    for (Look look : looks) {
+    for (Observation look : looks) {
       boolean gatewayRestarted = look.total() < previousTotal;
       if (gatewayRestarted) {
         detector = new DegradationDetector(newChangeDetector);
@@ -82,7 +82,7 @@
     return alarmsByKey;
   }
 
-  private static List<EventCounts> counts(Look look) {
+  private static List<EventCounts> counts(Observation look) {
     List<EventCounts> counts = new ArrayList<>();
     look.countsByClass()
         .forEach(
--- a/benchmark/src/main/java/lemondock/benchmark/OpenLoopCalls.java
+++ b/benchmark/src/main/java/lemondock/benchmark/OpenLoopCalls.java
@@ -7,15 +7,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Sends calls with long prompts at a pace that does not wait for answers: an open loop with
- * exponential pauses. Used by one thread.
+ * An open-loop load generator: sends calls with long prompts at exponentially distributed
+ * intervals, without waiting for answers. Used by one thread.
  */
 final class OpenLoopCalls {
   private static final int PROMPT_WORDS = 1_000;
   private static final int ANSWER_WORDS = 20;
   private static final int SESSIONS = 200;
 
-  /** A gateway that has just started rejects some of many sessions at once. */
+  /** Sessions opened at a time: a gateway that has just started rejects some of a larger group. */
   private static final int SESSIONS_PER_STEP = 10;
 
   private static final long MIN_SLEEP_NANOS = 200_000;
@@ -25,10 +25,10 @@
 
   private final String prompt = drawPrompt();
 
-  /** By port of the gateway; opened once, while nothing presses. */
+  /** Session ids by the gateway's port; opened once for each gateway, before it is under load. */
   private final Map<Integer, List<String>> sessionsByPort = new HashMap<>();
 
-  /** A pace of calls that is kept for a while. */
+  /** A mean call rate and how long it is held. */
   record Phase(double callsPerSecond, double seconds) {}
 
   private static String drawPrompt() {
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Sends calls to a gateway, one phase after the other, and waits up to ten seconds for the last
-   * answers.
+   * Runs the phases against a gateway, one after the other, and then waits up to ten seconds for
+   * the last answers.
    */
   OverloadOutcome run(StreamLoad load, int port, List<Phase> phases, long seed)
       throws InterruptedException {
@@ -58,32 +58,32 @@
     return outcome;
   }
 
-  /** Where the calls of a run go, and where their ends are counted. */
+  /** The gateway that a run calls, and the outcome that counts how its calls end. */
   private record Target(
       StreamLoad load, int port, List<String> sessions, OverloadOutcome outcome) {}
 
   private void sendAll(Target target, List<Phase> phases, SplittableRandom random)
       throws InterruptedException {
     long startNanos = System.nanoTime();
-    double phaseBegin = 0;
+    double phaseStartSecond = 0;
     for (Phase phase : phases) {
-      double phaseEnd = phaseBegin + phase.seconds();
-      double second = phaseBegin + drawPause(phase, random);
-      while (second < phaseEnd) {
-        sleepUntil(startNanos + (long) (second * NANOS_PER_SECOND));
-        send(target, OverloadOutcome.slotAt(second));
-        second += drawPause(phase, random);
+      double phaseEndSecond = phaseStartSecond + phase.seconds();
+      double sendSecond = phaseStartSecond + drawIntervalSeconds(phase, random);
+      while (sendSecond < phaseEndSecond) {
+        sleepUntil(startNanos + (long) (sendSecond * NANOS_PER_SECOND));
+        send(target, OverloadOutcome.slotAt(sendSecond));
+        sendSecond += drawIntervalSeconds(phase, random);
       }
-      phaseBegin = phaseEnd;
+      phaseStartSecond = phaseEndSecond;
     }
   }
 
-  private static double drawPause(Phase phase, SplittableRandom random) {
+  private static double drawIntervalSeconds(Phase phase, SplittableRandom random) {
     return -Math.log(1 - random.nextDouble()) / phase.callsPerSecond();
   }
 
-  private static void sleepUntil(long momentNanos) throws InterruptedException {
-    long remainingNanos = momentNanos - System.nanoTime();
+  private static void sleepUntil(long targetNanos) throws InterruptedException {
+    long remainingNanos = targetNanos - System.nanoTime();
     if (remainingNanos > MIN_SLEEP_NANOS) {
       TimeUnit.NANOSECONDS.sleep(remainingNanos);
     }
--- a/benchmark/src/main/java/lemondock/benchmark/OpenStreamsBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/OpenStreamsBenchmark.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Streams held open at a time by a gateway with a heap of 512 MB. System property: {@code open}
- * (streams).
+ * Measures the memory of a gateway with a heap of 512 MB that holds many streams open at a time.
+ * System property: {@code open} (number of streams).
  */
 final class OpenStreamsBenchmark implements Benchmark {
   private static final int ENGINE_SLOTS = 40_000;
--- a/benchmark/src/main/java/lemondock/benchmark/OverloadBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/OverloadBenchmark.java
@@ -11,10 +11,10 @@
 import lemondock.benchmark.OpenLoopCalls.Phase;
 
 /**
- * Priority weight of calls in time against offered load, by the ways to keep overload out: at parts
- * and multiples of what a gateway on one processor can do. System properties: {@code rounds},
- * {@code seconds} (of a round), {@code way} (the beginning of the only way that is measured) and
- * those of {@link OverloadRig}.
+ * Compares strategies of overload control by the priority weight of the calls that end in time,
+ * with offered loads that are fractions and multiples of the capacity of a gateway on one
+ * processor. System properties: {@code rounds}, {@code seconds} (length of a round), {@code way}
+ * (only strategies whose names begin with it are measured) and those of {@link OverloadRig}.
  */
 final class OverloadBenchmark implements Benchmark {
   private static final double[] LOAD_FACTORS = {0.5, 1, 2, 5, 10};
@@ -22,24 +22,27 @@
   private static final long PAUSE_SECONDS = 2;
   private static final double MILLIS_PER_PERCENT_OF_SECOND = 10.0;
 
-  /** By Little's law: an answer takes 100 ms, and half as much again. */
-  private static final double CALLS_PER_CAPACITY = 0.15;
+  /**
+   * Concurrent calls for each call per second of capacity, by Little's law: an answer takes 100 ms,
+   * to which 50 % is added.
+   */
+  private static final double CALL_LIMIT_PER_CAPACITY = 0.15;
 
   private static final int MIN_CALL_LIMIT = 4;
 
   private final int rounds = Integer.getInteger("rounds", 3);
   private final double seconds = Integer.getInteger("seconds", 8);
-  private final String onlyWay = System.getProperty("way", "");
+  private final String strategyPrefix = System.getProperty("way", "");
 
   @Override
   public void run() throws Exception {
     try (OverloadRig rig = new OverloadRig()) {
       double capacity = measureCapacity(rig);
       printHeader(capacity);
-      for (Map.Entry<String, String> way : limitsByWay(capacity).entrySet()) {
-        if (way.getKey().startsWith(onlyWay)) {
-          try (ChildProcess gateway = rig.startGateway(way.getValue())) {
-            System.out.println(measure(rig, gateway, way.getKey(), capacity));
+      for (Map.Entry<String, String> strategy : settingsByStrategy(capacity).entrySet()) {
+        if (strategy.getKey().startsWith(strategyPrefix)) {
+          try (ChildProcess gateway = rig.startGateway(strategy.getValue())) {
+            System.out.println(measure(rig, gateway, strategy.getKey(), capacity));
           }
         }
       }
@@ -56,8 +59,8 @@
   private void printHeader(double capacity) {
     System.out.printf(
         Locale.ROOT,
-        "capacity %.0f calls a second on one processor; worth in time a second, %d rounds"
-            + " of %.0f s, median (spread)%n",
+        "capacity %.0f calls per second on one processor; priority weight of calls in time per"
+            + " second, %d rounds of %.0f s, median (spread)%n",
         capacity,
         rounds,
         seconds);
@@ -68,27 +71,29 @@
     System.out.println(header + "\n| --- |" + " --- |".repeat(LOAD_FACTORS.length));
   }
 
-  /** The ways that are compared: settings of overload and limits. */
-  private static Map<String, String> limitsByWay(double capacity) {
-    int callLimit = Math.max(MIN_CALL_LIMIT, (int) (capacity * CALLS_PER_CAPACITY));
+  /** The settings {@code overload} and {@code limits} of each strategy, by its name. */
+  private static Map<String, String> settingsByStrategy(double capacity) {
+    int callLimit = Math.max(MIN_CALL_LIMIT, (int) (capacity * CALL_LIMIT_PER_CAPACITY));
     int wideCallLimit = callLimit * 8;
     String off = "\"overload\":{\"refuse\":false},";
-    Map<String, String> ways = new LinkedHashMap<>();
-    ways.put("wait (as shipped)", "\"overload\":{}," + GatewaySettingsFile.WIDE_LIMITS);
-    ways.put("off", off + GatewaySettingsFile.WIDE_LIMITS);
-    ways.put("cap " + callLimit, off + "\"limits\":{\"maxCalls\":" + callLimit + "}");
-    ways.put("cap " + wideCallLimit, off + "\"limits\":{\"maxCalls\":" + wideCallLimit + "}");
-    ways.put(
+    Map<String, String> settingsByStrategy = new LinkedHashMap<>();
+    settingsByStrategy.put(
+        "wait (as shipped)", "\"overload\":{}," + GatewaySettingsFile.WIDE_LIMITS);
+    settingsByStrategy.put("off", off + GatewaySettingsFile.WIDE_LIMITS);
+    settingsByStrategy.put("cap " + callLimit, off + "\"limits\":{\"maxCalls\":" + callLimit + "}");
+    settingsByStrategy.put(
+        "cap " + wideCallLimit, off + "\"limits\":{\"maxCalls\":" + wideCallLimit + "}");
+    settingsByStrategy.put(
         "gradient",
         "\"overload\":{\"refuse\":false,\"gradient\":true}," + GatewaySettingsFile.WIDE_LIMITS);
-    return ways;
+    return settingsByStrategy;
   }
 
-  /** Measures a way at all loads; gives its row of the table. */
-  private String measure(OverloadRig rig, ChildProcess gateway, String way, double capacity)
+  /** Measures a strategy at every load and returns its row of the table. */
+  private String measure(OverloadRig rig, ChildProcess gateway, String strategy, double capacity)
       throws InterruptedException {
     rig.warmUp(gateway, capacity / 2);
-    StringBuilder row = new StringBuilder("| " + way + " |");
+    StringBuilder row = new StringBuilder("| " + strategy + " |");
     for (double loadFactor : LOAD_FACTORS) {
       List<Double> weights = new ArrayList<>();
       List<Double> cpuPercents = new ArrayList<>();
@@ -99,7 +104,7 @@
         long cpuMillis = gateway.cpuTime().minus(cpuBefore).toMillis();
         weights.add(outcome.weightInTimePerSecond());
         cpuPercents.add(cpuMillis / MILLIS_PER_PERCENT_OF_SECOND / seconds);
-        outcome.printSummary(way, loadFactor);
+        outcome.printSummary(strategy, loadFactor);
         TimeUnit.SECONDS.sleep(PAUSE_SECONDS);
       }
       row.append(' ')
--- a/benchmark/src/main/java/lemondock/benchmark/OverloadCallReceiver.java
+++ b/benchmark/src/main/java/lemondock/benchmark/OverloadCallReceiver.java
@@ -6,8 +6,9 @@
 import lemondock.net.sse.SseEvent;
 
 /**
- * Judges one call: in time if its first token comes within its class's latency objective and its
- * last within a second of the first. Made when its request is sent; used on one loop.
+ * Decides whether one call is in time: its first token must arrive within its class's latency
+ * objective, and the answer must end within a second of the first token. Created when its request
+ * is sent; used on one event loop.
  */
 final class OverloadCallReceiver implements ResponseReceiver {
   private static final long MAX_STREAM_MICROS = TimeUnit.SECONDS.toMicros(1);
@@ -19,7 +20,7 @@
   private long firstTokenMicros;
   private boolean complete;
 
-  /** What an event of the stream says. */
+  /** What an event of the stream contains. */
   private enum EventKind {
     TOKEN,
     RESULT,
@@ -27,9 +28,9 @@
   }
 
   /**
-   * Makes a receiver.
+   * Creates a receiver and starts the clock of its call.
    *
-   * @param slot of the outcome in which the call was sent
+   * @param slot the time slot of {@code outcome} in which the call is sent
    */
   OverloadCallReceiver(OverloadOutcome outcome, OverloadClass requestClass, int slot) {
     this.outcome = outcome;
--- a/benchmark/src/main/java/lemondock/benchmark/OverloadClass.java
+++ b/benchmark/src/main/java/lemondock/benchmark/OverloadClass.java
@@ -7,7 +7,7 @@
   SALE_LOOKUP("sale-lookup", 1, 500, 2_000),
   DAY_CLOSE("day-close", 3, 1_500, 3_000);
 
-  /** Every so many calls one is of the class of higher priority. */
+  /** One of this many calls is of {@link #DAY_CLOSE}, the class of higher priority. */
   private static final int CALLS_PER_DAY_CLOSE = 4;
 
   private final String toolName;
@@ -23,7 +23,7 @@
     this.deadlineMillis = deadlineMillis;
   }
 
-  /** The class of a call by its number. */
+  /** Returns the class of a call by its number, from 0. */
   static OverloadClass ofCall(int number) {
     return number % CALLS_PER_DAY_CLOSE == CALLS_PER_DAY_CLOSE - 1 ? DAY_CLOSE : SALE_LOOKUP;
   }
@@ -36,12 +36,12 @@
     return priorityWeight;
   }
 
-  /** Within what a first token has to come, in microseconds. */
+  /** The time within which the first token must arrive, in microseconds. */
   long latencyObjectiveMicros() {
     return TimeUnit.MILLISECONDS.toMicros(latencyObjectiveMillis);
   }
 
-  /** The classes as an array of settings. */
+  /** Returns the classes as a JSON array for a gateway's settings. */
   static String settingsJson() {
     return "[" + SALE_LOOKUP.toJson() + "," + DAY_CLOSE.toJson() + "]";
   }
--- a/benchmark/src/main/java/lemondock/benchmark/OverloadOutcome.java
+++ b/benchmark/src/main/java/lemondock/benchmark/OverloadOutcome.java
@@ -5,14 +5,14 @@
 import java.util.concurrent.atomic.AtomicIntegerArray;
 
 /**
- * What came of one run: calls by how they ended, and in time by class and by the tenth of a second
- * in which they were sent. Thread-safe.
+ * The outcome of one run: counts calls by how they ended, and calls in time also by class and by
+ * the tenth of a second in which they were sent. Thread-safe.
  */
 final class OverloadOutcome {
   private static final int SLOTS_PER_SECOND = 10;
   private static final int SLOTS_PER_TRACE_LINE = 5;
 
-  /** From this share of calls in time on, service counts as recovered. */
+  /** Service counts as recovered when at least this share of calls is in time. */
   private static final double RECOVERED_SHARE = 0.95;
 
   private final double seconds;
@@ -27,7 +27,7 @@
   private final AtomicIntegerArray lateBySlot;
   private int sent;
 
-  /** Makes the outcome of a run of that length. */
+  /** Creates the outcome of a run that lasts {@code seconds}. */
   OverloadOutcome(double seconds) {
     this.seconds = seconds;
     int slots = slotAt(seconds) + 1;
@@ -36,12 +36,12 @@
     lateBySlot = new AtomicIntegerArray(slots);
   }
 
-  /** The slot of a moment, given in seconds from the run's begin. */
+  /** Returns the slot of a time, given in seconds since the start of the run. */
   static int slotAt(double second) {
     return (int) (second * SLOTS_PER_SECOND);
   }
 
-  /** Counts a call that is sent now, on the one thread that sends; gives its number from 0. */
+  /** Counts a call that is about to be sent and returns its number, from 0. For one thread only. */
   int countSent(int slot) {
     unfinished.incrementAndGet();
     sentBySlot.incrementAndGet(slot);
@@ -65,7 +65,7 @@
     unfinished.decrementAndGet();
   }
 
-  /** Counts a stream that broke off after its first token. */
+  /** Counts a call whose stream failed after its first token. */
   void countBroken() {
     broken.incrementAndGet();
     unfinished.decrementAndGet();
@@ -79,7 +79,7 @@
     return broken.get();
   }
 
-  /** Priority weight of the calls in time, a second. */
+  /** The priority weight of the calls in time, per second of the run. */
   double weightInTimePerSecond() {
     double weight = 0;
     for (OverloadClass requestClass : OverloadClass.values()) {
@@ -92,7 +92,10 @@
     return inTimeByClass.get(requestClass.ordinal());
   }
 
-  /** Seconds after that one until calls are in time in each later tenth of a second. */
+  /**
+   * Returns the seconds from {@code fromSecond} until service has recovered, that is, until at
+   * least {@link #RECOVERED_SHARE} of the calls of each later slot is in time.
+   */
   double secondsUntilRecovered(double fromSecond) {
     int recoveredSlot = slotAt(fromSecond);
     for (int slot = recoveredSlot; slot < sentBySlot.length() - 1; slot++) {
@@ -104,7 +107,7 @@
     return recoveredSlot / (double) SLOTS_PER_SECOND - fromSecond;
   }
 
-  /** Prints a line for each half second: calls sent, in time, late, and the rest. */
+  /** Prints a line for each half second: calls sent, in time, late, and all others. */
   void printTrace(int fromSecond) {
     int slot = slotAt(fromSecond);
     while (slot + SLOTS_PER_TRACE_LINE < sentBySlot.length()) {
@@ -114,31 +117,31 @@
   }
 
   private void printTraceLine(int firstSlot) {
-    int asked = 0;
-    int inTime = 0;
-    int tooLate = 0;
+    int sentCount = 0;
+    int inTimeCount = 0;
+    int lateCount = 0;
     for (int slot = firstSlot; slot < firstSlot + SLOTS_PER_TRACE_LINE; slot++) {
-      asked += sentBySlot.get(slot);
-      inTime += inTimeBySlot.get(slot);
-      tooLate += lateBySlot.get(slot);
+      sentCount += sentBySlot.get(slot);
+      inTimeCount += inTimeBySlot.get(slot);
+      lateCount += lateBySlot.get(slot);
     }
     System.err.printf(
         Locale.ROOT,
-        "  at %.1f s: asked %d, in time %d, late %d, refused %d%n",
+        "  at %.1f s: sent %d, in time %d, late %d, other %d%n",
         firstSlot / (double) SLOTS_PER_SECOND,
-        asked,
-        inTime,
-        tooLate,
-        asked - inTime - tooLate);
+        sentCount,
+        inTimeCount,
+        lateCount,
+        sentCount - inTimeCount - lateCount);
   }
 
-  /** Prints the run's counts. */
-  void printSummary(String way, double loadFactor) {
+  /** Prints the counts of the run; the calls in time by class. */
+  void printSummary(String strategy, double loadFactor) {
     System.err.printf(
         Locale.ROOT,
-        "%s at %.1f x: worth %.0f, sent %d, in time %d and %d, refused %d,"
+        "%s at %.1f x: weight in time %.0f/s, sent %d, in time %d and %d, rejected %d,"
             + " late %d, broken %d%n",
-        way,
+        strategy,
         loadFactor,
         weightInTimePerSecond(),
         sent,
--- a/benchmark/src/main/java/lemondock/benchmark/OverloadRecoveryBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/OverloadRecoveryBenchmark.java
@@ -8,8 +8,9 @@
 import lemondock.benchmark.OpenLoopCalls.Phase;
 
 /**
- * How long after a burst of ten times the capacity, and after a pause of the process, calls are in
- * time again. System properties: {@code rounds} and those of {@link OverloadRig}.
+ * Measures how long it takes until calls are in time again, after a burst of ten times the capacity
+ * and after a pause of the gateway's process. System properties: {@code rounds} and those of {@link
+ * OverloadRig}.
  */
 final class OverloadRecoveryBenchmark implements Benchmark {
   private static final long FIRST_BURST_SEED = 20;
@@ -22,13 +23,18 @@
   private static final long PAUSE_SECONDS = 3;
   private static final double PAUSE_RUN_SECONDS = 14;
 
-  /** When the pause has ended for certain: sessions are opened before the calls begin. */
+  /**
+   * The second of the run by which the pause has certainly ended: the pause is timed from before
+   * the run opens its sessions, and the run's seconds from its first calls on.
+   */
   private static final double PAUSE_ENDED_SECOND = 6.2;
 
-  /** Traces begin so long before the recovery. */
+  /** The second of the run at which its trace begins, shortly before the burst ends. */
   private static final int BURST_TRACE_SECOND = 12;
 
+  /** The second of the run at which its trace begins, shortly before the pause. */
   private static final int PAUSE_TRACE_SECOND = 2;
+
   private static final double MILLIS_PER_SECOND = 1_000;
 
   private final int rounds = Integer.getInteger("rounds", 5);
@@ -41,7 +47,7 @@
       double capacity = rig.capacity(gateway);
       System.out.printf(
           Locale.ROOT,
-          "capacity %.0f calls a second on one processor; %d rounds%n",
+          "capacity %.0f calls per second on one processor; %d rounds%n",
           capacity,
           rounds);
       measureBursts(rig, gateway, capacity);
@@ -62,8 +68,8 @@
               new Phase(capacity * BURST_FACTOR, BURST_SECONDS),
               new Phase(capacity / 2, AFTER_BURST_SECONDS));
       outcome.printTrace(BURST_TRACE_SECOND);
-      double burstEnd = BEFORE_BURST_SECONDS + BURST_SECONDS;
-      recoveryMillis.add(MILLIS_PER_SECOND * outcome.secondsUntilRecovered(burstEnd));
+      double burstEndSecond = BEFORE_BURST_SECONDS + BURST_SECONDS;
+      recoveryMillis.add(MILLIS_PER_SECOND * outcome.secondsUntilRecovered(burstEndSecond));
       broken.add((double) outcome.broken());
     }
     print("after a burst of 10 s", recoveryMillis, broken);
@@ -74,11 +80,11 @@
     List<Double> recoveryMillis = new ArrayList<>();
     List<Double> broken = new ArrayList<>();
     for (int round = 0; round < rounds; round++) {
-      Thread pause = new Thread(() -> pause(gateway));
-      pause.start();
+      Thread pauseThread = new Thread(() -> pause(gateway));
+      pauseThread.start();
       OverloadOutcome outcome =
           rig.run(gateway, FIRST_PAUSE_SEED + round, new Phase(capacity / 2, PAUSE_RUN_SECONDS));
-      pause.join();
+      pauseThread.join();
       outcome.printTrace(PAUSE_TRACE_SECOND);
       recoveryMillis.add(MILLIS_PER_SECOND * outcome.secondsUntilRecovered(PAUSE_ENDED_SECOND));
       broken.add((double) outcome.broken());
@@ -93,7 +99,8 @@
       TimeUnit.SECONDS.sleep(PAUSE_SECONDS);
       gateway.signal("CONT");
     } catch (IOException | InterruptedException e) {
-      throw new IllegalStateException("the gateway cannot be paused", e);
+      throw new IllegalStateException(
+          "cannot pause the gateway on port " + gateway.port() + " with SIGSTOP and SIGCONT", e);
     }
   }
 
--- a/benchmark/src/main/java/lemondock/benchmark/OverloadRig.java
+++ b/benchmark/src/main/java/lemondock/benchmark/OverloadRig.java
@@ -7,27 +7,28 @@
 import lemondock.benchmark.OpenLoopCalls.Phase;
 
 /**
- * What overload benchmarks are made of: an engine, gateways that have one processor to themselves,
- * and loads for them. Needs the program {@code taskset}. System property: {@code capacity} (calls a
- * second that one processor can do, if known from a run before; 0 has it found).
+ * The setup of overload benchmarks: gateways pinned to the first processor, an engine pinned to the
+ * others, and load for the gateways. Requires the program {@code taskset}. System property: {@code
+ * capacity} (calls per second that one processor can handle, if known from an earlier run; with 0,
+ * the default, the benchmark determines it).
  */
 final class OverloadRig implements AutoCloseable {
   private static final int ENGINE_SLOTS = 100_000;
   private static final int TOKEN_MILLIS = 5;
   private static final int LOAD_LOOPS = 3;
   private static final int CONNECTIONS_PER_LOOP = 5_000;
-  private static final double FIRST_RATE = 50;
-  private static final double MAX_RATE = 20_000;
-  private static final double RATE_STEP = 1.25;
+  private static final double FIRST_CALLS_PER_SECOND = 50;
+  private static final double MAX_CALLS_PER_SECOND = 20_000;
+  private static final double RATE_STEP_FACTOR = 1.25;
   private static final double CAPACITY_TRIAL_SECONDS = 4;
   private static final long CAPACITY_SEED = 5;
 
-  /** The search ends once a rate gives less than this part of the best one. */
-  private static final double DECLINE = 0.9;
+  /** The search ends once the weight in time is less than this share of the best one. */
+  private static final double MIN_SHARE_OF_BEST_WEIGHT = 0.9;
 
   private static final double WARM_UP_SECONDS = 4;
-  private static final double FIRST_WARM_UP_RATE = 100;
-  private static final double SECOND_WARM_UP_RATE = 400;
+  private static final double FIRST_WARM_UP_CALLS_PER_SECOND = 100;
+  private static final double SECOND_WARM_UP_CALLS_PER_SECOND = 400;
   private static final long WARM_UP_SEED = 1;
 
   private final int knownCapacity = Integer.getInteger("capacity", 0);
@@ -43,7 +44,7 @@
             .start();
   }
 
-  /** Starts a gateway on the first processor; engine and load have the others. */
+  /** Starts a gateway on the first processor, so that engine and load can use the others. */
   ChildProcess startGateway(String limits) throws IOException {
     GatewaySettingsFile settings =
         new GatewaySettingsFile(engine.port())
@@ -52,7 +53,7 @@
     return ChildProcess.gateway("1g", settings.write()).launchedBy("taskset", "-c", "0").start();
   }
 
-  /** Sends calls at those paces, drawn from the seed. */
+  /** Runs the phases against a gateway; {@code seed} determines when calls are sent. */
   OverloadOutcome run(ChildProcess gateway, long seed, Phase... phases)
       throws InterruptedException {
     try (StreamLoad load = new StreamLoad(LOAD_LOOPS, CONNECTIONS_PER_LOOP)) {
@@ -60,21 +61,21 @@
     }
   }
 
-  /** Has a gateway's code compiled before anything is measured. */
+  /** Sends calls so that a gateway's code is JIT-compiled before anything is measured. */
   void warmUp(ChildProcess gateway) throws InterruptedException {
-    warmUp(gateway, SECOND_WARM_UP_RATE);
+    warmUp(gateway, SECOND_WARM_UP_CALLS_PER_SECOND);
   }
 
-  /** The same up to that rate. */
+  /** Warms up a gateway; the second of two phases has the given rate. */
   void warmUp(ChildProcess gateway, double callsPerSecond) throws InterruptedException {
     run(
         gateway,
         WARM_UP_SEED,
-        new Phase(FIRST_WARM_UP_RATE, WARM_UP_SECONDS),
+        new Phase(FIRST_WARM_UP_CALLS_PER_SECOND, WARM_UP_SECONDS),
         new Phase(callsPerSecond, WARM_UP_SECONDS));
   }
 
-  /** The calls a second with the most weight in time: known, or found by steps. */
+  /** The call rate with the most weight in time: known, or found by raising the rate in steps. */
   double capacity(ChildProcess gateway) throws InterruptedException {
     return knownCapacity > 0 ? knownCapacity : findCapacity(gateway);
   }
@@ -82,20 +83,22 @@
   private double findCapacity(ChildProcess gateway) throws InterruptedException {
     double bestWeight = 0;
     double bestRate = 0;
-    for (double rate = FIRST_RATE; rate < MAX_RATE; rate *= RATE_STEP) {
+    for (double rate = FIRST_CALLS_PER_SECOND;
+        rate < MAX_CALLS_PER_SECOND;
+        rate *= RATE_STEP_FACTOR) {
       Phase trial = new Phase(rate, CAPACITY_TRIAL_SECONDS);
       double weight = run(gateway, CAPACITY_SEED, trial).weightInTimePerSecond();
       if (weight > bestWeight) {
         bestWeight = weight;
         bestRate = rate;
-      } else if (weight < DECLINE * bestWeight) {
+      } else if (weight < MIN_SHARE_OF_BEST_WEIGHT * bestWeight) {
         break;
       }
     }
     return bestRate;
   }
 
-  /** Formats values as {@code median (least to most)}, without decimals. */
+  /** Formats values as {@code median (minimum to maximum)}, without decimals. */
   static String formatSpread(List<Double> values) {
     double[] sorted = values.stream().mapToDouble(Double::doubleValue).toArray();
     Arrays.sort(sorted);
@@ -107,7 +110,7 @@
         sorted[sorted.length - 1]);
   }
 
-  /** Ends the engine. */
+  /** Stops the engine. */
   @Override
   public void close() {
     engine.close();
--- a/benchmark/src/main/java/lemondock/benchmark/PacedAppends.java
+++ b/benchmark/src/main/java/lemondock/benchmark/PacedAppends.java
@@ -17,13 +17,13 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Calls at an even pace that are written to an idempotency log; without one a call only passes the
- * loop, as it does in any case.
+ * Runs calls at an even rate and appends them to an idempotency log. If they are not durable, a
+ * call only passes through the event loop, as a durable one does too.
  */
 final class PacedAppends implements AutoCloseable {
   private static final long MAX_LOG_BYTES = 64 << 20;
   private static final int MAX_QUEUED_RECORDS = 100_000;
-  private static final int DISK_QUEUE = 64;
+  private static final int MAX_QUEUED_DISK_TASKS = 64;
   private static final long MIN_SLEEP_NANOS = 100_000;
   private static final double NANOS_PER_SECOND = 1e9;
   private static final long DONE_WAIT_SECONDS = 60;
@@ -32,8 +32,8 @@
   private final int calls;
   private final boolean durable;
   private final ThreadLoop loop = new ThreadLoop("ledger", Throwable::printStackTrace);
-  private final ExecutorService disk = WorkerPool.create(1, DISK_QUEUE, "disk");
-  private final LockedDirectory files;
+  private final ExecutorService disk = WorkerPool.create(1, MAX_QUEUED_DISK_TASKS, "disk");
+  private final LockedDirectory logDirectory;
   private final IdempotencyStore store = IdempotencyLogBenchmark.newStore();
   private final GroupCommit groupCommit;
   private final CountDownLatch done;
@@ -42,13 +42,17 @@
   /** Recorded on the loop; read once all calls are done. */
   private final Histogram waitMicros = new Histogram(3);
 
-  /** Opens a log in a folder. */
-  PacedAppends(Path folder, int calls, boolean durable) throws IOException {
+  /**
+   * Opens a log in a directory, which is created if it does not exist.
+   *
+   * @param durable whether calls are appended to the log
+   */
+  PacedAppends(Path directory, int calls, boolean durable) throws IOException {
     this.calls = calls;
     this.durable = durable;
     this.done = new CountDownLatch(calls);
-    this.files = new LockedDirectory(Files.createDirectories(folder));
-    AppendLog log = new AppendLog(files);
+    this.logDirectory = new LockedDirectory(Files.createDirectories(directory));
+    AppendLog log = new AppendLog(logDirectory);
     log.open(store::replay);
     this.groupCommit =
         new GroupCommit(
@@ -64,9 +68,9 @@
   }
 
   /**
-   * Sends all calls and waits until they have ended.
+   * Runs all calls and waits up to 60 seconds until they have ended.
    *
-   * @throws IOException if a record was not written
+   * @throws IOException if a record was not written or a call has not ended
    */
   void run(double callsPerSecond) throws IOException, InterruptedException {
     long startNanos = System.nanoTime();
@@ -77,12 +81,18 @@
       loop.execute(() -> handle(key, sentNanos));
     }
     if (!done.await(DONE_WAIT_SECONDS, TimeUnit.SECONDS) || failures.get() > 0) {
-      throw new IOException(failures + " records were not written");
+      throw new IOException(
+          failures
+              + " of "
+              + calls
+              + " calls were not written to the log; "
+              + done.getCount()
+              + " calls have not ended");
     }
   }
 
-  private static void sleepUntil(long momentNanos) throws InterruptedException {
-    long remainingNanos = momentNanos - System.nanoTime();
+  private static void sleepUntil(long targetNanos) throws InterruptedException {
+    long remainingNanos = targetNanos - System.nanoTime();
     if (remainingNanos > MIN_SLEEP_NANOS) {
       TimeUnit.NANOSECONDS.sleep(remainingNanos);
     }
@@ -108,12 +118,12 @@
     waitMicros.recordValue(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - sentNanos));
   }
 
-  /** From handing a call to the loop until it is durable, in microseconds. */
+  /** Time from handing a call to the loop until it is durable, in microseconds. */
   Histogram waitMicros() {
     return waitMicros;
   }
 
-  /** Syncs of the log so far. */
+  /** Number of syncs of the log so far. */
   long commits() {
     return groupCommit.commits();
   }
@@ -121,7 +131,7 @@
   @Override
   public void close() throws IOException {
     try {
-      files.close();
+      logDirectory.close();
       disk.shutdown();
       disk.awaitTermination(DISK_WAIT_SECONDS, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
--- a/benchmark/src/main/java/lemondock/benchmark/PrefixCacheMeter.java
+++ b/benchmark/src/main/java/lemondock/benchmark/PrefixCacheMeter.java
@@ -10,12 +10,12 @@
 import lemondock.policy.RoutingRequest;
 
 /**
- * Stands between a gateway and its decision module: counts prompt tokens and those of them that
- * were found cached, and can hide from the module which requests belong together.
+ * A proxy between a gateway and its router: counts prompt tokens and those of them that were found
+ * cached, and can hide from the router which requests belong together.
  */
 final class PrefixCacheMeter {
-  /** Consecutive multiples are spread evenly: 2^64 divided by the golden ratio. */
-  private static final long SESSION_STEP = 0x9E3779B97F4A7C15L;
+  /** 2^64 divided by the golden ratio: consecutive multiples are spread evenly over all values. */
+  private static final long SESSION_ID_STEP = 0x9E3779B97F4A7C15L;
 
   private final boolean hidesSessions;
   private final AtomicLong cachedTokens = new AtomicLong();
@@ -25,34 +25,34 @@
     this.hidesSessions = hidesSessions;
   }
 
-  /** The module as it is. */
+  /** Creates a meter that passes all requests on unchanged. */
   static PrefixCacheMeter withAffinity() {
     return new PrefixCacheMeter(false);
   }
 
-  /** The module sees each request as a session of its own without a shared prefix. */
+  /** Creates a meter that gives each request a session of its own and no shared prefix. */
   static PrefixCacheMeter withoutAffinity() {
     return new PrefixCacheMeter(true);
   }
 
-  /** Part of all prompt tokens that were found cached. */
+  /** The share of all prompt tokens that were found cached, from 0 to 1. */
   double cachedShare() {
     return (double) cachedTokens.get() / promptTokens.get();
   }
 
-  /** Makes decision modules that are metered here. */
+  /** Returns a factory of routers whose tokens this meter counts. */
   RouterFactory routerFactory() {
     return (settings, seed, host) -> {
       RequestRouter router = Gateway.DEFAULT_ROUTER_FACTORY.create(settings, seed, host);
-      AtomicLong sessions = new AtomicLong(1);
+      AtomicLong lastSessionId = new AtomicLong(1);
       InvocationHandler handler =
           (proxy, method, arguments) -> {
             if (method.getName().equals("requestArrived")) {
               RoutingRequest request = (RoutingRequest) arguments[1];
               promptTokens.addAndGet(request.promptTokens());
               if (hidesSessions) {
-                long sessionId = sessions.addAndGet(SESSION_STEP);
-                return method.invoke(router, arguments[0], inSession(request, sessionId));
+                long sessionId = lastSessionId.addAndGet(SESSION_ID_STEP);
+                return method.invoke(router, arguments[0], withSession(request, sessionId));
               }
             } else if (method.getName().equals("attemptEnded")) {
               int cached = ((AttemptResult) arguments[1]).cachedTokens();
@@ -66,7 +66,7 @@
     };
   }
 
-  private static RoutingRequest inSession(RoutingRequest request, long sessionId) {
+  private static RoutingRequest withSession(RoutingRequest request, long sessionId) {
     return new RoutingRequest(
         request.id(),
         request.classId(),
--- a/benchmark/src/main/java/lemondock/benchmark/RecordedScenario.java
+++ b/benchmark/src/main/java/lemondock/benchmark/RecordedScenario.java
@@ -11,24 +11,24 @@
 import lemondock.anomaly.DegradationDetector;
 
 /**
- * A scenario that {@link DetectorScenarioRecorder} played. Times are microseconds.
+ * A fault scenario recorded by {@link DetectorScenarioRecorder}. Times are in microseconds.
  *
- * @param rulesKept whether the scenario kept the five rules
- * @param callsByGateway calls by gateway, then by class and, under {@link DegradationDetector#ALL},
- *     all of them
- * @param looksByGateway what each gateway's detector saw, in order
+ * @param rulesKept whether the audit found none of its five rules violated
+ * @param callsByGateway calls by gateway, then by class; {@link DegradationDetector#ALL} maps to
+ *     the calls of all classes
+ * @param observationsByGateway the counts that each gateway's detector was given, in order
  */
 record RecordedScenario(
     boolean rulesKept,
     Map<String, Map<String, List<Call>>> callsByGateway,
-    Map<String, List<Look>> looksByGateway) {
+    Map<String, List<Observation>> observationsByGateway) {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
-  /** A call and whether it met its objectives. */
+  /** A call: when it was sent and whether it met its objectives. */
   record Call(long atMicros, boolean good) {}
 
-  /** Numbers of good and bad requests so far, by class. */
-  record Look(long atMicros, Map<String, Counts> countsByClass) {
+  /** Cumulative numbers of good and bad requests at one time, by class. */
+  record Observation(long atMicros, Map<String, Counts> countsByClass) {
     long total() {
       return countsByClass.values().stream()
           .mapToLong(counts -> counts.good() + counts.bad())
@@ -36,7 +36,7 @@
     }
   }
 
-  /** Requests of a class. */
+  /** Numbers of requests of a class that met their objectives and that did not. */
   record Counts(long good, long bad) {}
 
   /** Parses a line of the recorder's file. */
@@ -45,7 +45,7 @@
     return new RecordedScenario(
         root.get("kept").booleanValue(),
         parseCalls(root.get("calls")),
-        parseLooks(root.get("looks")));
+        parseObservations(root.get("looks")));
   }
 
   private static Map<String, Map<String, List<Call>>> parseCalls(JsonNode calls) {
@@ -61,18 +61,18 @@
     return callsByGateway;
   }
 
-  private static Map<String, List<Look>> parseLooks(JsonNode looks) {
-    Map<String, List<Look>> looksByGateway = new TreeMap<>();
-    for (JsonNode json : looks) {
+  private static Map<String, List<Observation>> parseObservations(JsonNode observations) {
+    Map<String, List<Observation>> observationsByGateway = new TreeMap<>();
+    for (JsonNode json : observations) {
       Map<String, Counts> counts = new LinkedHashMap<>();
       for (Map.Entry<String, JsonNode> entry : json.get("n").properties()) {
         JsonNode pair = entry.getValue();
         counts.put(entry.getKey(), new Counts(pair.get(0).longValue(), pair.get(1).longValue()));
       }
-      looksByGateway
+      observationsByGateway
           .computeIfAbsent(json.get("g").textValue(), absent -> new ArrayList<>())
-          .add(new Look(json.get("at").longValue(), counts));
+          .add(new Observation(json.get("at").longValue(), counts));
     }
-    return looksByGateway;
+    return observationsByGateway;
   }
 }
--- a/benchmark/src/main/java/lemondock/benchmark/RecordingRouterHost.java
+++ b/benchmark/src/main/java/lemondock/benchmark/RecordingRouterHost.java
@@ -5,14 +5,14 @@
 import java.util.Queue;
 import lemondock.policy.RouterHost;
 
-/** A host of the decision module that notes where requests are sent and does nothing else. */
+/** A router host that records where requests are sent and ignores everything else. */
 final class RecordingRouterHost implements RouterHost {
   private final Queue<Send> sends = new ArrayDeque<>();
 
-  /** An attempt that the module asked for. */
+  /** An attempt that the router told the host to send. */
   record Send(long requestId, long serverId) {}
 
-  /** The oldest attempt that was not polled. */
+  /** Removes and returns the oldest recorded attempt; empty if there is none. */
   Optional<Send> pollSend() {
     return Optional.ofNullable(sends.poll());
   }
--- a/benchmark/src/main/java/lemondock/benchmark/RelayBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/RelayBenchmark.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Events a CPU second of the relaying process: the gateway against a bare Netty relay of bytes. */
+/** Compares the events per CPU second of the gateway with those of a plain byte relay on Netty. */
 final class RelayBenchmark implements Benchmark {
   private static final int THREADS = 2;
   private static final int LOAD_LOOPS = 2;
--- a/benchmark/src/main/java/lemondock/benchmark/RelayProgram.java
+++ b/benchmark/src/main/java/lemondock/benchmark/RelayProgram.java
@@ -11,8 +11,8 @@
 import java.util.List;
 
 /**
- * A bare relay on Netty, the baseline of the gateway: bytes from one end to the other, nothing
- * looked at. Arguments TARGET_PORT THREADS.
+ * A plain byte relay on Netty, the baseline of the gateway: it copies bytes in both directions
+ * without parsing them. Arguments: TARGET_PORT THREADS.
  */
 final class RelayProgram implements ChildProgram {
   @Override
@@ -25,7 +25,7 @@
         connection -> connection.pipeline().addLast(new AcceptedSideHandler(targetPort)));
   }
 
-  /** Writes what it reads to the peer, and reads on once that is written. */
+  /** Writes received bytes to the peer, and resumes reading once they are written. */
   private static class CopyHandler extends ChannelInboundHandlerAdapter {
     /** The other side of the relay; null until it is connected. */
     protected Channel peer;
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Connects to the target before it reads anything. */
+  /** Handles an accepted connection; connects to the target before it reads anything. */
   private static final class AcceptedSideHandler extends CopyHandler {
     private final int targetPort;
 
--- a/benchmark/src/main/java/lemondock/benchmark/RelayedToolCalls.java
+++ b/benchmark/src/main/java/lemondock/benchmark/RelayedToolCalls.java
@@ -8,7 +8,7 @@
 import lemondock.scenario.ToolBehaviour;
 import lemondock.scenario.ToolCallRequest;
 
-/** Calls with one tool call each over a gateway, one after the other. Used on one loop. */
+/** Sends calls with one tool call each through a gateway, one by one. Used on one event loop. */
 final class RelayedToolCalls {
   private static final int ANSWER_WORDS = 3;
   private static final int MAX_TOKENS = 100;
@@ -19,7 +19,7 @@
   private long remaining;
   private int started;
 
-  /** Prepares as many calls as the latch counts. */
+  /** Prepares as many calls as the count of {@code done}; each call that ends counts it down. */
   RelayedToolCalls(McpClient client, String namePrefix, CountDownLatch done) {
     this.client = client;
     this.namePrefix = namePrefix;
@@ -27,7 +27,7 @@
     this.remaining = done.getCount();
   }
 
-  /** Starts the next call, and each later one when the one before it has ended. */
+  /** Starts the next call; each further one starts when the previous one has ended. */
   void start() {
     if (remaining == 0) {
       return;
--- a/benchmark/src/main/java/lemondock/benchmark/ReportBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ReportBenchmark.java
@@ -25,8 +25,8 @@
 import lemondock.metrics.Series;
 
 /**
- * Bytes and packets of a report, time to take and encode it, and memory of the buffered snapshots,
- * by number of tenants.
+ * Measures the bytes and packets of a metrics report, the time to take and encode it, and the
+ * memory of the buffered snapshots, by number of tenants.
  */
 final class ReportBenchmark implements Benchmark {
   private static final int[] TENANT_COUNTS = {3, 100, 1_000};
@@ -52,33 +52,33 @@
   }
 
   /**
-   * An hour of snapshots.
+   * The snapshots of an hour.
    *
-   * @param takeNanos how long each took, least first
-   * @param copiesBytes memory that full copies of them would need
+   * @param takeNanos how long it took to take each, in ascending order
+   * @param copiesBytes memory that full copies of the snapshots would need
    */
   private record Hour(
       SnapshotBuffer buffer, BufferedSnapshot last, long[] takeNanos, long copiesBytes) {}
 
   private static void measure(int tenants) {
     Hour hour = takeSnapshots(new LoadedMetrics(tenants));
-    BufferedSnapshot view = hour.last();
-    double[] encodeMillis = measureEncoding(view);
+    BufferedSnapshot snapshot = hour.last();
+    double[] encodeMillis = measureEncoding(snapshot);
     CollectdIdentifiers identifiers = new CollectdIdentifiers("till-gateway-17", INSTANCE);
-    Packetized plain = packetize(identifiers, SecurityLevel.NONE, view);
-    Packetized signed = packetize(identifiers, SecurityLevel.SIGN, view);
-    Packetized encrypted = packetize(identifiers, SecurityLevel.ENCRYPT, view);
+    Packetized plain = packetize(identifiers, SecurityLevel.NONE, snapshot);
+    Packetized signed = packetize(identifiers, SecurityLevel.SIGN, snapshot);
+    Packetized encrypted = packetize(identifiers, SecurityLevel.ENCRYPT, snapshot);
     System.out.printf(
         Locale.ROOT,
         "| %d | %d | p50 %d, p99 %d | %d | %d | %d | %d, %d | %d, %d | %d, %d | %.2f (%.2f"
             + " to %.2f) | %.2f | %.1f |%n",
         tenants,
-        view.values().length,
+        snapshot.values().length,
         TimeUnit.NANOSECONDS.toMicros(hour.takeNanos()[SNAPSHOTS / 2]),
         TimeUnit.NANOSECONDS.toMicros(hour.takeNanos()[SNAPSHOTS * 99 / 100]),
-        encodedBytes(new PlaintextEncoder(PREFIX, INSTANCE, false), view),
-        encodedBytes(new PickleEncoder(PREFIX, INSTANCE, false), view),
-        encodedBytes(new PutvalEncoder(identifiers, INTERVAL_MILLIS), view),
+        encodedBytes(new PlaintextEncoder(PREFIX, INSTANCE, false), snapshot),
+        encodedBytes(new PickleEncoder(PREFIX, INSTANCE, false), snapshot),
+        encodedBytes(new PutvalEncoder(identifiers, INTERVAL_MILLIS), snapshot),
         plain.packets(),
         plain.bytes(),
         signed.packets(),
@@ -92,7 +92,7 @@
         hour.copiesBytes() / BYTES_PER_MEGABYTE);
   }
 
-  /** The metrics of a gateway under load, some tenants busier than others. */
+  /** The metrics of a gateway under load, where some tenants send more than others. */
   private static final class LoadedMetrics {
     private static final String[] CLASSES = {
       "sale-lookup", "day-close", "card-refund", "till-move"
@@ -124,12 +124,12 @@
     /** Records the requests of ten seconds, 30 a second. */
     void recordInterval() {
       for (int i = 0; i < REQUESTS_PER_INTERVAL; i++) {
-        int chosen = (int) (weights.size() * Math.pow(random.nextDouble(), 3));
+        int seriesIndex = (int) (weights.size() * Math.pow(random.nextDouble(), 3));
         long ticket = recorder.beginUpdate();
-        recorder.add(weights.get(chosen).slot(0), FULL_WEIGHT);
-        recorder.add(weights.get(chosen).slot(2), FULL_WEIGHT);
-        recorder.add(requests.get(chosen).slot(0), 1);
-        recorder.add(requests.get(chosen).slot(2), 1);
+        recorder.add(weights.get(seriesIndex).slot(0), FULL_WEIGHT);
+        recorder.add(weights.get(seriesIndex).slot(2), FULL_WEIGHT);
+        recorder.add(requests.get(seriesIndex).slot(0), 1);
+        recorder.add(requests.get(seriesIndex).slot(2), 1);
         recorder.endUpdate(ticket);
       }
     }
@@ -158,29 +158,29 @@
     return new Hour(buffer, last, takeNanos, copiesBytes);
   }
 
-  /** Encodes a report as plaintext several times; gives the times, least first. */
-  private static double[] measureEncoding(BufferedSnapshot view) {
+  /** Encodes a report as plaintext in each round; returns the times in ascending order. */
+  private static double[] measureEncoding(BufferedSnapshot snapshot) {
     double[] millis = new double[ENCODE_ROUNDS];
     for (int round = 0; round < ENCODE_ROUNDS; round++) {
       long startNanos = System.nanoTime();
-      encodedBytes(new PlaintextEncoder(PREFIX, INSTANCE, false), view);
+      encodedBytes(new PlaintextEncoder(PREFIX, INSTANCE, false), snapshot);
       millis[round] = (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
     }
     Arrays.sort(millis);
     return millis;
   }
 
-  private static long encodedBytes(SnapshotEncoder encoder, BufferedSnapshot view) {
-    ByteArrayOutputStream text = new ByteArrayOutputStream();
-    encoder.encode(view, 0, Integer.MAX_VALUE, text);
-    return text.size();
+  private static long encodedBytes(SnapshotEncoder encoder, BufferedSnapshot snapshot) {
+    ByteArrayOutputStream encoded = new ByteArrayOutputStream();
+    encoder.encode(snapshot, 0, Integer.MAX_VALUE, encoded);
+    return encoded.size();
   }
 
-  /** A report in collectd's packets. */
+  /** The size of a report in packets of collectd's network protocol. */
   private record Packetized(long packets, long bytes) {}
 
   private static Packetized packetize(
-      CollectdIdentifiers identifiers, SecurityLevel level, BufferedSnapshot view) {
+      CollectdIdentifiers identifiers, SecurityLevel level, BufferedSnapshot snapshot) {
     NetworkPacketEncoder encoder =
         new NetworkPacketEncoder(
             identifiers,
@@ -190,12 +190,12 @@
             CounterType.DERIVE);
     int packets = 0;
     long bytes = 0;
-    int position = 0;
-    while (position < view.series().size()) {
-      NetworkPacketEncoder.Packet packet = encoder.encode(view, position);
+    int nextSeries = 0;
+    while (nextSeries < snapshot.series().size()) {
+      NetworkPacketEncoder.Packet packet = encoder.encode(snapshot, nextSeries);
       packets++;
       bytes += packet.bytes().remaining();
-      position = packet.nextSeries();
+      nextSeries = packet.nextSeries();
     }
     return new Packetized(packets, bytes);
   }
--- a/benchmark/src/main/java/lemondock/benchmark/ReportingLatencyBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ReportingLatencyBenchmark.java
@@ -12,8 +12,9 @@
 import lemondock.net.nio.LoopbackPort;
 
 /**
- * The same paced streams through gateways that report nothing, to healthy, to stalled and to absent
- * collectors. System properties: {@code streams}, {@code rounds}.
+ * Compares the latency of the same paced streams through gateways that report no metrics, and that
+ * report them to healthy, stalled and absent collectors. System properties: {@code streams} (in
+ * each round), {@code rounds}.
  */
 final class ReportingLatencyBenchmark implements Benchmark {
   private static final int WORDS = 150;
@@ -32,7 +33,7 @@
   private final int streams = Integer.getInteger("streams", 500);
   private final int rounds = Integer.getInteger("rounds", 5);
 
-  /** A gateway that reports in a way, and what was measured. */
+  /** A gateway with one setting of {@code reporting}, and its measured values. */
   private record Variant(ChildProcess gateway, RoundValues values) {}
 
   @Override
@@ -44,13 +45,14 @@
             new GraphiteListener(0, false, GraphiteListener.Fault.NEVER_READS);
         CollectdListener collectd = new CollectdListener(0, Map.of(), 1);
         LoopbackPort unused = LoopbackPort.reserve()) {
-      int absent = unused.number();
-      Map<String, String> reportings = new LinkedHashMap<>();
-      reportings.put("off", GatewaySettingsFile.NO_REPORTS);
-      reportings.put("healthy", reporting(plaintext.port(), pickle.port(), collectd.port()));
-      reportings.put("stalled", reporting(stalled.port(), stalled.port(), absent));
-      reportings.put("absent", reporting(absent, absent, absent));
-      Map<String, Variant> variants = startGateways(reportings, engine);
+      int absentPort = unused.number();
+      Map<String, String> reportingByVariant = new LinkedHashMap<>();
+      reportingByVariant.put("off", GatewaySettingsFile.NO_REPORTS);
+      reportingByVariant.put(
+          "healthy", reportingJson(plaintext.port(), pickle.port(), collectd.port()));
+      reportingByVariant.put("stalled", reportingJson(stalled.port(), stalled.port(), absentPort));
+      reportingByVariant.put("absent", reportingJson(absentPort, absentPort, absentPort));
+      Map<String, Variant> variants = startGateways(reportingByVariant, engine);
       measureRounds(variants);
       print(variants);
       System.out.println(
@@ -63,7 +65,7 @@
     }
   }
 
-  private static String reporting(int plaintextPort, int picklePort, int collectdPort) {
+  private static String reportingJson(int plaintextPort, int picklePort, int collectdPort) {
     return "{\"tickMs\":1000,\"intervalMs\":1000,\"destinations\":[{\"name\":\"a\",\"kind\":\"graphite\",\"address\":"
                + "\"127.0.0.1:"
         + plaintextPort
@@ -74,10 +76,10 @@
         + "\"}]}";
   }
 
-  private Map<String, Variant> startGateways(Map<String, String> reportings, ChildProcess engine)
-      throws IOException {
+  private Map<String, Variant> startGateways(
+      Map<String, String> reportingByVariant, ChildProcess engine) throws IOException {
     Map<String, Variant> variants = new LinkedHashMap<>();
-    for (Map.Entry<String, String> reporting : reportings.entrySet()) {
+    for (Map.Entry<String, String> reporting : reportingByVariant.entrySet()) {
       GatewaySettingsFile settings =
           new GatewaySettingsFile(engine.port()).withReporting(reporting.getValue());
       ChildProcess gateway = ChildProcess.gateway("1g", settings.write()).start();
--- a/benchmark/src/main/java/lemondock/benchmark/RoundValues.java
+++ b/benchmark/src/main/java/lemondock/benchmark/RoundValues.java
@@ -3,11 +3,11 @@
 import java.util.Arrays;
 import java.util.Locale;
 
-/** What was measured in each round: one value for each column of a table. */
+/** The measured values of each round, one for each column of a table. */
 final class RoundValues {
   private final double[][] columns;
 
-  /** Makes a table of zeros. */
+  /** Creates a table of zeros. */
   RoundValues(int columnCount, int rounds) {
     columns = new double[columnCount][rounds];
   }
@@ -15,7 +15,7 @@
   /**
    * Records a round.
    *
-   * @param round from 0; an earlier one, as warm-up rounds have, is not recorded
+   * @param round from 0; negative for a warm-up round, which is not recorded
    * @param values one for each column
    */
   void record(int round, double... values) {
@@ -29,7 +29,7 @@
     return sorted(column)[columns[column].length / 2];
   }
 
-  /** Formats each column as a cell of a table: {@code | median (least to most)}. */
+  /** Formats each column as a cell of a table: {@code | median (minimum to maximum)}. */
   String format() {
     StringBuilder cells = new StringBuilder();
     for (int column = 0; column < columns.length; column++) {
@@ -38,7 +38,7 @@
     return cells.toString();
   }
 
-  /** Formats a column as {@code median (least to most)}. */
+  /** Formats a column as {@code median (minimum to maximum)}. */
   String format(int column) {
     double[] sorted = sorted(column);
     return String.format(
--- a/benchmark/src/main/java/lemondock/benchmark/SessionReceiver.java
+++ b/benchmark/src/main/java/lemondock/benchmark/SessionReceiver.java
@@ -7,7 +7,7 @@
 import lemondock.net.http.RequestFailure;
 import lemondock.net.http.ResponseReceiver;
 
-/** Notes the id of a session that was asked for. */
+/** Records the id of a session that a gateway was asked to open; null if it opened none. */
 final class SessionReceiver implements ResponseReceiver {
   /** Guarded by itself. */
   private final List<String> ids;
--- a/benchmark/src/main/java/lemondock/benchmark/StreamLoad.java
+++ b/benchmark/src/main/java/lemondock/benchmark/StreamLoad.java
@@ -20,8 +20,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Sends streams over a gateway, or straight to an engine, from several loops of this process, and
- * counts what their clients see. Thread-safe.
+ * A load generator: requests streams through a gateway, or directly from an engine, on several
+ * event loops of this process, and counts what their clients receive. Thread-safe.
  */
 final class StreamLoad implements AutoCloseable {
   static final long MAX_RECORDED_MICROS = TimeUnit.SECONDS.toMicros(59);
@@ -42,10 +42,10 @@
   private final AtomicLong events = new AtomicLong();
   private final AtomicLong failures = new AtomicLong();
 
-  /** A loop with a client of its own. */
+  /** An event loop with its own HTTP client. */
   private record LoadLoop(EmulatedProcess process, HttpClient client) {}
 
-  /** An HTTP request to a port of loopback. */
+  /** A POST request to a loopback port. */
   private record Post(int port, String path, Headers headers, byte[] body) {
     InetSocketAddress address() {
       return new InetSocketAddress("127.0.0.1", port);
@@ -56,12 +56,12 @@
     }
   }
 
-  /** Makes a load of so many loops. */
+  /** Creates a load on that many event loops, with the default limit of connections. */
   StreamLoad(int loopCount) {
     this(loopCount, DEFAULT_CONNECTIONS);
   }
 
-  /** Makes a load of so many loops that keep at most so many connections to an address each. */
+  /** Creates a load whose loops each keep at most that many connections to an address. */
   StreamLoad(int loopCount, int connectionsPerLoop) {
     HttpClientOptions options =
         new HttpClientOptions(
@@ -93,7 +93,9 @@
     return ids;
   }
 
-  /** Opens sessions, some at a time, until there are that many; a rejected one is tried again. */
+  /**
+   * Opens sessions, {@code step} at a time, until there are {@code count}; retries rejected ones.
+   */
   List<String> openSessionsInSteps(int port, int count, int step) throws InterruptedException {
     List<String> ids = new ArrayList<>();
     while (ids.size() < count) {
@@ -102,7 +104,7 @@
     return ids;
   }
 
-  /** Sends a call over a gateway; the receiver is made when it goes out. */
+  /** Sends a call to a gateway; its receiver is created when it is sent. */
   void call(
       int number, int port, String session, byte[] body, Supplier<ResponseReceiver> receiver) {
     Headers headers = headers();
@@ -110,7 +112,7 @@
     send(number, new Post(port, StreamRequest.MCP_PATH, headers, body), receiver);
   }
 
-  /** Begins a stream whose words, times and failures are counted here. */
+  /** Requests a stream; its words, latencies and failures are recorded in this load. */
   void stream(StreamRequest request, CountDownLatch done) {
     Headers headers = headers();
     request.session().ifPresent(session -> headers.add("mcp-session-id", session));
@@ -144,22 +146,22 @@
         "application/json, text/event-stream");
   }
 
-  /** From sending a request to its first word. */
+  /** Time from sending a request to the arrival of its first word, in microseconds. */
   Histogram firstTokenMicros() {
     return firstTokenMicros;
   }
 
-  /** From the moment that a word names to its arrival; of requests with timestamps. */
+  /** Time from the timestamp in a word to its arrival; only for requests with timestamps. */
   Histogram tokenDelayMicros() {
     return tokenDelayMicros;
   }
 
-  /** Words that have arrived so far. */
+  /** Number of words that have arrived so far. */
   long events() {
     return events.get();
   }
 
-  /** Requests that failed so far, and events that told of an error. */
+  /** Number of requests that have failed so far, plus events that contained an error. */
   long failures() {
     return failures.get();
   }
--- a/benchmark/src/main/java/lemondock/benchmark/StreamReceiver.java
+++ b/benchmark/src/main/java/lemondock/benchmark/StreamReceiver.java
@@ -8,7 +8,7 @@
 import lemondock.net.http.ResponseReceiver;
 import lemondock.net.sse.SseEvent;
 
-/** Counts the words of one stream and records its times. Made when its request is sent. */
+/** Counts the words of one stream and records its latencies. Created when its request is sent. */
 final class StreamReceiver implements ResponseReceiver {
   private static final String NO_WORD = "";
 
@@ -18,8 +18,8 @@
   private final CountDownLatch done;
   private final long sentMicros;
 
-  /** Used on the loop only. */
-  private boolean firstWordSeen;
+  /** Used on the event loop only. */
+  private boolean firstWordReceived;
 
   StreamReceiver(StreamLoad load, Loop loop, StreamRequest request, CountDownLatch done) {
     this.load = load;
@@ -53,8 +53,8 @@
     if (prefixAt < 0) {
       return Optional.empty();
     }
-    int begin = prefixAt + prefix.length();
-    return Optional.of(data.substring(begin, data.indexOf('"', begin)));
+    int wordAt = prefixAt + prefix.length();
+    return Optional.of(data.substring(wordAt, data.indexOf('"', wordAt)));
   }
 
   private void recordWord(String word) {
@@ -68,8 +68,8 @@
 
   @Override
   public void onEvent(Object mapped) {
-    if (!firstWordSeen && !mapped.equals(NO_WORD)) {
-      firstWordSeen = true;
+    if (!firstWordReceived && !mapped.equals(NO_WORD)) {
+      firstWordReceived = true;
       load.firstTokenMicros()
           .recordValue(Math.min(StreamLoad.MAX_RECORDED_MICROS, loop.now() - sentMicros));
     }
--- a/benchmark/src/main/java/lemondock/benchmark/StreamRequest.java
+++ b/benchmark/src/main/java/lemondock/benchmark/StreamRequest.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 
 /**
- * A stream to begin.
+ * A request for a stream.
  *
  * @param number spreads requests over the loops of a {@link StreamLoad}
- * @param port where it goes on loopback
- * @param session the session at a gateway; empty if it goes to an engine
- * @param hasTimestamps whether each word of the answer is the moment at which it was sent
+ * @param port loopback port that it is sent to
+ * @param session the session at a gateway; empty for an engine
+ * @param hasTimestamps whether each word of the answer is the time at which it was sent
  */
 record StreamRequest(
     int number, int port, Optional<String> session, byte[] body, boolean hasTimestamps) {
@@ -16,22 +16,22 @@
   private static final String COMPLETIONS_PATH = "/v1/chat/completions";
 
   /**
-   * A call over a gateway.
+   * A call to a gateway.
    *
-   * @param session null if the gateway rejected the session; then the call fails and is counted so
+   * @param session null if the gateway rejected the session; the call then counts as a failure
    */
   static StreamRequest toGateway(int number, int port, String session, String prompt) {
     byte[] body = RequestBodies.call(number, prompt);
     return new StreamRequest(number, port, Optional.ofNullable(session), body, false);
   }
 
-  /** The same prompt straight to an engine, or over a relay that knows no protocol. */
+  /** A completion request to an engine, directly or through a byte relay. */
   static StreamRequest toEngine(int number, int port, String prompt) {
     byte[] body = RequestBodies.completion(prompt);
     return new StreamRequest(number, port, Optional.empty(), body, false);
   }
 
-  /** The same for a prompt that asks for timestamps. */
+  /** Returns this request for a prompt that asks for timestamps. */
   StreamRequest withTimestamps() {
     return new StreamRequest(number, port, session, body, true);
   }
@@ -40,7 +40,7 @@
     return session.isPresent() ? MCP_PATH : COMPLETIONS_PATH;
   }
 
-  /** What stands before each word of the answer in an event's data. */
+  /** The text that precedes each word of the answer in an event's data. */
   String wordPrefix() {
     return session.isPresent() ? "\"message\":\" " : "\"content\":\" ";
   }
--- a/benchmark/src/main/java/lemondock/benchmark/ToolCallBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ToolCallBenchmark.java
@@ -21,9 +21,10 @@
 import lemondock.scenario.ScenarioFleet;
 
 /**
- * What a tool call takes more when it is relayed by a gateway than when a client speaks with the
- * engine itself: from the end of the engine's turn that calls to the arrival of the next one, with
- * a tool that takes no time. Emulated engine, one call at a time. System property: {@code rounds}.
+ * Measures the latency that a gateway adds to a tool call, compared with a client that calls the
+ * engine directly: the time from the end of the engine's turn that calls the tool to the arrival of
+ * the next turn, with a tool that takes no time. Uses an emulated engine and one call at a time.
+ * System property: {@code rounds}.
  */
 final class ToolCallBenchmark implements Benchmark {
   private static final int CALLS = 150;
@@ -32,7 +33,7 @@
   private static final long SERVERS_WAIT_MILLIS = 10_000;
   private static final long DONE_WAIT_SECONDS = 120;
 
-  /** Two turns of a call, each with an arrival and an end. */
+  /** A call has two turns, each with an arrival and an end. */
   private static final int EVENTS_PER_CALL = 4;
 
   private static final int CALLING_TURN_END = 1;
@@ -40,7 +41,7 @@
 
   private final int rounds = Integer.getInteger("rounds", 5);
 
-  /** Runs calls one after the other; the name of each begins with a prefix. */
+  /** Runs calls one after the other; their names begin with {@code namePrefix}. */
   private interface Caller {
     void start(String namePrefix, CountDownLatch done);
   }
@@ -93,18 +94,33 @@
             json -> json.putObject("overload").put("refuse", false));
     fleet.addGateway(settings, Gateway.DEFAULT_ROUTER_FACTORY);
     if (!fleet.awaitServers(GATEWAY, 1, SERVERS_WAIT_MILLIS)) {
-      throw new IllegalStateException("the gateway does not see its server");
+      throw new IllegalStateException(
+          "gateway "
+              + GATEWAY
+              + " does not see engine "
+              + ENGINE
+              + " after "
+              + SERVERS_WAIT_MILLIS
+              + " ms");
     }
   }
 
-  /** Median and 99th percentile of what lies between two turns, in microseconds. */
+  /** Returns the median and the 99th percentile of the time between two turns, in microseconds. */
   private static double[] measure(
       ScenarioFleet fleet, EmulatedProcess clients, Caller caller, String prefix)
       throws InterruptedException {
     CountDownLatch done = new CountDownLatch(CALLS);
     clients.loop().execute(() -> caller.start(prefix, done));
     if (!done.await(DONE_WAIT_SECONDS, TimeUnit.SECONDS)) {
-      throw new IllegalStateException(done.getCount() + " calls have not ended");
+      throw new IllegalStateException(
+          done.getCount()
+              + " of "
+              + CALLS
+              + " calls "
+              + prefix
+              + "* have not ended after "
+              + DONE_WAIT_SECONDS
+              + " s");
     }
     long[] sortedMicros = microsBetweenTurns(fleet.events(), prefix);
     return new double[] {
@@ -115,9 +131,9 @@
   private static long[] microsBetweenTurns(List<TrafficEvent> events, String prefix) {
     Map<String, List<TrafficEvent>> eventsByCall = new LinkedHashMap<>();
     for (TrafficEvent event : events) {
-      boolean beginsOrEndsTurn =
+      boolean isTurnBoundary =
           event.kind() == TrafficEvent.Kind.DECODE || event.kind() == TrafficEvent.Kind.ANSWERED;
-      if (beginsOrEndsTurn && event.mark().startsWith(prefix)) {
+      if (isTurnBoundary && event.mark().startsWith(prefix)) {
         eventsByCall.computeIfAbsent(event.mark(), absent -> new ArrayList<>()).add(event);
       }
     }
--- a/benchmark/src/main/java/lemondock/benchmark/ToolCallPrompt.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ToolCallPrompt.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 
-/** The prompt of calls with one tool call, as emulated engines understand it. */
+/** The prompt of calls with one tool call, in the format that emulated engines parse. */
 final class ToolCallPrompt {
   /** The tool that is called. */
   static final String TOOL = "stock";
@@ -10,9 +10,9 @@
   private ToolCallPrompt() {}
 
   /**
-   * Adds the prompt to messages.
+   * Adds the prompt to messages as a message of the user.
    *
-   * @param callName marks the call in what engines report
+   * @param callName identifies the call in the events that engines report
    */
   static void addTo(ArrayNode messages, String callName, int answerWords) {
     String text = text(callName, answerWords);
--- a/benchmark/src/main/java/lemondock/benchmark/UnreadCalls.java
+++ b/benchmark/src/main/java/lemondock/benchmark/UnreadCalls.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Connections to a gateway from which nothing is read, with or without a call on them. */
+/** Connections to a gateway, idle or with a call each, from which the client never reads. */
 final class UnreadCalls implements AutoCloseable {
   private static final int RECEIVE_BUFFER_BYTES = 4_096;
 
@@ -22,7 +22,7 @@
     sockets.add(new Socket("127.0.0.1", port));
   }
 
-  /** Posts a call whose answer is left in a small receive buffer. */
+  /** Posts a call on a new connection with a small receive buffer; its answer stays unread. */
   void post(int port, String session, byte[] body) throws IOException {
     Socket socket = new Socket();
     socket.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
--- a/benchmark/src/main/java/lemondock/benchmark/WaitingAnswersBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/WaitingAnswersBenchmark.java
@@ -7,8 +7,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Answers that wait for their clients' tools: their memory, and what they do to calls beside them.
- * System property: {@code answers}.
+ * Measures the memory of answers that wait for a tool of their client, and their effect on the
+ * latency of other calls. System property: {@code answers} (the largest number that wait).
  */
 final class WaitingAnswersBenchmark implements Benchmark {
   private static final int ENGINE_SLOTS = 40_000;
@@ -30,22 +30,22 @@
     try (ChildProcess engine = ChildProcess.engine("4g", ENGINE_SLOTS, TOKEN_MILLIS).start()) {
       Path settings = new GatewaySettingsFile(engine.port()).write();
       try (ChildProcess gateway = ChildProcess.gateway("512m", settings).start();
-          UnreadCalls waiting = new UnreadCalls()) {
+          UnreadCalls waitingCalls = new UnreadCalls()) {
         System.out.println(
             "| answers waiting | heap MB after a collection | CPU % of one processor | a call"
                 + " of 20 tokens beside them, first token p50, p99 us |\n"
                 + "| --- | --- | --- | --- |");
         for (int target : new int[] {0, answers / 10, answers}) {
-          measure(target, waiting, gateway);
+          measure(target, waitingCalls, gateway);
         }
       }
     }
   }
 
-  private static void measure(int target, UnreadCalls waiting, ChildProcess gateway)
+  private static void measure(int target, UnreadCalls waitingCalls, ChildProcess gateway)
       throws Exception {
     try (StreamLoad load = new StreamLoad(LOAD_LOOPS)) {
-      addAnswers(target, waiting, load, gateway.port());
+      addAnswers(target, waitingCalls, load, gateway.port());
       TimeUnit.SECONDS.sleep(SETTLE_SECONDS);
       final String cpuShare = CpuTime.formatShare(gateway);
       final long heapMegabytes = gateway.collectAndMeasure().heapMegabytes();
@@ -68,15 +68,15 @@
     }
   }
 
-  /** Begins answers that call a tool which never answers, until that many wait. */
-  private static void addAnswers(int target, UnreadCalls waiting, StreamLoad load, int port)
+  /** Starts answers that call a tool that never answers, until {@code target} answers wait. */
+  private static void addAnswers(int target, UnreadCalls waitingCalls, StreamLoad load, int port)
       throws Exception {
-    int sessionCount = Math.max(1, (target - waiting.size()) / ANSWERS_PER_SESSION);
+    int sessionCount = Math.max(1, (target - waitingCalls.size()) / ANSWERS_PER_SESSION);
     List<String> sessions = load.openSessionsInSteps(port, sessionCount, SESSIONS_PER_STEP);
-    for (int i = 0; waiting.size() < target; i++) {
+    for (int i = 0; waitingCalls.size() < target; i++) {
       String session = sessions.get(i / ANSWERS_PER_SESSION % sessions.size());
-      String prompt = "#w" + waiting.size() + "# call the tool stock answer in 5 words";
-      waiting.post(port, session, RequestBodies.callWithTool(FIRST_ANSWER_ID + i, prompt));
+      String prompt = "#w" + waitingCalls.size() + "# call the tool stock answer in 5 words";
+      waitingCalls.post(port, session, RequestBodies.callWithTool(FIRST_ANSWER_ID + i, prompt));
       Pacing.pauseAfterEach(50, i, 10);
     }
   }
