--- a/benchmark/src/main/java/lemondock/benchmark/DetectorScore.java
+++ b/benchmark/src/main/java/lemondock/benchmark/DetectorScore.java
@@ -12,7 +12,7 @@
 import lemondock.anomaly.DegradationDetector;
 import lemondock.anomaly.EventCounts;
 import lemondock.anomaly.ServiceScope;
-import lemondock.benchmark.RecordedScenario.Look;
+import lemondock.benchmark.RecordedScenario.Observation;
 
 /**
  * How well a detector found the degradations of recorded scenarios. An alarm matches a degradation
@@ -47,7 +47,7 @@
   /** Runs the detector over a scenario and adds its detections and alarms to the score. */
   void add(RecordedScenario scenario) {
     scenario
-        .looksByGateway()
+        .observationsByGateway()
         .forEach(
             (gateway, looks) -> {
               Map<String, List<Degradation>> degradationsByKey = new TreeMap<>();
@@ -65,11 +65,11 @@
   }
 
   /** Runs the detector over the snapshots of a gateway; returns the times of alarms by class. */
-  private Map<String, List<Long>> runDetector(List<Look> looks) {
+  private Map<String, List<Long>> runDetector(List<Observation> looks) {
     Map<String, List<Long>> alarmsByKey = new TreeMap<>();
     DegradationDetector detector = new DegradationDetector(newChangeDetector);
     long previousTotal = 0;
-    for (Look look : looks) {
+    for (Observation look : looks) {
       boolean gatewayRestarted = look.total() < previousTotal;
       if (gatewayRestarted) {
         detector = new DegradationDetector(newChangeDetector);
@@ -86,7 +86,7 @@
     return alarmsByKey;
   }
 
-  private static List<EventCounts> counts(Look look) {
+  private static List<EventCounts> counts(Observation look) {
     List<EventCounts> counts = new ArrayList<>();
     look.countsByClass()
         .forEach(
