--- a/scenario/src/test/java/lemondock/scenario/BreakTableTest.java
+++ b/scenario/src/test/java/lemondock/scenario/BreakTableTest.java
@@ -35,141 +35,151 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The table of breaks: what breaks, at which moment of an answer with a tool call in its middle,
- * for which class of repeats, and what must be seen of it on the sockets; each row by itself and
- * each two rows that can come together. Whatever breaks, the auditor finds the rules kept, events
- * come in order, and nothing is left under way.
+ * A table of faults: which fault occurs, at which moment of an answer with a tool call in its
+ * middle, and what the client must see for each repeat mode of the request class ("safe", "once",
+ * "keyed"). Each row runs alone and in each pair of rows that can occur in one answer. After every
+ * fault the auditor must find all rules kept, stream events must arrive in order, and no request
+ * may remain in flight.
  */
 @Timeout(60)
 class BreakTableTest {
   private static final String PROMPT = "call the tool stock answer in 6 words";
-  private static final String BEFORE = " a0 a1 a2 a3";
-  private static final String AFTER = " b0 b1 b2 b3 b4 b5";
-  private static final int TOOL_BYTES = 64;
+  private static final String TEXT_BEFORE_CALL = " a0 a1 a2 a3";
+  private static final String TEXT_AFTER_RESULT = " b0 b1 b2 b3 b4 b5";
+  private static final String TOOL_TEXT = "did-stock";
+  private static final int MAX_TOOL_RESULT_BYTES = 64;
 
-  /** Rows are run a few at a time, each with a fleet to itself. */
-  private static final int FLEETS = 3;
+  /** Fleets per repeat mode. Rows run concurrently, and each has a fleet to itself. */
+  private static final int FLEETS_PER_REPEAT_MODE = 3;
 
   private static final int READERS = 5;
   private static final int WRITERS = 3;
-  private static final Map<String, BlockingQueue<ScenarioFixture>> FREE = new HashMap<>();
-  private static final List<ScenarioFixture> FIXTURES = new ArrayList<>();
-  private static final AtomicInteger NUMBER = new AtomicInteger();
+  private static final Map<String, BlockingQueue<ScenarioFixture>> IDLE_FIXTURES = new HashMap<>();
+  private static final List<ScenarioFixture> ALL_FIXTURES = new ArrayList<>();
+  private static final AtomicInteger RUN_COUNT = new AtomicInteger();
 
-  /** When something breaks. */
+  /** The moment of the answer at which a fault occurs. */
   enum Moment {
-    /** Nothing of the answer has come. */
+    /** The prompt is being read (prefill); nothing of the answer has arrived. */
     READ,
-    /** Two of the four tokens before the call have come. */
+    /** Two of the four tokens before the tool call have arrived. */
     TEXT,
-    /** The text before the call is whole. */
-    CALL,
-    /** The call was relayed and its result is awaited. */
-    TOOL,
-    /** Two tokens behind the result have come. */
-    AFTER
+    /** The text before the tool call is complete. */
+    TOOL_CALL,
+    /** The tool call was relayed and its result is awaited. */
+    TOOL_RESULT,
+    /** Two tokens after the tool result have arrived. */
+    AFTER_RESULT
   }
 
-  /** What breaks. */
-  enum Break {
-    /** The writer's connection. */
-    WRITER,
-    /** The writer goes silent. */
-    STALL,
-    /** The reader's connection, before its reply. */
-    READER,
-    /** The client's connection; it takes the stream up again. */
-    STREAM,
-    /** The client cancels. */
-    CANCEL,
-    /** The client's connection, for good. */
-    LEAVE,
-    /** The client ends its session. */
-    DELETE,
-    /** The tool's result comes twice. */
-    TWICE,
-    /** It never comes. */
-    NEVER,
-    /** It comes after its time. */
-    LATE,
-    /** It is larger than may be. */
-    LARGE,
-    /** It is no result at all. */
-    ODD,
-    /** It is an error of JSON-RPC: the client refuses. */
-    ERROR,
-    /** It says itself that the tool failed. */
-    FAILS
+  /** The fault that a row injects. */
+  enum Fault {
+    /** The writer closes its connection. */
+    WRITER_DISCONNECT,
+    /** The writer stops sending. */
+    WRITER_STALL,
+    /** The reader closes its connection before its reply. */
+    READER_DISCONNECT,
+    /** The client's connection breaks and the client resumes the stream. */
+    CLIENT_RECONNECT,
+    /** The client cancels the call. */
+    CLIENT_CANCEL,
+    /** The client disconnects and does not come back. */
+    CLIENT_DISCONNECT,
+    /** The client deletes its session. */
+    SESSION_DELETE,
+    /** The client posts the tool's result twice. */
+    DUPLICATE_RESULT,
+    /** The client never posts the tool's result. */
+    MISSING_RESULT,
+    /** The tool's result arrives after the tool timeout. */
+    LATE_RESULT,
+    /** The tool's result exceeds {@link #MAX_TOOL_RESULT_BYTES}. */
+    OVERSIZED_RESULT,
+    /** The result member is not a tool result. */
+    MALFORMED_RESULT,
+    /** The client answers the relayed call with a JSON-RPC error. */
+    ERROR_RESPONSE,
+    /** The result has {@code isError} set. */
+    TOOL_FAILURE
   }
 
-  /** How an answer ends. */
-  enum End {
+  /** How an answer ends: with a result, with an error, or without a response. */
+  enum Ending {
     SERVED,
     FAILED,
-    NONE
+    NO_RESPONSE
   }
 
-  /** A row: {@code middle} is what the model is told of the tool. */
-  record Row(Break what, Moment moment, End safe, End unsafe, String middle) {
+  /**
+   * A row of the table.
+   *
+   * @param safe expected ending where repeats are safe
+   * @param unsafe expected ending in the repeat modes "once" and "keyed"
+   * @param toolText what the model is told as the tool's result
+   */
+  record Row(Fault fault, Moment moment, Ending safe, Ending unsafe, String toolText) {
     @Override
     public String toString() {
-      return what + " at " + moment;
+      return fault + " at " + moment;
     }
   }
 
-  private static Row row(Break what, Moment moment, End safe, End unsafe) {
-    return new Row(what, moment, safe, unsafe, "did-stock");
+  private static Row row(Fault fault, Moment moment, Ending safe, Ending unsafe) {
+    return new Row(fault, moment, safe, unsafe, TOOL_TEXT);
   }
 
-  private static Row result(Break what, String middle) {
-    return new Row(what, Moment.TOOL, End.SERVED, End.SERVED, middle);
+  private static Row toolResultRow(Fault fault, String toolText) {
+    return new Row(fault, Moment.TOOL_RESULT, Ending.SERVED, Ending.SERVED, toolText);
   }
 
   /**
-   * An unsafe class is one that may run once, or by key: what broke after it may have run is never
-   * tried again.
+   * A class is unsafe in the repeat modes "once" and "keyed": an attempt that broke off after it
+   * may have run is never retried.
    */
   private static final List<Row> ROWS =
       List.of(
-          row(Break.WRITER, Moment.TEXT, End.SERVED, End.FAILED),
-          row(Break.WRITER, Moment.CALL, End.SERVED, End.FAILED),
-          row(Break.WRITER, Moment.AFTER, End.SERVED, End.FAILED),
-          row(Break.STALL, Moment.TEXT, End.SERVED, End.FAILED),
-          row(Break.STALL, Moment.CALL, End.SERVED, End.FAILED),
-          row(Break.STALL, Moment.AFTER, End.SERVED, End.FAILED),
-          row(Break.READER, Moment.READ, End.SERVED, End.SERVED),
-          row(Break.READER, Moment.TOOL, End.SERVED, End.SERVED),
-          row(Break.STREAM, Moment.READ, End.SERVED, End.SERVED),
-          row(Break.STREAM, Moment.TEXT, End.SERVED, End.SERVED),
-          row(Break.STREAM, Moment.TOOL, End.SERVED, End.SERVED),
-          row(Break.STREAM, Moment.AFTER, End.SERVED, End.SERVED),
-          row(Break.CANCEL, Moment.READ, End.NONE, End.NONE),
-          row(Break.CANCEL, Moment.TEXT, End.NONE, End.NONE),
-          row(Break.CANCEL, Moment.TOOL, End.NONE, End.NONE),
-          row(Break.CANCEL, Moment.AFTER, End.NONE, End.NONE),
-          row(Break.LEAVE, Moment.READ, End.NONE, End.NONE),
-          row(Break.LEAVE, Moment.TEXT, End.NONE, End.NONE),
-          row(Break.LEAVE, Moment.TOOL, End.NONE, End.NONE),
-          row(Break.LEAVE, Moment.AFTER, End.NONE, End.NONE),
-          row(Break.DELETE, Moment.READ, End.NONE, End.NONE),
-          row(Break.DELETE, Moment.TEXT, End.NONE, End.NONE),
-          row(Break.DELETE, Moment.TOOL, End.NONE, End.NONE),
-          row(Break.DELETE, Moment.AFTER, End.NONE, End.NONE),
-          result(Break.TWICE, "did-stock"),
-          result(Break.NEVER, "the tool gave no result in time"),
-          result(Break.LATE, "the tool gave no result in time"),
-          result(Break.LARGE, "the tool's result was larger than " + TOOL_BYTES + " characters"),
-          result(Break.ODD, ""),
-          result(Break.ERROR, "error -32001: not I"),
-          result(Break.FAILS, "broken"));
+          row(Fault.WRITER_DISCONNECT, Moment.TEXT, Ending.SERVED, Ending.FAILED),
+          row(Fault.WRITER_DISCONNECT, Moment.TOOL_CALL, Ending.SERVED, Ending.FAILED),
+          row(Fault.WRITER_DISCONNECT, Moment.AFTER_RESULT, Ending.SERVED, Ending.FAILED),
+          row(Fault.WRITER_STALL, Moment.TEXT, Ending.SERVED, Ending.FAILED),
+          row(Fault.WRITER_STALL, Moment.TOOL_CALL, Ending.SERVED, Ending.FAILED),
+          row(Fault.WRITER_STALL, Moment.AFTER_RESULT, Ending.SERVED, Ending.FAILED),
+          row(Fault.READER_DISCONNECT, Moment.READ, Ending.SERVED, Ending.SERVED),
+          row(Fault.READER_DISCONNECT, Moment.TOOL_RESULT, Ending.SERVED, Ending.SERVED),
+          row(Fault.CLIENT_RECONNECT, Moment.READ, Ending.SERVED, Ending.SERVED),
+          row(Fault.CLIENT_RECONNECT, Moment.TEXT, Ending.SERVED, Ending.SERVED),
+          row(Fault.CLIENT_RECONNECT, Moment.TOOL_RESULT, Ending.SERVED, Ending.SERVED),
+          row(Fault.CLIENT_RECONNECT, Moment.AFTER_RESULT, Ending.SERVED, Ending.SERVED),
+          row(Fault.CLIENT_CANCEL, Moment.READ, Ending.NO_RESPONSE, Ending.NO_RESPONSE),
+          row(Fault.CLIENT_CANCEL, Moment.TEXT, Ending.NO_RESPONSE, Ending.NO_RESPONSE),
+          row(Fault.CLIENT_CANCEL, Moment.TOOL_RESULT, Ending.NO_RESPONSE, Ending.NO_RESPONSE),
+          row(Fault.CLIENT_CANCEL, Moment.AFTER_RESULT, Ending.NO_RESPONSE, Ending.NO_RESPONSE),
+          row(Fault.CLIENT_DISCONNECT, Moment.READ, Ending.NO_RESPONSE, Ending.NO_RESPONSE),
+          row(Fault.CLIENT_DISCONNECT, Moment.TEXT, Ending.NO_RESPONSE, Ending.NO_RESPONSE),
+          row(Fault.CLIENT_DISCONNECT, Moment.TOOL_RESULT, Ending.NO_RESPONSE, Ending.NO_RESPONSE),
+          row(Fault.CLIENT_DISCONNECT, Moment.AFTER_RESULT, Ending.NO_RESPONSE, Ending.NO_RESPONSE),
+          row(Fault.SESSION_DELETE, Moment.READ, Ending.NO_RESPONSE, Ending.NO_RESPONSE),
+          row(Fault.SESSION_DELETE, Moment.TEXT, Ending.NO_RESPONSE, Ending.NO_RESPONSE),
+          row(Fault.SESSION_DELETE, Moment.TOOL_RESULT, Ending.NO_RESPONSE, Ending.NO_RESPONSE),
+          row(Fault.SESSION_DELETE, Moment.AFTER_RESULT, Ending.NO_RESPONSE, Ending.NO_RESPONSE),
+          toolResultRow(Fault.DUPLICATE_RESULT, TOOL_TEXT),
+          toolResultRow(Fault.MISSING_RESULT, "the tool gave no result in time"),
+          toolResultRow(Fault.LATE_RESULT, "the tool gave no result in time"),
+          toolResultRow(
+              Fault.OVERSIZED_RESULT,
+              "the tool's result was larger than " + MAX_TOOL_RESULT_BYTES + " characters"),
+          toolResultRow(Fault.MALFORMED_RESULT, ""),
+          toolResultRow(Fault.ERROR_RESPONSE, "error -32001: not I"),
+          toolResultRow(Fault.TOOL_FAILURE, "broken"));
 
   @BeforeAll
   static void start() {
     for (String repeat : List.of("safe", "once", "keyed")) {
-      FREE.put(repeat, new LinkedBlockingQueue<>());
-      for (int i = 0; i < (repeat.equals("keyed") ? 1 : FLEETS); i++) {
-        FIXTURES.add(fixture(repeat));
-        FREE.get(repeat).add(FIXTURES.get(FIXTURES.size() - 1));
+      IDLE_FIXTURES.put(repeat, new LinkedBlockingQueue<>());
+      for (int i = 0; i < (repeat.equals("keyed") ? 1 : FLEETS_PER_REPEAT_MODE); i++) {
+        ALL_FIXTURES.add(fixture(repeat));
+        IDLE_FIXTURES.get(repeat).add(ALL_FIXTURES.get(ALL_FIXTURES.size() - 1));
       }
     }
   }
@@ -177,143 +187,151 @@
   private static ScenarioFixture fixture(String repeat) {
     List<EngineSettings> engines = new ArrayList<>();
     IntStream.rangeClosed(1, READERS)
-        .forEach(i -> engines.add(slow(ScenarioFixture.reader("r" + i))));
+        .forEach(i -> engines.add(slowDecoding(ScenarioFixture.reader("r" + i))));
     IntStream.rangeClosed(1, WRITERS)
-        .forEach(i -> engines.add(slow(ScenarioFixture.writer("w" + i))));
+        .forEach(i -> engines.add(slowDecoding(ScenarioFixture.writer("w" + i))));
     return new ScenarioFixture(
-        s -> {
-          ObjectNode cls = (ObjectNode) s.at("/classes/0");
-          cls.put("repeat", repeat)
+        settings -> {
+          ObjectNode requestClass = (ObjectNode) settings.at("/classes/0");
+          requestClass
+              .put("repeat", repeat)
               .put("deadlineMs", 20_000)
               .put("aimMs", 10_000)
               .put("toolTimeoutMs", 800)
-              .put("maxToolResultBytes", TOOL_BYTES);
+              .put("maxToolResultBytes", MAX_TOOL_RESULT_BYTES);
           if (repeat.equals("keyed")) {
-            cls.put("repeatWindowMs", 5_000);
+            requestClass.put("repeatWindowMs", 5_000);
           }
-          ((ObjectNode) s.get("engines")).put("streamSilenceMs", 800);
-          ((ObjectNode) s.get("front")).put("resumeWindowMs", 1_500);
+          ((ObjectNode) settings.get("engines")).put("streamSilenceMs", 800);
+          ((ObjectNode) settings.get("front")).put("resumeWindowMs", 1_500);
         },
         engines.toArray(EngineSettings[]::new));
   }
 
-  /** Slow enough for a client to do something within a token's time; no row hangs on it. */
-  private static EngineSettings slow(EngineSettings engine) {
+  /** Slows decoding so that a client can act between two tokens; no expectation depends on it. */
+  private static EngineSettings slowDecoding(EngineSettings engine) {
     return engine.withLatencies(engine.readMs(), engine.firstMs(), 10);
   }
 
   @AfterAll
   static void stop() {
-    FIXTURES.forEach(ScenarioFixture::close);
+    ALL_FIXTURES.forEach(ScenarioFixture::close);
   }
 
-  static Stream<Arguments> single() {
+  static Stream<Arguments> singleRows() {
     return Stream.of("safe", "once", "keyed")
         .flatMap(repeat -> ROWS.stream().map(row -> Arguments.of(repeat, List.of(row))));
   }
 
   /**
-   * Two rows that can come in one answer: the second later than the first, or a broken client's
-   * stream beside anything.
+   * All pairs of rows that can occur in one answer: the second at a later moment than the first, or
+   * at the same moment if the first is a client that reconnects.
    */
-  static Stream<Arguments> pairs() {
-    List<Arguments> all = new ArrayList<>();
+  static Stream<Arguments> rowPairs() {
+    List<Arguments> pairs = new ArrayList<>();
     for (String repeat : List.of("safe", "once")) {
       for (Row first : ROWS) {
         for (Row second : ROWS) {
-          boolean goesOn = (repeat.equals("safe") ? first.safe() : first.unsafe()) == End.SERVED;
-          boolean later = first.moment().compareTo(second.moment()) < 0;
-          boolean beside =
+          boolean continuesAfterFirst =
+              (repeat.equals("safe") ? first.safe() : first.unsafe()) == Ending.SERVED;
+          boolean isLater = first.moment().compareTo(second.moment()) < 0;
+          boolean isReconnectAtSameMoment =
               first.moment() == second.moment()
-                  && first.what() == Break.STREAM
-                  && second.what() != Break.STREAM;
-          boolean oneTool =
-              first.moment() != Moment.TOOL
-                  || second.moment() != Moment.TOOL
-                  || first.what() == Break.STREAM;
-          if (goesOn && (later || beside) && oneTool) {
-            all.add(Arguments.of(repeat, List.of(first, second)));
+                  && first.fault() == Fault.CLIENT_RECONNECT
+                  && second.fault() != Fault.CLIENT_RECONNECT;
+          boolean hasOneToolFault =
+              first.moment() != Moment.TOOL_RESULT
+                  || second.moment() != Moment.TOOL_RESULT
+                  || first.fault() == Fault.CLIENT_RECONNECT;
+          if (continuesAfterFirst && (isLater || isReconnectAtSameMoment) && hasOneToolFault) {
+            pairs.add(Arguments.of(repeat, List.of(first, second)));
           }
         }
       }
     }
-    Collections.shuffle(
-        all, new Random(12)); // one reader after the other broken would all be put aside, and
-    // rightly
-    return all.stream();
+    // Unshuffled, consecutive rows would break one reader after the other, and the gateway would
+    // rightly eject them all.
+    Collections.shuffle(pairs, new Random(12));
+    return pairs.stream();
   }
 
   @Execution(ExecutionMode.CONCURRENT)
   @ParameterizedTest(name = "{0}: {1}")
-  @MethodSource("single")
-  void aloneItEndsAsTheTableSays(String repeat, List<Row> rows) throws Exception {
+  @MethodSource("singleRows")
+  void answerWithOneFaultEndsAsListed(String repeat, List<Row> rows) throws Exception {
     check(repeat, rows);
   }
 
   @Execution(ExecutionMode.CONCURRENT)
   @ParameterizedTest(name = "{0}: {1}")
-  @MethodSource("pairs")
-  void inPairsToo(String repeat, List<Row> rows) throws Exception {
+  @MethodSource("rowPairs")
+  void answerWithTwoFaultsEndsAsListed(String repeat, List<Row> rows) throws Exception {
     check(repeat, rows);
   }
 
   private static void check(String repeat, List<Row> rows) throws Exception {
-    ScenarioFixture fixture = FREE.get(repeat).take();
+    ScenarioFixture fixture = IDLE_FIXTURES.get(repeat).take();
     try {
       check(fixture, repeat, rows);
     } finally {
-      FREE.get(repeat).add(fixture);
+      IDLE_FIXTURES.get(repeat).add(fixture);
     }
   }
 
   private static void check(ScenarioFixture fixture, String repeat, List<Row> rows)
       throws Exception {
-    Run run = new Run(fixture, rows, "row" + NUMBER.incrementAndGet());
-    CallRecord seen = run.go();
-    End wanted = End.SERVED;
-    String middle = "did-stock";
+    FaultyCall call = new FaultyCall(fixture, rows, "row" + RUN_COUNT.incrementAndGet());
+    CallRecord seen = call.execute();
+    Ending expected = Ending.SERVED;
+    String toolText = TOOL_TEXT;
     for (Row row : rows) {
-      End end = repeat.equals("safe") ? row.safe() : row.unsafe();
-      wanted = wanted == End.SERVED ? end : wanted;
-      middle =
-          row.moment() == Moment.TOOL && !row.middle().equals("did-stock") ? row.middle() : middle;
+      Ending ending = repeat.equals("safe") ? row.safe() : row.unsafe();
+      expected = expected == Ending.SERVED ? ending : expected;
+      toolText =
+          row.moment() == Moment.TOOL_RESULT && !row.toolText().equals(TOOL_TEXT)
+              ? row.toolText()
+              : toolText;
     }
-    String whole = BEFORE + "[" + middle + "]" + AFTER;
+    String expectedText = TEXT_BEFORE_CALL + "[" + toolText + "]" + TEXT_AFTER_RESULT;
     String streamed = seen.streamed.toString();
-    assertTrue(whole.startsWith(streamed), "streamed '" + streamed + "' of '" + whole + "'");
+    assertTrue(
+        expectedText.startsWith(streamed),
+        "streamed '" + streamed + "', expected a prefix of '" + expectedText + "'");
     assertEquals(
-        wanted,
-        seen.responses == 0 ? End.NONE : seen.served() ? End.SERVED : End.FAILED,
-        "code " + seen.errorCode);
-    if (wanted == End.SERVED) {
-      assertEquals(whole, streamed);
-      assertEquals(whole, seen.finalText);
+        expected,
+        seen.responses == 0 ? Ending.NO_RESPONSE : seen.served() ? Ending.SERVED : Ending.FAILED,
+        "error code " + seen.errorCode);
+    if (expected == Ending.SERVED) {
+      assertEquals(expectedText, streamed);
+      assertEquals(expectedText, seen.finalText);
       assertEquals(List.of("stock{\"turn\":0,\"number\":0}"), seen.toolCalls);
-    } else if (wanted == End.FAILED) {
-      assertFalse(seen.retryable && !repeat.equals("safe"), "it may have run");
+    } else if (expected == Ending.FAILED) {
+      assertFalse(
+          seen.retryable && !repeat.equals("safe"), "a call that may have run is marked retryable");
     }
     assertTrue(
         new HashSet<>(seen.toolCalls).size() == seen.toolCalls.size(),
-        "relayed twice: " + seen.toolCalls);
-    for (int i = 1; i < run.numbers.size(); i++) {
+        "tool call relayed twice: " + seen.toolCalls);
+    for (int i = 1; i < call.eventNumbers.size(); i++) {
       assertTrue(
-          run.numbers.get(i) > run.numbers.get(i - 1), "events out of order: " + run.numbers);
+          call.eventNumbers.get(i) > call.eventNumbers.get(i - 1),
+          "events out of order: " + call.eventNumbers);
     }
     if (!repeat.equals("safe")) {
       assertTrue(
-          fixture.events(TrafficEvent.Kind.DECODE_STARTED, run.mark).stream()
+          fixture.events(TrafficEvent.Kind.DECODE_STARTED, call.mark).stream()
                   .map(TrafficEvent::value)
                   .distinct()
                   .count()
-              == fixture.events(TrafficEvent.Kind.DECODE_STARTED, run.mark).size(),
-          "a leg ran twice");
+              == fixture.events(TrafficEvent.Kind.DECODE_STARTED, call.mark).size(),
+          "a part of the answer was decoded twice");
     }
     fixture.awaitIdle();
-    rulesKept(fixture, seen);
+    assertRulesKept(fixture, seen);
   }
 
-  /** The auditor's word on all that passed on the engines' sockets and on this client's. */
-  private static void rulesKept(ScenarioFixture fixture, CallRecord seen) {
+  /** Audits the traffic on the engines' sockets and on this client's socket. */
+  private static void assertRulesKept(ScenarioFixture fixture, CallRecord seen) {
     ScenarioRecording recording =
         new ScenarioRecording(
             fixture.settings,
@@ -329,17 +347,17 @@
     assertTrue(audit.allRulesKept(), audit.violations().toString());
   }
 
-  /** One answer, and what is done to it. */
-  private static final class Run {
+  /** One call with the faults of its rows; run by the thread of the test. */
+  private static final class FaultyCall {
     private final ScenarioFixture fixture;
     private final List<Row> rows;
     private final String mark;
     private final CallRecord seen;
     private final ConversationClient client;
-    private List<Long> numbers = List.of();
-    private boolean gone;
+    private List<Long> eventNumbers = List.of();
+    private boolean isDisconnected;
 
-    Run(ScenarioFixture fixture, List<Row> rows, String mark)
+    FaultyCall(ScenarioFixture fixture, List<Row> rows, String mark)
         throws IOException, InterruptedException {
       this.fixture = fixture;
       this.rows = rows;
@@ -349,64 +367,67 @@
           new CallRecord(mark, ScenarioFixture.GATEWAY, 0, 0, false, fixture.clients.loop().now());
     }
 
-    private boolean has(Break what, Moment moment) {
-      return rows.stream().anyMatch(r -> r.what() == what && r.moment() == moment);
+    private boolean has(Fault fault, Moment moment) {
+      return rows.stream().anyMatch(row -> row.fault() == fault && row.moment() == moment);
     }
 
-    /** Breaks one request at whichever engine of a kind it comes to. */
-    private void faults(String kind, Consumer<EngineFaults> change) {
+    /**
+     * Sets a fault at all engines whose names begin with {@code kind}; it hits one request, at
+     * whichever engine that request arrives.
+     */
+    private void setFaults(String kind, Consumer<EngineFaults> change) {
       fixture
           .fleet
           .emulators()
           .invokeAndWait(
               () -> {
-                EngineFaults.Hits one = new EngineFaults.Hits(1);
+                EngineFaults.Hits singleHit = new EngineFaults.Hits(1);
                 for (int i = 1; i <= (kind.equals("r") ? READERS : WRITERS); i++) {
                   EngineFaults faults = fixture.fleet.engine(kind + i).faults();
-                  faults.hits = one;
+                  faults.hits = singleHit;
                   change.accept(faults);
                 }
               });
     }
 
-    private void heal() {
-      faults(
+    private void clearFaults() {
+      setFaults(
           "w",
-          f -> {
-            f.breakAfterTokens = -1;
-            f.stallAfterTokens = -1;
+          faults -> {
+            faults.breakAfterTokens = -1;
+            faults.stallAfterTokens = -1;
           });
-      faults("r", f -> f.rawResponse = null);
+      setFaults("r", f -> f.rawResponse = null);
     }
 
-    private void writers(Moment moment, int after) {
-      if (has(Break.WRITER, moment)) {
-        faults("w", f -> f.breakAfterTokens = after);
-      } else if (has(Break.STALL, moment)) {
-        faults("w", f -> f.stallAfterTokens = after);
+    private void setWriterFaults(Moment moment, int afterTokens) {
+      if (has(Fault.WRITER_DISCONNECT, moment)) {
+        setFaults("w", f -> f.breakAfterTokens = afterTokens);
+      } else if (has(Fault.WRITER_STALL, moment)) {
+        setFaults("w", f -> f.stallAfterTokens = afterTokens);
       }
     }
 
-    private void readers(Moment moment) {
-      if (has(Break.READER, moment)) {
-        faults("r", f -> f.rawResponse = new byte[0]);
+    private void setReaderFaults(Moment moment) {
+      if (has(Fault.READER_DISCONNECT, moment)) {
+        setFaults("r", f -> f.rawResponse = new byte[0]);
       }
     }
 
-    CallRecord go() throws Exception {
-      writers(Moment.TEXT, 2);
-      writers(Moment.CALL, 4);
-      readers(Moment.READ);
+    CallRecord execute() throws Exception {
+      setWriterFaults(Moment.TEXT, 2);
+      setWriterFaults(Moment.TOOL_CALL, 4);
+      setReaderFaults(Moment.READ);
       try (ConversationClient.Answer answer =
           client.call("7", "sale-lookup", "#" + mark + "# " + PROMPT, List.of("stock"))) {
-        numbers = answer.numbers;
-        answer.primed();
-        client(answer, Moment.READ);
-        int words = 0;
-        boolean relayed = false;
-        for (JsonNode message = gone ? null : answer.next();
+        eventNumbers = answer.eventNumbers;
+        answer.readFirstEventId();
+        applyClientFaults(answer, Moment.READ);
+        int tokens = 0;
+        boolean isRelayed = false;
+        for (JsonNode message = isDisconnected ? null : answer.next();
             message != null;
-            message = gone ? null : answer.next()) {
+            message = isDisconnected ? null : answer.next()) {
           seen.firstMessageAtMicros =
               seen.firstMessageAtMicros == 0
                   ? fixture.clients.loop().now()
@@ -416,89 +437,90 @@
           }
           if (message.path("method").asText().equals(Mcp.PROGRESS)) {
             seen.streamed.append(message.at("/params/message").asText());
-            words++;
-            if (words == 2) {
-              client(answer, relayed ? Moment.AFTER : Moment.TEXT);
+            tokens++;
+            if (tokens == 2) {
+              applyClientFaults(answer, isRelayed ? Moment.AFTER_RESULT : Moment.TEXT);
             }
           } else if (message.path("method").asText().equals(Mcp.TOOLS_CALL)) {
             seen.toolCalls.add(
                 message.at("/params/name").asText() + message.at("/params/arguments"));
-            relayed = true;
-            words = 0;
-            heal();
-            writers(Moment.AFTER, 2);
-            readers(Moment.TOOL);
-            client(answer, Moment.TOOL);
-            tool(message.get("id"));
+            isRelayed = true;
+            tokens = 0;
+            clearFaults();
+            setWriterFaults(Moment.AFTER_RESULT, 2);
+            setReaderFaults(Moment.TOOL_RESULT);
+            applyClientFaults(answer, Moment.TOOL_RESULT);
+            postToolResult(message.get("id"));
           } else if (message.has("result") || message.has("error")) {
-            end(message);
+            recordResponse(message);
           }
         }
       } finally {
-        heal();
+        clearFaults();
       }
       return seen;
     }
 
-    /** What the client's side does to the answer. */
-    private void client(ConversationClient.Answer answer, Moment moment)
+    /** Applies the faults of this moment that come from the client. */
+    private void applyClientFaults(ConversationClient.Answer answer, Moment moment)
         throws IOException, InterruptedException {
-      if (has(Break.STREAM, moment)) {
+      if (has(Fault.CLIENT_RECONNECT, moment)) {
         answer.resume();
       }
-      if (has(Break.CANCEL, moment)) {
+      if (has(Fault.CLIENT_CANCEL, moment)) {
         seen.cancelledAtMicros = fixture.clients.loop().now();
         client.post(
             "{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":7}}");
-      } else if (has(Break.LEAVE, moment)) {
+      } else if (has(Fault.CLIENT_DISCONNECT, moment)) {
         seen.cancelledAtMicros = fixture.clients.loop().now();
         answer.close();
-        gone = true;
-      } else if (has(Break.DELETE, moment)) {
+        isDisconnected = true;
+      } else if (has(Fault.SESSION_DELETE, moment)) {
         seen.cancelledAtMicros = fixture.clients.loop().now();
-        client.delete();
+        client.deleteSession();
       }
     }
 
-    private void tool(JsonNode id) throws IOException, InterruptedException {
-      if (has(Break.NEVER, Moment.TOOL)
-          || seen.cancelledAtMicros != 0 && !has(Break.CANCEL, Moment.TOOL)) {
+    private void postToolResult(JsonNode id) throws IOException, InterruptedException {
+      if (has(Fault.MISSING_RESULT, Moment.TOOL_RESULT)
+          || seen.cancelledAtMicros != 0 && !has(Fault.CLIENT_CANCEL, Moment.TOOL_RESULT)) {
         return;
-      } // after a cancel the result comes all the same, and nobody may mind
+      } // a cancelled call still posts its tool result, which must have no effect
       String text =
-          has(Break.LARGE, Moment.TOOL)
-              ? "x".repeat(TOOL_BYTES + 1)
-              : has(Break.FAILS, Moment.TOOL) ? "broken" : "did-stock";
+          has(Fault.OVERSIZED_RESULT, Moment.TOOL_RESULT)
+              ? "x".repeat(MAX_TOOL_RESULT_BYTES + 1)
+              : has(Fault.TOOL_FAILURE, Moment.TOOL_RESULT) ? "broken" : TOOL_TEXT;
       String result =
           "{\"jsonrpc\":\"2.0\",\"id\":"
               + id
               + ",\"result\":{\"content\":[{\"type\":\"text\",\"text\":\""
               + text
               + "\"}],\"isError\":"
-              + has(Break.FAILS, Moment.TOOL)
+              + has(Fault.TOOL_FAILURE, Moment.TOOL_RESULT)
               + "}}";
-      if (has(Break.ERROR, Moment.TOOL)) {
+      if (has(Fault.ERROR_RESPONSE, Moment.TOOL_RESULT)) {
         result =
             "{\"jsonrpc\":\"2.0\",\"id\":"
                 + id
                 + ",\"error\":{\"code\":-32001,\"message\":\"not I\"}}";
-      } else if (has(Break.ODD, Moment.TOOL)) {
+      } else if (has(Fault.MALFORMED_RESULT, Moment.TOOL_RESULT)) {
         result = "{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"result\":7}";
       }
-      if (has(Break.LATE, Moment.TOOL)) { // the next leg has begun: its time is over
+      if (has(Fault.LATE_RESULT, Moment.TOOL_RESULT)) {
+        // Once the next decode starts, the tool timeout has expired.
         ScenarioFixture.await(
-            "the model told",
+            "the next decode starts after the tool timeout",
             () ->
                 fixture.events(TrafficEvent.Kind.DECODE_STARTED, mark).stream()
                     .anyMatch(e -> e.value() > 2));
       }
       client.post(result);
-      if (has(Break.TWICE, Moment.TOOL)) {
+      if (has(Fault.DUPLICATE_RESULT, Moment.TOOL_RESULT)) {
         client.post(result);
       }
     }
 
-    private void end(JsonNode message) {
+    private void recordResponse(JsonNode message) {
       assertNotNull(message.get("id"));
       seen.responses++;
       seen.answeredAtMicros = fixture.clients.loop().now();
--- a/scenario/src/test/java/lemondock/scenario/ConversationClient.java
+++ b/scenario/src/test/java/lemondock/scenario/ConversationClient.java
@@ -17,9 +17,10 @@
 import lemondock.rpc.Mcp;
 
 /**
- * A client on the JDK's own HTTP that a test drives step by step: it reads an answer message by
- * message, may break its connection and take the stream up again, and answers tools as it is told.
- * It shares no code with the program but the names of the protocol.
+ * An MCP client on the JDK's HTTP client that a test drives step by step: it reads an answer
+ * message by message, can break its connection and resume the stream, and posts the tool results
+ * that the test gives it. It shares only the protocol's names with the product code. Calls block
+ * the calling thread.
  */
 final class ConversationClient {
   static final ObjectMapper MAPPER = new ObjectMapper();
@@ -29,10 +30,10 @@
   private final int port;
   private final String session;
 
-  /** Opens a session. */
+  /** Opens a session at the gateway on this loopback port. */
   ConversationClient(int port) throws IOException, InterruptedException {
     this.port = port;
-    HttpResponse<String> opened =
+    HttpResponse<String> response =
         HTTP.send(
             request(port, null)
                 .POST(
@@ -40,7 +41,7 @@
                         "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"initialize\",\"params\":{\"protocolVersion\":\"2025-11-25\"}}"))
                 .build(),
             HttpResponse.BodyHandlers.ofString());
-    session = opened.headers().firstValue("mcp-session-id").orElseThrow();
+    session = response.headers().firstValue("mcp-session-id").orElseThrow();
   }
 
   private static HttpRequest.Builder request(int port, String session) {
@@ -51,7 +52,7 @@
     return session == null ? builder : builder.header("Mcp-Session-Id", session);
   }
 
-  /** Posts a message that is no call; gives the status. */
+  /** Posts a message other than a call and returns the HTTP status. */
   int post(String json) throws IOException, InterruptedException {
     return HTTP.send(
             request(port, session).POST(HttpRequest.BodyPublishers.ofString(json)).build(),
@@ -59,8 +60,8 @@
         .statusCode();
   }
 
-  /** A tool's result as a client posts it, for the relayed call of that id. */
-  static String result(JsonNode id, String text) {
+  /** The message with which a client answers the relayed tool call {@code id}. */
+  static String toolResult(JsonNode id, String text) {
     return "{\"jsonrpc\":\"2.0\",\"id\":"
         + id
         + ",\"result\":{\"content\":[{\"type\":\"text\",\"text\":\""
@@ -69,75 +70,75 @@
   }
 
   /** Ends the session. */
-  void delete() throws IOException, InterruptedException {
+  void deleteSession() throws IOException, InterruptedException {
     HTTP.send(request(port, session).DELETE().build(), HttpResponse.BodyHandlers.discarding());
   }
 
-  /** Calls a tool; {@code id} is JSON. */
+  /** Calls a tool; {@code id} is the JSON text of the request id. */
   Answer call(String id, String tool, String prompt, List<String> tools)
       throws IOException, InterruptedException {
     return call(id, tool, prompt, tools, null);
   }
 
-  /** The same under a key that all repeats of the call have. */
-  Answer call(String id, String tool, String prompt, List<String> tools, String key)
+  /** Calls a tool under an idempotency key, which is the same for all repeats of the call. */
+  Answer call(String id, String tool, String prompt, List<String> tools, String idempotencyKey)
       throws IOException, InterruptedException {
     ObjectNode root = MAPPER.createObjectNode().put("jsonrpc", "2.0").put("method", Mcp.TOOLS_CALL);
     root.set("id", MAPPER.readTree(id));
     ObjectNode params = root.putObject("params").put("name", tool);
     ObjectNode meta = params.putObject("_meta").put("progressToken", 7);
-    if (key != null) {
-      meta.put("lemondock/key", key);
+    if (idempotencyKey != null) {
+      meta.put("lemondock/key", idempotencyKey);
     }
     ObjectNode arguments =
         params.putObject("arguments").put("prompt", prompt).put("conversation", "talk " + prompt);
     tools.forEach(
-        t ->
+        toolName ->
             arguments
                 .withArray("tools")
                 .addObject()
-                .put("name", t)
+                .put("name", toolName)
                 .putObject("inputSchema")
                 .put("type", "object"));
     return new Answer(
         request(port, session).POST(HttpRequest.BodyPublishers.ofString(root.toString())).build());
   }
 
-  /** One answer as it comes. */
+  /** An answer that is read while it arrives. */
   final class Answer implements AutoCloseable {
-    final List<Long> numbers = new ArrayList<>();
-    private String last = "";
-    private InputStream in;
+    final List<Long> eventNumbers = new ArrayList<>();
+    private String lastEventId = "";
+    private InputStream body;
     private BufferedReader lines;
 
-    /** One JSON text instead of a stream, as for what is refused at once. */
-    private boolean plain;
+    /** The body is one JSON message, not a stream; calls that are rejected at once get this. */
+    private boolean isSingleJson;
 
-    Answer(HttpRequest first) throws IOException, InterruptedException {
-      connect(first);
+    Answer(HttpRequest request) throws IOException, InterruptedException {
+      connect(request);
     }
 
     private void connect(HttpRequest request) throws IOException, InterruptedException {
       HttpResponse<InputStream> response =
           HTTP.send(request, HttpResponse.BodyHandlers.ofInputStream());
       if (response.statusCode() != 200) {
-        throw new IOException("status " + response.statusCode());
+        throw new IOException("expected HTTP status 200, got " + response.statusCode());
       }
-      in = response.body();
-      plain =
+      body = response.body();
+      isSingleJson =
           !response.headers().firstValue("content-type").orElse("").startsWith("text/event-stream");
-      lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8));
+      lines = new BufferedReader(new InputStreamReader(body, StandardCharsets.UTF_8));
     }
 
-    /** The next message; null if the stream has ended. */
+    /** Returns the next message, or null if the stream has ended. */
     JsonNode next() throws IOException {
-      if (plain) {
+      if (isSingleJson) {
         String line = lines.readLine();
         return line == null ? null : MAPPER.readTree(line);
       }
       for (String line = lines.readLine(); line != null; line = lines.readLine()) {
         if (line.startsWith("id: ")) {
-          id(line);
+          recordEventId(line);
         } else if (line.startsWith("data: ") && line.length() > 6) {
           return MAPPER.readTree(line.substring(6));
         }
@@ -145,8 +146,8 @@
       return null;
     }
 
-    /** Passes over what comes before the next tool call; gives that. */
-    JsonNode relayed() throws IOException {
+    /** Skips messages up to the next relayed tool call and returns that. */
+    JsonNode nextToolCall() throws IOException {
       JsonNode message = next();
       while (!message.path("method").asText().equals(Mcp.TOOLS_CALL)) {
         message = next();
@@ -154,8 +155,8 @@
       return message;
     }
 
-    /** Reads to the end; gives the last message, null if there was none. */
-    JsonNode end() throws IOException {
+    /** Reads to the end and returns the last message, or null if there was none. */
+    JsonNode readToEnd() throws IOException {
       JsonNode last = null;
       for (JsonNode message = next(); message != null; message = next()) {
         last = message;
@@ -163,34 +164,34 @@
       return last;
     }
 
-    /** Reads until the stream has said an id, so that it can be taken up again. */
-    void primed() throws IOException {
-      while (numbers.isEmpty()) {
+    /** Reads up to the first event id, from which on the stream can be resumed. */
+    void readFirstEventId() throws IOException {
+      while (eventNumbers.isEmpty()) {
         String line = lines.readLine();
         if (line == null) {
-          throw new IOException("the stream ended before its first id");
+          throw new IOException("the stream ended before its first event id");
         }
         if (line.startsWith("id: ")) {
-          id(line);
+          recordEventId(line);
         }
       }
     }
 
-    private void id(String line) {
-      last = line.substring(4);
-      numbers.add(Long.parseLong(last.substring(last.lastIndexOf('-') + 1)));
+    private void recordEventId(String line) {
+      lastEventId = line.substring(4);
+      eventNumbers.add(Long.parseLong(lastEventId.substring(lastEventId.lastIndexOf('-') + 1)));
     }
 
-    /** Breaks the connection. */
+    /** Closes the connection; the session stays open. */
     @Override
     public void close() throws IOException {
-      in.close();
+      body.close();
     }
 
-    /** Takes the stream up behind the last event seen, on another connection. */
+    /** Resumes the stream after the last event received, on a new connection. */
     void resume() throws IOException, InterruptedException {
-      in.close();
-      connect(request(port, session).header("Last-Event-ID", last).GET().build());
+      body.close();
+      connect(request(port, session).header("Last-Event-ID", lastEventId).GET().build());
     }
   }
 }
--- a/scenario/src/test/java/lemondock/scenario/CrashTest.java
+++ b/scenario/src/test/java/lemondock/scenario/CrashTest.java
@@ -36,32 +36,33 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 /**
- * A process of its own with a gateway, killed at each step of what it does to its folder while a
- * call that may run once goes through: taken, relayed, answered, ended, and over a log that begins
- * anew. What its client and the engines saw before and what the next life says must agree.
+ * Runs a gateway in a process of its own and kills it before each operation on the directory of its
+ * idempotency store, while a non-idempotent call is accepted, relayed, answered and completed, with
+ * a new log and during a compaction. What the client and the engines saw before the crash must
+ * agree with what the restarted gateway reports.
  */
 @Timeout(120)
 class CrashTest {
   /**
-   * Lives of the gateway at a time in each of two tests: each life is a whole process, and what
-   * waits for it has a time limit.
+   * Gateways that run at the same time in each of the two tests. The number depends on the cores
+   * because each is a whole process, and waiting for it has a time limit.
    */
-  private static final int BESIDE =
+  private static final int MAX_PROCESSES =
       Math.max(1, Math.min(4, Runtime.getRuntime().availableProcessors() / 2));
 
-  private static final int MOST_STEPS = 40;
+  private static final int MAX_STEPS = 40;
 
-  /** After the call's end a process on a crowded machine may still be on its way to its step. */
-  private static final long STEP_WAIT_MILLIS = 3_000;
+  /** After the end of the call, a process on a busy machine may not have reached its step yet. */
+  private static final long EXIT_WAIT_MILLIS = 3_000;
 
   private static final String PROMPT = "call the tool stock answer in 5 words";
 
   @TempDir private static Path folder;
   private static ScenarioFleet fleet;
-  private static final AtomicInteger NUMBER = new AtomicInteger();
+  private static final AtomicInteger COUNTER = new AtomicInteger();
 
   @BeforeAll
-  static void engines() {
+  static void startEngines() {
     fleet =
         new ScenarioFleet(
             LoopbackSettings.gateway("x", 0, 1, "north", 1, "127.0.0.1:1", s -> {}).classes(), 1);
@@ -74,16 +75,22 @@
     fleet.close();
   }
 
-  /** One life of the gateway. */
-  private static final class Life implements AutoCloseable {
+  /** One incarnation of the gateway, as a child process. */
+  private static final class GatewayProcess implements AutoCloseable {
     private final Process process;
     private final int port = fleet.reservePort();
     private final Path errors;
 
-    /** Null in place of a port if it died before it was ready. */
-    Life(Path home, int step, boolean half) throws IOException, InterruptedException {
+    /**
+     * Starts the process and waits until it reports "ready" or exits.
+     *
+     * @param step number of the directory operation before which it exits; 0 for never
+     * @param half whether only writes count as steps, and half of that write is done before the
+     *     exit
+     */
+    GatewayProcess(Path home, int step, boolean half) throws IOException, InterruptedException {
       errors = home.resolve("stderr-" + port + ".txt");
-      ObjectNode[] root = new ObjectNode[1];
+      ObjectNode[] settingsRoot = new ObjectNode[1];
       LoopbackSettings.gateway(
           "gw",
           0,
@@ -91,19 +98,21 @@
           "north",
           port,
           fleet.catalogueAddress(),
-          s -> {
-            s.putObject("durable")
+          settings -> {
+            settings
+                .putObject("durable")
                 .put("path", home.resolve("calls").toString())
                 .put("waitMs", 10_000)
                 .put("mostBytes", 4_096);
-            s.putObject("overload").put("refuse", false);
-            ((ObjectNode) s.at("/classes/0"))
+            settings.putObject("overload").put("refuse", false);
+            ((ObjectNode) settings.at("/classes/0"))
                 .put("repeat", "once")
                 .put("deadlineMs", 20_000)
                 .put("aimMs", 10_000);
-            root[0] = s;
+            settingsRoot[0] = settings;
           });
-      Path settings = Files.writeString(home.resolve("gateway.json"), root[0].toString());
+      Path settingsFile =
+          Files.writeString(home.resolve("gateway.json"), settingsRoot[0].toString());
       process =
           new ProcessBuilder(
                   ProcessHandle.current().info().command().orElse("java"),
@@ -112,56 +121,59 @@
                   "-cp",
                   System.getProperty("java.class.path"),
                   HaltingGateway.class.getName(),
-                  settings.toString(),
+                  settingsFile.toString(),
                   Integer.toString(step),
                   Boolean.toString(half))
               .redirectError(errors.toFile())
               .start();
-      BufferedReader out =
+      BufferedReader output =
           new BufferedReader(
               new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-      String line = out.readLine();
+      String line = output.readLine();
       while (line != null && !line.equals("ready")) {
-        line = out.readLine();
+        line = output.readLine();
       }
     }
 
-    /** Waits until it serves; false if it dies before. */
-    boolean ready() throws InterruptedException {
-      HttpRequest ask =
+    /** Waits until /readyz answers 200; false if the process exits before. */
+    boolean awaitReady() throws InterruptedException {
+      HttpRequest probe =
           HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/readyz")).build();
       while (process.isAlive()) {
         try {
-          if (ConversationClient.HTTP.send(ask, HttpResponse.BodyHandlers.discarding()).statusCode()
+          if (ConversationClient.HTTP
+                  .send(probe, HttpResponse.BodyHandlers.discarding())
+                  .statusCode()
               == 200) {
             return true;
           }
         } catch (IOException e) {
-          // not yet, or dead
+          // not listening yet, or the process has exited
         }
         TimeUnit.MILLISECONDS.sleep(5);
       }
       return false;
     }
 
-    /** What its process wrote to standard error, and how it ended if it has. */
+    /** The state of the process and what it wrote to standard error, for failure messages. */
     String diagnosis() {
       try {
-        String ended = process.isAlive() ? "it lives" : "it ended with " + process.exitValue();
-        return ended + "; standard error: " + Files.readString(errors);
+        String state =
+            process.isAlive() ? "process runs" : "process exited with " + process.exitValue();
+        return state + "; standard error: " + Files.readString(errors);
       } catch (IOException e) {
-        return "no standard error: " + e;
+        return "cannot read standard error of the process: " + e;
       }
     }
 
-    /** Whether it died at its step; it is ended in any case. */
-    boolean died() throws InterruptedException {
-      boolean ended = process.waitFor(STEP_WAIT_MILLIS, TimeUnit.MILLISECONDS);
-      if (ended) {
+    /** Whether the process exited at its step; one that did not is killed. */
+    boolean exitedAtStep() throws InterruptedException {
+      boolean exited = process.waitFor(EXIT_WAIT_MILLIS, TimeUnit.MILLISECONDS);
+      if (exited) {
         assertEquals(HaltingGateway.KILLED, process.exitValue(), this::diagnosis);
       }
       close();
-      return ended;
+      return exited;
     }
 
     @Override
@@ -170,121 +182,144 @@
     }
   }
 
-  /** What a client saw of one try. */
-  private static final class Try {
-    private int relayed;
-    private JsonNode end;
+  /** What a client saw of one attempt. */
+  private static final class Attempt {
+    private int relayedToolCalls;
+    private JsonNode response;
   }
 
-  private static Try ask(Life life, String mark, String key) throws InterruptedException {
-    Try seen = new Try();
+  private static Attempt call(GatewayProcess process, String mark, String key)
+      throws InterruptedException {
+    Attempt seen = new Attempt();
     try {
-      ConversationClient client = new ConversationClient(life.port);
+      ConversationClient client = new ConversationClient(process.port);
       try (ConversationClient.Answer answer =
           client.call("7", "sale-lookup", "#" + mark + "# " + PROMPT, List.of("stock"), key)) {
         for (JsonNode message = answer.next(); message != null; message = answer.next()) {
           if (message.path("method").asText().equals(Mcp.TOOLS_CALL)) {
-            seen.relayed++;
-            client.post(ConversationClient.result(message.get("id"), "did"));
+            seen.relayedToolCalls++;
+            client.post(ConversationClient.toolResult(message.get("id"), "did"));
           } else if (message.has("result") || message.has("error")) {
-            seen.end = message;
+            seen.response = message;
           }
         }
       }
     } catch (IOException e) {
-      // the process died
+      // the gateway process was killed
     }
     return seen;
   }
 
-  /** The engines' work for a try: legs written, by their length. */
-  private static List<Long> effects(String mark) {
+  /** The decodes that the engines started for an attempt, each as its number of messages. */
+  private static List<Long> startedDecodes(String mark) {
     return fleet.events().stream()
         .filter(e -> e.kind() == TrafficEvent.Kind.DECODE_STARTED && e.mark().equals(mark))
         .map(TrafficEvent::value)
         .toList();
   }
 
-  /** One death at a step and the life after it; false if the step never came. */
-  private static boolean dies(Supplier<Path> homes, int step, boolean half) {
-    String mark = "c" + NUMBER.incrementAndGet();
-    String where = mark + ", step " + step + (half ? " by half" : "");
+  /** Kills a gateway at a step and checks its successor; false if the step was never reached. */
+  private static boolean crashAndRestart(Supplier<Path> homes, int step, boolean half) {
+    String mark = "c" + COUNTER.incrementAndGet();
+    String context = mark + ", step " + step + (half ? " (half of a write)" : "");
     Path home = homes.get();
     try {
-      Try first = new Try();
-      boolean died;
-      try (Life life = new Life(home, step, half)) {
-        if (life.ready()) {
-          first = ask(life, mark + "a", "k");
+      Attempt before = new Attempt();
+      boolean crashed;
+      try (GatewayProcess process = new GatewayProcess(home, step, half)) {
+        if (process.awaitReady()) {
+          before = call(process, mark + "a", "k");
         }
-        died = life.died();
+        crashed = process.exitedAtStep();
       }
-      try (Life next = new Life(home, 0, false)) {
-        assertTrue(next.ready(), () -> where + ": it must come up again, " + next.diagnosis());
-        Try again = ask(next, mark + "b", "k");
-        assertNotNull(again.end, where);
-        if (again.end.has("result")) {
-          assertEquals(0, first.relayed, where + ": relayed in both lives");
-          assertTrue(first.end == null, where + ": served twice");
-          assertTrue(effects(mark + "a").isEmpty(), where + ": its work was done in both lives");
-          assertEquals(1, again.relayed, where);
+      try (GatewayProcess successor = new GatewayProcess(home, 0, false)) {
+        assertTrue(
+            successor.awaitReady(),
+            () -> context + ": the gateway must start again, " + successor.diagnosis());
+        Attempt after = call(successor, mark + "b", "k");
+        assertNotNull(after.response, context);
+        if (after.response.has("result")) {
+          assertEquals(
+              0,
+              before.relayedToolCalls,
+              context + ": the tool call was relayed before and after the restart");
+          assertTrue(
+              before.response == null,
+              context + ": the call was served before and after the restart");
+          assertTrue(
+              startedDecodes(mark + "a").isEmpty(),
+              context + ": it was decoded before and after the restart");
+          assertEquals(1, after.relayedToolCalls, context);
         } else {
-          final String became = again.end.at("/error/data/became").asText();
-          assertEquals(0, again.relayed, where);
-          assertTrue(effects(mark + "b").isEmpty(), where);
+          final String outcome = after.response.at("/error/data/became").asText();
+          assertEquals(0, after.relayedToolCalls, context);
+          assertTrue(startedDecodes(mark + "b").isEmpty(), context);
           assertFalse(
-              again.end.at("/error/data/retryable").asBoolean(true), where + ": " + again.end);
+              after.response.at("/error/data/retryable").asBoolean(true),
+              context + ": " + after.response);
           assertTrue(
-              became.equals("served") || became.equals("may_have_run"), where + ": " + again.end);
-          if (first.relayed > 0) {
+              outcome.equals("served") || outcome.equals("may_have_run"),
+              context + ": " + after.response);
+          if (before.relayedToolCalls > 0) {
             assertEquals(
                 "stock",
-                again.end.at("/error/data/relayed/0/tool").asText(),
-                where + ": " + again.end);
+                after.response.at("/error/data/relayed/0/tool").asText(),
+                context + ": " + after.response);
           }
-          if (became.equals("served")) {
-            assertEquals(2, effects(mark + "a").size(), where + ": it is said to be served");
+          if (outcome.equals("served")) {
+            assertEquals(
+                2,
+                startedDecodes(mark + "a").size(),
+                context + ": reported as served, expected both of its decodes");
           }
         }
         assertEquals(
-            effects(mark + "a").size(),
-            effects(mark + "a").stream().distinct().count(),
-            where + ": a leg ran twice");
-        JsonNode other = ask(next, mark + "c", "k-" + mark).end;
-        assertTrue(other.has("result"), where + ": a new call is served: " + other);
+            startedDecodes(mark + "a").size(),
+            startedDecodes(mark + "a").stream().distinct().count(),
+            context + ": a part of the answer was decoded twice");
+        JsonNode newCall = call(successor, mark + "c", "k-" + mark).response;
+        assertTrue(newCall.has("result"), context + ": a new call must be served, got " + newCall);
       }
-      return died;
+      return crashed;
     } catch (IOException | InterruptedException e) {
-      throw new AssertionError(where, e);
+      throw new AssertionError(context, e);
     }
   }
 
-  /** All steps there are, until one that never comes. */
-  private static int all(Supplier<Path> homes, boolean half) {
-    ExecutorService beside = Executors.newFixedThreadPool(BESIDE);
+  /**
+   * Crashes gateways at step 1, 2 and so on until a step is not reached; returns the steps reached.
+   */
+  private static int crashAtEachStep(Supplier<Path> homes, boolean half) {
+    ExecutorService executor = Executors.newFixedThreadPool(MAX_PROCESSES);
     try {
       int steps = 0;
-      while (steps < MOST_STEPS) {
-        List<CompletableFuture<Boolean>> some = new ArrayList<>();
-        for (int i = 1; i <= BESIDE; i++) {
+      while (steps < MAX_STEPS) {
+        List<CompletableFuture<Boolean>> crashes = new ArrayList<>();
+        for (int i = 1; i <= MAX_PROCESSES; i++) {
           int step = steps + i;
-          some.add(CompletableFuture.supplyAsync(() -> dies(homes, step, half), beside));
+          crashes.add(
+              CompletableFuture.supplyAsync(() -> crashAndRestart(homes, step, half), executor));
         }
-        int died = (int) some.stream().map(CompletableFuture::join).filter(d -> d).count();
-        steps += died;
-        if (died < BESIDE) {
+        int reached =
+            (int)
+                crashes.stream()
+                    .map(CompletableFuture::join)
+                    .filter(reachedStep -> reachedStep)
+                    .count();
+        steps += reached;
+        if (reached < MAX_PROCESSES) {
           return steps;
         }
       }
       return steps;
     } finally {
-      beside.shutdownNow();
+      executor.shutdownNow();
     }
   }
 
-  private static Path home() {
+  private static Path newHome() {
     try {
-      return Files.createDirectories(folder.resolve("home" + NUMBER.incrementAndGet()));
+      return Files.createDirectories(folder.resolve("home" + COUNTER.incrementAndGet()));
     } catch (IOException e) {
       throw new AssertionError(e);
     }
@@ -292,32 +327,33 @@
 
   @Execution(ExecutionMode.CONCURRENT)
   @Test
-  void killedAtEachStepOfANewLog() {
-    int steps = all(CrashTest::home, false);
+  void callStaysConsistentAfterKillAtEachStepOfANewLog() {
+    int steps = crashAtEachStep(CrashTest::newHome, false);
     assertTrue(
         steps >= 10,
-        "a log made and four records written and synced are more than " + steps + " steps");
-    int writes = all(CrashTest::home, true);
-    assertTrue(writes >= 4, writes + " writes");
+        "creating a log, then writing and syncing four records, takes at least 10 steps, got "
+            + steps);
+    int writes = crashAtEachStep(CrashTest::newHome, true);
+    assertTrue(writes >= 4, writes + " writes were interrupted");
   }
 
   @Execution(ExecutionMode.CONCURRENT)
   @Test
-  void killedAtEachStepWhileTheLogBeginsAnew() throws Exception {
-    Path full = home();
-    try (Life life = new Life(full, 0, false)) {
-      assertTrue(life.ready(), life::diagnosis);
-      for (int i = 0; Files.size(newest(full)) < 4_096; i++) {
-        assertTrue(ask(life, "fill" + i, "fill" + i + "x".repeat(80)).end.has("result"));
+  void callStaysConsistentAfterKillAtEachStepOfCompaction() throws Exception {
+    Path full = newHome();
+    try (GatewayProcess process = new GatewayProcess(full, 0, false)) {
+      assertTrue(process.awaitReady(), process::diagnosis);
+      for (int i = 0; Files.size(logFile(full)) < 4_096; i++) {
+        assertTrue(call(process, "fill" + i, "fill" + i + "x".repeat(80)).response.has("result"));
       }
     }
-    int steps = all(() -> copy(full), false);
-    assertTrue(steps >= 10, steps + " steps");
-    int writes = all(() -> copy(full), true);
-    assertTrue(writes >= 3, writes + " writes");
+    int steps = crashAtEachStep(() -> copyHome(full), false);
+    assertTrue(steps >= 10, steps + " steps were interrupted");
+    int writes = crashAtEachStep(() -> copyHome(full), true);
+    assertTrue(writes >= 3, writes + " writes were interrupted");
   }
 
-  private static Path newest(Path home) throws IOException {
+  private static Path logFile(Path home) throws IOException {
     try (Stream<Path> files = Files.list(home.resolve("calls"))) {
       return files
           .filter(f -> f.getFileName().toString().startsWith("log-"))
@@ -326,9 +362,9 @@
     }
   }
 
-  private static Path copy(Path full) {
-    Path to = home();
-    try (Stream<Path> files = Files.list(full.resolve("calls"))) {
+  private static Path copyHome(Path source) {
+    Path to = newHome();
+    try (Stream<Path> files = Files.list(source.resolve("calls"))) {
       Files.createDirectories(to.resolve("calls"));
       for (Path file : files.toList()) {
         Files.copy(file, to.resolve("calls").resolve(file.getFileName()));
--- a/scenario/src/test/java/lemondock/scenario/FaultScenarioTest.java
+++ b/scenario/src/test/java/lemondock/scenario/FaultScenarioTest.java
@@ -10,10 +10,10 @@
 import lemondock.idempotency.FileSystemPort;
 import org.junit.jupiter.api.Test;
 
-/** Short days on sockets keep the five rules. */
+/** Short fault scenarios over real sockets, audited against the five rules. */
 class FaultScenarioTest {
   @Test
-  void aQuietDayServesAlmostAll() throws InterruptedException {
+  void scenarioWithoutFaultsServesAlmostAllCalls() throws InterruptedException {
     ScenarioResult result =
         new FaultScenario(ScenarioScript.withDefaults().withLoad("quiet", 3, 60, List.of())).play();
     assertEquals(
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void gatewaysThatStandStillOrAreOccupiedKeepTheRules() throws InterruptedException {
+  void pausedAndBusyGatewaysKeepTheRules() throws InterruptedException {
     ScenarioResult result =
         new FaultScenario(
                 ScenarioScript.withDefaults()
@@ -46,8 +46,8 @@
         result.valueInTimeShares() + " " + result.outcomeCounts());
   }
 
-  /** Gateways die all the time, and clients ask for the same calls again when they are back. */
-  private static FaultScenario deaths() {
+  /** Gateways are killed repeatedly, and clients repeat their calls after each restart. */
+  private static FaultScenario repeatedKills() {
     List<ScriptedFault> kills = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       kills.add(new ScriptedFault(FaultKind.GATEWAY_KILL, 500 + 500 * i, 300, 0, 0));
@@ -56,25 +56,26 @@
   }
 
   @Test
-  void whatMayRunOnceDoesSoOverTheDeathsOfItsGateways() throws InterruptedException {
-    ScenarioResult result = deaths().play();
+  void nonIdempotentCallsRunAtMostOnceAcrossGatewayKills() throws InterruptedException {
+    ScenarioResult result = repeatedKills().play();
     assertEquals(
         Map.of(1, List.of(), 2, List.of(), 3, List.of(), 4, List.of(), 5, List.of()),
         result.audit().violations());
     assertTrue(
         result.callRecords().stream().anyMatch(c -> "may_have_run".equals(c.earlierAttemptOutcome)),
-        "no call was asked for again");
+        "no repeated call reported may_have_run for its earlier attempt");
   }
 
   @Test
-  void gatewaysThatForgetAreSeenToRunCallsAgain() throws InterruptedException {
+  void lostIdempotencyStoreIsDetectedAsDuplicateEffects() throws InterruptedException {
     assertEquals(
-        Set.of(2), deaths().decorateFileSystem(Forgetful::new).play().audit().violatedRules());
+        Set.of(2),
+        repeatedKills().decorateFileSystem(EmptyListingFiles::new).play().audit().violatedRules());
   }
 
-  /** A folder that is found empty. */
-  private static final class Forgetful extends ForwardingFiles {
-    Forgetful(FileSystemPort files) {
+  /** A directory that always appears empty, as if the idempotency store were lost. */
+  private static final class EmptyListingFiles extends ForwardingFiles {
+    EmptyListingFiles(FileSystemPort files) {
       super(files);
     }
 
--- a/scenario/src/test/java/lemondock/scenario/ForwardingFiles.java
+++ b/scenario/src/test/java/lemondock/scenario/ForwardingFiles.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import lemondock.idempotency.FileSystemPort;
 
-/** Hands everything on to another folder; a faulty one leaves something out. */
+/** Forwards every operation to another directory; tests override some of them to inject faults. */
 class ForwardingFiles implements FileSystemPort {
   private final FileSystemPort files;
 
-  /** The same for an open file. */
+  /** Forwards every operation to another open file. */
   static class ForwardingOut implements AppendFile {
     private final AppendFile out;
 
--- a/scenario/src/test/java/lemondock/scenario/McpProtocolTest.java
+++ b/scenario/src/test/java/lemondock/scenario/McpProtocolTest.java
@@ -28,11 +28,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The Streamable HTTP transport, word for word, spoken by the JDK's client and by plain sockets.
+ * Tests the Streamable HTTP transport at the level of single HTTP messages, sent by the JDK's
+ * client and over plain sockets.
  */
 class McpProtocolTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private static final String BOTH = "application/json, text/event-stream";
+  private static final String ACCEPT_JSON_OR_EVENT_STREAM = "application/json, text/event-stream";
   private static ScenarioFixture fixture;
   private static HttpClient http;
 
@@ -40,8 +41,8 @@
   static void start() {
     fixture =
         new ScenarioFixture(
-            s -> {
-              ((ObjectNode) s.get("front"))
+            settings -> {
+              ((ObjectNode) settings.get("front"))
                   .put("maxBodyBytes", 50_000)
                   .put("maxCallsPerSession", 3)
                   .put("resumeWindowMs", 3_000)
@@ -50,7 +51,7 @@
                   .put("requestTimeoutMs", 500)
                   .putArray("allowedOrigins")
                   .add("http://good.example");
-              ((ObjectNode) s.at("/classes/0")).put("toolTimeoutMs", 1_000);
+              ((ObjectNode) settings.at("/classes/0")).put("toolTimeoutMs", 1_000);
             },
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w"));
@@ -69,12 +70,12 @@
     if (session != null) {
       builder.header("Mcp-Session-Id", session);
     }
-    boolean accept = false;
+    boolean hasAccept = false;
     for (int i = 0; i < headers.length; i += 2) {
       builder.setHeader(headers[i], headers[i + 1]);
-      accept |= headers[i].equals("Accept");
+      hasAccept |= headers[i].equals("Accept");
     }
-    return accept ? builder : builder.header("Accept", BOTH);
+    return hasAccept ? builder : builder.header("Accept", ACCEPT_JSON_OR_EVENT_STREAM);
   }
 
   private static HttpResponse<String> post(String session, String body, String... headers) {
@@ -103,7 +104,7 @@
     }
   }
 
-  private static String session(String version) {
+  private static String openSession(String version) {
     HttpResponse<String> response =
         post(
             null,
@@ -115,19 +116,19 @@
     return response.headers().firstValue("mcp-session-id").orElseThrow();
   }
 
-  private static String call(int id, String prompt, String more) {
+  private static String call(int id, String prompt, String extraArguments) {
     return "{\"jsonrpc\":\"2.0\",\"id\":"
         + id
         + ",\"method\":\"tools/call\",\"params\":{\"name\":\"sale-lookup\","
         + "\"_meta\":{\"progressToken\":\"p\"},\"arguments\":{\"prompt\":\""
         + prompt
         + "\""
-        + more
+        + extraArguments
         + "}}}";
   }
 
-  /** Messages of an event stream that was read whole. */
-  private static List<JsonNode> events(String stream) {
+  /** The messages of a complete event stream. */
+  private static List<JsonNode> parseEvents(String stream) {
     List<JsonNode> messages = new ArrayList<>();
     for (String line : stream.split("\n")) {
       if (line.startsWith("data: ") && line.length() > 6) {
@@ -144,25 +145,25 @@
     "2025-03-26,2025-03-26",
     "1999-01-01,2025-11-25"
   })
-  void versionsAreNegotiated(String asked, String given) {
+  void protocolVersionIsNegotiated(String requested, String negotiated) {
     HttpResponse<String> response =
         post(
             null,
             "{\"jsonrpc\":\"2.0\",\"id\":\"a\",\"method\":\"initialize\",\"params\":"
                 + "{\"protocolVersion\":\""
-                + asked
+                + requested
                 + "\"}}");
-    assertEquals(given, json(response.body()).at("/result/protocolVersion").asText());
+    assertEquals(negotiated, json(response.body()).at("/result/protocolVersion").asText());
     assertTrue(response.headers().firstValue("mcp-session-id").orElseThrow().length() >= 32);
   }
 
   @Test
-  void sessionsAreNeededKnownAndEnded() {
+  void requestsNeedAnOpenSession() {
     String ping = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"ping\"}";
     assertEquals(400, post(null, ping).statusCode());
     assertEquals(404, post("never-given", ping).statusCode());
-    String session = session("2025-06-18");
-    assertNotEquals(session, session("2025-06-18"));
+    String session = openSession("2025-06-18");
+    assertNotEquals(session, openSession("2025-06-18"));
     assertEquals("{}", json(post(session, ping).body()).get("result").toString());
     assertEquals(400, post(session, ping, "MCP-Protocol-Version", "2024-01-01").statusCode());
     assertEquals(200, post(session, ping, "MCP-Protocol-Version", "2025-06-18").statusCode());
@@ -172,7 +173,7 @@
   }
 
   @Test
-  void wrongMethodsPlacesAndForms() {
+  void wrongMethodPathOrMediaTypeIsRejected() {
     String ping = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"ping\"}";
     HttpResponse<String> put =
         send(request(null).PUT(HttpRequest.BodyPublishers.ofString(ping)).build());
@@ -189,13 +190,13 @@
   }
 
   @Test
-  void pagesOfOtherSitesAreKeptOut() throws IOException {
+  void foreignOriginAndHostAreForbidden() throws IOException {
     String ping = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"ping\"}";
     assertEquals(403, post(null, ping, "Origin", "http://evil.example").statusCode());
     assertEquals(
         400,
         post(null, ping, "Origin", "http://good.example")
-            .statusCode()); // let in; the session is missing
+            .statusCode()); // the origin is accepted; the session id is missing
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), fixture.port)) {
       socket
           .getOutputStream()
@@ -232,22 +233,25 @@
         "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"initialize\",\"params\":{}} ~ 400 ~"
             + " -32602",
       })
-  void badMessagesGetTheSpecifiedCode(String body, int status, int code) {
-    HttpResponse<String> response = post(session("2025-06-18"), body);
+  void invalidMessagesGetTheSpecifiedErrorCode(String body, int status, int code) {
+    HttpResponse<String> response = post(openSession("2025-06-18"), body);
     assertEquals(status, response.statusCode(), response.body());
     assertEquals(code, json(response.body()).at("/error/code").asInt(), response.body());
   }
 
   @Test
-  void badArgumentsAreNamed() {
-    String body = post(session("2025-06-18"), call(1, "x", ",\"tools\":[{\"nam\":\"t\"}]")).body();
+  void invalidArgumentErrorNamesItsPath() {
+    String body =
+        post(openSession("2025-06-18"), call(1, "x", ",\"tools\":[{\"nam\":\"t\"}]")).body();
     assertTrue(json(body).at("/error/message").asText().contains("/arguments/tools/0"), body);
   }
 
   @Test
   void toolsAreListedWithTheirSchemas() {
     JsonNode tools =
-        json(post(session("2025-06-18"), "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/list\"}")
+        json(post(
+                    openSession("2025-06-18"),
+                    "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"tools/list\"}")
                 .body())
             .at("/result/tools");
     assertEquals(2, tools.size());
@@ -256,8 +260,8 @@
   }
 
   @Test
-  void notificationsAndStrayResponsesAreTaken() {
-    String session = session("2025-06-18");
+  void notificationsAndUnmatchedResponsesAreAccepted() {
+    String session = openSession("2025-06-18");
     assertEquals(
         202,
         post(session, "{\"jsonrpc\":\"2.0\",\"method\":\"notifications/initialized\"}")
@@ -273,10 +277,11 @@
   }
 
   @Test
-  void tokensStreamAndTheResultComesLast() {
-    HttpResponse<String> response = post(session("2025-06-18"), call(5, "answer in 3 words", ""));
+  void tokensAreStreamedBeforeTheResult() {
+    HttpResponse<String> response =
+        post(openSession("2025-06-18"), call(5, "answer in 3 words", ""));
     assertEquals("text/event-stream", response.headers().firstValue("content-type").orElse(""));
-    List<JsonNode> events = events(response.body());
+    List<JsonNode> events = parseEvents(response.body());
     assertEquals(4, events.size());
     assertEquals("notifications/progress", events.get(0).get("method").asText());
     assertEquals(1, events.get(0).at("/params/progress").asInt());
@@ -286,14 +291,18 @@
   }
 
   @Test
-  void aClientThatTakesOnlyJsonGetsJson() {
+  void jsonOnlyClientGetsJsonAndCannotOfferTools() {
     HttpResponse<String> response =
-        post(session("2025-06-18"), call(5, "answer in 3 words", ""), "Accept", "application/json");
+        post(
+            openSession("2025-06-18"),
+            call(5, "answer in 3 words", ""),
+            "Accept",
+            "application/json");
     assertEquals("application/json", response.headers().firstValue("content-type").orElse(""));
     assertEquals(" a0 a1 a2", json(response.body()).at("/result/content/0/text").asText());
     HttpResponse<String> tools =
         post(
-            session("2025-06-18"),
+            openSession("2025-06-18"),
             call(5, "x", ",\"tools\":[{\"name\":\"t\"}]"),
             "Accept",
             "application/json");
@@ -314,7 +323,7 @@
     "http://localhost:80/x,403",
     "http://192.168.0.7,403"
   })
-  void aLoopbackListenerTakesPagesOfItsOwnHostOnly(String origin, int status) {
+  void loopbackListenerAcceptsLocalAndAllowedOriginsOnly(String origin, int status) {
     assertEquals(
         status,
         post(
@@ -327,60 +336,61 @@
   }
 
   @Test
-  void loadBalancersAreAnswered() {
+  void healthAndReadinessProbesReportTheState() {
     for (String path : List.of("/healthz", "/readyz")) {
-      HttpRequest.Builder ask =
+      HttpRequest.Builder probe =
           HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + fixture.port + path));
-      assertEquals(200, send(ask.GET().build()).statusCode());
-      assertEquals(405, send(ask.POST(HttpRequest.BodyPublishers.noBody()).build()).statusCode());
+      assertEquals(200, send(probe.GET().build()).statusCode());
+      assertEquals(405, send(probe.POST(HttpRequest.BodyPublishers.noBody()).build()).statusCode());
     }
     try (ScenarioFixture stopping =
         new ScenarioFixture(
             s -> ((ObjectNode) s.get("limits")).put("stopNoticeMs", 60_000),
             ScenarioFixture.reader("r"))) {
-      HttpRequest ask =
+      HttpRequest probe =
           HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + stopping.port + "/readyz"))
               .build();
-      assertEquals("no server that writes is ready\n", send(ask).body());
+      assertEquals("no server that writes is ready\n", send(probe).body());
       stopping.fleet.gateway(ScenarioFixture.GATEWAY).stop();
       ScenarioFixture.await(
-          "it says that it stops", () -> send(ask).body().equals("the gateway stops\n"));
-      assertEquals(503, send(ask).statusCode());
+          "/readyz reports that the gateway stops",
+          () -> send(probe).body().equals("the gateway stops\n"));
+      assertEquals(503, send(probe).statusCode());
       assertEquals(
           200,
           send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + stopping.port + "/mcp"))
                   .header("Content-Type", "application/json")
-                  .header("Accept", BOTH)
+                  .header("Accept", ACCEPT_JSON_OR_EVENT_STREAM)
                   .POST(
                       HttpRequest.BodyPublishers.ofString(
                           "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"initialize\","
                               + "\"params\":{\"protocolVersion\":\"2025-06-18\"}}"))
                   .build())
               .statusCode(),
-          "new sessions are still taken");
+          "a stopping gateway still opens new sessions");
     }
   }
 
   @Test
-  void batchesOnlyWhereTheVersionHasThem() {
+  void batchesAreAcceptedOnlyInVersionsThatHaveThem() {
     String batch =
         "[{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"ping\"},7,{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"tools/list\"}]";
-    assertEquals(400, post(session("2025-06-18"), batch).statusCode());
-    JsonNode answers = json(post(session("2025-03-26"), batch).body());
+    assertEquals(400, post(openSession("2025-06-18"), batch).statusCode());
+    JsonNode answers = json(post(openSession("2025-03-26"), batch).body());
     assertEquals(3, answers.size());
     String calls =
         "[" + call(1, "answer in 2 words", "") + "," + call(2, "answer in 4 words", "") + "]";
-    List<JsonNode> events = events(post(session("2025-03-26"), calls).body());
+    List<JsonNode> events = parseEvents(post(openSession("2025-03-26"), calls).body());
     assertEquals(2, events.stream().filter(e -> e.has("result")).count());
   }
 
-  /** Reads an event stream line by line from its beginning. */
-  private static final class Reader implements AutoCloseable {
+  /** Reads the messages of an event stream one at a time. */
+  private static final class EventStreamReader implements AutoCloseable {
     private final InputStream stream;
     private final BufferedReader lines;
-    private String lastId = "";
+    private String lastEventId = "";
 
-    Reader(HttpRequest request) throws IOException, InterruptedException {
+    EventStreamReader(HttpRequest request) throws IOException, InterruptedException {
       HttpResponse<InputStream> response =
           http.send(request, HttpResponse.BodyHandlers.ofInputStream());
       assertEquals(200, response.statusCode());
@@ -388,11 +398,11 @@
       lines = new BufferedReader(new InputStreamReader(stream, StandardCharsets.UTF_8));
     }
 
-    /** The next message, null at the end. */
+    /** Returns the next message, or null at the end of the stream. */
     JsonNode next() throws IOException {
       for (String line = lines.readLine(); line != null; line = lines.readLine()) {
         if (line.startsWith("id: ")) {
-          lastId = line.substring(4);
+          lastEventId = line.substring(4);
         } else if (line.startsWith("data: ") && line.length() > 6) {
           return json(line.substring(6));
         }
@@ -407,25 +417,26 @@
   }
 
   @Test
-  void aBrokenStreamIsTakenUpBehindTheLastEvent() throws IOException, InterruptedException {
-    String session = session("2025-11-25");
+  void brokenStreamResumesAfterTheLastEvent() throws IOException, InterruptedException {
+    String session = openSession("2025-11-25");
     StringBuilder text = new StringBuilder();
-    String last;
-    try (Reader reader =
-        new Reader(
+    String lastEventId;
+    try (EventStreamReader reader =
+        new EventStreamReader(
             request(session)
                 .POST(HttpRequest.BodyPublishers.ofString(call(9, "answer in 300 words", "")))
                 .build())) {
       for (int i = 0; i < 20; i++) {
         text.append(reader.next().at("/params/message").asText());
       }
-      last = reader.lastId;
+      lastEventId = reader.lastEventId;
     }
     JsonNode end = null;
-    try (Reader reader = new Reader(request(session, "Last-Event-ID", last).GET().build())) {
-      for (JsonNode m = reader.next(); m != null; m = reader.next()) {
-        text.append(m.at("/params/message").asText(""));
-        end = m;
+    try (EventStreamReader reader =
+        new EventStreamReader(request(session, "Last-Event-ID", lastEventId).GET().build())) {
+      for (JsonNode message = reader.next(); message != null; message = reader.next()) {
+        text.append(message.at("/params/message").asText(""));
+        end = message;
       }
     }
     assertEquals(9, end.get("id").asInt());
@@ -436,32 +447,32 @@
   }
 
   @Test
-  void relayedCallsBelongToTheirSession() throws IOException, InterruptedException {
-    String session = session("2025-06-18");
-    String other = session("2025-06-18");
-    try (Reader reader =
-        new Reader(
+  void toolResultsFromOtherSessionsAreIgnored() throws IOException, InterruptedException {
+    String session = openSession("2025-06-18");
+    String other = openSession("2025-06-18");
+    try (EventStreamReader reader =
+        new EventStreamReader(
             request(session)
                 .POST(
                     HttpRequest.BodyPublishers.ofString(
                         call(4, "call the tool stock", ",\"tools\":[{\"name\":\"stock\"}]")))
                 .build())) {
-      JsonNode asked = reader.next();
-      while (!asked.path("method").asText().equals("tools/call")) {
-        asked = reader.next();
+      JsonNode relayed = reader.next();
+      while (!relayed.path("method").asText().equals("tools/call")) {
+        relayed = reader.next();
       }
-      assertEquals("stock", asked.at("/params/name").asText());
+      assertEquals("stock", relayed.at("/params/name").asText());
       String answer =
           "{\"jsonrpc\":\"2.0\",\"id\":"
-              + asked.get("id")
+              + relayed.get("id")
               + ",\"result\":{\"content\":[{\"type\":\"text\","
               + "\"text\":\"%s\"}]}}";
       assertEquals(202, post(other, answer.formatted("theirs")).statusCode());
       assertEquals(202, post(session, answer.formatted("mine")).statusCode());
       assertEquals(202, post(session, answer.formatted("again")).statusCode());
-      JsonNode end = asked;
-      for (JsonNode m = reader.next(); m != null; m = reader.next()) {
-        end = m;
+      JsonNode end = relayed;
+      for (JsonNode message = reader.next(); message != null; message = reader.next()) {
+        end = message;
       }
       String text = end.at("/result/content/0/text").asText();
       assertTrue(
@@ -470,35 +481,35 @@
   }
 
   @Test
-  void oneIdIsOneCallAndCancellingEndsItWithoutAResponse()
+  void duplicateIdIsRejectedAndCancelledCallGetsNoResponse()
       throws IOException, InterruptedException {
-    String session = session("2025-06-18");
-    try (Reader reader =
-        new Reader(
+    String session = openSession("2025-06-18");
+    try (EventStreamReader reader =
+        new EventStreamReader(
             request(session)
                 .POST(HttpRequest.BodyPublishers.ofString(call(4, "answer in 400 words", "")))
                 .build())) {
       reader.next();
-      JsonNode second = json(post(session, call(4, "x", "")).body());
-      assertEquals(-32600, second.at("/error/code").asInt());
+      JsonNode duplicate = json(post(session, call(4, "x", "")).body());
+      assertEquals(-32600, duplicate.at("/error/code").asInt());
       post(
           session,
           "{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":4}}");
-      for (JsonNode m = reader.next(); m != null; m = reader.next()) {
-        assertTrue(m.has("method"), m.toString());
+      for (JsonNode message = reader.next(); message != null; message = reader.next()) {
+        assertTrue(message.has("method"), message.toString());
       }
     }
     fixture.awaitIdle();
   }
 
   @Test
-  void aCancelThatOvertakesItsCallEndsItAndNoLaterOne() throws IOException, InterruptedException {
-    String session = session("2025-06-18");
+  void cancelBeforeItsCallEndsThatCallOnly() throws IOException, InterruptedException {
+    String session = openSession("2025-06-18");
     post(
         session,
         "{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":9}}");
-    JsonNode overtaken = json(post(session, call(9, "#overtaken# answer in 3 words", "")).body());
-    assertEquals(Mcp.FAILED, overtaken.at("/error/code").asInt(), overtaken.toString());
+    JsonNode cancelled = json(post(session, call(9, "#overtaken# answer in 3 words", "")).body());
+    assertEquals(Mcp.FAILED, cancelled.at("/error/code").asInt(), cancelled.toString());
     assertTrue(fixture.events(lemondock.emulator.TrafficEvent.Kind.PREFILL, "overtaken").isEmpty());
     assertTrue(post(session, call(9, "answer in 3 words", "")).body().contains(" a0 a1 a2"));
     post(
@@ -506,16 +517,16 @@
         "{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":10}}");
     assertTrue(
         post(session, call(11, "answer in 3 words", "")).body().contains(" a0 a1 a2"),
-        "another's cancel");
+        "a cancel of id 10 must not end call 11");
   }
 
   @Test
-  void sessionsAreBoundedInCalls() throws IOException, InterruptedException {
-    String session = session("2025-06-18");
-    List<Reader> readers = new ArrayList<>();
+  void callsPerSessionAreLimited() throws IOException, InterruptedException {
+    String session = openSession("2025-06-18");
+    List<EventStreamReader> readers = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      Reader reader =
-          new Reader(
+      EventStreamReader reader =
+          new EventStreamReader(
               request(session)
                   .POST(HttpRequest.BodyPublishers.ofString(call(i, "answer in 400 words", "")))
                   .build());
@@ -525,9 +536,9 @@
     JsonNode fourth = json(post(session, call(10, "x", "")).body());
     assertEquals(-32012, fourth.at("/error/code").asInt());
     assertEquals(204, send(request(session).DELETE().build()).statusCode());
-    for (Reader reader : readers) {
+    for (EventStreamReader reader : readers) {
       while (reader.next() != null) {
-        assertTrue(true); // what was on its way
+        assertTrue(true); // messages that were already in transit
       }
       reader.close();
     }
@@ -535,16 +546,16 @@
   }
 
   @Test
-  void theServersStreamIsOneASession() throws IOException, InterruptedException {
-    String session = session("2025-06-18");
-    Reader first = new Reader(request(session).GET().build());
-    Reader second = new Reader(request(session).GET().build());
+  void secondServerStreamOfASessionReplacesTheFirst() throws IOException, InterruptedException {
+    String session = openSession("2025-06-18");
+    EventStreamReader first = new EventStreamReader(request(session).GET().build());
+    EventStreamReader second = new EventStreamReader(request(session).GET().build());
     assertEquals(null, first.next());
     second.close();
   }
 
   @Test
-  void slowlorisClientsAreEndedAndHarmNobody() throws IOException {
+  void slowlorisConnectionsTimeOutAndOthersAreServed() throws IOException {
     List<Socket> slow = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       Socket socket = new Socket(InetAddress.getLoopbackAddress(), fixture.port);
@@ -555,7 +566,7 @@
     }
     assertEquals(
         " a0 a1 a2",
-        events(post(session("2025-06-18"), call(5, "answer in 3 words", "")).body())
+        parseEvents(post(openSession("2025-06-18"), call(5, "answer in 3 words", "")).body())
             .get(3)
             .at("/result/content/0/text")
             .asText());
--- a/scenario/src/test/java/lemondock/scenario/NonIdempotentCallsTest.java
+++ b/scenario/src/test/java/lemondock/scenario/NonIdempotentCallsTest.java
@@ -17,22 +17,23 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A call that may run once, over the death of its gateway. */
+/** Non-idempotent calls across a crash and restart of their gateway. */
 @Timeout(60)
 class NonIdempotentCallsTest {
   @TempDir private Path folder;
 
   private ScenarioFixture fixture() {
     return new ScenarioFixture(
-        s -> {
-          s.putObject("durable")
+        settings -> {
+          settings
+              .putObject("durable")
               .put("path", folder.resolve("calls").toString())
               .put("waitMs", 5_000);
-          ((ObjectNode) s.at("/classes/0"))
+          ((ObjectNode) settings.at("/classes/0"))
               .put("repeat", "once")
               .put("deadlineMs", 20_000)
               .put("aimMs", 10_000);
-          ((ObjectNode) s.at("/classes/1")).put("deadlineMs", 20_000).put("aimMs", 10_000);
+          ((ObjectNode) settings.at("/classes/1")).put("deadlineMs", 20_000).put("aimMs", 10_000);
         },
         ScenarioFixture.reader("r"),
         ScenarioFixture.writer("w"));
@@ -55,12 +56,12 @@
     assertTrue(fixture.fleet.awaitServers(ScenarioFixture.GATEWAY, 2, 10_000));
   }
 
-  private static int effects(ScenarioFixture fixture, String mark) {
+  private static int startedDecodes(ScenarioFixture fixture, String mark) {
     return fixture.events(TrafficEvent.Kind.DECODE_STARTED, mark).size();
   }
 
   @Test
-  void aCallThatWasRelayedIsNotRunAgainByTheNextLifeOfItsGateway() throws Exception {
+  void relayedCallIsNotRepeatedAfterGatewayRestart() throws Exception {
     try (ScenarioFixture fixture = fixture()) {
       ConversationClient.Answer first =
           call(
@@ -69,36 +70,38 @@
               "k1",
               "m1",
               "call the tool stock answer in 5 words");
-      first.relayed();
-      restart(fixture); // its client never answered
-      ConversationClient session = new ConversationClient(fixture.port);
-      JsonNode again =
-          call(session, "sale-lookup", "k1", "m1-again", "call the tool stock answer in 5 words")
-              .end();
-      assertEquals(Mcp.FAILED, again.at("/error/code").asInt(), again.toString());
-      assertEquals("may_have_run", again.at("/error/data/became").asText());
-      assertFalse(again.at("/error/data/retryable").asBoolean(true));
+      first.nextToolCall();
+      restart(fixture); // the client has not posted the tool result
+      ConversationClient client = new ConversationClient(fixture.port);
+      JsonNode repeated =
+          call(client, "sale-lookup", "k1", "m1-again", "call the tool stock answer in 5 words")
+              .readToEnd();
+      assertEquals(Mcp.FAILED, repeated.at("/error/code").asInt(), repeated.toString());
+      assertEquals("may_have_run", repeated.at("/error/data/became").asText());
+      assertFalse(repeated.at("/error/data/retryable").asBoolean(true));
       assertEquals(
-          "[{\"tool\":\"stock\",\"answered\":false}]", again.at("/error/data/relayed").toString());
-      assertEquals(1, effects(fixture, "m1"));
+          "[{\"tool\":\"stock\",\"answered\":false}]",
+          repeated.at("/error/data/relayed").toString());
+      assertEquals(1, startedDecodes(fixture, "m1"));
       assertTrue(
           fixture.events(TrafficEvent.Kind.PREFILL, "m1-again").isEmpty(),
-          "nothing of it may be sent");
-      JsonNode other = call(session, "sale-lookup", "k2", "m2", "answer in 5 words").end();
+          "the repeated call must not reach an engine");
+      JsonNode other = call(client, "sale-lookup", "k2", "m2", "answer in 5 words").readToEnd();
       assertEquals(
           " a0 a1 a2 a3 a4", other.at("/result/content/0/text").asText(), other.toString());
     }
   }
 
   @Test
-  void whatWasServedIsToldSoInThisLifeAndTheNextAndWhatNeverRanMayRun() throws Exception {
+  void restartKeepsServedOutcomesAndAllowsCallsThatNeverRan() throws Exception {
     try (ScenarioFixture fixture = fixture()) {
-      ConversationClient session = new ConversationClient(fixture.port);
-      assertTrue(call(session, "sale-lookup", "k1", "m1", "answer in 5 words").end().has("result"));
+      ConversationClient client = new ConversationClient(fixture.port);
+      assertTrue(
+          call(client, "sale-lookup", "k1", "m1", "answer in 5 words").readToEnd().has("result"));
       assertEquals(
           "served",
-          call(session, "sale-lookup", "k1", "m1b", "answer in 5 words")
-              .end()
+          call(client, "sale-lookup", "k1", "m1b", "answer in 5 words")
+              .readToEnd()
               .at("/error/data/became")
               .asText());
       fixture
@@ -111,8 +114,8 @@
       assertTrue(fixture.fleet.awaitServers(ScenarioFixture.GATEWAY, 0, 10_000));
       assertEquals(
           Mcp.REJECTED,
-          call(session, "sale-lookup", "k2", "m2", "answer in 5 words")
-              .end()
+          call(client, "sale-lookup", "k2", "m2", "answer in 5 words")
+              .readToEnd()
               .at("/error/code")
               .asInt());
       fixture
@@ -123,49 +126,56 @@
                 fixture.fleet.catalogue().setEmpty(false);
               });
       restart(fixture);
-      ConversationClient next = new ConversationClient(fixture.port);
+      ConversationClient clientAfterRestart = new ConversationClient(fixture.port);
       assertEquals(
           "served",
-          call(next, "sale-lookup", "k1", "m1c", "answer in 5 words")
-              .end()
+          call(clientAfterRestart, "sale-lookup", "k1", "m1c", "answer in 5 words")
+              .readToEnd()
               .at("/error/data/became")
               .asText());
       assertTrue(
-          call(next, "sale-lookup", "k2", "m2b", "answer in 5 words").end().has("result"),
-          "it never ran");
+          call(clientAfterRestart, "sale-lookup", "k2", "m2b", "answer in 5 words")
+              .readToEnd()
+              .has("result"),
+          "a call that never ran must be served");
       assertTrue(
-          call(next, "day-close", "k1", "m3", "answer in 5 words").end().has("result"),
-          "safe to repeat");
-      assertEquals(1, effects(fixture, "m1"));
+          call(clientAfterRestart, "day-close", "k1", "m3", "answer in 5 words")
+              .readToEnd()
+              .has("result"),
+          "a call of a class that is safe to repeat must be served");
+      assertEquals(1, startedDecodes(fixture, "m1"));
       assertTrue(
           fixture.events(TrafficEvent.Kind.PREFILL, "m1b").isEmpty()
               && fixture.events(TrafficEvent.Kind.PREFILL, "m1c").isEmpty());
-      JsonNode bad = call(next, "sale-lookup", "x".repeat(201), "m4", "answer in 5 words").end();
+      JsonNode invalidKey =
+          call(clientAfterRestart, "sale-lookup", "x".repeat(201), "m4", "answer in 5 words")
+              .readToEnd();
       assertTrue(
-          bad.at("/error/message")
+          invalidKey
+              .at("/error/message")
               .asText()
               .contains("/_meta/lemondock~1key: expected a text of 1 to 200"),
-          bad.toString());
+          invalidKey.toString());
     }
   }
 
   @Test
-  void aLogThatCannotBeReadKeepsTheGatewayFromStarting() throws Exception {
+  void unreadableLogPreventsStart() throws Exception {
     Files.createDirectories(folder.resolve("calls"));
     Files.writeString(folder.resolve("calls").resolve("log-4"), "this is no log");
     try {
       fixture().close();
-      throw new AssertionError("it started");
+      throw new AssertionError("the gateway started with an unreadable log");
     } catch (java.io.UncheckedIOException e) {
       assertTrue(e.getMessage().contains("log-4"), e.getMessage());
     }
   }
 
-  /** A folder whose syncs fail from that one on. */
-  private static final class Failing extends ForwardingFiles {
+  /** A directory whose syncs fail after the first {@code goodSyncs}. */
+  private static final class FailingSyncFiles extends ForwardingFiles {
     private volatile int goodSyncs;
 
-    Failing(FileSystemPort files, int goodSyncs) {
+    FailingSyncFiles(FileSystemPort files, int goodSyncs) {
       super(files);
       this.goodSyncs = goodSyncs;
     }
@@ -185,34 +195,35 @@
   }
 
   @Test
-  void nothingIsSentBeforeItIsDurable() throws Exception {
+  void callIsNotSentBeforeItIsDurable() throws Exception {
     try (ScenarioFixture fixture = fixture()) {
-      Failing[] disk = new Failing[1];
-      fixture.fleet.decorateFileSystem(f -> disk[0] = new Failing(f, 1_000));
+      FailingSyncFiles[] disk = new FailingSyncFiles[1];
+      fixture.fleet.decorateFileSystem(files -> disk[0] = new FailingSyncFiles(files, 1_000));
       restart(fixture);
-      ConversationClient session = new ConversationClient(fixture.port);
+      ConversationClient client = new ConversationClient(fixture.port);
       disk[0].goodSyncs = 0;
-      JsonNode refused = call(session, "sale-lookup", "k1", "m1", "answer in 5 words").end();
-      assertEquals(Mcp.REJECTED, refused.at("/error/code").asInt(), refused.toString());
+      JsonNode rejected = call(client, "sale-lookup", "k1", "m1", "answer in 5 words").readToEnd();
+      assertEquals(Mcp.REJECTED, rejected.at("/error/code").asInt(), rejected.toString());
       assertTrue(
-          refused.at("/error/data/retryable").asBoolean()
+          rejected.at("/error/data/retryable").asBoolean()
               && fixture.events(TrafficEvent.Kind.PREFILL, "m1").isEmpty());
       assertTrue(
-          call(session, "day-close", "k3", "m3", "answer in 5 words").end().has("result"),
-          "needs no disk");
-      disk[0].goodSyncs = 1; // the call is remembered, its tool call is not
-      JsonNode untold =
-          call(session, "sale-lookup", "k2", "m2", "call the tool stock answer in 5 words").end();
+          call(client, "day-close", "k3", "m3", "answer in 5 words").readToEnd().has("result"),
+          "a class that is safe to repeat needs no durable record");
+      disk[0].goodSyncs = 1; // the call becomes durable, its tool call does not
+      JsonNode unrelayed =
+          call(client, "sale-lookup", "k2", "m2", "call the tool stock answer in 5 words")
+              .readToEnd();
       assertTrue(
-          untold
+          unrelayed
               .at("/result/content/0/text")
               .asText()
               .contains("[the call was not made: it could not be remembered]"),
-          untold.toString());
+          unrelayed.toString());
       disk[0].goodSyncs = 1_000;
       assertTrue(
-          call(session, "sale-lookup", "k1", "m1b", "answer in 5 words").end().has("result"),
-          "it never ran, and the disk is well again");
+          call(client, "sale-lookup", "k1", "m1b", "answer in 5 words").readToEnd().has("result"),
+          "a call that never ran must be served once syncs succeed again");
     }
   }
 }
--- a/scenario/src/test/java/lemondock/scenario/ReportComparisonTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ReportComparisonTest.java
@@ -9,13 +9,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What collectors receive agrees with the gateways' own final metrics, through a scenario with
- * faults.
+ * Checks that the reports which the collectors receive agree with the gateways' own final metrics
+ * after a scenario with faults.
  */
 class ReportComparisonTest {
   @Test
-  void allFormsAgreeWithTheFinalTallyAfterABadDay() throws InterruptedException, IOException {
-    ScenarioScript day =
+  void allReportFormsAgreeWithFinalMetricsAfterFaults() throws InterruptedException, IOException {
+    ScenarioScript script =
         ScenarioScript.withDefaults()
             .withLoad(
                 "reported",
@@ -24,27 +24,29 @@
                 List.of(
                     new ScriptedFault(FaultKind.FAST_ERRORS, 500, 1500, 0.4, 0.8),
                     new ScriptedFault(FaultKind.GATEWAY_KILL, 1000, 600, 0, 0)));
-    try (ReportComparison check = new ReportComparison()) {
-      ScenarioResult result = new FaultScenario(day).compareReports(check).play();
+    try (ReportComparison comparison = new ReportComparison()) {
+      ScenarioResult result = new FaultScenario(script).compareReports(comparison).play();
       assertTrue(result.audit().allRulesKept(), result.audit().toString());
-      assertEquals(List.of(), check.differences());
-      assertTrue(check.compared() > 1_000, "compared only " + check.compared());
+      assertEquals(List.of(), comparison.differences());
+      assertTrue(
+          comparison.compared() > 1_000,
+          "expected more than 1000 compared values, got " + comparison.compared());
       for (String form : List.of("bare", "signed", "encrypted")) {
-        assertEquals(0, check.collectdListener(form).received().unreadable());
-        assertTrue(check.collectdListener(form).largestPacketBytes() <= 1_452);
+        assertEquals(0, comparison.collectdListener(form).received().unreadable());
+        assertTrue(comparison.collectdListener(form).largestPacketBytes() <= 1_452);
       }
       assertEquals(
           0,
-          check.graphiteListener("plain").received().unreadable()
-              + check.graphiteListener("pickle").received().unreadable());
+          comparison.graphiteListener("plain").received().unreadable()
+              + comparison.graphiteListener("pickle").received().unreadable());
       assertTrue(
-          check.finalMetrics().stream()
-              .flatMap(t -> t.at("/tally/worth").findValuesAsText("tenant").stream())
+          comparison.finalMetrics().stream()
+              .flatMap(metrics -> metrics.at("/tally/worth").findValuesAsText("tenant").stream())
               .collect(java.util.stream.Collectors.toSet())
               .containsAll(List.of("omaruru.tills", "mondesa/traders")));
       long served = 0;
-      for (JsonNode tally : check.finalMetrics()) {
-        for (JsonNode row : tally.at("/tally/requests")) {
+      for (JsonNode metrics : comparison.finalMetrics()) {
+        for (JsonNode row : metrics.at("/tally/requests")) {
           served += row.get("served").longValue();
           assertEquals(
               row.get("taken").longValue(),
@@ -55,7 +57,9 @@
               row.toString());
         }
       }
-      assertTrue(served > 50 && served <= result.callCount(), "served " + served);
+      assertTrue(
+          served > 50 && served <= result.callCount(),
+          "served " + served + " of " + result.callCount() + " calls");
     }
   }
 }
--- a/scenario/src/test/java/lemondock/scenario/RuleViolationTest.java
+++ b/scenario/src/test/java/lemondock/scenario/RuleViolationTest.java
@@ -20,13 +20,16 @@
 import lemondock.policy.ServerLifecycle;
 import org.junit.jupiter.api.Test;
 
-/** For each rule a gateway that breaks it on purpose; the auditor must see it on the sockets. */
+/**
+ * For each rule, runs a gateway that breaks it on purpose; the auditor must detect that from the
+ * traffic.
+ */
 class RuleViolationTest {
-  /** A host that hands on everything; a saboteur leaves something out. */
-  private static class Host implements RouterHost {
+  /** Forwards every call to another host; faulty routers override a method to omit it. */
+  private static class ForwardingHost implements RouterHost {
     private final RouterHost host;
 
-    Host(RouterHost host) {
+    ForwardingHost(RouterHost host) {
       this.host = host;
     }
 
@@ -71,8 +74,12 @@
     }
   }
 
-  /** A module that hears a changed list; null leaves a server out. */
-  private static RouterFactory deaf(UnaryOperator<ServerEntry> heard) {
+  /**
+   * A router that gets a modified endpoint list.
+   *
+   * @param change replaces an entry of the list; null omits the server
+   */
+  private static RouterFactory withChangedEndpoints(UnaryOperator<ServerEntry> change) {
     return (settings, seed, host) -> {
       Control control = new Control(settings, seed, host);
       return (RequestRouter)
@@ -84,7 +91,7 @@
                   List<?> entries = (List<?>) arguments[2];
                   arguments[2] =
                       entries.stream()
-                          .map(s -> heard.apply((ServerEntry) s))
+                          .map(entry -> change.apply((ServerEntry) entry))
                           .filter(Objects::nonNull)
                           .toList();
                 }
@@ -93,46 +100,48 @@
     };
   }
 
-  private static Set<Integer> broken(ScenarioScript script, RouterFactory maker)
+  private static Set<Integer> violatedRules(ScenarioScript script, RouterFactory routerFactory)
       throws InterruptedException {
-    return new FaultScenario(script, maker).play().audit().violatedRules();
+    return new FaultScenario(script, routerFactory).play().audit().violatedRules();
   }
 
-  private static ScenarioScript day(double seconds, double rate, ScriptedFault... faults) {
-    return ScenarioScript.withDefaults().withLoad("sabotage", seconds, rate, List.of(faults));
+  private static ScenarioScript scenario(
+      double seconds, double arrivalsPerSecond, ScriptedFault... faults) {
+    return ScenarioScript.withDefaults()
+        .withLoad("sabotage", seconds, arrivalsPerSecond, List.of(faults));
   }
 
   private static ScriptedFault fault(
-      FaultKind kind, double at, double length, double part, double size) {
-    return new ScriptedFault(kind, at, length, part, size);
+      FaultKind kind, double atMs, double durationMs, double share, double size) {
+    return new ScriptedFault(kind, atMs, durationMs, share, size);
   }
 
   @Test
-  void anAnswerNeverGivenIsSeen() throws InterruptedException {
+  void missingAnswerIsDetected() throws InterruptedException {
     ScenarioScript script =
-        day(1.5, 20, fault(FaultKind.LIST_EMPTY, 200, 3000, 1, 1)).withFleet(1, 1, 0, 8, 5);
+        scenario(1.5, 20, fault(FaultKind.LIST_EMPTY, 200, 3000, 1, 1)).withFleet(1, 1, 0, 8, 5);
     assertEquals(
         Set.of(1),
-        broken(
+        violatedRules(
             script,
             (settings, seed, host) ->
                 new Control(
                     settings,
                     seed,
-                    new Host(host) {
+                    new ForwardingHost(host) {
                       @Override
                       public void reject(long requestId, long retryAfter) {}
                     })));
-    assertEquals(Set.of(), broken(script, Gateway.DEFAULT_ROUTER_FACTORY));
+    assertEquals(Set.of(), violatedRules(script, Gateway.DEFAULT_ROUTER_FACTORY));
   }
 
   @Test
-  void anEffectTwiceIsSeen() throws InterruptedException {
+  void duplicateEffectIsDetected() throws InterruptedException {
     ScenarioScript script =
-        day(2, 60, fault(FaultKind.FAST_ERRORS, 0, 2000, 1, 0.5)).withFleet(2, 2, 0, 16, 5);
+        scenario(2, 60, fault(FaultKind.FAST_ERRORS, 0, 2000, 1, 0.5)).withFleet(2, 2, 0, 16, 5);
     assertEquals(
         Set.of(2),
-        broken(
+        violatedRules(
             script,
             (settings, seed, host) ->
                 new Control(
@@ -143,17 +152,17 @@
                         settings.timerResolutionMicros(),
                         settings.classes().stream()
                             .map(
-                                c ->
+                                requestClass ->
                                     new RequestClass(
-                                        c.latencyObjectiveMicros(),
-                                        c.objectiveMicrosPerThousandTokens(),
-                                        c.deadlineMicros(),
-                                        c.priorityWeight(),
-                                        c.latePriorityWeight(),
+                                        requestClass.latencyObjectiveMicros(),
+                                        requestClass.objectiveMicrosPerThousandTokens(),
+                                        requestClass.deadlineMicros(),
+                                        requestClass.priorityWeight(),
+                                        requestClass.latePriorityWeight(),
                                         Idempotency.IDEMPOTENT,
-                                        c.deduplicationScope(),
-                                        c.deduplicationWindowMicros(),
-                                        c.tokenIntervalObjectiveMicros()))
+                                        requestClass.deduplicationScope(),
+                                        requestClass.deduplicationWindowMicros(),
+                                        requestClass.tokenIntervalObjectiveMicros()))
                             .toList(),
                         settings.tenants(),
                         settings.serverKinds(),
@@ -163,49 +172,59 @@
                         settings.writersCanRead()),
                     seed,
                     host)));
-    assertEquals(Set.of(), broken(script, Gateway.DEFAULT_ROUTER_FACTORY));
+    assertEquals(Set.of(), violatedRules(script, Gateway.DEFAULT_ROUTER_FACTORY));
   }
 
   @Test
-  void aDrainIgnoredIsSeen() throws InterruptedException {
+  void ignoredDrainIsDetected() throws InterruptedException {
     ScenarioScript script =
-        day(2.5, 60, fault(FaultKind.DEPLOY, 200, 1200, 0.4, 0.1)).withFleet(2, 3, 0, 16, 5);
+        scenario(2.5, 60, fault(FaultKind.DEPLOY, 200, 1200, 0.4, 0.1)).withFleet(2, 3, 0, 16, 5);
     assertTrue(
-        broken(script, deaf(s -> s.lifecycle() == ServerLifecycle.READY ? s : null)).contains(3));
-    assertEquals(Set.of(), broken(script, Gateway.DEFAULT_ROUTER_FACTORY));
+        violatedRules(
+                script,
+                withChangedEndpoints(
+                    server -> server.lifecycle() == ServerLifecycle.READY ? server : null))
+            .contains(3));
+    assertEquals(Set.of(), violatedRules(script, Gateway.DEFAULT_ROUTER_FACTORY));
   }
 
   @Test
-  void aColdServerPushedOverIsSeen() throws InterruptedException {
+  void overloadedColdServerIsDetected() throws InterruptedException {
     ScenarioScript script =
-        day(3, 40, fault(FaultKind.CRASH, 300, 500, 1, 1)).withFleet(1, 1, 0, 2, 20);
+        scenario(3, 40, fault(FaultKind.CRASH, 300, 500, 1, 1)).withFleet(1, 1, 0, 2, 20);
     assertTrue(
-        broken(
+        violatedRules(
                 script,
-                deaf(
-                    s ->
+                withChangedEndpoints(
+                    server ->
                         new ServerEntry(
-                            s.id(), s.zone(), s.kind(), s.cell(), s.lifecycle(), s.weight(), 0)))
+                            server.id(),
+                            server.zone(),
+                            server.kind(),
+                            server.cell(),
+                            server.lifecycle(),
+                            server.weight(),
+                            0)))
             .contains(4));
-    assertEquals(Set.of(), broken(script, Gateway.DEFAULT_ROUTER_FACTORY));
+    assertEquals(Set.of(), violatedRules(script, Gateway.DEFAULT_ROUTER_FACTORY));
   }
 
   @Test
-  void aStateNeverLetGoIsSeen() throws InterruptedException {
+  void unreleasedStateIsDetected() throws InterruptedException {
     ScenarioScript script =
-        day(2, 40, fault(FaultKind.GIVE_UP, 0, 2000, 1, 1)).withFleet(1, 1, 0, 2, 20);
+        scenario(2, 40, fault(FaultKind.GIVE_UP, 0, 2000, 1, 1)).withFleet(1, 1, 0, 2, 20);
     assertTrue(
-        broken(
+        violatedRules(
                 script,
                 (settings, seed, host) ->
                     new Control(
                         settings,
                         seed,
-                        new Host(host) {
+                        new ForwardingHost(host) {
                           @Override
                           public void releaseState(long requestId) {}
                         }))
             .contains(5));
-    assertEquals(Set.of(), broken(script, Gateway.DEFAULT_ROUTER_FACTORY));
+    assertEquals(Set.of(), violatedRules(script, Gateway.DEFAULT_ROUTER_FACTORY));
   }
 }
--- a/scenario/src/test/java/lemondock/scenario/SdkClientTest.java
+++ b/scenario/src/test/java/lemondock/scenario/SdkClientTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import reactor.core.publisher.Mono;
 
-/** The official Java SDK of the Model Context Protocol as the client. */
+/** Tests the gateway with the official Java SDK of the Model Context Protocol as the client. */
 class SdkClientTest {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -30,10 +30,10 @@
   }
 
   @Test
-  void itsClientListsAndCallsTools() {
+  void sdkClientListsAndCallsTools() {
     try (ScenarioFixture fixture =
         new ScenarioFixture(s -> {}, ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
-      // by their numbers: the SDK hands notifications to several threads of its own
+      // Sorted by progress number, because the SDK delivers notifications on several threads.
       ConcurrentSkipListMap<Double, String> progress = new ConcurrentSkipListMap<>();
       try (McpSyncClient client =
           io.modelcontextprotocol.client.McpClient.sync(transport(fixture))
@@ -54,25 +54,26 @@
                     .build());
         assertEquals(" a0 a1 a2 a3", ((McpSchema.TextContent) result.content().get(0)).text());
         ScenarioFixture.await(
-            "progress", () -> String.join("", progress.values()).equals(" a0 a1 a2 a3"));
+            "all four tokens as progress",
+            () -> String.join("", progress.values()).equals(" a0 a1 a2 a3"));
       }
       fixture.awaitIdle();
     }
   }
 
   /**
-   * Two tool calls in the middle of an answer reach the SDK's session as requests, and it answers
-   * them.
+   * Two tool calls in the middle of an answer reach the SDK's session as requests, which the
+   * session answers.
    */
   @Test
-  void itsSessionAnswersToolCallsInMidStream() {
+  void sdkSessionAnswersToolCallsDuringTheStream() {
     try (ScenarioFixture fixture =
         new ScenarioFixture(s -> {}, ScenarioFixture.reader("r"), ScenarioFixture.writer("w"))) {
-      ConcurrentLinkedQueue<String> asked = new ConcurrentLinkedQueue<>();
+      ConcurrentLinkedQueue<String> calledTools = new ConcurrentLinkedQueue<>();
       McpClientSession.RequestHandler<Map<String, Object>> handler =
           params -> {
             JsonNode node = MAPPER.valueToTree(params);
-            asked.add(node.path("name").asText());
+            calledTools.add(node.path("name").asText());
             return Mono.just(
                 Map.of(
                     "content",
@@ -117,7 +118,7 @@
               .block();
       String text = MAPPER.valueToTree(result).path("content").path(0).path("text").asText();
       assertEquals(" a0 a1 a2 a3[the stock] b0 b1 b2 b3[the price] c0 c1 c2", text);
-      assertEquals(List.of("stock", "price"), List.copyOf(asked));
+      assertEquals(List.of("stock", "price"), List.copyOf(calledTools));
       session.close();
       fixture.awaitIdle();
       assertTrue(fixture.fleet.events().size() > 10);
--- a/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
+++ b/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
@@ -45,7 +45,7 @@
     try (ConversationClient.Answer answer =
         new ConversationClient(fixture.port)
             .call("7", "sale-lookup", "#b" + seed + "# answer in " + WORDS + " words", List.of())) {
-      answer.primed();
+      answer.readFirstEventId();
       while (true) {
         boolean slow = random.nextInt(4) == 0;
         for (int left = 1 + random.nextInt(120); left > 0; left--) {
--- a/scenario/src/test/java/lemondock/scenario/ToolCallsTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ToolCallsTest.java
@@ -20,25 +20,25 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Tool calls as clients may treat them: any id, results in any order, turns up to the bound, many
- * that wait at once.
+ * Tool calls with any valid id, with results in any order, up to the limit of turns, and with many
+ * answers that wait for tools at once.
  */
 @Timeout(60)
 class ToolCallsTest {
-  private static final int TURNS = 3;
-  private static final int WAITING = 40;
+  private static final int MAX_TURNS = 3;
+  private static final int MAX_WAITING_ANSWERS = 40;
   private static ScenarioFixture fixture;
 
   @BeforeAll
   static void start() {
     fixture =
         new ScenarioFixture(
-            s -> {
-              ((ObjectNode) s.get("limits")).put("maxWaitingAnswers", WAITING);
-              ((ObjectNode) s.at("/classes/0"))
+            settings -> {
+              ((ObjectNode) settings.get("limits")).put("maxWaitingAnswers", MAX_WAITING_ANSWERS);
+              ((ObjectNode) settings.at("/classes/0"))
                   .put("deadlineMs", 20_000)
                   .put("aimMs", 10_000)
-                  .put("maxTurns", TURNS)
+                  .put("maxTurns", MAX_TURNS)
                   .put("toolTimeoutMs", 20_000);
             },
             ScenarioFixture.reader("r"),
@@ -61,24 +61,24 @@
         "\"x\\u0000\\n\\\"é😀\"",
         "\"LONG\""
       })
-  void anyIdComesBackAsItWas(String id) throws Exception {
+  void anyValidIdIsReturnedUnchanged(String id) throws Exception {
     String json = id.replace("LONG", "y".repeat(256));
     ConversationClient client = new ConversationClient(fixture.port);
     try (ConversationClient.Answer answer =
         client.call(
             json, "sale-lookup", "call the tool stock answer in 3 words", List.of("stock"))) {
-      JsonNode message = answer.relayed();
+      JsonNode message = answer.nextToolCall();
       assertEquals(
           ConversationClient.MAPPER.readTree(json), message.at("/params/_meta/lemondock~1call"));
-      assertEquals(202, client.post(ConversationClient.result(message.get("id"), "did")));
-      JsonNode end = answer.end();
+      assertEquals(202, client.post(ConversationClient.toolResult(message.get("id"), "did")));
+      JsonNode end = answer.readToEnd();
       assertEquals(ConversationClient.MAPPER.readTree(json), end.get("id"));
       assertEquals(" a0 a1 a2 a3[did] b0 b1 b2", end.at("/result/content/0/text").asText());
     }
   }
 
   @Test
-  void aCallWithoutAUsableIdIsRefused() throws Exception {
+  void callWithInvalidIdIsRejected() throws Exception {
     ConversationClient client = new ConversationClient(fixture.port);
     assertEquals(
         400,
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void resultsInReverseOrderStandWhereTheirCallsDo() throws Exception {
+  void resultsInReverseOrderKeepTheOrderOfTheirCalls() throws Exception {
     ConversationClient client = new ConversationClient(fixture.port);
     List<String> tools = List.of("t0", "t1", "t2", "t3");
     try (ConversationClient.Answer answer =
@@ -108,20 +108,21 @@
             tools)) {
       List<JsonNode> relayed = new ArrayList<>();
       while (relayed.size() < tools.size()) {
-        relayed.add(answer.relayed());
+        relayed.add(answer.nextToolCall());
       }
       Collections.reverse(relayed);
       for (JsonNode call : relayed) {
         client.post(
-            ConversationClient.result(call.get("id"), "did-" + call.at("/params/name").asText()));
+            ConversationClient.toolResult(
+                call.get("id"), "did-" + call.at("/params/name").asText()));
       }
       assertEquals(
           " a0 a1 a2 a3[did-t0|did-t1|did-t2|did-t3] b0 b1",
-          answer.end().at("/result/content/0/text").asText());
+          answer.readToEnd().at("/result/content/0/text").asText());
     }
   }
 
-  private static JsonNode turns(int count) throws IOException, InterruptedException {
+  private static JsonNode callWithTurns(int count) throws IOException, InterruptedException {
     ConversationClient client = new ConversationClient(fixture.port);
     try (ConversationClient.Answer answer =
         client.call(
@@ -133,7 +134,7 @@
       for (JsonNode message = answer.next(); message != null; message = answer.next()) {
         last = message;
         if (message.path("method").asText().equals(Mcp.TOOLS_CALL)) {
-          client.post(ConversationClient.result(message.get("id"), "did"));
+          client.post(ConversationClient.toolResult(message.get("id"), "did"));
         }
       }
       return last;
@@ -141,69 +142,70 @@
   }
 
   @Test
-  void turnsGoUpToTheirBoundAndNoFurther() throws Exception {
-    assertEquals(TURNS + 1, turns(TURNS).at("/result/structuredContent/turns").asInt());
-    JsonNode over = turns(TURNS + 1);
-    assertEquals(Mcp.FAILED, over.at("/error/code").asInt(), over.toString());
+  void turnsAreLimited() throws Exception {
+    assertEquals(
+        MAX_TURNS + 1, callWithTurns(MAX_TURNS).at("/result/structuredContent/turns").asInt());
+    JsonNode overLimit = callWithTurns(MAX_TURNS + 1);
+    assertEquals(Mcp.FAILED, overLimit.at("/error/code").asInt(), overLimit.toString());
     assertTrue(
-        over.at("/error/message").asText().contains("more than " + TURNS + " turns"),
-        over.toString());
+        overLimit.at("/error/message").asText().contains("more than " + MAX_TURNS + " turns"),
+        overLimit.toString());
   }
 
   /**
-   * The flood of slow tools ends at its bound; whoever calls without tools, or has its result at
-   * once, is served beside it.
+   * Answers that wait for slow tools are limited in number. At the limit, calls without tools are
+   * still served, and so are the waiting answers once their results arrive.
    */
   @Test
-  void answersThatWaitForToolsAreBoundedAndStarveNobody() throws Exception {
+  void answersWaitingForToolsAreLimitedAndOthersServed() throws Exception {
     ConversationClient client = new ConversationClient(fixture.port);
-    List<ConversationClient.Answer> open = new ArrayList<>();
+    List<ConversationClient.Answer> waiting = new ArrayList<>();
     List<JsonNode> relayed = new ArrayList<>();
     try {
-      for (int i = 0; i < WAITING; i++) {
+      for (int i = 0; i < MAX_WAITING_ANSWERS; i++) {
         ConversationClient.Answer answer =
             client.call(
                 Integer.toString(10 + i),
                 "sale-lookup",
                 "#wait" + i + "# call the tool stock answer in 2 words",
                 List.of("stock"));
-        open.add(answer);
-        relayed.add(answer.relayed());
+        waiting.add(answer);
+        relayed.add(answer.nextToolCall());
       }
-      JsonNode over;
+      JsonNode overLimit;
       try (ConversationClient.Answer answer =
           client.call(
               "90", "sale-lookup", "call the tool stock answer in 2 words", List.of("stock"))) {
-        over = answer.end();
+        overLimit = answer.readToEnd();
       }
-      assertEquals(Mcp.FAILED, over.at("/error/code").asInt(), over.toString());
+      assertEquals(Mcp.FAILED, overLimit.at("/error/code").asInt(), overLimit.toString());
       try (ConversationClient.Answer plain =
           new ConversationClient(fixture.port)
               .call("91", "sale-lookup", "answer in 2 words", List.of())) {
-        assertEquals(" a0 a1", plain.end().at("/result/content/0/text").asText());
+        assertEquals(" a0 a1", plain.readToEnd().at("/result/content/0/text").asText());
       }
       List<CompletableFuture<JsonNode>> ends = new ArrayList<>();
-      for (int i = WAITING - 1; i >= 0; i--) {
-        client.post(ConversationClient.result(relayed.get(i).get("id"), "r" + i));
-        ConversationClient.Answer answer = open.get(i);
+      for (int i = MAX_WAITING_ANSWERS - 1; i >= 0; i--) {
+        client.post(ConversationClient.toolResult(relayed.get(i).get("id"), "r" + i));
+        ConversationClient.Answer answer = waiting.get(i);
         ends.add(
             0,
             CompletableFuture.supplyAsync(
                 () -> {
                   try {
-                    return answer.end();
+                    return answer.readToEnd();
                   } catch (IOException e) {
                     throw new IllegalStateException(e);
                   }
                 }));
       }
-      for (int i = 0; i < WAITING; i++) {
+      for (int i = 0; i < MAX_WAITING_ANSWERS; i++) {
         JsonNode end = ScenarioFixture.get(ends.get(i));
         assertNotNull(end);
         assertEquals(" a0 a1 a2 a3[r" + i + "] b0 b1", end.at("/result/content/0/text").asText());
       }
     } finally {
-      for (ConversationClient.Answer answer : open) {
+      for (ConversationClient.Answer answer : waiting) {
         answer.close();
       }
     }
