--- a/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
+++ b/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
@@ -52,7 +52,7 @@
                 "sale-lookup",
                 "#b" + seed + "# answer in " + ANSWER_WORDS + " words",
                 List.of())) {
-      answer.primed();
+      answer.readFirstEventId();
       while (true) {
         boolean isSlow = random.nextInt(4) == 0;
         for (int remaining = 1 + random.nextInt(120); remaining > 0; remaining--) {
