--- a/dispatch/src/main/java/lemondock/dispatch/AttemptLifecycle.java
+++ b/dispatch/src/main/java/lemondock/dispatch/AttemptLifecycle.java
@@ -127,7 +127,10 @@
   private void handleTimeout(EngineAttempt<P, S, C> attempt) {
     if (!attempt.hasEnded() && !attempt.isStreaming()) {
       abort(attempt);
-      end(attempt, AttemptEnd.of(AttemptOutcome.TIMEOUT, "the attempt timed out"));
+      end(
+          attempt,
+          AttemptEnd.of(
+              AttemptOutcome.TIMEOUT, "the attempt produced no output within its timeout"));
     }
   }
 
@@ -140,7 +143,8 @@
     if (!attempt.hasEnded() && !attempt.isStreaming() && !attempt.isCancelled()) {
       attempt.markCancelled();
       abort(attempt);
-      endOnNextTurn(attempt, AttemptEnd.of(AttemptOutcome.CANCELLED, "cancelled"));
+      endOnNextTurn(
+          attempt, AttemptEnd.of(AttemptOutcome.CANCELLED, "the router cancelled the attempt"));
     }
   }
 
--- a/dispatch/src/main/java/lemondock/dispatch/Endpoint.java
+++ b/dispatch/src/main/java/lemondock/dispatch/Endpoint.java
@@ -17,7 +17,7 @@
  * @param lifecycle lifecycle state, which says whether the server accepts requests
  * @param weight share of the load relative to other servers
  * @param startedAtMillis start time of the server's process in milliseconds since the epoch, 0 if
- *     it is long ago or not listed
+ *     it is long ago or unknown
  */
 public record Endpoint(
     String name,
@@ -91,7 +91,7 @@
 
     /**
      * Start time of the server's process in milliseconds since the epoch, 0 if it is long ago or
-     * not listed.
+     * unknown.
      */
     public Builder startedAtMillis(long value) {
       startedAtMillis = value;
--- a/dispatch/src/main/java/lemondock/dispatch/EndpointRegistry.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EndpointRegistry.java
@@ -14,8 +14,8 @@
 
 /**
  * Translates endpoint lists into updates for the router: servers, zones and kinds become numbers,
- * unchanged servers are left out where the changes suffice, and start times are converted to the
- * router's clock. A server's id is a hash of its name and address, so that all gateways use the
+ * unchanged servers are left out of an update that may be partial, and start times are converted to
+ * the router's clock. A server's id is a hash of its name and address, so that all gateways use the
  * same id for it, also after a restart; the router's rendezvous hashing depends on that. Does no
  * I/O and reads no clock. Loop thread only.
  */
--- a/dispatch/src/main/java/lemondock/dispatch/EngineCall.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EngineCall.java
@@ -8,10 +8,10 @@
 import lemondock.policy.AttemptOutcome;
 
 /**
- * An attempt that is sent as an HTTP request to an engine, independent of the engine's protocol. It
- * ends exactly once, by cancellation or with an outcome for its listener; the listener is not
- * called afterwards. A stream that has begun and then stays idle for too long is cancelled. Loop
- * thread only, except for {@link #dataReceived}.
+ * An attempt that is sent as an HTTP request to an engine. Subclasses implement the engine's
+ * protocol. A call ends exactly once, by cancellation or with an outcome for its listener; the
+ * listener is not called afterwards. A stream that has begun and then stays idle for too long is
+ * cancelled. Loop thread only, except for {@link #dataReceived}.
  *
  * @param <S> a reserved state as the protocol represents it
  * @param <C> an event of the output stream
@@ -125,7 +125,10 @@
     end(outcome, false, message);
   }
 
-  /** Also stops the idle timer, which would keep the whole call in memory until it expired. */
+  /**
+   * Marks the call as ended and stops the idle timer, which would otherwise keep the whole call in
+   * memory until it expires.
+   */
   private void markEnded() {
     onEnd();
     ended = true;
--- a/dispatch/src/main/java/lemondock/dispatch/RequestTable.java
+++ b/dispatch/src/main/java/lemondock/dispatch/RequestTable.java
@@ -5,7 +5,10 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The requests in flight, by id. The front ends' admission bounds its size. Loop thread only. */
+/**
+ * The requests in flight, by id. The admission control of the front ends bounds their number. Loop
+ * thread only.
+ */
 final class RequestTable<P, S, C extends StreamChunk> {
   private final Map<Long, InFlightRequest<P, S, C>> requests = new HashMap<>();
   private long nextId = 1;
--- a/dispatch/src/main/java/lemondock/dispatch/ReservedStateReleaser.java
+++ b/dispatch/src/main/java/lemondock/dispatch/ReservedStateReleaser.java
@@ -62,7 +62,10 @@
     }
   }
 
-  /** Releases all idle states with one message; false if the engines' protocol has none for it. */
+  /**
+   * Releases all idle states with one message; false if the engines' protocol has no such message
+   * or no prefill was sent.
+   */
   private boolean releaseIdle(InFlightRequest<P, S, C> request) {
     return request
         .lastPrefill()
--- a/dispatch/src/main/java/lemondock/dispatch/RouterEvents.java
+++ b/dispatch/src/main/java/lemondock/dispatch/RouterEvents.java
@@ -21,7 +21,7 @@
   private RequestRouter router;
   private boolean inEvent;
 
-  /** An event together with the time at which it is reported. */
+  /** Reports one event by calling the router's method for it with the current time. */
   interface RouterEvent {
     void report(RequestRouter router, long nowMicros);
   }
@@ -76,7 +76,11 @@
     }
   }
 
-  /** Rejects a request for the router; 0 microseconds: no advice when to retry. */
+  /**
+   * Rejects a request for the router; ignored if it has ended.
+   *
+   * @param retryAfterMicros advised delay before a retry; 0 for no advice
+   */
   void reject(InFlightRequest<P, S, C> request, long retryAfterMicros) {
     if (!request.hasEnded()) {
       counters.requestRejected();
@@ -98,7 +102,8 @@
     pendingNotifications.add(
         () -> {
           notification.accept(request.listener());
-          // a router timer may have ended it, with no attempt left whose end would remove it
+          // a router timer may have ended the request, with no attempt left whose end would remove
+          // it
           requests.removeIfFinished(request);
         });
   }
--- a/dispatch/src/main/java/lemondock/dispatch/StreamIdleTimeout.java
+++ b/dispatch/src/main/java/lemondock/dispatch/StreamIdleTimeout.java
@@ -48,7 +48,7 @@
     dataReceived();
   }
 
-  /** Starts the timeout; called once, after the first {@link #dataReceived}. */
+  /** Starts the timeout; the owner calls it once, after the first {@link #dataReceived}. */
   public void start() {
     timer =
         loop.schedule(
--- a/gateway/src/test/java/lemondock/gateway/core/RequestDispatcherTest.java
+++ b/gateway/src/test/java/lemondock/gateway/core/RequestDispatcherTest.java
@@ -358,7 +358,7 @@
     send(id, reader).breakConnection();
     host.send(id, reader, 0);
     connections.get(connections.size() - 1).end(new IOException("refused"));
-    loop.dropNextTask(); // the connection that was never established
+    loop.dropNextTask(); // discards the report that the connection is established
     loop.runTasks();
     assertEquals(List.of("request " + id, "RESET 0", "CONNECT_FAILED 1"), routerEvents);
   }
