--- a/gateway/src/main/java/lemondock/gateway/DiskTasks.java
+++ b/gateway/src/main/java/lemondock/gateway/DiskTasks.java
@@ -27,7 +27,7 @@
     } catch (RejectedExecutionException e) {
       LOG.atWarn()
           .addKeyValue("gateway", gatewayName)
-          .log("dropped a disk task: the queue of the file system is full");
+          .log("dropped a disk task: the queue of disk tasks is full");
     }
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/ExecutorQueueProbe.java
+++ b/gateway/src/main/java/lemondock/gateway/ExecutorQueueProbe.java
@@ -6,7 +6,7 @@
 import lemondock.net.DelayProbe;
 import lemondock.net.Loop;
 
-/** Measures how long a task waits in the workers' queue before it runs. Loop thread only. */
+/** Measures how long a task waits in an executor's queue before it runs. Loop thread only. */
 final class ExecutorQueueProbe implements DelayProbe {
   private final Loop loop;
   private final Executor executor;
--- a/gateway/src/main/java/lemondock/gateway/QueueDelayMonitor.java
+++ b/gateway/src/main/java/lemondock/gateway/QueueDelayMonitor.java
@@ -30,8 +30,8 @@
   private final GatewayMetrics metrics;
 
   /**
-   * For each queue, the total pause time of the process at the last probe that found the queue
-   * moving.
+   * For each queue, the total pause time (microseconds) of the process just before the queue
+   * accepted its latest probe.
    */
   private final long[] pausedMicrosAtProbe;
 
--- a/gateway/src/main/java/lemondock/gateway/ReadinessCheck.java
+++ b/gateway/src/main/java/lemondock/gateway/ReadinessCheck.java
@@ -21,8 +21,8 @@
   }
 
   /**
-   * Why no request can be served now; empty if at least one server that reads and one that writes
-   * are ready.
+   * Why no request can be served now; empty if at least one server that reads (prefills) and one
+   * that writes (decodes) are ready.
    */
   Optional<String> problem() {
     if (endpoints.size() == 0) {
--- a/gateway/src/main/java/lemondock/gateway/accounting/CallMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/CallMetrics.java
@@ -68,8 +68,7 @@
   }
 
   /**
-   * Called when the latency objective has passed; a call without a token counts as late from now
-   * on.
+   * Called when the latency objective has passed; a call that has no token yet is counted as bad.
    */
   public void onObjectivePassed() {
     if (firstTokenAtMicros == 0 && !ended) {
--- a/gateway/src/main/java/lemondock/gateway/accounting/ClassSeries.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/ClassSeries.java
@@ -7,7 +7,7 @@
 import lemondock.metrics.MetricRegistry;
 import lemondock.metrics.Series;
 
-/** The metric series of one request class, shared by all its requests. Loop thread only. */
+/** The metric series of one request class, shared by all calls of the class. Loop thread only. */
 final class ClassSeries {
   // Fields of MetricFamilies.SERVICE_LEVEL.
   static final int GOOD = 0;
@@ -20,7 +20,7 @@
 
   final String className;
 
-  /** Priority weight of a request, multiplied by {@link MetricFamilies#PRIORITY_WEIGHT_SCALE}. */
+  /** Priority weight of a call, multiplied by {@link MetricFamilies#PRIORITY_WEIGHT_SCALE}. */
   final long priorityWeight;
 
   /** Priority weight of an answer that missed its objective, in the same unit. */
--- a/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/GatewayMetrics.java
@@ -11,7 +11,7 @@
 import lemondock.metrics.Series;
 
 /**
- * The metrics that a gateway records on its decision loop. Series are looked up once and kept; the
+ * The metrics that a gateway records on its loop thread. Series are looked up once and kept; the
  * number of label values for tenants and zones, whose names come from outside, is limited. Loop
  * thread only, except for {@link #registry}.
  */
@@ -33,7 +33,7 @@
   private final RequestMetrics requests;
   private final ServerMetrics servers;
 
-  /** Creates metrics with their own registry, for the thread that the gateway decides on. */
+  /** Creates metrics with their own registry and a recorder for the loop thread. */
   public GatewayMetrics(GatewaySettings settings) {
     GatewaySettings.Reporting reporting = settings.reporting();
     this.registry = new MetricRegistry(reporting.maxValues());
@@ -66,7 +66,7 @@
     return registry;
   }
 
-  /** The metrics of clients' requests. */
+  /** The metrics of clients' calls. */
   public RequestMetrics requests() {
     return requests;
   }
@@ -106,7 +106,7 @@
     recorder.endUpdate(ticket);
   }
 
-  /** Records how late the decision loop ran a timer, in microseconds. */
+  /** Records how late the loop ran a due timer, in microseconds. */
   public void recordLoopLag(long micros) {
     recorder.recordDuration(loopLag, micros);
   }
@@ -127,7 +127,8 @@
   }
 
   /**
-   * Counts a request rejected because of overload, in addition to its count as a rejected request.
+   * Counts a call that was rejected because of overload, in addition to {@link
+   * RequestMetrics#requestRejected}.
    */
   public void countLoadShed() {
     recorder.increment(overload.slot(REJECTED));
--- a/gateway/src/main/java/lemondock/gateway/accounting/RequestMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/RequestMetrics.java
@@ -9,9 +9,9 @@
 import lemondock.metrics.MetricRegistry;
 import lemondock.metrics.Recorder;
 
-/** The metrics of clients' requests, by class and tenant. Loop thread only. */
+/** The metrics of clients' calls, by class and tenant. Loop thread only. */
 public final class RequestMetrics {
-  /** The tenant label of a request that names no tenant. */
+  /** The tenant label of a call that names no tenant. */
   static final String NO_TENANT = "none";
 
   private final GatewaySettings settings;
@@ -33,18 +33,18 @@
   }
 
   /**
-   * Counts an accepted request.
+   * Counts an accepted call.
    *
    * @param tenant the tenant that the client names, if any
-   * @param retry whether the client marks the request as a retry
+   * @param clientRetry whether the client marks the call as a retry
    * @param nowMicros time of its arrival
    */
   public CallMetrics requestAccepted(
-      int classId, Optional<String> tenant, boolean retry, int promptTokens, long nowMicros) {
+      int classId, Optional<String> tenant, boolean clientRetry, int promptTokens, long nowMicros) {
     ClassSeries series = classes.get(classId);
     TenantSeries tenantSeries = tenantSeries(series, tenant);
     long ticket = recorder.beginUpdate();
-    countArrival(series, tenantSeries, retry);
+    countArrival(series, tenantSeries, clientRetry);
     recorder.endUpdate(ticket);
     GatewaySettings.ClassSettings requestClass = settings.classes().get(classId);
     long latencyObjectiveMicros =
@@ -54,23 +54,23 @@
   }
 
   /**
-   * Counts a request rejected before it was accepted, because of a limit or because the gateway
-   * stops.
+   * Counts a call that was rejected before it was accepted, because of overload or another limit or
+   * because the gateway stops.
    */
-  public void requestRejected(int classId, Optional<String> tenant, boolean retry) {
+  public void requestRejected(int classId, Optional<String> tenant, boolean clientRetry) {
     ClassSeries series = classes.get(classId);
     TenantSeries tenantSeries = tenantSeries(series, tenant);
     final long ticket = recorder.beginUpdate();
-    countArrival(series, tenantSeries, retry);
+    countArrival(series, tenantSeries, clientRetry);
     recorder.add(tenantSeries.outcomeSlot(AnswerOutcome.Kind.REJECTED), 1);
     recorder.add(series.serviceLevelCounts.slot(ClassSeries.BAD), 1);
     recorder.endUpdate(ticket);
   }
 
-  private void countArrival(ClassSeries series, TenantSeries tenantSeries, boolean retry) {
+  private void countArrival(ClassSeries series, TenantSeries tenantSeries, boolean clientRetry) {
     recorder.add(tenantSeries.acceptedSlot(), 1);
-    recorder.add(tenantSeries.retriesSlot(), retry ? 1 : 0);
-    recorder.add(tenantSeries.weightRequestedSlot(retry), series.priorityWeight);
+    recorder.add(tenantSeries.retriesSlot(), clientRetry ? 1 : 0);
+    recorder.add(tenantSeries.weightRequestedSlot(clientRetry), series.priorityWeight);
   }
 
   private TenantSeries tenantSeries(ClassSeries series, Optional<String> tenant) {
--- a/gateway/src/main/java/lemondock/gateway/accounting/TenantSeries.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/TenantSeries.java
@@ -10,7 +10,7 @@
  * @param requests requests by their outcome, of {@code MetricFamilies.REQUESTS}
  */
 record TenantSeries(Series priorityWeight, Series requests) {
-  /** Weight of first requests; the next field holds that of a client's retries. */
+  /** Weight of calls that are not marked as retries; {@link #WEIGHT_RETRIED} is that of retries. */
   private static final int WEIGHT_REQUESTED = 0;
 
   private static final int WEIGHT_RETRIED = 1;
@@ -24,8 +24,8 @@
    */
   private static final int FIRST_OUTCOME = 2;
 
-  int weightRequestedSlot(boolean retry) {
-    return priorityWeight.slot(retry ? WEIGHT_RETRIED : WEIGHT_REQUESTED);
+  int weightRequestedSlot(boolean clientRetry) {
+    return priorityWeight.slot(clientRetry ? WEIGHT_RETRIED : WEIGHT_REQUESTED);
   }
 
   int weightInTimeSlot() {
--- a/gateway/src/main/java/lemondock/gateway/answer/Answer.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/Answer.java
@@ -180,7 +180,7 @@
 
   /**
    * Handles a rejection of the request. The call is rejected only if this is its first request;
-   * otherwise it fails, because tokens or tool calls may have preceded.
+   * otherwise it fails, because tokens or tool calls may already have been sent to the client.
    *
    * @param retryAfterMicros advised delay before a retry; 0 for no advice
    */
--- a/gateway/src/main/java/lemondock/gateway/core/ToolCallRelay.java
+++ b/gateway/src/main/java/lemondock/gateway/core/ToolCallRelay.java
@@ -56,7 +56,7 @@
   void relay(ToolCall toolCall) {
     setWaitingForTools(true);
     if (openCalls.waitingForTools() > maxWaitingCalls) {
-      // interrupts the newest call, because the others may receive their results any moment
+      // interrupts the newest call, because the others may receive their results at any moment
       call.interrupt("too many answers wait for their tools");
       return;
     }
@@ -78,7 +78,7 @@
   private void onRelayCommitted(ToolCall toolCall, boolean isDurable) {
     synchronized (sink.outputLock()) {
       if (!call.isAwaitingResult(toolCall)) {
-        return; // the result is no longer needed, because the commit took too long
+        return; // the call ended or the tool call timed out during the commit
       }
       if (isDurable) {
         send(toolCall);
--- a/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
@@ -114,7 +114,8 @@
 
   private void onQueryTimeout() {
     call.cancel();
-    retryAfterFailure("the catalogue did not answer the query in time");
+    retryAfterFailure(
+        "the catalogue at " + settings.address() + " did not answer the query in time");
   }
 
   private void retryAfterFailure(String problem) {
@@ -148,7 +149,11 @@
     public void onComplete() {
       timer.cancel();
       if (status() != 200) {
-        retryAfterFailure("expected status 200 from the catalogue, found " + status());
+        retryAfterFailure(
+            "expected status 200 from the catalogue at "
+                + settings.address()
+                + ", found "
+                + status());
         return;
       }
       List<Endpoint> listed;
@@ -157,7 +162,11 @@
         listed = EndpointListCodec.parseConsul(body());
         index = Long.parseLong(header("x-consul-index").orElse("null"));
       } catch (EndpointListCodec.MalformedListException | NumberFormatException e) {
-        retryAfterFailure("cannot parse the answer of the catalogue: " + e.getMessage());
+        retryAfterFailure(
+            "cannot parse the answer of the catalogue at "
+                + settings.address()
+                + ": "
+                + e.getMessage());
         return;
       }
       onListReceived(listed, index);
--- a/gateway/src/main/java/lemondock/gateway/discovery/EndpointListSource.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/EndpointListSource.java
@@ -19,7 +19,7 @@
     /** Receives the complete current list. */
     void onList(List<Endpoint> endpoints);
 
-    /** Called when the list could not be fetched; the previous one stays in force. */
+    /** Called when the list could not be fetched; the previous one remains valid. */
     void onFailure(String reason);
   }
 }
--- a/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/EngineClient.java
@@ -32,7 +32,7 @@
   private final HttpClient client;
   private final String userAgent;
   private final Optional<String> apiKey;
-  private final long streamIdleMicros;
+  private final long maxSilenceMicros;
 
   /** Creates a client; {@code userAgent} identifies this gateway to the engines. */
   public EngineClient(
@@ -46,7 +46,7 @@
     this.client = client;
     this.userAgent = userAgent;
     this.apiKey = Optional.ofNullable(settings.apiKey());
-    this.streamIdleMicros = GatewaySettings.micros(settings.streamSilenceMs());
+    this.maxSilenceMicros = GatewaySettings.micros(settings.streamSilenceMs());
   }
 
   @Override
@@ -91,7 +91,7 @@
         EngineProtocol.decodeRequest(
             request.prompt(), attemptId, transferParams, request.maxAnswerTokens());
     ByteBuffer httpRequest = post(address, EngineProtocol.COMPLETIONS_PATH, attemptId, body);
-    DecodeCall call = new DecodeCall(listener, loop, stallMonitor, streamIdleMicros);
+    DecodeCall call = new DecodeCall(listener, loop, stallMonitor, maxSilenceMicros);
     call.setHttpCall(client.send(address, httpRequest, request.clientShard(), call));
     return call;
   }
--- a/gateway/src/main/java/lemondock/gateway/engine/TextEventParser.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/TextEventParser.java
@@ -70,7 +70,7 @@
     return parsed;
   }
 
-  /** Parses the event from after its opening brace through its closing brace. */
+  /** Parses the rest of the event after its opening brace, including the closing brace. */
   private boolean parseMembers() {
     depth = 0;
     isObjectAtDepth[0] = true;
--- a/gateway/src/main/java/lemondock/gateway/files/AtomicFile.java
+++ b/gateway/src/main/java/lemondock/gateway/files/AtomicFile.java
@@ -17,8 +17,8 @@
    * Writes the content to a temporary file next to the file, then renames it; blocks, so call it
    * off the loops.
    *
-   * @throws IOException if the content cannot be written or the file renamed; the file is unchanged
-   *     then
+   * @throws IOException if the content cannot be written or the file cannot be renamed; in that
+   *     case the file is unchanged
    */
   public static void replace(Path file, byte[] content) throws IOException {
     Path temporary = Path.of(file + TEMPORARY_SUFFIX);
--- a/gateway/src/main/java/lemondock/gateway/mcp/EventReplayBuffer.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/EventReplayBuffer.java
@@ -7,8 +7,8 @@
  * the last event id it received. Bounded in bytes: the oldest events are evicted first, but never
  * an event that was not yet handed to a connection; once such events fill the buffer, {@link
  * #isFull} tells the stream to pause its producer. Events are stored contiguously in a ring, so
- * that adding one allocates no memory of its own. Does no I/O. Not thread-safe: guarded by the lock
- * of its stream.
+ * that adding one allocates memory only when an array must grow. Does no I/O. Not thread-safe:
+ * guarded by the lock of its stream.
  */
 final class EventReplayBuffer {
   private static final int INITIAL_BYTES = 256;
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpCall.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpCall.java
@@ -43,8 +43,8 @@
     void sendMessage(String json);
 
     /**
-     * Sends a piece of the answer; dropped as by {@link #sendMessage}. The caller holds the output
-     * lock.
+     * Sends a piece of the answer; dropped if the client accepts responses only. The caller holds
+     * the output lock.
      */
     void sendProgress(ProgressNotification progress, int tokens, CharSequence piece);
 
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpHttpHandler.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpHttpHandler.java
@@ -93,7 +93,10 @@
     sessions.startExpiry();
   }
 
-  /** Fails the readiness check, so that load balancers stop sending; requests are still served. */
+  /**
+   * Fails the readiness check, so that load balancers stop sending requests; those that arrive are
+   * still served.
+   */
   public void beginDraining() {
     if (phase == Phase.SERVING) {
       phase = Phase.DRAINING;
--- a/gateway/src/main/java/lemondock/gateway/mcp/RequestPreparer.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/RequestPreparer.java
@@ -66,7 +66,7 @@
   /**
    * A call that is rejected because the gateway is overloaded.
    *
-   * @param retryAfterMicros time from now after which the client may retry
+   * @param retryAfterMicros advised delay before a retry
    */
   record Rejected(int classId, long retryAfterMicros) implements PreparedCall {}
 
@@ -200,8 +200,8 @@
   /**
    * Records with admission control that a call arrived, whether admitted or not. Loop thread only.
    */
-  void recordArrival(int classId, boolean retry) {
-    admission.recordArrival(priority(classId), retry);
+  void recordArrival(int classId, boolean clientRetry) {
+    admission.recordArrival(priority(classId), clientRetry);
   }
 
   /** Returns the delay before a client may retry to open a session; empty if it may open one. */
--- a/gateway/src/main/java/lemondock/gateway/mcp/ResumableEventStream.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ResumableEventStream.java
@@ -12,7 +12,7 @@
  * One event stream of a session. It outlives the connection that carries it: a client may reconnect
  * within the resume window with the last event id it received, and gets the events after that one.
  *
- * <p>The monitor of the stream guards all mutable fields. Loop thread only, except for {@link
+ * <p>The stream's lock, its monitor, guards all mutable fields. Loop thread only, except for {@link
  * #hasCapacity} and {@link #send(ProgressNotification, int, CharSequence)}, which an I/O thread may
  * call.
  */
@@ -20,8 +20,8 @@
   private static final long HIGH_WATER_MARK_BYTES = 64 * 1024;
 
   /**
-   * Upper bound on the size of an event that an I/O thread sends; the events of an engine, which it
-   * passes on, are smaller.
+   * Upper bound of the size of an event that an I/O thread sends. Such an event carries the text of
+   * one event of an engine, which is smaller than this.
    */
   private static final long DIRECT_EVENT_RESERVE_BYTES = 16 * 1024;
 
@@ -37,7 +37,7 @@
   private final Options options;
   private final Listener listener;
 
-  /** The event that is being written; reused, so that an event allocates no memory of its own. */
+  /** The event that is being written; reused, so that writing an event allocates no memory. */
   private final OutBuffer out = new OutBuffer(TYPICAL_EVENT_BYTES);
 
   private final EventReplayBuffer replayBuffer;
--- a/gateway/src/main/java/lemondock/gateway/mcp/ToolNameScanner.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ToolNameScanner.java
@@ -41,10 +41,10 @@
     if (quote >= limit || body[quote] != '"') {
       return Optional.empty();
     }
-    return readUnescapedString(body, quote + 1, limit);
+    return readStringWithoutEscapes(body, quote + 1, limit);
   }
 
-  private static Optional<String> readUnescapedString(byte[] body, int start, int limit) {
+  private static Optional<String> readStringWithoutEscapes(byte[] body, int start, int limit) {
     int end = start;
     while (end < limit && end - start < MAX_NAME_LENGTH && body[end] != '"' && body[end] != '\\') {
       end++;
--- a/gateway/src/main/java/lemondock/gateway/mcp/package-info.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/package-info.java
@@ -5,7 +5,7 @@
  * stream, DELETE ends a session.
  *
  * <p>I/O threads and workers parse requests and may reject them. Everything else runs on the loop
- * thread, except that an I/O thread writes plain pieces of a running answer while it holds the lock
- * of the stream.
+ * thread, except that an I/O thread writes plain text of a running stream while it holds the lock
+ * of that stream.
  */
 package lemondock.gateway.mcp;
--- a/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/Reporting.java
@@ -31,9 +31,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A gateway's metrics reporting, on a loop, sockets and threads that no request uses: exporters to
- * collectors, the degradation detector, the port that {@code lemondock status} queries, and the
- * final metrics. The gateway shares only its {@link GatewayMetrics} with it.
+ * A gateway's metrics reporting, on a loop, sockets and threads of its own, which serve no calls:
+ * exporters to collectors, the degradation detector, the port that {@code lemondock status}
+ * queries, and the final metrics. The gateway shares only its {@link GatewayMetrics} with it.
  */
 public final class Reporting {
   private static final Logger LOG = LoggerFactory.getLogger(Reporting.class);
--- a/gateway/src/test/java/lemondock/gateway/ArchitectureTest.java
+++ b/gateway/src/test/java/lemondock/gateway/ArchitectureTest.java
@@ -9,8 +9,9 @@
 import com.tngtech.archunit.lang.ArchRule;
 
 /**
- * Dependency rules between packages that the compiler does not enforce: clocks, threads and sockets
- * are reached through the interfaces of {@code lemondock.net} only.
+ * Dependency rules that the compiler does not enforce: which packages may depend on each other, and
+ * that clocks, threads and sockets are reached only through the interfaces of {@code
+ * lemondock.net}.
  */
 @AnalyzeClasses(packages = "lemondock", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
--- a/gateway/src/test/java/lemondock/gateway/accounting/CallMetricsTest.java
+++ b/gateway/src/test/java/lemondock/gateway/accounting/CallMetricsTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Counting of calls by the times of their events. The class has a latency objective of 100 ms plus
- * 50 ms per thousand prompt tokens, a pace objective of 10 ms per token, priority weight 3, and
- * earns a fifth of it for late answers.
+ * Tests that calls are counted correctly for given times of their events. The class has a latency
+ * objective of 100 ms plus 50 ms per thousand prompt tokens, a pace objective of 10 ms per token,
+ * priority weight 3, and earns a fifth of it for late answers.
  */
 class CallMetricsTest {
   private static final long MS = 1_000;
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void slowStreamEarnsTheLateWeightUpToTwiceItsPace() {
+  void streamUpToTwiceAsSlowAsItsObjectiveEarnsTheLateWeight() {
     CallMetrics call = acceptCall();
     call.onDelivered(10 * MS);
     call.onEnded((10 + 81) * MS, outcome(AnswerOutcome.Kind.SERVED, 5)); // 4 gaps of 20.25 ms
--- a/gateway/src/test/java/lemondock/gateway/core/RequestDispatcherTest.java
+++ b/gateway/src/test/java/lemondock/gateway/core/RequestDispatcherTest.java
@@ -47,16 +47,18 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The dispatcher's contract with the router, on a clock and a network that the test controls. */
+/**
+ * Tests the dispatcher's contract with the router, on a clock and a network that the test controls.
+ */
 class RequestDispatcherTest {
   /** A connection to an engine; the test reads what was written and sends the replies. */
   private final class EngineConnection extends ScriptedConnection {
-    private final InetSocketAddress to;
+    private final InetSocketAddress address;
     private final StringBuilder written = new StringBuilder();
 
-    EngineConnection(InetSocketAddress to, Handler handler) {
-      super(loop, to, handler);
-      this.to = to;
+    EngineConnection(InetSocketAddress address, Handler handler) {
+      super(loop, address, handler);
+      this.address = address;
     }
 
     void reply(String text) {
@@ -358,7 +360,7 @@
     send(id, reader).breakConnection();
     host.send(id, reader, 0);
     connections.get(connections.size() - 1).end(new IOException("refused"));
-    loop.dropNextTask(); // the connection that was never established
+    loop.dropNextTask(); // the task that would report the connection as established
     loop.runTasks();
     assertEquals(List.of("request " + id, "RESET 0", "CONNECT_FAILED 1"), routerEvents);
   }
@@ -467,7 +469,7 @@
   }
 
   @Test
-  void aFinalAnswerIsDeliveredOnce() {
+  void onlyTheFirstFinalDecisionIsDelivered() {
     long id = submit();
     host.reject(id, 5);
     host.reject(id, 5);
--- a/gateway/src/test/java/lemondock/gateway/discovery/EndpointRegistryTest.java
+++ b/gateway/src/test/java/lemondock/gateway/discovery/EndpointRegistryTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Updates for the router that the registry derives from endpoint lists. */
+/** Tests which updates for the router the registry derives from endpoint lists. */
 class EndpointRegistryTest {
   private static final long NOW_MICROS = 100_000_000;
   private static final long WALL_MILLIS = 1_700_000_000_000L;
@@ -127,8 +127,8 @@
   }
 
   /**
-   * The wall clock has been wrong since the start of this gateway, but the last list had an earlier
-   * process of the server, which limits the age of the new one.
+   * The wall clock has been wrong since the start of this gateway, but the last list contained an
+   * earlier process of the server. The new process is therefore younger than that list.
    */
   @Test
   void aReplacementProcessIsNotOlderThanTheLastList() {
--- a/gateway/src/test/java/lemondock/gateway/mcp/EventReplayBufferTest.java
+++ b/gateway/src/test/java/lemondock/gateway/mcp/EventReplayBufferTest.java
@@ -28,7 +28,7 @@
     return Optional.of(numbers);
   }
 
-  /** Appends an event whose bytes are all its number. */
+  /** Appends an event that repeats its own number in each byte. */
   private void append(int length) {
     byte[] event = new byte[length + 1];
     Arrays.fill(event, (byte) buffer.nextNumber());
