--- a/policy/src/main/java/lemondock/policy/AdaptiveCapacityLimit.java
+++ b/policy/src/main/java/lemondock/policy/AdaptiveCapacityLimit.java
@@ -8,8 +8,8 @@
  * this gateway learns: each first token in time raises the limit, and each late first token or
  * rejection lowers it by a multiple of that. One share applies to all writers, because one gateway
  * of many sees each writer too rarely to learn a share for it. Protects against overload, bursts,
- * slowness of all writers and lost writers. It rejects too much while first tokens are late for
- * another cause, until first tokens in time let the limit grow again.
+ * slowness of all writers and lost writers. If first tokens are late for a reason other than load,
+ * it rejects too many requests, until first tokens in time raise the limit again.
  */
 final class AdaptiveCapacityLimit {
   /**
@@ -34,7 +34,8 @@
   private final AdmissionQuota quota;
 
   /**
-   * Whether the writers have two roles, so that slow streams of one role move work to the other.
+   * Whether the fleet has mixed servers. Slow streams of one role then move writes to the servers
+   * of the other role.
    */
   private final boolean mixedFleet;
 
--- a/policy/src/main/java/lemondock/policy/Attempt.java
+++ b/policy/src/main/java/lemondock/policy/Attempt.java
@@ -3,7 +3,7 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** One attempt of a request at one server, from the send to its end. Times in microseconds. */
+/** One attempt of a request at one server, from the send to its end. Times are in microseconds. */
 final class Attempt {
   private static final Set<AttemptOutcome> NEVER_RAN =
       EnumSet.of(
@@ -16,7 +16,7 @@
   private final long sentAtMicros;
   private final long expectedMicros;
   private final long tokens;
-  private final long uncachedTokens;
+  private final long readTokens;
 
   // Written once, at the send: the first by ServerQueue, the second by AdaptiveCapacityLimit.
   private long readQueueTokensAtSend;
@@ -43,7 +43,7 @@
     this.sentAtMicros = sentAtMicros;
     this.expectedMicros = plan.expectedMicros();
     this.tokens = tokens;
-    this.uncachedTokens = plan.uncachedTokens();
+    this.readTokens = plan.readTokens();
   }
 
   ServerState server() {
@@ -76,9 +76,12 @@
     return tokens;
   }
 
-  /** Prompt tokens that the server is expected to read, plus the overhead; 0 for a write. */
-  long uncachedTokens() {
-    return uncachedTokens;
+  /**
+   * Prompt tokens that the server is expected to read, plus the overhead of a read in tokens; 0 for
+   * a write.
+   */
+  long readTokens() {
+    return readTokens;
   }
 
   /** Tokens queued for reading at the server right after the send, including this attempt's. */
@@ -128,7 +131,7 @@
    * newer attempt has been answered before this one.
    */
   long lastQueueProgressAtMicros() {
-    return server.queue().unmovedSinceMicros(this);
+    return server.queue().lastProgressAtMicros(this);
   }
 
   /** Time without an answer to this read or to older work after which the read is overdue. */
@@ -149,7 +152,10 @@
     timedOut = true;
   }
 
-  /** Whether the read's answer was assumed lost, and the state it may have left was released. */
+  /**
+   * Whether the read's answer was suspected to be lost, and the state that the read may have left
+   * was released.
+   */
   boolean isSuspectedLost() {
     return suspectedLost;
   }
--- a/policy/src/main/java/lemondock/policy/AttemptSender.java
+++ b/policy/src/main/java/lemondock/policy/AttemptSender.java
@@ -1,8 +1,8 @@
 package lemondock.policy;
 
 /**
- * Sends attempts, as the only class that does. The selectors choose their servers among the
- * candidates of {@link ServerEligibility}.
+ * The only class that sends attempts. The selectors choose their servers among the candidates of
+ * {@link ServerEligibility}.
  */
 final class AttemptSender {
   private final DecisionClock clock;
--- a/policy/src/main/java/lemondock/policy/AttemptTimeouts.java
+++ b/policy/src/main/java/lemondock/policy/AttemptTimeouts.java
@@ -1,10 +1,10 @@
 package lemondock.policy;
 
 /**
- * Cancels overdue attempts, so that the request can be retried at another server. The timeout
- * depends on how long work waits at all servers of the role: one gateway cannot distinguish a lost
- * answer, a stall or a network partition from a queue, and under ordinary load all waits grow.
- * Cancelling can do harm where a single server is overloaded: the prompt is then read twice.
+ * Cancels attempts that take too long, so that the request can be retried at another server. The
+ * timeout depends on how long work waits at all servers of the role: one gateway cannot distinguish
+ * a lost answer, a stall or a network partition from a queue, and under ordinary load all waits
+ * grow. Cancelling can do harm where a single server is overloaded: the prompt is then read twice.
  */
 final class AttemptTimeouts {
   /** An attempt may time out after this share of the remaining latency objective. */
@@ -19,12 +19,12 @@
   /** Multiple of the role's mean wait that is added to the bound by the expected time. */
   private static final double ROLE_WAIT_FACTOR = 5.0;
 
-  /** Share of the timeout after which the answer of a read is assumed lost. */
+  /** Share of the timeout after which the answer of a read is suspected to be lost. */
   private static final double SUSPECTED_LOST_SHARE = 0.8;
 
   /**
    * Multiple of the time of the slowest recent read after which the answer of a read at a silent
-   * server is assumed lost.
+   * server is suspected to be lost.
    */
   private static final double SLOWEST_READ_FACTOR = 2.0;
 
@@ -104,7 +104,7 @@
   }
 
   /**
-   * Sets, at the send, the time after which a read without an answer is overdue. It lies shortly
+   * Sets the time after which a read that is being sent is overdue if it gets no answer: shortly
    * before the timeout that cancels the read.
    */
   void setOverdueTime(Attempt read) {
@@ -114,9 +114,10 @@
   }
 
   /**
-   * When the answer of a read counts as lost, as far as is known now. That is when the read becomes
-   * overdue, or when its server has been silent for too long: it has answered nothing for twice the
-   * time that the slowest recent read would have taken, regardless of the latency objective.
+   * When the answer of a read is suspected to be lost, as far as is known now. That is when the
+   * read becomes overdue, or when its server has been silent for too long: it has answered nothing
+   * for twice the time that the slowest recent read would have taken, regardless of the latency
+   * objective.
    *
    * @param minSilenceMicros time without any answer that every server is granted
    */
--- a/policy/src/main/java/lemondock/policy/CachedPromptEstimator.java
+++ b/policy/src/main/java/lemondock/policy/CachedPromptEstimator.java
@@ -6,7 +6,7 @@
 final class CachedPromptEstimator {
   private final SlowStart slowStart;
 
-  /** Moving average of the tokens that reads of each class had to read; 0 while unknown. */
+  /** Moving average of the uncached tokens of reads, by request class; 0 while unknown. */
   private final double[] meanUncachedTokens;
 
   CachedPromptEstimator(int classCount, SlowStart slowStart) {
@@ -17,9 +17,9 @@
   /**
    * Tokens of the prompt that the server has probably not cached. All gateways use the same
    * primaries, so a primary has probably cached text that this gateway never sent to it: every
-   * primary the prefix, and the first one also the session's earlier turns, that is all but the
-   * tokens that are new in an average request of the class. This does not hold for a server that
-   * has started recently.
+   * primary has the prefix, and the first one also has the session's earlier turns, so that it
+   * reads only as many tokens as an average request of the class needs. A server in slow start is
+   * not assumed to have them.
    *
    * @param rank the server's position in the ranking for the request, from 0
    * @param primaryCount how many servers at the head of the ranking are primaries
--- a/policy/src/main/java/lemondock/policy/Control.java
+++ b/policy/src/main/java/lemondock/policy/Control.java
@@ -17,7 +17,9 @@
  * thread, which owns all state of this package.
  */
 public final class Control implements RequestRouter {
-  /** Reserved before the process may be killed, for the last answers to reach their clients. */
+  /**
+   * Time before the process may be killed that is reserved for the last answers to reach clients.
+   */
   static final long SHUTDOWN_MARGIN_MICROS = 300_000L;
 
   /** Interval of the timer that reaps expired sessions and logs the router's state. */
@@ -129,13 +131,12 @@
   public void firstToken(
       long nowMicros,
       long requestId,
-      int attemptNumber,
+      int attemptIndex,
       long serverId,
       long timeToFirstTokenMicros) {
     clock.advanceTo(nowMicros);
     Optional<InFlightRequest> request = find(requestId);
-    Optional<Attempt> attempt =
-        request.flatMap(foundRequest -> foundRequest.attempt(attemptNumber));
+    Optional<Attempt> attempt = request.flatMap(foundRequest -> foundRequest.attempt(attemptIndex));
     if (attempt.isPresent()) {
       beginStream(request.get(), attempt.get(), timeToFirstTokenMicros);
     }
@@ -260,12 +261,12 @@
 
   /**
    * Sends the request to a reader. Returns false if no reader may take it now, or if the read would
-   * probably end too late: see {@link InFlightRequest#lateReadThreshold}.
+   * probably end too late: see {@link InFlightRequest#lateReadFactor}.
    */
   private boolean dispatchRead(InFlightRequest request) {
     Optional<AttemptPlan> read = readerSelector.select(request);
     double leftMicros = request.remainingObjectiveMicros(clock.nowMicros()) * READ_OBJECTIVE_SHARE;
-    if (read.isEmpty() || read.get().expectedMicros() * request.lateReadThreshold() > leftMicros) {
+    if (read.isEmpty() || read.get().expectedMicros() * request.lateReadFactor() > leftMicros) {
       return false;
     }
     send(request, read.get());
@@ -290,8 +291,8 @@
   }
 
   /**
-   * Decides what follows an attempt that left the request unanswered: a write from the state that
-   * was read, a retry, or the final answer.
+   * Decides what follows an attempt that left the request unanswered: a write from the reserved
+   * state, a retry, or the final answer.
    */
   private void continueRequest(InFlightRequest request) {
     if (request.hasAttemptInFlight()) {
@@ -299,12 +300,12 @@
     }
     Attempt last = request.lastAttempt();
     if (last.neverRan() && request.reservedState().isDue(clock.nowMicros())) {
-      // The writers tried so far were never reached. Trying another one could hold the state
-      // beyond its limit.
+      // The last attempt never ran, so no writer has taken the state. Trying another writer could
+      // hold the state beyond its limit.
       stateReleases.releaseIfIdle(request);
     }
     boolean retry = !last.reads() || request.stateHolder().isEmpty();
-    boolean readAgain = retryPolicy.mayHaveConsumedState(request, last);
+    boolean readAgain = retryPolicy.shouldReadAgain(request, last);
     Optional<DecisionReason> refusal = retryPolicy.requestFurtherAttempt(request, retry);
     if (refusal.isPresent()) {
       completion.complete(request, refusal.get());
--- a/policy/src/main/java/lemondock/policy/DecisionReason.java
+++ b/policy/src/main/java/lemondock/policy/DecisionReason.java
@@ -27,7 +27,10 @@
   RETRY,
   /** An attempt took far longer than expected and was cancelled. */
   ATTEMPT_TIMEOUT,
-  /** A read is overdue, or its server has been silent for too long: its answer counts as lost. */
+  /**
+   * A read is overdue, or its server has been silent for too long: its answer is suspected to be
+   * lost.
+   */
   READ_SUSPECTED,
   /** The state that readers hold, or may hold, for the request was released. */
   STATE_RELEASED
--- a/policy/src/main/java/lemondock/policy/DeploymentLimits.java
+++ b/policy/src/main/java/lemondock/policy/DeploymentLimits.java
@@ -1,7 +1,7 @@
 package lemondock.policy;
 
 /**
- * What the deployment allows the router to do. Times in microseconds.
+ * What the deployment allows the router to do. Times are in microseconds.
  *
  * @param maxAttempts maximum number of attempts per request, at least 1
  * @param mayCancel whether attempts may be cancelled
--- a/policy/src/main/java/lemondock/policy/InFlightRequest.java
+++ b/policy/src/main/java/lemondock/policy/InFlightRequest.java
@@ -13,7 +13,7 @@
   private final long objectiveMicros;
   private final long answerTokens;
   private final ReservedState reservedState;
-  private final double lateReadThreshold;
+  private final double lateReadFactor;
 
   // Written by AttemptSender and AttemptRecorder.
   private final List<Attempt> attempts = new ArrayList<>();
@@ -26,7 +26,7 @@
   // Written by ReaderSelector.
   private Optional<SessionEntry> session = Optional.empty();
 
-  // Written by Control; RequestCompletion ends requests too.
+  // Written by Control; RequestCompletion also writes ended.
   private boolean streaming;
   private boolean ended;
 
@@ -35,7 +35,7 @@
       RequestClass requestClass,
       long arrivedAtMicros,
       ReservedState reservedState,
-      double lateReadThreshold) {
+      double lateReadFactor) {
     this.attributes = attributes;
     this.requestClass = requestClass;
     this.arrivedAtMicros = arrivedAtMicros;
@@ -44,7 +44,7 @@
             + requestClass.objectiveMicrosPerThousandTokens() * attributes.promptTokens() / 1000;
     this.answerTokens = expectedAnswerTokens(attributes, requestClass);
     this.reservedState = reservedState;
-    this.lateReadThreshold = lateReadThreshold;
+    this.lateReadFactor = lateReadFactor;
   }
 
   private static long expectedAnswerTokens(RoutingRequest attributes, RequestClass requestClass) {
@@ -101,8 +101,8 @@
    * times this number exceeds the time left for it: the later a read would end, the more likely it
    * is postponed.
    */
-  double lateReadThreshold() {
-    return lateReadThreshold;
+  double lateReadFactor() {
+    return lateReadFactor;
   }
 
   /** Adds an attempt that is about to be sent. */
@@ -123,8 +123,8 @@
   }
 
   /** The attempt with this index, from 0; empty if no such attempt was sent. */
-  Optional<Attempt> attempt(int number) {
-    return number < attempts.size() ? Optional.of(attempts.get(number)) : Optional.empty();
+  Optional<Attempt> attempt(int index) {
+    return index < attempts.size() ? Optional.of(attempts.get(index)) : Optional.empty();
   }
 
   Attempt lastAttempt() {
@@ -137,8 +137,8 @@
   }
 
   /** Indexes of the attempts that have not ended. */
-  IntStream attemptNumbersInFlight() {
-    return IntStream.range(0, attempts.size()).filter(number -> !attempts.get(number).hasEnded());
+  IntStream attemptIndexesInFlight() {
+    return IntStream.range(0, attempts.size()).filter(index -> !attempts.get(index).hasEnded());
   }
 
   boolean hasAttemptInFlight() {
--- a/policy/src/main/java/lemondock/policy/LatencyEstimator.java
+++ b/policy/src/main/java/lemondock/policy/LatencyEstimator.java
@@ -41,14 +41,17 @@
    */
   double estimatedWaitMicros(ServerState server) {
     long now = clock.nowMicros();
-    return Math.max(server.waitMicros().at(now), server.queue().overdueMicros(now));
+    return Math.max(server.waitMicros().at(now), server.queue().excessMicros(now));
   }
 
-  /** Expected duration of a read of these tokens, behind the reads already in the queue. */
-  long expectedReadMicros(ServerState server, long uncachedTokens) {
+  /**
+   * Expected duration of a read of these tokens, overhead included, behind the reads already in the
+   * queue.
+   */
+  long expectedReadMicros(ServerState server, long readTokens) {
     double readMicros =
         server.roleStatistics().microsPerReadToken()
-            * (server.queue().readTokens() + uncachedTokens)
+            * (server.queue().readTokens() + readTokens)
             / slowStart.relativeSpeed(server);
     return (long) (estimatedWaitMicros(server) + readMicros);
   }
@@ -60,7 +63,7 @@
    */
   double longestReadMicros(InFlightRequest request, Attempt read) {
     RoleStatistics role = read.server().roleStatistics();
-    long queuedTokens = read.readQueueTokensAtSend() - read.uncachedTokens();
+    long queuedTokens = read.readQueueTokensAtSend() - read.readTokens();
     long tokens =
         queuedTokens + request.attributes().promptTokens() + ReaderSelector.READ_OVERHEAD_TOKENS;
     double serviceMicros =
@@ -104,10 +107,12 @@
     recordWait(server, REJECTED_WAIT_MICROS);
   }
 
-  /** Records a read that has ended, with the tokens that the server actually had to read. */
-  void recordRead(Attempt attempt, long uncachedTokens, long elapsedMicros) {
-    double queuedTokens =
-        attempt.readQueueTokensAtSend() - attempt.uncachedTokens() + uncachedTokens;
+  /**
+   * Records a read that has ended, with the tokens that the server actually had to read, overhead
+   * included.
+   */
+  void recordRead(Attempt attempt, long readTokens, long elapsedMicros) {
+    double queuedTokens = attempt.readQueueTokensAtSend() - attempt.readTokens() + readTokens;
     double speed = slowStart.relativeSpeed(attempt.server());
     RoleStatistics role = attempt.server().roleStatistics();
     role.recordReadSpeed(elapsedMicros * speed / queuedTokens);
@@ -122,7 +127,7 @@
   /** Records the time until the first token of an answer. */
   void recordFirstToken(Attempt attempt, long timeToFirstTokenMicros) {
     if (attempt.reads()) {
-      recordRead(attempt, attempt.uncachedTokens(), timeToFirstTokenMicros);
+      recordRead(attempt, attempt.readTokens(), timeToFirstTokenMicros);
       return;
     }
     RoleStatistics role = attempt.server().roleStatistics();
--- a/policy/src/main/java/lemondock/policy/OutlierDetector.java
+++ b/policy/src/main/java/lemondock/policy/OutlierDetector.java
@@ -17,7 +17,9 @@
   /** A server is ejected if its failure rate exceeds the role's by this much. */
   private static final double EJECTION_EXCESS = 0.3;
 
-  /** A server gets only one attempt at a time if its failure rate exceeds the role's by this. */
+  /**
+   * A server gets only one attempt at a time if its failure rate exceeds the role's by this much.
+   */
   private static final double TRIAL_EXCESS = 0.12;
 
   /** Scores decay to 1/e in this time. */
--- a/policy/src/main/java/lemondock/policy/ReaderSelector.java
+++ b/policy/src/main/java/lemondock/policy/ReaderSelector.java
@@ -11,7 +11,10 @@
  * cached text that a server has evicted. The cost is that the same text may be read more than once.
  */
 final class ReaderSelector {
-  /** Reads of more uncached tokens than this go to readers only, not to mixed servers. */
+  /**
+   * Reads of more tokens than this, overhead included, go to mixed servers only while the readers
+   * are overloaded.
+   */
   static final int LONG_READ_TOKENS = 1_500;
 
   /** Fixed cost of a read, as a number of tokens that is added to each. */
@@ -100,14 +103,15 @@
     return options;
   }
 
-  private ReadOption option(InFlightRequest request, ServerState server, long uncachedTokens) {
-    long expectedMicros = latency.expectedReadMicros(server, uncachedTokens);
+  private ReadOption option(InFlightRequest request, ServerState server, long readTokens) {
+    long expectedMicros = latency.expectedReadMicros(server, readTokens);
     boolean mixed = server.role() == ServerRole.MIXED;
     AttemptWork work = mixed ? AttemptWork.READ_AND_WRITE : AttemptWork.READ;
-    // A mixed server is suitable for short reads only, and while it can also write the answer.
+    // A mixed server is suitable for short reads only, and only while it has capacity to write the
+    // answer as well.
     boolean suitable =
         server.role() == ServerRole.READER
-            || uncachedTokens <= LONG_READ_TOKENS && capacity.hasCapacity(server, request);
-    return new ReadOption(new AttemptPlan(server, work, uncachedTokens, expectedMicros), suitable);
+            || readTokens <= LONG_READ_TOKENS && capacity.hasCapacity(server, request);
+    return new ReadOption(new AttemptPlan(server, work, readTokens, expectedMicros), suitable);
   }
 }
--- a/policy/src/main/java/lemondock/policy/RequestClass.java
+++ b/policy/src/main/java/lemondock/policy/RequestClass.java
@@ -3,8 +3,8 @@
 import java.util.Objects;
 
 /**
- * A class of requests with the same objectives. Times in microseconds; the latency objective and
- * the deadline count from a request's arrival to its first token.
+ * A class of requests with the same objectives. Times are in microseconds; the latency objective
+ * and the deadline count from a request's arrival to its first token.
  *
  * @param latencyObjectiveMicros latency objective for the first token of an empty prompt
  * @param objectiveMicrosPerThousandTokens added to the latency objective for each thousand tokens
@@ -69,7 +69,9 @@
       return this;
     }
 
-    /** Sets the value of an answer in time; classes of lower weight are rejected first. */
+    /**
+     * Sets the value of an answer within the objective; classes of lower weight are rejected first.
+     */
     public Builder priorityWeight(double value) {
       priorityWeight = value;
       return this;
--- a/policy/src/main/java/lemondock/policy/RequestCompletion.java
+++ b/policy/src/main/java/lemondock/policy/RequestCompletion.java
@@ -64,7 +64,7 @@
 
   private void cancelAttempts(InFlightRequest request) {
     if (limits.mayCancel() && !request.isStreaming()) {
-      request.attemptNumbersInFlight().forEach(number -> host.cancel(request.id(), number));
+      request.attemptIndexesInFlight().forEach(index -> host.cancel(request.id(), index));
     }
     stateReleases.releaseIfIdle(request);
     removeIfEnded(request);
--- a/policy/src/main/java/lemondock/policy/RequestRouter.java
+++ b/policy/src/main/java/lemondock/policy/RequestRouter.java
@@ -11,7 +11,10 @@
   /** The gateway has started; called once, before all other methods. */
   void started(long nowMicros);
 
-  /** The endpoint list has been received, or changes of it; FAILED leaves the list as it is. */
+  /**
+   * The endpoint list, or changes of it, have been received; {@link EndpointListKind#FAILED} leaves
+   * the known list unchanged.
+   */
   void endpointsChanged(long nowMicros, EndpointListKind kind, List<ServerEntry> entries);
 
   /** A request of a client has arrived; the router has to give it exactly one final answer. */
@@ -19,11 +22,7 @@
 
   /** The answer of this attempt has begun to stream to the client, which gets no other answer. */
   void firstToken(
-      long nowMicros,
-      long requestId,
-      int attemptNumber,
-      long serverId,
-      long timeToFirstTokenMicros);
+      long nowMicros, long requestId, int attemptIndex, long serverId, long timeToFirstTokenMicros);
 
   /** An attempt has ended; called exactly once for each {@link RouterHost#send}. */
   void attemptEnded(long nowMicros, AttemptResult result);
--- a/policy/src/main/java/lemondock/policy/ReservedState.java
+++ b/policy/src/main/java/lemondock/policy/ReservedState.java
@@ -5,13 +5,14 @@
  *
  * <p>Only an answer proves that a server has received what was sent to it: a write may have been
  * sent on a connection that no longer delivers anything, and a read may have ended although its
- * answer was lost. Therefore the time of a held state runs from its read's answer until a writer
- * has answered from the state, or has answered that there is none, whatever else is in flight. A
- * read that takes far longer than expected may also have left a state. A release does not harm a
- * write that waits at its server, so the release is repeated as long as a state may be held.
+ * answer was lost. Therefore the time limit of a held state runs from its read's answer until a
+ * writer has answered from the state or has answered that there is none, regardless of other
+ * attempts in flight. A read that takes far longer than expected may also have left a state. A
+ * release does not harm a write that waits at its server, so the release is repeated as long as a
+ * state may be held.
  *
- * <p>Times are microseconds. The limit is the deployment's setting (release-within); the platform
- * grants additional slack for the release to arrive.
+ * <p>Times are in microseconds. The limit is the deployment's setting (release-within); the
+ * platform grants additional slack for the release to arrive.
  */
 final class ReservedState {
   /**
@@ -47,14 +48,17 @@
 
   private long dueAtMicros;
 
-  /** Starts without any state; a limit of 0 means that the deployment sets none. */
+  /**
+   * Creates the record of a request without any state; a limit of 0 means that the deployment sets
+   * no limit.
+   */
   ReservedState(long limitMicros) {
     this.limitMicros = limitMicros;
   }
 
   /**
-   * Records that a read was sent. From 0.8 of the limit on it may be assumed to have ended with its
-   * answer lost.
+   * Records that a read was sent. After 0.8 of the limit ({@link #RELEASE_SHARE}) without an
+   * answer, the read may have ended with its answer lost.
    */
   void recordReadSent(long nowMicros) {
     if (!mayBeReserved()) {
@@ -104,7 +108,9 @@
     uncertain = true;
   }
 
-  /** Records that a writer has answered from the state, or that there is none: none is held. */
+  /**
+   * Records that a writer has answered from the state or has found none: no state is held any more.
+   */
   void clear() {
     readInFlight = false;
     confirmed = false;
@@ -122,8 +128,8 @@
   }
 
   /**
-   * Postpones the release until the read in flight counts as lost, as far as is known now, but at
-   * most until the next check.
+   * Postpones the release until the read in flight is expected to be suspected lost, but at most
+   * until the next check, because that time may change.
    */
   void postponeUntilReadLost(long nowMicros, long lostAtMicros) {
     if (lostAtMicros > nowMicros) {
--- a/policy/src/main/java/lemondock/policy/RetryPolicy.java
+++ b/policy/src/main/java/lemondock/policy/RetryPolicy.java
@@ -67,10 +67,11 @@
   }
 
   /**
-   * Whether the attempt is a write that has probably consumed the state, so that the prompt should
-   * be read again, which is cheap then, and enough attempts are left for that.
+   * Whether the prompt should be read again after this attempt: it is a write that has probably
+   * consumed the state, and enough attempts are left for a read and a write. Another read is cheap
+   * then.
    */
-  boolean mayHaveConsumedState(InFlightRequest request, Attempt attempt) {
+  boolean shouldReadAgain(InFlightRequest request, Attempt attempt) {
     return attempt.writes()
         && !attempt.neverRan()
         && !isNonRepeatableWrite(request, attempt)
--- a/policy/src/main/java/lemondock/policy/RoleStatistics.java
+++ b/policy/src/main/java/lemondock/policy/RoleStatistics.java
@@ -14,7 +14,7 @@
   /** Weight of a new sample that is below the tracked minimum. */
   private static final double FASTER_WEIGHT = 0.3;
 
-  /** Factor by which a sample above the tracked minimum raises the minimum at most. */
+  /** Largest factor by which one sample above the tracked minimum raises the minimum. */
   private static final double SLOWER_FACTOR = 1.1;
 
   /** The longest wait decays to 1/e in this time. */
@@ -83,9 +83,9 @@
     return waitMicros;
   }
 
-  void recordWait(double wait) {
+  void recordWait(double sampleMicros) {
     waitCount++;
-    waitMicros += Math.max(WEIGHT, 1.0 / waitCount) * (wait - waitMicros);
+    waitMicros += Math.max(WEIGHT, 1.0 / waitCount) * (sampleMicros - waitMicros);
   }
 
   /**
@@ -102,8 +102,8 @@
   }
 
   /** Records the wait of a read that was answered. */
-  void recordReadWait(double wait, long nowMicros) {
-    longestReadWaitMicros.raiseTo(wait, nowMicros);
+  void recordReadWait(double sampleMicros, long nowMicros) {
+    longestReadWaitMicros.raiseTo(sampleMicros, nowMicros);
     answeredReads.set(answeredReads.at(nowMicros) + 1, nowMicros);
   }
 
--- a/policy/src/main/java/lemondock/policy/RouterHost.java
+++ b/policy/src/main/java/lemondock/policy/RouterHost.java
@@ -6,8 +6,8 @@
  */
 public interface RouterHost {
   /**
-   * Sends the next attempt of a request, counted from 0, to a server. A timeout of 0 means that the
-   * attempt may last until the client gives up.
+   * Sends the next attempt of a request to a server; the first attempt of a request has index 0. A
+   * timeout of 0 means that the attempt may last until the client gives up.
    */
   void send(long requestId, long serverId, long timeoutMicros);
 
--- a/policy/src/main/java/lemondock/policy/RouterSettings.java
+++ b/policy/src/main/java/lemondock/policy/RouterSettings.java
@@ -15,7 +15,7 @@
  * @param tenants tenants by id; empty if there are none
  * @param serverKinds server kinds by id, at least one
  * @param limits what the deployment allows
- * @param rules parameters of the five rules
+ * @param rules parameters of the five service rules
  * @param streamsResume whether a broken stream may be resumed
  * @param writersCanRead whether writers can read prompts
  */
@@ -32,7 +32,10 @@
     boolean streamsResume,
     boolean writersCanRead) {
 
-  /** Returns a builder of 0, false or empty components; limits and rules must be set. */
+  /**
+   * Returns a builder whose components are 0, false or empty until set; limits and rules must be
+   * set.
+   */
   public static Builder builder() {
     return new Builder();
   }
@@ -101,7 +104,7 @@
       return this;
     }
 
-    /** Sets the parameters of the five rules. */
+    /** Sets the parameters of the five service rules. */
     public Builder rules(ServiceRules value) {
       rules = value;
       return this;
--- a/policy/src/main/java/lemondock/policy/ServerEntry.java
+++ b/policy/src/main/java/lemondock/policy/ServerEntry.java
@@ -22,12 +22,15 @@
     double weight,
     long startedAtMicros) {
 
-  /** Returns a new builder. The lifecycle must be set; the weight defaults to 1, the rest to 0. */
+  /**
+   * Returns a builder whose components are 0 until set; the weight is 1, and the lifecycle must be
+   * set.
+   */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Builder of a {@link ServerEntry}. Not thread-safe. */
+  /** Builder of a {@link ServerEntry}; not thread-safe. */
   public static final class Builder {
     private long id;
     private int zone;
@@ -84,7 +87,7 @@
     }
 
     /**
-     * Creates the {@link ServerEntry}.
+     * Builds the {@link ServerEntry}.
      *
      * @throws NullPointerException if lifecycle is not set
      */
--- a/policy/src/main/java/lemondock/policy/ServerModel.java
+++ b/policy/src/main/java/lemondock/policy/ServerModel.java
@@ -26,7 +26,7 @@
   /** Records that an attempt's answer has begun or that the attempt has ended. */
   void recordAnswer(Attempt attempt, AttemptVerdict verdict) {
     ServerState server = attempt.server();
-    final boolean firstAnswer = server.queue().remove(attempt);
+    final boolean wasUnanswered = server.queue().remove(attempt);
     if (verdict == AttemptVerdict.NEUTRAL) {
       return;
     }
@@ -36,7 +36,7 @@
     if (success) {
       server.queue().recordSuccess(attempt, clock.nowMicros());
     }
-    if (firstAnswer && success) {
+    if (wasUnanswered && success) {
       slowStart.recordAnswer(server);
     }
   }
--- a/policy/src/main/java/lemondock/policy/ServerQueue.java
+++ b/policy/src/main/java/lemondock/policy/ServerQueue.java
@@ -22,7 +22,7 @@
   /** Adds an attempt that is being sent to the server. */
   void add(Attempt attempt) {
     unanswered.add(attempt);
-    readTokens += attempt.uncachedTokens();
+    readTokens += attempt.readTokens();
     attempt.setReadQueueTokensAtSend(readTokens);
   }
 
@@ -33,7 +33,7 @@
   boolean remove(Attempt attempt) {
     boolean removed = unanswered.remove(attempt);
     if (removed) {
-      readTokens -= attempt.uncachedTokens();
+      readTokens -= attempt.readTokens();
     }
     return removed;
   }
@@ -68,16 +68,16 @@
     return unanswered.isEmpty();
   }
 
-  /** Uncached prompt tokens of the unanswered attempts, which the server still has to read. */
+  /** Tokens that the server still has to read for the unanswered attempts, overhead included. */
   long readTokens() {
     return readTokens;
   }
 
   /**
-   * How far the oldest attempt that no later one has overtaken exceeds its expected duration; 0 if
-   * it does not, or if there is no such attempt.
+   * How long the oldest unanswered attempt that no later one has overtaken has exceeded its
+   * expected duration; 0 if it has not, or if there is no such attempt.
    */
-  long overdueMicros(long nowMicros) {
+  long excessMicros(long nowMicros) {
     for (Attempt attempt : unanswered) {
       if (attempt.sentAtMicros() > newestAnsweredSentAtMicros) {
         return Math.max(0, nowMicros - attempt.sentAtMicros() - attempt.expectedMicros());
@@ -87,11 +87,11 @@
   }
 
   /**
-   * The time since which the queue ahead of the attempt has not moved: when older work was last
-   * answered, or the attempt's own send time if none has been answered since or if a later attempt
-   * has overtaken it.
+   * When the queue ahead of the attempt last made progress: when older work was last answered, or
+   * the attempt's own send time if none has been answered since or if a later attempt has overtaken
+   * it.
    */
-  long unmovedSinceMicros(Attempt attempt) {
+  long lastProgressAtMicros(Attempt attempt) {
     return newestAnsweredSentAtMicros <= attempt.sentAtMicros()
         ? Math.max(attempt.sentAtMicros(), lastSuccessAtMicros)
         : attempt.sentAtMicros();
--- a/policy/src/main/java/lemondock/policy/ServerState.java
+++ b/policy/src/main/java/lemondock/policy/ServerState.java
@@ -4,9 +4,8 @@
 import java.util.Map;
 
 /**
- * One server process: what the endpoint list reports about it and what this gateway has observed.
- * Each group of fields is written by only one class, which is named at the group. Times are in
- * microseconds.
+ * One server process: what the endpoint list reports about it and what this gateway has observed. A
+ * comment at each group of fields names the classes that write them. Times are in microseconds.
  */
 final class ServerState {
   private static final long DEFAULT_MEMORY_TOKENS = 100_000L;
@@ -18,7 +17,7 @@
   private ServerEntry entry;
   private ServerLifecycle lifecycle;
 
-  // Written by ServerModel.
+  // Written by ServerModel; StateReleasePolicy records suspected lost reads in it.
   private final ServerQueue queue = new ServerQueue();
 
   // Written by AdaptiveCapacityLimit.
@@ -39,7 +38,7 @@
   private final DecayingCounter answerRate = new DecayingCounter();
   private final SlowStartCredit slowStartCredit;
 
-  // Written by SessionTable: when a prompt with this prefix was last read here.
+  // Written by SessionTable: the time, by prefix id, at which the prefix was last read here.
   private final Map<Long, Long> prefixUsedAtMicros = new HashMap<>();
 
   // Written by RendezvousRanking: the sort key for the current request.
@@ -128,12 +127,15 @@
     return waitMicros;
   }
 
-  /** The longest recent wait of a read that the server answered, even of one suspected lost. */
+  /** The longest recent wait of a read that the server answered, suspected lost reads included. */
   DecayingValue longestReadWaitMicros() {
     return longestReadWaitMicros;
   }
 
-  /** Moving average of the duration of its streams, relative to the objective of their class. */
+  /**
+   * Moving average of the duration of the server's streams, relative to the objective of their
+   * class.
+   */
   DecayingValue streamTimeRatio() {
     return streamTimeRatio;
   }
--- a/policy/src/main/java/lemondock/policy/ServiceRules.java
+++ b/policy/src/main/java/lemondock/policy/ServiceRules.java
@@ -1,7 +1,7 @@
 package lemondock.policy;
 
 /**
- * Parameters of the five rules. Times in microseconds.
+ * Parameters of the five service rules that the package comment lists. Times are in microseconds.
  *
  * @param answerSlackMicros how long after the deadline a final answer may still be sent
  * @param drainGraceMicros how long after a server began to drain new work may still reach it
--- a/policy/src/main/java/lemondock/policy/SessionTable.java
+++ b/policy/src/main/java/lemondock/policy/SessionTable.java
@@ -5,8 +5,9 @@
 import java.util.Optional;
 
 /**
- * Sticky sessions and cached prefixes: which server last read each. Entries expire when they have
- * not been used for {@link #TTL_MICROS}; a periodic call of {@link #reap} evicts them.
+ * Sticky sessions and cached prefixes: which server last read each session, and which servers have
+ * recently read each prefix. Entries expire when they have not been used for {@link #TTL_MICROS}; a
+ * periodic call of {@link #reap} evicts them.
  */
 final class SessionTable {
   /** Time after its last use at which a session's entry or a known prefix expires. */
--- a/policy/src/main/java/lemondock/policy/StateReleasePolicy.java
+++ b/policy/src/main/java/lemondock/policy/StateReleasePolicy.java
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Releases the states that are due. Their requests may have an attempt in flight, which may be
-   * lost, or whose answer may be.
+   * Releases the states that are due. A request may have an attempt in flight then: that attempt or
+   * its answer may be lost.
    */
   void timerFired() {
     long now = clock.nowMicros();
@@ -92,8 +92,8 @@
   }
 
   /**
-   * Releases the state that may be held, unless that is only the state of a read in flight that
-   * does not count as lost yet.
+   * Releases the state that may be held, unless that is only the state of a read in flight that is
+   * not suspected to be lost yet.
    */
   private void releaseIfDue(InFlightRequest request) {
     ReservedState state = request.reservedState();
@@ -119,9 +119,9 @@
   }
 
   /**
-   * Sets the release timer if the request's state is due before the time it is set to. One timer
-   * serves all requests: timers cannot be cancelled, so one per request would outlive most
-   * requests.
+   * Sets the release timer if the request's state is due before the time for which the timer is
+   * set. One timer serves all requests: timers cannot be cancelled, so a timer per request would
+   * outlive most requests.
    */
   void schedule(InFlightRequest request) {
     long dueAtMicros = request.reservedState().dueAtMicros();
--- a/policy/src/main/java/lemondock/policy/WriterSelector.java
+++ b/policy/src/main/java/lemondock/policy/WriterSelector.java
@@ -9,13 +9,15 @@
 /**
  * Selects the server that writes an answer by the power of two choices: one candidate is drawn from
  * the cell of the reader and one from its zone, or from all writers if the zone has none, and the
- * one with the lower load wins. A cell that has a larger share of the zone's readers than of its
- * writers keeps, at random, only as many of its states as match its share of the writers. Load
- * alone would not do this: one gateway of many sees few of the tokens of the cell's writers and
- * would always take them for idle.
+ * one with the lower load wins. If a cell has a larger share of its zone's readers than of its
+ * zone's writers, only a random part of its states, in proportion to its share of the writers, is
+ * written in the cell. Comparing loads alone would not achieve this: one gateway of many sends few
+ * of the tokens that the cell's writers process and would always consider these writers idle.
  */
 final class WriterSelector {
-  /** A writer outside the cell wins only if its load is below this share of the near one's. */
+  /**
+   * A far candidate in another cell wins only if its load is below this share of the near one's.
+   */
   private static final double REMOTE_LOAD_FACTOR = 0.7;
 
   private final ServerEligibility eligibility;
--- a/policy/src/main/java/lemondock/policy/package-info.java
+++ b/policy/src/main/java/lemondock/policy/package-info.java
@@ -38,12 +38,12 @@
  *       CachedPromptEstimator} and {@code RendezvousRanking}. Choice of a writer: {@code
  *       WriterSelector}.
  *   <li>Retries: {@code RetryPolicy} with its {@code RetryTokenBucket}; {@code AttemptTimeouts}
- *       cancels overdue attempts.
+ *       cancels attempts that take too long.
  * </ul>
  *
  * <p>Each tuning constant is defined in the class that uses it. State is private to its class;
  * where state is shared between classes, as in {@code ServerState}, a comment on each group of
- * fields names the only class that writes them. Hosts create the records that they pass in with
+ * fields names the classes that write them. Hosts create the records that they pass in with
  * builders; input that cannot be used is reported as an {@link
  * lemondock.policy.InvalidRouterInputException}.
  */
--- a/policy/src/test/java/lemondock/policy/LostReadTest.java
+++ b/policy/src/test/java/lemondock/policy/LostReadTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Tests how long a read may go unanswered before its answer is assumed lost. */
+/** Tests how long a read may go unanswered before its answer is suspected to be lost. */
 class LostReadTest extends ControlFixture {
   private static final long FAST_MICROS = 20_000;
   private static final long SLOW_MICROS = 380_000;
@@ -26,8 +26,8 @@
 
   /**
    * Regression: the class's latency objective of 1 s delayed the release to 0.72 s, although a
-   * state has to be released within 0.3 s. A read at a silent server counts as lost after twice the
-   * time of the slowest recent read, regardless of the objective.
+   * state has to be released within 0.3 s. A read at a silent server is suspected to be lost after
+   * twice the time of the slowest recent read, regardless of the objective.
    */
   @Test
   void readAtSilentServerIsLostRegardlessOfObjective() {
@@ -58,7 +58,10 @@
     assertEquals(List.of("release"), releasesOfNextReadAfter(RELEASE_WITHIN_MICROS));
   }
 
-  /** An answer that an outage delayed does not show how long reads take at other servers. */
+  /**
+   * An answer that was delayed by an outage of one server does not show how long reads take at
+   * others.
+   */
   @Test
   void answersAfterReleaseExtendTheTimeOfTheirServerOnly() {
     answerReadsAfter(FAST_MICROS);
@@ -142,7 +145,7 @@
    * One of many gateways receives too few answers of a server to distinguish silence from a queue.
    */
   @Test
-  void serverWithoutRecentAnswerGetsTimeOfTheClass() {
+  void serverWithoutRecentAnswerIsNotJudgedBySilence() {
     answerReadsAfter(FAST_MICROS);
     now += 5 * SECOND;
     submitNext();
@@ -183,11 +186,11 @@
   }
 
   /**
-   * The server is alive: by the platform's specification the read is still in flight, and it does
-   * not count as lost.
+   * The server is alive: by the platform's specification the read is still in flight, so it is not
+   * suspected to be lost before it is overdue.
    */
   @Test
-  void serverThatAnswersOtherReadsGetsTimeOfTheClass() {
+  void serverThatAnswersOtherReadsIsNotJudgedBySilence() {
     answerReadsAfter(FAST_MICROS);
     final long lateId = nextId;
     final long reader = submitNext();
--- a/policy/src/test/java/lemondock/policy/RulesTest.java
+++ b/policy/src/test/java/lemondock/policy/RulesTest.java
@@ -114,7 +114,7 @@
     void changeEndpoints(EndpointListKind kind, List<ServerEntry> entries) {
       entries.forEach(server -> servers.put(server.id(), server));
       control.endpointsChanged(now, kind, entries);
-      check();
+      checkNewActions();
     }
 
     void run() {
@@ -131,7 +131,7 @@
             .filter(request -> !request.hasNoAttemptInFlight())
             .sorted(Comparator.comparingLong(RequestRecord::id))
             .toList()
-            .forEach(this::finishOne);
+            .forEach(this::advanceOneAttempt);
       }
       requests
           .values()
@@ -152,7 +152,7 @@
       if (event < 40) {
         submitRequest();
       } else if (event < 90) {
-        anyWithAttemptInFlight().ifPresent(this::finishOne);
+        anyWithAttemptInFlight().ifPresent(this::advanceOneAttempt);
       } else if (event < 93) {
         anyWithAttemptInFlight().ifPresent(this::disconnectClient);
       } else {
@@ -182,21 +182,21 @@
       requests.put(
           attributes.id(), new RequestRecord(attributes, now + attributes.clientTimeoutMicros()));
       control.requestArrived(now, attributes);
-      check();
+      checkNewActions();
     }
 
     void disconnectClient(RequestRecord request) {
       if (!request.ended && !request.isStreaming()) {
         request.ended = true;
         control.clientDisconnected(now, request.id());
-        check();
+        checkNewActions();
       }
     }
 
     void fireDueTimers() {
       while (!timers.isEmpty() && timers.peek().dueAtMicros() <= now) {
         control.timerFired(now, timers.poll().token());
-        check();
+        checkNewActions();
       }
       requests
           .values()
@@ -211,17 +211,17 @@
       return request.deadlineMicros + settings.rules().answerSlackMicros() + 20_000;
     }
 
-    void finishOne(RequestRecord request) {
+    void advanceOneAttempt(RequestRecord request) {
       for (int i = 0; i < request.attempts.size(); i++) {
         AttemptRecord attempt = request.attempts.get(i);
         if (attempt.outcome.isEmpty()) {
-          finish(request, i, attempt);
+          advance(request, i, attempt);
           return;
         }
       }
     }
 
-    void finish(RequestRecord request, int number, AttemptRecord attempt) {
+    void advance(RequestRecord request, int number, AttemptRecord attempt) {
       if (attempt.streaming) {
         end(
             request,
@@ -239,7 +239,7 @@
         attempt.streaming = true;
         request.stateHeld = false;
         control.firstToken(now, request.id(), number, attempt.server, 10_000);
-        check();
+        checkNewActions();
       } else {
         AttemptOutcome[] failures = {
           AttemptOutcome.ERROR,
@@ -271,7 +271,7 @@
               .elapsedMicros(20_000)
               .requestEnded(requestEnded)
               .build());
-      check();
+      checkNewActions();
       assertTrue(
           !request.stateHeld || !request.hasNoAttemptInFlight(),
           "a state is held although no attempt is in flight");
@@ -293,7 +293,7 @@
                   restart ? now : previous.startedAtMicros())));
     }
 
-    void check() {
+    void checkNewActions() {
       List<Action> newActions = host.takeActions();
       trace.addAll(newActions);
       for (Action action : newActions) {
@@ -311,7 +311,9 @@
 
     void recordSend(RequestRecord request, Action action) {
       assertTrue(!request.ended, "attempt sent after the final answer");
-      assertTrue(request.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
+      assertTrue(
+          request.attempts.size() < settings.limits().maxAttempts(),
+          "more attempts than the maximum");
       assertTrue(request.hasNoAttemptInFlight(), "two attempts in flight at once");
       ServerEntry server = servers.get(action.server());
       assertEquals(
@@ -357,20 +359,22 @@
         sends.removeIf(sentAt -> now - sentAt > window);
         assertTrue(
             sends.size() < 100,
-            "a server in slow start got " + sends.size() + " attempts in a window");
+            "a server in slow start got "
+                + sends.size()
+                + " attempts in a window, expected fewer than 100");
       }
     }
   }
 
   @Test
   void rulesHoldForRandomEvents() {
-    int answered = 0;
+    int submitted = 0;
     for (int seed = 0; seed < RUNS; seed++) {
       Simulation simulation = new Simulation(seed);
       simulation.run();
-      answered += simulation.requests.size();
+      submitted += simulation.requests.size();
     }
-    assertTrue(answered > RUNS * 300, "enough requests were submitted");
+    assertTrue(submitted > RUNS * 300, "too few requests were submitted");
   }
 
   /**
@@ -382,7 +386,7 @@
     for (int seed = 0; seed < LARGE_RUNS; seed++) {
       Simulation simulation = new Simulation(1000 + seed, LARGE_FLEET, MANY_GATEWAYS);
       simulation.run();
-      assertTrue(simulation.requests.size() > 300, "enough requests were submitted");
+      assertTrue(simulation.requests.size() > 300, "too few requests were submitted");
     }
   }
 
--- a/policy/src/test/java/lemondock/policy/SlowStartTest.java
+++ b/policy/src/test/java/lemondock/policy/SlowStartTest.java
@@ -339,7 +339,7 @@
           assertTrue(
               sessions == ONE_SESSION || fleet.replacementWork > 0.4 * fleet.totalWork,
               scenario
-                  + "share of work sent to replacements "
+                  + "share of work sent to replacements, expected more than 0.4: "
                   + fleet.replacementWork / fleet.totalWork);
         }
       }
--- a/policy/src/test/java/lemondock/policy/StateReleasePolicyTest.java
+++ b/policy/src/test/java/lemondock/policy/StateReleasePolicyTest.java
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Incident 36: that a write was sent does not prove that it has arrived, so the time of its state
-   * continues to run.
+   * Incident 36: sending a write does not prove that it arrives, so the time limit of its state
+   * keeps running.
    */
   @Test
   void releasesStateInTimeWhileWriteIsInFlight() {
@@ -225,7 +225,8 @@
     endAttempt(1, 1, writer, AttemptOutcome.CANCELLED, false);
     assertTrue(
         host.actionsNamed("release").isEmpty(),
-        "readers hold the states of all attempts under the request's id");
+        "a release would drop the next read's state too: readers hold states under the request's"
+            + " id");
     assertTrue(lastSentTo() == 1 || lastSentTo() == 2, "the prompt is read again");
   }
 
--- a/simulator/src/main/java/lemondock/simulator/EndpointEntry.java
+++ b/simulator/src/main/java/lemondock/simulator/EndpointEntry.java
@@ -4,7 +4,10 @@
 import lemondock.policy.ServerEntry;
 import lemondock.policy.ServerLifecycle;
 
-/** Decodes one server of an endpoint list; the constants are offsets from its start. */
+/**
+ * Decodes one server of an endpoint list. Offsets count from the start of its bytes; the constants
+ * that begin with {@code LIFECYCLE_} are codes on the wire.
+ */
 final class EndpointEntry {
   static final int BYTES = 23;
 
@@ -12,13 +15,13 @@
   private static final int ZONE = 4;
   private static final int KIND = 6;
   private static final int CELL = 8;
-  private static final int CONDITION = 10;
+  private static final int LIFECYCLE = 10;
   private static final int WEIGHT = 11;
   private static final int STARTED_AT_MILLIS = 15;
 
-  private static final int CONDITION_DRAINING = 0;
-  private static final int CONDITION_READY = 2;
-  private static final int CONDITION_GONE = 3;
+  private static final int LIFECYCLE_DRAINING = 0;
+  private static final int LIFECYCLE_READY = 2;
+  private static final int LIFECYCLE_GONE = 3;
 
   private EndpointEntry() {}
 
@@ -28,18 +31,18 @@
         .zone(EventFrame.unsignedShort(body, offset + ZONE))
         .kind(EventFrame.unsignedShort(body, offset + KIND))
         .cell(EventFrame.unsignedShort(body, offset + CELL))
-        .lifecycle(lifecycle(frame, EventFrame.unsignedByte(body, offset + CONDITION)))
+        .lifecycle(lifecycle(frame, EventFrame.unsignedByte(body, offset + LIFECYCLE)))
         .weight(body.getFloat(offset + WEIGHT))
         .startedAtMicros(EventFrame.micros(body.getDouble(offset + STARTED_AT_MILLIS)))
         .build();
   }
 
-  private static ServerLifecycle lifecycle(EventFrame frame, int condition) {
-    return switch (condition) {
-      case CONDITION_READY -> ServerLifecycle.READY;
-      case CONDITION_DRAINING -> ServerLifecycle.DRAINING;
-      case CONDITION_GONE -> ServerLifecycle.GONE;
-      default -> throw frame.malformed("unknown server condition code " + condition);
+  private static ServerLifecycle lifecycle(EventFrame frame, int code) {
+    return switch (code) {
+      case LIFECYCLE_READY -> ServerLifecycle.READY;
+      case LIFECYCLE_DRAINING -> ServerLifecycle.DRAINING;
+      case LIFECYCLE_GONE -> ServerLifecycle.GONE;
+      default -> throw frame.malformed("unknown server lifecycle code " + code);
     };
   }
 }
--- a/simulator/src/main/java/lemondock/simulator/EventCode.java
+++ b/simulator/src/main/java/lemondock/simulator/EventCode.java
@@ -2,7 +2,10 @@
 
 import java.util.Optional;
 
-/** Codes of the records in a batch; each constant gives the name of the code on the wire. */
+/**
+ * Codes of the records in a batch; the comment of each constant gives the name of its code on the
+ * wire.
+ */
 enum EventCode {
   /** Wire: held_note. Reply to a request to hold a place, which the router never sends. */
   PLACE_HELD(10),
--- a/simulator/src/main/java/lemondock/simulator/EventFrame.java
+++ b/simulator/src/main/java/lemondock/simulator/EventFrame.java
@@ -61,7 +61,8 @@
     }
     byte[] body = in.readNBytes((int) length);
     if (body.length < length) {
-      throw malformed(number, "input ends after " + body.length + " of " + length + " bytes");
+      throw malformed(
+          number, "input ends after " + body.length + " of " + length + " bytes of the body");
     }
     return Optional.of(
         new EventFrame(
