--- a/idempotency/src/main/java/lemondock/idempotency/AppendLog.java
+++ b/idempotency/src/main/java/lemondock/idempotency/AppendLog.java
@@ -29,12 +29,15 @@
   /** Bytes of the current file that hold complete records. */
   private long length;
 
-  /** A write has failed: the content of the file after {@link #length} is unknown. */
+  /**
+   * Whether a write is in progress or has failed, so that the content of the file after {@link
+   * #length} is unknown.
+   */
   private boolean tailUncertain;
 
   /**
-   * A rename or a sync of the directory has failed: a new file may have replaced this one, and the
-   * changes to the directory may not be durable.
+   * Whether a rename or the sync of the directory after it is in progress or has failed: a new file
+   * may have replaced this one, and the changes to the directory may not be durable.
    */
   private boolean replacementUncertain;
 
@@ -58,7 +61,8 @@
   }
 
   /**
-   * Reads all complete records, truncates the file after them and opens it for writing.
+   * Passes all complete records to the consumer, truncates the file after them and opens it for
+   * writing.
    *
    * @throws LogFormatException if the newest file is not a log file
    */
@@ -121,8 +125,8 @@
   }
 
   /**
-   * Writes records together and makes them durable. A failed write has no effect for readers: the
-   * next write first cuts off what it may have left in the file.
+   * Writes records together and makes them durable. A failed write may leave some of its records in
+   * the file; the next write first cuts them off.
    */
   public void write(List<byte[]> records) throws IOException {
     if (tailUncertain || replacementUncertain || output == null) {
--- a/idempotency/src/test/java/lemondock/idempotency/StoredLogTest.java
+++ b/idempotency/src/test/java/lemondock/idempotency/StoredLogTest.java
@@ -20,13 +20,13 @@
   private static final String NON_ASCII_KEY = "Bestellung äöü 漢字";
 
   /** Size of a record's length and checksum. */
-  private static final int RECORD_HEADER_BYTES = 8;
+  private static final int FRAME_HEADER_BYTES = 8;
 
   /** Size of the last record of {@code appended/log-1}: a type and three strings with lengths. */
   private static final int LAST_RECORD_BYTES =
       1 + 4 + "unfinished".length() + 4 + "1/b".length() + 4 + "order".length();
 
-  private static final int LAST_FRAME_BYTES = RECORD_HEADER_BYTES + LAST_RECORD_BYTES;
+  private static final int LAST_FRAME_BYTES = FRAME_HEADER_BYTES + LAST_RECORD_BYTES;
   private static final int RECORDS_OF_APPENDED = 19;
 
   @TempDir private Path directory;
--- a/net/src/main/java/lemondock/net/Connection.java
+++ b/net/src/main/java/lemondock/net/Connection.java
@@ -7,9 +7,9 @@
 import java.util.List;
 
 /**
- * A byte stream to one peer. Input is read one batch at a time and only on request. This is the
- * only backpressure mechanism, and it limits what a connection can hand to the loop to one batch.
- * Loop thread only, unless a method says otherwise.
+ * A byte stream to one peer. Input is read one batch at a time and only on request. This limit is
+ * the only backpressure mechanism: a connection submits at most one batch to the loop. Loop thread
+ * only, unless a method says otherwise.
  */
 public interface Connection {
   /**
@@ -48,8 +48,8 @@
 
   /**
    * Bytes for which a system call was started, whether or not it accepted them. Bytes beyond this
-   * count were certainly not sent. Connections that do not know return {@link Long#MAX_VALUE}: all
-   * bytes may have been sent. Any thread.
+   * count were certainly not sent. Connections that do not count them return {@link
+   * Long#MAX_VALUE}: all bytes may have been sent. Any thread.
    */
   default long offeredBytes() {
     return Long.MAX_VALUE;
--- a/net/src/main/java/lemondock/net/DatagramSender.java
+++ b/net/src/main/java/lemondock/net/DatagramSender.java
@@ -5,7 +5,10 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 
-/** Sends datagrams to one peer and receives none; it only learns that the port is unreachable. */
+/**
+ * Sends datagrams to one peer. It receives none; the only feedback from the peer's host is that the
+ * port is unreachable.
+ */
 public interface DatagramSender extends Closeable {
   /**
    * Sends one packet, whole or not at all, without blocking.
--- a/net/src/main/java/lemondock/net/http/HttpDecoder.java
+++ b/net/src/main/java/lemondock/net/http/HttpDecoder.java
@@ -17,7 +17,7 @@
   private static final int INITIAL_LINE_BYTES = 256;
 
   /** A line buffer that grew beyond this size is replaced after the line. */
-  private static final int MAX_KEPT_LINE_BYTES = 1024;
+  private static final int MAX_RETAINED_LINE_BYTES = 1024;
 
   private static final int MAX_CHUNK_SIZE_DIGITS = 12;
 
@@ -214,7 +214,7 @@
 
   private void clearLine() {
     lineLength = 0;
-    if (line.length > MAX_KEPT_LINE_BYTES) {
+    if (line.length > MAX_RETAINED_LINE_BYTES) {
       line = new byte[INITIAL_LINE_BYTES];
     }
   }
--- a/net/src/main/java/lemondock/net/http/HttpEvent.java
+++ b/net/src/main/java/lemondock/net/http/HttpEvent.java
@@ -3,7 +3,8 @@
 /**
  * Event that an {@link HttpDecoder} finds in a byte stream: for each message its head, then its
  * end. The content between them goes to a separate sink ({@link HttpDecoder#withContentSink}).
- * {@link Began} is added when the bytes of a call end within a message.
+ * {@link Began} is added when the bytes passed to one call of {@link HttpDecoder#decode} end within
+ * a message.
  */
 public sealed interface HttpEvent {
   /**
--- a/net/src/main/java/lemondock/net/http/HttpExchange.java
+++ b/net/src/main/java/lemondock/net/http/HttpExchange.java
@@ -25,8 +25,8 @@
   private final boolean keepAlive;
   private final boolean chunked;
 
-  // All fields below: written on the loop thread; send() reads them on other threads, under the
-  // lock of the only writer of the response.
+  // All fields below: written on the loop thread. send() may read them on another thread, under the
+  // lock with which its caller guards all writes of the response.
   private ResponseState state = ResponseState.NOT_BEGUN;
   private boolean closesConnection;
   private Runnable onDisconnect = () -> {};
@@ -156,7 +156,10 @@
     onDisconnect = task;
   }
 
-  /** Sets the task that runs when the write queue falls below its low mark after a high one. */
+  /**
+   * Sets the task that runs when the write queue falls to its low-water mark after being above its
+   * high-water mark.
+   */
   public void onWriteQueueDrained(Runnable task) {
     onWriteQueueDrained = task;
   }
--- a/net/src/main/java/lemondock/net/http/HttpRequest.java
+++ b/net/src/main/java/lemondock/net/http/HttpRequest.java
@@ -11,7 +11,7 @@
  * @param headers all header fields
  * @param body the content with its framing removed; empty if there is none
  * @param arrivedMicros estimate of when its last byte arrived, in microseconds of the loop's clock:
- *     at most slightly late, and early if this process stalled and cannot know the time
+ *     at most some hundredths of a second too late, and too early if this process was delayed
  */
 public record HttpRequest(
     String method, String target, Headers headers, byte[] body, long arrivedMicros) {
--- a/net/src/main/java/lemondock/net/http/HttpService.java
+++ b/net/src/main/java/lemondock/net/http/HttpService.java
@@ -15,8 +15,8 @@
   /**
    * Decides from the beginning of a heavy request whether to reject it, before any work on it is
    * done. Runs on an I/O thread and like {@link #prepare} must not touch the state of the loop. The
-   * request has at least {@link #earlyRejectionBytes} bytes of its body if it has that many, but
-   * possibly not all of it. If the request is rejected, the rest is read and discarded.
+   * body may be incomplete, but has at least {@link #earlyRejectionBytes} bytes unless the whole
+   * body is shorter. If the request is rejected, the rest of the body is read and discarded.
    *
    * @return the response that is sent instead of serving the request; empty to prepare it
    */
@@ -24,7 +24,10 @@
     return Optional.empty();
   }
 
-  /** Bytes of a body from which {@link #rejectEarly} decides the same as from the whole body. */
+  /**
+   * Number of bytes at the start of a body that suffice for {@link #rejectEarly}: it decides the
+   * same as for the whole body.
+   */
   default int earlyRejectionBytes() {
     return Integer.MAX_VALUE;
   }
--- a/net/src/main/java/lemondock/net/http/ResponseAssembler.java
+++ b/net/src/main/java/lemondock/net/http/ResponseAssembler.java
@@ -31,8 +31,8 @@
   record Body(byte[] bytes) {}
 
   /**
-   * Bytes were received without a request, or before any byte of the next request was written: they
-   * are surplus bytes of an earlier response.
+   * Surplus bytes of an earlier response: they were received without a request, or before any byte
+   * of the next request was written.
    */
   enum Surplus {
     BYTES
--- a/net/src/main/java/lemondock/net/http/ServerConnection.java
+++ b/net/src/main/java/lemondock/net/http/ServerConnection.java
@@ -78,7 +78,8 @@
     if (options.firstRequestTimeoutMicros() > 0) {
       server.markUnused(this);
       firstRequestTimer =
-          loop.schedule(options.firstRequestTimeoutMicros(), () -> refuse(408, "no request came"));
+          loop.schedule(
+              options.firstRequestTimeoutMicros(), () -> closeWithError(408, "no request came"));
     } else {
       awaitRequest();
     }
@@ -109,7 +110,7 @@
         return;
       }
       if (event instanceof HttpEvent.Malformed malformed) {
-        refuse(malformed.status(), malformed.reason());
+        closeWithError(malformed.status(), malformed.reason());
         return;
       }
       handle(event);
@@ -129,7 +130,8 @@
       requestTimer.cancel();
       requestTimer =
           loop.schedule(
-              options.requestTimeoutMicros(), () -> refuse(408, "the request took too long"));
+              options.requestTimeoutMicros(),
+              () -> closeWithError(408, "the request took too long"));
       server.markUsed(this);
     } else if (event instanceof RequestAssembler.ExpectContinue) {
       transport.write(CONTINUE_RESPONSE.duplicate());
@@ -268,7 +270,7 @@
    * Closes the connection because its input is malformed or a request took too long; first sends an
    * error response, unless a response is in progress.
    */
-  private void refuse(int status, String reason) {
+  private void closeWithError(int status, String reason) {
     closing = true;
     stopWaiting();
     if (current != null) {
--- a/net/src/main/java/lemondock/net/nio/ArrivalClock.java
+++ b/net/src/main/java/lemondock/net/nio/ArrivalClock.java
@@ -52,7 +52,7 @@
   /** Any thread. */
   private volatile boolean stopped;
 
-  // I/O thread only, each from here on:
+  // All fields below: I/O thread only.
   private long lastPostedMicros;
   private long secondLastPostedMicros;
 
--- a/net/src/main/java/lemondock/net/nio/AsyncConnection.java
+++ b/net/src/main/java/lemondock/net/nio/AsyncConnection.java
@@ -27,7 +27,7 @@
   /** Any thread, guarded by its own lock. */
   private final WriteQueue writeQueue;
 
-  // Loop thread only, each from here on:
+  // All fields below: loop thread only, except where stated.
   private InetSocketAddress remoteAddress;
   private boolean connected;
   private boolean inputEnded;
@@ -242,10 +242,10 @@
   }
 
   /**
-   * Closes unless input has arrived that the owner has not received. To decide this on the I/O
-   * thread, it starts an empty write: whichever thread starts it, its completion runs on the thread
-   * that does all reads of this socket. All earlier reads are counted by then, and no read can
-   * happen during the decision.
+   * Closes unless input has arrived that the owner has not received. This is decided in the
+   * completion handler of an empty write: whichever thread starts the write, the handler runs on
+   * the I/O thread that does all reads of this socket. All earlier reads are counted by then, and
+   * no read can happen during the decision.
    */
   private void closeUnlessInputArrived() {
     closeIfIdleAfterFlush = false;
--- a/net/src/main/java/lemondock/net/nio/AsyncNetwork.java
+++ b/net/src/main/java/lemondock/net/nio/AsyncNetwork.java
@@ -42,7 +42,7 @@
   private final ArrivalClock[] arrivalClocks;
   private final int acceptorsPerShard;
 
-  // Loop thread only, each from here on:
+  // All fields below: loop thread only, except where stated.
   private int nextShard;
   private final Set<AsyncConnection> openConnections = new HashSet<>();
   private final Set<ListeningPort> ports = new HashSet<>();
--- a/net/src/main/java/lemondock/net/nio/IoThread.java
+++ b/net/src/main/java/lemondock/net/nio/IoThread.java
@@ -9,7 +9,7 @@
 
   private final int shard;
 
-  // I/O thread only, each from here on:
+  // All fields below: I/O thread only.
   /** Writers of the sockets written to while the current batch is decoded. */
   private final ArrayList<SocketWriter> writersToFlush = new ArrayList<>();
 
--- a/net/src/main/java/lemondock/net/nio/PolledConnection.java
+++ b/net/src/main/java/lemondock/net/nio/PolledConnection.java
@@ -22,7 +22,7 @@
   private final SocketChannel channel;
   private final Handler handler;
 
-  // Loop thread only, each from here on:
+  // All fields below: loop thread only.
   private final ArrayDeque<ByteBuffer> queue = new ArrayDeque<>();
   private boolean pollScheduled;
   private boolean wantsRead;
--- a/net/src/main/java/lemondock/net/nio/ShardDelayProbe.java
+++ b/net/src/main/java/lemondock/net/nio/ShardDelayProbe.java
@@ -34,7 +34,7 @@
   /** Set on the loop, read on any thread. */
   private volatile long sentAtMicros;
 
-  // Loop thread only, each from here on:
+  // All fields below: loop thread only.
   /** Whether a byte was sent that the shard's thread has not processed yet. */
   private boolean byteInFlight;
 
@@ -80,7 +80,7 @@
     return 0;
   }
 
-  /** A byte has arrived; on the shard's I/O thread. */
+  /** Reports the delay of a byte that has arrived. Runs on the shard's I/O thread. */
   @Override
   public void completed(Integer count, Void attachment) {
     final long delayMicros = loop.now() - sentAtMicros;
--- a/net/src/main/java/lemondock/net/nio/SocketReader.java
+++ b/net/src/main/java/lemondock/net/nio/SocketReader.java
@@ -31,14 +31,14 @@
   private final ArrivalClock arrivalClock;
   private final boolean reportsArrivalTimes;
 
-  // Loop thread only, each from here on:
+  /** Whether a read is in progress. Loop thread only. */
   private boolean reading;
 
-  /** Number of {@link #batchesRead} that the owner has received. */
+  /** Number of {@link #batchesRead} that the owner has received. Loop thread only. */
   private int batchesSeen;
 
-  // I/O thread only, or the thread that starts the next read (only one is in progress), each from
-  // here on:
+  // All fields below: I/O thread or the thread that starts the next read, except where stated. Only
+  // one read is in progress at a time, so fields that are not volatile need no lock.
   private ByteBuffer buffer;
   private int readBytes = MIN_READ_BYTES;
 
@@ -87,8 +87,9 @@
   }
 
   /**
-   * Whether more batches were read than the given number that the owner has received. I/O thread
-   * only.
+   * Whether batches were read that the owner has not received. I/O thread only.
+   *
+   * @param seen number of batches that the owner has received
    */
   boolean hasUnseenBatches(int seen) {
     return batchesRead != seen;
@@ -111,7 +112,7 @@
     }
   }
 
-  /** On an I/O thread. */
+  /** Handles the result of a read. Runs on an I/O thread. */
   @Override
   public void completed(Integer count, Void attachment) {
     if (count < END_OF_STREAM) {
--- a/net/src/main/java/lemondock/net/nio/ThreadLoop.java
+++ b/net/src/main/java/lemondock/net/nio/ThreadLoop.java
@@ -46,7 +46,7 @@
   /** Any thread. */
   private final FlatCombiner context = new FlatCombiner();
 
-  // Loop thread only (the thread that holds the context), each from here on:
+  // All fields below: loop thread only (the thread that holds the context), except where stated.
   private final ArrayDeque<Runnable> turnEndTasks = new ArrayDeque<>();
   private final ArrayList<Runnable> afterTurnTasks = new ArrayList<>();
   private final Consumer<Throwable> onFailure;
--- a/net/src/main/java/lemondock/net/nio/WriteQueue.java
+++ b/net/src/main/java/lemondock/net/nio/WriteQueue.java
@@ -47,7 +47,7 @@
     }
   }
 
-  // Any thread, guarded by this, each from here on:
+  // All fields below: any thread, guarded by this.
   private final ArrayDeque<ByteBuffer> buffers = new ArrayDeque<>();
 
   /**
--- a/net/src/main/java/lemondock/net/sse/SseDecoder.java
+++ b/net/src/main/java/lemondock/net/sse/SseDecoder.java
@@ -10,7 +10,7 @@
  */
 public final class SseDecoder {
   /** A buffer that grew beyond this size for a line or an event is replaced afterwards. */
-  private static final int MAX_KEPT_BYTES = 4_096;
+  private static final int MAX_RETAINED_BYTES = 4_096;
 
   private static final int INITIAL_BYTES = 512;
   private static final byte[] DATA_FIELD = {'d', 'a', 't', 'a'};
@@ -113,7 +113,7 @@
           new String(line, from, colon - from, StandardCharsets.UTF_8),
           new String(line, value, end - value, StandardCharsets.UTF_8));
     }
-    line = line.length > MAX_KEPT_BYTES ? new byte[INITIAL_BYTES] : line;
+    line = line.length > MAX_RETAINED_BYTES ? new byte[INITIAL_BYTES] : line;
   }
 
   /** Appends a part of the line to the data of the event. */
@@ -154,6 +154,6 @@
     if (complete) {
       sink.accept(id, eventType, data, count);
     }
-    data = data.length > MAX_KEPT_BYTES ? new byte[INITIAL_BYTES] : data;
+    data = data.length > MAX_RETAINED_BYTES ? new byte[INITIAL_BYTES] : data;
   }
 }
--- a/net/src/test/java/lemondock/net/http/HttpDecoderTest.java
+++ b/net/src/test/java/lemondock/net/http/HttpDecoderTest.java
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void pipelinedRequestsDecodeTheSameHoweverSplit() {
+  void pipelinedRequestsDecodeTheSameForEverySplit() {
     byte[] bytes =
         ("POST /a HTTP/1.1\r\n"
                 + HOST
--- a/net/src/test/java/lemondock/net/http/HttpServerTest.java
+++ b/net/src/test/java/lemondock/net/http/HttpServerTest.java
@@ -254,7 +254,7 @@
             });
     try (Socket socket = connect(holding)) {
       write(socket, SMALL_REQUEST);
-      // so that the requests behind it fill the queue
+      // this request has left the queue, so that the following ones fill it
       assertTrue(served.await(5, TimeUnit.SECONDS));
       write(socket, SMALL_REQUEST.repeat(2_000));
       assertFalse(disconnected.await(100, TimeUnit.MILLISECONDS));
--- a/net/src/test/java/lemondock/net/http/RequestArrivalTest.java
+++ b/net/src/test/java/lemondock/net/http/RequestArrivalTest.java
@@ -29,7 +29,9 @@
   private static final long BLOCKED_MILLIS = 600;
   private static final long IDLE_MILLIS = 250;
 
-  /** Two intervals of the arrival marks, plus the difference between the clocks of this test. */
+  /**
+   * Two intervals of the arrival clock's markers, plus the difference between the test's clocks.
+   */
   private static final long TOLERANCE_MICROS = TimeUnit.MILLISECONDS.toMicros(100);
 
   @RegisterExtension private final NetworkExtension net = new NetworkExtension(1, 1);
@@ -118,9 +120,11 @@
         arrival >= sentMicros - TOLERANCE_MICROS, "the first piece must not set the arrival time");
   }
 
-  /** Not all requests, because the machine may delay single ones. */
+  /**
+   * Allows a few arrival times that are too early, because the machine may delay single requests.
+   */
   @Test
-  void mostRequestsOfAnIdleProcessHaveTheirReadTime() throws Exception {
+  void arrivalTimesInAnIdleProcessAreRarelyTooEarly() throws Exception {
     Socket open = sendAndAwaitArrival("/opening");
     int tooEarly = 0;
     for (int i = 0; i < 20; i++) {
--- a/net/src/test/java/lemondock/net/nio/SharedStateTest.java
+++ b/net/src/test/java/lemondock/net/nio/SharedStateTest.java
@@ -9,7 +9,7 @@
 
 /** Model checks state shared between threads over the interleavings of their steps. */
 class SharedStateTest {
-  /** Tasks submitted by I/O threads as {@link ThreadLoop#executeInline} does. */
+  /** Submission of tasks by I/O threads, as in {@link ThreadLoop#executeInline}. */
   public static class TaskSubmission {
     private final FlatCombiner context = new FlatCombiner();
     private int activeTurns;
--- a/overload/src/main/java/lemondock/overload/Admission.java
+++ b/overload/src/main/java/lemondock/overload/Admission.java
@@ -5,18 +5,18 @@
 /**
  * Admission control for a gateway that is itself overloaded.
  *
- * <p>Overload is detected by the queueing delay of work, for the decision context or for the thread
- * of a shard: if even the shortest delay of an interval exceeds the target, work arrives faster
- * than it is processed (Nichols and Jacobson, "Controlling Queue Delay", 2012); a single long delay
- * is not a sign of overload. The growth of the delay shows by how much the capacity is exceeded:
- * the admitted share falls to what can be processed, less what is needed to drain the queue. It
- * rises again slowly at first, then faster.
+ * <p>Overload is detected by the queueing delay of work that waits for the event loop or for the
+ * I/O thread of a shard: if even the shortest delay of an interval exceeds the target, work arrives
+ * faster than it is processed (Nichols and Jacobson, "Controlling Queue Delay", 2012); a single
+ * long delay is not a sign of overload. The growth of the delay shows by how much the capacity is
+ * exceeded: the admitted share falls to what can be processed, less what is needed to drain the
+ * queue. It rises again slowly at first, then faster.
  *
  * <p>Requests are admitted by priority, not by order of arrival, with a threshold over the
  * priorities of recent requests (like WeChat's DAGOR: Zhou et al., SoCC 2018), so that requests of
  * lower priority are rejected before those of higher priority. While the share is reduced, retries
  * are admitted within a {@link RetryBudget}. {@link ResourcePressure} reports shortages of memory
- * and file handles; its share is multiplied with the share by delay.
+ * and file handles; the share that it allows is multiplied by the share that the delay allows.
  *
  * <p>Reads no clock and does no I/O. One thread makes the decisions; {@link Gate} is an immutable
  * snapshot of them that any thread may use.
@@ -75,8 +75,8 @@
    * @param drainMicros time in which the excess of the delay over the target should be drained
    * @param initialGrowthRate fraction of itself by which the share grows after the first interval
    *     below the target; the fraction grows by a fifth after each further one
-   * @param minShare share that the queueing delay never reduces further: without any traffic, the
-   *     end of the overload could not be detected
+   * @param minShare lower bound of the share that the queueing delay allows: without any traffic,
+   *     the end of the overload could not be detected
    * @param minRetryAfterMicros lower bound of the base Retry-After, which grows with the duration
    *     of the overload
    * @param maxRetryAfterMicros upper bound of the base Retry-After
@@ -123,8 +123,9 @@
     }
 
     /**
-     * Whether a new session is admitted; {@code random} is drawn from [0, 1). A session has no
-     * priority yet, and its calls add to the load of those that are already rejected.
+     * Whether a new session is admitted; {@code random} is drawn from [0, 1). Sessions are admitted
+     * without regard to priority, because a session has none yet. They are limited because their
+     * calls would add to a load that is already rejected in part.
      */
     public boolean admitsNewSession(double random) {
       return random < newSessionShare;
--- a/overload/src/test/java/lemondock/overload/AdmissionTest.java
+++ b/overload/src/test/java/lemondock/overload/AdmissionTest.java
@@ -37,7 +37,7 @@
     }
     assertFalse(
         admission.isRelaxed(),
-        "a delay below the target but above a quarter of it must be measured more often");
+        "a delay above a quarter of the target is not relaxed, so it is measured more often");
   }
 
   @Test
@@ -158,14 +158,16 @@
   @Test
   void goodputHoldsAtTenTimesCapacity() {
     double peak = goodput(1.0, true);
-    assertTrue(peak > 0.8, "at capacity " + peak);
+    assertTrue(peak > 0.8, "goodput at capacity: " + peak);
     for (double load : new double[] {2, 10}) {
       double with = goodput(load, true);
       double without = goodput(load, false);
-      assertTrue(with >= 0.85 * peak, "at " + load + " times capacity " + with + " of " + peak);
+      assertTrue(
+          with >= 0.85 * peak,
+          "goodput at " + load + " times capacity: " + with + ", at capacity: " + peak);
       assertTrue(
           with > 3 * without,
-          "at " + load + " times capacity " + with + ", without admission " + without);
+          "goodput at " + load + " times capacity: " + with + ", without admission: " + without);
     }
   }
 
