--- a/emulator/src/main/java/lemondock/emulator/EngineClock.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineClock.java
@@ -2,7 +2,7 @@
 
 import lemondock.net.Loop;
 
-/** Times an engine's work, slowed down by its warm-up and faults. Loop thread only. */
+/** Schedules an engine's work, slowed down by its warm-up and faults. Loop thread only. */
 final class EngineClock {
   private static final long MICROS_PER_MILLI = 1_000;
 
@@ -32,7 +32,7 @@
     return dead;
   }
 
-  /** Schedules a step after its duration at full speed, times the slowdown at this moment. */
+  /** Schedules a step after its duration at full speed multiplied by the current slowdown. */
   void runAfter(double fullSpeedMs, Runnable step) {
     loop.schedule(Math.round(fullSpeedMs * MICROS_PER_MILLI * slowdown()), step);
   }
--- a/emulator/src/main/java/lemondock/emulator/EngineEmulator.java
+++ b/emulator/src/main/java/lemondock/emulator/EngineEmulator.java
@@ -21,7 +21,7 @@
  * Emulates a model server. It serves prefills and answers through the OpenAI-compatible API with
  * {@code kv_transfer_params}, has slots, a queue, memory, a prefix cache, a warm-up and faults, and
  * reports its traffic to a {@link TrafficObserver}. It does not model an engine's internals.
- * Emulators transfer states with a separate HTTP call of their own.
+ * Emulators transfer states to one another with a separate HTTP call of their own.
  *
  * <p>Loop thread only, unless a method says otherwise.
  */
--- a/emulator/src/main/java/lemondock/emulator/TrafficEvent.java
+++ b/emulator/src/main/java/lemondock/emulator/TrafficEvent.java
@@ -31,7 +31,10 @@
     ABORT,
     /** A request was rejected before any work was done. */
     REJECTED,
-    /** The decode of an answer started; from here on the request has had an effect. */
+    /**
+     * The decode of an answer started, and with it the request's effect; {@code value} holds the
+     * request's number of messages.
+     */
     DECODE_STARTED,
     /** The complete response was handed to the socket; {@code value} holds its status. */
     ANSWERED,
--- a/emulator/src/main/java/lemondock/emulator/TrafficSource.java
+++ b/emulator/src/main/java/lemondock/emulator/TrafficSource.java
@@ -3,7 +3,7 @@
 import lemondock.net.http.HttpRequest;
 
 /**
- * The origin of a piece of work.
+ * The request, call and gateway that an event belongs to.
  *
  * @param requestId the id under which the gateway sent the work, empty if none
  * @param mark the mark that the client put into the prompt ({@code #MARK#}), empty if none
--- a/scenario/src/main/java/lemondock/scenario/CallRecord.java
+++ b/scenario/src/main/java/lemondock/scenario/CallRecord.java
@@ -69,7 +69,7 @@
     this.calledAtMicros = calledAtMicros;
   }
 
-  /** Whether it was answered with a result. */
+  /** Whether the call was answered with a result. */
   public boolean served() {
     return responses > 0 && errorCode == 0;
   }
--- a/scenario/src/main/java/lemondock/scenario/ClientLoad.java
+++ b/scenario/src/main/java/lemondock/scenario/ClientLoad.java
@@ -21,8 +21,8 @@
   private static final long RETRY_DELAY_MICROS = 80_000;
 
   /**
-   * Delay of a retry at the same gateway, as for calls that are not idempotent; the gateway may
-   * have to restart first.
+   * Delay of a retry at the same gateway, for example of a non-idempotent call. It is longer than
+   * {@link #RETRY_DELAY_MICROS} because the gateway may have to restart first.
    */
   private static final long SAME_GATEWAY_RETRY_DELAY_MICROS = 700_000;
 
--- a/scenario/src/main/java/lemondock/scenario/EmulatedEngine.java
+++ b/scenario/src/main/java/lemondock/scenario/EmulatedEngine.java
@@ -17,7 +17,7 @@
   private static final String SERVICE = "engines";
   private static final String LOOPBACK = "127.0.0.1";
 
-  /** Start time of an engine that has warmed up long ago, in milliseconds since the epoch. */
+  /** Start time, in milliseconds since the epoch, of an engine whose warm-up ended long ago. */
   private static final long LONG_AGO_MS = 1;
 
   private final EmulatedProcess emulators;
@@ -52,7 +52,7 @@
     return engine;
   }
 
-  /** Restarts it after {@link #crash}, cold and on its previous port. */
+  /** Restarts the engine after {@link #crash}, cold and on its previous port. */
   void restart(long seed) {
     start(settings, seed, System.currentTimeMillis());
   }
@@ -87,9 +87,9 @@
   }
 
   /**
-   * Breaks its connections at once.
+   * Breaks the engine's connections at once.
    *
-   * @param removalDelayMicros time until the catalogue removes it
+   * @param removalDelayMicros time until the catalogue removes the engine
    */
   void crash(long removalDelayMicros) {
     emulators.invokeAndWait(() -> emulator.markDead());
@@ -112,7 +112,7 @@
     return settings;
   }
 
-  /** Closes its sockets. */
+  /** Closes the engine's sockets. */
   void close() {
     process.close();
   }
--- a/scenario/src/main/java/lemondock/scenario/EmulatedGateway.java
+++ b/scenario/src/main/java/lemondock/scenario/EmulatedGateway.java
@@ -64,7 +64,9 @@
     start(environment);
   }
 
-  /** Starts it, also after {@link #kill}; only its settings and its disk contents are kept. */
+  /**
+   * Starts the gateway, also after {@link #kill}; only its settings and its disk contents are kept.
+   */
   void start(Environment environment) {
     process = new EmulatedProcess(settings.name(), settings.ioThreads());
     network = new PausableNetwork(process.network(), process.loop());
@@ -101,14 +103,16 @@
     reporting.start(gateway.address());
   }
 
-  /** Kills it at once; it must not be paused. */
+  /** Kills the gateway at once; it must not be paused. */
   GatewayKill kill() {
     GatewayKill kill = new GatewayKill(settings.name(), process.loop().now());
     closeProcess();
     return kill;
   }
 
-  /** Ends it without a graceful shutdown and releases its resources, even if it is paused. */
+  /**
+   * Ends the gateway without a graceful shutdown and releases its resources, even if it is paused.
+   */
   void close() {
     network.resume();
     closeProcess();
@@ -120,7 +124,7 @@
     disk.close();
   }
 
-  /** Pauses it, as SIGSTOP pauses a process; returns when it is paused. */
+  /** Pauses the gateway, as SIGSTOP pauses a process; returns when it is paused. */
   void pause() {
     CountDownLatch paused = new CountDownLatch(1);
     network.pause(paused::countDown);
@@ -135,14 +139,14 @@
     }
   }
 
-  /** Resumes it and returns the pause; empty if it was not paused. */
+  /** Resumes the gateway and returns the pause; empty if it was not paused. */
   Optional<GatewayPause> resume() {
     return network
         .resume()
         .map(sinceMicros -> new GatewayPause(settings.name(), sinceMicros, process.loop().now()));
   }
 
-  /** Occupies a share of its loop's time, as another program on its machine would. */
+  /** Occupies a share of the gateway's loop time, as another program on its machine would. */
   void occupy(double share, long micros) {
     ThreadLoop loop = process.loop();
     loop.execute(() -> occupy(loop, share, loop.now() + micros));
@@ -159,7 +163,7 @@
     }
   }
 
-  /** Shuts it down gracefully and returns its final metrics. */
+  /** Shuts the gateway down gracefully and returns its final metrics. */
   ObjectNode stop() {
     try {
       gateway.stop().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
@@ -173,7 +177,7 @@
     }
   }
 
-  /** Number of endpoints that it currently knows. */
+  /** Number of endpoints that the gateway currently knows. */
   int endpointCount() {
     return process.invokeAndWait(gateway::endpointCount);
   }
--- a/scenario/src/main/java/lemondock/scenario/FaultInjector.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultInjector.java
@@ -200,7 +200,7 @@
       double stopAtMs = atMs + DRAIN_LISTED_AFTER_MS + fault.forMs();
       double restartAtMs = stopAtMs + DEPLOY_RESTART_MS;
       if (reserveOutage(name, atMs, restartAtMs)) {
-        if (fault.size() >= 0.5) { // it rejects work before it is listed as draining
+        if (fault.size() >= 0.5) { // the engine rejects work before it is listed as draining
           timetable.add(atMs, () -> changeFaults(List.of(name), f -> f.rejectsAll = true));
         }
         timetable.add(atMs + DRAIN_LISTED_AFTER_MS, () -> fleet.setEngineDraining(name, true));
@@ -275,9 +275,9 @@
         fault.part(), fleet.engines().stream().filter(name -> name.contains(role)).toList());
   }
 
-  private List<String> pick(double part, List<String> names) {
+  private List<String> pick(double share, List<String> names) {
     List<String> remaining = new ArrayList<>(names);
-    int count = Math.max(1, (int) Math.round(part * remaining.size()));
+    int count = Math.max(1, (int) Math.round(share * remaining.size()));
     List<String> picked = new ArrayList<>();
     while (picked.size() < count) {
       picked.add(remaining.remove(random.nextInt(remaining.size())));
--- a/scenario/src/main/java/lemondock/scenario/FaultKind.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultKind.java
@@ -47,7 +47,7 @@
   NEIGHBOUR("neighbour"),
   /** One gateway is paused, as by SIGSTOP. */
   GATEWAY_FREEZE("gateway_freeze"),
-  /** One gateway gets only a share of its event loop. */
+  /** A share of the time of one gateway's event loop is occupied. */
   GATEWAY_BUSY("gateway_busy");
 
   private final String scriptName;
--- a/scenario/src/main/java/lemondock/scenario/FaultScenario.java
+++ b/scenario/src/main/java/lemondock/scenario/FaultScenario.java
@@ -21,13 +21,16 @@
  * Plays a script on real sockets: a fleet of gateways and emulated engines in zones, clients with
  * conversations, tool calls and retries, and faults at the scripted times. The seed determines the
  * traffic and what the faults hit, but not how threads and sockets interleave, so two runs with the
- * same seed differ in detail. Configured and played by one thread; plays only once.
+ * same seed differ in detail. One thread configures and plays a scenario, and plays it only once.
  */
 public final class FaultScenario {
   private static final double MAX_SETTLE_SECONDS = 4.5;
   private static final long SETTLE_POLL_MS = 20;
 
-  /** Longer than any state may stay reserved: a state still reserved after it has been leaked. */
+  /**
+   * Longer than any state may stay reserved, so that a state that is still reserved after this time
+   * has been leaked.
+   */
   private static final long STATE_RELEASE_MS = 700;
 
   private final ScenarioScript script;
@@ -119,10 +122,10 @@
 
   private ScenarioResult result(
       ScenarioFleet fleet, List<CallRecord> calls, long endMicros, long startNanos) {
-    GatewaySettings model = ScenarioSettings.model();
+    GatewaySettings sharedSettings = ScenarioSettings.sharedSettings();
     ScenarioRecording recording =
         new ScenarioRecording(
-            model,
+            sharedSettings,
             fleet.engineSettings(),
             fleet.events(),
             calls,
@@ -132,7 +135,7 @@
     return new ScenarioResult(
         script,
         ScenarioAuditor.check(recording),
-        ServiceStatistics.valueInTimeShares(model.classes(), calls),
+        ServiceStatistics.valueInTimeShares(sharedSettings.classes(), calls),
         ServiceStatistics.outcomeCounts(calls),
         calls.size(),
         countEngineRequests(fleet.events()),
--- a/scenario/src/main/java/lemondock/scenario/FinalAnswerCheck.java
+++ b/scenario/src/main/java/lemondock/scenario/FinalAnswerCheck.java
@@ -91,9 +91,9 @@
   }
 
   /**
-   * Whether the tokens of the emulated engines are complete and in order; reports the first that is
-   * not. A token is a letter for the turn and a number that counts from 0. Text in brackets is the
-   * result of a tool and is ignored.
+   * Whether the tokens of the emulated engines are complete and in order; reports the first token
+   * that is out of order. A token is a letter for the turn and a number that counts from 0. Text in
+   * brackets is the result of a tool and is ignored.
    */
   private static boolean checkTokens(CallRecord call, Consumer<String> violations) {
     String text = call.finalText.replaceAll("\\[[^\\]]*\\]", " ").trim();
--- a/scenario/src/main/java/lemondock/scenario/FleetBuilder.java
+++ b/scenario/src/main/java/lemondock/scenario/FleetBuilder.java
@@ -59,7 +59,9 @@
         throw new IllegalStateException(
             "gateway "
                 + gateway
-                + " did not find all servers within "
+                + " did not list exactly "
+                + fleet.engines().size()
+                + " engines within "
                 + DISCOVERY_TIMEOUT_MS
                 + " ms");
       }
--- a/scenario/src/main/java/lemondock/scenario/LoopbackSettings.java
+++ b/scenario/src/main/java/lemondock/scenario/LoopbackSettings.java
@@ -56,7 +56,7 @@
     root.putObject("limits").put("stopNoticeMs", 0);
     root.putObject("engines");
     root.putObject("overload")
-        .put("targetMs", 200); // the whole fleet shares one process, which has just started
+        .put("targetMs", 200); // long, since the whole fleet shares one newly started process
     changes.accept(root);
     try {
       return SettingsFile.readGateway(name, root);
--- a/scenario/src/main/java/lemondock/scenario/McpClient.java
+++ b/scenario/src/main/java/lemondock/scenario/McpClient.java
@@ -50,7 +50,7 @@
     this.gateway = gateway;
   }
 
-  /** Opens a session if there is none; {@code onResult} receives whether there is one then. */
+  /** Opens a session if none is open; {@code onResult} receives whether one is open afterwards. */
   public void open(Consumer<Boolean> onResult) {
     if (sessionId.isPresent()) {
       onResult.accept(true);
--- a/scenario/src/main/java/lemondock/scenario/ReportComparison.java
+++ b/scenario/src/main/java/lemondock/scenario/ReportComparison.java
@@ -79,13 +79,13 @@
   }
 
   /** The listener for a variant of collectd's protocol: bare, signed or encrypted. */
-  public CollectdListener collectdListener(String form) {
-    return collectd.get(form);
+  public CollectdListener collectdListener(String variant) {
+    return collectd.get(variant);
   }
 
   /** The listener for a variant of Graphite's protocol: plain or pickle. */
-  public GraphiteListener graphiteListener(String form) {
-    return graphite.get(form);
+  public GraphiteListener graphiteListener(String variant) {
+    return graphite.get(variant);
   }
 
   /** Stops the gateways and compares; {@link #differences} returns the result. */
@@ -97,15 +97,15 @@
       Map<String, BigDecimal> expected = ReportedValues.ofFinalMetrics(metrics);
       compared += expected.size() * (graphite.size() + collectd.size());
       graphite.forEach(
-          (form, listener) ->
+          (variant, listener) ->
               compare(
-                  gateway + " " + form,
+                  gateway + " " + variant,
                   expected,
                   () -> ReportedValues.ofGraphite(listener.received(), instance)));
       collectd.forEach(
-          (form, listener) ->
+          (variant, listener) ->
               compare(
-                  gateway + " " + form,
+                  gateway + " " + variant,
                   expected,
                   () -> ReportedValues.ofCollectd(listener.received(), instance)));
     }
--- a/scenario/src/main/java/lemondock/scenario/ScenarioAuditor.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioAuditor.java
@@ -11,8 +11,8 @@
  * reads no clock.
  *
  * <p>Traffic is observed a little after the gateway's action, so a tolerance is added to each time
- * limit. Time limits do not run while a gateway is paused and shortly after. There is no such
- * allowance for what may not happen twice or after the end of a deduplication window.
+ * limit. Time limits do not run while a gateway is paused and shortly after. A pause excuses
+ * neither a duplicate effect nor a repeat after the end of its deduplication window.
  */
 public final class ScenarioAuditor {
   private static final int MAX_VIOLATIONS_PER_RULE = 20;
--- a/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioFleet.java
@@ -51,7 +51,10 @@
       WorkerPool.create(WORKERS, WORKER_QUEUE_SIZE, "rehearsal-worker");
   private UnaryOperator<FileSystemPort> fileSystemDecorator = UnaryOperator.identity();
 
-  /** Unknown by default, since one process holds all gateways and its usage fits none of them. */
+  /**
+   * Unknown by default, because one process holds all gateways, and its usage says nothing about a
+   * single one.
+   */
   private ProcessResources processResources = ProcessResources.UNKNOWN;
 
   private SnapshotListener snapshotListener = (gateway, atMicros, snapshot) -> {};
--- a/scenario/src/main/java/lemondock/scenario/ScenarioSettings.java
+++ b/scenario/src/main/java/lemondock/scenario/ScenarioSettings.java
@@ -15,11 +15,11 @@
 
   /** The request classes of a scenario. */
   public static List<GatewaySettings.ClassSettings> requestClasses() {
-    return model().classes();
+    return sharedSettings().classes();
   }
 
-  /** Settings of which only the classes and rules are used; no gateway is started with them. */
-  static GatewaySettings model() {
+  /** Classes and rules that all gateways share; no gateway is started with these settings. */
+  static GatewaySettings sharedSettings() {
     return gateway("model", 0, 1, "north", 1, "127.0.0.1:1");
   }
 
--- a/scenario/src/test/java/lemondock/scenario/BreakTableTest.java
+++ b/scenario/src/test/java/lemondock/scenario/BreakTableTest.java
@@ -281,7 +281,7 @@
   private static void check(ScenarioFixture fixture, String repeat, List<Row> rows)
       throws Exception {
     FaultyCall call = new FaultyCall(fixture, rows, "row" + RUN_COUNT.incrementAndGet());
-    CallRecord seen = call.execute();
+    CallRecord record = call.execute();
     Ending expected = Ending.SERVED;
     String toolText = TOOL_TEXT;
     for (Row row : rows) {
@@ -293,25 +293,28 @@
               : toolText;
     }
     String expectedText = TEXT_BEFORE_CALL + "[" + toolText + "]" + TEXT_AFTER_RESULT;
-    String streamed = seen.streamed.toString();
+    String streamed = record.streamed.toString();
     assertTrue(
         expectedText.startsWith(streamed),
         "streamed '" + streamed + "', expected a prefix of '" + expectedText + "'");
     assertEquals(
         expected,
-        seen.responses == 0 ? Ending.NO_RESPONSE : seen.served() ? Ending.SERVED : Ending.FAILED,
-        "error code " + seen.errorCode);
+        record.responses == 0
+            ? Ending.NO_RESPONSE
+            : record.served() ? Ending.SERVED : Ending.FAILED,
+        "error code " + record.errorCode);
     if (expected == Ending.SERVED) {
       assertEquals(expectedText, streamed);
-      assertEquals(expectedText, seen.finalText);
-      assertEquals(List.of("stock{\"turn\":0,\"number\":0}"), seen.toolCalls);
+      assertEquals(expectedText, record.finalText);
+      assertEquals(List.of("stock{\"turn\":0,\"number\":0}"), record.toolCalls);
     } else if (expected == Ending.FAILED) {
       assertFalse(
-          seen.retryable && !repeat.equals("safe"), "a call that may have run is marked retryable");
+          record.retryable && !repeat.equals("safe"),
+          "a call that may have run is marked retryable");
     }
     assertTrue(
-        new HashSet<>(seen.toolCalls).size() == seen.toolCalls.size(),
-        "tool call relayed twice: " + seen.toolCalls);
+        new HashSet<>(record.toolCalls).size() == record.toolCalls.size(),
+        "tool call relayed twice: " + record.toolCalls);
     for (int i = 1; i < call.eventNumbers.size(); i++) {
       assertTrue(
           call.eventNumbers.get(i) > call.eventNumbers.get(i - 1),
@@ -327,19 +330,19 @@
           "a part of the answer was decoded twice");
     }
     fixture.awaitIdle();
-    assertRulesKept(fixture, seen);
+    assertRulesKept(fixture, record);
   }
 
   /** Audits the traffic on the engines' sockets and on this client's socket. */
-  private static void assertRulesKept(ScenarioFixture fixture, CallRecord seen) {
+  private static void assertRulesKept(ScenarioFixture fixture, CallRecord record) {
     ScenarioRecording recording =
         new ScenarioRecording(
             fixture.settings,
             fixture.fleet.engineSettings(),
             fixture.fleet.events().stream()
-                .filter(e -> e.mark().isEmpty() || e.mark().equals(seen.mark))
+                .filter(e -> e.mark().isEmpty() || e.mark().equals(record.mark))
                 .toList(),
-            List.of(seen),
+            List.of(record),
             List.of(),
             List.of(),
             fixture.clients.loop().now());
@@ -352,7 +355,7 @@
     private final ScenarioFixture fixture;
     private final List<Row> rows;
     private final String mark;
-    private final CallRecord seen;
+    private final CallRecord record;
     private final ConversationClient client;
     private List<Long> eventNumbers = List.of();
     private boolean isDisconnected;
@@ -363,7 +366,7 @@
       this.rows = rows;
       this.mark = mark;
       this.client = new ConversationClient(fixture.port);
-      this.seen =
+      this.record =
           new CallRecord(mark, ScenarioFixture.GATEWAY, 0, 0, false, fixture.clients.loop().now());
     }
 
@@ -372,18 +375,18 @@
     }
 
     /**
-     * Sets a fault at all engines whose names begin with {@code kind}; it hits one request, at
-     * whichever engine that request arrives.
+     * Sets a fault at all engines whose names begin with {@code namePrefix}; it hits one request,
+     * at whichever engine that request arrives.
      */
-    private void setFaults(String kind, Consumer<EngineFaults> change) {
+    private void setFaults(String namePrefix, Consumer<EngineFaults> change) {
       fixture
           .fleet
           .emulators()
           .invokeAndWait(
               () -> {
                 EngineFaults.Hits singleHit = new EngineFaults.Hits(1);
-                for (int i = 1; i <= (kind.equals("r") ? READERS : WRITERS); i++) {
-                  EngineFaults faults = fixture.fleet.engine(kind + i).faults();
+                for (int i = 1; i <= (namePrefix.equals("r") ? READERS : WRITERS); i++) {
+                  EngineFaults faults = fixture.fleet.engine(namePrefix + i).faults();
                   faults.hits = singleHit;
                   change.accept(faults);
                 }
@@ -428,21 +431,21 @@
         for (JsonNode message = isDisconnected ? null : answer.next();
             message != null;
             message = isDisconnected ? null : answer.next()) {
-          seen.firstMessageAtMicros =
-              seen.firstMessageAtMicros == 0
+          record.firstMessageAtMicros =
+              record.firstMessageAtMicros == 0
                   ? fixture.clients.loop().now()
-                  : seen.firstMessageAtMicros;
-          if (seen.responses > 0) {
-            seen.messagesAfterAnswer++;
+                  : record.firstMessageAtMicros;
+          if (record.responses > 0) {
+            record.messagesAfterAnswer++;
           }
           if (message.path("method").asText().equals(Mcp.PROGRESS)) {
-            seen.streamed.append(message.at("/params/message").asText());
+            record.streamed.append(message.at("/params/message").asText());
             tokens++;
             if (tokens == 2) {
               applyClientFaults(answer, isRelayed ? Moment.AFTER_RESULT : Moment.TEXT);
             }
           } else if (message.path("method").asText().equals(Mcp.TOOLS_CALL)) {
-            seen.toolCalls.add(
+            record.toolCalls.add(
                 message.at("/params/name").asText() + message.at("/params/arguments"));
             isRelayed = true;
             tokens = 0;
@@ -458,7 +461,7 @@
       } finally {
         clearFaults();
       }
-      return seen;
+      return record;
     }
 
     /** Applies the faults of this moment that come from the client. */
@@ -468,22 +471,22 @@
         answer.resume();
       }
       if (has(Fault.CLIENT_CANCEL, moment)) {
-        seen.cancelledAtMicros = fixture.clients.loop().now();
+        record.cancelledAtMicros = fixture.clients.loop().now();
         client.post(
             "{\"jsonrpc\":\"2.0\",\"method\":\"notifications/cancelled\",\"params\":{\"requestId\":7}}");
       } else if (has(Fault.CLIENT_DISCONNECT, moment)) {
-        seen.cancelledAtMicros = fixture.clients.loop().now();
+        record.cancelledAtMicros = fixture.clients.loop().now();
         answer.close();
         isDisconnected = true;
       } else if (has(Fault.SESSION_DELETE, moment)) {
-        seen.cancelledAtMicros = fixture.clients.loop().now();
+        record.cancelledAtMicros = fixture.clients.loop().now();
         client.deleteSession();
       }
     }
 
     private void postToolResult(JsonNode id) throws IOException, InterruptedException {
       if (has(Fault.MISSING_RESULT, Moment.TOOL_RESULT)
-          || seen.cancelledAtMicros != 0 && !has(Fault.CLIENT_CANCEL, Moment.TOOL_RESULT)) {
+          || record.cancelledAtMicros != 0 && !has(Fault.CLIENT_CANCEL, Moment.TOOL_RESULT)) {
         return;
       } // a cancelled call still posts its tool result, which must have no effect
       String text =
@@ -522,13 +525,13 @@
 
     private void recordResponse(JsonNode message) {
       assertNotNull(message.get("id"));
-      seen.responses++;
-      seen.answeredAtMicros = fixture.clients.loop().now();
+      record.responses++;
+      record.answeredAtMicros = fixture.clients.loop().now();
       if (message.has("error")) {
-        seen.errorCode = message.at("/error/code").asInt();
-        seen.retryable = message.at("/error/data/retryable").asBoolean(false);
+        record.errorCode = message.at("/error/code").asInt();
+        record.retryable = message.at("/error/data/retryable").asBoolean(false);
       } else {
-        seen.finalText = message.at("/result/content/0/text").asText();
+        record.finalText = message.at("/result/content/0/text").asText();
       }
     }
   }
--- a/scenario/src/test/java/lemondock/scenario/ConversationClient.java
+++ b/scenario/src/test/java/lemondock/scenario/ConversationClient.java
@@ -164,7 +164,7 @@
       return last;
     }
 
-    /** Reads up to the first event id, from which on the stream can be resumed. */
+    /** Reads up to the first event id, after which the stream can be resumed. */
     void readFirstEventId() throws IOException {
       while (eventNumbers.isEmpty()) {
         String line = lines.readLine();
--- a/scenario/src/test/java/lemondock/scenario/CrashTest.java
+++ b/scenario/src/test/java/lemondock/scenario/CrashTest.java
@@ -36,23 +36,26 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 /**
- * Runs a gateway in a process of its own and kills it before each operation on the directory of its
- * idempotency store, while a non-idempotent call is accepted, relayed, answered and completed, with
- * a new log and during a compaction. What the client and the engines saw before the crash must
- * agree with what the restarted gateway reports.
+ * Runs a gateway in a process of its own and kills it during a non-idempotent call with a tool
+ * call: once before each change to the directory of its idempotency store, and once halfway through
+ * each write. This is done with a new log and during a compaction. What the client and the engines
+ * saw before the crash must agree with what the restarted gateway reports.
  */
 @Timeout(120)
 class CrashTest {
   /**
-   * Gateways that run at the same time in each of the two tests. The number depends on the cores
-   * because each is a whole process, and waiting for it has a time limit.
+   * Gateways that run at the same time in each of the two tests. The number depends on the cores,
+   * because each gateway is a process of its own, and waiting for it has a time limit.
    */
   private static final int MAX_PROCESSES =
       Math.max(1, Math.min(4, Runtime.getRuntime().availableProcessors() / 2));
 
   private static final int MAX_STEPS = 40;
 
-  /** After the end of the call, a process on a busy machine may not have reached its step yet. */
+  /**
+   * Time in which a process may still reach its step after the end of the call; on a busy machine
+   * it may be late.
+   */
   private static final long EXIT_WAIT_MILLIS = 3_000;
 
   private static final String PROMPT = "call the tool stock answer in 5 words";
@@ -85,10 +88,11 @@
      * Starts the process and waits until it reports "ready" or exits.
      *
      * @param step number of the directory operation before which it exits; 0 for never
-     * @param half whether only writes count as steps, and half of that write is done before the
-     *     exit
+     * @param isPartialWrite whether only writes count as steps, and the process exits after half of
+     *     the bytes of that write
      */
-    GatewayProcess(Path home, int step, boolean half) throws IOException, InterruptedException {
+    GatewayProcess(Path home, int step, boolean isPartialWrite)
+        throws IOException, InterruptedException {
       errors = home.resolve("stderr-" + port + ".txt");
       ObjectNode[] settingsRoot = new ObjectNode[1];
       LoopbackSettings.gateway(
@@ -123,7 +127,7 @@
                   HaltingGateway.class.getName(),
                   settingsFile.toString(),
                   Integer.toString(step),
-                  Boolean.toString(half))
+                  Boolean.toString(isPartialWrite))
               .redirectError(errors.toFile())
               .start();
       BufferedReader output =
@@ -190,24 +194,24 @@
 
   private static Attempt call(GatewayProcess process, String mark, String key)
       throws InterruptedException {
-    Attempt seen = new Attempt();
+    Attempt attempt = new Attempt();
     try {
       ConversationClient client = new ConversationClient(process.port);
       try (ConversationClient.Answer answer =
           client.call("7", "sale-lookup", "#" + mark + "# " + PROMPT, List.of("stock"), key)) {
         for (JsonNode message = answer.next(); message != null; message = answer.next()) {
           if (message.path("method").asText().equals(Mcp.TOOLS_CALL)) {
-            seen.relayedToolCalls++;
+            attempt.relayedToolCalls++;
             client.post(ConversationClient.toolResult(message.get("id"), "did"));
           } else if (message.has("result") || message.has("error")) {
-            seen.response = message;
+            attempt.response = message;
           }
         }
       }
     } catch (IOException e) {
       // the gateway process was killed
     }
-    return seen;
+    return attempt;
   }
 
   /** The decodes that the engines started for an attempt, each as its number of messages. */
@@ -219,14 +223,14 @@
   }
 
   /** Kills a gateway at a step and checks its successor; false if the step was never reached. */
-  private static boolean crashAndRestart(Supplier<Path> homes, int step, boolean half) {
+  private static boolean crashAndRestart(Supplier<Path> homes, int step, boolean isPartialWrite) {
     String mark = "c" + COUNTER.incrementAndGet();
-    String context = mark + ", step " + step + (half ? " (half of a write)" : "");
+    String context = mark + ", step " + step + (isPartialWrite ? " (half of a write)" : "");
     Path home = homes.get();
     try {
       Attempt before = new Attempt();
       boolean crashed;
-      try (GatewayProcess process = new GatewayProcess(home, step, half)) {
+      try (GatewayProcess process = new GatewayProcess(home, step, isPartialWrite)) {
         if (process.awaitReady()) {
           before = call(process, mark + "a", "k");
         }
@@ -289,7 +293,7 @@
   /**
    * Crashes gateways at step 1, 2 and so on until a step is not reached; returns the steps reached.
    */
-  private static int crashAtEachStep(Supplier<Path> homes, boolean half) {
+  private static int crashAtEachStep(Supplier<Path> homes, boolean isPartialWrite) {
     ExecutorService executor = Executors.newFixedThreadPool(MAX_PROCESSES);
     try {
       int steps = 0;
@@ -298,7 +302,8 @@
         for (int i = 1; i <= MAX_PROCESSES; i++) {
           int step = steps + i;
           crashes.add(
-              CompletableFuture.supplyAsync(() -> crashAndRestart(homes, step, half), executor));
+              CompletableFuture.supplyAsync(
+                  () -> crashAndRestart(homes, step, isPartialWrite), executor));
         }
         int reached =
             (int)
@@ -334,23 +339,23 @@
         "creating a log, then writing and syncing four records, takes at least 10 steps, got "
             + steps);
     int writes = crashAtEachStep(CrashTest::newHome, true);
-    assertTrue(writes >= 4, writes + " writes were interrupted");
+    assertTrue(writes >= 4, "expected at least 4 interrupted writes, got " + writes);
   }
 
   @Execution(ExecutionMode.CONCURRENT)
   @Test
   void callStaysConsistentAfterKillAtEachStepOfCompaction() throws Exception {
-    Path full = newHome();
-    try (GatewayProcess process = new GatewayProcess(full, 0, false)) {
+    Path filledHome = newHome();
+    try (GatewayProcess process = new GatewayProcess(filledHome, 0, false)) {
       assertTrue(process.awaitReady(), process::diagnosis);
-      for (int i = 0; Files.size(logFile(full)) < 4_096; i++) {
+      for (int i = 0; Files.size(logFile(filledHome)) < 4_096; i++) {
         assertTrue(call(process, "fill" + i, "fill" + i + "x".repeat(80)).response.has("result"));
       }
     }
-    int steps = crashAtEachStep(() -> copyHome(full), false);
-    assertTrue(steps >= 10, steps + " steps were interrupted");
-    int writes = crashAtEachStep(() -> copyHome(full), true);
-    assertTrue(writes >= 3, writes + " writes were interrupted");
+    int steps = crashAtEachStep(() -> copyHome(filledHome), false);
+    assertTrue(steps >= 10, "expected at least 10 interrupted steps, got " + steps);
+    int writes = crashAtEachStep(() -> copyHome(filledHome), true);
+    assertTrue(writes >= 3, "expected at least 3 interrupted writes, got " + writes);
   }
 
   private static Path logFile(Path home) throws IOException {
@@ -363,13 +368,13 @@
   }
 
   private static Path copyHome(Path source) {
-    Path to = newHome();
+    Path copy = newHome();
     try (Stream<Path> files = Files.list(source.resolve("calls"))) {
-      Files.createDirectories(to.resolve("calls"));
+      Files.createDirectories(copy.resolve("calls"));
       for (Path file : files.toList()) {
-        Files.copy(file, to.resolve("calls").resolve(file.getFileName()));
+        Files.copy(file, copy.resolve("calls").resolve(file.getFileName()));
       }
-      return to;
+      return copy;
     } catch (IOException e) {
       throw new AssertionError(e);
     }
--- a/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayEdgeCasesTest.java
@@ -18,7 +18,7 @@
 import lemondock.rpc.Mcp;
 import org.junit.jupiter.api.Test;
 
-/** One failure per test, and what clients and engines must see of it on their sockets. */
+/** Each test injects one failure and checks what clients and engines observe on their sockets. */
 class GatewayEdgeCasesTest {
   private static final String PROMPT_FOR_40_WORDS = "answer in 40 words";
 
@@ -191,7 +191,7 @@
   // ==== readers and reserved states
 
   @Test
-  void lostReservedStatesRejectTheCall() {
+  void callIsRejectedWhenReservedStatesAreLost() {
     try (ScenarioFixture fixture =
         new ScenarioFixture(
             shortTimeouts(),
@@ -378,7 +378,10 @@
 
   // ==== clients
 
-  /** Cancels a call when the condition holds; nothing may stay busy, and no answer may come. */
+  /**
+   * Cancels a call when the condition holds. No request, call or reserved state may remain, and no
+   * response may arrive.
+   */
   private void assertCancelledCallIsCleanedUp(
       String text,
       ToolBehaviour toolBehaviour,
@@ -720,7 +723,7 @@
       for (int i = 0; i < 3; i++) { // tasks always wait for the event loop longer than targetMs
         keepBusy(fixture.fleet.gatewayProcess(ScenarioFixture.GATEWAY), isOverloaded);
       }
-      AtomicReference<CallRecord> refused = new AtomicReference<>();
+      AtomicReference<CallRecord> rejected = new AtomicReference<>();
       ScenarioFixture.await(
           "the gateway rejects a call before its prefill",
           () -> {
@@ -733,15 +736,15 @@
                                 "answer in 1 words",
                                 ToolBehaviour.ANSWER)))
                     .record();
-            refused.set(record);
+            rejected.set(record);
             return record.errorCode == Mcp.REJECTED
                 && fixture.events(TrafficEvent.Kind.PREFILL, record.mark).isEmpty();
           });
       isOverloaded.set(false);
       assertTrue(
-          refused.get().retryable && refused.get().retryAfterMs >= 250,
+          rejected.get().retryable && rejected.get().retryAfterMs >= 250,
           "expected a retryable error with retryAfterMs of at least 250, found retryAfterMs "
-              + refused.get().retryAfterMs);
+              + rejected.get().retryAfterMs);
       assertTrue(ScenarioFixture.get(running).record().served());
       ScenarioFixture.await(
           "the gateway serves calls again",
@@ -761,13 +764,14 @@
   }
 
   /** Blocks the event loop for 40 ms at a time until the flag is cleared. */
-  private static void keepBusy(EmulatedProcess node, AtomicBoolean isOverloaded) {
-    node.loop()
+  private static void keepBusy(EmulatedProcess gatewayProcess, AtomicBoolean isOverloaded) {
+    gatewayProcess
+        .loop()
         .execute(
             () -> {
               spin(40);
               if (isOverloaded.get()) {
-                keepBusy(node, isOverloaded);
+                keepBusy(gatewayProcess, isOverloaded);
               }
             });
   }
--- a/scenario/src/test/java/lemondock/scenario/GatewayOverloadTest.java
+++ b/scenario/src/test/java/lemondock/scenario/GatewayOverloadTest.java
@@ -83,7 +83,10 @@
     private volatile long maxHandles = 10_000;
     private volatile boolean isStopped;
 
-    /** Counts all time as paused while a test has stopped the process, else none. */
+    /**
+     * Reports the current time as the paused time while {@code isStopped} is set, as if the process
+     * had been stopped all the time; else 0.
+     */
     @Override
     public long pausedMicros() {
       return isStopped ? System.nanoTime() / 1_000 : 0;
@@ -220,7 +223,7 @@
                 ScenarioFixture.request("p" + i, "answer in 2 words", ToolBehaviour.ANSWER)));
         ScenarioFixture.pause(100);
       }
-      // The routing module may reject some too, because they reach it late.
+      // The routing module may reject some calls too, because they reach it late.
       calls.forEach(ScenarioFixture::get);
       return fixture
           .fleet
@@ -403,11 +406,11 @@
         final CompletableFuture<McpCall> running = startRunningCall(fixture, 480);
         resources.memoryUsed = resource == 0 ? 0.97 : 0;
         resources.handlesUsed = resource == 0 ? 0 : 0.99;
-        AtomicReference<CallRecord> refused = new AtomicReference<>();
+        AtomicReference<CallRecord> rejected = new AtomicReference<>();
         ScenarioFixture.await(
             "the gateway rejects a call",
             () -> {
-              refused.set(
+              rejected.set(
                   ScenarioFixture.get(
                           fixture.begin(
                               openClient,
@@ -416,10 +419,10 @@
                                   "answer in 1 words",
                                   ToolBehaviour.ANSWER)))
                       .record());
-              return refused.get().errorCode == Mcp.REJECTED;
+              return rejected.get().errorCode == Mcp.REJECTED;
             });
-        assertTrue(refused.get().retryable && refused.get().retryAfterMs > 0);
-        assertTrue(fixture.events(TrafficEvent.Kind.PREFILL, refused.get().mark).isEmpty());
+        assertTrue(rejected.get().retryable && rejected.get().retryAfterMs > 0);
+        assertTrue(fixture.events(TrafficEvent.Kind.PREFILL, rejected.get().mark).isEmpty());
         CompletableFuture<Boolean> isSessionOpen = new CompletableFuture<>();
         fixture.clients.loop().execute(() -> fixture.client().open(isSessionOpen::complete));
         assertFalse(
@@ -570,12 +573,12 @@
           send(sockets.get(i), initialize(i).repeat(500));
         }
         int opened = 0;
-        int refused = 0;
+        int rejected = 0;
         for (CompletableFuture<int[]> answer : answers) {
           opened += ScenarioFixture.get(answer)[0];
-          refused += ScenarioFixture.get(answer)[1];
+          rejected += ScenarioFixture.get(answer)[1];
         }
-        assertEquals(5_000, opened + refused);
+        assertEquals(5_000, opened + rejected);
         assertTrue(opened > 0 && opened <= 999, "sessions opened, expected 1 to 999: " + opened);
         assertEquals(
             opened + 1,
--- a/scenario/src/test/java/lemondock/scenario/HaltingGateway.java
+++ b/scenario/src/test/java/lemondock/scenario/HaltingGateway.java
@@ -30,7 +30,7 @@
 
   public static void main(String[] args) throws Exception {
     GatewaySettings settings = SettingsFile.readGateway(Path.of(args[0]));
-    EmulatedProcess node = new EmulatedProcess("gateway", settings.ioThreads());
+    EmulatedProcess process = new EmulatedProcess("gateway", settings.ioThreads());
     FileSystemPort directory =
         new HaltingFiles(
             new LockedDirectory(Path.of(settings.durable().path())),
@@ -39,8 +39,8 @@
     Gateway gateway =
         new Gateway(
             new GatewayEnvironment(
-                node.loop(),
-                node.network(),
+                process.loop(),
+                process.network(),
                 WorkerPool.create(1, DISK_QUEUE_CAPACITY, "disk"),
                 WorkerPool.create(
                     settings.overload().heavyThreads(), settings.overload().heavyQueue(), "worker"),
@@ -72,7 +72,7 @@
       return ++stepCount == haltAtStep;
     }
 
-    /** Counts a step other than a write; halts at it unless only writes are halted. */
+    /** Counts an operation other than a write, unless only writes count, and halts at its step. */
     private void countStep() {
       if (!isPartialWrite && isHaltStep()) {
         Runtime.getRuntime().halt(KILLED);
--- a/scenario/src/test/java/lemondock/scenario/ReportComparisonTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ReportComparisonTest.java
@@ -14,7 +14,7 @@
  */
 class ReportComparisonTest {
   @Test
-  void allReportFormsAgreeWithFinalMetricsAfterFaults() throws InterruptedException, IOException {
+  void allReportFormatsAgreeWithFinalMetricsAfterFaults() throws InterruptedException, IOException {
     ScenarioScript script =
         ScenarioScript.withDefaults()
             .withLoad(
@@ -31,9 +31,9 @@
       assertTrue(
           comparison.compared() > 1_000,
           "expected more than 1000 compared values, got " + comparison.compared());
-      for (String form : List.of("bare", "signed", "encrypted")) {
-        assertEquals(0, comparison.collectdListener(form).received().unreadable());
-        assertTrue(comparison.collectdListener(form).largestPacketBytes() <= 1_452);
+      for (String variant : List.of("bare", "signed", "encrypted")) {
+        assertEquals(0, comparison.collectdListener(variant).received().unreadable());
+        assertTrue(comparison.collectdListener(variant).largestPacketBytes() <= 1_452);
       }
       assertEquals(
           0,
--- a/scenario/src/test/java/lemondock/scenario/ReportEdgeCasesTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ReportEdgeCasesTest.java
@@ -31,7 +31,7 @@
 class ReportEdgeCasesTest {
   private static final String PROMPT = "answer in 5 words";
 
-  /** Adds a destination to the settings, with frequent reports; returns its settings. */
+  /** Adds a destination to the settings, with frequent reports; returns the destination's JSON. */
   private static ObjectNode addDestination(ObjectNode settings, String name, String kind) {
     ObjectNode reporting = (ObjectNode) settings.get("reporting");
     if (reporting == null) {
@@ -67,7 +67,7 @@
         settings, ScenarioFixture.reader("reader"), ScenarioFixture.writer("writer"));
   }
 
-  /** Makes the calls at the same time, each of another tenant; all must be served. */
+  /** Makes the calls at the same time, each for a different tenant; all must be served. */
   private static void assertCallsServed(ScenarioFixture fixture, String mark, int count) {
     List<CompletableFuture<McpCall>> calls = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -83,8 +83,8 @@
   }
 
   /** Number of served requests in the gateway's own counters, over all classes and tenants. */
-  private static String servedRequests(JsonNode tally) {
-    return tally.at("/tally/requests").findValuesAsText("served").stream()
+  private static String servedRequests(JsonNode finalMetrics) {
+    return finalMetrics.at("/tally/requests").findValuesAsText("served").stream()
             .mapToLong(Long::parseLong)
             .sum()
         + "";
@@ -131,12 +131,12 @@
             () -> sumOfNewest(correct.received(), ".served") == 20);
         assertCallsServed(fixture, "b", 20);
         long stopStartedNanos = System.nanoTime();
-        JsonNode tally = fixture.fleet.stopGateway(ScenarioFixture.GATEWAY);
+        JsonNode finalMetrics = fixture.fleet.stopGateway(ScenarioFixture.GATEWAY);
         double stopSeconds = (System.nanoTime() - stopStartedNanos) / 1e9;
         assertTrue(
             stopSeconds < 5,
             "the gateway took " + stopSeconds + " s to stop, expected less than 5");
-        assertEquals("40", servedRequests(tally));
+        assertEquals("40", servedRequests(finalMetrics));
         ScenarioFixture.await(
             "the correct collector has received the final report of 40 served requests",
             () -> sumOfNewest(correct.received(), ".served") == 40);
@@ -144,7 +144,7 @@
             "the collector that sends garbage has received the final report too",
             () -> sumOfNewest(sendsGarbage.received(), ".served") == 40);
         assertEquals(0, correct.received().unreadable());
-        JsonNode reports = tally.at("/tally/report");
+        JsonNode reports = finalMetrics.at("/tally/report");
         for (JsonNode report : reports) {
           String name = report.get("destination").textValue();
           if (name.startsWith("no")) {
@@ -195,8 +195,8 @@
         ScenarioFixture.await(
             "a report has arrived out of order", () -> listener.received().late() > 0);
         listener.setPacketFaults(0, 0);
-        JsonNode tally = fixture.fleet.stopGateway(ScenarioFixture.GATEWAY);
-        assertEquals("20", servedRequests(tally));
+        JsonNode finalMetrics = fixture.fleet.stopGateway(ScenarioFixture.GATEWAY);
+        assertEquals("20", servedRequests(finalMetrics));
         ScenarioFixture.await(
             "the collector has received the final report of served requests",
             () ->
@@ -245,7 +245,7 @@
                   addDestination(settings, "sock", "collectd-unixsock")
                       .put("path", path.toString()))) {
         assertCallsServed(fixture, "a", 4);
-        JsonNode tally = fixture.fleet.stopGateway(ScenarioFixture.GATEWAY);
+        JsonNode finalMetrics = fixture.fleet.stopGateway(ScenarioFixture.GATEWAY);
         ScenarioFixture.await(
             "the collector has received the final report of served requests",
             () ->
@@ -254,7 +254,7 @@
                         .mapToLong(e -> e.getValue().values().get(2).longValue())
                         .sum()
                     == 4);
-        assertEquals("4", servedRequests(tally));
+        assertEquals("4", servedRequests(finalMetrics));
         assertEquals(0, listener.received().unreadable());
       }
     }
@@ -280,11 +280,12 @@
               () ->
                   listener.newest().entrySet().stream()
                           .filter(
-                              p ->
-                                  p.getKey()
+                              entry ->
+                                  entry
+                                      .getKey()
                                       .startsWith("lemondock." + served.getKey() + ".requests."))
-                          .filter(p -> p.getKey().endsWith(".served"))
-                          .mapToLong(p -> p.getValue().values().get(0).longValue())
+                          .filter(entry -> entry.getKey().endsWith(".served"))
+                          .mapToLong(entry -> entry.getValue().values().get(0).longValue())
                           .sum()
                       == served.getValue());
         }
@@ -306,14 +307,14 @@
                     .add("t39");
               })) {
         assertCallsServed(fixture, "a", 40);
-        JsonNode tally = fixture.fleet.stopGateway(ScenarioFixture.GATEWAY);
-        assertEquals("40", servedRequests(tally));
+        JsonNode finalMetrics = fixture.fleet.stopGateway(ScenarioFixture.GATEWAY);
+        assertEquals("40", servedRequests(finalMetrics));
         TreeSet<String> tenants =
-            new TreeSet<>(tally.at("/tally/requests").findValuesAsText("tenant"));
+            new TreeSet<>(finalMetrics.at("/tally/requests").findValuesAsText("tenant"));
         assertEquals(7, tenants.size(), tenants.toString());
         assertTrue(tenants.contains("other") && tenants.contains("t39"));
         JsonNode tenantBound = null;
-        for (JsonNode row : tally.at("/tally/bounds")) {
+        for (JsonNode row : finalMetrics.at("/tally/bounds")) {
           tenantBound = row.get("dimension").textValue().equals("tenant") ? row : tenantBound;
         }
         assertEquals(34, tenantBound.get("other").longValue());
--- a/scenario/src/test/java/lemondock/scenario/ScenarioAuditorTest.java
+++ b/scenario/src/test/java/lemondock/scenario/ScenarioAuditorTest.java
@@ -10,7 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks that time during which a gateway is paused counts against no limit, and other time does.
+ * Checks that a pause of a gateway extends the time limits of that gateway only, that other delays
+ * do not extend them, and that a pause does not extend the deduplication window.
  */
 class ScenarioAuditorTest {
   private static final long MICROS_PER_MS = 1_000;
@@ -81,15 +82,15 @@
     assertEquals(Set.of(3), violatedRules(drainedServer, List.of()));
     assertEquals(Set.of(), violatedRules(drainedServer, List.of(), pause("gw", 10, 1_200)));
     assertEquals(Set.of(3), violatedRules(drainedServer, List.of(), pause("gw", 10, 200)));
-    List<TrafficEvent> heldState =
+    List<TrafficEvent> reservedState =
         List.of(
             event(0, TrafficEvent.Kind.PREFILL, ""),
             event(10, TrafficEvent.Kind.ANSWERED, "read"),
             event(10, TrafficEvent.Kind.STATE_RESERVED, ""),
             event(1_500, TrafficEvent.Kind.STATE_RELEASED, ""));
-    assertEquals(Set.of(5), violatedRules(heldState, List.of()));
-    assertEquals(Set.of(), violatedRules(heldState, List.of(), pause("gw", 20, 1_300)));
-    assertEquals(Set.of(5), violatedRules(heldState, List.of(), pause("gw", 20, 300)));
+    assertEquals(Set.of(5), violatedRules(reservedState, List.of()));
+    assertEquals(Set.of(), violatedRules(reservedState, List.of(), pause("gw", 20, 1_300)));
+    assertEquals(Set.of(5), violatedRules(reservedState, List.of(), pause("gw", 20, 300)));
   }
 
   @Test
--- a/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
+++ b/scenario/src/test/java/lemondock/scenario/ScenarioFixture.java
@@ -60,7 +60,11 @@
     fleet.addGateway(settings, routerFactory);
     if (!fleet.awaitServers(GATEWAY, engines.length, 10_000)) {
       throw new IllegalStateException(
-          "gateway " + GATEWAY + " does not list all " + engines.length + " engines within 10 s");
+          "gateway "
+              + GATEWAY
+              + " did not list exactly "
+              + engines.length
+              + " engines within 10 s");
     }
   }
 
@@ -125,7 +129,10 @@
     return begin(client, request, call -> {});
   }
 
-  /** As {@link #begin(McpClient, ToolCallRequest)}; passes on the started call on its loop. */
+  /**
+   * As {@link #begin(McpClient, ToolCallRequest)}; {@code onStarted} receives the started call on
+   * the clients' loop.
+   */
   CompletableFuture<McpCall> begin(
       McpClient client, ToolCallRequest request, Consumer<McpCall> onStarted) {
     CompletableFuture<McpCall> done = new CompletableFuture<>();
--- a/scenario/src/test/java/lemondock/scenario/SdkClientTest.java
+++ b/scenario/src/test/java/lemondock/scenario/SdkClientTest.java
@@ -54,7 +54,7 @@
                     .build());
         assertEquals(" a0 a1 a2 a3", ((McpSchema.TextContent) result.content().get(0)).text());
         ScenarioFixture.await(
-            "all four tokens as progress",
+            "all four tokens have arrived as progress",
             () -> String.join("", progress.values()).equals(" a0 a1 a2 a3"));
       }
       fixture.awaitIdle();
--- a/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
+++ b/scenario/src/test/java/lemondock/scenario/TokenPathTest.java
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Makes one call whose connection the client closes and resumes repeatedly and reads at a
-   * changing pace. Returns the streamed text and the text of the result.
+   * Makes one call; the client reads the stream at a changing pace, and repeatedly closes its
+   * connection and resumes the stream. Returns the streamed text and the text of the result.
    */
   private static String[] callWithReconnects(ScenarioFixture fixture, int seed)
       throws IOException, InterruptedException {
@@ -102,8 +102,8 @@
   }
 
   /**
-   * A timer that is not cancelled keeps its call reachable until it expires. At 800 calls a second
-   * such timers used up all memory.
+   * A timer that is not cancelled keeps its call reachable until the timer expires. At 800 calls a
+   * second such timers used up all memory.
    */
   @Test
   void endedCallsLeaveNoTimersThatReferToThem() {
@@ -119,7 +119,7 @@
             },
             ScenarioFixture.reader("r"),
             ScenarioFixture.writer("w"))) {
-      EmulatedProcess node = fixture.fleet.gatewayProcess(ScenarioFixture.GATEWAY);
+      EmulatedProcess gatewayProcess = fixture.fleet.gatewayProcess(ScenarioFixture.GATEWAY);
       assertEquals(
           12,
           ScenarioFixture.get(
@@ -129,7 +129,7 @@
               .record()
               .tokens);
       fixture.awaitIdle();
-      int timersBefore = node.invokeAndWait(node.loop()::pendingTimers);
+      int timersBefore = gatewayProcess.invokeAndWait(gatewayProcess.loop()::pendingTimers);
       for (int i = 0; i < calls; i += 10) {
         List<CompletableFuture<McpCall>> batch = new ArrayList<>();
         for (int j = 0; j < 10; j++) {
@@ -142,7 +142,9 @@
         batch.forEach(call -> assertTrue(ScenarioFixture.get(call).record().served()));
       }
       fixture.awaitIdle();
-      int timersPerCall = (node.invokeAndWait(node.loop()::pendingTimers) - timersBefore) / calls;
+      int timersPerCall =
+          (gatewayProcess.invokeAndWait(gatewayProcess.loop()::pendingTimers) - timersBefore)
+              / calls;
       assertTrue(
           timersPerCall <= 3,
           "expected at most 3 pending timers per ended call: the routing module's own, for the"
