--- a/anomaly/src/main/java/lemondock/anomaly/BurnRateDetector.java
+++ b/anomaly/src/main/java/lemondock/anomaly/BurnRateDetector.java
@@ -18,7 +18,7 @@
    * Parameters of a detector.
    *
    * @param errorBudget share of bad requests that is allowed, 0 to 1
-   * @param maxBurnRate burn rate, as a multiple of the error budget, from which on it is too high
+   * @param maxBurnRate lowest burn rate that is too high, as a multiple of the error budget
    * @param minBadRequests least number of bad requests in the short window for an alarm
    * @param shortWindowMicros length of the short window
    * @param longWindowMicros length of the long window
--- a/anomaly/src/main/java/lemondock/anomaly/CusumDetector.java
+++ b/anomaly/src/main/java/lemondock/anomaly/CusumDetector.java
@@ -4,9 +4,9 @@
  * Page's CUSUM control chart for the share of bad requests (E. S. Page, "Continuous inspection
  * schemes", Biometrika 41, 1954). For each request the chart adds the log-likelihood ratio of its
  * result under degraded service against the baseline, and the sum never falls below zero. The chart
- * needs no window, so that it raises an alarm at small counts as soon as chance no longer explains
- * them. A single threshold sets the rate of false alarms: at the baseline loss ratio, at most about
- * one in e^threshold requests. Not thread-safe.
+ * needs no window, so that it raises an alarm even after few requests, as soon as chance no longer
+ * explains the bad ones. A single threshold sets the rate of false alarms: at the baseline loss
+ * ratio, at most about one in e^threshold requests. Not thread-safe.
  */
 public final class CusumDetector implements ChangeDetector {
   /** Upper bound of the tested loss ratio, below 1 so that the logarithms stay finite. */
--- a/anomaly/src/main/java/lemondock/anomaly/DegradationDetector.java
+++ b/anomaly/src/main/java/lemondock/anomaly/DegradationDetector.java
@@ -8,10 +8,10 @@
 
 /**
  * Detects degradations of service and the classes, zones and servers that they affect. Each class
- * in each zone has its own {@link ChangeDetector}. So has each zone as a whole, where small losses
- * of many classes add up. Callers pass in cumulative counters; the detector computes their
- * increases. It keeps state for each scope, and its caller has to limit the number of scopes. Does
- * no I/O and reads no clock. Not thread-safe.
+ * in each zone has its own {@link ChangeDetector}. Each zone as a whole has one, too, because small
+ * losses of many classes add up there. Callers pass in cumulative counters; the detector computes
+ * their increases. It keeps state for each scope, and its caller has to limit the number of scopes.
+ * Does no I/O and reads no clock. Not thread-safe.
  */
 public final class DegradationDetector {
   /** The name of the scope that covers all classes of a zone together. */
--- a/cli/src/main/java/lemondock/cli/Lemondock.java
+++ b/cli/src/main/java/lemondock/cli/Lemondock.java
@@ -46,8 +46,8 @@
 
   /** Runs the program. */
   public static void main(String[] args) throws IOException, InterruptedException {
-    // These two run without picocli: the simulator and the platform start their main methods
-    // directly.
+    // These two commands bypass picocli, because the simulator and the platform call their main
+    // methods without it, too.
     if (args.length == 1 && isCommand(args[0], "simulator-adapter", "wirehost")) {
       SimulatorAdapter.main(args);
       return;
@@ -92,7 +92,7 @@
     return 2;
   }
 
-  /** Shown in the help; {@link #main} runs it without the command line. */
+  /** Listed in the help; {@link #main} runs this command without picocli. */
   @Command(
       name = "platform-gateway",
       description =
@@ -109,7 +109,7 @@
     }
   }
 
-  /** Shown in the help; {@link #main} runs it without the command line. */
+  /** Listed in the help; {@link #main} runs this command without picocli. */
   @Command(
       name = "simulator-adapter",
       description =
--- a/cli/src/main/java/lemondock/cli/StatusPage.java
+++ b/cli/src/main/java/lemondock/cli/StatusPage.java
@@ -61,7 +61,10 @@
     }
   }
 
-  /** Priority weight requested and answered in time by one class in one region. */
+  /**
+   * Priority weight of one class in one region over the last 10 and 60 seconds: of all received
+   * requests, and of those that were answered in time.
+   */
   private static final class Service {
     private double asked10s;
     private double inTime10s;
--- a/cli/src/test/java/lemondock/cli/LauncherTest.java
+++ b/cli/src/test/java/lemondock/cli/LauncherTest.java
@@ -30,7 +30,7 @@
   private static final int CHILDREN_PAGE_FAULTS = 8; // of children that have exited
   private static final int USER_TICKS = 11;
   private static final int SYSTEM_TICKS = 12;
-  private static final long MAX_TICKS = 50; // half a core; a busy loop uses a whole one
+  private static final long MAX_TICKS = 50; // per second: half a core; a busy loop uses a whole one
   private static final String COMPACT_CONFIG =
       "{\"name\":\"n\",\"listen\":\"%1$s\",\"discovery\":\"%1$s\",\"seed\":\"1\","
           + "\"limits\":{\"cores\":0.5,\"memory_mb\":%2$d,\"sockets\":256},"
@@ -197,8 +197,8 @@
   }
 
   /**
-   * Without the warning, a reload that never happens goes unnoticed until the address of discovery
-   * changes.
+   * A gateway that was started with SIGHUP ignored never reloads its configuration. Without the
+   * warning, nobody would notice this until the address of discovery changes.
    */
   @Test
   void ignoredSighupIsLogged() throws Exception {
--- a/cli/src/test/java/lemondock/cli/ProgramTest.java
+++ b/cli/src/test/java/lemondock/cli/ProgramTest.java
@@ -333,13 +333,13 @@
         Files.readString(Path.of("../conf/standin.json"))
             .replace("127.0.0.1:8500", "127.0.0.1:" + cataloguePort)
             .replaceAll("127\\.0\\.0\\.1:81\\d\\d", "127.0.0.1:0"));
+    // The emulated engines have just started, but need no warm-up.
     Files.writeString(
         folder.resolve("g.json"),
         Files.readString(Path.of("../conf/gateway.json"))
             .replace("127.0.0.1:8500", "127.0.0.1:" + cataloguePort)
             .replace("127.0.0.1:8080", "127.0.0.1:" + gatewayPort)
-            .replaceFirst("\\{", "{\"rules\":{\"warmUpMs\":1},")); // emulated engines need no
-    // warm-up, though they have just started
+            .replaceFirst("\\{", "{\"rules\":{\"warmUpMs\":1},"));
     List<Process> processes = new ArrayList<>();
     try {
       processes.add(start("", "catalogue", "--config", folder.resolve("c.json").toString()));
--- a/exporter/src/main/java/lemondock/exporter/DestinationCounter.java
+++ b/exporter/src/main/java/lemondock/exporter/DestinationCounter.java
@@ -15,7 +15,7 @@
   BYTES_SENT,
   /** Datagrams handed to the operating system. */
   PACKETS_SENT,
-  /** Attempts to send a datagram that the operating system refused. */
+  /** Failed attempts to send a datagram: the operating system refused it or reported an error. */
   PACKETS_LOST,
   /** Connections or datagram sockets opened. */
   CONNECTIONS_OPENED,
--- a/exporter/src/main/java/lemondock/exporter/MonotonicTimestamps.java
+++ b/exporter/src/main/java/lemondock/exporter/MonotonicTimestamps.java
@@ -4,14 +4,14 @@
  * Generates timestamps that neither go back nor repeat, with one exception. Collectors overwrite or
  * reject values that are older than those they have. After the wall clock was set back, timestamps
  * therefore advance from the last one at half the speed of real time until the wall clock has
- * caught up. The exception: if the lead over the wall clock exceeds a limit, because the clock had
- * been far ahead before, catching up would take too long, and the next timestamp jumps back to the
- * wall clock. Reads no clock itself. Not thread-safe.
+ * caught up. The exception: if the timestamps' lead over the wall clock exceeds a limit, because
+ * the wall clock had been far ahead before it was set back, the next timestamp jumps back to the
+ * wall clock, since catching up would take too long. Reads no clock itself. Not thread-safe.
  */
 public final class MonotonicTimestamps {
   /**
-   * Microseconds of real time per millisecond by which timestamps advance while they are ahead of
-   * the wall clock.
+   * While timestamps are ahead of the wall clock, they advance by one millisecond in this many
+   * microseconds of real time.
    */
   private static final long SLEW_MICROS_PER_MILLI = 2_000;
 
--- a/exporter/src/main/java/lemondock/exporter/PeriodicExporter.java
+++ b/exporter/src/main/java/lemondock/exporter/PeriodicExporter.java
@@ -170,7 +170,8 @@
     isShuttingDown = true;
     tickTimer.cancel();
     takeSnapshot(true);
-    // plus one for the call at the end of this method, so that onFinished does not run before it
+    // One more than the destinations, for the call at the end of this method: onFinished must not
+    // run before all destinations have been told to shut down.
     int[] remainingCount = {targets.size() + 1};
     Runnable onDestinationClosed =
         () -> {
--- a/exporter/src/main/java/lemondock/exporter/ServiceHealth.java
+++ b/exporter/src/main/java/lemondock/exporter/ServiceHealth.java
@@ -1,6 +1,6 @@
 package lemondock.exporter;
 
-/** A change in the service that clients get, for notifications to collectors. */
+/** A change in the quality of service to clients, of which collectors are notified. */
 public enum ServiceHealth {
   /** The service has become worse than usual. */
   DEGRADED,
--- a/exporter/src/main/java/lemondock/exporter/collectd/PacketSecurity.java
+++ b/exporter/src/main/java/lemondock/exporter/collectd/PacketSecurity.java
@@ -14,8 +14,8 @@
  * Signs or encrypts packets of collectd's network protocol. A signed packet begins with a part of
  * type 0x0200, which holds the HMAC-SHA-256 over user name and parts, keyed with the password,
  * followed by the user name. An encrypted packet is one part of type 0x0210: the user name, an
- * initialisation vector, and, in AES-256 (OFB, keyed with the SHA-256 of the password), the SHA-1
- * of the parts and the parts.
+ * initialisation vector, and the ciphertext of the SHA-1 of the parts followed by the parts
+ * themselves. The cipher is AES-256 in OFB mode, keyed with the SHA-256 of the password.
  */
 public final class PacketSecurity {
   private static final int SIGNATURE_PART = 0x0200;
--- a/metrics/src/main/java/lemondock/metrics/MetricRegistry.java
+++ b/metrics/src/main/java/lemondock/metrics/MetricRegistry.java
@@ -65,7 +65,10 @@
     return seriesTable.findOrCreate(family, labelValues);
   }
 
-  /** Returns how many look-ups of a new series were given the overflow series. Any thread. */
+  /**
+   * Returns how many calls of {@link #series} found no free slots for a new series. May be called
+   * on any thread.
+   */
   public long rejectedSeriesCount() {
     return seriesTable.rejectedCount();
   }
--- a/metrics/src/main/java/lemondock/metrics/SeriesTable.java
+++ b/metrics/src/main/java/lemondock/metrics/SeriesTable.java
@@ -9,8 +9,8 @@
 
 /**
  * Assigns slots to series, up to a limit. Each family of {@link MetricFamilies} has slots reserved
- * for its overflow series, which counts for all series beyond the limit. Thread-safe: all state is
- * guarded by this object's lock.
+ * for its overflow series, which replaces all of its series beyond the limit. Thread-safe: all
+ * state is guarded by this object's lock.
  */
 final class SeriesTable {
   private final int maxSlots;
--- a/overload/src/main/java/lemondock/overload/Admission.java
+++ b/overload/src/main/java/lemondock/overload/Admission.java
@@ -5,18 +5,18 @@
 /**
  * Admission control for a gateway that is itself overloaded.
  *
- * <p>Overload is detected by the queueing delay of work, for the decision context or for the thread
- * of a shard: if even the shortest delay of an interval exceeds the target, work arrives faster
- * than it is processed (Nichols and Jacobson, "Controlling Queue Delay", 2012); a single long delay
- * is not a sign of overload. The growth of the delay shows by how much the capacity is exceeded:
- * the admitted share falls to what can be processed, less what is needed to drain the queue. It
- * rises again slowly at first, then faster.
+ * <p>Overload is detected by the queueing delay of work for the decision loop, the worker threads
+ * or an I/O thread: if even the shortest delay of an interval exceeds the target, work arrives
+ * faster than it is processed (Nichols and Jacobson, "Controlling Queue Delay", 2012); a single
+ * long delay is not a sign of overload. The growth of the delay shows by how much the capacity is
+ * exceeded: the admitted share falls to what can be processed, less what is needed to drain the
+ * queue. It rises again slowly at first, then faster.
  *
  * <p>Requests are admitted by priority, not by order of arrival, with a threshold over the
  * priorities of recent requests (like WeChat's DAGOR: Zhou et al., SoCC 2018), so that requests of
  * lower priority are rejected before those of higher priority. While the share is reduced, retries
  * are admitted within a {@link RetryBudget}. {@link ResourcePressure} reports shortages of memory
- * and file handles; its share is multiplied with the share by delay.
+ * and file handles; the share that it allows and the share that the delay allows are multiplied.
  *
  * <p>Reads no clock and does no I/O. One thread makes the decisions; {@link Gate} is an immutable
  * snapshot of them that any thread may use.
@@ -75,8 +75,8 @@
    * @param drainMicros time in which the excess of the delay over the target should be drained
    * @param initialGrowthRate fraction of itself by which the share grows after the first interval
    *     below the target; the fraction grows by a fifth after each further one
-   * @param minShare share that the queueing delay never reduces further: without any traffic, the
-   *     end of the overload could not be detected
+   * @param minShare lower bound of the share that the queueing delay allows; without any traffic,
+   *     the end of the overload could not be detected
    * @param minRetryAfterMicros lower bound of the base Retry-After, which grows with the duration
    *     of the overload
    * @param maxRetryAfterMicros upper bound of the base Retry-After
@@ -124,7 +124,7 @@
 
     /**
      * Whether a new session is admitted; {@code random} is drawn from [0, 1). A session has no
-     * priority yet, and its calls add to the load of those that are already rejected.
+     * priority yet, and its calls would add to a load of which a part is already rejected.
      */
     public boolean admitsNewSession(double random) {
       return random < newSessionShare;
@@ -162,8 +162,8 @@
   }
 
   /** Records the arrival of a request, whether it is admitted or not. */
-  public void recordArrival(double priority, boolean retry) {
-    retryBudget.recordArrival(retry);
+  public void recordArrival(double priority, boolean isRetry) {
+    retryBudget.recordArrival(isRetry);
     recentPriorities[nextRecentIndex] = priority;
     nextRecentIndex = (nextRecentIndex + 1) % RECENT_PRIORITIES;
     recentCount = Math.min(RECENT_PRIORITIES, recentCount + 1);
@@ -199,21 +199,23 @@
     }
     lastDelayMicros = delay;
     intervalStartMicros = nowMicros;
-    retryShare =
-        retryBudget.admittedShare(
-            nowMicros); // also while everything is admitted, so that old counts decay
+    // Called even while everything is admitted, so that old counts decay.
+    retryShare = retryBudget.admittedShare(nowMicros);
     if (delayShare != previousShare || delayShare < 1 || resourceShare < 1) {
       updateGate(nowMicros);
     }
   }
 
-  /** The longest delay of all queues, because work has to pass through each of them. */
+  /**
+   * Returns the longest delay of all queues, because work has to pass through each of them, and
+   * clears the delays for the next interval.
+   */
   private long takeLongestDelayMicros() {
     long longestMicros = 0;
     for (int i = 0; i < shortestDelaysMicros.length; i++) {
-      boolean completed = shortestDelaysMicros[i] != Long.MAX_VALUE;
+      boolean hasCompleted = shortestDelaysMicros[i] != Long.MAX_VALUE;
       longestMicros =
-          Math.max(longestMicros, completed ? shortestDelaysMicros[i] : ongoingDelaysMicros[i]);
+          Math.max(longestMicros, hasCompleted ? shortestDelaysMicros[i] : ongoingDelaysMicros[i]);
       shortestDelaysMicros[i] = Long.MAX_VALUE;
       ongoingDelaysMicros[i] = 0;
     }
--- a/overload/src/main/java/lemondock/overload/GradientLimit.java
+++ b/overload/src/main/java/lemondock/overload/GradientLimit.java
@@ -54,7 +54,7 @@
       longTermAverageMicros *= RECOVERY_FACTOR;
     }
     if (inFlight < limit / 2) {
-      return; // far below the limit, the time says nothing about it
+      return; // with so few calls in flight, the limit does not affect the time
     }
     double gradient =
         Math.max(
--- a/overload/src/main/java/lemondock/overload/ResourcePressure.java
+++ b/overload/src/main/java/lemondock/overload/ResourcePressure.java
@@ -55,11 +55,11 @@
     double remaining =
         (settings.hardLimit() - used) / (settings.hardLimit() - settings.softLimit());
     double targetShare = Math.max(0, Math.min(1, remaining));
-    admittedShare = Math.min(targetShare, maxRisenShare(nowMicros));
+    admittedShare = Math.min(targetShare, maxShareAfterRise(nowMicros));
     updatedAtMicros = nowMicros;
   }
 
-  private double maxRisenShare(long nowMicros) {
+  private double maxShareAfterRise(long nowMicros) {
     if (updatedAtMicros == Long.MIN_VALUE) {
       return 1;
     }
--- a/overload/src/main/java/lemondock/overload/RetryBudget.java
+++ b/overload/src/main/java/lemondock/overload/RetryBudget.java
@@ -20,7 +20,8 @@
    * Parameters of the retry budget.
    *
    * @param retriesPerNewCall retries that each new call adds to the budget
-   * @param retriesPerSecond retries per second that are admitted without new calls
+   * @param retriesPerSecond retries per second that are admitted in addition, even without new
+   *     calls
    * @param halfLifeMicros half-life of the counts
    */
   public record Settings(double retriesPerNewCall, double retriesPerSecond, long halfLifeMicros) {}
@@ -31,8 +32,8 @@
   }
 
   /** Records the arrival of a call, whether it is admitted or not. */
-  public void recordArrival(boolean retry) {
-    if (retry) {
+  public void recordArrival(boolean isRetry) {
+    if (isRetry) {
       retries++;
     } else {
       newCalls++;
@@ -48,7 +49,7 @@
       retries *= decay;
     }
     decayedAtMicros = nowMicros;
-    // the decaying count that a steady rate of one per second converges to
+    // At a steady rate of one event per second, a decaying count converges to this number.
     double effectiveSeconds = settings.halfLifeMicros() / MICROS_PER_SECOND / Math.log(2);
     double budget =
         settings.retriesPerNewCall() * newCalls + settings.retriesPerSecond() * effectiveSeconds;
--- a/overload/src/main/java/lemondock/overload/StallMonitor.java
+++ b/overload/src/main/java/lemondock/overload/StallMonitor.java
@@ -13,7 +13,7 @@
   private final long minStallMicros;
   private final long graceMicros;
   private long nextTickAtMicros;
-  private boolean ticking;
+  private boolean hasTicked;
   private long totalStallMicros;
   private long graceEndsAtMicros = Long.MIN_VALUE;
   private long stallCount;
@@ -35,7 +35,7 @@
   /** Records a tick and returns the time at which the next one is due. */
   public long onTick(long nowMicros) {
     detectStall(nowMicros);
-    ticking = true;
+    hasTicked = true;
     nextTickAtMicros = nowMicros + tickMicros;
     return nextTickAtMicros;
   }
@@ -45,7 +45,7 @@
    * the tick, has to detect it. A later tick does not count the same stall again.
    */
   public void detectStall(long nowMicros) {
-    long tickDelayMicros = ticking ? nowMicros - nextTickAtMicros : 0;
+    long tickDelayMicros = hasTicked ? nowMicros - nextTickAtMicros : 0;
     if (tickDelayMicros >= minStallMicros) {
       totalStallMicros += tickDelayMicros;
       stallCount++;
--- a/overload/src/test/java/lemondock/overload/AdmissionTest.java
+++ b/overload/src/test/java/lemondock/overload/AdmissionTest.java
@@ -53,10 +53,8 @@
       admission.recordDelay(
           now += 10 * MILLIS, 0, (50 + 20 * i) * MILLIS); // the queue grows by 2 ms per ms
     }
-    assertEquals(
-        1 / 1.5 * (1 - 40.0 / 500),
-        admission.admittedShare(),
-        1e-9); // the shortest delay was 50 ms, 40 above the target, in an interval of 100 ms
+    // The shortest delay of the interval of 100 ms was 50 ms, which is 40 ms above the target.
+    assertEquals(1 / 1.5 * (1 - 40.0 / 500), admission.admittedShare(), 1e-9);
     for (int i = 0; i < 10; i++) {
       admission.recordDelay(now += 10 * MILLIS, 0, 250 * MILLIS);
     }
@@ -104,9 +102,8 @@
     Admission admission = new Admission(SETTINGS, 2);
     long now = 0;
     admission.recordDelay(now, 0, 0);
-    for (int i = 1;
-        i <= 10;
-        i++) { // a probe that waits in a queue of 300 ms reports its growing age
+    // A probe that waits in a queue of 300 ms reports its growing delay.
+    for (int i = 1; i <= 10; i++) {
       admission.recordOngoingDelay(1, i * 10 * MILLIS);
       admission.recordDelay(now += 10 * MILLIS, 0, 0);
     }
@@ -169,8 +166,11 @@
     }
   }
 
-  /** Requests served within 100 ms, per millisecond, at a capacity of one unit of work per ms. */
-  private static double goodput(double load, boolean limited) {
+  /**
+   * Returns the number of requests served within 100 ms, per millisecond of simulated time, at a
+   * load that is a multiple of the capacity of about one request per millisecond.
+   */
+  private static double goodput(double load, boolean isLimited) {
     Admission admission = new Admission(SETTINGS, 1);
     SplittableRandom random = new SplittableRandom(1);
     double busyUntilMillis = 0;
@@ -183,7 +183,7 @@
           nowMillis * MILLIS, 0, (long) Math.max(0, busyUntilMillis - nowMillis) * MILLIS);
       for (dueRequests += load; dueRequests >= 1; dueRequests--) {
         admission.recordArrival(priority, false);
-        if (!limited || admission.gate().admits(priority, random.nextDouble())) {
+        if (!isLimited || admission.gate().admits(priority, random.nextDouble())) {
           busyUntilMillis = Math.max(busyUntilMillis, nowMillis) + 0.98;
           servedInTime += busyUntilMillis - nowMillis <= 100 && nowMillis > 2_000 ? 1 : 0;
         } else {
