--- a/benchmark/src/main/java/lemondock/benchmark/DecisionBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/DecisionBenchmark.java
@@ -25,7 +25,7 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures how long the decision module takes for a request, with 64 servers and 400 requests in
+ * Measures how long the router takes to decide on a request, with 64 servers and 400 requests in
  * flight. A request causes four events: its arrival, the end of its prefill, its first token and
  * the end of its answer.
  */
@@ -44,7 +44,7 @@
   private final Queue<RecordingRouterHost.Send> writes = new ArrayDeque<>();
   private final SplittableRandom random = new SplittableRandom(1);
 
-  /** The simulated time that is passed to the module. */
+  /** The simulated time that is passed to the router. */
   private long nowMicros = 1_000_000;
 
   @Override
@@ -76,7 +76,7 @@
 
   /**
    * Runs the arrival, prefill and first token of a new request and the end of an earlier one;
-   * returns the nanoseconds that the module took.
+   * returns the nanoseconds that the router took.
    */
   private long runRequest(long requestId) {
     nowMicros += REQUEST_INTERVAL_MICROS;
--- a/benchmark/src/main/java/lemondock/benchmark/Degradation.java
+++ b/benchmark/src/main/java/lemondock/benchmark/Degradation.java
@@ -8,9 +8,9 @@
 import lemondock.benchmark.RecordedScenario.Call;
 
 /**
- * A degradation of service as clients observed it. It starts at a bad (lost or late) call of a
- * gateway, considering all calls or those of one class, if at least a quarter of the calls in the
- * two seconds from there, and at least four, were bad.
+ * A degradation of service as clients of a gateway observed it, among all its calls or those of one
+ * class. It starts at a bad (lost or late) call if at least four calls, and at least a quarter of
+ * all calls, were bad in the two seconds from that call on.
  *
  * @param fromMicros when its first bad call was sent
  * @param toMicros when its last bad call was sent
--- a/benchmark/src/main/java/lemondock/benchmark/DetectorScore.java
+++ b/benchmark/src/main/java/lemondock/benchmark/DetectorScore.java
@@ -49,46 +49,49 @@
     scenario
         .observationsByGateway()
         .forEach(
-            (gateway, looks) -> {
+            (gateway, observations) -> {
               Map<String, List<Degradation>> degradationsByKey = new TreeMap<>();
               scenario
                   .callsByGateway()
                   .getOrDefault(gateway, Map.of())
                   .forEach((key, calls) -> degradationsByKey.put(key, Degradation.find(calls)));
               long observedMicros =
-                  looks.get(looks.size() - 1).atMicros() - looks.get(0).atMicros();
+                  observations.get(observations.size() - 1).atMicros()
+                      - observations.get(0).atMicros();
               observedHours += observedMicros / HOUR_MICROS;
-              Map<String, List<Long>> alarmsByKey = runDetector(looks);
+              Map<String, List<Long>> alarmsByKey = runDetector(observations);
               addDetections(degradationsByKey, alarmsByKey);
               addAlarms(degradationsByKey, alarmsByKey);
             });
   }
 
-  /** Runs the detector over the snapshots of a gateway; returns the times of alarms by class. */
-  private Map<String, List<Long>> runDetector(List<Observation> looks) {
+  /** Runs the detector over the observations of a gateway; returns the times of alarms by class. */
+  private Map<String, List<Long>> runDetector(List<Observation> observations) {
     Map<String, List<Long>> alarmsByKey = new TreeMap<>();
     DegradationDetector detector = new DegradationDetector(newChangeDetector);
     long previousTotal = 0;
-    for (Observation look : looks) {
-      boolean gatewayRestarted = look.total() < previousTotal;
+    for (Observation observation : observations) {
+      boolean gatewayRestarted = observation.total() < previousTotal;
       if (gatewayRestarted) {
         detector = new DegradationDetector(newChangeDetector);
       }
-      previousTotal = look.total();
-      for (DegradationChange change : detector.observe(look.atMicros(), counts(look), List.of())) {
+      previousTotal = observation.total();
+      for (DegradationChange change :
+          detector.observe(observation.atMicros(), counts(observation), List.of())) {
         if (change.isStart()) {
           alarmsByKey
               .computeIfAbsent(change.scope().name(), ignored -> new ArrayList<>())
-              .add(look.atMicros());
+              .add(observation.atMicros());
         }
       }
     }
     return alarmsByKey;
   }
 
-  private static List<EventCounts> counts(Observation look) {
+  private static List<EventCounts> counts(Observation observation) {
     List<EventCounts> counts = new ArrayList<>();
-    look.countsByClass()
+    observation
+        .countsByClass()
         .forEach(
             (requestClass, count) ->
                 counts.add(
--- a/benchmark/src/main/java/lemondock/benchmark/FirehoseRun.java
+++ b/benchmark/src/main/java/lemondock/benchmark/FirehoseRun.java
@@ -32,7 +32,7 @@
         number -> StreamRequest.toGateway(number, port, sessions.get(number), PROMPT));
   }
 
-  /** Runs the streams through a relay of bytes that parses no protocol. */
+  /** Runs the streams through a plain byte relay, which parses no protocol. */
   static FirehoseRun overRelay(StreamLoad load, ChildProcess relay) throws InterruptedException {
     return run(load, relay, number -> StreamRequest.toEngine(number, relay.port(), PROMPT));
   }
--- a/benchmark/src/main/java/lemondock/benchmark/LatencyBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/LatencyBenchmark.java
@@ -10,7 +10,7 @@
 
 /**
  * Measures the latency and cost of streams with a token every 20 ms on three routes: directly to
- * the emulated engine, through a bare Netty relay of bytes, and through the gateway. System
+ * the emulated engine, through a plain byte relay on Netty, and through the gateway. System
  * properties: {@code streams}, {@code rounds}, {@code words} (of an answer), {@code threads} (of
  * the relay), {@code way} (prefix of the names of the routes to measure; all by default).
  */
--- a/benchmark/src/main/java/lemondock/benchmark/OpenLoopCalls.java
+++ b/benchmark/src/main/java/lemondock/benchmark/OpenLoopCalls.java
@@ -20,7 +20,7 @@
 
   private static final long MIN_SLEEP_NANOS = 200_000;
   private static final double NANOS_PER_SECOND = 1e9;
-  private static final long DONE_WAIT_SECONDS = 10;
+  private static final long DONE_TIMEOUT_SECONDS = 10;
   private static final long POLL_MILLIS = 20;
 
   private final String prompt = drawPrompt();
@@ -110,7 +110,7 @@
   }
 
   private static void awaitAnswers(OverloadOutcome outcome) throws InterruptedException {
-    long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(DONE_WAIT_SECONDS);
+    long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(DONE_TIMEOUT_SECONDS);
     while (outcome.hasUnfinished() && System.nanoTime() < untilNanos) {
       TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
     }
--- a/benchmark/src/main/java/lemondock/benchmark/OpenStreamsBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/OpenStreamsBenchmark.java
@@ -15,7 +15,7 @@
   private static final int TOKEN_MILLIS = 1_000;
   private static final int LOAD_LOOPS = 3;
   private static final long SETTLE_SECONDS = 15;
-  private static final long DONE_WAIT_SECONDS = 90;
+  private static final long DONE_TIMEOUT_SECONDS = 90;
 
   private final int streams = Integer.getInteger("open", 10_000);
 
@@ -43,7 +43,7 @@
         "open streams, heap 512 MB: "
             + gateway.collectAndMeasure().description()
             + " MB (heap MB, sessions, calls)");
-    done.await(DONE_WAIT_SECONDS, TimeUnit.SECONDS);
+    done.await(DONE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     System.out.printf(
         Locale.ROOT,
         "open streams: %d asked, %d events, %d failures, %d not ended%n",
--- a/benchmark/src/main/java/lemondock/benchmark/OverloadCallReceiver.java
+++ b/benchmark/src/main/java/lemondock/benchmark/OverloadCallReceiver.java
@@ -28,7 +28,7 @@
   }
 
   /**
-   * Creates a receiver and starts the clock of its call.
+   * Creates a receiver; the latency of its call is measured from now on.
    *
    * @param slot the time slot of {@code outcome} in which the call is sent
    */
--- a/benchmark/src/main/java/lemondock/benchmark/PacedAppends.java
+++ b/benchmark/src/main/java/lemondock/benchmark/PacedAppends.java
@@ -17,8 +17,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Runs calls at an even rate and appends them to an idempotency log. If they are not durable, a
- * call only passes through the event loop, as a durable one does too.
+ * Runs calls at an even rate and appends them to an idempotency log. If they are not durable, they
+ * only pass through the event loop, through which durable calls pass as well.
  */
 final class PacedAppends implements AutoCloseable {
   private static final long MAX_LOG_BYTES = 64 << 20;
@@ -26,8 +26,8 @@
   private static final int MAX_QUEUED_DISK_TASKS = 64;
   private static final long MIN_SLEEP_NANOS = 100_000;
   private static final double NANOS_PER_SECOND = 1e9;
-  private static final long DONE_WAIT_SECONDS = 60;
-  private static final long DISK_WAIT_SECONDS = 10;
+  private static final long DONE_TIMEOUT_SECONDS = 60;
+  private static final long DISK_TIMEOUT_SECONDS = 10;
 
   private final int calls;
   private final boolean durable;
@@ -80,7 +80,7 @@
       long sentNanos = System.nanoTime();
       loop.execute(() -> handle(key, sentNanos));
     }
-    if (!done.await(DONE_WAIT_SECONDS, TimeUnit.SECONDS) || failures.get() > 0) {
+    if (!done.await(DONE_TIMEOUT_SECONDS, TimeUnit.SECONDS) || failures.get() > 0) {
       throw new IOException(
           failures
               + " of "
@@ -133,7 +133,7 @@
     try {
       logDirectory.close();
       disk.shutdown();
-      disk.awaitTermination(DISK_WAIT_SECONDS, TimeUnit.SECONDS);
+      disk.awaitTermination(DISK_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
--- a/benchmark/src/main/java/lemondock/benchmark/ReportBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ReportBenchmark.java
@@ -54,7 +54,7 @@
   /**
    * The snapshots of an hour.
    *
-   * @param takeNanos how long it took to take each, in ascending order
+   * @param takeNanos how long each snapshot took, in ascending order
    * @param copiesBytes memory that full copies of the snapshots would need
    */
   private record Hour(
--- a/benchmark/src/main/java/lemondock/benchmark/ReportingLatencyBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ReportingLatencyBenchmark.java
@@ -21,7 +21,7 @@
   private static final int ENGINE_SLOTS = 4_000;
   private static final int TOKEN_MILLIS = 20;
   private static final int LOAD_LOOPS = 2;
-  private static final long DONE_WAIT_SECONDS = 120;
+  private static final long DONE_TIMEOUT_SECONDS = 120;
   private static final int COLUMNS = 7;
   private static final double NANOS_PER_SECOND = 1e9;
   private static final double MILLIS_PER_SECOND = 1_000.0;
@@ -89,7 +89,7 @@
   }
 
   private void measureRounds(Map<String, Variant> variants) throws Exception {
-    for (int round = -1; round < rounds; round++) { // the first warms up
+    for (int round = -1; round < rounds; round++) { // round -1 is a warm-up
       for (Variant variant : variants.values()) {
         variant.values().record(round, measure(variant.gateway()));
       }
@@ -109,7 +109,7 @@
             done);
         Pacing.pauseAfterEach(5, i, 2);
       }
-      done.await(DONE_WAIT_SECONDS, TimeUnit.SECONDS);
+      done.await(DONE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
       double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
       return new double[] {
         load.firstTokenMicros().getValueAtPercentile(99),
--- a/benchmark/src/main/java/lemondock/benchmark/StreamLoad.java
+++ b/benchmark/src/main/java/lemondock/benchmark/StreamLoad.java
@@ -32,7 +32,7 @@
   private static final long CONNECT_TIMEOUT_MICROS = TimeUnit.SECONDS.toMicros(10);
   private static final long IDLE_TIMEOUT_MICROS = TimeUnit.SECONDS.toMicros(60);
   private static final HttpLimits LIMITS = new HttpLimits(8_192, 32_768, 100, 1L << 40);
-  private static final long SESSIONS_WAIT_SECONDS = 60;
+  private static final long SESSIONS_TIMEOUT_SECONDS = 60;
 
   private final List<LoadLoop> loops = new ArrayList<>();
   private final Histogram firstTokenMicros =
@@ -89,7 +89,7 @@
       Post post = new Post(port, StreamRequest.MCP_PATH, headers(), body);
       send(i, post, () -> new SessionReceiver(ids, failures, done));
     }
-    done.await(SESSIONS_WAIT_SECONDS, TimeUnit.SECONDS);
+    done.await(SESSIONS_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     return ids;
   }
 
@@ -156,7 +156,7 @@
     return tokenDelayMicros;
   }
 
-  /** Number of words that have arrived so far. */
+  /** Number of events with a word of an answer that have arrived so far. */
   long events() {
     return events.get();
   }
--- a/benchmark/src/main/java/lemondock/benchmark/ToolCallBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/ToolCallBenchmark.java
@@ -30,8 +30,8 @@
   private static final int CALLS = 150;
   private static final String ENGINE = "m";
   private static final String GATEWAY = "gw";
-  private static final long SERVERS_WAIT_MILLIS = 10_000;
-  private static final long DONE_WAIT_SECONDS = 120;
+  private static final long SERVERS_TIMEOUT_MILLIS = 10_000;
+  private static final long DONE_TIMEOUT_SECONDS = 120;
 
   /** A call has two turns, each with an arrival and an end. */
   private static final int EVENTS_PER_CALL = 4;
@@ -68,7 +68,7 @@
             McpClient client = new McpClient(clients.loop(), http, gateway, GATEWAY);
             new RelayedToolCalls(client, prefix, done).start();
           };
-      for (int round = -1; round < rounds; round++) { // the first warms up
+      for (int round = -1; round < rounds; round++) { // round -1 is a warm-up
         String prefix = "x" + (round + 1);
         direct.record(round, measure(fleet, clients, directCaller, prefix + "-0-"));
         relayed.record(round, measure(fleet, clients, relayedCaller, prefix + "-1-"));
@@ -93,14 +93,14 @@
             fleet.catalogueAddress(),
             json -> json.putObject("overload").put("refuse", false));
     fleet.addGateway(settings, Gateway.DEFAULT_ROUTER_FACTORY);
-    if (!fleet.awaitServers(GATEWAY, 1, SERVERS_WAIT_MILLIS)) {
+    if (!fleet.awaitServers(GATEWAY, 1, SERVERS_TIMEOUT_MILLIS)) {
       throw new IllegalStateException(
           "gateway "
               + GATEWAY
-              + " does not see engine "
+              + " did not list engine "
               + ENGINE
-              + " after "
-              + SERVERS_WAIT_MILLIS
+              + " within "
+              + SERVERS_TIMEOUT_MILLIS
               + " ms");
     }
   }
@@ -111,15 +111,15 @@
       throws InterruptedException {
     CountDownLatch done = new CountDownLatch(CALLS);
     clients.loop().execute(() -> caller.start(prefix, done));
-    if (!done.await(DONE_WAIT_SECONDS, TimeUnit.SECONDS)) {
+    if (!done.await(DONE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
       throw new IllegalStateException(
           done.getCount()
               + " of "
               + CALLS
               + " calls "
               + prefix
-              + "* have not ended after "
-              + DONE_WAIT_SECONDS
+              + "* did not end within "
+              + DONE_TIMEOUT_SECONDS
               + " s");
     }
     long[] sortedMicros = microsBetweenTurns(fleet.events(), prefix);
--- a/benchmark/src/main/java/lemondock/benchmark/WaitingAnswersBenchmark.java
+++ b/benchmark/src/main/java/lemondock/benchmark/WaitingAnswersBenchmark.java
@@ -21,7 +21,7 @@
   private static final int CALLS = 400;
   private static final int CALL_SESSIONS = 20;
   private static final long CALL_INTERVAL_MILLIS = 5;
-  private static final long DONE_WAIT_SECONDS = 60;
+  private static final long DONE_TIMEOUT_SECONDS = 60;
 
   private final int answers = Integer.getInteger("answers", 10_000);
 
@@ -90,6 +90,6 @@
       load.stream(StreamRequest.toGateway(i, port, session, prompt).withTimestamps(), done);
       TimeUnit.MILLISECONDS.sleep(CALL_INTERVAL_MILLIS);
     }
-    done.await(DONE_WAIT_SECONDS, TimeUnit.SECONDS);
+    done.await(DONE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 }
--- a/faultinjection/src/main/c/faultshim.c
+++ b/faultinjection/src/main/c/faultshim.c
@@ -39,7 +39,7 @@
 static volatile char outgoing[MAX_DESCRIPTORS];
 static atomic_ullong random_state;
 
-/* The function of the same name that this library overrides, looked up once. */
+/* The C library's function of that name, which this library overrides; looked up once. */
 #define REAL(name) ({ \
     static __typeof__(&name) real_function; \
     if (!real_function) { \
@@ -143,7 +143,7 @@
 
 static const int accept_errors[] = {ECONNABORTED, ENFILE, ENOBUFS, EINTR};
 
-/* Records that the descriptor is no longer one that this process connected; returns it. */
+/* Records that the descriptor, a number that may be reused, is not one that this process connected; returns it. */
 static int mark_accepted(int fd) {
     if (fd >= 0 && fd < MAX_DESCRIPTORS) {
         outgoing[fd] = 0;
--- a/faultinjection/src/main/java/lemondock/faultinjection/CallOutcome.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/CallOutcome.java
@@ -19,8 +19,8 @@
   /** The client disconnected before the answer was complete. */
   LEFT,
   /**
-   * The request could not be written, or crossed the close of an idle connection; a real client
-   * would send it again.
+   * The request could not be written, or was sent while the gateway closed the idle connection; a
+   * real client would send it again.
    */
   NOT_TAKEN
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/FaultInjector.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultInjector.java
@@ -73,7 +73,7 @@
 
   // ==== links
 
-  /** The links of all gateways to all but one server of a role; to the only one if it has one. */
+  /** The links of all gateways to all but one server of a role, or to its only server. */
   private List<ProxyLink> linksToAllButOne(ServerRole role, SplittableRandom random) {
     List<ModelServer> servers =
         fleet.servers().stream().filter(server -> server.role() == role).toList();
--- a/faultinjection/src/main/java/lemondock/faultinjection/FaultPlan.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultPlan.java
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Draws the plan that {@link #draw} returns for the same seed, but always with a termination, by
-   * a series of signals.
+   * Draws the same plan as {@link #draw}, except that all gateways are always terminated at the
+   * end, by a series of signals.
    */
   static FaultPlan drawWithSignals(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
--- a/faultinjection/src/main/java/lemondock/faultinjection/FaultProxy.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultProxy.java
@@ -22,7 +22,10 @@
 final class FaultProxy implements AutoCloseable {
   private static final int BUFFER_BYTES = 16 * 1024;
 
-  /** How often the proxy checks for delayed bytes that are due and links that deliver again. */
+  /**
+   * How often the proxy checks for delayed bytes that are due and for links that no longer hold
+   * bytes.
+   */
   private static final int POLL_INTERVAL_MILLIS = 2;
 
   private final Selector selector;
--- a/faultinjection/src/main/java/lemondock/faultinjection/FaultShim.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FaultShim.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Controls the library that is preloaded into one process (faultshim.c). It sets the wall clock
- * that the process sees and how often its system calls fail. This class and the library map the
- * same file of 64-bit words; any thread may change a word while the process runs.
+ * Controls the library that is preloaded into one process (faultshim.c): sets the wall clock that
+ * the process sees and how often its system calls fail. This class and the library map the same
+ * file of 64-bit words; any thread may change a word while the process runs.
  */
 final class FaultShim {
   private static final String SOURCE = "faultshim.c";
@@ -45,7 +45,7 @@
     INTERRUPT(4),
     /** Reads and writes of sockets transfer only a part of the bytes. */
     SHORTEN(5),
-    /** An open connection fails with ETIMEDOUT or EHOSTUNREACH. */
+    /** A connection that the process has opened fails with ETIMEDOUT or EHOSTUNREACH. */
     TIMEOUT(6),
     /** Writes to files fail with ENOSPC or EIO, or are short. */
     DISK_WRITE(7),
@@ -100,12 +100,14 @@
     return compiler.waitFor(COMPILE_SECONDS, TimeUnit.SECONDS) && compiler.exitValue() == 0;
   }
 
-  /** The environment variables with which a process must be started to be controlled by this. */
+  /**
+   * The environment variables that preload the library into a process and name the control file.
+   */
   Map<String, String> environment() {
     return Map.of("LD_PRELOAD", library.toString(), "LEMONDOCK_FAULTS", controlFile.toString());
   }
 
-  /** Sets the offset of the wall clock from the true one. */
+  /** Sets the offset of the process's wall clock from the machine's. */
   void setWallClockOffsetMillis(long millis) {
     setWord(CLOCK_OFFSET_WORD, millis);
   }
--- a/faultinjection/src/main/java/lemondock/faultinjection/FinalAnswerAudit.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/FinalAnswerAudit.java
@@ -5,9 +5,9 @@
 import java.util.function.Consumer;
 
 /**
- * Each call must get one final answer in time. Excused are calls that had not ended when their
- * gateway was killed without notice, calls that were sent while their gateway had no process, and
- * calls whose client disconnected.
+ * Each call must get one final answer in time. A call is excused if it had not ended when its
+ * gateway was killed without notice, if it was sent while its gateway had no process, or if its
+ * client disconnected.
  */
 final class FinalAnswerAudit implements CallAudit {
   private static final long KILL_SLACK_MICROS = TimeUnit.MILLISECONDS.toMicros(50);
--- a/faultinjection/src/main/java/lemondock/faultinjection/GatewayProcess.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/GatewayProcess.java
@@ -45,7 +45,8 @@
    *
    * @param project the root of the repository, which contains the program
    * @param folder where the configuration and the logs are written
-   * @param shim controls the system calls of the processes; empty to leave them alone
+   * @param shim injects faults into the system calls and clocks of the processes; empty for no such
+   *     faults
    */
   GatewayProcess(
       String name, Path project, Path folder, Optional<FaultShim> shim, RunRecord runRecord) {
--- a/faultinjection/src/main/java/lemondock/faultinjection/LinkFlow.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/LinkFlow.java
@@ -2,11 +2,11 @@
 
 /** How a link treats bytes in one direction. */
 enum LinkFlow {
-  /** They are forwarded. */
+  /** The bytes are forwarded. */
   PASS,
   /**
-   * They are read from the sender and held, as are closes and resets; everything is delivered once
-   * the link is set to PASS again.
+   * The bytes are read from the sender and held, as are closes and resets; everything is delivered
+   * once the link is set to PASS again.
    */
   HOLD
 }
--- a/faultinjection/src/main/java/lemondock/faultinjection/LoadClient.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/LoadClient.java
@@ -31,8 +31,8 @@
   private static final String STREAM_END = "data: [DONE]\n\n";
 
   /**
-   * If a kept connection ends without an answer within this time, the request is taken to have
-   * crossed the gateway's close of the idle connection.
+   * If a reused connection ends without an answer within this time after the request was sent, the
+   * gateway is taken to have closed the idle connection before it received the request.
    */
   private static final long IDLE_CLOSE_RACE_MICROS = TimeUnit.MILLISECONDS.toMicros(100);
 
@@ -43,7 +43,7 @@
   private final SplittableRandom random;
   private volatile boolean stopped;
 
-  /** The kept connection; null while there is none. */
+  /** The keep-alive connection; null while there is none. */
   private ClientConnection connection;
 
   private int callCount;
@@ -60,8 +60,8 @@
   /**
    * A call that has been sent.
    *
-   * @param shouldDisconnect whether the client abandons the call at {@code untilMicros}, instead of
-   *     giving up waiting for the answer
+   * @param shouldDisconnect whether the client abandons the call at {@code untilMicros}; otherwise
+   *     it gives up waiting for the answer then
    */
   private record PendingCall(
       ClientCall call, boolean isFirstOnConnection, boolean shouldDisconnect, long untilMicros) {
@@ -174,7 +174,7 @@
         endUnanswered(pending);
       }
     } catch (SocketTimeoutException e) {
-      endOrDisconnect(pending);
+      abandonOrGiveUp(pending);
     } catch (IOException | RuntimeException e) {
       endUnanswered(pending);
     }
@@ -204,8 +204,8 @@
     }
   }
 
-  /** Ends a call that has no answer yet: the client disconnects early, or gives up waiting. */
-  private void endOrDisconnect(PendingCall pending) {
+  /** Ends a call that has no answer yet: the client abandons it, or gives up waiting. */
+  private void abandonOrGiveUp(PendingCall pending) {
     if (!pending.shouldDisconnect()) {
       pending.call().end(CallOutcome.OPEN);
       closeConnection();
--- a/faultinjection/src/main/java/lemondock/faultinjection/MachineStalls.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/MachineStalls.java
@@ -5,8 +5,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The periods in which the machine did not run a thread that was due, or in which the test harness
- * itself blocked others. Delays in these periods are not attributed to the gateways. Thread-safe.
+ * The periods in which the machine did not run a thread that was due, or in which the test rig
+ * itself blocked other threads. Delays in these periods are not attributed to the gateways.
+ * Thread-safe.
  */
 final class MachineStalls implements AutoCloseable {
   private static final long CHECK_INTERVAL_MICROS = TimeUnit.MILLISECONDS.toMicros(5);
@@ -37,7 +38,10 @@
     }
   }
 
-  /** Records a delay of the harness that others had to wait for; a stall if it is 25 ms or more. */
+  /**
+   * Records a delay of a thread of the test rig that others had to wait for; it counts as a stall
+   * if it lasted 25 ms or more.
+   */
   void recordDelay(long fromMicros, long untilMicros) {
     if (untilMicros - fromMicros >= MIN_STALL_MICROS) {
       stalls.add(new Stall(fromMicros, untilMicros));
--- a/faultinjection/src/main/java/lemondock/faultinjection/ModelServer.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ModelServer.java
@@ -103,7 +103,7 @@
         // the gateway closed it first
       }
     }
-    runRecord.reservedStates().serverDied(id());
+    runRecord.reservedStates().recordServerCrash(id());
   }
 
   /** Makes the server hang, or resume; when it resumes, it processes what has arrived meanwhile. */
--- a/faultinjection/src/main/java/lemondock/faultinjection/ModelServerConnection.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ModelServerConnection.java
@@ -244,7 +244,10 @@
     return false;
   }
 
-  /** Whether the client has closed; a byte that arrives instead is pushed back to the input. */
+  /**
+   * Whether the client has closed the connection; a byte that arrives instead is pushed back to the
+   * input.
+   */
   private boolean hasClientDisconnected() throws IOException {
     socket.setSoTimeout(1);
     try {
--- a/faultinjection/src/main/java/lemondock/faultinjection/MonotonicClock.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/MonotonicClock.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * The only clock of a run: monotonic microseconds since an arbitrary origin. Every field and
- * parameter of this package whose name ends in {@code Micros} is a duration or a time of this
- * clock.
+ * The clock of a run: monotonic microseconds since an arbitrary origin. Only the start times of
+ * servers in endpoint lists are wall time. Every field and parameter of this package whose name
+ * ends in {@code Micros} is a duration or a time of this clock.
  */
 final class MonotonicClock {
   private MonotonicClock() {}
--- a/faultinjection/src/main/java/lemondock/faultinjection/ProcessFleet.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ProcessFleet.java
@@ -48,7 +48,8 @@
    *
    * @param project the root of the repository, which contains the gateway's program
    * @param folder where the gateways' files are written
-   * @param faultLibrary the library of {@link FaultShim}; empty to leave system calls alone
+   * @param faultLibrary the library of {@link FaultShim}; without it no faults are injected into
+   *     system calls and clocks
    */
   ProcessFleet(FleetShape shape, Path project, Path folder, Optional<Path> faultLibrary, long seed)
       throws IOException {
--- a/faultinjection/src/main/java/lemondock/faultinjection/ReservedStateTable.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/ReservedStateTable.java
@@ -112,7 +112,7 @@
   }
 
   /** Records that a server's process has ended and lost all states that it had reserved. */
-  synchronized void serverDied(String serverId) {
+  synchronized void recordServerCrash(String serverId) {
     for (List<ReservedState> states : statesByRequest.values()) {
       states.stream()
           .filter(state -> state.serverId.equals(serverId))
--- a/faultinjection/src/main/java/lemondock/faultinjection/RunHistory.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/RunHistory.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Queries of the audits on the record of a finished run. */
+/** Answers the queries of the audits from the record of a finished run. */
 final class RunHistory {
   /**
    * How long a link must have been healthy before an attempt for the audits to rely on the time of
@@ -15,7 +15,7 @@
    */
   private static final long MIN_HEALTHY_BEFORE_MICROS = TimeUnit.MILLISECONDS.toMicros(1_000);
 
-  /** How long after the end of a call an attempt may arrive that was sent before that end. */
+  /** How long after the end of a call an attempt that was sent before that end may still arrive. */
   private static final long ARRIVAL_SLACK_MICROS = TimeUnit.MILLISECONDS.toMicros(100);
 
   private final RunRecord runRecord;
@@ -49,7 +49,10 @@
     return arrivalsByCall.getOrDefault(call.id(), List.of());
   }
 
-  /** Whether the link was healthy long enough for an attempt to arrive when its gateway sent it. */
+  /**
+   * Whether the link was healthy for long enough before the attempt that its arrival time is close
+   * to the time at which the gateway sent it.
+   */
   boolean arrivedUndelayed(ClientCall call, Arrival arrival) {
     return isLinkHealthyUntil(call, arrival, arrival.firstByteMicros());
   }
@@ -64,7 +67,8 @@
   }
 
   /**
-   * Whether an attempt began after a time by more than network latency and machine stalls explain.
+   * Whether an attempt began so long after the given time that network latency and machine stalls
+   * do not explain the difference.
    */
   boolean beganAfter(long timeMicros, ClientCall call, Arrival arrival) {
     long stalledMicros = stalledMicros(call.sentMicros(), arrival.firstByteMicros());
--- a/faultinjection/src/main/java/lemondock/faultinjection/SlowStartAudit.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/SlowStartAudit.java
@@ -8,7 +8,8 @@
 
 /**
  * A server that has just started must not be overloaded: in each time window of its warm-up it may
- * get a fixed multiple of its capacity at that time, plus an allowance for random variation.
+ * get at most a fixed multiple of its capacity at that time, plus an allowance for random
+ * variation.
  */
 final class SlowStartAudit implements RunAudit {
   private static final long WARM_UP_MICROS = TimeUnit.MILLISECONDS.toMicros(FleetShape.WARM_UP_MS);
--- a/faultinjection/src/main/java/lemondock/faultinjection/SoakAuditor.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/SoakAuditor.java
@@ -13,7 +13,7 @@
   private final List<CallAudit> callAudits;
   private final List<RunAudit> runAudits;
 
-  /** Creates the auditor of a run that is over; events after this call are not audited. */
+  /** Creates the auditor of a run that is over; later arrivals may not be audited. */
   SoakAuditor(RunRecord runRecord, FleetShape shape, LinkHealth linkHealth) {
     this.runRecord = runRecord;
     RunHistory history = new RunHistory(runRecord, shape, linkHealth);
--- a/faultinjection/src/main/java/lemondock/faultinjection/SoakMain.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/SoakMain.java
@@ -18,8 +18,8 @@
  */
 public final class SoakMain {
   /**
-   * Argument that makes each run end with a series of signals, in place of the single SIGTERM or no
-   * signal of its plan.
+   * Argument that makes each run end with a series of signals. Without it, a run ends with a single
+   * SIGTERM or with no signal, as its plan says.
    */
   private static final String SIGNALS_ARGUMENT = "signals";
 
--- a/faultinjection/src/main/java/lemondock/faultinjection/SoakRun.java
+++ b/faultinjection/src/main/java/lemondock/faultinjection/SoakRun.java
@@ -21,12 +21,12 @@
 
   private static final long MEAN_THINK_MICROS = TimeUnit.MILLISECONDS.toMicros(40);
 
-  /** How many times their usual clients the gateways have in a run with a crowd. */
+  /** Factor by which the number of clients per gateway grows in a run with a crowd. */
   private static final int CROWD_FACTOR = 4;
 
   private static final long JOIN_TIMEOUT_MILLIS = 20_000;
 
-  /** Range of client seeds of one run, so that those of different runs do not overlap. */
+  /** Size of the range of client seeds of each run; ranges of different runs do not overlap. */
   private static final long CLIENT_SEEDS_PER_RUN = 1_000;
 
   private final Path project;
--- a/faultinjection/src/test/java/lemondock/faultinjection/HeldStateTest.java
+++ b/faultinjection/src/test/java/lemondock/faultinjection/HeldStateTest.java
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Only the direction to the writers is held back; the gateway receives no answer whether or not
-   * the write arrived before.
+   * Only bytes to the writers are held back: a write that is sent meanwhile does not arrive, and
+   * the gateway receives no answer to it.
    */
   @Test
   void releasesStateInTimeWhenOnlyRequestsAreHeldBack() throws Exception {
@@ -77,7 +77,7 @@
             LinkFlow.HOLD));
   }
 
-  /** A lost read that is retried at another reader is lost there too. */
+  /** A read whose answer is lost is retried at another reader, whose answer is lost too. */
   @Test
   void releasesLostReadsInTimeWhenEveryReaderIsSilent() throws Exception {
     assertEquals(
--- a/faultinjection/src/test/java/lemondock/faultinjection/InterruptedCallsTest.java
+++ b/faultinjection/src/test/java/lemondock/faultinjection/InterruptedCallsTest.java
@@ -41,7 +41,10 @@
         outcomes.toString());
   }
 
-  /** Temporary failures to open sockets may delay or reject a request, not leave it unanswered. */
+  /**
+   * Temporary failures to open sockets may delay a request or cause its rejection, but must not
+   * leave it unanswered.
+   */
   @Test
   void failingAcceptsAndConnectsLeaveNoRequestUnanswered() throws Exception {
     Set<CallOutcome> outcomes = outcomesWith(Fault.ACCEPT, Fault.SOCKET, Fault.CONNECT);
@@ -78,7 +81,7 @@
           List.of(),
           new SoakAuditor(fleet.runRecord(), shape, (gateway, server, from, until) -> true)
               .audit());
-      assertTrue(fleet.runRecord().calls().size() > CLIENTS * 3, "too few calls were made");
+      assertTrue(fleet.runRecord().calls().size() > CLIENTS * 3, "too few calls were sent");
       return fleet.runRecord().calls().stream()
           .map(ClientCall::outcome)
           .collect(Collectors.toSet());
--- a/faultinjection/src/test/java/lemondock/faultinjection/SoakTest.java
+++ b/faultinjection/src/test/java/lemondock/faultinjection/SoakTest.java
@@ -36,9 +36,9 @@
   }
 
   /**
-   * Seeds that expose two faults: a read (prefill) whose answer is lost cannot be distinguished
-   * from a slow one in time, and the first requests after a start are read late
-   * (docs/incidents/r36-held-state.md).
+   * Seeds that exposed two faults: a read (prefill) whose answer was lost could not be
+   * distinguished from a slow one in time, and a gateway received the first requests after its
+   * start late (docs/incidents/r36-held-state.md).
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 8, 12, 46})
