--- a/dispatch/src/main/java/lemondock/dispatch/EndpointRegistry.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EndpointRegistry.java
@@ -149,8 +149,8 @@
   }
 
   /**
-   * Finds an endpoint by its id, also for some time after its removal from the list; empty if it
-   * was never listed.
+   * Finds an endpoint by its id, also for some time after its removal from the list; otherwise
+   * empty.
    */
   public Optional<Endpoint> find(long id) {
     return Optional.ofNullable(findRegistered(id)).map(RegisteredEndpoint::endpoint);
--- a/dispatch/src/main/java/lemondock/dispatch/RequestListener.java
+++ b/dispatch/src/main/java/lemondock/dispatch/RequestListener.java
@@ -5,8 +5,9 @@
 /**
  * Receives the output and the end of a submitted request. Exactly one of {@link #completed}, {@link
  * #interrupted}, {@link #rejected} and {@link #failed} is called, as the last call; after {@link
- * RequestDispatcher#cancelRequest} nothing more is called. Called on the loop thread, never from
- * within a call to the dispatcher.
+ * RequestDispatcher#cancelRequest} nothing more is called. Called on the loop thread, never while
+ * the router handles an event; {@link #rejected} and {@link #failed} may be called before {@link
+ * RequestDispatcher#submit} returns.
  *
  * @param <C> an event of the output stream
  */
--- a/policy/src/main/java/lemondock/policy/Attempt.java
+++ b/policy/src/main/java/lemondock/policy/Attempt.java
@@ -66,7 +66,10 @@
     return sentAtMicros;
   }
 
-  /** Expected time from the send to the answer, including the wait in the server's queue. */
+  /**
+   * Expected time from the send to the answer; for a read, including the wait in the server's
+   * queue.
+   */
   long expectedMicros() {
     return expectedMicros;
   }
--- a/policy/src/main/java/lemondock/policy/AttemptTimeouts.java
+++ b/policy/src/main/java/lemondock/policy/AttemptTimeouts.java
@@ -57,8 +57,9 @@
   }
 
   /**
-   * Starts the attempt's timeout. Its share of the latency objective doubles with each earlier
-   * attempt of the request that timed out.
+   * Starts the attempt's timeout. The bound by the latency objective is a share of the remaining
+   * objective; after earlier attempts of the request timed out, it is that share of the whole
+   * objective, doubled for each of them.
    */
   void start(InFlightRequest request, Attempt attempt) {
     if (!mayCancel || RetryPolicy.isNonRepeatableWrite(request, attempt)) {
@@ -105,7 +106,7 @@
 
   /**
    * Sets the time after which a read that is being sent is overdue if it gets no answer: shortly
-   * before the timeout that cancels the read.
+   * before the timeout that cancels the read, or, if it has no timeout, once it is too slow.
    */
   void setOverdueTime(Attempt read) {
     long leftMicros = read.timeoutAtMicros() - clock.nowMicros();
@@ -115,9 +116,9 @@
 
   /**
    * When the answer of a read is suspected to be lost, as far as is known now. That is when the
-   * read becomes overdue, or when its server has been silent for too long: it has answered nothing
-   * for twice the time that the slowest recent read would have taken, regardless of the latency
-   * objective.
+   * read becomes overdue, or when its server has been silent for too long, regardless of the
+   * latency objective: for twice the duration of this read if it waits as long as the slowest
+   * recent one.
    *
    * @param minSilenceMicros time without any answer that every server is granted
    */
--- a/policy/src/main/java/lemondock/policy/CachedPromptEstimator.java
+++ b/policy/src/main/java/lemondock/policy/CachedPromptEstimator.java
@@ -19,7 +19,7 @@
    * primaries, so a primary has probably cached text that this gateway never sent to it: every
    * primary has the prefix, and the first one also has the session's earlier turns, so that it
    * reads only as many tokens as an average request of the class needs. A server in slow start is
-   * not assumed to have them.
+   * assumed to have neither.
    *
    * @param rank the server's position in the ranking for the request, from 0
    * @param primaryCount how many servers at the head of the ranking are primaries
--- a/policy/src/main/java/lemondock/policy/Control.java
+++ b/policy/src/main/java/lemondock/policy/Control.java
@@ -222,14 +222,14 @@
   public void shutdownStarted(long nowMicros, long killedAtMicros) {
     clock.advanceTo(nowMicros);
     this.killedAtMicros = killedAtMicros;
-    // Every request gets its final answer before the process may be killed.
+    // Every request that is not streaming gets its final answer before the process may be killed.
     long leftMicros = Math.max(0, killedAtMicros - SHUTDOWN_MARGIN_MICROS - nowMicros);
     inFlight.keySet().forEach(id -> host.setTimer(RequestTimer.DEADLINE.token(id), leftMicros));
   }
 
   /**
-   * Whether the request could still be streaming when the process may be killed: its first token
-   * comes at the client's timeout, and its answer has the maximum length.
+   * Whether the request could still be streaming when the process may be killed, if its first token
+   * comes at the client's timeout and its answer has the maximum length.
    */
   private boolean mayOutliveShutdown(InFlightRequest request) {
     RoutingRequest attributes = request.attributes();
--- a/policy/src/main/java/lemondock/policy/DecisionClock.java
+++ b/policy/src/main/java/lemondock/policy/DecisionClock.java
@@ -1,8 +1,9 @@
 package lemondock.policy;
 
 /**
- * The time of the current event, in microseconds. It is set once per event and never goes back, so
- * that all decisions about one event use the same time. Single-threaded, like the whole package.
+ * The time of the current event, in microseconds. It is set once per event, so that all decisions
+ * about one event use the same time; the times of the events never decrease. Single-threaded, like
+ * the whole package.
  */
 final class DecisionClock {
   private long nowMicros;
--- a/policy/src/main/java/lemondock/policy/DecisionReason.java
+++ b/policy/src/main/java/lemondock/policy/DecisionReason.java
@@ -9,7 +9,7 @@
   DEADLINE_EXCEEDED,
   /** The request might not end before this gateway may be killed. */
   SHUTTING_DOWN,
-  /** The request waited in the queue until an attempt would have been too late. */
+  /** The request reached its longest wait in the queue. */
   QUEUE_TIMEOUT,
   /** The request was queued, for capacity or for a reader that can be in time. */
   QUEUED,
--- a/policy/src/main/java/lemondock/policy/InFlightRequest.java
+++ b/policy/src/main/java/lemondock/policy/InFlightRequest.java
@@ -97,9 +97,9 @@
   }
 
   /**
-   * Random number from 0 to 1, drawn once per request. A read is postponed if its expected time
-   * times this number exceeds the time left for it: the later a read would end, the more likely it
-   * is postponed.
+   * Random number from 0 to 1, drawn once per request. A read is not sent if its expected time
+   * times this number exceeds the time left for it: the later a read would end, the less likely it
+   * is sent.
    */
   double lateReadFactor() {
     return lateReadFactor;
--- a/policy/src/main/java/lemondock/policy/LatencyEstimator.java
+++ b/policy/src/main/java/lemondock/policy/LatencyEstimator.java
@@ -96,7 +96,7 @@
     server.streamTimeRatio().set(server.streamTimeRatio().at(now), now);
   }
 
-  /** Records how long an attempt that is cancelled now has waited at least. */
+  /** Records the wait so far of an attempt that is cancelled now, a lower bound of its wait. */
   void recordTimeout(Attempt attempt) {
     recordWait(
         attempt.server(), clock.nowMicros() - attempt.sentAtMicros() - attempt.expectedMicros());
--- a/policy/src/main/java/lemondock/policy/OutlierDetector.java
+++ b/policy/src/main/java/lemondock/policy/OutlierDetector.java
@@ -4,8 +4,9 @@
  * Ejects servers whose attempts fail more often than the average of their role, because of fast
  * errors, a crash, lost answers or a broken link. The role's failure rate counts as normal and
  * serves as the prior for a server with few outcomes. Scores decay with time, so that an ejected
- * server is tried again, with one attempt at a time (half-open). Slow answers are not failures. It
- * can eject a healthy server if the failures are caused by the requests themselves.
+ * server is tried again, with one attempt at a time (half-open). A slow answer is not a failure,
+ * but an attempt that timed out is. A healthy server can be ejected if the failures are caused by
+ * the requests themselves.
  */
 final class OutlierDetector {
   /** Factor by which each new outcome reduces the weight of a server's older ones. */
--- a/policy/src/main/java/lemondock/policy/ReaderSelector.java
+++ b/policy/src/main/java/lemondock/policy/ReaderSelector.java
@@ -6,9 +6,10 @@
 
 /**
  * Selects the server that reads a prompt: the session's last reader, or else the prefix's primary
- * by rendezvous hashing. A primary whose read would take clearly longer than the fastest one is
- * skipped for the next in rank. Protects against a hot prefix, a slow or overloaded reader and
- * cached text that a server has evicted. The cost is that the same text may be read more than once.
+ * by rendezvous hashing. Either of them is skipped for the next in rank if its read would take
+ * clearly longer than the fastest one. Protects against a hot prefix, a slow or overloaded reader
+ * and cached text that a server has evicted. The cost is that the same text may be read more than
+ * once.
  */
 final class ReaderSelector {
   /**
@@ -64,7 +65,7 @@
     double primaryMicros = request.objectiveMicros() * PRIMARY_OBJECTIVE_SHARE;
     if (options.stream()
         .anyMatch(option -> option.suitable && option.expectedMicros() <= primaryMicros)) {
-      // Otherwise the readers are overloaded, and unsuitable mixed servers help out.
+      // Without such an option the readers are overloaded: unsuitable mixed servers may read, too.
       options.removeIf(option -> !option.suitable);
     }
     double fastestMicros = options.stream().mapToDouble(ReadOption::expectedMicros).min().orElse(0);
--- a/policy/src/main/java/lemondock/policy/RequestTimer.java
+++ b/policy/src/main/java/lemondock/policy/RequestTimer.java
@@ -5,7 +5,7 @@
  * which encodes the kind and the request id; id 0 marks timers that belong to no request.
  */
 enum RequestTimer {
-  // The tokens encode the order of the constants, and the simulator's recordings contain tokens.
+  // The order must not change: a token encodes it, and the simulator's recordings contain tokens.
   DEADLINE,
   QUEUE_TIMEOUT,
   REAP_SESSIONS,
--- a/policy/src/main/java/lemondock/policy/ServerTable.java
+++ b/policy/src/main/java/lemondock/policy/ServerTable.java
@@ -52,7 +52,14 @@
   private void update(ServerEntry entry) {
     if (entry.kind() >= kinds.size()) {
       throw new InvalidRouterInputException(
-          "entries[id=" + entry.id() + "].kind", entry.kind(), "server of an unknown kind");
+          "entries[id=" + entry.id() + "].kind",
+          entry.kind(),
+          "server "
+              + entry.id()
+              + " has the unknown kind "
+              + entry.kind()
+              + ", expected less than "
+              + kinds.size());
     }
     ServerState known = servers.get(entry.id());
     if (known == null || known.entry().startedAtMicros() != entry.startedAtMicros()) {
--- a/policy/src/main/java/lemondock/policy/SlowStart.java
+++ b/policy/src/main/java/lemondock/policy/SlowStart.java
@@ -80,7 +80,7 @@
     meanRequestTokens += weight * (tokens - meanRequestTokens);
   }
 
-  /** Counts a successful answer of the server towards the answer rate of warm servers. */
+  /** Counts a successful answer of the server; the rate of warm servers is computed again. */
   void recordAnswer(ServerState server) {
     server.answerRate().increment(clock.nowMicros());
     server.roleStatistics().invalidateWarmRate();
--- a/policy/src/main/java/lemondock/policy/WriterSelector.java
+++ b/policy/src/main/java/lemondock/policy/WriterSelector.java
@@ -10,9 +10,10 @@
  * Selects the server that writes an answer by the power of two choices: one candidate is drawn from
  * the cell of the reader and one from its zone, or from all writers if the zone has none, and the
  * one with the lower load wins. If a cell has a larger share of its zone's readers than of its
- * zone's writers, only a random part of its states, in proportion to its share of the writers, is
- * written in the cell. Comparing loads alone would not achieve this: one gateway of many sends few
- * of the tokens that the cell's writers process and would always consider these writers idle.
+ * zone's writers, only a random part of its states may be written in the cell: its share of the
+ * writers divided by its share of the readers. Comparing loads alone would not achieve this: one
+ * gateway of many sends few of the tokens that the cell's writers process and would always consider
+ * these writers idle.
  */
 final class WriterSelector {
   /**
--- a/policy/src/test/java/lemondock/policy/ControlTest.java
+++ b/policy/src/test/java/lemondock/policy/ControlTest.java
@@ -95,7 +95,7 @@
         assertThrows(
             InvalidRouterInputException.class,
             () -> control.endpointsChanged(now, EndpointListKind.CHANGES, servers));
-    assertEquals("server of an unknown kind", invalid.getMessage());
+    assertEquals("server 8 has the unknown kind 99, expected less than 3", invalid.getMessage());
     assertEquals("entries[id=8].kind", invalid.field());
     assertEquals("99", invalid.value());
   }
