--- a/dispatch/src/main/java/lemondock/dispatch/DispatchedRequest.java
+++ b/dispatch/src/main/java/lemondock/dispatch/DispatchedRequest.java
@@ -6,7 +6,7 @@
  *
  * @param classId index of the request's class in the settings
  * @param tenant number of the tenant, 0 if the request specifies none
- * @param sessionKey hash of the conversation; all requests of a conversation share it
+ * @param sessionKey hash of the conversation; all requests of a conversation share it; 0 if unknown
  * @param prefixKey hash of the prompt's shared prefix, 0 if there is none
  * @param promptTokens number of tokens of the whole prompt
  * @param prefixTokens number of tokens of the shared prefix
@@ -71,7 +71,7 @@
       return this;
     }
 
-    /** Hash of the conversation; all requests of a conversation share it. */
+    /** Hash of the conversation; all requests of a conversation share it; 0 if unknown. */
     public Builder<P> sessionKey(long value) {
       sessionKey = value;
       return this;
--- a/dispatch/src/main/java/lemondock/dispatch/EndpointRegistry.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EndpointRegistry.java
@@ -14,10 +14,10 @@
 
 /**
  * Translates endpoint lists into updates for the router: servers, zones and kinds become numbers,
- * unchanged servers are left out of an update that may be partial, and start times are converted to
- * the router's clock. A server's id is a hash of its name and address, so that all gateways use the
- * same id for it, also after a restart; the router's rendezvous hashing depends on that. Does no
- * I/O and reads no clock. Loop thread only.
+ * unchanged servers are left out of an update that reports only changes, and start times are
+ * converted to the router's clock. By default, a server's id is a hash of its name and address, so
+ * that all gateways use the same id for it, also after a restart; the router's rendezvous hashing
+ * depends on that. Does no I/O and reads no clock. Loop thread only.
  */
 public final class EndpointRegistry {
   /** Limits the memory for endpoints that are not listed any more. */
--- a/dispatch/src/main/java/lemondock/dispatch/EngineAttempt.java
+++ b/dispatch/src/main/java/lemondock/dispatch/EngineAttempt.java
@@ -7,7 +7,7 @@
 
 /**
  * One attempt of a request: its target server and its progress. Forwards the engine's replies to
- * the {@link AttemptLifecycle}, which alone changes the attempt. Loop thread only.
+ * the {@link AttemptLifecycle}, which sends, cancels and ends the attempt. Loop thread only.
  */
 final class EngineAttempt<P, S, C extends StreamChunk> implements AttemptListener<S, C> {
   /** The server to which an attempt is sent, and its role. */
--- a/dispatch/src/main/java/lemondock/dispatch/RouterEvents.java
+++ b/dispatch/src/main/java/lemondock/dispatch/RouterEvents.java
@@ -102,8 +102,8 @@
     pendingNotifications.add(
         () -> {
           notification.accept(request.listener());
-          // a router timer may have ended the request, with no attempt left whose end would remove
-          // it
+          // a request that a router timer has ended may have no attempt left whose end would
+          // remove it
           requests.removeIfFinished(request);
         });
   }
--- a/dispatch/src/main/java/lemondock/dispatch/ServerStartTimes.java
+++ b/dispatch/src/main/java/lemondock/dispatch/ServerStartTimes.java
@@ -4,7 +4,7 @@
  * Converts the start times of servers from the wall-clock time of endpoint lists to the router's
  * monotonic clock. This gateway's wall clock may step at any time, but a server must not appear
  * older than it is, because it would receive more load than a server in slow start can handle.
- * Therefore the earlier one of two wall clocks is used: the system's, and one that advances
+ * Therefore the earlier one of two wall clocks is used: the system's, and one that has advanced
  * steadily since the first list. In addition, a process that has replaced a process of the last
  * list cannot be much older than that list. Does no I/O and reads no clock. Loop thread only.
  */
@@ -33,7 +33,9 @@
     wallMillis = Math.min(systemWallMillis, steadyWallMillis);
   }
 
-  /** The current list came from discovery, not from the cache of an earlier process. */
+  /**
+   * Records that the current list came from discovery, not from the cache of an earlier process.
+   */
   void listReceived() {
     lastListAtMicros = nowMicros;
   }
--- a/idempotency/src/main/java/lemondock/idempotency/GroupCommit.java
+++ b/idempotency/src/main/java/lemondock/idempotency/GroupCommit.java
@@ -30,7 +30,7 @@
   /** Length at which the log is compacted; written by the disk executor. */
   private volatile long compactAtBytes;
 
-  /** Length of the log; written by the disk executor. */
+  /** Length of the log after the last successful commit, 0 before; written by the disk executor. */
   private volatile long logLength;
 
   /**
--- a/idempotency/src/main/java/lemondock/idempotency/IdempotencyStore.java
+++ b/idempotency/src/main/java/lemondock/idempotency/IdempotencyStore.java
@@ -77,6 +77,8 @@
 
   /**
    * Returns the status of the call with a key; {@code nowMillis} is the time of the store's clock.
+   * Removes the call if it has expired. If the key is unknown and the store is full, removes
+   * expired calls or evicts one that never ran.
    */
   public CallStatus status(String key, long nowMillis) {
     StoredCall call = calls.get(key);
--- a/idempotency/src/main/java/lemondock/idempotency/package-info.java
+++ b/idempotency/src/main/java/lemondock/idempotency/package-info.java
@@ -6,6 +6,6 @@
  * change into a record; {@link lemondock.idempotency.GroupCommit} makes records durable, many with
  * one sync; {@link lemondock.idempotency.AppendLog} is the write-ahead log on the files of a {@link
  * lemondock.idempotency.FileSystemPort}. A record must be durable before the message that it
- * records is sent. The store and group commit belong to one thread, files are written on another.
+ * records is sent. The store and group commit belong to one thread; files are written on another.
  */
 package lemondock.idempotency;
--- a/idempotency/src/test/java/lemondock/idempotency/CrashRecoveryTest.java
+++ b/idempotency/src/test/java/lemondock/idempotency/CrashRecoveryTest.java
@@ -134,7 +134,7 @@
       String first = "first-" + freeBytes;
       assertTrue(
           process.append(process.store.callStarted(first, 1)),
-          "the first call after there is space again");
+          "the first call after the disk has free space again must be durable");
       SimulatedDirectory copy = new SimulatedDirectory(freeBytes);
       for (String name : directory.fileNames()) {
         copy.putFile(name, directory.read(name));
--- a/idempotency/src/test/java/lemondock/idempotency/SimulatedDirectory.java
+++ b/idempotency/src/test/java/lemondock/idempotency/SimulatedDirectory.java
@@ -90,7 +90,10 @@
     }
   }
 
-  /** Simulates the power loss and restart: leaves what the next process finds. */
+  /**
+   * Simulates a power loss and a restart: of the unsynced changes and bytes, only prefixes chosen
+   * by the seed remain for the next process.
+   */
   void restart() {
     int surviving = unsyncedChanges.isEmpty() ? 0 : random.nextInt(unsyncedChanges.size() + 1);
     unsyncedChanges.subList(0, surviving).forEach(Runnable::run);
