--- a/net/src/main/java/lemondock/net/Connection.java
+++ b/net/src/main/java/lemondock/net/Connection.java
@@ -8,7 +8,7 @@
 
 /**
  * A byte stream to one peer. Input is read one batch at a time and only on request. This limit is
- * the only backpressure mechanism: a connection submits at most one batch to the loop. Loop thread
+ * the only backpressure on input: a connection submits at most one batch to the loop. Loop thread
  * only, unless a method says otherwise.
  */
 public interface Connection {
@@ -18,15 +18,15 @@
   void read();
 
   /**
-   * Queues bytes for writing. The connection takes ownership of the buffer, and discards it if it
-   * is already closed.
+   * Queues bytes for writing. The connection takes ownership of the buffer; once the connection is
+   * closed or closing, it discards the bytes.
    */
   void write(ByteBuffer bytes);
 
   /**
-   * Like {@link #write}, but callable from any thread. On an I/O thread the bytes are sent once the
-   * current batch is decoded, together with all others written during that batch. The caller is
-   * responsible for the order of its own writes.
+   * Like {@link #write}, but callable from any thread. While an I/O thread decodes a batch, the
+   * bytes are sent once the batch is decoded, together with all others written during that batch.
+   * The caller is responsible for the order of its own writes.
    */
   default void writeFromAnyThread(ByteBuffer bytes) {
     write(bytes);
--- a/net/src/main/java/lemondock/net/Network.java
+++ b/net/src/main/java/lemondock/net/Network.java
@@ -10,8 +10,8 @@
   /**
    * Listens on an address and accepts connections, each with its own handler. Any thread.
    *
-   * @param maxConnections maximum of open connections accepted by this listener; further ones are
-   *     closed on arrival
+   * @param maxConnections maximum number of open connections accepted by this listener; further
+   *     ones are closed on arrival
    * @throws IOException if the address cannot be bound
    */
   Listener listen(
@@ -33,8 +33,8 @@
   }
 
   /**
-   * Creates probes that measure how long input waits for its I/O thread, one for each thread; empty
-   * if input never waits. Opens sockets, so call it once and not on the loop.
+   * Creates one probe for each I/O thread, which measures how long input waits for that thread;
+   * empty if input never waits. Opens sockets, so call it once and not on the loop.
    */
   default List<DelayProbe> delayProbes() throws IOException {
     return List.of();
--- a/net/src/main/java/lemondock/net/OutBuffer.java
+++ b/net/src/main/java/lemondock/net/OutBuffer.java
@@ -4,8 +4,8 @@
 
 /**
  * A reusable buffer for outgoing bytes, with room in front for a frame header that is written once
- * the length is known. Its owner reuses it, so a message allocates no memory of its own. For use by
- * one thread at a time.
+ * the length is known. The owner reuses the buffer, so a message needs no allocation of its own.
+ * For use by one thread at a time.
  */
 public final class OutBuffer {
   /** Bytes reserved in front: enough for the header of a chunk of any length. */
--- a/net/src/main/java/lemondock/net/http/HttpClient.java
+++ b/net/src/main/java/lemondock/net/http/HttpClient.java
@@ -41,9 +41,10 @@
   }
 
   /**
-   * Sends a request that is built when its bytes are written, once its connection is established,
-   * so that the remaining time stated in it is accurate. If the supplier returns empty, nothing is
-   * sent and the call fails with {@link RequestFailure#NOT_SENT}.
+   * Sends a request that the supplier builds only once a connection is established and the bytes
+   * are about to be written, so that the remaining time stated in the request is accurate. If the
+   * supplier returns empty, nothing is sent and the call fails with {@link
+   * RequestFailure#NOT_SENT}.
    */
   public HttpCall send(
       InetSocketAddress to, Supplier<Optional<ByteBuffer>> request, ResponseReceiver receiver) {
--- a/net/src/main/java/lemondock/net/http/HttpExchange.java
+++ b/net/src/main/java/lemondock/net/http/HttpExchange.java
@@ -9,7 +9,10 @@
  * #begin}, {@link #send}, {@link #finish}). Loop thread only, unless a method says otherwise.
  */
 public final class HttpExchange {
-  /** Time that a client has to read what was sent before its truncated response is aborted. */
+  /**
+   * Time that a client has, after its response was truncated, to read the bytes already queued;
+   * then the connection is aborted.
+   */
   private static final long TRUNCATE_TIMEOUT_MICROS = 2_000_000;
 
   /** Progress of the response. */
--- a/net/src/main/java/lemondock/net/http/HttpRejection.java
+++ b/net/src/main/java/lemondock/net/http/HttpRejection.java
@@ -6,7 +6,7 @@
  * @param retryAfterSeconds value of the {@code retry-after} header field, seconds
  * @param contentType media type of the body
  * @param body content of the response
- * @param onSent task that runs on the loop when the response is sent
+ * @param onSent task that runs on the loop just before the response is sent
  */
 public record HttpRejection(
     long retryAfterSeconds, String contentType, byte[] body, Runnable onSent) {}
--- a/net/src/main/java/lemondock/net/http/HttpServer.java
+++ b/net/src/main/java/lemondock/net/http/HttpServer.java
@@ -111,8 +111,8 @@
   }
 
   /**
-   * Counts a new connection; if few connections are left, closes the one that has been unused
-   * longest.
+   * Counts a new connection. If the time until the first request is limited and few more
+   * connections can be accepted, closes the one that has been unused longest.
    */
   void connectionOpened() {
     openConnections++;
--- a/net/src/main/java/lemondock/net/http/HttpService.java
+++ b/net/src/main/java/lemondock/net/http/HttpService.java
@@ -25,8 +25,8 @@
   }
 
   /**
-   * Number of bytes at the start of a body that suffice for {@link #rejectEarly}: it decides the
-   * same as for the whole body.
+   * Number of bytes at the start of a body from which {@link #rejectEarly} decides the same as from
+   * the whole body.
    */
   default int earlyRejectionBytes() {
     return Integer.MAX_VALUE;
--- a/net/src/main/java/lemondock/net/http/RequestQueue.java
+++ b/net/src/main/java/lemondock/net/http/RequestQueue.java
@@ -49,7 +49,10 @@
     this.listener = listener;
   }
 
-  /** Adds a request, or discards it if the queue is full or an earlier request was discarded. */
+  /**
+   * Adds a request. If excess requests are to be discarded, discards it when the queue is full or
+   * an earlier request was discarded.
+   */
   void add(QueuedRequest request) {
     if (hasDiscarded || discardsExcess && isFull()) {
       hasDiscarded = true;
--- a/net/src/main/java/lemondock/net/nio/ArrivalClock.java
+++ b/net/src/main/java/lemondock/net/nio/ArrivalClock.java
@@ -10,16 +10,16 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Computes a lower bound of the time at which bytes that an I/O thread reads now arrived in the
- * kernel. A process that is busy, not yet warmed up, suspended or without a processor reads them
- * late and cannot tell how late.
+ * Computes a lower bound of the time at which the kernel received the bytes that an I/O thread is
+ * now reading. A process that is busy, not yet warmed up, suspended or without a processor reads
+ * them late and cannot tell how late.
  *
  * <p>A dedicated thread posts a marker to the I/O thread's queue at regular intervals, the next one
  * only after the previous one was run. The I/O thread asks the kernel for ready sockets only after
  * it has handled everything reported before. So whatever was ready before one marker was posted is
- * handled before the next marker is run: anything handled later arrived after the second-last
- * marker was posted. Without delays that was recently, and {@link #TOLERANCE_MICROS} covers the
- * difference.
+ * handled before the next marker is run: bytes handled after one marker was run arrived after the
+ * previous marker was posted. Without delays, the second-last marker was posted recently, and
+ * {@link #TOLERANCE_MICROS} covers the difference.
  */
 final class ArrivalClock implements CompletionHandler<Void, Long>, AutoCloseable {
   /** Start time of an operation that may not have been started yet. */
--- a/net/src/main/java/lemondock/net/nio/AsyncNetwork.java
+++ b/net/src/main/java/lemondock/net/nio/AsyncNetwork.java
@@ -28,7 +28,7 @@
  * their handlers in the loop's context if it is free, and writes the results.
  *
  * <p>Each socket's write queue is guarded by its own lock; other state belongs to the loop unless
- * its comment says otherwise. System calls are made outside the loop's context.
+ * its comment says otherwise. Connects, reads and writes are started outside the loop's context.
  */
 public final class AsyncNetwork implements Network, AutoCloseable {
   /**
--- a/net/src/main/java/lemondock/net/nio/SocketReader.java
+++ b/net/src/main/java/lemondock/net/nio/SocketReader.java
@@ -34,7 +34,7 @@
   /** Whether a read is in progress. Loop thread only. */
   private boolean reading;
 
-  /** Number of {@link #batchesRead} that the owner has received. Loop thread only. */
+  /** How many of the {@link #batchesRead} the owner has received. Loop thread only. */
   private int batchesSeen;
 
   // All fields below: I/O thread or the thread that starts the next read, except where stated. Only
--- a/net/src/main/java/lemondock/net/package-info.java
+++ b/net/src/main/java/lemondock/net/package-info.java
@@ -14,7 +14,7 @@
  * </ul>
  *
  * <p>Times are in microseconds and sizes in bytes unless a name says otherwise. {@code
- * lemondock.net.nio} implements these interfaces on real sockets, {@code lemondock.net.time} on a
- * clock that tests advance.
+ * lemondock.net.nio} implements these interfaces on real sockets; {@code lemondock.net.time}
+ * implements the loop on a clock that its owner advances.
  */
 package lemondock.net;
--- a/net/src/main/java/lemondock/net/time/TimerWheel.java
+++ b/net/src/main/java/lemondock/net/time/TimerWheel.java
@@ -111,7 +111,7 @@
     return next == Long.MAX_VALUE ? next : next * tickMicros;
   }
 
-  /** The next tick at which a slot fires or its timers move one level down. */
+  /** The next tick at which a slot fires or its timers move to a lower level. */
   private long nextTick() {
     long next = Long.MAX_VALUE;
     for (int level = 0; level < LEVELS; level++) {
@@ -127,8 +127,8 @@
   }
 
   /**
-   * Moves to a tick, with no slot due between it and the current one, and cascades the timers of
-   * the higher-level slots that begin there.
+   * Moves to a tick and cascades the timers of the higher-level slots that begin there. No slot may
+   * be due between the current tick and that one.
    */
   private void setCurrentTick(long targetTick) {
     long previousTick = currentTick;
--- a/net/src/test/java/lemondock/net/http/HttpDecoderTest.java
+++ b/net/src/test/java/lemondock/net/http/HttpDecoderTest.java
@@ -275,7 +275,7 @@
     assertEquals(502, rejection(responses("HTTP/1.1 999999 OK\r\n", false)).status());
   }
 
-  /** The decoder throws for no input, and a rejection is always its last event. */
+  /** No input makes the decoder throw, and a rejection is always its last event. */
   @Property(tries = 2_000, seed = "20261201")
   void arbitraryBytesDoNotBreakTheDecoder(@ForAll byte[] bytes, @ForAll long seed) {
     Random random = new Random(seed);
--- a/net/src/test/java/lemondock/net/nio/IdleCloseTest.java
+++ b/net/src/test/java/lemondock/net/nio/IdleCloseTest.java
@@ -26,9 +26,8 @@
 import org.junit.jupiter.api.extension.RegisterExtension;
 
 /**
- * A server closes an idle connection while a request is being processed: the I/O thread has read it
- * but not yet delivered it to the loop. A task that waits blocks the loop, so that this race
- * happens in every run.
+ * Tests that closing an idle connection loses no input that the I/O thread has read but not yet
+ * delivered to the loop. A waiting task blocks the loop, so that this race happens in every run.
  */
 @Timeout(20)
 class IdleCloseTest {
--- a/net/src/test/java/lemondock/net/nio/SharedStateTest.java
+++ b/net/src/test/java/lemondock/net/nio/SharedStateTest.java
@@ -7,7 +7,7 @@
 import org.jetbrains.kotlinx.lincheck.strategy.managed.modelchecking.ModelCheckingOptions;
 import org.junit.jupiter.api.Test;
 
-/** Model checks state shared between threads over the interleavings of their steps. */
+/** Model-checks state that threads share, over the interleavings of their steps. */
 class SharedStateTest {
   /** Submission of tasks by I/O threads, as in {@link ThreadLoop#executeInline}. */
   public static class TaskSubmission {
--- a/net/src/test/java/lemondock/net/testing/ScriptedConnection.java
+++ b/net/src/test/java/lemondock/net/testing/ScriptedConnection.java
@@ -19,7 +19,7 @@
   private final Handler handler;
   private boolean closed;
 
-  /** Creates a connection to a peer that reports its input and its close to the handler. */
+  /** Creates a connection that reports input from a peer and its own close to the handler. */
   protected ScriptedConnection(ManualLoop loop, InetSocketAddress remoteAddress, Handler handler) {
     this.loop = loop;
     this.remoteAddress = remoteAddress;
