--- a/gateway/src/main/java/lemondock/gateway/OverloadProtection.java
+++ b/gateway/src/main/java/lemondock/gateway/OverloadProtection.java
@@ -65,7 +65,7 @@
         admission.admittedShare(), stallMonitor.stallCount(), stallMonitor.totalStallMicros());
   }
 
-  /** Starts reading the resources in use. */
+  /** Takes one sample of the resources in use, off the loop. */
   void sampleResources() {
     resourcePressure.sample();
   }
--- a/gateway/src/main/java/lemondock/gateway/QueueDelayMonitor.java
+++ b/gateway/src/main/java/lemondock/gateway/QueueDelayMonitor.java
@@ -30,8 +30,8 @@
   private final GatewayMetrics metrics;
 
   /**
-   * For each queue, the total pause time (microseconds) of the process just before the queue
-   * accepted its latest probe.
+   * For each queue except the loop's, the total pause time (microseconds) of the process just
+   * before the queue accepted its latest probe.
    */
   private final long[] pausedMicrosAtProbe;
 
@@ -114,8 +114,8 @@
   /**
    * The part of a delay in which the whole process was paused. A garbage collection of 150 ms
    * delays every waiting task by that time, but no queue grows, and the delay ends with the
-   * collection, so it does not count as queue delay. Tasks that accumulate behind the pause still
-   * count for the time they wait after it.
+   * collection, so it does not count as queue delay. Tasks that arrive together after the pause
+   * still count for the time they wait in the queue.
    */
   private long pausedMicrosSince(long pausedMicrosBefore, long delayMicros) {
     return Math.min(delayMicros, resources.pausedMicros() - pausedMicrosBefore);
--- a/gateway/src/main/java/lemondock/gateway/accounting/CallMetrics.java
+++ b/gateway/src/main/java/lemondock/gateway/accounting/CallMetrics.java
@@ -7,7 +7,8 @@
  * The metrics of one client's call, from its arrival to its end. It decides whether the call met
  * the objectives of its class: the first token within the latency objective, the rest at the
  * objective's pace. Each call is counted once under one outcome, in whatever order its events
- * arrive. Loop thread only, except for {@link #inTurn}; time is passed in.
+ * arrive. Loop thread only, except that an I/O thread that holds the call's output lock may call
+ * {@link #inTurn} and, while that returns true, {@link #onDelivered}. Time is passed in.
  */
 public final class CallMetrics {
   /**
--- a/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
+++ b/gateway/src/main/java/lemondock/gateway/answer/PromptReader.java
@@ -46,7 +46,7 @@
   private final Encoding encoding =
       Encodings.newDefaultEncodingRegistry().getEncoding(EncodingType.CL100K_BASE);
 
-  /** Thrown for invalid arguments; the message gives the JSON path and what was expected. */
+  /** Thrown for invalid arguments; the message gives the JSON pointer and the problem. */
   public static final class InvalidArgumentsException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/gateway/src/main/java/lemondock/gateway/core/CallService.java
+++ b/gateway/src/main/java/lemondock/gateway/core/CallService.java
@@ -93,7 +93,7 @@
     metrics.requests().requestRejected(prompt.classId(), tenant, clientRetry);
   }
 
-  /** Enables deduplication of non-idempotent calls; must be called before the first call. */
+  /** Enables deduplication of non-idempotent calls; must be set before a call is accepted. */
   public void setIdempotencyGuard(IdempotencyGuard guard) {
     this.guard = Optional.of(guard);
   }
--- a/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
+++ b/gateway/src/main/java/lemondock/gateway/discovery/ConsulEndpointList.java
@@ -35,7 +35,10 @@
   /** Set once, by {@link #start}. */
   private Listener listener;
 
-  /** The index of the last list seen; 0 if there is none. */
+  /**
+   * The index of the last list seen; 0 if there is none, after a failure, and after the index went
+   * backwards.
+   */
   private long lastIndex;
 
   private long backoffMicros;
--- a/gateway/src/main/java/lemondock/gateway/engine/CompletionChunk.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/CompletionChunk.java
@@ -33,8 +33,8 @@
       withoutCounts("", List.of(), Optional.empty(), Optional.empty());
 
   /**
-   * A part of the tool call with an index. The first part contains the id and the name; the
-   * arguments are split into any number of parts.
+   * A part of a tool call; parts with the same index belong to the same call. The first part
+   * contains the id and the name; the arguments are split into any number of parts.
    */
   public record ToolCallDelta(int index, String id, String name, String arguments) {}
 
--- a/gateway/src/main/java/lemondock/gateway/engine/JsonScanner.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/JsonScanner.java
@@ -2,8 +2,9 @@
 
 /**
  * Scans JSON in a byte array without allocating memory. It supports only a subset: strings without
- * escapes, and structures of a bounded depth. Each accept and skip method returns whether the next
- * element was as expected; if not, the position is undefined afterwards.
+ * escapes, and structures of a bounded depth. {@link #accept} and the methods that skip an element
+ * return whether the input was as expected. If not, {@link #accept} has skipped only white space;
+ * after any other of these methods the position is undefined.
  *
  * <p>It is a base class rather than a field, so that {@link TextEventParser} accesses each byte of
  * each token without an indirection. Not thread-safe.
--- a/gateway/src/main/java/lemondock/gateway/engine/TextEventParser.java
+++ b/gateway/src/main/java/lemondock/gateway/engine/TextEventParser.java
@@ -6,8 +6,8 @@
  * Parses the most frequent event of an answer's stream, a piece of text with or without token
  * counts, in place: it builds neither a tree nor a string and allocates no memory per event. Any
  * other event or unusual encoding is rejected and left to {@link CompletionChunkParser}, which
- * would give the same result for every event that is accepted here. One parser serves one stream,
- * on its I/O thread.
+ * would give the same text and completion tokens for every event that is accepted here. One parser
+ * serves one stream, on its I/O thread.
  */
 final class TextEventParser extends JsonScanner {
   private static final int MAX_DIGITS = 9;
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpHttpHandler.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpHttpHandler.java
@@ -49,7 +49,7 @@
    * @param sessionIdGenerator generates session ids that cannot be guessed
    * @param readinessProblem returns why nothing can be served now, empty if the gateway is ready
    * @param admission decides which requests to admit while the gateway itself is overloaded
-   * @param version the gateway's version that clients are told
+   * @param version the gateway's version, reported to clients
    */
   public record Dependencies(
       Loop loop,
--- a/gateway/src/main/java/lemondock/gateway/mcp/McpSession.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/McpSession.java
@@ -152,7 +152,7 @@
 
   // Event streams.
 
-  /** Returns the number of the next stream of calls; the first is 1. */
+  /** Allocates the number of a new event stream of calls; the first is 1. */
   long nextStreamNumber() {
     return nextStreamNumber++;
   }
--- a/gateway/src/main/java/lemondock/gateway/mcp/RequestPreparer.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/RequestPreparer.java
@@ -103,7 +103,8 @@
 
   /**
    * Rejects a large call before it is parsed, if {@link ToolNameScanner} finds the name of its
-   * tool. {@link #prepare} does not apply admission control again to a call that was admitted here.
+   * tool. For a call that was admitted here, {@link #prepare} checks only the retry budget, not the
+   * priority again.
    */
   Optional<HttpRejection> rejectBeforeParsing(HttpRequest request) {
     Admission.Gate gate = admission.gate();
--- a/gateway/src/main/java/lemondock/gateway/mcp/ResumableEventStream.java
+++ b/gateway/src/main/java/lemondock/gateway/mcp/ResumableEventStream.java
@@ -20,8 +20,8 @@
   private static final long HIGH_WATER_MARK_BYTES = 64 * 1024;
 
   /**
-   * Upper bound of the size of an event that an I/O thread sends. Such an event carries the text of
-   * one event of an engine, which is smaller than this.
+   * Space reserved for an event that an I/O thread sends. Its text is limited to {@code
+   * MAX_DIRECT_CHARS} characters by {@code AnswerRequestListener}, each at most 6 bytes of JSON.
    */
   private static final long DIRECT_EVENT_RESERVE_BYTES = 16 * 1024;
 
--- a/gateway/src/main/java/lemondock/gateway/reporting/DetectorInput.java
+++ b/gateway/src/main/java/lemondock/gateway/reporting/DetectorInput.java
@@ -16,7 +16,12 @@
 
   private DetectorInput() {}
 
-  /** Requests by class and zone; good are those answered in time, bad all others. */
+  /**
+   * Requests by class and zone. Good are those whose first token was in time (the whole answer, if
+   * it has no text), bad those that missed an objective, failed or were rejected. A request counts
+   * as both if it failed or missed the pace after a timely first token, and as neither if it was
+   * cancelled without a token before the first one was due.
+   */
   static List<EventCounts> requests(MetricsSnapshot snapshot) {
     List<EventCounts> counts = new ArrayList<>();
     for (Series series : snapshot.series()) {
--- a/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
+++ b/gateway/src/main/java/lemondock/gateway/settings/GatewaySettings.java
@@ -225,7 +225,8 @@
 
   /**
    * The idempotency log, which remembers calls that must not run twice across a crash of the
-   * gateway; see {@code lemondock.idempotency}. Null if there is none.
+   * gateway; see {@code lemondock.idempotency}. {@link GatewaySettings#durable} is null if there is
+   * none.
    */
   public record Durable(
       String path, double keepMs, int mostCalls, long mostBytes, int mostWaiting, double waitMs) {}
--- a/gateway/src/test/java/lemondock/gateway/mcp/ToolNameScannerTest.java
+++ b/gateway/src/test/java/lemondock/gateway/mcp/ToolNameScannerTest.java
@@ -53,8 +53,8 @@
   }
 
   /**
-   * The HTTP server scans the first bytes of a body, and the whole body when it prepares the
-   * request. Both scans must give the same result.
+   * {@link RequestPreparer} is given the first bytes of a large body to reject it early, and later
+   * the whole body to prepare the request. Both scans must give the same result.
    */
   @Test
   void firstBytesGiveSameResultAsWholeBody() {
